--- a/sablewheel/affinity/events.py
+++ b/sablewheel/affinity/events.py
@@ -198,7 +198,18 @@
 
 
 Event: TypeAlias = (
-    Came | Over | Unreached | Returned | Refused | Fenced | Answered | Viewed | Active | Loads | Drain | Tick
+    Came
+    | Over
+    | Unreached
+    | Returned
+    | Refused
+    | Fenced
+    | Answered
+    | Viewed
+    | Active
+    | Loads
+    | Drain
+    | Tick
     | Got
 )
 
--- a/sablewheel/affinity/placer.py
+++ b/sablewheel/affinity/placer.py
@@ -316,7 +316,6 @@
             self._carry_out(effect)
         self._wake.set(self.sessions.wake_at)
 
-
     def _ring(self) -> None:
         self._step(Tick())
 
--- a/sablewheel/capability/shell.py
+++ b/sablewheel/capability/shell.py
@@ -252,7 +252,6 @@
             for callback in self._listeners:
                 callback(*told)
 
-
     def _ring(self) -> None:
         self._step(Tick())
 
--- a/sablewheel/choice.py
+++ b/sablewheel/choice.py
@@ -65,7 +65,6 @@
         self.first_wait = 0.0  # how long callers wait for a first try
         self.calls = self.runs = 1  # calls made and runs that worked: a run may call more than once
 
-
     def learn(self, estimate: float | None, took: float) -> None:
         """A run worked, and took so long."""
         self.service.add(took)
--- a/sablewheel/membership/messages.py
+++ b/sablewheel/membership/messages.py
@@ -195,8 +195,22 @@
 Round = Vote | Prepare | Promise | Accept | Accepted  # what belongs to one epoch's agreement alone
 
 Body = (
-    Ping | PingReq | Ack | Nack | Join | Leave | Sync | Vote | Prepare | Promise | Accept | Accepted
-    | Ask | Told | Digest | Votes
+    Ping
+    | PingReq
+    | Ack
+    | Nack
+    | Join
+    | Leave
+    | Sync
+    | Vote
+    | Prepare
+    | Promise
+    | Accept
+    | Accepted
+    | Ask
+    | Told
+    | Digest
+    | Votes
 )
 
 
--- a/sablewheel/membership/shell.py
+++ b/sablewheel/membership/shell.py
@@ -169,7 +169,6 @@
             self._count("faults")
             log.exception("callback of a view ended by a fault", extra={"pairs": {"epoch": view.epoch}})
 
-
     def _ring(self) -> None:
         self._step(Tick())
 
--- a/sablewheel/program/configuration.py
+++ b/sablewheel/program/configuration.py
@@ -27,6 +27,7 @@
 
 Choice = TypeVar("Choice")
 
+
 class FaultyKeyError(ValueError):
     """A key that is missing, of the wrong kind or out of range; the message starts with its name."""
 
--- a/sablewheel/replication/catchup.py
+++ b/sablewheel/replication/catchup.py
@@ -130,7 +130,6 @@
             epoch -= 1
         return epoch
 
-
     # -- what counts
 
     def is_ready(self, slot: int) -> bool:
--- a/sablewheel/replication/keeper.py
+++ b/sablewheel/replication/keeper.py
@@ -423,7 +423,6 @@
             self._carry_out(effect)
         self._wake.set(self.replica.wake_at)
 
-
     def _ring(self) -> None:
         self._step(Tick())
 
--- a/sablewheel/replication/replica.py
+++ b/sablewheel/replication/replica.py
@@ -274,9 +274,7 @@
         change = Change("claim", own.owner, digest=claim.digest)
         self._open(claim.ref, (LABELS, claim.key), claim.group, change, own.until, claim.under)
 
-    def _open(
-        self, ref: int, key: Key, group: bytes, change: Change, until: float, under: int = 0
-    ) -> None:
+    def _open(self, ref: int, key: Key, group: bytes, change: Change, until: float, under: int = 0) -> None:
         before = self._at_key.get(key)
         if before is not None:
             if change.what == "write" or before in self._asked:
@@ -592,7 +590,7 @@
             case "again":
                 # Whoever else is at this key gets a while to end: else two could refuse each other for ever.
                 one.ballot, one.tries = NO_BALLOT, -max(one.tries, 1)
-                wait = self._set.retry * min(2 ** -one.tries, 8)
+                wait = self._set.retry * min(2**-one.tries, 8)
                 self._arm(one, self._now + self._chance.uniform(0.0, wait))
             case "fenced" | "full" as verdict:
                 self._over(one, verdict)
--- a/sablewheel/routing/server.py
+++ b/sablewheel/routing/server.py
@@ -359,9 +359,7 @@
                 most -= 1
                 if connection.shut_at <= before:
                     connection.close(CloseReason.LINGERED)
-        idle = [
-            one for one in self.connections if one.idle and one.used <= before and one.shut_at is None
-        ]
+        idle = [one for one in self.connections if one.idle and one.used <= before and one.shut_at is None]
         idle.sort(key=lambda one: (one.heard, one.used))
         # Only those to go are looked into for unread bytes: a peek is a system call, and the table is full.
         going = (one for one in idle if not one.stream.unread)
--- a/sablewheel/trials/membership.py
+++ b/sablewheel/trials/membership.py
@@ -380,11 +380,13 @@
     p50, p99 = statistics.median(mine), mine[math.ceil(0.99 * len(mine)) - 1]
     verdict.check("a killed member is out of every view", mine[-1] < math.inf, f"{mine[-1]:.2f} s")
     verdict.check(
-        "one agreed view after each crash", max(stage.agreed_after) < math.inf,
+        "one agreed view after each crash",
+        max(stage.agreed_after) < math.inf,
         f"{max(stage.agreed_after):.2f} s",
     )
     verdict.check(
-        "whoever was out comes in again, under the same name", max(stage.returned_after) < math.inf,
+        "whoever was out comes in again, under the same name",
+        max(stage.returned_after) < math.inf,
         f"{max(stage.returned_after):.2f} s",
     )
     removed: dict[str, dict[str, int]] = {fleet.kind: defaultdict(int) for fleet in stage.same}
@@ -411,7 +413,8 @@
         whole, half = stage.loads[ours.place][place], stage.loads[stage.half.place][place]
         ratio = whole / half
         verdict.check(
-            f"{figure} a member do not grow with the fleet", 1 / LOAD_MOST <= ratio <= LOAD_MOST,
+            f"{figure} a member do not grow with the fleet",
+            1 / LOAD_MOST <= ratio <= LOAD_MOST,
             f"{ratio:.2f} from {stage.half.size} to {ours.size}",
         )
         verdict.figures[f"{figure}_a_member_a_second"] = round(whole, 1)
--- a/sablewheel/trials/recall.py
+++ b/sablewheel/trials/recall.py
@@ -172,7 +172,8 @@
     )
     verdict.check("repeats came after restarts and got their results", repeats > 50, repeats)
     verdict.check(
-        "with few labels' room, tickets are denied and told when to return", 0 < room_denials <= advised,
+        "with few labels' room, tickets are denied and told when to return",
+        0 < room_denials <= advised,
         f"{advised} of {room_denials} advised" + (f"; not: {', '.join(unadvised[:8])}" if unadvised else ""),
     )
     growth = max(each[-1] - min(each) for each in stage.memory.values())
--- a/sablewheel/trials/relay.py
+++ b/sablewheel/trials/relay.py
@@ -61,9 +61,7 @@
             while there.cut or back.cut:
                 await asyncio.sleep(LOOK)
             far, onward = await asyncio.open_connection(*self.to)
-            await asyncio.gather(
-                self.relay.pump(reader, onward, there), self.relay.pump(far, writer, back)
-            )
+            await asyncio.gather(self.relay.pump(reader, onward, there), self.relay.pump(far, writer, back))
         except OSError:
             pass
         finally:
--- a/sablewheel/trials/replication.py
+++ b/sablewheel/trials/replication.py
@@ -72,8 +72,13 @@
     verdict = Verdict("replication")
     with Rig(seed) as rig, closing(Block()) as block:
         keys: dict[str, object] = {
-            "period-s": 0.25, "probe-timeout-s": 0.1, "found-after-s": 1.0, "join-every-s": 0.3,
-            "vote-timeout-s": 0.5, "sync-every-s": 1.0, "observers": 9,
+            "period-s": 0.25,
+            "probe-timeout-s": 0.1,
+            "found-after-s": 1.0,
+            "join-every-s": 0.3,
+            "vote-timeout-s": 0.5,
+            "sync-every-s": 1.0,
+            "observers": 9,
         }  # fmt: skip  on five rings two that come back at one moment may have two live observers each
         stage = Replicas(rig, block.second, "ours", 0, SIZE, seed, zones=ZONES, keys=keys)
         stage.broken = broken
--- a/sablewheel/trials/replication_model.py
+++ b/sablewheel/trials/replication_model.py
@@ -324,6 +324,7 @@
     queue: deque[tuple[World, int]] = deque([(first, 0)])
     came: dict[World, tuple[World, tuple[str, ...]] | None] = {first: None}
     settled, whole, chance = 0, True, random.Random(1)
+
     def found(world: World, wrong: str) -> dict[str, Any]:
         steps: list[str] = []
         at: World | None = world
--- a/tests/test_crossing_repeats.py
+++ b/tests/test_crossing_repeats.py
@@ -525,9 +525,7 @@
 OFTEN = ["read"] * 2 + ["write"] * 3 + ["lie"] * 3 + ["deliver"] * 3 + ["end"] * 3 + ["fail", "stop", "copy"]
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(
-            ["cancel", "wait", "pass", "long", "stall", "lose", "rush", "drain", *OFTEN]
-        ),
+        st.sampled_from(["cancel", "wait", "pass", "long", "stall", "lose", "rush", "drain", *OFTEN]),
         st.integers(0, 3),
     ),
     max_size=40,
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -16,11 +16,7 @@
 AMOUNTS = st.floats(0, 1000, allow_nan=False)
 ZONES = st.lists(
     st.tuples(AMOUNTS, AMOUNTS, st.floats(0, 1), st.booleans(), st.floats(0, 1)), min_size=1, max_size=8
-).map(
-    lambda rows: tuple(
-        Zone(f"z{place}", f"r{place % 3}", *row) for place, row in enumerate(rows)
-    )
-)
+).map(lambda rows: tuple(Zone(f"z{place}", f"r{place % 3}", *row) for place, row in enumerate(rows)))
 
 
 def four(load: float = 50.0, **west1: float | bool) -> tuple[Zone, ...]:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -141,9 +141,7 @@
     begun = time.time()
     assert fleet.processes["m4"].leave() == 0
     assert fleet.wait_agreed(["m0", "m1", "m2", "m3"], WITHIN) is not None
-    gone = min(
-        line.when for line in fleet.seen(begun) if "remove:m4@" in line.pairs.get("changes", "")
-    )
+    gone = min(line.when for line in fleet.seen(begun) if "remove:m4@" in line.pairs.get("changes", ""))
     assert gone - begun < 1.0  # a suspicion alone would have taken longer
     fleet.start("m4")
     assert fleet.wait_agreed(fleet.names, WITHIN) is not None
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -566,7 +566,6 @@
         assert len(decided) <= 1, seed
 
 
-
 def test_every_message_goes_through_the_codec_and_bad_packets_are_refused() -> None:
     member = Member("m1", "127.0.0.1:1", "z", "r", 7)
     cut = proposal([Change(Kind.REMOVE, member), Change(Kind.FACT, fact=Fact("zone/z1", "out"))])
