--- a/sablewheel/capability/ability.py
+++ b/sablewheel/capability/ability.py
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Parameter:
-    """A whole number of a feature; each unit above `least` costs. A larger value serves who wants a smaller."""
+    """A whole number of a feature; each unit above `least` costs. A larger value serves a smaller demand."""
 
     name: str
     least: int
--- a/sablewheel/forwarding/forward.py
+++ b/sablewheel/forwarding/forward.py
@@ -296,7 +296,7 @@
                     )
 
     def _send(self, to: str, message: Message, within: float) -> None:
-        """Whoever passes a ticket on hears if it is sure that it never left; the rest is sent for its worth."""
+        """Whoever passes a ticket on hears if it is sure that it never left; the rest is best effort."""
         number = message.number
         unsent = (lambda: self._step(Unsent(number))) if isinstance(message, Pass) else None
         if self._links.send(to, KIND, encode(message), within, unsent):
--- a/sablewheel/recall/loading.py
+++ b/sablewheel/recall/loading.py
@@ -18,7 +18,7 @@
 
 @dataclass
 class Loaded:
-    """What came of it: `last` is when the last record was written, `notice` the last notice known to be read."""
+    """The result: `last` is when the last record was written, `notice` the last notice known to be read."""
 
     memory: Memory
     longest: float
--- a/sablewheel/recall/plan.py
+++ b/sablewheel/recall/plan.py
@@ -22,7 +22,7 @@
 
 
 class Unreadable(Enum):
-    """A folder that can't be read: REFUSE to start, or start as if there were none, by the rule for `cold`."""
+    """A folder that can't be read: REFUSE to start, or start as if it were empty, by the rule for `cold`."""
 
     REFUSE = "refuse"
     COLD = "cold"
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class RecallPlan:
-    """One server's memory of its labelled runs. `folder` None: there is no lasting disk, only `cold` counts."""
+    """One server's memory of its labelled runs. `folder` None: no lasting disk, only `cold` counts."""
 
     folder: Path | None = None
     cold: Start = Start.RUN
--- a/sablewheel/recall/recorder.py
+++ b/sablewheel/recall/recorder.py
@@ -256,7 +256,7 @@
             self._count("recall_no_room")
 
     def _commit_wait(self, now: float) -> float:
-        """How long an intent may take to be durable: as the slower ones of late, or as the one under way has."""
+        """How long an intent may take to be durable: as recent slow ones, or as the one under way."""
         ranked = sorted(self._commits)
         usual = ranked[int(0.9 * len(ranked))] if ranked else 0.0
         under_way = now - self._given_at if self._given_at else 0.0
--- a/sablewheel/routing/dispatch.py
+++ b/sablewheel/routing/dispatch.py
@@ -94,7 +94,7 @@
             self._opened()
 
     def remembered(self, at_greeting: bool = False) -> None:
-        """The interpreter is up, or all that is remembered is known: when both are, nothing waits any longer."""
+        """The interpreter is up, or all remembered runs are known; when both are, waiting ends."""
         if self._controller is None:
             return
         if self._memory.ready:
--- a/sablewheel/routing/exchange.py
+++ b/sablewheel/routing/exchange.py
@@ -114,7 +114,7 @@
         self.session = ""  # the key of the session that it belongs to, where sessions are told apart
 
     def asks_same(self, other: Exchange) -> bool:
-        """Whether another with this label asks for the same; one remembered over a restart has a digest only."""
+        """Whether another with this label asks for the same; one remembered from before has a digest only."""
         if not self.digest:
             return self.sameness == other.sameness
         return self.digest == digest(other.track, other.body)
--- a/sablewheel/trials/rig.py
+++ b/sablewheel/trials/rig.py
@@ -183,7 +183,7 @@
         module: tuple[str, ...] = ("sablewheel",),
         **changes: Any,
     ) -> Process:
-        """A server that is up; `features` is the text of its features file, `module` what is run, with words."""
+        """A server that is up; `features` is the text of its features file, `module` what is run."""
         environment = {"RELAY_CONFIG": str(self.configuration(name, port, vm, **changes))}
         if features is not None:
             path = self.folder / f"{name}.yaml"
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -237,7 +237,7 @@
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(seed=st.integers(0, 10**6))
 def test_carrying_ends_and_never_lets_a_live_label_fall_behind_the_front(seed: int) -> None:
-    """A log as the recorder keeps it: each record has its size, the front up to `oldest` goes now and then."""
+    """A log as the recorder keeps it: each record has its size, the front up to `oldest` goes at times."""
     chance, carrier, lies, log = random.Random(seed), Carrier(100), dict[bytes, int](), dict[int, int]()
     carried = 0
     for number in range(1, 600):
