--- a/sablewheel/affinity/binding.py
+++ b/sablewheel/affinity/binding.py
@@ -12,7 +12,7 @@
 
 class State(Enum):
     """HELD: its owner serves it. PASSING: its owner takes no more labelled work and hands it to the heir.
-    ENDED: nobody's; the next ticket begins a new session above this number."""
+    ENDED: nobody's; the next request begins a new session above this number."""
 
     HELD = "held"
     PASSING = "passing"
@@ -22,7 +22,7 @@
 class Cause(Enum):
     """Why a session was moved or brought to another version; each is counted apart. There is no other."""
 
-    IDLE = "idle"  # it ended, idle longer than set; the next ticket begins a new one
+    IDLE = "idle"  # it ended, idle longer than set; the next request begins a new one
     RETIRED = "retired"  # its version is kept no longer
     MANDATORY = "mandatory"  # a change that is marked so
     DRAIN = "drain"  # its owner leaves
--- a/sablewheel/affinity/codec.py
+++ b/sablewheel/affinity/codec.py
@@ -72,8 +72,11 @@
             return Told(_in(told.told))
         case "load":
             load = told.load
-            return Load(load.sessions, _span(load.warmth, 1.0, "warmth"),
-                        _span(load.capacity, CAPACITY_MOST, "capacity"))  # fmt: skip
+            return Load(
+                load.sessions,
+                _span(load.warmth, 1.0, "warmth"),
+                _span(load.capacity, CAPACITY_MOST, "capacity"),
+            )
     raise BadPacketError("a packet of no kind that this version knows")
 
 
@@ -95,17 +98,29 @@
 
 def _out(one: Binding) -> pb.Binding:
     return pb.Binding(
-        key=one.key, number=one.number, owner=one.owner, incarnation=one.incarnation, version=one.version,
-        state=one.state.value, heir=one.heir,
-    )  # fmt: skip
+        key=one.key,
+        number=one.number,
+        owner=one.owner,
+        incarnation=one.incarnation,
+        version=one.version,
+        state=one.state.value,
+        heir=one.heir,
+    )
 
 
 def _in(told: pb.Binding) -> Binding:
     if told.state not in (one.value for one in State):
         raise BadPacketError(f"state: no such state: {told.state[:40]!r}")
     heir = _name(told.heir, "heir") if told.heir else ""
-    return Binding(_name(told.key, "key"), told.number, _name(told.owner, "owner"), told.incarnation,
-                   told.version, State(told.state), heir)  # fmt: skip
+    return Binding(
+        _name(told.key, "key"),
+        told.number,
+        _name(told.owner, "owner"),
+        told.incarnation,
+        told.version,
+        State(told.state),
+        heir,
+    )
 
 
 def _name(name: str, field: str) -> str:
--- a/sablewheel/affinity/events.py
+++ b/sablewheel/affinity/events.py
@@ -1,6 +1,6 @@
 """What the sessions of one server are told, what they do about it, and what servers say to each other.
 
-A `ref` is whoever's number for a ticket that was read here, or ours for a question to the register.
+A `ref` is whoever's number for a request that was read here, or ours for a question to the register.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class Why(Enum):
-    """Why a ticket is served here or denied; each is counted apart."""
+    """Why a request is served here or denied; each is counted apart."""
 
     OWNER = "owner"  # this server owns its session
     NO_VIEW = "no_view"  # this server is in no view
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Came:
-    """A ticket. `sender`: the member who passed it on, empty if its router brought it here."""
+    """A request. `sender`: the member who passed it on, empty if its router brought it here."""
 
     ref: int
     key: str
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Over:
-    """A ticket that was to be served here has its outcome, or never began."""
+    """A request that was to be served here has its outcome, or never began."""
 
     ref: int
     key: str
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unreached:
-    """A ticket that was passed on certainly did not arrive at `to`."""
+    """A request that was passed on certainly did not arrive at `to`."""
 
     came: Came
     to: str
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Returned:
-    """A ticket that was passed on came back unserved: its session is another's, by what that server knows."""
+    """A forwarded request came back unserved: its session is another's, by what that server knows."""
 
     came: Came
     binding: Binding | None = None
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fenced:
-    """As `Refused`, where the ticket has been denied already: the next one looks again."""
+    """As `Refused`, where the request has been denied already: the next one looks again."""
 
     key: str
     number: int
--- a/sablewheel/affinity/keys.py
+++ b/sablewheel/affinity/keys.py
@@ -1,7 +1,7 @@
-"""Which session a ticket belongs to: a key made of fields that it carries. Pure.
+"""Which session a request belongs to: a key made of fields that it carries. Pure.
 
 A label stays with its session: its repeats must come to the same key whatever way they take, or two owners
-would know the label. So the key of a labelled ticket never rests on its router: where the rule names one,
+would know the label. So the key of a labelled request never rests on its router: where the rule names one,
 the subject stands in for it, or the label itself.
 """
 
@@ -10,34 +10,35 @@
 import hashlib
 from dataclasses import dataclass
 
-FIELDS = ("customer", "subject", "router")
+# The names that a rule may use, as the features file gives them, and the attributes of `Carried`.
+FIELDS = {"customer": "tenant", "subject": "subject", "router": "router"}
 FIELD_MOST = 4096  # bytes of one field; a longer one belongs to no session
 KEY_SIZE = 32  # characters of every key
 
 
 @dataclass(frozen=True)
 class Carried:
-    """What one ticket carries; empty is absent."""
+    """What one request carries; empty is absent."""
 
-    customer: str = ""
+    tenant: str = ""
     subject: str = ""
     router: str = ""
     label: str = ""
 
 
-def key_of(rule: tuple[str, ...], ticket: Carried) -> str | None:
-    """The session's key, `KEY_SIZE` characters; None if the ticket lacks a field that the rule wants.
+def key_of(rule: tuple[str, ...], request: Carried) -> str | None:
+    """The session's key, `KEY_SIZE` characters; None if the request lacks a field that the rule wants.
 
-    A ticket without a session is served where it is, as with affinity off.
+    A request without a session is served where it is, as with affinity off.
     """
     parts: list[str] = []
     for name in rule:
-        value = str(getattr(ticket, name))
-        if name == "router" and ticket.label:
+        value = str(getattr(request, FIELDS[name]))
+        if name == "router" and request.label:
             if "subject" in rule:
                 continue  # it is in the key already
-            name, value = ("subject", ticket.subject) if ticket.subject else ("label", ticket.label)
+            name, value = ("subject", request.subject) if request.subject else ("label", request.label)
         if not value or len(value.encode()) > FIELD_MOST:
             return None
-        parts.append(f"{name}:{len(value)}:{value}")  # with its length: no two tickets share a key by chance
+        parts.append(f"{name}:{len(value)}:{value}")  # with its length: no two requests share a key by chance
     return hashlib.blake2b("|".join(parts).encode(), digest_size=KEY_SIZE // 2).hexdigest() if parts else None
--- a/sablewheel/affinity/placer.py
+++ b/sablewheel/affinity/placer.py
@@ -1,6 +1,6 @@
 """Sessions in the server: a desk in front of the forward path, and what the decisions need round them.
 
-Decides nothing. Each ticket with a session is held until its owner is known, mostly at once; then it is
+Decides nothing. Each request with a session is held until its owner is known, mostly at once; then it is
 served here, passed on, or denied. Bindings are read and written through replication, whose claims go by the
 binding's number. Servers speak of sessions in frames of their own over the links, which may lose any.
 """
@@ -23,7 +23,7 @@
 from ..routing.labels import Labels
 from ..routing.seam import Memory
 from ..routing.server import Desk
-from ..terms import Customer, Nature, Outcome, Ticket
+from ..terms import Nature, Outcome, Request, Tenant
 from ..transport.scheduler import Scheduler
 from ..transport.wake import Wake
 from . import codec
@@ -70,7 +70,7 @@
 
 
 class Open:
-    """A ticket that only its session's owner may run, told to run here."""
+    """A request that only its session's owner may run, told to run here."""
 
     __slots__ = ("begun", "key", "number", "ref")
 
@@ -94,7 +94,7 @@
         keeper: Keeper,
         memory: Memory,
         witness: Witness,
-        customers: dict[bytes, Customer],
+        tenants: dict[bytes, Tenant],
         warmth: Callable[[], float],
         capacity: float,
         grace: float,
@@ -103,15 +103,17 @@
     ) -> None:
         self._scheduler, self._plan, self._fleet, self._links = scheduler, plan, fleet, links
         self._forward, self._keeper, self._clock, self._count = forward, keeper, clock, count
-        self._memory, self._witness, self._customers = memory, witness, customers
-        self._customer_names: dict[Customer, str] = {}
+        self._memory, self._witness, self._tenants = memory, witness, tenants
+        self._tenant_names: dict[Tenant, str] = {}
         self._warmth, self._capacity, self._grace = warmth, capacity, grace
-        self.flow_of: Callable[[Exchange], str] = lambda exchange: exchange.track.decode("utf-8", "replace")
+        self.flow_of: Callable[[Exchange], str] = lambda exchange: exchange.request_class.decode(
+            "utf-8", "replace"
+        )
         self.sessions = Sessions(fleet.me, fleet.node.me.incarnation, plan.settings, clock())
         self.sessions.step(clock(), Active(1))
         self._inner: Desk | None = None
         self._refs = 0
-        self._held: dict[int, Exchange] = {}  # tickets that wait for a decision
+        self._held: dict[int, Exchange] = {}  # requests that wait for a decision
         self._open: dict[Exchange, Open] = {}
         self._loads: dict[str, Load] = {}
         self._leaving = self._left = False
@@ -139,14 +141,15 @@
                 self.counts["without_session"] += 1
                 return self._desk.arrived(exchange)
             if self._forward.is_away(exchange.name):
-                return exchange.terminate()  # the name of an open ticket: as the dispatch would
+                return exchange.terminate()  # the name of an open request: as the dispatch would
         elif not exchange.session:
             return self._forward.serve(exchange)
         came = self._came(exchange, guest.sender if guest is not None else "")
         try:
             self._step(came)
         except Exception:
-            # A fault in who decides must not cost the ticket: what may run twice can be served where it came.
+            # A fault in who decides must not cost the request: what may run twice can be served where it
+            # came.
             self.counts["faults"] += 1
             log.exception("session not found, for a fault")
             if self._held.pop(came.ref, None) is not None:
@@ -169,25 +172,25 @@
         self._refs += 1
         self._held[self._refs] = exchange
         flow = self.flow_of(exchange)
-        return Came(self._refs, exchange.session, exchange.ticket.track.nature, flow, sender, back)
+        return Came(self._refs, exchange.session, exchange.request.request_class.nature, flow, sender, back)
 
     def _home(self, exchange: Exchange, to: str, tried: frozenset[str]) -> None:
         """One of ours is back from `to` and may run again."""
         self._step(Unreached(self._came(exchange, "", len(tried) > 1), to))
 
     def _session(self, exchange: Exchange) -> str | None:
-        ticket = exchange.ticket
-        customer = ""
-        if ticket.customer is not None:
-            if ticket.customer not in self._customer_names:  # new settings make new objects
-                names = {one: name.decode("utf-8", "replace") for name, one in self._customers.items()}
-                self._customer_names = names
-            customer = self._customer_names.get(ticket.customer, "")
-        label = exchange.label if ticket.track.nature is Nature.LABELLED else None
+        request = exchange.request
+        tenant = ""
+        if request.tenant is not None:
+            if request.tenant not in self._tenant_names:  # new settings make new objects
+                names = {one: name.decode("utf-8", "replace") for name, one in self._tenants.items()}
+                self._tenant_names = names
+            tenant = self._tenant_names.get(request.tenant, "")
+        label = exchange.label if request.request_class.nature is Nature.LABELLED else None
         carried = Carried(
-            customer,
-            ticket.subject or "",
-            ticket.router.name.decode("utf-8", "replace"),
+            tenant,
+            request.subject or "",
+            request.router.name.decode("utf-8", "replace"),
             (label or b"").decode("utf-8", "replace"),
         )
         return key_of(self._plan.fields, carried)
@@ -198,7 +201,7 @@
     def ready(self) -> bool:
         return self._memory.ready
 
-    def recalled(self, born: float, labels: Labels) -> list[tuple[Ticket, float]]:
+    def recalled(self, born: float, labels: Labels) -> list[tuple[Request, float]]:
         return self._memory.recalled(born, labels)
 
     def adopted(self) -> tuple[list[Exchange], int]:
@@ -327,16 +330,23 @@
                 self._pass(ref, to)
             case Back(ref, sender, binding):
                 exchange = self._held.pop(ref)
-                self._links.send(sender, KIND, codec.encode(Told(binding)), WITHIN)  # comes before the ticket
+                self._links.send(
+                    sender, KIND, codec.encode(Told(binding)), WITHIN
+                )  # comes before the request
                 self._forward.decline(exchange)
             case Deny(ref, come_back, _):
                 exchange = self._held.pop(ref)
                 exchange.deny(come_back, False)
             case Write(ref, key, expect, value, life):
                 self._keeper.write(
-                    SESSIONS, key.encode(), expect, codec.pack(value), life,
-                    lambda answer: self._register(ref, answer), value.number,
-                )  # fmt: skip
+                    SESSIONS,
+                    key.encode(),
+                    expect,
+                    codec.pack(value),
+                    life,
+                    lambda answer: self._register(ref, answer),
+                    value.number,
+                )
             case Read(ref, key):
                 self._keeper.read(SESSIONS, key.encode(), lambda answer: self._register(ref, answer))
             case Send(to, message):
@@ -360,7 +370,7 @@
         exchange = self._held.pop(ref)
         if exchange.closed:  # nobody waits any more
             return self._step(Over(ref, exchange.session))
-        if number and exchange.ticket.track.nature is not Nature.REDOABLE:
+        if number and exchange.request.request_class.nature is not Nature.REDOABLE:
             self._open[exchange] = Open(ref, exchange.session, number)
         self._forward.serve(exchange)
 
--- a/sablewheel/affinity/sessions.py
+++ b/sablewheel/affinity/sessions.py
@@ -1,4 +1,4 @@
-"""The sessions of one server: who serves a ticket, and how a session passes from owner to owner. Pure.
+"""The sessions of one server: who serves a request, and how a session passes from owner to owner. Pure.
 
 What holds, and how:
 - Only who takes a session writes itself into its binding, by a compare-and-set on the number; so one number
@@ -14,7 +14,7 @@
 - A new policy version moves nothing. Each change of a binding has a `Cause`, and moves have a budget.
 
 Bounds: `Settings` names them all. A session that is forgotten for lack of room is not lost: its binding stays
-in the register and is read again with its next ticket. Idle redoable sessions are forgotten first, one with
+in the register and is read again with its next request. Idle redoable sessions are forgotten first, one with
 labelled work open never.
 """
 
@@ -90,7 +90,7 @@
     used: float
     written: float  # when that was asked for: its life in the register ends no sooner than one after it
     flows: set[str] = field(default_factory=set)
-    open: set[int] = field(default_factory=set)  # labelled and irreversible tickets that run here, or may
+    open: set[int] = field(default_factory=set)  # labelled and irreversible requests that run here, or may
     strict: bool = False  # whether it ever brought one
     phase: Phase = Phase.SERVING
     waiting: list[Came] = field(default_factory=list)
@@ -241,7 +241,7 @@
         }
         return told
 
-    # -- tickets
+    # -- requests
 
     def _came(self, now: float, came: Came) -> None:
         held = self.owned.get(came.key)
@@ -266,7 +266,7 @@
             seek.flows.add(came.flow)
 
     def _serve(self, now: float, held: Held, came: Came) -> None:
-        """A ticket of a session that is this server's."""
+        """A request of a session that is this server's."""
         if came.strict and self._lapsed(now, held):
             self._let_go(now, held, None)
             return self._came(now, came)
@@ -460,7 +460,7 @@
         """Seconds until the session of an owner that is gone may move; 0: now, and it is paid for.
 
         Each such session has its turn by its key, spread so that the fleet moves no more a second than its
-        budget, whoever has the tickets; a bucket guards against loads that were not known.
+        budget, whoever has the requests; a bucket guards against loads that were not known.
         """
         if self.settings.broken == "no-budget" or seek.entry is None:
             return 0.0
@@ -505,8 +505,13 @@
             self.counts["begun" if begun else "kept"] += 1
         else:
             self.counts[f"moved_{seek.cause.value}"] += 1
-            self._note("moved", key=seek.key, cause=seek.cause.value, number=seek.value.number,
-                       owner=seek.entry.owner if seek.entry else "")  # fmt: skip
+            self._note(
+                "moved",
+                key=seek.key,
+                cause=seek.cause.value,
+                number=seek.value.number,
+                owner=seek.entry.owner if seek.entry else "",
+            )
         self._adopt(now, seek, seek.value)
 
     def _adopt(self, now: float, seek: Seek, binding: Binding) -> None:
@@ -720,8 +725,9 @@
         held = self.owned.get(binding.key)
         if held is not None:
             if binding.number > held.binding.number and (binding.owner, binding.incarnation) != (
-                self.me, self.incarnation,
-            ):  # fmt: skip
+                self.me,
+                self.incarnation,
+            ):
                 self._let_go(now, held, binding)
             return
         self._learn(binding)
--- a/sablewheel/benchlink/host.py
+++ b/sablewheel/benchlink/host.py
@@ -7,7 +7,7 @@
 
 from .. import terms
 from ..choice import Controller
-from ..terms import Customer, Deed, Happening, Machine, Router, Ticket
+from ..terms import Deed, Happening, Machine, Request, Router, Tenant
 from . import wire
 from .wire import Line, MalformedError, number, seconds, whole
 
@@ -22,46 +22,46 @@
         self.machine = machine
         self.controller = Controller(machine, seed)
         self.routers: dict[int, Router] = {}
-        # A ticket lives here as long as the controller, or a ticket that repeats it, still holds it.
-        self.tickets: WeakValueDictionary[int, Ticket] = WeakValueDictionary()
-        self.ids: WeakKeyDictionary[Ticket, int] = WeakKeyDictionary()
+        # A request lives here as long as the controller, or a request that repeats it, still holds it.
+        self.requests: WeakValueDictionary[int, Request] = WeakValueDictionary()
+        self.ids: WeakKeyDictionary[Request, int] = WeakKeyDictionary()
 
     def happening(self, line: Line, now: float) -> Happening | None:
-        """What a line tells, or None if it speaks of a ticket that is long over."""
+        """What a line tells, or None if it speaks of a request that is long over."""
         parts = line.parts
         if line.verb == "request":
-            return terms.Arrived(self._ticket(parts, now))
+            return terms.Arrived(self._request(parts, now))
         if line.verb == "bell":
             whole(parts[0])
             told = wire.gauges(parts[1])
             return terms.Bell(told.get("cpu_busy", inf), told.get("sockets", inf), told.get("runnable", inf))
         if line.verb == "drain":
             return terms.Notice(number(parts[0], 0.0))
-        ticket = self.tickets.get(whole(parts[0]))
+        request = self.requests.get(whole(parts[0]))
         if line.verb in ("work_done", "returned"):
             took, outcome = number(parts[1], 0.0), wire.outcome(parts[2])
-            if ticket is None:
+            if request is None:
                 return None
             kind = terms.Ended if line.verb == "work_done" else terms.CallEnded
-            return kind(ticket, took, outcome)
-        if ticket is None:
+            return kind(request, took, outcome)
+        if request is None:
             return None
-        return terms.CallNeeded(ticket) if line.verb == "needs" else terms.CallerGone(ticket)
-
-    def _ticket(self, parts: list[str], now: float) -> Ticket:
-        track_place, customer_place = whole(parts[10]), whole(parts[4], 0)
-        if track_place >= len(self.machine.tracks):
-            raise MalformedError(f"no such class: {track_place}")
-        customer: Customer | None = None
-        if self.machine.customers:
-            if customer_place >= len(self.machine.customers):
-                raise MalformedError(f"no such tenant: {customer_place}")
-            customer = self.machine.customers[customer_place]
+        return terms.CallNeeded(request) if line.verb == "needs" else terms.CallerGone(request)
+
+    def _request(self, parts: list[str], now: float) -> Request:
+        request_class_place, tenant_place = whole(parts[10]), whole(parts[4], 0)
+        if request_class_place >= len(self.machine.request_classes):
+            raise MalformedError(f"no such class: {request_class_place}")
+        tenant: Tenant | None = None
+        if self.machine.tenants:
+            if tenant_place >= len(self.machine.tenants):
+                raise MalformedError(f"no such tenant: {tenant_place}")
+            tenant = self.machine.tenants[tenant_place]
         marks, wait_left = whole(parts[3], 0), number(parts[7], 0.0)
-        ticket = Ticket(
-            track=self.machine.tracks[track_place],
+        request = Request(
+            request_class=self.machine.request_classes[request_class_place],
             router=self.routers.setdefault(whole(parts[2], 0), Router()),
-            customer=customer,
+            tenant=tenant,
             arrived=now - number(parts[9], 0.0),
             kb=number(parts[11], 0.0),
             wait_left=wait_left if self.machine.told_wait and parts[7] != "-" else None,
@@ -72,43 +72,43 @@
         )
         original = whole(parts[5], 0)
         if original:
-            ticket.repeats = self.tickets.get(original) or self._forgotten(ticket, original)
-        self._enter(ticket, whole(parts[0]))
-        return ticket
+            request.repeats = self.requests.get(original) or self._forgotten(request, original)
+        self._enter(request, whole(parts[0]))
+        return request
 
-    def _forgotten(self, ticket: Ticket, original: int) -> Ticket:
+    def _forgotten(self, request: Request, original: int) -> Request:
         """Stands for an original that nobody holds any more: it has run, or it would not be named."""
-        stub = Ticket(ticket.track, ticket.router, ticket.customer, ticket.arrived, 0.0)
+        stub = Request(request.request_class, request.router, request.tenant, request.arrived, 0.0)
         stub.stage, stub.begun = terms.Stage.OVER, True
         self._enter(stub, original)
         return stub
 
-    def _enter(self, ticket: Ticket, name: int) -> None:
-        self.ids[ticket] = name
-        self.tickets[name] = ticket
+    def _enter(self, request: Request, name: int) -> None:
+        self.ids[request] = name
+        self.requests[name] = request
 
     def line(self, deed: Deed) -> str:
         """A deed as the wire writes it."""
         i, ids = self.name, self.ids
         match deed:
-            case terms.Run(ticket):
-                return f"run {i} {ids[ticket]}"
-            case terms.Stop(ticket):
-                return f"suspend {i} {ids[ticket]}"
-            case terms.Deny(ticket, come_back, nowhere):
-                return f"busy {i} {ids[ticket]} {seconds(come_back)} {int(nowhere)}"
-            case terms.Terminate(ticket):
-                return f"fail {i} {ids[ticket]}"
-            case terms.Call(ticket, allow):
-                return f"call {i} {ids[ticket]} {seconds(allow)}"
-            case terms.LeaveOut(ticket):
-                return f"go_on {i} {ids[ticket]}"
-            case terms.Remember(ticket, life):
-                return f"remember {i} {ids[ticket]} {seconds(life)}"
-            case terms.Release(ticket):
-                return f"release_key {i} {ids[ticket]}"
-            case terms.Join(ticket):
-                return f"join {i} {ids[ticket]}"
+            case terms.Run(request):
+                return f"run {i} {ids[request]}"
+            case terms.Stop(request):
+                return f"suspend {i} {ids[request]}"
+            case terms.Deny(request, come_back, nowhere):
+                return f"busy {i} {ids[request]} {seconds(come_back)} {int(nowhere)}"
+            case terms.Terminate(request):
+                return f"fail {i} {ids[request]}"
+            case terms.Call(request, allow):
+                return f"call {i} {ids[request]} {seconds(allow)}"
+            case terms.LeaveOut(request):
+                return f"go_on {i} {ids[request]}"
+            case terms.Remember(request, life):
+                return f"remember {i} {ids[request]} {seconds(life)}"
+            case terms.Release(request):
+                return f"release_key {i} {ids[request]}"
+            case terms.Join(request):
+                return f"join {i} {ids[request]}"
             case terms.Health(good, stored):
                 return f"set_health {i} {int(good)} {int(stored)}"
             case terms.Say(amount):
--- a/sablewheel/capability/ability.py
+++ b/sablewheel/capability/ability.py
@@ -24,8 +24,15 @@
 CORES_PART = 4  # and of its cores
 DESCRIPTORS_PART = 4
 LINKS, DISK, DROPS, PAUSES, GONE, WAITS, CUSTOMERS, LABELS = (
-    "links", "disk", "drops", "pauses", "gone", "waits", "customers", "labels",
-)  # fmt: skip
+    "links",
+    "disk",
+    "drops",
+    "pauses",
+    "gone",
+    "waits",
+    "customers",
+    "labels",
+)
 TRAITS = (LINKS, DISK, DROPS, PAUSES, GONE, WAITS, CUSTOMERS, LABELS)  # bits, in this order: append only
 
 
@@ -82,37 +89,98 @@
     {
         one.name: one
         for one in (
-            Feature("forward-near", 0, "tickets passed on within the zone", (LINKS,),
-                    memory=2 * MB, millicores=20, descriptors=8,
-                    parameters=(Parameter("peers", 1, 1024, memory=64 << 10, descriptors=1),)),
-            Feature("forward-far", 1, "tickets passed on to other zones", (LINKS,), ("forward-near",),
-                    memory=2 * MB, millicores=20, descriptors=8),
-            Feature("replicated-labels", 2, "one run a label over the whole fleet", (LINKS, LABELS),
-                    memory=4 * MB, millicores=50, descriptors=4,
-                    parameters=(Parameter("copies", 1, 7, millicores=20, descriptors=1),
-                                Parameter("entries", 1000, 2_000_000, memory=320))),
-            Feature("durable-recall", 3, "labelled runs remembered over restarts", (DISK, LABELS),
-                    memory=4 * MB, millicores=50, descriptors=8,
-                    parameters=(Parameter("entries", 1000, 2_000_000, memory=320),)),
-            Feature("sessions", 4, "who serves a session stays the same", (LINKS,), ("forward-near",),
-                    memory=2 * MB, millicores=20,
-                    parameters=(Parameter("most", 100, 1_000_000, memory=256),)),
-            Feature("stop-runs", 5, "running work is stopped and its work is lost", (DROPS,),
-                    conflicts=("pause-runs",), millicores=5),
-            Feature("pause-runs", 6, "running work is paused and taken up again", (PAUSES,),
-                    conflicts=("stop-runs",), millicores=5),
+            Feature(
+                "forward-near",
+                0,
+                "tickets passed on within the zone",
+                (LINKS,),
+                memory=2 * MB,
+                millicores=20,
+                descriptors=8,
+                parameters=(Parameter("peers", 1, 1024, memory=64 << 10, descriptors=1),),
+            ),
+            Feature(
+                "forward-far",
+                1,
+                "tickets passed on to other zones",
+                (LINKS,),
+                ("forward-near",),
+                memory=2 * MB,
+                millicores=20,
+                descriptors=8,
+            ),
+            Feature(
+                "replicated-labels",
+                2,
+                "one run a label over the whole fleet",
+                (LINKS, LABELS),
+                memory=4 * MB,
+                millicores=50,
+                descriptors=4,
+                parameters=(
+                    Parameter("copies", 1, 7, millicores=20, descriptors=1),
+                    Parameter("entries", 1000, 2_000_000, memory=320),
+                ),
+            ),
+            Feature(
+                "durable-recall",
+                3,
+                "labelled runs remembered over restarts",
+                (DISK, LABELS),
+                memory=4 * MB,
+                millicores=50,
+                descriptors=8,
+                parameters=(Parameter("entries", 1000, 2_000_000, memory=320),),
+            ),
+            Feature(
+                "sessions",
+                4,
+                "who serves a session stays the same",
+                (LINKS,),
+                ("forward-near",),
+                memory=2 * MB,
+                millicores=20,
+                parameters=(Parameter("most", 100, 1_000_000, memory=256),),
+            ),
+            Feature(
+                "stop-runs",
+                5,
+                "running work is stopped and its work is lost",
+                (DROPS,),
+                conflicts=("pause-runs",),
+                millicores=5,
+            ),
+            Feature(
+                "pause-runs",
+                6,
+                "running work is paused and taken up again",
+                (PAUSES,),
+                conflicts=("stop-runs",),
+                millicores=5,
+            ),
             Feature("callers-gone", 7, "work that nobody waits for any more is ended", (GONE,), millicores=5),
             Feature("told-waits", 8, "order by how long callers still wait", (WAITS,), millicores=5),
-            Feature("customer-quotas", 9, "customers are held to their quotas", (CUSTOMERS,), millicores=10,
-                    parameters=(Parameter("percent", 1, 100),)),
-            Feature("kept-results", 10, "a read's result is shared for a while",
-                    memory=1 * MB, millicores=5,
-                    parameters=(Parameter("seconds", 1, 3600, memory=64 << 10),)),
+            Feature(
+                "customer-quotas",
+                9,
+                "customers are held to their quotas",
+                (CUSTOMERS,),
+                millicores=10,
+                parameters=(Parameter("percent", 1, 100),),
+            ),
+            Feature(
+                "kept-results",
+                10,
+                "a read's result is shared for a while",
+                memory=1 * MB,
+                millicores=5,
+                parameters=(Parameter("seconds", 1, 3600, memory=64 << 10),),
+            ),
             Feature("cost-hints", 11, "goals stretch with what callers say of the work", millicores=5),
             Feature("rank-order", 12, "order by the callers' rank", millicores=5),
         )
     }
-)  # fmt: skip
+)
 # Features of a server's program that need a section of the features file.
 SECTIONS = {"replicated-labels": "replication", "sessions": "affinity", "durable-recall": "recall"}
 # The controller knows no rank (`class_rank` is read and not used), so no server of this build has it.
@@ -150,8 +218,11 @@
     @cached_property
     def said(self) -> str:
         """Canonical JSON, at most SAID_MOST bytes; what the view carries, and the class's name."""
-        text = json.dumps({key: value for key, value in asdict(self).items() if value}, sort_keys=True,
-                          separators=(",", ":"))  # fmt: skip
+        text = json.dumps(
+            {key: value for key, value in asdict(self).items() if value},
+            sort_keys=True,
+            separators=(",", ":"),
+        )
         if len(text) > SAID_MOST:
             raise AbilityError(f"an ability of {len(text)} bytes, over {SAID_MOST}")
         return text
@@ -229,7 +300,7 @@
     without = set(start.without)
     if not machine.share_reads_for:
         without.add("kept-results")
-    if not any(one.goal_stretch for one in machine.tracks):
+    if not any(one.goal_stretch for one in machine.request_classes):
         without.add("cost-hints")
     has = {
         LINKS: start.links,
@@ -238,8 +309,8 @@
         PAUSES: machine.halting is Halting.PAUSES,
         GONE: start.hears_gone,
         WAITS: machine.told_wait,
-        CUSTOMERS: any(one.quota > 0 for one in machine.customers),
-        LABELS: any(one.window > 0 for one in machine.tracks),
+        CUSTOMERS: any(one.quota > 0 for one in machine.tenants),
+        LABELS: any(one.window > 0 for one in machine.request_classes),
     }
     return Ability(
         cores=machine.cores,
--- a/sablewheel/capability/applying.py
+++ b/sablewheel/capability/applying.py
@@ -37,14 +37,14 @@
         machine = replace(machine, over_share_worth=1.0)  # work beyond a share counts like any other
     if "customer-quotas" in on:
         share = on["customer-quotas"].get("percent", 100) / 100
-        customers = tuple(replace(one, quota=one.quota * share) for one in machine.customers)
-        machine = replace(machine, customers=customers)
+        tenants = tuple(replace(one, quota=one.quota * share) for one in machine.tenants)
+        machine = replace(machine, tenants=tenants)
     if "kept-results" in off:
         machine = replace(machine, share_reads_for=0.0)
     if "kept-results" in on:
         most = float(on["kept-results"].get("seconds", 1))
         machine = replace(machine, share_reads_for=min(machine.share_reads_for, most))
     if "cost-hints" in off:
-        tracks = tuple(replace(one, goal_stretch=0.0) for one in machine.tracks)
-        machine = replace(machine, tracks=tracks)
+        request_classes = tuple(replace(one, goal_stretch=0.0) for one in machine.request_classes)
+        machine = replace(machine, request_classes=request_classes)
     return machine
--- a/sablewheel/capability/document.py
+++ b/sablewheel/capability/document.py
@@ -120,8 +120,8 @@
     )
     return Flow(
         name=name,
-        tracks=tuple(one.tracks),
-        customers=tuple(one.customers),
+        request_classes=tuple(one.tracks),
+        tenants=tuple(one.customers),
         zones=tuple(one.zones),
         cores=one.cores,
         worth=one.worth,
--- a/sablewheel/capability/policy.py
+++ b/sablewheel/capability/policy.py
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Rung:
-    """One step of a ladder: what it takes, and what a ticket served with it is worth more."""
+    """One step of a ladder: what it takes, and what a request served with it is worth more."""
 
     wants: Wants
     worth: int
@@ -37,15 +37,15 @@
 
 @dataclass(frozen=True)
 class Flow:
-    """Tickets that are of one kind to the policy. Empty tuples: any. `cores`: its load over the fleet, in
-    reference cores; `worth`: of a ticket served with no more than is required.
+    """Requests that are of one kind to the policy. Empty tuples: any. `cores`: its load over the fleet, in
+    reference cores; `worth`: of a request served with no more than is required.
 
     Rung numbers: 0 is the best; `len(ladder)` is the bottom, with what is required and nothing else.
     """
 
     name: str
-    tracks: tuple[str, ...] = ()
-    customers: tuple[str, ...] = ()
+    request_classes: tuple[str, ...] = ()
+    tenants: tuple[str, ...] = ()
     zones: tuple[str, ...] = ()
     cores: float = 0.0
     worth: int = 1
@@ -73,16 +73,20 @@
     def earns(self, rung: int) -> int:
         return self.worth + (self.ladder[rung].worth if rung < self.bottom else 0)
 
-    def takes(self, track: str, customer: str, zone: str) -> bool:
+    def takes(self, request_class: str, tenant: str, zone: str) -> bool:
         return all(
             not those or one in those
-            for one, those in ((track, self.tracks), (customer, self.customers), (zone, self.zones))
+            for one, those in (
+                (request_class, self.request_classes),
+                (tenant, self.tenants),
+                (zone, self.zones),
+            )
         )
 
 
 @dataclass(frozen=True)
 class Policy:
-    """`number` is the document's own version, which only grows; a ticket is of the first flow taking it."""
+    """`number` is the document's own version, which only grows; a request is of the first flow taking it."""
 
     number: int
     flows: tuple[Flow, ...]
@@ -98,8 +102,8 @@
     def digest(self) -> str:
         return hashlib.blake2b(self.text.encode(), digest_size=6).hexdigest()
 
-    def flow(self, track: str, customer: str, zone: str) -> Flow | None:
-        return next((one for one in self.flows if one.takes(track, customer, zone)), None)
+    def flow(self, request_class: str, tenant: str, zone: str) -> Flow | None:
+        return next((one for one in self.flows if one.takes(request_class, tenant, zone)), None)
 
     def named(self, name: str) -> Flow:
         return next(one for one in self.flows if one.name == name)
@@ -108,8 +112,8 @@
 def _told(flow: Flow) -> dict[str, object]:
     return {
         "name": flow.name,
-        "tracks": flow.tracks,
-        "customers": flow.customers,
+        "tracks": flow.request_classes,
+        "customers": flow.tenants,
         "zones": flow.zones,
         "cores": flow.cores,
         "worth": flow.worth,
@@ -140,8 +144,8 @@
 def _flow(told: Mapping[str, Any]) -> Flow:
     return Flow(
         name=str(told["name"]),
-        tracks=_names(told["tracks"]),
-        customers=_names(told["customers"]),
+        request_classes=_names(told["tracks"]),
+        tenants=_names(told["customers"]),
         zones=_names(told["zones"]),
         cores=float(told["cores"]),
         worth=int(told["worth"]),
--- a/sablewheel/capability/rollout.py
+++ b/sablewheel/capability/rollout.py
@@ -114,7 +114,7 @@
 
 Effect = Send | Judge | Translate | Apply | Note
 
-# -- where a ticket may go
+# -- where a request may go
 
 
 @dataclass(frozen=True)
@@ -192,8 +192,8 @@
         name, digits = active(self._fact(ACTIVE))
         return self.bundles[name].rungs(digits) if name in self.bundles else ()
 
-    def route(self, track: str, customer: str, zone: str) -> Route:
-        """Where a ticket may be served, under what holds now; before there is a view nobody knows."""
+    def route(self, request_class: str, tenant: str, zone: str) -> Route:
+        """Where a request may be served, under what holds now; before there is a view nobody knows."""
         if self.view is None:
             return Route(False, "", (), "this server is not in the fleet's view yet")
         name, _ = active(self._fact(ACTIVE))
@@ -203,7 +203,7 @@
         if held is None:
             why = "the policy that holds was refused here" if name in self._refused else "it is not here yet"
             return Route(False, "", (), why)
-        flow = held.policy.flow(track, customer, zone)
+        flow = held.policy.flow(request_class, tenant, zone)
         if flow is None or self.broken == "ignore-class":
             return HERE if flow is None else Route(True, flow.name)
         if self._serving is None:
--- a/sablewheel/capability/shell.py
+++ b/sablewheel/capability/shell.py
@@ -1,7 +1,7 @@
 """Policies in the server: views, frames and timers become the rollout's events, and its effects go out.
 
 Decides nothing. Its gate stands right before the dispatch, where what peers pass on comes by as well: a
-ticket is served here, or passed to a member that may, or denied at once with the cause counted and logged. A
+request is served here, or passed to a member that may, or denied at once with the cause counted and logged. A
 translation is done by a process of its own, which is looked after and never waited for.
 """
 
@@ -20,7 +20,7 @@
 from ..membership.view import Fact, View
 from ..routing.exchange import Exchange
 from ..routing.server import Desk
-from ..terms import Customer, Machine
+from ..terms import Machine, Tenant
 from ..transport.scheduler import Scheduler
 from ..transport.wake import Wake
 from . import bundle, codec
@@ -50,7 +50,7 @@
 SEND_WITHIN = 2.0  # a message is worth nothing later: what it asks for is asked again
 LOOK_EVERY = 0.05  # at the process that translates
 SHUN = 3.0  # seconds that a member is passed over after its link broke, while there are others
-ROUTES_MOST = 4096  # of tracks and customers, remembered until something changes
+ROUTES_MOST = 4096  # of request classes and tenants, remembered until something changes
 
 log = logging.getLogger(__name__)
 changes = logging.getLogger(f"{__name__}.changes")  # bounded apart: denials must not hide what holds
@@ -83,17 +83,17 @@
         fleet: Fleet,
         links: Links,
         own: Ability,
-        customers: dict[bytes, Customer],
+        tenants: dict[bytes, Tenant],
         changed: Callable[[], None],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._scheduler, self._plan, self._fleet, self._links = scheduler, plan, fleet, links
-        self._customers, self._changed, self._clock = customers, changed, clock
+        self._tenants, self._changed, self._clock = tenants, changed, clock
         self.rollout = Rollout(fleet.me, own, plan.rules, plan.broken)
         self._view: View | None = None
         self._applied: Apply | None = None
-        self._names: dict[Customer | None, str] = {}
-        self._routes: dict[tuple[bytes, Customer | None, str], Route] = {}
+        self._names: dict[Tenant | None, str] = {}
+        self._routes: dict[tuple[bytes, Tenant | None, str], Route] = {}
         self._causes: dict[str, str] = {}  # by flow, the last cause of a denial that was logged
         self._listeners: list[Callable[[int, dict[str, frozenset[str]]], None]] = []
         self._told: tuple[int, dict[str, frozenset[str]]] = (0, {})
@@ -146,26 +146,26 @@
         self._listeners.append(callback)
         callback(*self._told)
 
-    # -- the gate, and where else a ticket may go
+    # -- the gate, and where else a request may go
 
     def gate(self, inner: Desk) -> Desk:
         return Gate(self, inner)
 
     def route(self, exchange: Exchange) -> Route:
-        """Where it may be served; of a ticket that a peer passed on, the zone where it came in counts."""
+        """Where it may be served; of a request that a peer passed on, the zone where it came in counts."""
         zone = self._zone(getattr(exchange.caller, "sender", self._fleet.me))
-        key = (exchange.track, exchange.ticket.customer, zone)
+        key = (exchange.request_class, exchange.request.tenant, zone)
         found = self._routes.get(key)
         if found is None:
-            customer = self._name(exchange.ticket.customer)
-            found = self.rollout.route(exchange.track.decode("utf-8", "replace"), customer, zone)
+            tenant = self._name(exchange.request.tenant)
+            found = self.rollout.route(exchange.request_class.decode("utf-8", "replace"), tenant, zone)
             if len(self._routes) >= ROUTES_MOST:
                 self._routes.clear()
             self._routes[key] = found
         return found
 
     def place(self, exchange: Exchange) -> str | None:
-        """The member that is to serve a ticket in this one's place, by turns, near ones first; None: this."""
+        """The member that is to serve a request in this one's place, by turns, near first; None: this."""
         route = self.route(exchange)
         if route.here or not route.others:
             return None
@@ -198,11 +198,11 @@
         member = self._view.get(name) if self._view is not None else None
         return member.zone if member is not None else ""
 
-    def _name(self, customer: Customer | None) -> str:
-        if customer not in self._names:  # new settings make new objects
-            self._names = {one: name.decode("utf-8", "replace") for name, one in self._customers.items()}
+    def _name(self, tenant: Tenant | None) -> str:
+        if tenant not in self._names:  # new settings make new objects
+            self._names = {one: name.decode("utf-8", "replace") for name, one in self._tenants.items()}
             self._names[None] = ""
-        return self._names.get(customer, "")
+        return self._names.get(tenant, "")
 
     # -- events in
 
@@ -237,7 +237,7 @@
         try:
             effects = self.rollout.step(self._clock(), event)
         except Exception:
-            # A fault of ours in here must not take the server's tickets along.
+            # A fault of ours in here must not take the server's requests along.
             self._count("faults")
             log.exception("policy step ended by a fault")
             effects = []
--- a/sablewheel/choice.py
+++ b/sablewheel/choice.py
@@ -1,4 +1,4 @@
-"""Every decision of a server about its tickets.
+"""Every decision of a server about its requests.
 
 Called as `Controller(machine, seed).decide(now, happenings) -> deeds`, once per server and batch; the first
 call may bring no happenings and opens the server. The interface, all plain types, is in `terms.py`; the
@@ -14,19 +14,19 @@
 
 from . import terms
 from .overload.unconfirmed import UnconfirmedStarts
-from .terms import Deed, Denial, Happening, Machine, Nature, Outcome, Router, Speech, Stage, Ticket
+from .terms import Deed, Denial, Happening, Machine, Nature, Outcome, Request, Router, Speech, Stage
 
 SLOPE_LEAST = 0.1  # t_e: the least extra output per extra intake that still counts as a gain
-DROPS_MOST = 1.0  # t_d: drops per ticket taken in
+DROPS_MOST = 1.0  # t_d: drops per request taken in
 CUT = 0.02  # d
 STEP = 0.01  # a, for each core: the pool grows only where gains outnumber losses well
 TRIPS = 4  # round trips in an iteration
 SAMPLES = 100  # raw samples kept of each measure: enough for a 99th percentile
-LEFT_TO_EACH = 0.5  # of a track's even part of the starts, whatever its work earns
+LEFT_TO_EACH = 0.5  # of a request class's even part of the starts, whatever its work earns
 RECENT = 10  # samples that tell how things are now
 BUSY_MOST = 0.75  # of the cores, up to which the pool's floor fills them; past it runs slow each other
-WALKS_MOST = 0.2  # further tries among the tickets read, past which denied tickets are asked to stay
-FEW_KNOWN, MANY_KNOWN = 0.4, 0.5  # shares of the tickets that are from routers heard not long before
+WALKS_MOST = 0.2  # further tries among the requests read, past which denied requests are asked to stay
+FEW_KNOWN, MANY_KNOWN = 0.4, 0.5  # shares of the requests that are from routers heard not long before
 SLOW_CALLS = 3.0  # median of the recent over lower quartile of all: about 2 for times that scatter evenly
 DONT_RUN_AGAIN = (Nature.LABELLED, Nature.IRREVERSIBLE)
 ROUTERS_KNOWN = 1024  # whose patience is kept, or four times those there are: numbers may never come again
@@ -54,11 +54,11 @@
 
 
 class Row:
-    """What differs by track: one row a track."""
+    """What differs by request class: one row a request class."""
 
     def __init__(self, place: int) -> None:
-        self.place = place  # among the tracks, in the settings' order
-        self.read = self.begun = 0.0  # of its tickets, lately
+        self.place = place  # among the request classes, in the settings' order
+        self.read = self.begun = 0.0  # of its requests, lately
         self.service = Samples()
         self.stretch = Samples()  # how much longer than foretold from their hints runs took
         self.hinted: deque[tuple[float, float]] = deque(maxlen=SAMPLES)  # hints, and what the runs took
@@ -100,30 +100,33 @@
         self.now = 0.0
         self.opened = -1.0
         self.deeds: list[Deed] = []
-        self.table = {track: Row(place) for place, track in enumerate(machine.tracks)}
+        self.table = {
+            request_class: Row(place) for place, request_class in enumerate(machine.request_classes)
+        }
         self.rank = list(self.table.values())  # whose work earns most comes first
-        self.longest = max(track.abandon for track in machine.tracks)
-        self.customers: dict[terms.Customer, deque[float]] = {one: deque() for one in machine.customers}
-        # A line a track, by its place, for what is within its customer's share; then one for what is beyond.
-        self.hold: tuple[deque[Ticket], ...] = tuple(deque() for _ in 2 * machine.tracks)
+        self.longest = max(request_class.abandon for request_class in machine.request_classes)
+        self.tenants: dict[terms.Tenant, deque[float]] = {one: deque() for one in machine.tenants}
+        # A line a request class, by its place, for what is within its tenant's share; then one for what is
+        # beyond.
+        self.hold: tuple[deque[Request], ...] = tuple(deque() for _ in 2 * machine.request_classes)
         self.came = [0.0] * len(self.hold)  # how long all that ever came into each line should run
-        self.running: dict[Ticket, None] = {}  # in order of their starts: a set's order is chance
+        self.running: dict[Request, None] = {}  # in order of their starts: a set's order is chance
         self.unconfirmed = UnconfirmedStarts()  # among the running
-        self.at_call: deque[Ticket] = deque()
-        self.joining: list[tuple[Ticket, Ticket]] = []  # repeats, and what they repeat, that wait for room
-        self.dues: list[tuple[float, int, Ticket]] = []
-        self.patience: dict[Router, Samples] = {}  # how long its tickets were waited for, by router
-        self.senders = 0  # routers with tickets out here
+        self.at_call: deque[Request] = deque()
+        self.joining: list[tuple[Request, Request]] = []  # repeats, and what they repeat, that wait for room
+        self.dues: list[tuple[float, int, Request]] = []
+        self.patience: dict[Router, Samples] = {}  # how long its requests were waited for, by router
+        self.senders = 0  # routers with requests out here
         self.read = 0
-        self.marks: deque[bool] = deque(maxlen=SAMPLES // 2)  # whether the last tickets were further tries
-        # When tickets were read, how long after their routers' last ones, and how many had begun by then.
+        self.marks: deque[bool] = deque(maxlen=SAMPLES // 2)  # whether the last requests were further tries
+        # When requests were read, how long after their routers' last ones, and how many had begun by then.
         self.reads: deque[tuple[float, float, int]] = deque(maxlen=SAMPLES)
         self.tend_at = inf
         self.begun = self.on_cores = 0
-        self.unread = 0.0  # how long the last ticket read had waited for that
+        self.unread = 0.0  # how long the last request read had waited for that
         self.kb = 0.0
-        self.labels: list[tuple[float, int, Ticket]] = []  # a heap: windows differ by track
-        self.calls: dict[Ticket, float] = {}
+        self.labels: list[tuple[float, int, Request]] = []  # a heap: windows differ by request class
+        self.calls: dict[Request, float] = {}
         self.past_calls: deque[tuple[float, float]] = deque()
         self.call_times = Samples()
         self.trips = Samples()
@@ -136,20 +139,23 @@
         self.idle = machine.idle  # how long an unused connection is kept
         self.armed = inf
         self._rank(1.0)
-        self.demand = Samples()  # of the running tickets, the part that demands a core, as gauged
-        self.core_share = Samples(RECENT)  # of a core, the part that a running ticket takes, as gauged
+        self.demand = Samples()  # of the running requests, the part that demands a core, as gauged
+        self.core_share = Samples(RECENT)  # of a core, the part that a running request takes, as gauged
 
     def retune(self, machine: Machine) -> None:
-        """New settings in a running server: tickets taken in keep their track; new ones share its row.
+        """New settings in a running server: requests taken in keep their request class; new ones share its
+        row.
 
-        The rows and customers of earlier settings stay, since a ticket taken in before may still end under
+        The rows and tenants of earlier settings stay, since a request taken in before may still end under
         them; switches are an operator's steps, not traffic.
         """
-        for old, new in zip(self.machine.tracks, machine.tracks, strict=True):
+        for old, new in zip(self.machine.request_classes, machine.request_classes, strict=True):
             self.table.setdefault(new, self.table[old])
-        for was, now in zip(self.machine.customers, machine.customers, strict=True):
-            self.customers.setdefault(now, self.customers[was])
-        self.longest = max(self.longest, *(track.abandon for track in machine.tracks))
+        for was, now in zip(self.machine.tenants, machine.tenants, strict=True):
+            self.tenants.setdefault(now, self.tenants[was])
+        self.longest = max(
+            self.longest, *(request_class.abandon for request_class in machine.request_classes)
+        )
         self.machine = machine
 
     # -- the one entry point
@@ -166,21 +172,21 @@
             self._forget(heappop(self.labels)[2])
         for happening in happenings:
             match happening:
-                case terms.Arrived(ticket):
-                    self._take(ticket)
-                case terms.Ended(ticket, took, outcome):
-                    self._ended(ticket, took, outcome)
-                case terms.CallNeeded(ticket):
-                    self._stand(ticket)
-                case terms.CallEnded(ticket, took, outcome):
-                    self._returned(ticket, took, outcome)
-                case terms.StartUnconfirmed(ticket):
-                    if ticket.stage is Stage.RUNNING:
-                        self.unconfirmed.add(ticket, now, self.longest)
-                case terms.CallerGone(ticket):
-                    self._gone(ticket)
-                case terms.Recalled(ticket, life):
-                    self._keep_label(ticket, life)
+                case terms.Arrived(request):
+                    self._take(request)
+                case terms.Ended(request, took, outcome):
+                    self._ended(request, took, outcome)
+                case terms.CallNeeded(request):
+                    self._stand(request)
+                case terms.CallEnded(request, took, outcome):
+                    self._returned(request, took, outcome)
+                case terms.StartUnconfirmed(request):
+                    if request.stage is Stage.RUNNING:
+                        self.unconfirmed.add(request, now, self.longest)
+                case terms.CallerGone(request):
+                    self._gone(request)
+                case terms.Recalled(request, life):
+                    self._keep_label(request, life)
                 case terms.Notice(left):
                     self._notice(left)
                 case terms.Bell(busy, connections, runnable):
@@ -190,11 +196,11 @@
         self._make_calls()
         while self.dues and (self.dues[0][0] <= now or self.dues[0][2].answered):
             self._give_up(heappop(self.dues)[2])
-        self.deeds.extend(terms.PresumeLost(ticket) for ticket in self.unconfirmed.take_overdue(now))
+        self.deeds.extend(terms.PresumeLost(request) for request in self.unconfirmed.take_overdue(now))
         joining, self.joining = self.joining, []
-        for ticket, first in joining:
-            if ticket.stage is Stage.HELD:
-                self._join(ticket, first)
+        for request, first in joining:
+            if request.stage is Stage.HELD:
+                self._join(request, first)
         self._start_held()
         if now >= self.turn_at:
             self._turn()
@@ -206,71 +212,75 @@
 
     # -- the ordinary path
 
-    def _take(self, ticket: Ticket) -> None:
-        """The ordinary path of a ticket: repeat, guards, budget, then run, hold or deny."""
-        machine, now, track = self.machine, self.now, ticket.track
-        left = ticket.wait_left if ticket.wait_left is not None else ticket.arrived + track.abandon - now
-        ticket.due = min(max(now, now + left - machine.tick), self.leave_at)
-        self.kb += ticket.kb
-        self.senders += not ticket.router.out
-        ticket.router.out += 1
-        self.marks.append(ticket.again)
-        self.reads.append((now, now - ticket.router.heard, self.begun))
-        ticket.router.heard = ticket.read_at = now
-        known = self.patience.pop(ticket.router) if ticket.router in self.patience else Samples()
-        self.patience[ticket.router] = known  # whom it heard last comes last
+    def _take(self, request: Request) -> None:
+        """The ordinary path of a request: repeat, guards, budget, then run, hold or deny."""
+        machine, now, request_class = self.machine, self.now, request.request_class
+        left = (
+            request.wait_left
+            if request.wait_left is not None
+            else request.arrived + request_class.abandon - now
+        )
+        request.due = min(max(now, now + left - machine.tick), self.leave_at)
+        self.kb += request.kb
+        self.senders += not request.router.out
+        request.router.out += 1
+        self.marks.append(request.again)
+        self.reads.append((now, now - request.router.heard, self.begun))
+        request.router.heard = request.read_at = now
+        known = self.patience.pop(request.router) if request.router in self.patience else Samples()
+        self.patience[request.router] = known  # whom it heard last comes last
         if len(self.patience) > max(ROUTERS_KNOWN, 4 * machine.routers):
             oldest_heard = next(iter(self.patience))
             if not oldest_heard.out:
                 del self.patience[oldest_heard]
         self.read += 1
-        self.table[track].read += 1
-        self.unread = now - ticket.arrived
-        heappush(self.dues, (ticket.due, self.read, ticket))
+        self.table[request_class].read += 1
+        self.unread = now - request.arrived
+        heappush(self.dues, (request.due, self.read, request))
         # A repeat of what ran, or may still run here, gets that one's result.
-        first, ticket.repeats = ticket.repeats, None
+        first, request.repeats = request.repeats, None
         if first is not None and (first.begun or not first.answered):
-            return self._join(ticket, first)
+            return self._join(request, first)
         # Guards: what came too late for a server that leaves, and what memory has no room for.
-        if ticket.arrived > self.notice_at + machine.drain_grace:
-            return self._deny(ticket, Denial.DRAINING)
-        labelled = track.nature is Nature.LABELLED
-        if ticket.room_in:
-            return self._deny(ticket, Denial.NO_ROOM)
+        if request.arrived > self.notice_at + machine.drain_grace:
+            return self._deny(request, Denial.DRAINING)
+        labelled = request_class.nature is Nature.LABELLED
+        if request.room_in:
+            return self._deny(request, Denial.NO_ROOM)
         if not self._memory_fits(machine.label_kb if labelled else 0.0):
-            return self._deny(ticket, Denial.MEMORY)
+            return self._deny(request, Denial.MEMORY)
         if labelled:  # also one read past its window: a twin of it may lie unread for as long
-            self._remember(ticket, max(ticket.arrived + track.window - now, machine.tick))
-        elif self._may_share(ticket):
-            self._remember(ticket, left)
+            self._remember(request, max(request.arrived + request_class.window - now, machine.tick))
+        elif self._may_share(request):
+            self._remember(request, left)
         # The budget for waiting. Departure, acts where the p99 takes nearly all of the page's budget, as in a
         # bad spell of few samples: half of the wait that the goal allows is always budget, and in the hold
         # all of it, since what starts at the last moment is late as often as not. Guards against any standing
         # queue; it may deny what a short burst's end would have saved.
-        ticket.budget, patience = self._budgets(ticket, left)
-        ticket.budget = max(ticket.budget, patience / 2)
+        request.budget, patience = self._budgets(request, left)
+        request.budget = max(request.budget, patience / 2)
         # Departure, acts when reading is behind by more than a run takes: what waited unread beyond its goal
         # is denied even by idle cores, so that the reading catches up. Guards against any backlog before the
         # door (stalls, slow cores, deaf routers); it may deny what would have earned its late share.
-        stale = patience < 0 and now - ticket.arrived > self.table[track].service.at(0.5)
+        stale = patience < 0 and now - request.arrived > self.table[request_class].service.at(0.5)
         waits = [self._oldest(line, Stage.HELD) for line in self.hold]
-        if not any(self.hold) and not stale and self._may_start(ticket):
-            return self._run(ticket)
-        # Its own line and those that start before it: an in-share ticket before any beyond their share.
-        ticket.beyond = self._over_share(ticket)
-        before = self._before(self.table[track], ticket.beyond)
+        if not any(self.hold) and not stale and self._may_start(request):
+            return self._run(request)
+        # Its own line and those that start before it: an in-share request before any beyond their share.
+        request.beyond = self._over_share(request)
+        before = self._before(self.table[request_class], request.beyond)
         oldest = max(self._wait_to_start(before), *(waits[one] for one in before))
-        if track.calls:  # the queue before the ledger is ahead of it as well
-            oldest = max(oldest, self._oldest(self.at_call, Stage.AT_CALL), self._wait_to_call(track))
+        if request_class.calls:  # the queue before the ledger is ahead of it as well
+            oldest = max(oldest, self._oldest(self.at_call, Stage.AT_CALL), self._wait_to_call(request_class))
         if oldest > patience / 2:
-            return self._deny(ticket, Denial.WAIT)
-        line, ticket.since = before[-1], now
-        ticket.ahead = self.came[line]
-        self.came[line] += self.table[track].takes(ticket.estimate, 0.5)
-        self.hold[line].append(ticket)
-        heappush(self.dues, (now + patience, -self.read, ticket))
-
-    def _budgets(self, ticket: Ticket, left: float) -> tuple[float, float]:
+            return self._deny(request, Denial.WAIT)
+        line, request.since = before[-1], now
+        request.ahead = self.came[line]
+        self.came[line] += self.table[request_class].takes(request.estimate, 0.5)
+        self.hold[line].append(request)
+        heappush(self.dues, (now + patience, -self.read, request))
+
+    def _budgets(self, request: Request, left: float) -> tuple[float, float]:
         """The page's budget, half the remaining wait less the learned p99, and the wait that the goal allows.
 
         Departure, acts in the hold: what can only be late, or only after its caller has left, earns little or
@@ -278,41 +288,48 @@
         any queue that is short for the callers' patience and long for the goal, and against callers that wait
         less than the goal; it may deny what a sudden calm would still have saved.
         """
-        row, track = self.table[ticket.track], ticket.track
-        waited = self.now - ticket.arrived + ticket.overhead
+        row, request_class = self.table[request.request_class], request.request_class
+        waited = self.now - request.arrived + request.overhead
         age = waited
-        if ticket.wait_left is None:
+        if request.wait_left is None:
             # Departure, acts where the wait is not told: what callers were seen to wait stands in for it.
             # Guards against hasty callers and any jam of timed-out tries; may deny some that would wait.
-            wait = min(track.abandon, self.patience[ticket.router].at(0.25, track.abandon))
+            wait = min(request_class.abandon, self.patience[request.router].at(0.25, request_class.abandon))
             budget = wait / 2 - waited
         else:
-            wait, budget = track.abandon, left / 2
-            if not ticket.again:
+            wait, budget = request_class.abandon, left / 2
+            if not request.again:
                 row.first_wait = left + waited
             elif left + waited > row.first_wait:
-                age = max(age, track.abandon - left)  # a last try is given all that the client has left
+                age = max(
+                    age, request_class.abandon - left
+                )  # a last try is given all that the client has left
             else:
                 age = max(age, row.first_wait - left)  # under way for at least what its wait is short
-        goal = min(track.goal + track.goal_stretch * (ticket.estimate or 0.0), wait)
-        in_time = min(goal - age, left) - row.takes(ticket.estimate, 0.75)
-        return budget - row.takes(ticket.estimate, 0.99), in_time
+        goal = min(request_class.goal + request_class.goal_stretch * (request.estimate or 0.0), wait)
+        in_time = min(goal - age, left) - row.takes(request.estimate, 0.75)
+        return budget - row.takes(request.estimate, 0.99), in_time
 
     def _before(self, row: Row, beyond: bool) -> list[int]:
-        """The lines that start before a track's own, which comes last; that alone while the track lags."""
+        """The lines that start before a request class's own, which comes last; that alone while the request
+        class lags.
+        """
         own = [one.place for one in self.rank[: self.rank.index(row) + 1]]
         if beyond:
             own = [*range(len(self.rank)), *(len(self.rank) + place for place in own)]
         return own[-1:] if self._lags(row) else own
 
     def _lags(self, row: Row) -> bool:
-        """Whether less began of a track, lately, than what is left to each of its even part."""
+        """Whether less began of a request class, lately, than what is left to each of its even part."""
         read, begun = sum(one.read for one in self.rank), sum(one.begun for one in self.rank)
         return row.begun * read < LEFT_TO_EACH * row.read * begun
 
     def _rank(self, fade: float) -> None:
         """Whose work earns most, by the settings and how long runs take here; old counts fade."""
-        worth = {self.table[track].place: max(track.worth, 1e-9) for track in self.machine.tracks}
+        worth = {
+            self.table[request_class].place: max(request_class.worth, 1e-9)
+            for request_class in self.machine.request_classes
+        }
         if self.machine.worth_by_work:
             self.rank.sort(key=lambda row: -worth[row.place])
         elif all(row.service.raw for row in self.rank):
@@ -321,58 +338,61 @@
             row.read, row.begun = row.read * fade, row.begun * fade
 
     def _wait_to_start(self, before: list[int]) -> float:
-        """How long those ahead will keep the places of those that run, by their hints or their tracks.
+        """How long those ahead will keep the places of those that run, by their hints or their request
+        classes.
 
-        Departure, acts while tickets are held: the oldest one's age tells the wait of those that came before,
-        not of the next. Guards against bursts, which would fill the hold before any of them had grown old.
+        Departure, acts while requests are held: the oldest one's age tells the wait of those that came
+        before, not of the next. Guards against bursts, which would fill the hold before any of them had grown
+        old.
         """
         ahead = sum(self.came[one] - self.hold[one][0].ahead for one in before if self.hold[one])
         return ahead / max(len(self.running), self.machine.cores)
 
-    def _over_share(self, ticket: Ticket) -> bool:
-        """Whether this server ran more for its customer lately than an even part of its quota.
+    def _over_share(self, request: Request) -> bool:
+        """Whether this server ran more for its tenant lately than an even part of its quota.
 
-        Departure, acts while tickets are held: those within a share start first, since work beyond one earns
-        next to nothing. Guards against one customer's flood and any lasting excess; it may pass over work
+        Departure, acts while requests are held: those within a share start first, since work beyond one earns
+        next to nothing. Guards against one tenant's flood and any lasting excess; it may pass over work
         within a share that the routers spread unevenly. It is not denied for that alone: routers that send
         less when much is turned away would then cut everybody.
         """
-        customer, machine = ticket.customer, self.machine
-        if customer is None or machine.over_share_worth >= 1:
+        tenant, machine = request.tenant, self.machine
+        if tenant is None or machine.over_share_worth >= 1:
             return False
-        seen = self.customers[customer]
+        seen = self.tenants[tenant]
         while seen and seen[0] < self.now - self.longest:
             seen.popleft()
         span = min(self.longest, max(self.now - self.opened, machine.said_for))
-        part = customer.quota * span / machine.servers
+        part = tenant.quota * span / machine.servers
         return len(seen) > part + sqrt(part)
 
     def _start_held(self) -> None:
-        """Held tickets start those within their customer's share first, whose work earns most, then oldest.
+        """Held requests start those within their tenant's share first, whose work earns most, then oldest.
 
-        Departure, acts while several tracks are held: one line would give each an even part, whatever it
-        earns. Guards against any lasting excess; it denies what earns little, down to half of its even part.
+        Departure, acts while several request classes are held: one line would give each an even part,
+        whatever it earns. Guards against any lasting excess; it denies what earns little, down to half of its
+        even part.
         """
         first = sorted(self.rank, key=self._lags, reverse=True)  # who lags behind, then by rank
         for line in [self.hold[row.place + beyond] for beyond in (0, len(first)) for row in first]:
             while line and (line[0].stage is not Stage.HELD or self._may_start(line[0])):
-                ticket = line.popleft()
-                if ticket.stage is Stage.HELD:
-                    ticket.budget -= self.now - ticket.since
-                    self._run(ticket)
+                request = line.popleft()
+                if request.stage is Stage.HELD:
+                    request.budget -= self.now - request.since
+                    self._run(request)
 
-    def _may_start(self, ticket: Ticket) -> bool:
+    def _may_start(self, request: Request) -> bool:
         """While pressed the credit pool bounds what runs or is at calls; the guards bound it always.
 
-        Departure, acts while a core is free, after drops or with tickets at calls: the pool's floor of one a
+        Departure, acts while a core is free, after drops or with requests at calls: the pool's floor of one a
         core counts those on the cores, by the part of one that each takes. Guards against a slow ledger or
-        any long wait that idles the cores; it may run more tickets up to calls than the ledger takes.
+        any long wait that idles the cores; it may run more requests up to calls than the ledger takes.
 
         Departure, acts after a break of the interpreter's link: runs whose start is unconfirmed take no place
         in the pool or its floor. Guards against a server that starts nothing for the sake of commands that
         were lost with the link; those that do run crowd the cores for a while, within the guards.
         """
-        if not self._survives_run(ticket):
+        if not self._survives_run(request):
             return False
         unconfirmed = len(self.unconfirmed)
         on_cores, cores = self.on_cores - unconfirmed, self.machine.cores
@@ -381,10 +401,10 @@
         return floor or len(self.running) - unconfirmed + 1 <= self.credit
 
     def _learn_core_share(self, busy: float, runnable: float) -> None:
-        """What part of a core a running ticket takes, by how much demands one and by how busy they are.
+        """What part of a core a running request takes, by how much demands one and by how busy they are.
 
         Departure, acts where runs wait beside the cores (disk, services below) without an event: one run a
-        core would idle the cores while tickets are denied, and the denials would keep the pool at its floor.
+        core would idle the cores while requests are denied, and the denials would keep the pool at its floor.
         Medians: a gauge rung between an end and the next start reads low. What demands a core counts what is
         just read as well; how busy the cores are tells it within a burst, but of a while ago: a sample lets
         the runs double at the most. May crowd the cores for a moment; the guards still count every run.
@@ -398,100 +418,106 @@
             taken = max(busy, BUSY_MOST / 2) * cores if not self.on_cores <= runnable < inf else self.on_cores
             self.core_share.add(min(taken / self.on_cores, 1.0))
 
-    def _run(self, ticket: Ticket) -> None:
-        ticket.stage, ticket.begun, ticket.since = Stage.RUNNING, True, self.now
-        self.running[ticket] = None
-        self.table[ticket.track].begun += 1
+    def _run(self, request: Request) -> None:
+        request.stage, request.begun, request.since = Stage.RUNNING, True, self.now
+        self.running[request] = None
+        self.table[request.request_class].begun += 1
         self.on_cores += 1
-        self.kb += self._more_kb(ticket)
+        self.kb += self._more_kb(request)
         self.taken += 1
         self.begun += 1
-        if ticket.customer is not None and self.machine.over_share_worth < 1:  # else nobody looks
-            ticket.beyond = self._over_share(ticket)
-            self.customers[ticket.customer].append(self.now)
-        self.deeds.append(terms.Run(ticket))
+        if request.tenant is not None and self.machine.over_share_worth < 1:  # else nobody looks
+            request.beyond = self._over_share(request)
+            self.tenants[request.tenant].append(self.now)
+        self.deeds.append(terms.Run(request))
 
-    def _join(self, ticket: Ticket, first: Ticket) -> None:
+    def _join(self, request: Request, first: Request) -> None:
         """A repeat waits for the result of the first; if there can be none, it ends in an error.
 
         One that the cores or memory don't bear now waits till they do: an error for a result that lies here
         would be a loss.
         """
         if first.ended not in (None, Outcome.WORKED) or (first.answered and not first.begun):
-            return self._terminate(ticket)
-        if not self._survives_run(ticket):
-            ticket.begun = True
-            return self.joining.append((ticket, first))
-        ticket.stage = Stage.JOINED
+            return self._terminate(request)
+        if not self._survives_run(request):
+            request.begun = True
+            return self.joining.append((request, first))
+        request.stage = Stage.JOINED
         self.on_cores += 1
-        self.kb += self._more_kb(ticket)
-        self.deeds.append(terms.Join(ticket))
+        self.kb += self._more_kb(request)
+        self.deeds.append(terms.Join(request))
 
-    # -- what happens to a ticket on its way
+    # -- what happens to a request on its way
 
-    def _ended(self, ticket: Ticket, took: float, outcome: Outcome) -> None:
-        if ticket.stage is Stage.OVER:
+    def _ended(self, request: Request, took: float, outcome: Outcome) -> None:
+        if request.stage is Stage.OVER:
             return
-        joined = ticket.stage is Stage.JOINED
-        ticket.ended = outcome
+        joined = request.stage is Stage.JOINED
+        request.ended = outcome
         if outcome is Outcome.WORKED and not joined:
-            self.table[ticket.track].learn(ticket.estimate, took)
+            self.table[request.request_class].learn(request.estimate, took)
         if outcome in (Outcome.WORKED, Outcome.ERROR):
-            if not ticket.answered:
-                self.trips.add(self.now - ticket.read_at)
-                self.patience[ticket.router].add(ticket.track.abandon)
+            if not request.answered:
+                self.trips.add(self.now - request.read_at)
+                self.patience[request.router].add(request.request_class.abandon)
             if not joined:
                 self.put += 1
-            self._answer(ticket)
+            self._answer(request)
         elif outcome is Outcome.MOOT and not joined:
-            self._undo(ticket)
-        if not ticket.answered:
-            self._terminate(ticket)  # stopped: a rerun is never needed here, the answer is
-        self._leave(ticket)
+            self._undo(request)
+        if not request.answered:
+            self._terminate(request)  # stopped: a rerun is never needed here, the answer is
+        self._leave(request)
 
-    def _undo(self, ticket: Ticket) -> None:
-        """It never began: it leaves no trace in the pool, in its customer's share or in the table.
+    def _undo(self, request: Request) -> None:
+        """It never began: it leaves no trace in the pool, in its tenant's share or in the table.
 
         Departure, acts when the machine does not know what it was to run. Guards against clients that make up
-        tickets, whose labels would end true ones in errors; a run that was lost counts as never taken.
+        requests, whose labels would end true ones in errors; a run that was lost counts as never taken.
         """
         self.taken = max(self.taken - 1, 0)
-        self._release(ticket)
-        if ticket.customer is not None and ticket.since in self.customers[ticket.customer]:
-            self.customers[ticket.customer].remove(ticket.since)
+        self._release(request)
+        if request.tenant is not None and request.since in self.tenants[request.tenant]:
+            self.tenants[request.tenant].remove(request.since)
 
-    def _stand(self, ticket: Ticket) -> None:
-        if ticket.stage is not Stage.RUNNING:
+    def _stand(self, request: Request) -> None:
+        if request.stage is not Stage.RUNNING:
             return
-        ticket.stage, ticket.since = Stage.AT_CALL, self.now
-        self.unconfirmed.discard(ticket)
+        request.stage, request.since = Stage.AT_CALL, self.now
+        self.unconfirmed.discard(request)
         self.on_cores -= 1
-        if ticket.answered:
+        if request.answered:
             return  # answered work ends by itself where it stands
-        # The budget again, against the oldest ticket that waits to call; no call can be made of no ledger.
-        if self.machine.ledger is None or self._oldest(self.at_call, Stage.AT_CALL) > max(ticket.budget, 0.0):
-            return self._go_without(ticket)
-        self.at_call.append(ticket)
+        # The budget again, against the oldest request that waits to call; no call can be made of no ledger.
+        if self.machine.ledger is None or self._oldest(self.at_call, Stage.AT_CALL) > max(
+            request.budget, 0.0
+        ):
+            return self._go_without(request)
+        self.at_call.append(request)
         self.read += 1
-        heappush(self.dues, (self.now + max(ticket.budget, 0.0), self.read, ticket))
+        heappush(self.dues, (self.now + max(request.budget, 0.0), self.read, request))
 
-    def _oldest(self, line: deque[Ticket], stage: Stage) -> float:
+    def _oldest(self, line: deque[Request], stage: Stage) -> float:
         """The age of the first in a line that still stands in it."""
         while line and line[0].stage is not stage:
             line.popleft()
         return self.now - line[0].since if line else 0.0
 
-    def _wait_to_call(self, track: terms.Track) -> float:
+    def _wait_to_call(self, request_class: terms.RequestClass) -> float:
         """How long the calls of those that run ahead will keep this server's share of the ledger.
 
-        Departure, acts where an answer without its call earns nothing: no ticket is run up to a call that
+        Departure, acts where an answer without its call earns nothing: no request is run up to a call that
         cannot be made in time. Guards against any slow or crowded ledger; some calls come back sooner.
         """
         ledger = self.machine.ledger
-        if track.skip_share or ledger is None or not ledger.in_hand:
+        if request_class.skip_share or ledger is None or not ledger.in_hand:
             return 0.0
         rows = self.table
-        ahead = sum(rows[one.track].calls / rows[one.track].runs for one in self.running if one.track.calls)
+        ahead = sum(
+            rows[one.request_class].calls / rows[one.request_class].runs
+            for one in self.running
+            if one.request_class.calls
+        )
         return ahead * self._call_lately() / min(self._calls_most(ledger.in_hand), ledger.in_hand)
 
     def _call_lately(self) -> float:
@@ -501,150 +527,156 @@
     def _make_calls(self) -> None:
         """Calls go out oldest first while this server's share of the ledger has room."""
         while self.at_call:
-            ticket = self.at_call[0]
-            if ticket.stage is Stage.AT_CALL and not ticket.answered:
-                left = max(ticket.due - self.now, self.machine.tick)
+            request = self.at_call[0]
+            if request.stage is Stage.AT_CALL and not request.answered:
+                left = max(request.due - self.now, self.machine.tick)
                 allow = min(left, 2 * self.call_times.at(0.99, left), self._call_longest())
                 if not self._call_fits(allow):
                     return
-                ticket.budget -= self.now - ticket.since
-                ticket.stage, ticket.called = Stage.CALLING, self.now
-                self.calls[ticket] = allow
-                self.deeds.append(terms.Call(ticket, allow))
-                self.table[ticket.track].calls += 1
+                request.budget -= self.now - request.since
+                request.stage, request.called = Stage.CALLING, self.now
+                self.calls[request] = allow
+                self.deeds.append(terms.Call(request, allow))
+                self.table[request.request_class].calls += 1
             self.at_call.popleft()
 
-    def _returned(self, ticket: Ticket, took: float, outcome: Outcome) -> None:
-        if ticket not in self.calls:
+    def _returned(self, request: Request, took: float, outcome: Outcome) -> None:
+        if request not in self.calls:
             return
-        self._close_call(ticket, outcome in (Outcome.TIMED_OUT, Outcome.CUT_OFF))
+        self._close_call(request, outcome in (Outcome.TIMED_OUT, Outcome.CUT_OFF))
         self.call_times.add(took)
         if outcome is Outcome.WORKED:
-            ticket.stage = Stage.RUNNING
+            request.stage = Stage.RUNNING
             self.on_cores += 1
             return
-        ticket.stage, ticket.since = Stage.AT_CALL, self.now
-        if ticket.answered:
+        request.stage, request.since = Stage.AT_CALL, self.now
+        if request.answered:
             return
-        if ticket.track.skip_share or (ticket.track.nature in DONT_RUN_AGAIN and outcome not in NEVER_RAN):
-            self._go_without(ticket)
+        if request.request_class.skip_share or (
+            request.request_class.nature in DONT_RUN_AGAIN and outcome not in NEVER_RAN
+        ):
+            self._go_without(request)
         else:
-            self.at_call.append(ticket)
+            self.at_call.append(request)
 
-    def _go_without(self, ticket: Ticket) -> None:
+    def _go_without(self, request: Request) -> None:
         """The call is not made: the answer earns its part without, or there is none."""
-        if not ticket.track.skip_share:
-            return self._drop_begun(ticket)
-        self.deeds.append(terms.LeaveOut(ticket))
-        ticket.stage = Stage.RUNNING
+        if not request.request_class.skip_share:
+            return self._drop_begun(request)
+        self.deeds.append(terms.LeaveOut(request))
+        request.stage = Stage.RUNNING
         self.on_cores += 1
 
-    def _close_call(self, ticket: Ticket, abandoned: bool) -> None:
+    def _close_call(self, request: Request, abandoned: bool) -> None:
         """A call left the books; one given up may stay in the ledger's hands for a while."""
-        self.calls.pop(ticket)
+        self.calls.pop(request)
         linger = self.machine.ledger.linger if abandoned and self.machine.ledger else 0.0
-        self.past_calls.append((self.now + linger, self.now - ticket.called + linger))
+        self.past_calls.append((self.now + linger, self.now - request.called + linger))
 
-    def _gone(self, ticket: Ticket) -> None:
+    def _gone(self, request: Request) -> None:
         """Nobody waits: held work is over, running work is stopped where it would only be wasted."""
-        if ticket.stage is Stage.OVER:
+        if request.stage is Stage.OVER:
             return
-        if not ticket.answered:
-            self.patience[ticket.router].add(self.now - ticket.arrived)
-        self._answer(ticket)
-        if ticket.stage in (Stage.HELD, Stage.JOINED):
-            if ticket.stage is Stage.HELD and not ticket.begun:
-                self._release(ticket)
-            self._leave(ticket)
+        if not request.answered:
+            self.patience[request.router].add(self.now - request.arrived)
+        self._answer(request)
+        if request.stage in (Stage.HELD, Stage.JOINED):
+            if request.stage is Stage.HELD and not request.begun:
+                self._release(request)
+            self._leave(request)
         else:
-            self._stop(ticket)
+            self._stop(request)
 
-    def _give_up(self, ticket: Ticket) -> None:
-        """A ticket whose time is up is answered at once, whatever it is doing."""
-        if ticket.answered or ticket.stage is Stage.OVER:
+    def _give_up(self, request: Request) -> None:
+        """A request whose time is up is answered at once, whatever it is doing."""
+        if request.answered or request.stage is Stage.OVER:
             return
-        if ticket.stage is Stage.HELD and not ticket.begun:
-            return self._deny(ticket, Denial.HELD_OUT)
-        if self.now >= ticket.due:
-            self._drop_begun(ticket)
-        elif ticket.stage is Stage.AT_CALL and self.now >= ticket.since + ticket.budget:
-            self._go_without(ticket)
-
-    def _drop_begun(self, ticket: Ticket) -> None:
-        """An error for a ticket that has begun; work that no repeat can use is stopped."""
+        if request.stage is Stage.HELD and not request.begun:
+            return self._deny(request, Denial.HELD_OUT)
+        if self.now >= request.due:
+            self._drop_begun(request)
+        elif request.stage is Stage.AT_CALL and self.now >= request.since + request.budget:
+            self._go_without(request)
+
+    def _drop_begun(self, request: Request) -> None:
+        """An error for a request that has begun; work that no repeat can use is stopped."""
         self.drops += 1
-        self._terminate(ticket)
-        self._stop(ticket)
+        self._terminate(request)
+        self._stop(request)
 
-    def _stop(self, ticket: Ticket) -> None:
+    def _stop(self, request: Request) -> None:
         """Stop a run that no repeat can use, where the machine can."""
-        can = self.machine.halting is not terms.Halting.NEVER and ticket.stage is Stage.RUNNING
-        if can and ticket.track.nature is Nature.REDOABLE:
-            self.deeds.append(terms.Stop(ticket))
+        can = self.machine.halting is not terms.Halting.NEVER and request.stage is Stage.RUNNING
+        if can and request.request_class.nature is Nature.REDOABLE:
+            self.deeds.append(terms.Stop(request))
 
-    def _deny(self, ticket: Ticket, why: Denial) -> None:
-        """Final answer to a ticket that never ran, with when to come back.
+    def _deny(self, request: Request, why: Denial) -> None:
+        """Final answer to a request that never ran, with when to come back.
 
         Departure, acts while over a fifth of what is read are further tries, as unmarked ones may be: denied
-        tickets are asked to stay, as a further try always is. Guards against any fleet that is full all over;
-        it may keep a ticket from a sibling that had room.
+        requests are asked to stay, as a further try always is. Guards against any fleet that is full all
+        over; it may keep a request from a sibling that had room.
         """
         # The goal stands in just after a start: guards against a denial with no advice, which a caller takes
         # as leave to come back at once.
         oldest = max(self._oldest(line, Stage.HELD) for line in self.hold)
-        oldest = oldest or self.trips.at(0.5) or ticket.track.goal
+        oldest = oldest or self.trips.at(0.5) or request.request_class.goal
         full = not self.machine.marks_again or sum(self.marks) > WALKS_MOST * len(self.marks)
         self.drops += 1
-        self._release(ticket)
-        rest = min(max(oldest, ticket.room_in), self.machine.advice_limit)
-        self.deeds.append(terms.Deny(ticket, rest, ticket.again or full, why))
-        self._answer(ticket)
-        self._leave(ticket)
-
-    def _terminate(self, ticket: Ticket) -> None:
-        self.deeds.append(terms.Terminate(ticket))
-        self._answer(ticket)
-        if ticket.stage in (Stage.HELD, Stage.JOINED):
-            self._leave(ticket)
-
-    def _answer(self, ticket: Ticket) -> None:
-        if not ticket.answered:
-            ticket.answered = True
-            ticket.router.out -= 1
-            self.senders -= not ticket.router.out
-
-    def _leave(self, ticket: Ticket) -> None:
-        """The ticket is over and its memory free."""
-        if ticket.stage is Stage.OVER:
+        self._release(request)
+        rest = min(max(oldest, request.room_in), self.machine.advice_limit)
+        self.deeds.append(terms.Deny(request, rest, request.again or full, why))
+        self._answer(request)
+        self._leave(request)
+
+    def _terminate(self, request: Request) -> None:
+        self.deeds.append(terms.Terminate(request))
+        self._answer(request)
+        if request.stage in (Stage.HELD, Stage.JOINED):
+            self._leave(request)
+
+    def _answer(self, request: Request) -> None:
+        if not request.answered:
+            request.answered = True
+            request.router.out -= 1
+            self.senders -= not request.router.out
+
+    def _leave(self, request: Request) -> None:
+        """The request is over and its memory free."""
+        if request.stage is Stage.OVER:
             return
-        if ticket in self.calls:
-            self._close_call(ticket, True)
-        if ticket.stage in (Stage.RUNNING, Stage.JOINED):
+        if request in self.calls:
+            self._close_call(request, True)
+        if request.stage in (Stage.RUNNING, Stage.JOINED):
             self.on_cores -= 1
-        self.kb -= ticket.kb * (1 if ticket.stage is Stage.HELD else self.machine.run_factor)
-        self.running.pop(ticket, None)
-        self.unconfirmed.discard(ticket)
-        ticket.stage = Stage.OVER
+        self.kb -= request.kb * (1 if request.stage is Stage.HELD else self.machine.run_factor)
+        self.running.pop(request, None)
+        self.unconfirmed.discard(request)
+        request.stage = Stage.OVER
 
-    def _remember(self, ticket: Ticket, life: float) -> None:
-        self._keep_label(ticket, life)
-        self.deeds.append(terms.Remember(ticket, life))
+    def _remember(self, request: Request, life: float) -> None:
+        self._keep_label(request, life)
+        self.deeds.append(terms.Remember(request, life))
 
-    def _keep_label(self, ticket: Ticket, life: float) -> None:
-        ticket.remembered = True
+    def _keep_label(self, request: Request, life: float) -> None:
+        request.remembered = True
         self.kb += self.machine.label_kb
-        heappush(self.labels, (self.now + life, id(ticket), ticket))
+        heappush(self.labels, (self.now + life, id(request), request))
 
-    def _may_share(self, ticket: Ticket) -> bool:
-        reads = ticket.track.nature is Nature.REDOABLE and not ticket.writes and ticket.subject is not None
+    def _may_share(self, request: Request) -> bool:
+        reads = (
+            request.request_class.nature is Nature.REDOABLE
+            and not request.writes
+            and request.subject is not None
+        )
         return bool(self.machine.share_reads_for) and reads and self._memory_fits(self.machine.label_kb)
 
-    def _release(self, ticket: Ticket) -> None:
-        if self._forget(ticket):
-            self.deeds.append(terms.Release(ticket))
+    def _release(self, request: Request) -> None:
+        if self._forget(request):
+            self.deeds.append(terms.Release(request))
 
-    def _forget(self, ticket: Ticket) -> bool:
-        kept, ticket.remembered = ticket.remembered, False
+    def _forget(self, request: Request) -> bool:
+        kept, request.remembered = request.remembered, False
         self.kb -= self.machine.label_kb * kept
         return kept
 
@@ -653,28 +685,28 @@
         self.notice_at = self.now
         self.leave_at = self.now + left - self.machine.slack - 2 * self.machine.tick
         self.deeds.append(terms.Health(False, True))
-        for ticket in {entry[2]: None for entry in self.dues}:
-            if ticket.due > self.leave_at:
-                ticket.due = self.leave_at
+        for request in {entry[2]: None for entry in self.dues}:
+            if request.due > self.leave_at:
+                request.due = self.leave_at
                 self.read += 1
-                heappush(self.dues, (ticket.due, self.read, ticket))
+                heappush(self.dues, (request.due, self.read, request))
 
     # -- guards
 
-    def _survives_run(self, ticket: Ticket) -> bool:
-        """Whether memory and cores bear one ticket more; calls count, since they come back by themselves."""
+    def _survives_run(self, request: Request) -> bool:
+        """Whether memory and cores bear one request more; calls count, since they come back by themselves."""
         crowd = self.on_cores + len(self.calls)
-        return crowd < int(self._crowd_most()) and self._memory_fits(self._more_kb(ticket))
+        return crowd < int(self._crowd_most()) and self._memory_fits(self._more_kb(request))
 
-    def _more_kb(self, ticket: Ticket) -> float:
-        """What a held ticket takes beyond its memory once it runs."""
-        return ticket.kb * (self.machine.run_factor - 1)
+    def _more_kb(self, request: Request) -> float:
+        """What a held request takes beyond its memory once it runs."""
+        return request.kb * (self.machine.run_factor - 1)
 
     def _memory_fits(self, more: float) -> bool:
         return self.kb + more <= self.machine.memory_kb
 
     def _crowd_most(self) -> float:
-        """Running tickets the cores survive; a cold server is taken at the slowest it may be."""
+        """Running requests the cores survive; a cold server is taken at the slowest it may be."""
         machine, share = self.machine, 1.0
         if self._warms():
             share = machine.cold_from + (1 - machine.cold_from) * (self.now - self.opened) / machine.warm_up
@@ -735,11 +767,12 @@
         """How long unused connections stay open.
 
         Departure, acts where routers come back, on average, later than they keep a connection. Then most may
-        be used once, and a table of used-up ones taxes the cores and keeps out tickets: once no more come
-        (the table is full, or few send) and few of the tickets read are from routers that were heard within
+        be used once, and a table of used-up ones taxes the cores and keeps out requests: once no more come
+        (the table is full, or few send) and few of the requests read are from routers that were heard within
         that time, each goes as soon as an answer's slack has passed. Where many come again, or soon again in
         numbers near those that run (retries), a full table is the cheapest denial. Guards against any
-        crowd of routers that see each server seldom; the few that come often pay a handshake for each ticket.
+        crowd of routers that see each server seldom; the few that come often pay a handshake for each
+        request.
         """
         machine, before, reads = self.machine, self.idle, self.reads
         no_more, self.had_connections = self.connections <= self.had_connections, self.connections
@@ -763,7 +796,9 @@
         return min(self._crowd_most(), self._memory_most())
 
     def _memory_most(self) -> float:
-        kb = [ticket.kb for ticket in self.running] or [ticket.kb for line in self.hold for ticket in line]
+        kb = [request.kb for request in self.running] or [
+            request.kb for line in self.hold for request in line
+        ]
         mean = sum(kb) / len(kb) if kb else 0.0
         return self.machine.memory_kb / (mean * self.machine.run_factor) if mean else inf
 
@@ -776,7 +811,7 @@
         binds = behind or any(self.hold)
         pool = max(self.credit, machine.cores)
         if machine.speech is Speech.CREDIT:
-            # Whose tickets are out here: while reading is behind also those that may lie unread.
+            # Whose requests are out here: while reading is behind also those that may lie unread.
             since = self.now - self.unread
             late = takewhile(lambda router: router.heard > since, reversed(self.patience if behind else {}))
             callers = self.senders + sum(not router.out for router in late)
@@ -797,7 +832,7 @@
         those with nothing out here; one under one is taken as a chance. What came in the guard's span counts
         still, though it has its answer: else quick ones, denials above all, would make room at once. Guards
         against callers that each take an endless credit, or one, in the same moment; it may keep away some
-        that had found room, with more callers than the cores survive tickets, or runs much under the span.
+        that had found room, with more callers than the cores survive requests, or runs much under the span.
         """
         callers = max(callers, self.machine.routers)
         out = len(self.running) + sum(map(len, self.hold))
@@ -806,7 +841,7 @@
         return min(share, min(most, self._credit_most()) / callers)
 
     def _came_lately(self) -> float:
-        """Tickets read in the guard's span; more than the reads that are kept are drawn out."""
+        """Requests read in the guard's span; more than the reads that are kept are drawn out."""
         span, reads = self.machine.crowd_span, self.reads
         came = sum(1 for _ in takewhile(lambda read: read[0] > self.now - span, reversed(reads)))
         return came if came < SAMPLES else came * span / max(self.now - reads[0][0], 1e-6)
--- a/sablewheel/command/demo.py
+++ b/sablewheel/command/demo.py
@@ -33,11 +33,14 @@
 @click.option("--seconds", default=18.0, show_default=True, help="How long the day is.")
 @click.option("--seed", default=1, show_default=True)
 @click.option(
-    "--into", default="sablewheel-demo", show_default=True, type=click.Path(path_type=Path),
+    "--into",
+    default="sablewheel-demo",
+    show_default=True,
+    type=click.Path(path_type=Path),
     help="Where the configuration is written that you can start from.",
-)  # fmt: skip
+)
 def demo(seconds: float, seed: int, into: Path) -> None:
-    """Play a short day: calm, an overload, a customer's burst. Needs nothing but this program.
+    """Play a short day: calm, an overload, a tenant's burst. Needs nothing but this program.
 
     \b
     sablewheel demo
@@ -68,7 +71,7 @@
 
 def _tell(console: Console, found: Outcome) -> None:
     words = ("completed", "denied", "terminated", "withdrawn", "lost")
-    for title, rows in (("by phase", found.by_phase), ("by customer", found.by_customer)):
+    for title, rows in (("by phase", found.by_phase), ("by customer", found.by_tenant)):
         table = Table(title=f"What routers were answered, {title}")
         table.add_column("")
         for word in words:
--- a/sablewheel/command/ledger.py
+++ b/sablewheel/command/ledger.py
@@ -137,9 +137,9 @@
     for fault in book.verify():
         click.echo(fault)
         faults += 1
-    if against is not None and not any(bytes(one[0]).hex() == against for one in book.rows(
-        "select seal from periods where seal is not null"
-    )):  # fmt: skip
+    if against is not None and not any(
+        bytes(one[0]).hex() == against for one in book.rows("select seal from periods where seal is not null")
+    ):
         click.echo(f"no period has the seal {against}")
         faults += 1
     click.echo(f"{faults} faults" if faults else "in order")
@@ -179,15 +179,21 @@
     if as_json:
         print_json(
             {
-                "clean": found.clean, "same": found.same, "pending": found.pending,
-                "pending_entries": found.pending_entries, "gaps": found.gaps, "doubles": found.doubles,
-                "changed": found.changed, "unmatched": found.unmatched, "notes": notes,
+                "clean": found.clean,
+                "same": found.same,
+                "pending": found.pending,
+                "pending_entries": found.pending_entries,
+                "gaps": found.gaps,
+                "doubles": found.doubles,
+                "changed": found.changed,
+                "unmatched": found.unmatched,
+                "notes": notes,
                 "billed": [
                     {"server": key[0], "customer": key[1], "own": one[0], "book": one[1]}
                     for key, one in sorted(found.billed.items())
                 ],
             }
-        )  # fmt: skip
+        )
     else:
         for title, items in (("gap", found.gaps), ("double", found.doubles), ("changed", found.changed)):
             for one in items:
--- a/sablewheel/command/members.py
+++ b/sablewheel/command/members.py
@@ -48,7 +48,9 @@
                 "health": told.health,
                 "members": [
                     {
-                        "name": one.name, "state": one.state, "incarnation": one.incarnation,
+                        "name": one.name,
+                        "state": one.state,
+                        "incarnation": one.incarnation,
                         "for_s": round(one.for_s, 3),
                         **_where(told, one.name),
                     }
@@ -56,7 +58,7 @@
                 ],
                 "counts": dict(told.counts),
             }
-        )  # fmt: skip
+        )
     elif view is None:
         click.echo(f"{name} is in no view")
     else:
--- a/sablewheel/command/recall.py
+++ b/sablewheel/command/recall.py
@@ -48,10 +48,12 @@
                 {
                     "label": one.label.decode("ascii", "replace"),
                     "name": one.name.decode("ascii", "replace"),
-                    "track": one.track, "state": one.state.value, "result_bytes": len(one.result),
+                    "track": one.request_class,
+                    "state": one.state.value,
+                    "result_bytes": len(one.result),
                     "seconds_left": round(one.until - now.unix, 3),
                 }
-            )  # fmt: skip
+            )
         return
     states = Counter(one.state.value for one in entries)
     size = sum(path.stat().st_size for path in folder.glob("*.seg"))
--- a/sablewheel/failover/planner.py
+++ b/sablewheel/failover/planner.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, order=True)
 class Zone:
-    """What is agreed of one zone. `capacity` and `load` in tickets a second, as all agreed to see them.
+    """What is agreed of one zone. `capacity` and `load` in requests a second, as all agreed to see them.
 
     `out`: its servers get nothing. `ramp`: the share of its capacity that counts, while it comes back cold.
     """
@@ -91,9 +91,13 @@
 
 
 def _overflow(
-    zones: tuple[Zone, ...], rules: Rules, tier: tuple[int, float], room: dict[str, float],
-    flows: dict[str, dict[str, float]], rest: dict[str, float],
-) -> None:  # fmt: skip
+    zones: tuple[Zone, ...],
+    rules: Rules,
+    tier: tuple[int, float],
+    room: dict[str, float],
+    flows: dict[str, dict[str, float]],
+    rest: dict[str, float],
+) -> None:
     """What is left goes to zones of one distance, shared by need where several want the same room."""
     wants: dict[str, dict[str, float]] = {}
     for zone in zones:
--- a/sablewheel/forwarding/__init__.py
+++ b/sablewheel/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""The forward path: a ticket, or anything else, to a peer of the fleet; imported only if it is on."""
+"""The forward path: a request, or anything else, to a peer of the fleet; imported only if it is on."""
--- a/sablewheel/forwarding/forward.py
+++ b/sablewheel/forwarding/forward.py
@@ -1,11 +1,12 @@
-"""Passing tickets on, in the server: a desk in front of the dispatch, and the caller of what peers pass here.
+"""Passing requests on, in the server: a desk in front of the dispatch, and the caller of what peers pass
+here.
 
-Decides nothing: whether and to whom a ticket goes says a placer, what becomes of it says `passing`. One that
+Decides nothing: whether and to whom a request goes says a placer, what becomes of it says `passing`. One that
 is away is this server's still, to its router: its answer, denial or error comes back over the link and goes
 the same way as any other. One that came is admitted as if a router had sent it, so the controller here knows
 no difference; its caller is the peer.
 
-A ticket that is away has no witness here: the server that runs it tells its own, so it is counted once. One
+A request that is away has no witness here: the server that runs it tells its own, so it is counted once. One
 that ends here after all, as its link broke, is told to ours.
 """
 
@@ -19,7 +20,7 @@
 from ..membership.view import View
 from ..routing.exchange import UNWITNESSED, Exchange, Witness
 from ..routing.server import Desk
-from ..terms import Customer, Nature, Router, Ticket, Track
+from ..terms import Nature, Request, RequestClass, Router, Tenant
 from ..transport.scheduler import Scheduler
 from ..transport.wake import Wake
 from .links import Links
@@ -58,28 +59,28 @@
 )
 
 KIND = "ticket"
-TRIES_MOST = 2  # peers that one ticket is passed to, one after the other
+TRIES_MOST = 2  # peers that one request is passed to, one after the other
 LIVES = 20  # bits of a number that count within one life; a life begins with its incarnation, in milliseconds
 
 log = logging.getLogger(__name__)
 
 
 class Placer(Protocol):
-    """Who decides whether a ticket is served here."""
+    """Who decides whether a request is served here."""
 
     def place(self, exchange: Exchange) -> str | None:
         """The member that is to serve it; None: here. Asked again where the first said no, or is gone."""
 
 
 class Owner(Protocol):
-    """Who knows what became of a labelled ticket that may have run on a peer."""
+    """Who knows what became of a labelled request that may have run on a peer."""
 
     def may_run_again(self, exchange: Exchange, peer: str, told: Callable[[bool], None]) -> None:
-        """Call `told`, now or later and within the ticket's time: whether it is sure that it never ran."""
+        """Call `told`, now or later and within the request's time: whether it is sure that it never ran."""
 
 
 class Here:
-    """All tickets are served where they came."""
+    """All requests are served where they came."""
 
     def place(self, exchange: Exchange) -> str | None:
         return None
@@ -102,7 +103,7 @@
 
 
 class Guest:
-    """The caller of a ticket that a peer passed on."""
+    """The caller of a request that a peer passed on."""
 
     __slots__ = ("_forward", "key")
 
@@ -134,14 +135,14 @@
         links: Links,
         passing: Passing,
         incarnation: int,
-        tracks: dict[bytes, Track],
-        customers: dict[bytes, Customer],
+        request_classes: dict[bytes, RequestClass],
+        tenants: dict[bytes, Tenant],
         witness: Callable[[], Witness],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._scheduler, self._links, self._passing, self._clock = scheduler, links, passing, clock
-        self._tracks, self._customers, self._witness = tracks, customers, witness
-        self._customer_names: dict[Customer, bytes] = {}
+        self._request_classes, self._tenants, self._witness = request_classes, tenants, witness
+        self._tenant_names: dict[Tenant, bytes] = {}
         self.placer: Placer = Here()
         self.owner: Owner = Unknown()
         self.guests: Desk | None = None  # who is told of what peers pass here; None: the inner desk
@@ -167,7 +168,7 @@
 
     def arrived(self, exchange: Exchange) -> None:
         if exchange.name in self._names:
-            return exchange.terminate()  # the name of an open ticket: as the dispatch would
+            return exchange.terminate()  # the name of an open request: as the dispatch would
         to = self._place(exchange)
         if to is None or not self.pass_on(exchange, to):
             self._serve_here(exchange)
@@ -176,7 +177,7 @@
         try:
             return self.placer.place(exchange)
         except Exception:
-            # A fault in who places must not cost the ticket: it can always be served where it came.
+            # A fault in who places must not cost the request: it can always be served where it came.
             self._count("faults")
             log.exception("ticket not placed, for a fault")
             return None
@@ -203,14 +204,14 @@
         self._serve_here(exchange)
 
     def pass_on(self, exchange: Exchange, to: str, tried: frozenset[str] = frozenset()) -> bool:
-        """Hand a ticket that arrived here, and that nobody decided on yet, to a peer; False: it can't go."""
-        ticket = exchange.ticket
+        """Hand a request that arrived here, and that nobody decided on yet, to a peer; False: it can't go."""
+        request = exchange.request
         told = self._passed(exchange)
         if told is None or to in tried:
             return False
         # Read anew: what this round took so far is no part of the hop, and would be lost from the age.
-        age = max(self._scheduler.clock.read() - ticket.arrived, 0.0)
-        left = ticket.track.abandon - age
+        age = max(self._scheduler.clock.read() - request.arrived, 0.0)
+        left = request.request_class.abandon - age
         if left <= 0:
             return False
         self._number += 1
@@ -219,7 +220,7 @@
         self._numbers[exchange] = number
         self._names.add(exchange.name)
         exchange.witness = UNWITNESSED
-        self._step(Wanted(number, to, ticket.track.nature, told, age, left, tried))
+        self._step(Wanted(number, to, request.request_class.nature, told, age, left, tried))
         return True
 
     # -- what else the program asks
@@ -269,8 +270,8 @@
         match effect:
             case Send(to, message, within):
                 self._send(to, message, within)
-            case Admit(key, ticket, age):
-                self._admit(key, ticket, age)
+            case Admit(key, request, age):
+                self._admit(key, request, age)
             case Abandon(key):
                 guest = self._guests.pop(key, None)
                 desk = self.guests or self._inner
@@ -296,7 +297,7 @@
                     )
 
     def _send(self, to: str, message: Message, within: float) -> None:
-        """Whoever passes a ticket on hears if it is sure that it never left; the rest is best effort."""
+        """Whoever passes a request on hears if it is sure that it never left; the rest is best effort."""
         number = message.number
         unsent = (lambda: self._step(Unsent(number))) if isinstance(message, Pass) else None
         if self._links.send(to, KIND, encode(message), within, unsent):
@@ -338,35 +339,48 @@
 
     def _passed(self, exchange: Exchange) -> Passed | None:
         """What goes along; None: a name in it can't be told to a peer."""
-        ticket = exchange.ticket
-        customer = b""
-        if ticket.customer is not None:
-            if ticket.customer not in self._customer_names:  # new settings make new objects
-                self._customer_names = {one: name for name, one in self._customers.items()}
-            found = self._customer_names.get(ticket.customer)
+        request = exchange.request
+        tenant = b""
+        if request.tenant is not None:
+            if request.tenant not in self._tenant_names:  # new settings make new objects
+                self._tenant_names = {one: name for name, one in self._tenants.items()}
+            found = self._tenant_names.get(request.tenant)
             if found is None:
                 return None
-            customer = found
-        label = exchange.label if ticket.track.nature is Nature.LABELLED else None
-        if max(len(exchange.name), len(exchange.track), len(customer), len(label or b"")) > NAME_MOST:
+            tenant = found
+        label = exchange.label if request.request_class.nature is Nature.LABELLED else None
+        if max(len(exchange.name), len(exchange.request_class), len(tenant), len(label or b"")) > NAME_MOST:
             return None
         return Passed(
-            exchange.name, exchange.track, exchange.body, customer, label, ticket.kb, ticket.subject,
+            exchange.name,
+            exchange.request_class,
+            exchange.body,
+            tenant,
+            label,
+            request.kb,
+            request.subject,
             exchange.session,
-        )  # fmt: skip
+        )
 
     def _admit(self, key: Key, told: Passed, age: float) -> None:
-        """A peer's ticket becomes ours; what this server does not know it declines, and it never ran here."""
-        track, customer = self._tracks.get(told.track), self._customers.get(told.customer)
-        unknown = track is None or (customer is None and bool(self._customers))
-        if track is None or unknown or (track.nature is Nature.LABELLED and not told.label):
+        """A peer's request becomes ours; what this server does not know is declined, and never ran here."""
+        request_class, tenant = self._request_classes.get(told.request_class), self._tenants.get(told.tenant)
+        unknown = request_class is None or (tenant is None and bool(self._tenants))
+        if request_class is None or unknown or (request_class.nature is Nature.LABELLED and not told.label):
             self._count("unknown_names")
             return self._step(Over(key, None))
         router = self._routers.setdefault(key[0], Router())
         arrived = self._scheduler.clock.now - age
-        ticket = Ticket(track, router, customer, arrived, told.kb, subject=told.subject)
+        request = Request(request_class, router, tenant, arrived, told.kb, subject=told.subject)
         exchange = Exchange(
-            told.name, told.track, told.body, 0, told.label, ticket, Guest(self, key), self._witness()
+            told.name,
+            told.request_class,
+            told.body,
+            0,
+            told.label,
+            request,
+            Guest(self, key),
+            self._witness(),
         )
         exchange.session = told.session
         self._guests[key] = exchange
--- a/sablewheel/forwarding/links.py
+++ b/sablewheel/forwarding/links.py
@@ -283,8 +283,9 @@
             if told is None or told.WhichOneof("body") != "hello" or not told.hello.HasField("echo"):
                 self._count("connects_refused")
             elif not self._valid(told.hello) or (told.hello.name, told.hello.incarnation) != (
-                name, incarnation,
-            ):  # fmt: skip
+                name,
+                incarnation,
+            ):
                 self._count("connects_foreign")
             else:
                 wire = Wire(stream, frames, name, incarnation, True, now)
--- a/sablewheel/forwarding/messages.py
+++ b/sablewheel/forwarding/messages.py
@@ -1,4 +1,4 @@
-"""What peers say to each other of a ticket that is passed on, and its bytes. Pure.
+"""What peers say to each other of a request that is passed on, and its bytes. Pure.
 
 Numbers are the sender's own and never come twice, over its lives as well: they begin with its incarnation.
 """
@@ -14,7 +14,7 @@
 
 from . import forwarding_pb2 as pb
 
-NAME_MOST = 64  # bytes of a ticket's name, its track's, its customer's, its label
+NAME_MOST = 64  # bytes of a request's name, its request class's, its tenant's, its label
 SPAN_MOST = 86400.0
 
 
@@ -23,7 +23,7 @@
 
 
 class Final(Enum):
-    """How a ticket ended."""
+    """How a request ended."""
 
     COMPLETED = 1
     DENIED = 2
@@ -32,12 +32,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Passed:
-    """What goes along of a ticket; the label only where a repeat joins its first."""
+    """What goes along of a request; the label only where a repeat joins its first."""
 
     name: bytes
-    track: bytes
+    request_class: bytes
     body: bytes
-    customer: bytes
+    tenant: bytes
     label: bytes | None
     kb: float
     subject: str | None
@@ -46,10 +46,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Pass:
-    """A ticket goes over: `age` since it reached the first machine, `left` until nobody waits."""
+    """A request goes over: `age` since it reached the first machine, `left` until nobody waits."""
 
     number: int
-    ticket: Passed
+    request: Passed
     age: float
     left: float
 
@@ -94,9 +94,17 @@
     match message:
         case Pass(_, one, age, left):
             told = pb.Pass(
-                name=one.name, track=one.track, body=one.body, customer=one.customer, label=one.label or b"",
-                kb=one.kb, subject=one.subject or "", session=one.session, age=age, left=left,
-            )  # fmt: skip
+                name=one.name,
+                track=one.request_class,
+                body=one.body,
+                customer=one.tenant,
+                label=one.label or b"",
+                kb=one.kb,
+                subject=one.subject or "",
+                session=one.session,
+                age=age,
+                left=left,
+            )
             return pb.TicketMessage(number=number, passed=told).SerializeToString()
         case Taken():
             return pb.TicketMessage(number=number, taken=pb.Taken()).SerializeToString()
@@ -142,11 +150,17 @@
         raise BadMessageError(f"session: at most {NAME_MOST} characters are wanted")
     if len(told.subject) > NAME_MOST:
         raise BadMessageError(f"subject: at most {NAME_MOST} characters are wanted")
-    ticket = Passed(
-        told.name, told.track, told.body, told.customer, told.label or None, _span(told.kb, "kb"),
-        told.subject or None, told.session,
-    )  # fmt: skip
-    return ticket, _span(told.age, "age"), _span(told.left, "left")
+    request = Passed(
+        told.name,
+        told.track,
+        told.body,
+        told.customer,
+        told.label or None,
+        _span(told.kb, "kb"),
+        told.subject or None,
+        told.session,
+    )
+    return request, _span(told.age, "age"), _span(told.left, "left")
 
 
 def _span(value: float, field: str) -> float:
--- a/sablewheel/forwarding/passing.py
+++ b/sablewheel/forwarding/passing.py
@@ -1,14 +1,15 @@
-"""Tickets passed on, pure: one hop, one outcome each, whatever happens to the peer or the link.
+"""Requests passed on, pure: one hop, one outcome each, whatever happens to the peer or the link.
 
 Each member is both sides. Of what it passed on it knows the peer and the time that is left; of what it took
-in, whose it is. The rule when the link breaks or the peer does not say that it has the ticket goes by nature:
+in, whose it is. The rule when the link breaks or the peer does not say that it has the request goes by
+nature:
 
 - redoable: back to its own server, which may run it or pass it to another, while its time lasts
 - labelled: its owner is asked whether it may run again, who knows what became of it; unless one says yes it
   ends in an error, as it may have run
 - irreversible: an error, once the first may have arrived; never a second sending
 
-What was surely never sent, or was refused, may go anywhere. A ticket that was taken in is the receiver's own
+What was surely never sent, or was refused, may go anywhere. A request that was taken in is the receiver's own
 and goes no further: only `Wanted` passes on, and nobody calls it for one taken in.
 """
 
@@ -28,12 +29,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Wanted:
-    """A ticket of ours is to go to a peer; `tried` are those it cannot go to any more. The number is new."""
+    """A request of ours is to go to a peer; `tried` are those it cannot go to any more. The number is new."""
 
     number: int
     to: str
     nature: Nature
-    ticket: Passed
+    request: Passed
     age: float
     left: float
     tried: frozenset[str] = frozenset()
@@ -87,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Leaving:
-    """This member leaves: it takes in no more, so that tickets are served where they came."""
+    """This member leaves: it takes in no more, so that requests are served where they came."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -130,10 +131,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Admit:
-    """Let a peer's ticket in as our own; it is as old as that."""
+    """Let a peer's request in as our own; it is as old as that."""
 
     key: Key
-    ticket: Passed
+    request: Passed
     age: float
 
 
@@ -223,7 +224,7 @@
         self.out[event.number] = Out(to, event.nature, due, taken_by, event.tried)
         self._wake(taken_by)
         self._count("passed")
-        return [Send(to, Pass(event.number, event.ticket, event.age, event.left), event.left)]
+        return [Send(to, Pass(event.number, event.request, event.age, event.left), event.left)]
 
     def _back(self, now: float, number: int, one: Out) -> Effect:
         """It may go anywhere, if there is time."""
@@ -248,7 +249,7 @@
         return self._may_have_run(number)
 
     def _may_have_run(self, number: int) -> list[Effect]:
-        """An irreversible ticket that was sent: an error, whatever became of it."""
+        """An irreversible request that was sent: an error, whatever became of it."""
         del self.out[number]
         return [self._error(number)]
 
@@ -332,7 +333,7 @@
         self._in_of[sender] = self._in_of.get(sender, 0) + 1
         self._wake(now + left)
         self._count("taken_in")
-        return [Send(sender, Taken(number), left), Admit(key, message.ticket, message.age + hop)]
+        return [Send(sender, Taken(number), left), Admit(key, message.request, message.age + hop)]
 
     def _cancelled(self, key: Key) -> list[Effect]:
         if key not in self.taken_in:
--- a/sablewheel/forwarding/plan.py
+++ b/sablewheel/forwarding/plan.py
@@ -25,14 +25,14 @@
 
 @dataclass(frozen=True)
 class PassSettings:
-    """The bounds of passing tickets."""
+    """The bounds of passing requests."""
 
     out_most: int = 4096  # passed on and not yet answered
     in_most: int = 1024  # taken in of one peer and not yet answered
     recent_most: int = 8192  # numbers of passes that are over, against doubles
-    taken_within: float = 0.25  # a peer says so soon that it has a ticket, or it is in doubt
+    taken_within: float = 0.25  # a peer says so soon that it has a request, or it is in doubt
     doubt: float = 0.5  # nothing goes to a peer in doubt for so long, unless it is heard
-    spare: float = 0.02  # an answer leaves so long before its ticket's time is up
+    spare: float = 0.02  # an answer leaves so long before its request's time is up
 
 
 @dataclass(frozen=True)
--- a/sablewheel/ledger/auditing.py
+++ b/sablewheel/ledger/auditing.py
@@ -40,8 +40,9 @@
         rows = book.rows(
             "select l.sequence, l.customer, l.track, l.outcome, l.billed, l.run_us from lines l"
             " join blocks b on l.block = b.id where b.source = ? and b.number = ? and l.kind = 0",
-            sources[own.server, own.incarnation][0], own.number,
-        )  # fmt: skip
+            sources[own.server, own.incarnation][0],
+            own.number,
+        )
         return differing(block, {one[0]: (one[1], one[2], one[3], bool(one[4]), one[5]) for one in rows})
 
     def held(server: str, incarnation: bytes, number: int) -> bytes | None:
--- a/sablewheel/ledger/book.py
+++ b/sablewheel/ledger/book.py
@@ -114,9 +114,12 @@
             if calendar is None:
                 raise BookError(f"{self.path}: not a book of this program")
             told = {
-                "format": str(FORMAT), "zone": calendar.zone, "length": calendar.length.value,
-                "lag": repr(calendar.lag), "closed_through": "0",
-            }  # fmt: skip
+                "format": str(FORMAT),
+                "zone": calendar.zone,
+                "length": calendar.length.value,
+                "lag": repr(calendar.lag),
+                "closed_through": "0",
+            }
             statements = [one for one in SCHEMA.split(";") if one.strip()]
             self._db.execute("begin immediate")
             for statement in statements:
@@ -199,10 +202,16 @@
             "insert into blocks(source, number, digest, first_sequence, last_sequence, size, written_us,"
             " received_us) values(?, ?, ?, ?, ?, ?, ?, ?)",
             (
-                source.id, block.number, one.digest, block.first_sequence, block.last_sequence, one.data_size,
-                block.written_us, now,
+                source.id,
+                block.number,
+                one.digest,
+                block.first_sequence,
+                block.last_sequence,
+                one.data_size,
+                block.written_us,
+                now,
             ),
-        )  # fmt: skip
+        )
         place = cursor.lastrowid or 0
         by_period: dict[int, list[Line]] = {}
         periods: dict[int, Period] = {}
@@ -256,9 +265,10 @@
             taken = sum(
                 -json.loads(more)["tickets"]
                 for more, customer in self._db.execute("select more, customer from lines where kind = 2")
-                if customer == one.customer and json.loads(more)["target"] == str(target)
+                if customer == one.customer
+                and json.loads(more)["target"] == str(target)
                 and json.loads(more)["tickets"] < 0
-            )  # fmt: skip
+            )
             check(one, closed, billed, taken)
             period = self.closer.open_now()
             more = json.dumps(
@@ -266,9 +276,25 @@
                 sort_keys=True,
             )
             line = (
-                CORRECTION, 0, 0, target.period or None, one.customer, one.track, int(pb.COMPLETED), 0, 0, 1,
-                one.tickets, one.run_us, 0, 0, round(made * 1e6), None, None, more,
-            )  # fmt: skip
+                CORRECTION,
+                0,
+                0,
+                target.period or None,
+                one.customer,
+                one.track,
+                int(pb.COMPLETED),
+                0,
+                0,
+                1,
+                one.tickets,
+                one.run_us,
+                0,
+                0,
+                round(made * 1e6),
+                None,
+                None,
+                more,
+            )
             self._post(period, [line])
             self.commit()
         except BaseException:
@@ -340,19 +366,55 @@
         closer, sequence = self.closer, block.first_sequence
         for total in block.totals:
             period, belongs = closer.place(total.first_us, total.end_us)
-            yield period, (
-                TOTAL, place, sequence, belongs, total.customer, total.track, int(total.outcome),
-                int(total.goal_kept), int(total.beyond_share), int(total.billed), total.entries, total.run_us,
-                total.asked_bytes, total.answer_bytes, total.first_us, None, None, None,
-            )  # fmt: skip
+            yield (
+                period,
+                (
+                    TOTAL,
+                    place,
+                    sequence,
+                    belongs,
+                    total.customer,
+                    total.track,
+                    int(total.outcome),
+                    int(total.goal_kept),
+                    int(total.beyond_share),
+                    int(total.billed),
+                    total.entries,
+                    total.run_us,
+                    total.asked_bytes,
+                    total.answer_bytes,
+                    total.first_us,
+                    None,
+                    None,
+                    None,
+                ),
+            )
             sequence += total.entries
         for entry in block.entries:
             period, belongs = closer.place(entry.ended_us, entry.ended_us)
-            yield period, (
-                ENTRY, place, entry.sequence, belongs, entry.customer, entry.track, int(entry.outcome),
-                int(entry.goal_kept), int(entry.beyond_share), int(entry.billed), 1, entry.run_us,
-                entry.asked_bytes, entry.answer_bytes, entry.ended_us, entry.name or None, entry.run or None,
-                None, )  # fmt: skip
+            yield (
+                period,
+                (
+                    ENTRY,
+                    place,
+                    entry.sequence,
+                    belongs,
+                    entry.customer,
+                    entry.track,
+                    int(entry.outcome),
+                    int(entry.goal_kept),
+                    int(entry.beyond_share),
+                    int(entry.billed),
+                    1,
+                    entry.run_us,
+                    entry.asked_bytes,
+                    entry.answer_bytes,
+                    entry.ended_us,
+                    entry.name or None,
+                    entry.run or None,
+                    None,
+                ),
+            )
 
     def _post(self, period: Period, lines: Iterable[Line]) -> None:
         place, count, head = self._period(period)
--- a/sablewheel/ledger/collector.py
+++ b/sablewheel/ledger/collector.py
@@ -193,9 +193,12 @@
             if self.book.lose(connection.server, told.incarnation, told.through, told.reason, self._clock()):
                 self.count("holes")
                 self._log.error(
-                    "blocks lost", server=connection.server, incarnation=told.incarnation.hex(),
-                    through=told.through, reason=told.reason,
-                )  # fmt: skip
+                    "blocks lost",
+                    server=connection.server,
+                    incarnation=told.incarnation.hex(),
+                    through=told.through,
+                    reason=told.reason,
+                )
             return
         self.refuse(connection, Refuse("kind", f"{kind} is not a server's to send"))
 
--- a/sablewheel/ledger/keeper.py
+++ b/sablewheel/ledger/keeper.py
@@ -19,7 +19,7 @@
 from ..state.files import DiskFiles
 from ..state.health import Disk
 from ..state.store import Store
-from ..terms import Customer
+from ..terms import Tenant
 from ..transport.background import Background
 from ..transport.bridge import Bridge
 from ..transport.scheduler import Scheduler
@@ -77,7 +77,7 @@
         plan: LedgerPlan,
         server: str,
         incarnation: bytes,
-        names: dict[Customer, str],
+        names: dict[Tenant, str],
         chance: Callable[[], float],
         count: Callable[[str], None],
         bridge: Bridge | None = None,
@@ -125,9 +125,12 @@
             self._pool.flag(*flag)
             self._count("ledger_incarnations_flagged")
         pairs = {
-            "records": found.records, "bytes": found.bytes, "segments": found.segments,
-            "torn_bytes": found.torn_bytes, "damaged": len(found.damage),
-        }  # fmt: skip
+            "records": found.records,
+            "bytes": found.bytes,
+            "segments": found.segments,
+            "torn_bytes": found.torn_bytes,
+            "damaged": len(found.damage),
+        }
         log.info("ledger recovered", extra={"pairs": pairs})
         for damage in found.damage[:20]:
             log.error("ledger damaged", extra={"pairs": {"where": damage}})
@@ -165,13 +168,13 @@
         answer_bytes: int = 0,
         first: Exchange | None = None,
     ) -> int:
-        ticket, now = exchange.ticket, self._scheduler.clock.now
-        track = self._tracks.get(exchange.track)
+        ticket, now = exchange.request, self._scheduler.clock.now
+        track = self._tracks.get(exchange.request_class)
         if track is None:
-            track = self._tracks[exchange.track] = exchange.track.decode("utf-8", "replace")
-        goal = ticket.track.goal + ticket.track.goal_stretch * (ticket.estimate or 0.0)
+            track = self._tracks[exchange.request_class] = exchange.request_class.decode("utf-8", "replace")
+        goal = ticket.request_class.goal + ticket.request_class.goal_stretch * (ticket.estimate or 0.0)
         entry = pb.Entry(
-            customer=self._names.get(ticket.customer, "") if ticket.customer is not None else "",
+            customer=self._names.get(ticket.tenant, "") if ticket.tenant is not None else "",
             track=track,
             outcome=outcome,
             ended_us=round(self._scheduler.clock.to_unix(now) * 1e6),
--- a/sablewheel/ledger/pool.py
+++ b/sablewheel/ledger/pool.py
@@ -46,9 +46,15 @@
     def add(self, entry: pb.Entry) -> None:
         period = self._periods.of(entry.ended_us)
         key = (
-            period.start, period.end, entry.customer, entry.track, int(entry.outcome),
-            entry.goal_kept, entry.beyond_share, entry.billed,
-        )  # fmt: skip
+            period.start,
+            period.end,
+            entry.customer,
+            entry.track,
+            int(entry.outcome),
+            entry.goal_kept,
+            entry.beyond_share,
+            entry.billed,
+        )
         sums = Sums(1, entry.run_us, entry.asked_bytes, entry.answer_bytes)
         self.entries += 1
         if key in self.rows:
@@ -75,12 +81,21 @@
         rows, self.rows, self.entries = self.rows, {}, 0
         return [
             pb.Total(
-                first_us=key[0], end_us=key[1], customer=key[2], track=key[3],
-                outcome=pb.Outcome.Name(key[4]), goal_kept=key[5], beyond_share=key[6], billed=key[7],
-                entries=sums.entries, run_us=sums.run_us, asked_bytes=sums.asked_bytes,
-                answer_bytes=sums.answer_bytes, )
+                first_us=key[0],
+                end_us=key[1],
+                customer=key[2],
+                track=key[3],
+                outcome=pb.Outcome.Name(key[4]),
+                goal_kept=key[5],
+                beyond_share=key[6],
+                billed=key[7],
+                entries=sums.entries,
+                run_us=sums.run_us,
+                asked_bytes=sums.asked_bytes,
+                answer_bytes=sums.answer_bytes,
+            )
             for key, sums in sorted(rows.items())
-        ]  # fmt: skip
+        ]
 
 
 class Pool:
--- a/sablewheel/ledger/reports.py
+++ b/sablewheel/ledger/reports.py
@@ -30,28 +30,31 @@
             " sum(run_us), sum(asked_bytes), sum(answer_bytes) from lines"
             f" where period = ? and kind < 2 {where}"
             " group by kind, belongs, customer, track, outcome, goal_kept, beyond, billed",
-            row[0], *values,
+            row[0],
+            *values,
         )
-    )  # fmt: skip
+    )
     corrections = [
-        Corrected(
-            told["target"], one[0], one[1], one[2], one[3], told["reason"], told["author"], one[4]
-        )
+        Corrected(told["target"], one[0], one[1], one[2], one[3], told["reason"], told["author"], one[4])
         for one in book.rows(
             "select customer, track, entries, run_us, ended_us, more from lines where period = ? and kind = 2"
-            f" {where} order by place", row[0], *values,
+            f" {where} order by place",
+            row[0],
+            *values,
         )
         if (told := json.loads(one[5]))
-    ]  # fmt: skip
+    ]
     unsure = dict(
         book.rows(
             "select l.customer, count(*) from unsure u join blocks b on b.source = u.source"
             " and b.last_sequence > u.after_sequence and b.first_sequence <= u.through_sequence"
             " join lines l on l.block = b.id and l.sequence > u.after_sequence"
             f" and l.sequence <= u.through_sequence where l.period = ? and l.outcome = 1 {where}"
-            " group by l.customer", row[0], *values,
+            " group by l.customer",
+            row[0],
+            *values,
         )
-    )  # fmt: skip
+    )
     found = build(
         named.name, book.periods.calendar.zone, bytes(row[1]) if row[1] else None, rows, corrections, unsure
     )
@@ -81,10 +84,26 @@
         " order by p.start_us, l.place limit ?"
     )
     names = (
-        "period", "line", "kind", "server", "incarnation", "sequence", "belongs", "customer", "track",
-        "outcome", "goal_kept", "beyond_share", "billed", "entries", "run_us", "ended_us", "name",
-        "run", "more",
-    )  # fmt: skip
+        "period",
+        "line",
+        "kind",
+        "server",
+        "incarnation",
+        "sequence",
+        "belongs",
+        "customer",
+        "track",
+        "outcome",
+        "goal_kept",
+        "beyond_share",
+        "billed",
+        "entries",
+        "run_us",
+        "ended_us",
+        "name",
+        "run",
+        "more",
+    )
     for row in book.rows(query, *values, most):
         yield {
             name: value.hex() if isinstance(value, bytes) else value
--- a/sablewheel/ledger/statement.py
+++ b/sablewheel/ledger/statement.py
@@ -148,24 +148,48 @@
     return json.dumps(
         [
             {
-                "customer": one.customer, "period": one.period, "zone": one.zone, "closed": one.closed,
-                "seal": one.seal, "billed_tickets": one.tickets, "billed_run_us": one.run_us,
-                "use": use(one.use), "late": {name: use(one.late[name]) for name in sorted(one.late)},
+                "customer": one.customer,
+                "period": one.period,
+                "zone": one.zone,
+                "closed": one.closed,
+                "seal": one.seal,
+                "billed_tickets": one.tickets,
+                "billed_run_us": one.run_us,
+                "use": use(one.use),
+                "late": {name: use(one.late[name]) for name in sorted(one.late)},
                 "known": one.known,
-                "corrections": [vars(each) for each in one.corrections], "unsure": one.unsure,
+                "corrections": [vars(each) for each in one.corrections],
+                "unsure": one.unsure,
             }
             for one in statements
         ],
-        indent=2, sort_keys=True,
-    )  # fmt: skip
+        indent=2,
+        sort_keys=True,
+    )
 
 
 COLUMNS = (
-    "customer", "period", "kind", "belongs", "track", "completed", "in_goal", "repeats", "denied",
-    "terminated", "gone", "billed", "billed_beyond", "run_us", "asked_bytes", "answer_bytes",
-    "folded", "target", "reason",
+    "customer",
+    "period",
+    "kind",
+    "belongs",
+    "track",
+    "completed",
+    "in_goal",
+    "repeats",
+    "denied",
+    "terminated",
+    "gone",
+    "billed",
+    "billed_beyond",
+    "run_us",
+    "asked_bytes",
+    "answer_bytes",
+    "folded",
+    "target",
+    "reason",
     "author",
-)  # fmt: skip
+)
 
 
 def as_csv(statements: list[Statement]) -> str:
@@ -181,11 +205,16 @@
         for each in one.corrections:
             writer.writerow(
                 {
-                    **head, "kind": "correction", "track": each.track, "billed": each.tickets,
-                    "run_us": each.run_us, "target": each.target, "reason": each.reason,
+                    **head,
+                    "kind": "correction",
+                    "track": each.track,
+                    "billed": each.tickets,
+                    "run_us": each.run_us,
+                    "target": each.target,
+                    "reason": each.reason,
                     "author": each.author,
                 }
-            )  # fmt: skip
+            )
     return out.getvalue()
 
 
--- a/sablewheel/membership/codec.py
+++ b/sablewheel/membership/codec.py
@@ -209,9 +209,13 @@
 
 def _member_out(member: Member) -> pb.Member:
     return pb.Member(
-        name=member.name, address=member.address, zone=member.zone, region=member.region,
-        incarnation=member.incarnation, says=[pb.Said(key=key, value=value) for key, value in member.says],
-    )  # fmt: skip
+        name=member.name,
+        address=member.address,
+        zone=member.zone,
+        region=member.region,
+        incarnation=member.incarnation,
+        says=[pb.Said(key=key, value=value) for key, value in member.says],
+    )
 
 
 def _member_in(one: pb.Member) -> Member:
--- a/sablewheel/membership/node.py
+++ b/sablewheel/membership/node.py
@@ -68,7 +68,7 @@
         self.suspicions = Suspicions(roster, self.gossip, out, settings)
         self.detector = Detector(
             roster, self.suspicions, self.gossip, out, settings, chance, now, self._blame
-        )  # fmt: skip
+        )
         self.baseline = Baseline(roster, out, settings, now, self._blame)
         self.reports = Reports(roster, self.suspicions, self.gossip, out, settings)
         self.judgements = Judgements(roster, self.gossip, out)
@@ -248,11 +248,14 @@
         self.suspicions.keep(view)
         self.detector.begin_round()
         self.out.note(
-            "view", epoch=view.epoch, members=len(view.members), fingerprint=fingerprint(view),
+            "view",
+            epoch=view.epoch,
+            members=len(view.members),
+            fingerprint=fingerprint(view),
             facts=",".join(f"{one.key}={one.value}" for one in view.facts) or "-",
             changes=cause if isinstance(cause, str) else changes_text(cause),
             was=old.epoch if old is not None else 0,
-        )  # fmt: skip
+        )
         self.out.count("views")
         if old is not None and me in old and me not in view:
             self.out.note("left out", epoch=view.epoch)  # removed while paused or cut off: ask in again
--- a/sablewheel/membership/shell.py
+++ b/sablewheel/membership/shell.py
@@ -144,7 +144,7 @@
                     case Note():
                         self._note(effect)
         except Exception:
-            # A fault of ours in here must not take the server's tickets along.
+            # A fault of ours in here must not take the server's requests along.
             self._count("faults")
             log.exception("membership step ended by a fault")
         self._wake.set(self.node.wake_at)
--- a/sablewheel/membership/view.py
+++ b/sablewheel/membership/view.py
@@ -119,9 +119,11 @@
 def changes_text(changes: Proposal) -> str:
     """For log lines: one word a change."""
     return " ".join(
-        f"fact:{one.fact.key}={one.fact.value or '-'}" if one.kind is Kind.FACT
-        else f"{one.kind.value}:{one.member.name}@{one.member.incarnation}" for one in changes
-    )  # fmt: skip
+        f"fact:{one.fact.key}={one.fact.value or '-'}"
+        if one.kind is Kind.FACT
+        else f"{one.kind.value}:{one.member.name}@{one.member.incarnation}"
+        for one in changes
+    )
 
 
 @dataclass(frozen=True)
--- a/sablewheel/overload/unconfirmed.py
+++ b/sablewheel/overload/unconfirmed.py
@@ -9,36 +9,36 @@
 
 from math import inf
 
-from ..terms import Ticket
+from ..terms import Request
 
 
 class UnconfirmedStarts:
     """The requests concerned, and until when each one's end is waited for (seconds of the caller's clock)."""
 
     def __init__(self) -> None:
-        self._until: dict[Ticket, float] = {}
+        self._until: dict[Request, float] = {}
 
     def __len__(self) -> int:
         return len(self._until)
 
-    def add(self, ticket: Ticket, now: float, longest: float) -> None:
+    def add(self, request: Request, now: float, longest: float) -> None:
         """Wait for its end until its caller's time is up and `longest` seconds more.
 
         `longest` is the longest deadline of any class: a run that is so late serves nobody, and another one
         beside it is within the slack of the guards.
         """
-        deadline = max(ticket.arrived + ticket.track.abandon, now)
-        self._until.setdefault(ticket, deadline + longest)
+        deadline = max(request.arrived + request.request_class.abandon, now)
+        self._until.setdefault(request, deadline + longest)
 
-    def discard(self, ticket: Ticket) -> None:
+    def discard(self, request: Request) -> None:
         """It is known to have begun, or it is over."""
-        self._until.pop(ticket, None)
+        self._until.pop(request, None)
 
-    def take_overdue(self, now: float) -> list[Ticket]:
+    def take_overdue(self, now: float) -> list[Request]:
         """Those to be waited for no longer, which are forgotten here."""
-        overdue = [ticket for ticket, until in self._until.items() if until <= now]
-        for ticket in overdue:
-            del self._until[ticket]
+        overdue = [request for request, until in self._until.items() if until <= now]
+        for request in overdue:
+            del self._until[request]
         return overdue
 
     @property
--- a/sablewheel/program/application.py
+++ b/sablewheel/program/application.py
@@ -70,7 +70,7 @@
         self._counters = Counters()
         self._scheduler = scheduler = Scheduler(Clock())
         self._standing = Standing()
-        longest = max(track.abandon for track in posting.machine.tracks)
+        longest = max(request_class.abandon for request_class in posting.machine.request_classes)
         labels = Labels(longest, posting.machine.slack, posting.memory_bytes // KEPT_SHARE)
         count = self._counters.count
         scheduler.on_fault = lambda: count("faults")
@@ -101,8 +101,8 @@
         )
         self._server = Server(
             scheduler,
-            posting.tracks,
-            posting.customers,
+            posting.request_classes,
+            posting.tenants,
             self._standing,
             self._feature.desk(self._dispatch),
             count,
@@ -256,8 +256,9 @@
     def _take_anew(self, told: Posting) -> None:
         held = self._posting
         keys = list(configuration.differing(held.told, told.told))
-        # Tickets in flight name their track and customer: settings that rename them wait for a restart.
-        same_names = [*held.tracks, *held.customers] == [*told.tracks, *told.customers]
+        # Requests in flight name their request class and tenant: settings that rename them wait for a
+        # restart.
+        same_names = [*held.request_classes, *held.tenants] == [*told.request_classes, *told.tenants]
         if not same_names:
             told = replace(told, told={**told.told, "settings": held.told["settings"]})
         anew = configuration.TAKEN_ANEW
@@ -282,14 +283,16 @@
         self._counters.count("configurations_taken")
 
     def _retune(self) -> None:
-        """The settings that were read, as features would have them now, for tickets from now on."""
+        """The settings that were read, as features would have them now, for requests from now on."""
         posting = self._posting
         machine = self._feature.machine(posting.machine)
         self._dispatch.retune(machine, posting.gauge_places)
         self._server.expect(machine.routers)
         # The dicts that the server reads names by; their order is that of the settings.
-        posting.tracks.update(zip(list(posting.tracks), machine.tracks, strict=True))
-        posting.customers.update(zip(list(posting.customers), machine.customers, strict=True))
+        posting.request_classes.update(
+            zip(list(posting.request_classes), machine.request_classes, strict=True)
+        )
+        posting.tenants.update(zip(list(posting.tenants), machine.tenants, strict=True))
 
     def _linking(self, address: Address) -> Callable[[], Stream | None]:
         def linked() -> Stream | None:
@@ -336,7 +339,7 @@
         whose every request fails at its deadline elsewhere than where it would be served. May keep away, for
         as long as a report takes, what comes as the interpreter returns.
         """
-        longest = max(track.abandon for track in self._posting.machine.tracks)
+        longest = max(request_class.abandon for request_class in self._posting.machine.request_classes)
         self._standing.able = self._client.away <= longest
         word = naming.report(self._posting.name, self.phase is Phase.SERVING and self._standing.able)
         self._counters.count("reports_sent" if self._post.send(word) else "reports_failed")
@@ -345,7 +348,7 @@
         self._counters.print(
             occasion,
             phase=self.phase.value,
-            open_tickets=self._dispatch.open_count,
+            open_requests=self._dispatch.open_count,
             open_connections=len(self._server.connections),
             said=self._standing.said,
             **self._dispatch.denials,
--- a/sablewheel/program/configuration.py
+++ b/sablewheel/program/configuration.py
@@ -14,7 +14,7 @@
 from math import inf
 from typing import Any, TypeVar
 
-from ..terms import Customer, Halting, Ledger, Machine, Nature, Speech, Track
+from ..terms import Halting, Ledger, Machine, Nature, RequestClass, Speech, Tenant
 
 NATURES = {"safe": Nature.REDOABLE, "keyed": Nature.LABELLED, "unsafe": Nature.IRREVERSIBLE}
 HALTINGS = {"off": Halting.NEVER, "drop": Halting.DROPS, "pause": Halting.PAUSES}
@@ -49,8 +49,8 @@
     memory_bytes: int
     connections_most: int
     machine: Machine
-    tracks: dict[bytes, Track]
-    customers: dict[bytes, Customer]
+    request_classes: dict[bytes, RequestClass]
+    tenants: dict[bytes, Tenant]
     gauge_places: tuple[int | None, int | None, int | None]  # cpu_busy, sockets, runnable
     level: str
     told: Mapping[str, Any]  # the configuration as it was read
@@ -179,8 +179,8 @@
         memory_bytes=int(limits.number("memory_mb", 192, least=8) * 1e6),
         connections_most=sockets - RESERVED - min(max(sockets - 2 * RESERVED - 4, 0) // 4, RESERVED_MORE),
         machine=built,
-        tracks=dict(zip(names, built.tracks, strict=True)),
-        customers=dict(zip(owners, built.customers, strict=True)),
+        request_classes=dict(zip(names, built.request_classes, strict=True)),
+        tenants=dict(zip(owners, built.tenants, strict=True)),
         gauge_places=(
             gauges.index("cpu_busy") if "cpu_busy" in gauges else None,
             gauges.index("sockets") if "sockets" in gauges else None,
@@ -207,14 +207,14 @@
     """
     extra, safety = settings.section("extra"), settings.section("safety")
     limits = settings.section("limits", {})
-    tracks = settings.sections("classes")
-    if not tracks:
+    request_classes = settings.sections("classes")
+    if not request_classes:
         raise FaultyKeyError(f"{settings.name('classes')}: at least one is wanted")
     calls, skips = extra.places("class-calls"), extra.places("class-skip-worth")
     habits = settings.section("client-habits", {})
     return Machine(
-        tracks=tuple(
-            Track(
+        request_classes=tuple(
+            RequestClass(
                 nature=one.choice("repeat", NATURES),
                 goal=one.number("on-time-s"),
                 abandon=one.number("deadline-s"),
@@ -224,14 +224,12 @@
                 calls=calls.flag(str(place), False) and calls_below,
                 skip_share=skips.number(str(place), 0.0) * calls_below,
             )
-            for place, one in enumerate(tracks)
+            for place, one in enumerate(request_classes)
         ),
         cores=extra.whole("cores", least=1),
         memory_kb=extra.number("memory-kb"),
         run_factor=extra.number("run-factor", 1.0),
-        customers=tuple(
-            Customer(quota=one.number("quota-rps", 0.0)) for one in settings.sections("orgs", [])
-        ),
+        tenants=tuple(Tenant(quota=one.number("quota-rps", 0.0)) for one in settings.sections("orgs", [])),
         ledger=_ledger(extra) if calls_below else None,
         servers=settings.whole("servers", 1) or 1,
         routers=extra.whole("callers", 1) or 1,
--- a/sablewheel/program/parts.py
+++ b/sablewheel/program/parts.py
@@ -66,7 +66,7 @@
     says: tuple[tuple[str, str], ...] = ()  # what all features together have this member say of itself
     fleet: Fleet | None = None  # by membership
     links: Links | None = None  # by forwarding
-    forward: Forward | None = None  # by forwarding; who places tickets sets its placer
+    forward: Forward | None = None  # by forwarding; who places requests sets its placer
     policies: Policies | None = None  # by policy: who may serve what, `on_active`, and the placer above
     replication: Keeper | None = None  # by replication; bindings and documents go through it
     leave: Callable[[], None] | None = None  # by membership; None where another tells the fleet in its time
@@ -108,7 +108,7 @@
     from ..ledger.keeper import Keeper
 
     posting = ground.posting
-    names = {one: name.decode("utf-8", "replace") for name, one in posting.customers.items()}
+    names = {one: name.decode("utf-8", "replace") for name, one in posting.tenants.items()}
     keeper = Keeper(
         ground.scheduler,
         ground.background,
@@ -139,7 +139,7 @@
         ground.bridge,
         plan,
         ground.incarnation,
-        ground.posting.tracks,
+        ground.posting.request_classes,
         ground.witness,
         ground.never_begun,
         ground.remembered,
@@ -192,8 +192,8 @@
         links,
         Passing(plan.passing),
         round(ground.scheduler.clock.now * 1000),
-        posting.tracks,
-        posting.customers,
+        posting.request_classes,
+        posting.tenants,
         lambda: ground.witness,  # the outermost of all features, once they are made
     )
     fleet.on_view(links.view)
@@ -234,7 +234,7 @@
     fleet, links, forward = ground.fleet, ground.links, ground.forward
     assert fleet is not None and links is not None and forward is not None  # the section needs theirs
     own = _ability(plan, ground.posting, ground.features)
-    made = Policies(ground.scheduler, plan, fleet, links, own, ground.posting.customers, ground.retune)
+    made = Policies(ground.scheduler, plan, fleet, links, own, ground.posting.tenants, ground.retune)
     forward.placer = made  # who places by more than this asks `made.place` in turn
     ground.policies = made
     return Part(
@@ -252,7 +252,7 @@
     fleet, links, posting = ground.fleet, ground.links, ground.posting
     assert fleet is not None and links is not None and ground.forward is not None  # the section needs them
     slack = posting.machine.slack
-    settings = replace(plan.settings, longest=longest(posting.tracks, slack))
+    settings = replace(plan.settings, longest=longest(posting.request_classes, slack))
     keeper = ground.replication = Keeper(
         ground.scheduler,
         links,
@@ -302,13 +302,13 @@
         keeper,
         ground.memory,
         ground.witness,
-        ground.posting.customers,
+        ground.posting.tenants,
         warmth,
         float(machine.cores),
         grace,
         ground.count,
     )
-    ground.leave = None  # the fleet is told, and peers' tickets are refused, once sessions are handed over
+    ground.leave = None  # the fleet is told, and peers' requests are refused, once sessions are handed over
     policies = ground.policies
     if policies is not None:
         affinity.flow_of = lambda exchange: policies.route(exchange).flow
--- a/sablewheel/protocol/interpreter.py
+++ b/sablewheel/protocol/interpreter.py
@@ -98,8 +98,8 @@
     return b"CONNECT %d\r\n" % last
 
 
-def apply(name: bytes, track: bytes, body: bytes) -> bytes:
-    return b"APPLY %b %b %d\r\n%b\r\n" % (name, track, len(body), body)
+def apply(name: bytes, request_class: bytes, body: bytes) -> bytes:
+    return b"APPLY %b %b %d\r\n%b\r\n" % (name, request_class, len(body), body)
 
 
 def halt(name: bytes) -> bytes:
--- a/sablewheel/protocol/resp.py
+++ b/sablewheel/protocol/resp.py
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class Asked:
-    """A try of a ticket: the fields that decisions need, and the rest as the bytes that came.
+    """A try of a request: the fields that decisions need, and the rest as the bytes that came.
 
     The last three come only where the settings say so: until when its caller waits, whether it is a further
     try, and for how many seconds it should run.
@@ -56,9 +56,9 @@
 
     tag: int
     name: bytes
-    track: bytes
+    request_class: bytes
     router: bytes
-    customer: bytes
+    tenant: bytes
     since: float
     kb: float
     label: bytes | None
@@ -198,9 +198,9 @@
     return Asked(
         tag=tag,
         name=fields[b"ref"],
-        track=words[2],
+        request_class=words[2],
         router=fields[b"sender"],
-        customer=fields.get(b"project", b""),
+        tenant=fields.get(b"project", b""),
         since=since,
         kb=kb,
         label=fields.get(b"replay"),
--- a/sablewheel/recall/loading.py
+++ b/sablewheel/recall/loading.py
@@ -39,9 +39,13 @@
             self.notice = 0
         for intent in record.intents:
             entry = Entry(
-                intent.label, intent.sameness, intent.name, intent.track, intent.arrived_us / 1e6,
+                intent.label,
+                intent.sameness,
+                intent.name,
+                intent.track,
+                intent.arrived_us / 1e6,
                 min(intent.until_us / 1e6, moment.unix + self.longest),
-            )  # fmt: skip
+            )
             self.memory.intend(entry)
             self.numbers[entry.label] = number
         for outcome in record.outcomes:
--- a/sablewheel/recall/memory.py
+++ b/sablewheel/recall/memory.py
@@ -3,7 +3,7 @@
 
 The one thing that may never be lost while its window is open is that a run was intended: without it a repeat
 would run again. Results come second: without one a repeat is terminated, which is poor but safe. So results
-go first, the oldest first; and if even the intents have no room, new labelled tickets are not to run, and it
+go first, the oldest first; and if even the intents have no room, new labelled requests are not to run, and it
 is told when room is due.
 """
 
@@ -34,7 +34,7 @@
     label: bytes
     sameness: bytes
     name: bytes
-    track: str
+    request_class: str
     arrived: float
     until: float
     state: State = State.INTENDED
--- a/sablewheel/recall/plan.py
+++ b/sablewheel/recall/plan.py
@@ -8,7 +8,7 @@
 
 
 class Start(Enum):
-    """What a server that remembers nothing does with labelled tickets that a predecessor may have run.
+    """What a server that remembers nothing does with labelled requests that a predecessor may have run.
 
     RUN: runs them; what a killed server held is no longer its duty. EARLY: terminates those that had reached
     the machine before it started. STRICT: terminates all until one window has passed. WAIT: says that it is
--- a/sablewheel/recall/recorder.py
+++ b/sablewheel/recall/recorder.py
@@ -22,7 +22,7 @@
 from ..state.files import DiskFiles
 from ..state.health import Disk
 from ..state.store import Store
-from ..terms import Nature, Outcome, Router, Stage, Ticket, Track
+from ..terms import Nature, Outcome, Request, RequestClass, Router, Stage
 from ..transport.background import Background
 from ..transport.bridge import Bridge
 from ..transport.clock import Clock
@@ -80,7 +80,7 @@
         bridge: Bridge | None,
         plan: RecallPlan,
         incarnation: bytes,
-        tracks: dict[bytes, Track],
+        request_classes: dict[bytes, RequestClass],
         inner: Witness,
         never_begun: Run,
         remembered: Callable[[], None],
@@ -90,9 +90,9 @@
     ) -> None:
         self._scheduler, self._plan, self._count, self._inner = scheduler, plan, count, inner
         self._never_begun, self._remembered, self._fail = never_begun, remembered, fail
-        self._tracks, self._bridge = tracks, bridge
+        self._request_classes, self._bridge = request_classes, bridge
         self._read_moment = moment or (lambda: read_moment(scheduler.clock))
-        labelled = [one for one in tracks.values() if one.nature is Nature.LABELLED]
+        labelled = [one for one in request_classes.values() if one.nature is Nature.LABELLED]
         self._longest = max((one.window for one in labelled), default=0.0)
         self.started = scheduler.clock.now
         self._memory = Memory(plan.entries_most, plan.bytes_most)
@@ -163,17 +163,21 @@
             self._scheduler, self._bridge, records, SLOW_AFTER, self._fenced, self._disk_changed
         )
         pairs = {
-            "records": found.records, "labels": len(self._memory.entries), "rebased": loaded.rebased,
-            "torn_bytes": found.torn_bytes, "damaged": len(found.damage), "took": round(took, 4),
-        }  # fmt: skip
+            "records": found.records,
+            "labels": len(self._memory.entries),
+            "rebased": loaded.rebased,
+            "torn_bytes": found.torn_bytes,
+            "damaged": len(found.damage),
+            "took": round(took, 4),
+        }
         log.info("recall loaded", extra={"pairs": pairs})
         self.ready = True
         self._remembered()
 
-    def recalled(self, born: float, labels: Labels) -> list[tuple[Ticket, float]]:
+    def recalled(self, born: float, labels: Labels) -> list[tuple[Request, float]]:
         """The interpreter is up, since `born`: put what is remembered into the table of labels.
 
-        Gives the controller's part: tickets that are over, and how long their labels count. A run whose end
+        Gives the controller's part: requests that are over, and how long their labels count. A run whose end
         nobody wrote down is waited for where the interpreter outlived this server's predecessor; else it may
         have run or not, nobody can tell, and its repeats end in an error.
         """
@@ -182,14 +186,14 @@
         if not outlived:
             self.last_notice, self._anew = 0, self._store is not None
         for entry in sorted(self._memory.entries.values(), key=lambda one: one.until):
-            track = self._tracks.get(entry.track.encode())
-            if track is None:
+            request_class = self._request_classes.get(entry.request_class.encode())
+            if request_class is None:
                 continue
             if entry.state is State.INTENDED and not outlived:
                 entry.state = State.FAILED
                 self._outcomes.append(written.outcome(entry))
                 self._count("recall_unknown")
-            exchange = self._exchange(entry, track)
+            exchange = self._exchange(entry, request_class)
             if entry.state is State.INTENDED:
                 exchange.place = Place.RUNNING
                 self._adopted[entry.name] = exchange
@@ -198,7 +202,7 @@
             labels.remember(exchange, now, life)
             if entry.state is State.WORKED:
                 labels.keep(exchange, entry.result)
-            told.append((exchange.ticket, life))
+            told.append((exchange.request, life))
             self._count("recall_labels")
         return told
 
@@ -206,13 +210,13 @@
         """Runs of the predecessor whose ends the interpreter may still tell, and the last notice read."""
         return list(self._adopted.values()), self.last_notice
 
-    def _exchange(self, entry: Entry, track: Track) -> Exchange:
+    def _exchange(self, entry: Entry, request_class: RequestClass) -> Exchange:
         """A try that is over, as repeats find it."""
-        ticket = Ticket(track, Router(), None, entry.arrived, 0.0)
-        ticket.stage, ticket.begun, ticket.answered = Stage.OVER, True, True
+        request = Request(request_class, Router(), None, entry.arrived, 0.0)
+        request.stage, request.begun, request.answered = Stage.OVER, True, True
         if entry.state is not State.INTENDED:
-            ticket.ended = Outcome.WORKED if entry.state is not State.FAILED else Outcome.ERROR
-        exchange = Exchange(entry.name, entry.track.encode(), b"", 0, entry.label, ticket, None)
+            request.ended = Outcome.WORKED if entry.state is not State.FAILED else Outcome.ERROR
+        exchange = Exchange(entry.name, entry.request_class.encode(), b"", 0, entry.label, request, None)
         exchange.place = Place.OVER
         exchange.digest = entry.sameness
         exchange.billed = entry.state is not State.INTENDED
@@ -228,12 +232,12 @@
     # -- what the dispatch asks and tells
 
     def may_not_run(self, exchange: Exchange) -> bool:
-        """Whether a labelled ticket without a remembered first may have run in a predecessor."""
+        """Whether a labelled request without a remembered first may have run in a predecessor."""
         if self._plan.cold in (Start.RUN, Start.WAIT) or (self._store is not None and not self._damaged):
             return False
-        ticket = exchange.ticket
+        request = exchange.request
         now = self._scheduler.clock.now
-        if may_have_run(self._plan.cold, self.started, ticket.arrived, ticket.track.window, now):
+        if may_have_run(self._plan.cold, self.started, request.arrived, request.request_class.window, now):
             self._count("recall_cold_terminated")
             return True
         return False
@@ -244,15 +248,15 @@
         """
         if self._store is None:
             return
-        now, ticket = self._scheduler.clock.now, exchange.ticket
+        now, request = self._scheduler.clock.now, exchange.request
         self._expire(now)
-        ticket.overhead = self._commit_wait(now)
+        request.overhead = self._commit_wait(now)
         if self._store.disk in (Disk.FULL, Disk.FAILING):
-            ticket.room_in = 1.0
+            request.room_in = 1.0
         else:
-            ticket.room_in = self._memory.room_in(now, self._prepared)
+            request.room_in = self._memory.room_in(now, self._prepared)
             self._prepared += 1
-        if ticket.room_in:
+        if request.room_in:
             self._count("recall_no_room")
 
     def _commit_wait(self, now: float) -> float:
@@ -264,15 +268,19 @@
 
     def remember(self, exchange: Exchange) -> None:
         """Its label is kept from now on: the intent goes out at once, so that its commit passes while the
-        ticket waits for a core.
+        request waits for a core.
         """
-        ticket = exchange.ticket
-        if self._store is None or exchange.label is None or ticket.track.nature is not Nature.LABELLED:
+        request = exchange.request
+        if (
+            self._store is None
+            or exchange.label is None
+            or request.request_class.nature is not Nature.LABELLED
+        ):
             return
-        until = ticket.arrived + ticket.track.window
-        sameness = digest(exchange.track, exchange.body)
-        track = exchange.track.decode("utf-8", "replace")
-        entry = Entry(exchange.label, sameness, exchange.name, track, ticket.arrived, until)
+        until = request.arrived + request.request_class.window
+        sameness = digest(exchange.request_class, exchange.body)
+        request_class = exchange.request_class.decode("utf-8", "replace")
+        entry = Entry(exchange.label, sameness, exchange.name, request_class, request.arrived, until)
         self._memory.intend(entry)
         self._intents.append(entry)
 
@@ -312,7 +320,7 @@
         if (
             self._store is None
             or exchange.label is None
-            or exchange.ticket.track.nature is not Nature.LABELLED
+            or exchange.request.request_class.nature is not Nature.LABELLED
         ):
             return
         if outcome is Outcome.MOOT:
@@ -327,14 +335,14 @@
             if state is State.WORKED:
                 told.result = result
             self._outcomes.append(told)
-        if exchange.ticket.stage is Stage.OVER:  # one of the predecessor's: the controller knows it as over
-            exchange.ticket.ended = outcome
+        if exchange.request.stage is Stage.OVER:  # one of the predecessor's: the controller knows it as over
+            exchange.request.ended = outcome
         self._mark += 1
 
     # -- the witness: answers wait for outcomes
 
     def completed(self, exchange: Exchange, result: bytes, caller: Caller) -> None:
-        labelled = exchange.label is not None and exchange.ticket.track.nature is Nature.LABELLED
+        labelled = exchange.label is not None and exchange.request.request_class.nature is Nature.LABELLED
         if self._store is None or not labelled or self._durable_mark >= self._mark:
             return self._inner.completed(exchange, result, caller)
         if self._store.disk in (Disk.FULL, Disk.FAILING):
--- a/sablewheel/recall/written.py
+++ b/sablewheel/recall/written.py
@@ -35,17 +35,24 @@
 def intent(entry: Entry) -> pb.Intent:
     """An entry's intent as it is written."""
     return pb.Intent(
-        label=entry.label, sameness=entry.sameness, name=entry.name, track=entry.track,
-        arrived_us=round(entry.arrived * 1e6), until_us=round(entry.until * 1e6),
-    )  # fmt: skip
+        label=entry.label,
+        sameness=entry.sameness,
+        name=entry.name,
+        track=entry.request_class,
+        arrived_us=round(entry.arrived * 1e6),
+        until_us=round(entry.until * 1e6),
+    )
 
 
 def outcome(entry: Entry) -> pb.Outcome:
     """An entry's outcome as it is written; only of one that has one."""
     return pb.Outcome(
-        label=entry.label, name=entry.name, how=HOW[entry.state], result=entry.result,
+        label=entry.label,
+        name=entry.name,
+        how=HOW[entry.state],
+        result=entry.result,
         dropped=entry.state is State.DROPPED,
-    )  # fmt: skip
+    )
 
 
 def moment(told: Moment) -> pb.Moment:
--- a/sablewheel/replication/codec.py
+++ b/sablewheel/replication/codec.py
@@ -118,12 +118,28 @@
     match told.WhichOneof("body"):
         case "prepare":
             one = told.prepare
-            return Prepare(epoch, ref, _key_in(one.key), one.slot, _ballot_in(one.ballot), _left(one.left),
-                           _short(one.group), one.under)  # fmt: skip
+            return Prepare(
+                epoch,
+                ref,
+                _key_in(one.key),
+                one.slot,
+                _ballot_in(one.ballot),
+                _left(one.left),
+                _short(one.group),
+                one.under,
+            )
         case "accept":
             one = told.accept
-            return Accept(epoch, ref, _key_in(one.key), one.slot, _entry_in(one.entry), _left(one.left),
-                          _short(one.group), one.under)  # fmt: skip
+            return Accept(
+                epoch,
+                ref,
+                _key_in(one.key),
+                one.slot,
+                _entry_in(one.entry),
+                _left(one.left),
+                _short(one.group),
+                one.under,
+            )
         case "push":
             one = told.push
             return Push(epoch, ref, _key_in(one.key), one.slot, _entry_in(one.entry), _left(one.left))
@@ -201,9 +217,14 @@
         for one in entry.outcomes
     ]
     return pb.Entry(
-        ballot=_ballot(entry.ballot), number=entry.number, owner=_owner(entry.owner), value=entry.value,
-        digest=entry.digest, freed=entry.freed, outcomes=outcomes,
-    )  # fmt: skip
+        ballot=_ballot(entry.ballot),
+        number=entry.number,
+        owner=_owner(entry.owner),
+        value=entry.value,
+        digest=entry.digest,
+        freed=entry.freed,
+        outcomes=outcomes,
+    )
 
 
 def _few(many: int, most: int, field: str) -> None:
@@ -249,9 +270,14 @@
             raise BadPacketError(f"how: no such outcome: {one.how[:40]!r}")
         outcomes.append(Outcome(one.number, _owner_in(one.owner), one.how, one.result))
     return Entry(
-        _ballot_in(told.ballot), told.number, _owner_in(told.owner), told.value, _short(told.digest),
-        told.freed, tuple(sorted(outcomes)),
-    )  # fmt: skip
+        _ballot_in(told.ballot),
+        told.number,
+        _owner_in(told.owner),
+        told.value,
+        _short(told.digest),
+        told.freed,
+        tuple(sorted(outcomes)),
+    )
 
 
 def _site(told: pb.Site) -> Site:
--- a/sablewheel/replication/keeper.py
+++ b/sablewheel/replication/keeper.py
@@ -23,7 +23,7 @@
 from ..routing.holding import DUE_SPARE
 from ..routing.labels import Labels
 from ..routing.seam import Memory
-from ..terms import Nature, Outcome, Router, Ticket, Track
+from ..terms import Nature, Outcome, Request, RequestClass, Router
 from ..transport.scheduler import Scheduler
 from ..transport.wake import Wake
 from . import codec
@@ -53,12 +53,12 @@
 KIND = "replica"
 WITHIN = 1.0  # seconds after which a frame is worth nothing: what matters is sent again
 PIECE_WITHIN = 3.0
-COME_BACK = 0.5  # what a denied ticket is told, where no majority is to be had
+COME_BACK = 0.5  # what a denied request is told, where no majority is to be had
 POLL_FIRST, POLL_LAST = 0.02, 0.25  # between looks for another's outcome, doubling
 GONE = "gone/"  # the facts of the view by which the fleet says that a member never comes back
 HAND_OVER = 0.5  # seconds that one which leaves stays, for others to take what it holds
 TIMES_KEPT = 50
-DOUBTS_MOST = 4096  # labelled tickets that may have run on a peer, remembered while they come back
+DOUBTS_MOST = 4096  # labelled requests that may have run on a peer, remembered while they come back
 LOUD = ("view", "caught up", "two outcomes")
 
 log = logging.getLogger(__name__)
@@ -149,7 +149,7 @@
     def ready(self) -> bool:
         return self._memory.ready
 
-    def recalled(self, born: float, labels: Labels) -> list[tuple[Ticket, float]]:
+    def recalled(self, born: float, labels: Labels) -> list[tuple[Request, float]]:
         return self._memory.recalled(born, labels)
 
     def adopted(self) -> tuple[list[Exchange], int]:
@@ -161,17 +161,17 @@
     def prepare(self, exchange: Exchange) -> None:
         """What a claim will take, and whether there may be one: the controller's to weigh."""
         self._memory.prepare(exchange)
-        label, ticket = exchange.label, exchange.ticket
+        label, request = exchange.label, exchange.request
         if label is None or exchange.first is not None:
             return
         group, _ = self.group_of(exchange)
         if not self.reachable(group):
             if exchange.name not in self._doubted and not self.replica.may_have_run(label, group):
-                ticket.room_in = max(ticket.room_in, COME_BACK)
+                request.room_in = max(request.room_in, COME_BACK)
                 self._count("replication_denied")
         elif self._times:
             ranked = sorted(self._times)
-            ticket.overhead += ranked[int(0.9 * len(ranked))]
+            request.overhead += ranked[int(0.9 * len(ranked))]
 
     def reachable(self, group: bytes) -> bool:
         return self.replica.reachable(group, self._clock(), self._plan.deny_after)
@@ -184,13 +184,13 @@
 
     def before_run(self, exchange: Exchange, run: Run) -> None:
         """Hold the run until its claim is won."""
-        label, ticket = exchange.label, exchange.ticket
-        life = ticket.arrived + ticket.track.window + self._slack - self._scheduler.clock.now
-        if label is None or ticket.track.nature is not Nature.LABELLED or life <= 0:
+        label, request = exchange.label, exchange.request
+        life = request.arrived + request.request_class.window + self._slack - self._scheduler.clock.now
+        if label is None or request.request_class.nature is not Nature.LABELLED or life <= 0:
             return self._memory.before_run(exchange, run)
         self._refs += 1
         self._asked[self._refs] = Asked(exchange, run, self._clock())
-        same = digest(exchange.track, exchange.body)
+        same = digest(exchange.request_class, exchange.body)
         group, under = self.group_of(exchange)
         self._step(Claim(self._refs, label, group, life, same, under))
 
@@ -216,7 +216,7 @@
             return self._witness.completed(exchange, result, caller)
         one, now = Held(exchange, result, caller), self._scheduler.clock.now
         held.append(one)
-        wait = min(self._plan.hold_most, max(exchange.ticket.due - DUE_SPARE - now, 0.0))
+        wait = min(self._plan.hold_most, max(exchange.request.due - DUE_SPARE - now, 0.0))
         self._scheduler.after(wait, lambda: self._let_go(held, one))
 
     def _let_go(self, held: list[Held], one: Held) -> None:
@@ -263,7 +263,7 @@
             self._claims[label] = exchange
             return self._memory.before_run(exchange, asked.run)
         if answer.verdict in ("known", "running"):
-            if entry.digest and entry.digest != digest(exchange.track, exchange.body):
+            if entry.digest and entry.digest != digest(exchange.request_class, exchange.body):
                 self._count("replication_differs")
                 return self._end(exchange, lambda one: one.terminate())
             return self._elsewhere(exchange, label, entry)
@@ -286,7 +286,7 @@
 
     def _elsewhere(self, exchange: Exchange, label: bytes, entry: Entry) -> None:
         """Another server has its label. The try is no longer the controller's: waiting takes no core."""
-        due = exchange.ticket.due - DUE_SPARE
+        due = exchange.request.due - DUE_SPARE
         those = []
         for one in [exchange, *exchange.joined]:
             caller = one.detach()
@@ -348,20 +348,20 @@
 
     def _stand_in(self, exchange: Exchange) -> Exchange:
         """For the run elsewhere, which is billed there."""
-        ticket = Ticket(exchange.ticket.track, Router(), None, exchange.ticket.arrived, 0.0)
-        first = Exchange(exchange.label or b"", exchange.track, b"", 0, exchange.label, ticket, None)
+        request = Request(exchange.request.request_class, Router(), None, exchange.request.arrived, 0.0)
+        first = Exchange(exchange.label or b"", exchange.request_class, b"", 0, exchange.label, request, None)
         first.billed = True
         return first
 
-    # -- forwarding asks: a labelled ticket may have run on a peer
+    # -- forwarding asks: a labelled request may have run on a peer
 
     def may_run_again(self, exchange: Exchange, peer: str, told: Callable[[bool], None]) -> None:
         """Its claim says, here or wherever it comes to: it is run once, or answered from the outcome. Without
         a majority nothing can say it, and it ends in an error.
         """
-        label, ticket = exchange.label, exchange.ticket
-        left = ticket.arrived + ticket.track.window - self._scheduler.clock.now
-        labelled = ticket.track.nature is Nature.LABELLED
+        label, request = exchange.label, exchange.request
+        left = request.arrived + request.request_class.window - self._scheduler.clock.now
+        labelled = request.request_class.nature is Nature.LABELLED
         if label is None or not labelled or left <= 0 or not self.reachable(self.group_of(exchange)[0]):
             return told(False)
         if len(self._doubted) >= DOUBTS_MOST:
@@ -501,7 +501,7 @@
     return min(weight, WEIGHT_MOST) if weight >= 0 else 1.0
 
 
-def longest(tracks: dict[bytes, Track], slack: float) -> float:
+def longest(request_classes: dict[bytes, RequestClass], slack: float) -> float:
     """The longest life of a label here, and what a wake may add."""
-    windows = [one.window for one in tracks.values() if one.nature is Nature.LABELLED]
+    windows = [one.window for one in request_classes.values() if one.nature is Nature.LABELLED]
     return max(windows, default=1.0) + slack + 1.0
--- a/sablewheel/replication/messages.py
+++ b/sablewheel/replication/messages.py
@@ -154,9 +154,22 @@
 
 
 Message = (
-    Prepare | Promise | Accept | Accepted | Refuse | Push | Pushed | Fetch | Fetched | AskPast | Past | Ask
-    | Told | Pull | Piece
-)  # fmt: skip
+    Prepare
+    | Promise
+    | Accept
+    | Accepted
+    | Refuse
+    | Push
+    | Pushed
+    | Fetch
+    | Fetched
+    | AskPast
+    | Past
+    | Ask
+    | Told
+    | Pull
+    | Piece
+)
 
 
 # -- events
--- a/sablewheel/replication/plan.py
+++ b/sablewheel/replication/plan.py
@@ -35,4 +35,4 @@
 
     settings: Settings = field(default_factory=Settings)
     hold_most: float = 0.25  # an answer waits for its outcome to be on a majority, no longer
-    deny_after: float = 0.3  # no majority for so long: tickets of that range are denied at the door
+    deny_after: float = 0.3  # no majority for so long: requests of that range are denied at the door
--- a/sablewheel/replication/replica.py
+++ b/sablewheel/replication/replica.py
@@ -1,4 +1,4 @@
-"""One member's whole part: proposer for its own server's tickets, holder for others'. Pure.
+"""One member's whole part: proposer for its own server's requests, holder for others'. Pure.
 
 `step(now, event) -> effects`; no I/O, no clock, chance handed in. A claim is never taken over: who won it is
 the only one that may ever run its label. What is late, from an older view or an earlier self, is refused
@@ -357,7 +357,7 @@
             self._probe_at = min(self._probe_at, self._now + PROBE_EVERY)
 
     def _probe(self) -> None:
-        """Who is silent is asked whether it is back: nothing else may be, where tickets are denied."""
+        """Who is silent is asked whether it is back: nothing else may be, where requests are denied."""
         for name in self.silent if self.epoch else ():
             self._send(name, Ask(self.epoch, ()))
         self._probe_at = self._now + PROBE_EVERY if self.silent else inf
--- a/sablewheel/routing/__init__.py
+++ b/sablewheel/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The path of a ticket: a router's connection, the exchange, the decision, the interpreter, the answer."""
+"""The path of a request: a router's connection, the exchange, the decision, the interpreter, the answer."""
--- a/sablewheel/routing/client.py
+++ b/sablewheel/routing/client.py
@@ -26,7 +26,7 @@
 GAUGES_EVERY, GAUGES_HOLD = 0.2, 0.5
 SILENT_MOST = 15  # times asked without a word: 3 s, however long the whole machine stood still between two
 LOST_MOST = 0.05  # commands that came so shortly before a break may be lost, whatever was answered since
-ASKED_MOST = 4096  # questions kept track of; beyond, the oldest are as if they were never answered
+ASKED_MOST = 4096  # questions kept request class of; beyond, the oldest are as if they were never answered
 QUIET_MOST = 3  # times asked without a word, past which no command is written that may not be written again
 HAND_OVER_MOST = 0.3  # for the fence on a link that is about to be left; past it, it counts as broken
 HAND_OVER_LOOK = 0.005
@@ -63,7 +63,7 @@
 
 def may_run_twice(exchange: Exchange) -> bool:
     """Whether a second run of this request would do no harm."""
-    return exchange.ticket.track.nature is Nature.REDOABLE
+    return exchange.request.request_class.nature is Nature.REDOABLE
 
 
 class Client:
@@ -115,7 +115,7 @@
         return 0.0 if self._away_since is None else self._scheduler.clock.now - self._away_since
 
     def run(self, exchange: Exchange) -> None:
-        """The name is that of no other run: the desk takes no two tickets of one name."""
+        """The name is that of no other run: the desk takes no two requests of one name."""
         run = self._runs[exchange.name] = Run(exchange)
         self._count("runs_sent")
         if self._ready and (may_run_twice(exchange) or self._unheard < QUIET_MOST):
@@ -325,9 +325,12 @@
             if run.halted:
                 self._commands += interpreter.halt(run.exchange.name)
         pairs = {
-            "away": round(away, 3), "open_runs": len(self._runs), "sent_first": first,
-            "sent_again": len(again), "unconfirmed": len(unconfirmed),
-        }  # fmt: skip
+            "away": round(away, 3),
+            "open_runs": len(self._runs),
+            "sent_first": first,
+            "sent_again": len(again),
+            "unconfirmed": len(unconfirmed),
+        }
         log.info("link to the interpreter ready", extra={"pairs": pairs})
 
     def _apply_waiting(self) -> int:
@@ -358,7 +361,7 @@
     def _told_of(self, run: Run) -> dict[str, object]:
         """What a log line tells of a run: its request and class."""
         exchange = run.exchange
-        return {"request": exchange.name.decode("ascii", "replace"), "class": exchange.track.decode()}
+        return {"request": exchange.name.decode("ascii", "replace"), "class": exchange.request_class.decode()}
 
     def _since_sent(self, run: Run) -> float:
         return round(self._scheduler.clock.now - run.sent_at, 3)
@@ -366,7 +369,7 @@
     def _apply(self, run: Run) -> None:
         run.fence, run.sent_at = self._fence + 1, self._scheduler.clock.now
         exchange = run.exchange
-        self._commands += interpreter.apply(exchange.name, exchange.track, exchange.body)
+        self._commands += interpreter.apply(exchange.name, exchange.request_class, exchange.body)
         if self._stream is not None:
             run.command_end = self._stream.queued + len(self._commands)
 
