--- a/sablewheel/routing/dispatch.py
+++ b/sablewheel/routing/dispatch.py
@@ -9,7 +9,7 @@
 
 from .. import terms
 from ..choice import Controller
-from ..terms import Deed, Happening, Machine, Nature, Outcome, Ticket
+from ..terms import Deed, Happening, Machine, Nature, Outcome, Request
 from ..transport.scheduler import Scheduler
 from .client import Client, may_run_twice
 from .exchange import Exchange, Place, Standing
@@ -24,7 +24,7 @@
 
 def _longest_span(machine: Machine) -> float:
     """The longest deadline or window of any class, in seconds."""
-    return max(max(track.abandon, track.window) for track in machine.tracks)
+    return max(max(request_class.abandon, request_class.window) for request_class in machine.request_classes)
 
 
 class Dispatch:
@@ -50,10 +50,10 @@
         self._happenings: list[Happening] = []
         self._undecided: set[bytes] = set()  # labels among them
         self._told: list[Exchange] = []  # and those whose callers told how long they wait
-        self.batches = 0  # decided so far: whether rounds carry tickets
+        self.batches = 0  # decided so far: whether rounds carry requests
         self._born = 0.0  # when the interpreter was
         self._early: dict[Exchange, None] = {}  # read before there was a controller
-        self._exchanges: dict[Ticket, Exchange] = {}  # until answered and off the interpreter
+        self._exchanges: dict[Request, Exchange] = {}  # until answered and off the interpreter
         self.denials: dict[str, int] = {}  # by reason, and those told no time to come back
         self.failures: dict[str, int] = {}  # by reason
         self._names: set[bytes] = set()  # theirs
@@ -71,7 +71,7 @@
         return len(self._exchanges) + len(self._early)
 
     def retune(self, machine: Machine, gauge_places: tuple[int | None, int | None, int | None]) -> None:
-        """New settings while it serves: what was taken in goes on as it was, new tickets go by these."""
+        """New settings while it serves: what was taken in goes on as it was, new requests go by these."""
         self._places = gauge_places
         if self._controller is not None:
             machine = replace(machine, fresh_start=self._controller.machine.fresh_start)
@@ -79,7 +79,9 @@
         self._machine = machine
         self._client.can_stop = machine.halting is terms.Halting.DROPS
         self._recent.life = max(self._recent.life, _longest_span(machine))
-        self._labels.lag = max(self._labels.lag, *(track.abandon for track in machine.tracks))
+        self._labels.lag = max(
+            self._labels.lag, *(request_class.abandon for request_class in machine.request_classes)
+        )
 
     def greeted(self, cold: bool, age: float) -> None:
         """The interpreter is up, for `age` seconds: the controller opens the server as of then."""
@@ -99,7 +101,7 @@
             return
         if self._memory.ready:
             recalled = self._memory.recalled(self._born, self._labels)
-            self._happenings[:0] = [terms.Recalled(ticket, life) for ticket, life in recalled]
+            self._happenings[:0] = [terms.Recalled(request, life) for request, life in recalled]
             exchanges, last = self._memory.adopted()
             self._client.adopt(exchanges, last if at_greeting else None)
         early, self._early = self._early, {}
@@ -111,54 +113,56 @@
     def arrived(self, exchange: Exchange) -> None:
         """A try that was read: the controller's, unless it contradicts one that is known.
 
-        The name of an open ticket, or a label that came with another body or track: it is terminated at once
-        and changes nothing for the true one. Guards against clients that copy or mix up names and labels;
-        might hurt a true ticket only where a copy of its label came first and is still open.
+        The name of an open request, or a label that came with another body or request class: it is terminated
+        at once and changes nothing for the true one. Guards against clients that copy or mix up names and
+        labels; might hurt a true request only where a copy of its label came first and is still open.
         """
-        ticket, label = exchange.ticket, exchange.label
-        if self._controller is None or (not self._memory.ready and ticket.track.nature is Nature.LABELLED):
+        request, label = exchange.request, exchange.label
+        if self._controller is None or (
+            not self._memory.ready and request.request_class.nature is Nature.LABELLED
+        ):
             return self._wait_for_start(exchange)
-        keyed = ticket.track.nature is Nature.LABELLED
+        keyed = request.request_class.nature is Nature.LABELLED
         if exchange.name in self._names or (exchange.name in self._recent and not keyed):
             return self._fail_request(exchange, FailureReason.REPEATED_ID)
         if label is not None and keyed:
             # Another try in this very batch: its fate first, or this one could not be told what it repeats.
             if label in self._undecided:
                 self.decide()
-            exchange.first = self._labels.find(label, ticket.arrived)
+            exchange.first = self._labels.find(label, request.arrived)
             if exchange.first is not None and not exchange.first.asks_same(exchange):
                 return self._fail_request(exchange, FailureReason.OTHER_CONTENT)
             if exchange.first is None and exchange.name in self._recent:
                 return self._fail_request(exchange, FailureReason.REPEATED_ID)
             # What it repeats may be forgotten, on either side of a restart: neither run nor denied.
             if exchange.first is None and (
-                self._labels.forgets(ticket.arrived, self._clock.now) or self._memory.may_not_run(exchange)
+                self._labels.forgets(request.arrived, self._clock.now) or self._memory.may_not_run(exchange)
             ):
                 return self._fail_request(exchange, FailureReason.TOO_OLD)
-            if ticket.arrived >= self._clock.now:
+            if request.arrived >= self._clock.now:
                 # The round's clock stands while it reads: this one may have come since, and by its own
                 # `since` the window ends later than counted from the time that is known here.
-                exchange.ahead = self._clock.read() - ticket.arrived
+                exchange.ahead = self._clock.read() - request.arrived
             self._undecided.add(label)
             self._memory.prepare(exchange)
-            ticket.repeats = exchange.first.ticket if exchange.first is not None else None
+            request.repeats = exchange.first.request if exchange.first is not None else None
         else:
             exchange.label = None
-        self._exchanges[ticket] = exchange
+        self._exchanges[request] = exchange
         self._names.add(exchange.name)
         if exchange.until is not None and self._machine.told_wait:
             self._told.append(exchange)
-        self._happenings.append(terms.Arrived(ticket))
+        self._happenings.append(terms.Arrived(request))
 
     def _wait_for_start(self, exchange: Exchange) -> None:
         """Nothing is decided before the interpreter is up and all that is remembered is known.
 
         Guards against tries of one label that come before that: neither would know of the other, nor of a
-        first that ran before the start, and each would run. None waits longer than its track allows.
+        first that ran before the start, and each would run. None waits longer than its request class allows.
         """
         self._early[exchange] = None
-        ticket = exchange.ticket
-        until = ticket.arrived + ticket.track.abandon
+        request = exchange.request
+        until = request.arrived + request.request_class.abandon
         if exchange.until is not None and self._machine.told_wait:
             until = exchange.until
         left = until - self._machine.tick - self._clock.now
@@ -175,9 +179,9 @@
         if exchange in self._early:
             del self._early[exchange]
             return
-        self._happenings.append(terms.CallerGone(exchange.ticket))
+        self._happenings.append(terms.CallerGone(exchange.request))
         if exchange.place is Place.HELD:
-            if not exchange.ticket.begun:  # one that was stopped has run
+            if not exchange.request.begun:  # one that was stopped has run
                 self._labels.release(exchange)
             self._memory.release(exchange)
         if exchange.place in (Place.HELD, Place.JOINED):
@@ -185,7 +189,7 @@
 
     def ended(self, exchange: Exchange, outcome: Outcome, took: float, result: bytes) -> None:
         """A run is over: its answer goes out with it, and its repeats have theirs."""
-        self._happenings.append(terms.Ended(exchange.ticket, took, outcome))
+        self._happenings.append(terms.Ended(exchange.request, took, outcome))
         exchange.took = took
         self._memory.ended(exchange, outcome, result)
         if outcome is Outcome.MOOT:
@@ -207,11 +211,11 @@
 
     def call_needed(self, exchange: Exchange) -> None:
         """Its run stands at a call of a service below."""
-        self._happenings.append(terms.CallNeeded(exchange.ticket))
+        self._happenings.append(terms.CallNeeded(exchange.request))
 
     def start_unconfirmed(self, exchange: Exchange) -> None:
         """Its command was written to a link that broke: its run may never have begun."""
-        self._happenings.append(terms.StartUnconfirmed(exchange.ticket))
+        self._happenings.append(terms.StartUnconfirmed(exchange.request))
 
     def notice(self, left: float) -> None:
         self._happenings.append(terms.Notice(left))
@@ -246,7 +250,7 @@
             happenings, self._happenings = self._happenings, []
             self._undecided.clear()
             for exchange in self._told:  # as of now: reading, or the wait for the start, took its part of it
-                exchange.ticket.wait_left = max((exchange.until or now) - now, 0.0)
+                exchange.request.wait_left = max((exchange.until or now) - now, 0.0)
             self._told.clear()
             self.batches += 1
             self._carry_out(self._controller.decide(now, happenings), now)
@@ -265,14 +269,14 @@
                 case terms.Log(words):
                     log.info("controller", extra={"pairs": {"says": words}})
                 case _:
-                    exchange = self._exchanges.get(deed.ticket)
+                    exchange = self._exchanges.get(deed.request)
                     if exchange is not None:
                         try:
                             self._act(deed, exchange)
                         except Exception:
                             self._fail(exchange)
                     elif isinstance(deed, terms.Run):  # its caller left in this very batch
-                        self._happenings.append(terms.Ended(deed.ticket, 0.0, Outcome.MOOT))
+                        self._happenings.append(terms.Ended(deed.request, 0.0, Outcome.MOOT))
 
     def _fail(self, exchange: Exchange) -> None:
         """A fault of ours in what was decided of it: it ends in an error, and the other deeds are done."""
@@ -280,9 +284,9 @@
         self._scheduler.on_fault()
         begun = exchange.place in (Place.RUNNING, Place.JOINED)
         if begun:
-            self._happenings.append(terms.Ended(exchange.ticket, 0.0, Outcome.ERROR))
+            self._happenings.append(terms.Ended(exchange.request, 0.0, Outcome.ERROR))
         elif not exchange.closed:
-            self._happenings.append(terms.CallerGone(exchange.ticket))
+            self._happenings.append(terms.CallerGone(exchange.request))
         self._fail_request(exchange, FailureReason.FAULT)
         self._over(exchange)
 
@@ -302,7 +306,7 @@
             self.denials[name] = self.denials.get(name, 0) + 1
 
     def _act(self, deed: Deed, exchange: Exchange) -> None:
-        """A deed on a ticket that is not over."""
+        """A deed on a request that is not over."""
         match deed:
             case terms.Run():
                 if exchange.place is Place.HELD:
@@ -359,14 +363,14 @@
         else:
             exchange.complete(result)
         outcome = Outcome.ERROR if result is None else Outcome.WORKED
-        self._happenings.append(terms.Ended(exchange.ticket, self._clock.now - exchange.began, outcome))
+        self._happenings.append(terms.Ended(exchange.request, self._clock.now - exchange.began, outcome))
         self._over(exchange, result)
 
     def _over(self, exchange: Exchange, result: bytes | None = None) -> None:
         """Off this server, but for what the table of labels keeps; those that wait for it hear."""
         exchange.place = Place.OVER
         exchange.body, exchange.first = b"", None
-        if self._exchanges.pop(exchange.ticket, None) is not None:
+        if self._exchanges.pop(exchange.request, None) is not None:
             self._names.discard(exchange.name)
         joined, exchange.joined = exchange.joined, []
         for one in joined:
@@ -379,12 +383,12 @@
 
         But what ran is not denied, in any other try either: what repeats it, or may, is terminated.
         """
-        ticket = exchange.ticket
+        request = exchange.request
         known = exchange.name in self._names or exchange.name in self._recent
-        if ticket not in self._exchanges and known:  # the id of one that is open, or ran
+        if request not in self._exchanges and known:  # the id of one that is open, or ran
             return self._fail_request(exchange, FailureReason.REPEATED_ID)
-        if ticket.track.nature is Nature.LABELLED and exchange.label is not None:
-            first = self._labels.find(exchange.label, ticket.arrived)
+        if request.request_class.nature is Nature.LABELLED and exchange.label is not None:
+            first = self._labels.find(exchange.label, request.arrived)
             if first not in (None, exchange) or not self._memory.ready or self._memory.may_not_run(exchange):
                 return self._fail_request(exchange, FailureReason.STOPPING)
         exchange.deny(self._machine.advice_limit, False)
@@ -404,7 +408,7 @@
         for exchange in list(self._exchanges.values()):
             if exchange.closed:
                 continue
-            if exchange.place is Place.HELD and not exchange.ticket.begun:
+            if exchange.place is Place.HELD and not exchange.request.begun:
                 self.refuse(exchange)
             else:
                 self._fail_request(exchange, FailureReason.STOPPING)
--- a/sablewheel/routing/exchange.py
+++ b/sablewheel/routing/exchange.py
@@ -1,4 +1,4 @@
-"""One try of a ticket on its way through the server: the one thing that both sides know.
+"""One try of a request on its way through the server: the one thing that both sides know.
 
 The routers' side makes it, the interpreter's side runs it, the dispatch decides on it. It keeps what goes on
 unchanged as the bytes that came, and takes care that there is one final answer, or none if nobody waits.
@@ -12,14 +12,14 @@
 from enum import Enum, auto
 from typing import Protocol
 
-from ..terms import Ticket
+from ..terms import Request
 
 
-def digest(track: bytes, body: bytes) -> bytes:
-    """Whether two tickets of one label ask for the same, also after a restart; 16 bytes."""
+def digest(request_class: bytes, body: bytes) -> bytes:
+    """Whether two requests of one label ask for the same, also after a restart; 16 bytes."""
     from hashlib import blake2b  # some MB that a server without recall need not have
 
-    return blake2b(track + b"\0" + body, digest_size=16).digest()
+    return blake2b(request_class + b"\0" + body, digest_size=16).digest()
 
 
 class Caller(Protocol):
@@ -31,7 +31,7 @@
 
 
 class Witness(Protocol):
-    """Who is told of each final outcome, exactly once a ticket, before its answer is written."""
+    """Who is told of each final outcome, exactly once a request, before its answer is written."""
 
     def completed(self, exchange: Exchange, result: bytes, caller: Caller) -> None:
         """Must hand the result to `caller.completed`, now or soon; `exchange.first` is what it repeats."""
@@ -80,35 +80,54 @@
     """One try, from its bytes to its answer; kept for repeats, it lets go of all that they do not need."""
 
     __slots__ = (
-        "ahead", "began", "billed", "body", "caller", "digest", "first", "joined", "label", "name", "notice",
-        "place", "result", "sameness", "session", "tag", "ticket", "took", "track", "until", "witness",
-    )  # fmt: skip
+        "ahead",
+        "began",
+        "billed",
+        "body",
+        "caller",
+        "digest",
+        "first",
+        "joined",
+        "label",
+        "name",
+        "notice",
+        "place",
+        "request",
+        "request_class",
+        "result",
+        "sameness",
+        "session",
+        "tag",
+        "took",
+        "until",
+        "witness",
+    )
 
     def __init__(
         self,
         name: bytes,
-        track: bytes,
+        request_class: bytes,
         body: bytes,
         tag: int,
         label: bytes | None,
-        ticket: Ticket,
+        request: Request,
         caller: Caller | None,
         witness: Witness = UNWITNESSED,
     ) -> None:
-        self.name, self.track, self.body = name, track, body
-        self.tag, self.label, self.ticket = tag, label, ticket
+        self.name, self.request_class, self.body = name, request_class, body
+        self.tag, self.label, self.request = tag, label, request
         self.caller = caller  # until answered, or nobody waits
         self.witness = witness
         self.took = 0.0  # how long its run took, once that is over
         self.notice = 0  # the number under which that was told
-        self.digest = b""  # of track and body, where this one was remembered over a restart
+        self.digest = b""  # of request class and body, where this one was remembered over a restart
         self.billed = False  # whether the result of its run went out to somebody
-        self.sameness = hash((track, body))  # of two with one label: whether they ask for the same
+        self.sameness = hash((request_class, body))  # of two with one label: whether they ask for the same
         self.place = Place.HELD
         self.result: bytes | None = None  # as long as it is kept
         self.joined: list[Exchange] = []  # repeats that wait for its end
         self.began = 0.0  # when its join was decided
-        self.ahead = 0.0  # how much later it may have come than its ticket says
+        self.ahead = 0.0  # how much later it may have come than its request says
         self.first: Exchange | None = None  # what it repeats
         self.until: float | None = None  # when its caller stops waiting, where that is told
         self.session = ""  # the key of the session that it belongs to, where sessions are told apart
@@ -117,7 +136,7 @@
         """Whether another with this label asks for the same; one remembered from before has a digest only."""
         if not self.digest:
             return self.sameness == other.sameness
-        return self.digest == digest(other.track, other.body)
+        return self.digest == digest(other.request_class, other.body)
 
     @property
     def closed(self) -> bool:
--- a/sablewheel/routing/holding.py
+++ b/sablewheel/routing/holding.py
@@ -8,7 +8,7 @@
 from ..transport.scheduler import Scheduler
 from .exchange import Caller, Exchange
 
-DUE_SPARE = 0.02  # an answer that waits leaves so long before its ticket's time is up
+DUE_SPARE = 0.02  # an answer that waits leaves so long before its request's time is up
 
 
 class Held:
@@ -24,7 +24,7 @@
 class Holding:
     """Answers in the order of their marks. `release` gets each, and whether it leaves ahead of its mark.
 
-    Rule 1 comes before any feature: no answer waits longer than `most`, nor past its own ticket's time by
+    Rule 1 comes before any feature: no answer waits longer than `most`, nor past its own request's time by
     more than the one before it may.
     """
 
@@ -41,7 +41,7 @@
 
     def hold(self, mark: int, exchange: Exchange, result: bytes, caller: Caller) -> None:
         now = self._scheduler.clock.now
-        due = min(now + self._most, max(exchange.ticket.due - DUE_SPARE, now))
+        due = min(now + self._most, max(exchange.request.due - DUE_SPARE, now))
         self._held.append(Held(mark, due, exchange, result, caller))
         if len(self._held) == 1:
             self._scheduler.after(due - now, self._release_due)
--- a/sablewheel/routing/labels.py
+++ b/sablewheel/routing/labels.py
@@ -1,7 +1,7 @@
 """The table of labels: which try a repeat repeats, and the results kept for repeats.
 
 An entry lives as long as the decision says. It is looked up by when a repeat reached the machine, not by
-when it is read, so it is kept for as long past its life as a ticket may lie unread.
+when it is read, so it is kept for as long past its life as a request may lie unread.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 
     def __init__(self, lag: float, slack: float, bytes_most: int) -> None:
         self._slack, self._bytes_most = slack + LONGER, bytes_most
-        self.lag = lag  # the longest that a ticket is waited for
+        self.lag = lag  # the longest that a request is waited for
         self._entries: dict[bytes, tuple[Exchange, float, tuple[Exchange, float] | None]] = {}
-        self._lapses: list[tuple[float, bytes]] = []  # a heap: windows differ by track
+        self._lapses: list[tuple[float, bytes]] = []  # a heap: windows differ by request class
         self._kept: dict[Exchange, None] = {}
         self._bytes = 0
 
@@ -51,7 +51,7 @@
         before = None
         if (entry := self._entries.get(label)) is not None:
             first, _, before = entry
-            if first is not exchange and first.ticket.begun:
+            if first is not exchange and first.request.begun:
                 if before is not None:
                     self._drop(before[0])
                 before = entry[:2]
--- a/sablewheel/routing/seam.py
+++ b/sablewheel/routing/seam.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from ..terms import Outcome, Ticket
+from ..terms import Outcome, Request
 from .exchange import Exchange
 from .labels import Labels
 
@@ -21,8 +21,8 @@
     def ready(self) -> bool:
         """Whether all that is remembered is known; until then labelled tries wait, others are served."""
 
-    def recalled(self, born: float, labels: Labels) -> list[tuple[Ticket, float]]:
-        """The interpreter is up, since `born`: fill the table of labels. Tickets and how long their labels
+    def recalled(self, born: float, labels: Labels) -> list[tuple[Request, float]]:
+        """The interpreter is up, since `born`: fill the table of labels. Requests and how long their labels
         count.
         """
 
@@ -35,8 +35,8 @@
         """
 
     def prepare(self, exchange: Exchange) -> None:
-        """Note on a labelled try's ticket what a run of it would wait for beside the cores, and whether there
-        is room.
+        """Note on a labelled try's request what a run of it would wait for beside the cores, and whether
+        there is room.
         """
 
     def remember(self, exchange: Exchange) -> None:
@@ -58,7 +58,7 @@
     __slots__ = ()
     ready = True
 
-    def recalled(self, born: float, labels: Labels) -> list[tuple[Ticket, float]]:
+    def recalled(self, born: float, labels: Labels) -> list[tuple[Request, float]]:
         return []
 
     def adopted(self) -> tuple[list[Exchange], int]:
--- a/sablewheel/routing/server.py
+++ b/sablewheel/routing/server.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from ..protocol import resp
-from ..terms import Customer, Nature, Router, Ticket, Track
+from ..terms import Nature, Request, RequestClass, Router, Tenant
 from ..transport.scheduler import Scheduler
 from ..transport.stream import Stream
 from .exchange import UNWITNESSED, Exchange, Standing, Witness
@@ -26,7 +26,10 @@
 PARTING = 1.0  # how long a router has to close a connection after a farewell, with nothing open on it
 LINGER = 0.5  # how long it has to close one that we shut; past ROOM_LEAST it goes sooner for want of room
 DISCARD_MOST = 1 << 16  # bytes read past a connection's end, so that no reset takes answers away
-AGE_MOST, AHEAD_MOST = 60.0, 1.0  # of a ticket on arrival: no wait and no two readings of one clock differ so
+AGE_MOST, AHEAD_MOST = (
+    60.0,
+    1.0,
+)  # of a request on arrival: no wait and no two readings of one clock differ so
 ROUTERS_LEAST = 1024  # room to remember so many by number in any case; who was heard longest ago goes first
 ROUTERS_TIMES = 2  # of those that the settings tell: a router that is started anew has a new number
 
@@ -183,12 +186,12 @@
             raise resp.FaultyError("a tag that is still open", tag)
         if len(self.open) >= OPEN_MOST:
             raise resp.FaultyError("more open than allowed", tag)
-        ticket = server.ticket(asked)
+        request = server.request(asked)
         exchange = Exchange(
-            asked.name, asked.track, asked.body, tag, asked.label, ticket, self, server.witness
+            asked.name, asked.request_class, asked.body, tag, asked.label, request, self, server.witness
         )
         if asked.until is not None:
-            exchange.until = ticket.arrived + (asked.until - asked.since)
+            exchange.until = request.arrived + (asked.until - asked.since)
         self.open[tag] = exchange
         try:
             server.desk.arrived(exchange)
@@ -256,8 +259,8 @@
     def __init__(
         self,
         scheduler: Scheduler,
-        tracks: dict[bytes, Track],
-        customers: dict[bytes, Customer],
+        request_classes: dict[bytes, RequestClass],
+        tenants: dict[bytes, Tenant],
         standing: Standing,
         desk: Desk,
         count: Callable[[str], None],
@@ -272,7 +275,7 @@
         self.scheduler, self.standing, self.desk, self.count = scheduler, standing, desk, count
         self.connections: dict[Connection, None] = {}
         self.dirty: dict[Connection, None] = {}
-        self._tracks, self._customers = tracks, customers
+        self._request_classes, self._tenants = request_classes, tenants
         self._routers: dict[bytes, Router] = {}
         self._unused_most: float | None = None
         scheduler.every(SWEEP, self._sweep)
@@ -294,15 +297,15 @@
         self.connections[connection] = None
         self.scheduler.spawn(connection.serve)
 
-    def ticket(self, asked: resp.Asked) -> Ticket:
-        """The ticket of a try; names become objects here."""
-        track = self._tracks.get(asked.track)
-        customer = self._customers.get(asked.customer)
-        if track is None:
-            raise resp.FaultyError(f"no such track: {asked.track[:40]!r}", asked.tag)
-        if customer is None and self._customers:
-            raise resp.FaultyError(f"no such customer: {asked.customer[:40]!r}", asked.tag)
-        if track.nature is Nature.LABELLED and not asked.label:
+    def request(self, asked: resp.Asked) -> Request:
+        """The request of a try; names become objects here."""
+        request_class = self._request_classes.get(asked.request_class)
+        tenant = self._tenants.get(asked.tenant)
+        if request_class is None:
+            raise resp.FaultyError(f"no such track: {asked.request_class[:40]!r}", asked.tag)
+        if tenant is None and self._tenants:
+            raise resp.FaultyError(f"no such customer: {asked.tenant[:40]!r}", asked.tag)
+        if request_class.nature is Nature.LABELLED and not asked.label:
             raise resp.FaultyError("no label on a track that needs one", asked.tag)
         arrived = self.scheduler.clock.from_unix(asked.since)
         now = self.scheduler.clock.now
@@ -313,10 +316,10 @@
         self._routers[asked.router] = router
         while len(self._routers) > self._routers_most:  # a new configuration may tell of fewer
             del self._routers[next(iter(self._routers))]
-        return Ticket(
-            track,
+        return Request(
+            request_class,
             router,
-            customer,
+            tenant,
             arrived,
             asked.kb,
             estimate=asked.estimate,
@@ -349,7 +352,7 @@
 
         No farewell first: a router in need would wait until those are gone that do not listen to it. Guards
         against crowds that connect and say nothing or ask once and stay, and against any leak of connections
-        on the other side; a router whose next ticket crosses the end has to send it again. Those that are
+        on the other side; a router whose next request crosses the end has to send it again. Those that are
         about to go count as room that is made, so that no more go than are in the way.
         """
         before = self.scheduler.clock.now - ROOM_LEAST
@@ -396,7 +399,9 @@
 
     def _sweep(self) -> None:
         now = self.scheduler.clock.now
-        longest = max((track.abandon for track in self._tracks.values()), default=0.0)
+        longest = max(
+            (request_class.abandon for request_class in self._request_classes.values()), default=0.0
+        )
         for connection in list(self.connections):
             stream, stuck = connection.stream, connection.stream.stuck_since
             if connection.shut_at is not None:
--- a/sablewheel/terms.py
+++ b/sablewheel/terms.py
@@ -1,6 +1,6 @@
 """The interface of the decision module: what it is told and what it may do.
 
-Plain types only. A `Ticket` points to its track, customer and router; ids stay at the door, with
+Plain types only. A `Request` points to its request class, tenant and router; ids stay at the door, with
 whoever carries the happenings in and the deeds out. All times are seconds with fractions.
 """
 
@@ -13,7 +13,7 @@
 
 
 class Nature(Enum):
-    """What a second run of a ticket would do."""
+    """What a second run of a request would do."""
 
     REDOABLE = auto()
     LABELLED = auto()
@@ -21,7 +21,7 @@
 
 
 class Halting(Enum):
-    """What stopping a running ticket does on this machine."""
+    """What stopping a running request does on this machine."""
 
     NEVER = auto()
     DROPS = auto()
@@ -52,7 +52,7 @@
 
 
 class Stage(Enum):
-    """Where a ticket stands; kept by the controller."""
+    """Where a request stands; kept by the controller."""
 
     HELD = auto()
     RUNNING = auto()
@@ -63,8 +63,8 @@
 
 
 @dataclass(frozen=True, eq=False)
-class Track:
-    """A class of tickets; `worth` is what one completed in time earns, or a second of its work."""
+class RequestClass:
+    """A class of requests; `worth` is what one completed in time earns, or a second of its work."""
 
     nature: Nature
     goal: float
@@ -77,15 +77,15 @@
 
 
 @dataclass(frozen=True, eq=False)
-class Customer:
-    """Whose tickets they are; `quota` is tickets a second over the whole fleet."""
+class Tenant:
+    """Whose requests they are; `quota` is requests a second over the whole fleet."""
 
     quota: float
 
 
 @dataclass(frozen=True, eq=False)
 class Ledger:
-    """What tickets call; `in_hand` is this server's share of what it survives, None if not told."""
+    """What requests call; `in_hand` is this server's share of what it survives, None if not told."""
 
     in_hand: float | None = None
     span: float = 0.0
@@ -94,7 +94,7 @@
 
 @dataclass(eq=False, slots=True)
 class Router:
-    """Someone who sends tickets here; the controller notes its open tickets and when it was last heard."""
+    """Someone who sends requests here; the controller notes its open requests and when it was last heard."""
 
     out: int = 0
     heard: float = -inf
@@ -105,11 +105,11 @@
 class Machine:
     """The server as it is told at its start."""
 
-    tracks: tuple[Track, ...]
+    request_classes: tuple[RequestClass, ...]
     cores: int
     memory_kb: float
     run_factor: float
-    customers: tuple[Customer, ...] = ()
+    tenants: tuple[Tenant, ...] = ()
     ledger: Ledger | None = None
     servers: int = 1
     routers: int = 1
@@ -135,13 +135,13 @@
 
 
 @dataclass(eq=False, slots=True, weakref_slot=True)
-class Ticket:
+class Request:
     """One try of a request. The fields below `repeats` are the controller's own notes, but for the last two:
     what a run waits for beside the cores, and how long until its label can be kept."""
 
-    track: Track
+    request_class: RequestClass
     router: Router
-    customer: Customer | None
+    tenant: Tenant | None
     arrived: float
     kb: float
     wait_left: float | None = None
@@ -149,7 +149,7 @@
     again: bool = False
     writes: bool = False
     subject: str | None = None
-    repeats: Ticket | None = None
+    repeats: Request | None = None
     stage: Stage = Stage.HELD
     begun: bool = False
     ended: Outcome | None = None
@@ -168,32 +168,32 @@
 
 @dataclass(slots=True)
 class Arrived:
-    """A ticket was read and is now held."""
+    """A request was read and is now held."""
 
-    ticket: Ticket
+    request: Request
 
 
 @dataclass(slots=True)
 class Ended:
     """A run or a join is over."""
 
-    ticket: Ticket
+    request: Request
     took: float
     outcome: Outcome
 
 
 @dataclass(slots=True)
 class CallNeeded:
-    """A running ticket stands at a call."""
+    """A running request stands at a call."""
 
-    ticket: Ticket
+    request: Request
 
 
 @dataclass(slots=True)
 class CallEnded:
     """A call came back."""
 
-    ticket: Ticket
+    request: Request
     took: float
     outcome: Outcome
 
@@ -202,21 +202,21 @@
 class StartUnconfirmed:
     """The command that starts a run was written to a link that broke: it may run, or never have begun."""
 
-    ticket: Ticket
+    request: Request
 
 
 @dataclass(slots=True)
 class CallerGone:
-    """No one waits for this ticket any more."""
+    """No one waits for this request any more."""
 
-    ticket: Ticket
+    request: Request
 
 
 @dataclass(slots=True)
 class Recalled:
-    """A ticket that is over is remembered from before the start; its label counts for `life` seconds more."""
+    """A finished request is remembered from before the start; its label counts for `life` seconds more."""
 
-    ticket: Ticket
+    request: Request
     life: float
 
 
@@ -244,27 +244,27 @@
 
 @dataclass(slots=True)
 class Run:
-    """Start a held ticket, or take up a paused one."""
+    """Start a held request, or take up a paused one."""
 
-    ticket: Ticket
+    request: Request
 
 
 @dataclass(slots=True)
 class Stop:
     """Stop running work; no answer by itself."""
 
-    ticket: Ticket
+    request: Request
 
 
 @dataclass(slots=True)
 class PresumeLost:
     """Wait no longer for the end of a run whose start is unconfirmed."""
 
-    ticket: Ticket
+    request: Request
 
 
 class Denial(Enum):
-    """Why a ticket was denied; each is counted apart."""
+    """Why a request was denied; each is counted apart."""
 
     DRAINING = "draining"  # it came after the drain's grace
     NO_ROOM = "no_room"  # its label has no room yet
@@ -277,7 +277,7 @@
 class Deny:
     """Final answer: it never ran. `come_back`: when to return; `nowhere`: try no other server."""
 
-    ticket: Ticket
+    request: Request
     come_back: float = 0.0
     nowhere: bool = False
     why: Denial = Denial.WAIT
@@ -287,14 +287,14 @@
 class Terminate:
     """Final answer: an error, with no promise."""
 
-    ticket: Ticket
+    request: Request
 
 
 @dataclass(slots=True)
 class Call:
-    """Make the call a ticket stands at, given up after `allow` seconds."""
+    """Make the call a request stands at, given up after `allow` seconds."""
 
-    ticket: Ticket
+    request: Request
     allow: float
 
 
@@ -302,29 +302,29 @@
 class LeaveOut:
     """Go on without the call."""
 
-    ticket: Ticket
+    request: Request
 
 
 @dataclass(slots=True)
 class Remember:
-    """Put a ticket into the table of labels."""
+    """Put a request into the table of labels."""
 
-    ticket: Ticket
+    request: Request
     life: float
 
 
 @dataclass(slots=True)
 class Release:
-    """Take a ticket out of the table."""
+    """Take a request out of the table."""
 
-    ticket: Ticket
+    request: Request
 
 
 @dataclass(slots=True)
 class Join:
-    """Answer a held ticket with the result of the one it repeats."""
+    """Answer a held request with the result of the one it repeats."""
 
-    ticket: Ticket
+    request: Request
 
 
 @dataclass(slots=True)
--- a/sablewheel/transport/background.py
+++ b/sablewheel/transport/background.py
@@ -1,4 +1,4 @@
-"""Carries out the rota's chores at the end of rounds, after all that tickets needed."""
+"""Carries out the rota's chores at the end of rounds, after all that requests needed."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from .rota import Chore, Rota
 from .scheduler import Scheduler, Timer
 
-SLICE = 0.002  # seconds of chores in one round without tickets
-LOOK = 0.01  # how soon a round without tickets is looked for; sooner would be work by itself
+SLICE = 0.002  # seconds of chores in one round without requests
+LOOK = 0.01  # how soon a round without requests is looked for; sooner would be work by itself
 
 log = logging.getLogger(__name__)
 
 
 class Background:
-    """`moved` tells a number that changes whenever a round carried tickets."""
+    """`moved` tells a number that changes whenever a round carried requests."""
 
     def __init__(self, scheduler: Scheduler, moved: Callable[[], int]) -> None:
         self._scheduler, self._moved = scheduler, moved
--- a/sablewheel/transport/datagram.py
+++ b/sablewheel/transport/datagram.py
@@ -8,7 +8,7 @@
 from .scheduler import READABLE, Scheduler
 from .stream import Address
 
-BURST = 64  # datagrams taken in one round: a flood of them must not keep tickets waiting
+BURST = 64  # datagrams taken in one round: a flood of them must not keep requests waiting
 WAITING_BYTES = 1 << 21  # for those that wait: the kernel gives what it allows, and holds what there is
 
 
--- a/sablewheel/transport/rota.py
+++ b/sablewheel/transport/rota.py
@@ -1,7 +1,7 @@
-"""Background work beside tickets: which chore may do its next small step, and when. Pure.
+"""Background work beside requests: which chore may do its next small step, and when. Pure.
 
 A chore has a priority, a share of the time that it may take on average, and steps of a millisecond or so. In
-a round that carried tickets nothing is done, but for a chore that has waited too long already: it has one
+a round that carried requests nothing is done, but for a chore that has waited too long already: it has one
 step.
 """
 
@@ -14,7 +14,7 @@
 
 @dataclass
 class Chore:
-    """`share`: of one core, 0 to 1. `starved`: seconds after which it gets a step in spite of tickets.
+    """`share`: of one core, 0 to 1. `starved`: seconds after which it gets a step in spite of requests.
 
     Invariant: over any span it takes at most `share` of the span, and `SAVED_MOST` and one step more.
     """
--- a/sablewheel/transport/stream.py
+++ b/sablewheel/transport/stream.py
@@ -98,8 +98,8 @@
     def unread(self) -> bool:
         """Whether bytes have come that were not read yet, as between a readiness and the reader's turn.
 
-        Guards against closing a connection over a ticket that crossed a farewell or a crowding out: the close
-        would lose it unread, though it reached the machine.
+        Guards against closing a connection over a request that crossed a farewell or a crowding out: the
+        close would lose it unread, though it reached the machine.
         """
         if not self.open:
             return False
@@ -280,7 +280,7 @@
     def shut(self) -> bool:
         """Listen no longer, unless somebody is left in the line; whether that is so.
 
-        A connection that the machine accepted may carry a whole ticket, and a close resets it unread. So the
+        A connection that the machine accepted may carry a whole request, and a close resets it unread. So the
         line is empty before, and nothing lies between the last look at it and the close but the close.
         """
         if not self._open:
@@ -331,8 +331,10 @@
             return array(kind, [number]).tobytes()
 
         load_flags, if_syn, drop, take = (0x30, 0, 0, 13), (0x45, 0, 1, 2), (6, 0, 0, 0), (6, 0, 0, 65535)
-        steps = [bare("H", code) + bytes([yes, no]) + bare("I", k) for code, yes, no, k in (
-            load_flags, if_syn, drop, take)]  # fmt: skip
+        steps = [
+            bare("H", code) + bytes([yes, no]) + bare("I", k)
+            for code, yes, no, k in (load_flags, if_syn, drop, take)
+        ]
         program = array("B", b"".join(steps))
         place, _ = program.buffer_info()
         told = bare("H", len(steps)).ljust(array("L").itemsize, b"\0") + bare("L", place)
--- a/sablewheel/trials/affinity.py
+++ b/sablewheel/trials/affinity.py
@@ -1,4 +1,4 @@
-"""Affinity's trial: real servers with an interpreter each, kiosks whose tickets come to any of them, each
+"""Affinity's trial: real servers with an interpreter each, kiosks whose requests come to any of them, each
 link through the fault relay.
 
 Three policy versions pass; a server is killed and comes back cold; one drains; one is stopped past its
@@ -31,22 +31,26 @@
 SIZE = 5
 KIOSKS = 30
 BUDGET = 0.8  # moves a second
-RATE = 80.0  # tickets a second
+RATE = 80.0  # requests a second
 ABANDON, WINDOW = 4.0, 6.0
 CORES = 24
 GRACE = 6.0
 PAUSE = 6.0
 FACTOR, LEAST = 1.25, 8
-TRACKS = {"lookup": {"share": 0.5}, "record": {"share": 0.5, "labelled": True}}
+REQUEST_CLASSES = {"lookup": {"share": 0.5}, "record": {"share": 0.5, "labelled": True}}
 WORK = {"lookup": 0.01, "record": 1.0}  # labelled runs last: a second owner would meet one
 CLASSES = [
     {"name": "lookup", "on-time-s": 2.0, "deadline-s": ABANDON, "repeat": "safe"},
     {"name": "record", "on-time-s": 2.0, "deadline-s": ABANDON, "repeat": "keyed", "window-s": WINDOW},
 ]
 KEYS: dict[str, object] = {
-    "period-s": 0.25, "probe-timeout-s": 0.1, "found-after-s": 1.0, "join-every-s": 0.3,
-    "vote-timeout-s": 0.5, "sync-every-s": 1.0,
-}  # fmt: skip
+    "period-s": 0.25,
+    "probe-timeout-s": 0.1,
+    "found-after-s": 1.0,
+    "join-every-s": 0.3,
+    "vote-timeout-s": 0.5,
+    "sync-every-s": 1.0,
+}
 MOVED = re.compile(r"^time=(\S+) level=\S+ from=affinity\.placer event=moved (.*)$")
 
 
@@ -98,10 +102,14 @@
         safety = {**SETTINGS["safety"], "drain-grace-s": GRACE}
         extra = {**SETTINGS["extra"], "cores": CORES}
         told = self.rig.configuration(
-            name, LISTEN, self.vms[name], name=name, listen=f"{self.host(name)}:{LISTEN}",
+            name,
+            LISTEN,
+            self.vms[name],
+            name=name,
+            listen=f"{self.host(name)}:{LISTEN}",
             stop_ms=int(1000 * (GRACE + 2.0)),
             settings={"classes": CLASSES, "servers": self.size, "safety": safety, "extra": extra},
-        )  # fmt: skip
+        )
         words = ("sablewheel.trials.affinity_server", str(self.version), self.broken)
         self.processes[name] = self.rig.start(
             name, *words, shifted=False, RELAY_CONFIG=str(told), SABLEWHEEL_FEATURES=str(path)
@@ -124,15 +132,15 @@
         kiosks = {one["name"]: one["kiosk"] for one in held if one["label"] or not labelled}
         for name in self.names:
             begun: dict[str, float] = {}
-            for word, ticket, when in self.rig.runs(name):
-                if ticket not in kiosks:
+            for word, request, when in self.rig.runs(name):
+                if request not in kiosks:
                     continue
                 if word == "begin":
-                    begun[ticket] = when
-                elif (since := begun.pop(ticket, None)) is not None:
-                    yield Labelled(kiosks[ticket], name, since, when)
-            for ticket, since in begun.items():
-                yield Labelled(kiosks[ticket], name, since, since + WORK["record"])
+                    begun[request] = when
+                elif (since := begun.pop(request, None)) is not None:
+                    yield Labelled(kiosks[request], name, since, when)
+            for request, since in begun.items():
+                yield Labelled(kiosks[request], name, since, since + WORK["record"])
 
 
 def run(seed: int, quick: bool, broken: str = "") -> Verdict:
@@ -152,8 +160,9 @@
         calm = 3.0 if quick else 8.0
         plot = _plot(calm)
         seconds = sum(span for span, _ in plot)
-        client = rig.start("client", "sablewheel.trials.affinity_client", _client(stage, seed, seconds),
-                           shifted=False)  # fmt: skip
+        client = rig.start(
+            "client", "sablewheel.trials.affinity_client", _client(stage, seed, seconds), shifted=False
+        )
         for span, what in plot:
             marks[what] = time.monotonic()
             ACTS.get(what, _nothing)(stage)
@@ -173,10 +182,18 @@
     """How long each part lasts, and what it begins with."""
     turn = 2.0 * KIOSKS / RATE
     return [
-        (max(2 * turn, 4.0), "begin"), (calm, "bump 2"), (calm, "bump 3"), (calm, "bump 4"),
-        (15.0, "kill"), (6.0, "return"), (GRACE + 2.0, "drain"), (6.0, "back"),
-        (PAUSE + 5.0, "pause"), (5.0, "calm"), (calm + 2.0, "again"),
-    ]  # fmt: skip
+        (max(2 * turn, 4.0), "begin"),
+        (calm, "bump 2"),
+        (calm, "bump 3"),
+        (calm, "bump 4"),
+        (15.0, "kill"),
+        (6.0, "return"),
+        (GRACE + 2.0, "drain"),
+        (6.0, "back"),
+        (PAUSE + 5.0, "pause"),
+        (5.0, "calm"),
+        (calm + 2.0, "again"),
+    ]
 
 
 def _nothing(stage: Sessions) -> None: ...
@@ -219,10 +236,16 @@
 
 def _client(stage: Sessions, seed: int, seconds: float) -> str:
     told = {
-        "servers": [f"{stage.host(name)}:{LISTEN}" for name in stage.names], "seed": seed, "rate": RATE,
-        "seconds": seconds, "customers": {"any": 1.0}, "tracks": TRACKS, "kiosks": KIOSKS,
-        "log": str(stage.rig.folder / "client.held"), "patience_end": ABANDON + 2.0,
-    }  # fmt: skip
+        "servers": [f"{stage.host(name)}:{LISTEN}" for name in stage.names],
+        "seed": seed,
+        "rate": RATE,
+        "seconds": seconds,
+        "tenants": {"any": 1.0},
+        "request_classes": REQUEST_CLASSES,
+        "kiosks": KIOSKS,
+        "log": str(stage.rig.folder / "client.held"),
+        "patience_end": ABANDON + 2.0,
+    }
     return json.dumps(told)
 
 
@@ -251,12 +274,18 @@
     held = Counter(begun.values())
     verdict.check("every session has its server", len(begun) == KIOSKS, f"{len(begun)} of {KIOSKS}")
     bound = max(LEAST, math.ceil(FACTOR * (KIOSKS + 1) / SIZE))
-    verdict.check("no owner is above its bound", bool(held) and max(held.values()) <= bound,
-                  f"{max(held.values(), default=0)} of {bound}")  # fmt: skip
+    verdict.check(
+        "no owner is above its bound",
+        bool(held) and max(held.values()) <= bound,
+        f"{max(held.values(), default=0)} of {bound}",
+    )
     bumped = changes(marks["bump 2"], marks["kill"])
     said = [one for one in moves if marks["bump 2"] <= one.when < marks["kill"]]
-    verdict.check("over three bumps no session moves", not bumped and not said,
-                  f"{len(bumped)} by the runs, {len(said)} by the logs")  # fmt: skip
+    verdict.check(
+        "over three bumps no session moves",
+        not bumped and not said,
+        f"{len(bumped)} by the runs, {len(said)} by the logs",
+    )
     _death(stage, verdict, runs, moves, changes(*within("kill")), within("kill"))
     back = changes(*within("return"))
     stray = [one for one in back if one[1] != stage.victim]
@@ -265,9 +294,11 @@
     stray = [one for one in drained if one[1] not in ("m1", stage.victim)]
     left = [one for one in moves if one.was == "m1" and one.when > marks["back"]]
     by = Counter(one.cause for one in moves if one.was == "m1" and one.when >= marks["drain"])
-    verdict.check("a drain hands over all within its grace, and no other moves",
-                  by["drain"] > 0 and not left and not stray,
-                  f"{dict(by)}, {len(left)} later, {len(stray)} of others")  # fmt: skip
+    verdict.check(
+        "a drain hands over all within its grace, and no other moves",
+        by["drain"] > 0 and not left and not stray,
+        f"{dict(by)}, {len(left)} later, {len(stray)} of others",
+    )
     known = ("m1", stage.victim, "m3")  # whose sessions may be seen moving this late
     paused = [one for one in changes(marks["pause"], marks["again"]) if one[1] not in known]
     verdict.check("a pause past removal moves its sessions only", not paused, f"{len(paused)} of others")
@@ -288,30 +319,40 @@
         for one in quiet
         if one["how"] != "completed" and one["from"] >= marks["begin"]
     )
-    verdict.check("where nothing fails nearly all are served", good >= 0.98,
-                  f"{good:.4f} of {len(quiet)}, {dict(rest)}")  # fmt: skip
+    verdict.check(
+        "where nothing fails nearly all are served", good >= 0.98, f"{good:.4f} of {len(quiet)}, {dict(rest)}"
+    )
     for cause, much in sorted(Counter(one.cause for one in moves).items()):
         verdict.figures[f"moved: {cause}"] = much
 
 
 def _death(
-    stage: Sessions, verdict: Verdict, runs: list[Labelled], moves: list[Move],
-    changed: list[tuple[str, str, str]], span: tuple[float, float],
-) -> None:  # fmt: skip
+    stage: Sessions,
+    verdict: Verdict,
+    runs: list[Labelled],
+    moves: list[Move],
+    changed: list[tuple[str, str, str]],
+    span: tuple[float, float],
+) -> None:
     """One of the servers was killed: whose sessions move, how fast, and what others would have moved."""
     since, until = span
     owners = {one.kiosk: one.at for one in runs if one.begun < since}
     mine = {kiosk for kiosk, at in owners.items() if at == stage.victim}
     stray = [one for one in changed if one[1] != stage.victim]
     moved = {kiosk for kiosk, was, _ in changed if was == stage.victim}
-    verdict.check("one of the servers is killed: its sessions move, of the others none",
-                  bool(mine) and moved == mine and not stray,
-                  f"{len(moved)} of its {len(mine)}, {len(stray)} of others")  # fmt: skip
+    verdict.check(
+        "one of the servers is killed: its sessions move, of the others none",
+        bool(mine) and moved == mine and not stray,
+        f"{len(moved)} of its {len(mine)}, {len(stray)} of others",
+    )
     times = [one.when for one in moves if since <= one.when < until and one.cause == "removed"]
     burst = max((sum(at <= when < at + 1.0 for when in times) for at in times), default=0)
     room = BUDGET + 4 * math.sqrt(BUDGET)
-    verdict.check("no faster than the budget, by four deviations of turns by chance", 0 < burst <= room,
-                  f"most in a second {burst} of {room:.0f}")  # fmt: skip
+    verdict.check(
+        "no faster than the budget, by four deviations of turns by chance",
+        0 < burst <= room,
+        f"most in a second {burst} of {room:.0f}",
+    )
     keys = [f"kiosk-{number}" for number in range(KIOSKS)]
     rest = [name for name in stage.names if name != stage.victim]
     verdict.figures["ours: moved by the death"] = len(moved)
@@ -338,13 +379,16 @@
                 since, until = gone.get(one.at, (math.inf, -math.inf))
                 if not (one.begun <= since + 0.1 and one.ended <= until):
                     found.append((one, other))
-    verdict.check("two servers never run one session's labelled work", not found,
-                  f"{len(found)}" + (f", as {found[0]}" if found else f" of {len(runs)} runs"))  # fmt: skip
+    verdict.check(
+        "two servers never run one session's labelled work",
+        not found,
+        f"{len(found)}" + (f", as {found[0]}" if found else f" of {len(runs)} runs"),
+    )
     labels: Counter[str] = Counter()
     own = {one["name"]: one["label"] for one in stage.rig.held("client") if one.get("label")}
     for name in stage.names:
-        for word, ticket, _ in stage.rig.runs(name):
-            if word == "begin" and ticket in own:
-                labels[own[ticket]] += 1
+        for word, request, _ in stage.rig.runs(name):
+            if word == "begin" and request in own:
+                labels[own[request]] += 1
     twice = sum(much > 1 for much in labels.values())
     verdict.check("no label runs twice", not twice, f"{twice} of {len(labels)}")
--- a/sablewheel/trials/affinity_client.py
+++ b/sablewheel/trials/affinity_client.py
@@ -1,4 +1,4 @@
-"""A stand-in for kiosks behind their routers: each has its session, and its tickets come to any server.
+"""A stand-in for kiosks behind their routers: each has its session, and its requests come to any server.
 
     python -m sablewheel.trials.affinity_client '{"servers": [...], "kiosks": 60, ...}'
 
@@ -13,7 +13,7 @@
 import time
 
 from . import wire
-from .rig import CUSTOMERS
+from .rig import TENANTS
 from .router import Routers
 
 
@@ -23,25 +23,37 @@
     turn = 0
 
     async def try_at(
-        self, server: str, track: str, name: bytes, customer: str, label: bytes, body: bytes
+        self, server: str, request_class: str, name: bytes, tenant: str, label: bytes, body: bytes
     ) -> None:
         link = await self.link(server)
         if link is None:
             return
         link.tag += 1
         self.turn = (self.turn + 1) % int(self.told["kiosks"])
-        owners = sorted(CUSTOMERS)
-        kiosk, customer = f"kiosk-{self.turn}", owners[self.turn % len(owners)]
+        owners = sorted(TENANTS)
+        kiosk, tenant = f"kiosk-{self.turn}", owners[self.turn % len(owners)]
         link.open[link.tag] = {
-            "name": name.decode(), "customer": customer, "track": track, "server": server, "kiosk": kiosk,
-            "label": label.decode(), "sent": time.time(), "from": time.monotonic(),
-        }  # fmt: skip
+            "name": name.decode(),
+            "customer": tenant,
+            "track": request_class,
+            "server": server,
+            "kiosk": kiosk,
+            "label": label.decode(),
+            "sent": time.time(),
+            "from": time.monotonic(),
+        }
         link.writer.write(
             wire.call(
-                link.tag, name, track.encode(), time.time(), body, customer.encode(), label,
+                link.tag,
+                name,
+                request_class.encode(),
+                time.time(),
+                body,
+                tenant.encode(),
+                label,
                 subject=kiosk.encode(),
             )
-        )  # fmt: skip
+        )
 
 
 if __name__ == "__main__":
--- a/sablewheel/trials/affinity_fleet.py
+++ b/sablewheel/trials/affinity_fleet.py
@@ -3,7 +3,7 @@
 The register is one object that takes compare-and-sets, as a majority of holders would: a member reaches it
 while it can speak both ways with a majority of the last agreed view, itself included, and only at the newest
 epoch that it holds. Its answers may be lost after the write was made. A server runs what its sessions tell it
-to run, claims labels first, passes tickets on, and keeps every ticket's outcome.
+to run, claims labels first, passes requests on, and keeps every request's outcome.
 """
 
 from __future__ import annotations
@@ -190,7 +190,7 @@
 
     def __init__(self, name: str, incarnation: int, settings: Settings, now: float) -> None:
         self.sessions = Sessions(name, incarnation, settings, now)
-        self.tickets: dict[int, Came] = {}
+        self.requests: dict[int, Came] = {}
 
     @property
     def wake_at(self) -> float:
@@ -200,20 +200,20 @@
         if isinstance(event, Claimed):
             return self._claimed(now, event)
         if isinstance(event, Came):
-            self.tickets[event.ref] = event
+            self.requests[event.ref] = event
         if isinstance(event, Unreached | Returned):
-            self.tickets[event.came.ref] = event.came
+            self.requests[event.came.ref] = event.came
         if isinstance(event, Over):
-            self.tickets.pop(event.ref, None)
+            self.requests.pop(event.ref, None)
         return self._carry(now, self.sessions.step(now, event))
 
     def _carry(self, now: float, effects: list[Any]) -> list[Any]:
         out: list[Any] = []
         for effect in effects:
-            came = self.tickets.get(effect.ref) if isinstance(effect, Here) else None
+            came = self.requests.get(effect.ref) if isinstance(effect, Here) else None
             if came is None:
                 if isinstance(effect, Deny | Back):
-                    self.tickets.pop(effect.ref, None)
+                    self.requests.pop(effect.ref, None)
                 out.append(effect)
             elif came.strict:
                 me = self.sessions
@@ -224,7 +224,7 @@
 
     def _claimed(self, now: float, said: Claimed) -> list[Any]:
         came = said.came
-        if came.ref not in self.tickets:
+        if came.ref not in self.requests:
             return [Free(came, said.claim)] if said.verdict == "won" else []
         if said.verdict == "refused":
             return self._carry(now, self.sessions.step(now, Refused(came, said.number)))
@@ -235,7 +235,7 @@
         else:
             out = []
         why = Why.NO_MAJORITY if said.verdict == "unreachable" else Why.STALE
-        del self.tickets[came.ref]
+        del self.requests[came.ref]
         rest = self.sessions.step(now, Over(came.ref, came.key))
         return [*out, Deny(came.ref, 0.2, why), *self._carry(now, rest)]
 
@@ -249,8 +249,8 @@
 
 
 @dataclass
-class Ticket:
-    """One as its customer sees it."""
+class Request:
+    """One as its tenant sees it."""
 
     came: Came
     at: str  # the server that its router brought it to
@@ -264,7 +264,7 @@
 
 
 class World:
-    """A fleet of servers under one agreed view, with tickets, a register, and faults by name."""
+    """A fleet of servers under one agreed view, with requests, a register, and faults by name."""
 
     def __init__(self, names: list[str], settings: Settings, seed: int = 1, warm_up: float = 10.0) -> None:
         self.settings, self.warm_up = settings, warm_up
@@ -272,7 +272,7 @@
         self.register = Register(fenced=settings.broken != "two-owners")
         self.watch = Watch()
         self.chance = random.Random(f"{seed}-world")
-        self.tickets: list[Ticket] = []
+        self.requests: list[Request] = []
         self.notes: list[tuple[float, str, Note]] = []
         self.policy = Active(1)
         self.warm_since: dict[str, float] = {}
@@ -338,9 +338,9 @@
 
     def kill(self, name: str) -> None:
         """SIGKILL. The others agree that it is gone a little later."""
-        for ticket in self.tickets:
-            if ticket.where == name and not ticket.outcome:
-                self._lost_with(ticket, name)
+        for request in self.requests:
+            if request.where == name and not request.outcome:
+                self._lost_with(request, name)
         self.fleet.crash(name)
         self.watch.pass_on(name)
         self.down.add(name)
@@ -351,8 +351,10 @@
         """SIGSTOP for so long. Past the suspicion the others take it out; when it wakes it asks in again."""
         self.fleet.pause(name, span)
         if span > REMOVED_AFTER:
-            self.fleet.later(REMOVED_AFTER, lambda: self._remove_if(
-                lambda one: self.fleet.paused.get(one, 0.0) > self.fleet.now, name))  # fmt: skip
+            self.fleet.later(
+                REMOVED_AFTER,
+                lambda: self._remove_if(lambda one: self.fleet.paused.get(one, 0.0) > self.fleet.now, name),
+            )
             self.fleet.later(span + 1.0, lambda: self._again(name))
 
     def _again(self, name: str) -> None:
@@ -368,9 +370,9 @@
 
         def gone() -> None:
             if name in self.fleet.cores:
-                for ticket in self.tickets:
-                    if ticket.where == name and not ticket.outcome:
-                        self._lost_with(ticket, name)
+                for request in self.requests:
+                    if request.where == name and not request.outcome:
+                        self._lost_with(request, name)
                 self.fleet.crash(name)
                 self.watch.pass_on(name)
                 self.down.add(name)
@@ -386,8 +388,12 @@
         few = names if len(names) * 2 < len(self.view.names) else others
         if for_good and len(few) * 2 < len(self.view.names):
             for name in few:
-                self.fleet.later(REMOVED_AFTER, lambda name=name: self._remove_if(  # type: ignore[misc]
-                    lambda one: not self.reaches(one), name))  # fmt: skip
+                self.fleet.later(
+                    REMOVED_AFTER,
+                    lambda name=name: self._remove_if(  # type: ignore[misc]
+                        lambda one: not self.reaches(one), name
+                    ),
+                )
 
     def heal(self) -> None:
         """All links are whole; who was taken out asks in again."""
@@ -496,21 +502,31 @@
         register = self.register
         match effect:
             case Write(ref, key, expect, value, _):
-                self._ask(name, lambda: register.write(self.fleet.now, key, expect, value),
-                          lambda said: Answered(ref, *said), Answered(ref, Verdict.UNREACHABLE))  # fmt: skip
+                self._ask(
+                    name,
+                    lambda: register.write(self.fleet.now, key, expect, value),
+                    lambda said: Answered(ref, *said),
+                    Answered(ref, Verdict.UNREACHABLE),
+                )
             case Read(ref, key):
-                self._ask(name, lambda: register.bindings.get(key),
-                          lambda held: Answered(ref, Verdict.WON, held),
-                          Answered(ref, Verdict.UNREACHABLE))  # fmt: skip
+                self._ask(
+                    name,
+                    lambda: register.bindings.get(key),
+                    lambda held: Answered(ref, Verdict.WON, held),
+                    Answered(ref, Verdict.UNREACHABLE),
+                )
             case Ask(came, asked):
-                self._ask(name, lambda: register.claim(came.key, asked),
-                          lambda said: Claimed(came, asked, said[0], said[1], now),
-                          Claimed(came, asked, "unreachable", 0, now))  # fmt: skip
+                self._ask(
+                    name,
+                    lambda: register.claim(came.key, asked),
+                    lambda said: Claimed(came, asked, said[0], said[1], now),
+                    Claimed(came, asked, "unreachable", 0, now),
+                )
             case Free(_, won):
                 self.fleet.later(0.005, lambda: register.free(won))
             case Here(ref, number, version, why):
-                ticket = self.tickets[ref]
-                ticket.where, ticket.why, ticket.version, ticket.number = name, why.value, version, number
+                request = self.requests[ref]
+                request.where, request.why, request.version, request.number = name, why.value, version, number
             case Pass(ref, to):
                 self._pass(name, ref, to)
             case Back(ref, sender, binding):
@@ -527,8 +543,8 @@
                     self.watch.pass_on(name, passed)
 
     def _begin(self, now: float, name: str, came: Came, claim: Claim | None) -> None:
-        ticket = self.tickets[came.ref]
-        ticket.ran_at = name
+        request = self.requests[came.ref]
+        request.ran_at = name
         if claim is not None:
             self.watch.begin(now, Run(name, came.key, claim.label, claim.number, now))
         life = self._lives[name]
@@ -544,51 +560,51 @@
 
     def _back(self, ref: int, sender: str, binding: Binding) -> None:
         """Over the same way that it came; if that is cut, its sender finds its time up."""
-        ticket = self.tickets[ref]
-        said = Returned(replace(ticket.came, back=ticket.hops > 1), binding)
+        request = self.requests[ref]
+        said = Returned(replace(request.came, back=request.hops > 1), binding)
         if sender not in self.fleet.cores:
             return self._decide(ref, "terminated", "lost")
-        ticket.where = sender
+        request.where = sender
         self.fleet.later(self.chance.uniform(0.001, 0.003), lambda: self.fleet.tell(sender, said))
         return None
 
     def _pass(self, name: str, ref: int, to: str) -> None:
-        ticket = self.tickets[ref]
-        ticket.hops += 1
-        came = Came(ref, ticket.came.key, ticket.came.nature, ticket.came.flow, name)
+        request = self.requests[ref]
+        request.hops += 1
+        came = Came(ref, request.came.key, request.came.nature, request.came.flow, name)
         broken = to not in self.fleet.cores or self.fleet.link(name, to).cut or self.fleet.link(to, name).cut
         if broken:
-            ticket.where = name
-            self.fleet.later(0.05, lambda: self.fleet.tell(name, Unreached(ticket.came, to)))
+            request.where = name
+            self.fleet.later(0.05, lambda: self.fleet.tell(name, Unreached(request.came, to)))
             return
-        ticket.where = to
+        request.where = to
         self.fleet.later(self.chance.uniform(0.001, 0.003), lambda: self.fleet.tell(to, came))
 
-    def _lost_with(self, ticket: Ticket, name: str) -> None:
+    def _lost_with(self, request: Request, name: str) -> None:
         """Its server is gone. What only passed through it is known again where it came from."""
-        ran = label_of(ticket.came) in self.register.claims
-        if ticket.at == name or ticket.at not in self.fleet.cores or ran:
-            return self._decide(ticket.came.ref, "terminated", "lost")  # it may have run: no second run
-        ticket.where, back = ticket.at, ticket.at
-        self.fleet.later(0.05, lambda: self.fleet.tell(back, Unreached(ticket.came, name)))
+        ran = label_of(request.came) in self.register.claims
+        if request.at == name or request.at not in self.fleet.cores or ran:
+            return self._decide(request.came.ref, "terminated", "lost")  # it may have run: no second run
+        request.where, back = request.at, request.at
+        self.fleet.later(0.05, lambda: self.fleet.tell(back, Unreached(request.came, name)))
         return None
 
     def _decide(self, ref: int, outcome: str, why: str = "") -> None:
-        ticket = self.tickets[ref]
-        if not ticket.outcome:
-            ticket.outcome, ticket.why = outcome, why or ticket.why
+        request = self.requests[ref]
+        if not request.outcome:
+            request.outcome, request.why = outcome, why or request.why
 
-    # -- tickets
+    # -- requests
 
-    def bring(self, at: str, key: Key, nature: Nature = Nature.REDOABLE, flow: str = "") -> Ticket:
-        """A router brings a ticket to one server; each labelled one has a label of its own."""
-        ticket = Ticket(Came(len(self.tickets), key, nature, flow), at, where=at)
-        self.tickets.append(ticket)
+    def bring(self, at: str, key: Key, nature: Nature = Nature.REDOABLE, flow: str = "") -> Request:
+        """A router brings a request to one server; each labelled one has a label of its own."""
+        request = Request(Came(len(self.requests), key, nature, flow), at, where=at)
+        self.requests.append(request)
         if at not in self.fleet.cores:
-            ticket.outcome, ticket.why = "terminated", "nobody there"
+            request.outcome, request.why = "terminated", "nobody there"
         else:
-            self.fleet.tell(at, ticket.came)
-        return ticket
+            self.fleet.tell(at, request.came)
+        return request
 
     def run(self, span: float) -> None:
         self.fleet.run(span)
--- a/sablewheel/trials/affinity_model.py
+++ b/sablewheel/trials/affinity_model.py
@@ -5,8 +5,8 @@
 answer of the register is lost after the deed, a timer rings, a labelled run ends, a server crashes, the fleet
 agrees that one is gone. Checked at each step: no two owners run the session's labelled work, no label runs
 twice, none begins below another's number, no two servers hold one number. From the states at the bottom, with
-the faults over, each ticket has its outcome and the session one owner. A violation is printed as the steps to
-it.
+the faults over, each request has its outcome and the session one owner. A violation is printed as the steps
+to it.
 """
 
 from __future__ import annotations
@@ -81,13 +81,13 @@
         case Answered(_, verdict, entry):
             return f"{verdict.value}, {_bound(entry) if entry else 'nothing stands there'}"
         case Ask(came, claim):
-            return f"claim of ticket {came.ref} under {claim.number}"
+            return f"claim of request {came.ref} under {claim.number}"
         case Claimed(came, claim, verdict, _, _):
-            return f"claim of ticket {came.ref} under {claim.number}: {verdict}"
+            return f"claim of request {came.ref} under {claim.number}: {verdict}"
         case Came(ref):
-            return f"ticket {ref}"
+            return f"request {ref}"
         case Returned(came, one):
-            return f"ticket {came.ref} back, {_bound(one) if one else ''}"
+            return f"request {came.ref} back, {_bound(one) if one else ''}"
         case View(epoch, members):
             return f"view {epoch} of {' '.join(one.name for one in members)}"
     binding = getattr(what, "binding", None)
@@ -111,7 +111,7 @@
     now: float = 10.0
     outcomes: dict[int, str] = field(default_factory=dict)
     left: dict[str, int] = field(default_factory=dict)
-    passed: int = 0  # tickets so far
+    passed: int = 0  # requests so far
     hops: dict[int, int] = field(default_factory=dict)
 
     def tell(self, name: str, event: Any) -> None:
@@ -123,9 +123,9 @@
                 case Say(to, message):
                     self.way.append(Way("say", name, to, message))
                 case Pass(ref, to):
-                    came = server.tickets.get(ref)
+                    came = server.requests.get(ref)
                     if came is None:
-                        self.watch.wrong.append(f"{name} passes ticket {ref} on, which it has decided")
+                        self.watch.wrong.append(f"{name} passes request {ref} on, which it has decided")
                         continue
                     self.way.append(Way("pass", name, to, Came(ref, KEY, came.nature, "", name)))
                     self.hops[ref] = self.hops.get(ref, 0) + 1
@@ -164,7 +164,7 @@
             found += [f"lose {place}" for place in range(len(self.way)) if self.way[place].kind != "view"]
         found += [f"ring {name}" for name, one in self.servers.items() if one.wake_at < self.now + 5.0]
         found += [f"end {one.label}" for one in self.watch.runs]
-        for what in ("crash", "remove", "ticket", "drain", "bump"):
+        for what in ("crash", "remove", "request", "drain", "bump"):
             if self.left.get(what):
                 found += [f"{what} {name}" for name in self._whom(what)]
         return found
@@ -174,7 +174,7 @@
             return ["all"]
         if what == "remove":  # the fleet agrees that the owner at the start is gone: rightly or not
             return ["a"] if "a" in self.view else []
-        if what == "ticket":
+        if what == "request":
             return [name for name in NAMES if name in self.servers]
         if what in ("crash", "drain"):
             return [name for name in ("a", "b") if name in self.servers and name in self.view]
@@ -244,7 +244,7 @@
         ref = int(label.rpartition("-")[2])
         self.outcomes.setdefault(ref, f"completed at {run.at}")
         self.tell(run.at, Over(ref, KEY))
-        return f"the run of ticket {ref} at {run.at} ends"
+        return f"the run of request {ref} at {run.at} ends"
 
     def _crash(self, name: str) -> str:
         self.left["crash"] -= 1
@@ -253,7 +253,7 @@
 
     def gone(self, name: str) -> None:
         server = self.servers.pop(name)
-        for ref in server.tickets:
+        for ref in server.requests:
             self.outcomes.setdefault(ref, "terminated: its server is gone")
         self.watch.runs = [one for one in self.watch.runs if one.at != name]
         self.way = [one for one in self.way if one.sender != name or one.kind in ("ask", "say")]
@@ -266,10 +266,10 @@
             self.way.append(Way("view", "fleet", to, self.view))
         return f"the fleet agrees that {name} is gone, at epoch {self.view.epoch}"
 
-    def _ticket(self, name: str) -> str:
-        self.left["ticket"] -= 1
+    def _request(self, name: str) -> str:
+        self.left["request"] -= 1
         self.bring(name)
-        return f"ticket {max(self.outcomes_asked())} comes to {name}"
+        return f"request {max(self.outcomes_asked())} comes to {name}"
 
     def bring(self, name: str) -> int:
         ref = self.passed = self.passed + 1
@@ -297,15 +297,46 @@
         for name, server in self.servers.items():
             own = server.sessions
             held, seek = own.owned.get(KEY), own.seeks.get(KEY)
-            seen.append((
-                name, own.view.epoch if own.view else 0, own.version, own.routes.get(KEY), list(own._due),
-                sorted(own._asked.items()), own._drain is None, sorted(server.tickets),
-                held and (held.binding, held.phase, sorted(held.open), [one.ref for one in held.waiting],
-                          held.asked, held.first, held.due, sorted(held.tried), held.at, held.since,
-                          held.next),
-                seek and (seek.stage, [one.ref for one in seek.waiting], seek.asked, seek.at, seek.asker,
-                          seek.take, seek.entry, seek.target, sorted(seek.tried), seek.forced, seek.paid),
-            ))  # fmt: skip
+            seen.append(
+                (
+                    name,
+                    own.view.epoch if own.view else 0,
+                    own.version,
+                    own.routes.get(KEY),
+                    list(own._due),
+                    sorted(own._asked.items()),
+                    own._drain is None,
+                    sorted(server.requests),
+                    held
+                    and (
+                        held.binding,
+                        held.phase,
+                        sorted(held.open),
+                        [one.ref for one in held.waiting],
+                        held.asked,
+                        held.first,
+                        held.due,
+                        sorted(held.tried),
+                        held.at,
+                        held.since,
+                        held.next,
+                    ),
+                    seek
+                    and (
+                        seek.stage,
+                        [one.ref for one in seek.waiting],
+                        seek.asked,
+                        seek.at,
+                        seek.asker,
+                        seek.take,
+                        seek.entry,
+                        seek.target,
+                        sorted(seek.tried),
+                        seek.forced,
+                        seek.paid,
+                    ),
+                )
+            )
         runs = sorted((one.at, one.label, one.number, one.passed) for one in self.watch.runs)
         stands = (self.register.bindings.get(KEY), sorted(self.register.claims))
         way = sorted(str((one.kind, one.sender, one.to, one.what, one.asked)) for one in self.way)
@@ -341,10 +372,10 @@
                 return wrong
         waits = [ref for ref in range(1, self.passed + 1) if ref not in self.outcomes]
         if waits:
-            return f"tickets without an outcome: {waits}"
+            return f"requests without an outcome: {waits}"
         bad = [f"{one} {self.outcomes[one]}" for one in fresh if "completed" not in self.outcomes[one]]
         if bad:
-            return f"in calm, tickets were not served: {bad}"
+            return f"in calm, requests were not served: {bad}"
         holders = [name for name, one in self.servers.items() if KEY in one.sessions.owned]
         stands = self.register.bindings.get(KEY)
         good = stands is not None and stands.state is State.HELD and [stands.owner] == holders
@@ -377,18 +408,18 @@
 
 def _drain(broken: str) -> Scene:
     scene = _begin(broken)
-    scene.left = {"ticket": 1, "lose": 1}
+    scene.left = {"request": 1, "lose": 1}
     scene.tell("a", Drain(10.0))
     return scene
 
 
 def _paused(broken: str) -> Scene:
-    """One labelled ticket more is at `a`, its claim on the way, when the fleet agrees that `a` is gone."""
+    """One labelled request more is at `a`, its claim on the way, when the fleet agrees that `a` is gone."""
     scene = _begin(broken)
     scene.bring("b")
     _flow(scene)
     scene.bring("a")
-    scene.left = {"remove": 1, "ticket": 1}
+    scene.left = {"remove": 1, "request": 1}
     scene.act("remove a")
     return scene
 
@@ -401,7 +432,7 @@
     scene.act("deliver 0")  # its claim is won; the answer waits for it
     scene.left = {"remove": 1}
     scene.act("remove a")
-    scene.left = {"ticket": 2}
+    scene.left = {"request": 2}
     for name in "bc":  # they hear of it
         scene.act(f"deliver {next(place for place, one in enumerate(scene.way) if one.to == name)}")
     scene.bring("b")
@@ -422,27 +453,27 @@
     scene.act(f"end {scene.watch.runs[0].label}")
     scene.tell("a", Drain(10.0))
     scene.act("deliver 0")
-    scene.left = {"crash": 1, "remove": 1, "ticket": 1, "lose": 1}
+    scene.left = {"crash": 1, "remove": 1, "request": 1, "lose": 1}
     return scene
 
 
 def _nobody(broken: str) -> Scene:
-    """Nobody owns it, and its tickets come to two servers at once."""
+    """Nobody owns it, and its requests come to two servers at once."""
     scene = _begin(broken)
     scene.act(f"end {scene.watch.runs[0].label}")
     held = scene.servers["a"].sessions.owned.pop(KEY)
     scene.register.bindings[KEY] = held.binding.ended()
     scene.bring("b")
     scene.bring("c")
-    scene.left = {"ticket": 1, "lose": 1}
+    scene.left = {"request": 1, "lose": 1}
     return scene
 
 
 def _cut(broken: str) -> Scene:
-    """The owner can't be reached from `b`, who has a ticket of the session; nobody is taken out."""
+    """The owner can't be reached from `b`, who has a request of the session; nobody is taken out."""
     scene = _begin(broken)
     scene.bring("b")
-    scene.left = {"lose": 1, "ticket": 1}
+    scene.left = {"lose": 1, "request": 1}
     while scene.way and scene.way[0].kind != "pass":
         scene.act("deliver 0")
     lost = scene.way.pop(0)
@@ -454,7 +485,7 @@
     """The session's version is kept no longer, with a claim on its way and a run open."""
     scene = _begin(broken)
     scene.bring("a")
-    scene.left = {"bump": 1, "ticket": 1, "lose": 1}
+    scene.left = {"bump": 1, "request": 1, "lose": 1}
     scene.act("bump all")
     return scene
 
--- a/sablewheel/trials/affinity_replicas.py
+++ b/sablewheel/trials/affinity_replicas.py
@@ -58,7 +58,7 @@
         self._refs = 0
         self._questions: dict[int, Write | Read] = {}
         self._claims: dict[int, tuple[Ask, float]] = {}
-        self._won: dict[bytes, int] = {}  # labels whose runs are open, by their tickets
+        self._won: dict[bytes, int] = {}  # labels whose runs are open, by their requests
 
     @property
     def wake_at(self) -> float:
@@ -158,11 +158,11 @@
             self.register.history.append((now, effect.binding))
         return None
 
-    def _lost_with(self, ticket: Any, name: str) -> None:
+    def _lost_with(self, request: Any, name: str) -> None:
         """What a dead server had claimed is known to its holders; here to the onlooker."""
-        if ticket.ran_at == name:
-            return self._decide(ticket.came.ref, "terminated", "lost")
-        return super()._lost_with(ticket, name)
+        if request.ran_at == name:
+            return self._decide(request.came.ref, "terminated", "lost")
+        return super()._lost_with(request, name)
 
 
 def _sites(view: View) -> tuple[Site, ...]:
--- a/sablewheel/trials/affinity_size.py
+++ b/sablewheel/trials/affinity_size.py
@@ -21,7 +21,7 @@
 EACH = 20  # sessions a member
 BUDGET = 2.0  # moves a second, of the whole fleet
 GRACE = 10.0
-RUNS = (0.02, 0.05, 0.3, 2.0)  # seconds that tickets run
+RUNS = (0.02, 0.05, 0.3, 2.0)  # seconds that requests run
 
 
 def _mark(text: str) -> int:
@@ -37,7 +37,7 @@
 
 
 class Fleet:
-    """A world and its traffic: each session a ticket in turn, from any member."""
+    """A world and its traffic: each session a request in turn, from any member."""
 
     def __init__(self, n: int, seed: int, broken: str) -> None:
         settings = Settings(broken=broken, idle=600.0, keep_versions=4, moves_per_s=BUDGET)
@@ -48,7 +48,7 @@
         self.turn = 0
 
     def go_on(self, span: float, a_second: float) -> None:
-        """Tickets in bursts: two of one session, at two members."""
+        """Requests in bursts: two of one session, at two members."""
         until = self.world.fleet.now + span
         while self.world.fleet.now < until:
             key = self.keys[self.turn % len(self.keys)]
@@ -100,11 +100,17 @@
     moved = world.moves(at)
     others = [one for one in moved if one[2] != dead]
     good = not others and len(moved) == len(mine) > 0
-    verdict.check("one is killed: its sessions move, of the others none", good,
-                  f"{len(moved)} of its {len(mine)}, {len(others)} of others")  # fmt: skip
+    verdict.check(
+        "one is killed: its sessions move, of the others none",
+        good,
+        f"{len(moved)} of its {len(mine)}, {len(others)} of others",
+    )
     burst, room = _burst([when for when, *_ in moved]), BUDGET + 4 * math.sqrt(BUDGET) + 1
-    verdict.check("no faster than the budget, by four deviations of turns by chance", burst <= room,
-                  f"most in a second {burst} of {room:.0f}")  # fmt: skip
+    verdict.check(
+        "no faster than the budget, by four deviations of turns by chance",
+        burst <= room,
+        f"most in a second {burst} of {room:.0f}",
+    )
 
     at = world.fleet.now
     world.start(dead)
@@ -122,19 +128,26 @@
     world.run(0.4)
     left = len(world.sessions(leaver).owned)
     others = [one for one in world.moves(at) if one[2] not in (leaver, dead)]
-    verdict.check("one drains: all is handed over in its grace, no other moves", not left and not others,
-                  f"{left} left, {len(others)} of others")  # fmt: skip
+    verdict.check(
+        "one drains: all is handed over in its grace, no other moves",
+        not left and not others,
+        f"{left} left, {len(others)} of others",
+    )
     fleet.go_on(3.0, pace)
     at = world.fleet.now
     fleet.go_on(6.0, pace)
     again = world.moves(at)
-    verdict.check("a second run over moves nothing", not [one for one in again if one[2] != dead],
-                  f"{len(again)} moved")  # fmt: skip
+    verdict.check(
+        "a second run over moves nothing", not [one for one in again if one[2] != dead], f"{len(again)} moved"
+    )
     world.run(8.0)
-    verdict.check("two owners never ran a session's labelled work", not world.watch.wrong,
-                  world.watch.wrong[0] if world.watch.wrong else "")  # fmt: skip
-    waits = sum(not ticket.outcome for ticket in world.tickets)
-    verdict.check("every ticket has its outcome", not waits, f"{len(world.tickets)} tickets")
+    verdict.check(
+        "two owners never ran a session's labelled work",
+        not world.watch.wrong,
+        world.watch.wrong[0] if world.watch.wrong else "",
+    )
+    waits = sum(not request.outcome for request in world.requests)
+    verdict.check("every ticket has its outcome", not waits, f"{len(world.requests)} tickets")
 
     survivors = [name for name in names if name != dead]
     for label, place in (("modulo N", modulo), ("plain rendezvous", rendezvous)):
@@ -147,7 +160,7 @@
     verdict.figures["ours: moved by the death"] = sum(one == dead for one in before.values())
     verdict.figures["ours: moved back by the return"] = len(moved)
     verdict.figures["ours: most at one"] = most
-    outcomes = Counter(f"{ticket.outcome} ({ticket.why})" for ticket in world.tickets)
+    outcomes = Counter(f"{request.outcome} ({request.why})" for request in world.requests)
     for name, much in sorted(outcomes.items()):
         verdict.figures[name] = much
     return verdict
--- a/sablewheel/trials/affinity_storm.py
+++ b/sablewheel/trials/affinity_storm.py
@@ -1,7 +1,8 @@
 """A storm of failures over a fleet in memory, drawn by a seed; then calm, in which all must be well.
 
 Deaths, pauses, cuts to both sides or one, lost and doubled messages, a register without majority or whose
-answers get lost, drains, versions, machines that can run less: one after another, with tickets all the while.
+answers get lost, drains, versions, machines that can run less: one after another, with requests all the
+while.
 """
 
 from __future__ import annotations
@@ -11,13 +12,24 @@
 
 from ..affinity.plan import Settings
 from ..terms import Nature
-from .affinity_fleet import Ticket, World
+from .affinity_fleet import Request, World
 
 SPAN, CALM = 30.0, 14.0  # seconds of storm, and of calm before all is looked at
 KINDS = (
-    "kill", "start", "pause", "cut", "one way", "heal", "bump", "mandatory", "leave", "majority", "answers",
-    "loss", "able",
-)  # fmt: skip
+    "kill",
+    "start",
+    "pause",
+    "cut",
+    "one way",
+    "heal",
+    "bump",
+    "mandatory",
+    "leave",
+    "majority",
+    "answers",
+    "loss",
+    "able",
+)
 
 
 @dataclass
@@ -25,8 +37,8 @@
     """What one seed came to."""
 
     world: World
-    undecided: list[Ticket]  # tickets without an outcome, in the end
-    unserved: list[Ticket]  # labelled ones of the calm that were denied, though there was room
+    undecided: list[Request]  # requests without an outcome, in the end
+    unserved: list[Request]  # labelled ones of the calm that were denied, though there was room
     doubled: list[str]  # sessions that two servers hold, in the end
     over: list[str]  # servers above their room
 
@@ -74,7 +86,7 @@
     bad = [one for one in fresh if one.outcome != "completed" and one.why not in ("full", "stale")]
     return Storm(
         world,
-        [one for one in world.tickets if not one.outcome],
+        [one for one in world.requests if not one.outcome],
         bad,
         [key for key in keys if sum(key in world.sessions(name).owned for name in world.alive) > 1],
         [name for name in world.alive if len(world.sessions(name).owned) > settings.sessions_most],
--- a/sablewheel/trials/demo.py
+++ b/sablewheel/trials/demo.py
@@ -1,4 +1,4 @@
-"""The demo's day: a server with its stand-ins on loopback, an overload, a customer's burst, and what came of
+"""The demo's day: a server with its stand-ins on loopback, an overload, a tenant's burst, and what came of
 it.
 """
 
@@ -15,9 +15,9 @@
 
 from ..ledger.book import Book
 from .ledger import collector_features, features
-from .rig import CUSTOMERS, Process, Rig, free_port
+from .rig import TENANTS, Process, Rig, free_port
 
-CALM, OVERLOAD, BURST = 80, 260, 100  # tickets a second; the interpreter does about 160
+CALM, OVERLOAD, BURST = 80, 260, 100  # requests a second; the interpreter does about 160
 BURSTING = "yorkton"
 
 
@@ -32,9 +32,9 @@
 
 @dataclass
 class Outcome:
-    """What came of the day, by customer and by phase."""
+    """What came of the day, by tenant and by phase."""
 
-    by_customer: dict[str, Counter[str]] = field(default_factory=dict)
+    by_tenant: dict[str, Counter[str]] = field(default_factory=dict)
     by_phase: dict[str, Counter[str]] = field(default_factory=dict)
     denied_beyond: int = 0
     denied_within: int = 0
@@ -88,9 +88,16 @@
             end += span
             bursts = [{"customer": BURSTING, "from": 0, "to": span, "times": 3}] if name == "burst" else []
             router = self.rig.router(
-                name, [self._address], rate=rate, seconds=span, bursts=bursts, repeats=0.15, cancels=0.02,
-                patience_end=3.0, seed=self.rig.seed + turn,  # names and labels of their own
-            )  # fmt: skip
+                name,
+                [self._address],
+                rate=rate,
+                seconds=span,
+                bursts=bursts,
+                repeats=0.15,
+                cancels=0.02,
+                patience_end=3.0,
+                seed=self.rig.seed + turn,  # names and labels of their own
+            )
             while (now := time.monotonic() - self._begun) < end:
                 time.sleep(0.5)
                 os.kill(self.server.popen.pid, signal.SIGUSR1)
@@ -105,12 +112,12 @@
         time.sleep(0.5)
         self.collector.leave()
         found = Outcome(
-            {name: Counter() for name in CUSTOMERS}, {name: Counter() for name, _, _ in self.phases()}
+            {name: Counter() for name in TENANTS}, {name: Counter() for name, _, _ in self.phases()}
         )
         for phase in found.by_phase:
             for one in self.rig.held(phase):
                 found.by_phase[phase][one["how"]] += 1
-                found.by_customer[one["customer"]][one["how"]] += 1
+                found.by_tenant[one["customer"]][one["how"]] += 1
         book = Book(self.rig.folder / "book.sqlite", read_only=True)
         for beyond, entries in book.rows(
             "select beyond, sum(entries) from lines where outcome = 2 group by beyond"
--- a/sablewheel/trials/fleet.py
+++ b/sablewheel/trials/fleet.py
@@ -19,7 +19,7 @@
 from .rig import PATIENCE, Process, Rig, RigError, free_port
 
 PORT = 7700  # of each member's membership, on a loopback address of its own
-LISTEN = 7701  # for its tickets
+LISTEN = 7701  # for its requests
 DOOR = 7800  # the relay's first door
 CONTROL = 7799
 LINE = re.compile(r"^time=(\S+) level=\S+ from=membership\.shell\.view event=(.*)$")
--- a/sablewheel/trials/forwarder.py
+++ b/sablewheel/trials/forwarder.py
@@ -1,10 +1,10 @@
-"""A server that passes most of its tickets to peers drawn at random, as the trial wants; or with its forward
+"""A server that passes most of its requests to peers drawn at random, as the trial wants; or with its forward
 path broken on purpose.
 
 python -m sablewheel.trials.forwarder spread | twice | no-shrink | no-return FILE
 
-FILE has a line for each ticket that came from a peer: its name, and when it reached the first machine as this
-one takes it.
+FILE has a line for each request that came from a peer: its name, and when it reached the first machine as
+this one takes it.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from ..membership.view import View
 from ..routing.exchange import Exchange
 
-SHARE = 0.7  # of tickets that go to a peer
+SHARE = 0.7  # of requests that go to a peer
 
 
 class Spread(forward.Forward):
@@ -39,7 +39,7 @@
     def _serve_here(self, exchange: Exchange) -> None:
         """The trial holds what the controller is told of a guest against what its router knows."""
         if isinstance(exchange.caller, forward.Guest):
-            self._admitted.write(f"{exchange.name.decode()} {exchange.ticket.arrived:.6f}\n")
+            self._admitted.write(f"{exchange.name.decode()} {exchange.request.arrived:.6f}\n")
         super()._serve_here(exchange)
 
     def place(self, exchange: Exchange) -> str | None:
@@ -49,7 +49,7 @@
 
 
 def twice() -> None:
-    """An irreversible ticket goes again after a break."""
+    """An irreversible request goes again after a break."""
 
     def again(self: Passing, number: int) -> list[Effect]:
         return [self._back(0.0, number, self.out.pop(number))]
@@ -58,7 +58,7 @@
 
 
 def no_shrink() -> None:
-    """Tickets are taken for as young as they were when they left."""
+    """Requests are taken for as young as they were when they left."""
 
     def hop(self: frames.Hops, now: float, sent: float) -> float:
         return 0.0
--- a/sablewheel/trials/forwarding.py
+++ b/sablewheel/trials/forwarding.py
@@ -1,8 +1,8 @@
-"""The forward path's trial: four servers that pass most of their tickets to one another, each with an
+"""The forward path's trial: four servers that pass most of their requests to one another, each with an
 interpreter and routers of its own, each link through the fault relay.
 
-Links are cut both ways and one way and made slow; servers are stopped for longer than a ticket's time,
-killed, and started again cold, all while tickets are passed. What interpreters began is set against what
+Links are cut both ways and one way and made slow; servers are stopped for longer than a request's time,
+killed, and started again cold, all while requests are passed. What interpreters began is set against what
 routers sent.
 """
 
@@ -33,9 +33,9 @@
 SLACK = 0.3  # what a busy machine may add to a time that was kept
 PAUSE = ABANDON + 0.6
 SLOW = 0.08  # seconds that a slow link takes at least
-YOUNGER = SLOW / 2  # than it is, a ticket may be taken for: less than one slow hop
+YOUNGER = SLOW / 2  # than it is, a request may be taken for: less than one slow hop
 SHARE_LEAST = 0.95
-TRACKS = {
+REQUEST_CLASSES = {
     "lookup": {"share": 0.5},
     "record": {"share": 0.25, "labelled": True},
     "stamp": {"share": 0.25},
@@ -47,9 +47,13 @@
     {"name": "stamp", "on-time-s": 1.8, "deadline-s": ABANDON, "repeat": "unsafe"},
 ]
 KEYS: dict[str, object] = {
-    "period-s": 0.5, "probe-timeout-s": 0.25, "found-after-s": 1.0, "join-every-s": 0.3,
-    "vote-timeout-s": 0.5, "sync-every-s": 1.0,
-}  # fmt: skip
+    "period-s": 0.5,
+    "probe-timeout-s": 0.25,
+    "found-after-s": 1.0,
+    "join-every-s": 0.3,
+    "vote-timeout-s": 0.5,
+    "sync-every-s": 1.0,
+}
 
 
 @dataclass
@@ -90,9 +94,14 @@
             name, LISTEN, self.vms[name], name=name, listen=listen, settings=settings
         )
         self.processes[name] = self.rig.start(
-            name, "sablewheel.trials.forwarder", self.kind, str(self.rig.folder / f"{name}.guests"),
-            shifted=False, RELAY_CONFIG=str(told), SABLEWHEEL_FEATURES=str(path),
-        )  # fmt: skip
+            name,
+            "sablewheel.trials.forwarder",
+            self.kind,
+            str(self.rig.folder / f"{name}.guests"),
+            shifted=False,
+            RELAY_CONFIG=str(told),
+            SABLEWHEEL_FEATURES=str(path),
+        )
 
     def wait_up(self, name: str) -> None:
         until, place = time.monotonic() + PATIENCE, (self.host(name), LISTEN)
@@ -134,11 +143,17 @@
         seconds = healthy + sum(span for span, _ in plot) + 1.0
         routers = [
             rig.router(
-                f"r-{name}", [f"{stage.host(name)}:{LISTEN}"], rate=25, seconds=seconds, tracks=TRACKS,
-                cancels=0.03, seed=seed + place, patience_end=ABANDON + 2.0,
+                f"r-{name}",
+                [f"{stage.host(name)}:{LISTEN}"],
+                rate=25,
+                seconds=seconds,
+                request_classes=REQUEST_CLASSES,
+                cancels=0.03,
+                seed=seed + place,
+                patience_end=ABANDON + 2.0,
             )
             for place, name in enumerate(stage.names)
-        ]  # fmt: skip
+        ]
         time.sleep(1.0)
         with stage.fault("none"):
             time.sleep(healthy - 1.0)
@@ -207,17 +222,17 @@
     begins = Counter[str]()
     late_runs = ran = 0
     for name in stage.names:
-        for word, ticket, when in rig.runs(name):
-            if word == "begin" and ticket in own:
+        for word, request, when in rig.runs(name):
+            if word == "begin" and request in own:
                 ran += 1
-                begins[ticket] += 1
-                late_runs += when > own[ticket]["from"] + ABANDON + SLACK
+                begins[request] += 1
+                late_runs += when > own[request]["from"] + ABANDON + SLACK
     younger = guests = 0
     for name in stage.names:
-        for ticket, arrived in _pairs(rig.folder / f"{name}.guests"):
-            if ticket in own:
+        for request, arrived in _pairs(rig.folder / f"{name}.guests"):
+            if request in own:
                 guests += 1
-                younger += arrived > own[ticket]["sent"] + YOUNGER
+                younger += arrived > own[request]["sent"] + YOUNGER
     second_runs = sum(many > 1 for name, many in begins.items() if own[name]["track"] != "lookup")
     down = [span for what in ("killed", "cold") for span in stage.spans.get(what, [])]
     unanswered = lost = late = torn = never = 0
@@ -248,20 +263,22 @@
     verdict.check("results are whole and of the ticket itself", torn + never == 0, f"{torn}, {never}")
     verdict.check("labelled and irreversible run at most once", second_runs == 0, second_runs)
     verdict.check(
-        "budgets shrink by the hop: no ticket is taken for younger than it is", younger == 0 < guests,
+        "budgets shrink by the hop: no ticket is taken for younger than it is",
+        younger == 0 < guests,
         f"{younger} of {guests}",
-    )  # fmt: skip
+    )
     verdict.check("nothing runs once its time is up", late_runs == 0, late_runs)
     verdict.check(
         f"with a peer killed or stopped, redoable tickets are served at {SHARE_LEAST} of healthy",
         min(asked, also) > 30 and min(killed, stopped) >= SHARE_LEAST * health > 0.5,
         f"killed {killed:.3f} of {asked}, stopped {stopped:.3f} of {also}, healthy {health:.3f}",
-    )  # fmt: skip
+    )
     verdict.check("most tickets went to a peer", guests > 0.5 * total, f"{guests} of {total}")
     verdict.check(
-        "links broke with tickets on them", ended > 0 and counters["forward_back"] > 0,
+        "links broke with tickets on them",
+        ended > 0 and counters["forward_back"] > 0,
         f"{ended} in error, {counters['forward_back']} back",
-    )  # fmt: skip
+    )
     verdict.check("all left in order at the end", not any(codes), codes)
     logs = "".join((rig.folder / f"{name}.log").read_text(errors="replace") for name in stage.names)
     verdict.check("no fault of our own in the logs", "Traceback" not in logs, logs.count("Traceback"))
@@ -293,7 +310,7 @@
 def _share(
     tries: dict[str, list[dict[str, Any]]], spans: list[tuple[str, float, float]]
 ) -> tuple[float, int]:
-    """The share of redoable tickets served that were sent within the spans, to others than whom they name."""
+    """The share of redoable requests served that were sent within the spans, to others than they name."""
     served = asked = 0
     for who, since, to in spans:
         for name, each in tries.items():
--- a/sablewheel/trials/interpreter.py
+++ b/sablewheel/trials/interpreter.py
@@ -72,13 +72,13 @@
                 writer.write(b"BANNER steady %d\r\n" % age)
                 missed = self.number - int(last)
                 writer.write(b"".join(list(self.notices)[-missed:] if missed > 0 else []))
-            case [b"APPLY", name, track, _]:
+            case [b"APPLY", name, request_class, _]:
                 # One whose run has ended begins again: the request is not over before its answer is written.
                 if name not in self.running and all(name != queued for queued, *_ in self.line):
                     if len(self.running) < self.cores:
-                        self.begin(name, track, body)
+                        self.begin(name, request_class, body)
                     else:
-                        self.line.append((name, track, body))
+                        self.line.append((name, request_class, body))
             case [b"BREAK", name]:
                 if name in self.running:
                     self.running.pop(name).cancel()
@@ -94,12 +94,12 @@
             case _:
                 writer.close()
 
-    def begin(self, name: bytes, track: bytes, body: bytes) -> None:
+    def begin(self, name: bytes, request_class: bytes, body: bytes) -> None:
         self.note("begin", name)
-        self.running[name] = asyncio.get_running_loop().create_task(self.run(name, track, body))
+        self.running[name] = asyncio.get_running_loop().create_task(self.run(name, request_class, body))
 
-    async def run(self, name: bytes, track: bytes, body: bytes) -> None:
-        work = self.work[track.decode()] * self.scatter.uniform(0.7, 1.3)
+    async def run(self, name: bytes, request_class: bytes, body: bytes) -> None:
+        work = self.work[request_class.decode()] * self.scatter.uniform(0.7, 1.3)
         await asyncio.sleep(work)
         self.running.pop(name, None)
         failed = self.scatter.random() < self.fail
@@ -115,8 +115,13 @@
     def tell(self, name: bytes, how: bytes, took: float, result: bytes) -> None:
         self.number += 1
         notice = b"VALUE %d %b %b %.3f %d\r\n%b\r\n" % (
-            self.number, name, how, took * 1000, len(result), result,
-        )  # fmt: skip
+            self.number,
+            name,
+            how,
+            took * 1000,
+            len(result),
+            result,
+        )
         self.notices.append(notice)
         if self.link is not None and not self.link.is_closing():
             self.link.write(notice)
--- a/sablewheel/trials/ledger.py
+++ b/sablewheel/trials/ledger.py
@@ -1,8 +1,8 @@
 """The ledger's trial: three servers, a collector that dies and hiccups, a server that dies, a drain across a
 close.
 
-What the routers hold, what the interpreters ran and what stands in the book must be the same, ticket by
-ticket.
+What the routers hold, what the interpreters ran and what stands in the book must be the same, request by
+request.
 """
 
 from __future__ import annotations
@@ -42,10 +42,15 @@
 def collector_features(port: int, book: Path) -> str:
     return "\n".join(
         [
-            "version: 1", "collector:", f"  book: {book}", f"  listen: 127.0.0.1:{port}",
-            f"  period: {{zone: UTC, length: hour, lag-s: {LAG:g}}}", "  close-every-s: 0.2", "",
+            "version: 1",
+            "collector:",
+            f"  book: {book}",
+            f"  listen: 127.0.0.1:{port}",
+            f"  period: {{zone: UTC, length: hour, lag-s: {LAG:g}}}",
+            "  close-every-s: 0.2",
+            "",
         ]
-    )  # fmt: skip
+    )
 
 
 @dataclass
@@ -127,11 +132,17 @@
     burst = [{"customer": "regina", "from": seconds * 0.4, "to": seconds * 0.55, "times": 3}]
     routers = [
         rig.router(
-            name, [f"127.0.0.1:{stage.ports[one]}"], rate=110, seconds=seconds, repeats=0.25, cancels=0.04,
-            bursts=burst, seed=seed + place,
+            name,
+            [f"127.0.0.1:{stage.ports[one]}"],
+            rate=110,
+            seconds=seconds,
+            repeats=0.25,
+            cancels=0.04,
+            bursts=burst,
+            seed=seed + place,
         )
         for place, (name, one) in enumerate((("r1", "n1"), ("r2", "n2"), ("r3", "n3")))
-    ]  # fmt: skip
+    ]
 
     def at(moment: float) -> None:
         time.sleep(max(begun + moment - time.monotonic(), 0.0))
@@ -224,7 +235,7 @@
     by_server: dict[str, list[dict[str, Any]]],
     lines: dict[str, list[dict[str, Any]]],
 ) -> None:
-    """Every answer that a router holds is in the book once, with its customer, track and outcome."""
+    """Every answer that a router holds is in the book once, with its tenant, request class and outcome."""
     gaps = doubles = wrong = 0
     example = ""
     for server, tries in by_server.items():
@@ -240,8 +251,10 @@
             if not entries:
                 example = f"{server} {one['name']} {word}"
             elif (entries[0]["customer"], entries[0]["track"], entries[0]["outcome"]) != (
-                one["customer"], one["track"], OUTCOMES[word],
-            ):  # fmt: skip
+                one["customer"],
+                one["track"],
+                OUTCOMES[word],
+            ):
                 wrong += 1
                 example = f"{server} {one} {entries[0]}"
     verdict.check(
@@ -256,9 +269,11 @@
     completed = {one["name"] for tries in by_server.values() for one in tries if one["how"] == "completed"}
     known = {one["name"]: one["how"] for tries in by_server.values() for one in tries}
     extra = [
-        one for name, each in lines.items() for one in each[:1]
+        one
+        for name, each in lines.items()
+        for one in each[:1]
         if one["outcome"] == 1 and name not in completed and known.get(name) != "withdrawn"
-    ]  # fmt: skip
+    ]
     flagged = _flagged(stage)
     unflagged = [one for one in extra if (one["server"], one["incarnation"], one["sequence"]) not in flagged]
     lost = sum(one["how"] == "lost" for tries in by_server.values() for one in tries)
@@ -298,7 +313,7 @@
     by_server: dict[str, list[dict[str, Any]]],
     lines: dict[str, list[dict[str, Any]]],
 ) -> None:
-    """Each run that a client holds a result of is billed once, to its customer, and was run once."""
+    """Each run that a client holds a result of is billed once, to its tenant, and was run once."""
     gaps = doubles = never_ran = 0
     totals_held: Counter[tuple[str, str, str]] = Counter()
     totals_billed: Counter[tuple[str, str, str]] = Counter()
@@ -309,27 +324,28 @@
             if one["how"] == "completed":
                 held[one["result"].split(" ")[2]] = (one["customer"], one["track"])
         billed: Counter[str] = Counter()
-        customers: dict[str, tuple[str, str]] = {}
+        tenants: dict[str, tuple[str, str]] = {}
         for each in lines.values():
             for one in each:
                 if one["billed"] and one["server"] == server:
                     made = str(one["run"] or one["name"])
                     billed[made] += 1
-                    customers[made] = (str(one["customer"]), str(one["track"]))
+                    tenants[made] = (str(one["customer"]), str(one["track"]))
         gaps += sum(name not in billed for name in held)
         doubles += sum(times > 1 for times in billed.values())
         never_ran += sum(ended[name] != 1 for name in billed)
         for name, key in held.items():
             totals_held[(server, *key)] += 1
-            if name in customers:
-                totals_billed[(server, *customers[name])] += 1
+            if name in tenants:
+                totals_billed[(server, *tenants[name])] += 1
     verdict.check("every run that a client has the result of is billed", gaps == 0, gaps)
     verdict.check("no run is billed twice", doubles == 0, doubles)
     verdict.check("what is billed was run, once, at the interpreter", never_ran == 0, never_ran)
     verdict.check(
-        "billed totals by server, customer and track equal the clients'", totals_held == totals_billed,
+        "billed totals by server, customer and track equal the clients'",
+        totals_held == totals_billed,
         f"{sum(totals_billed.values())} of {sum(totals_held.values())}",
-    )  # fmt: skip
+    )
 
 
 def _check_books(stage: Stage, verdict: Verdict, book: Book) -> None:
--- a/sablewheel/trials/ledger_cost.py
+++ b/sablewheel/trials/ledger_cost.py
@@ -81,12 +81,16 @@
         run_us += 20_000 * completed
         pool.add(
             pb.Entry(
-                customer=f"c{place % 8}", track=("lookup", "record")[place % 2],
-                outcome=pb.COMPLETED if completed else pb.DENIED, ended_us=start + place * step,
-                billed=completed, run_us=20_000 * completed,
-                name=place.to_bytes(8, "big"), goal_kept=completed,
+                customer=f"c{place % 8}",
+                track=("lookup", "record")[place % 2],
+                outcome=pb.COMPLETED if completed else pb.DENIED,
+                ended_us=start + place * step,
+                billed=completed,
+                run_us=20_000 * completed,
+                name=place.to_bytes(8, "big"),
+                goal_kept=completed,
             )
-        )  # fmt: skip
+        )
         if place % 2000 == 0:
             used = process.memory_info().rss / 1e6
             most = max(most, used)
--- a/sablewheel/trials/ledger_size.py
+++ b/sablewheel/trials/ledger_size.py
@@ -79,19 +79,26 @@
 
 
 def blocks(entries: int) -> Iterator[Sealed]:
-    """Blocks as a server would write them: eight customers, two tracks, over two days."""
+    """Blocks as a server would write them: eight tenants, two request classes, over two days."""
     pool = Pool("n1", b"12345678", Periods(Calendar(length=Length.DAY)), 1 << 20, 5_000)
     step = 2 * 86_400 * 1_000_000 // entries
     for place in range(entries):
         completed = place % 5 != 0
         pool.add(
             pb.Entry(
-                customer=f"customer-{place % 8}", track=("lookup", "record")[place % 2],
-                outcome=pb.COMPLETED if completed else pb.DENIED, ended_us=START + place * step,
-                arrived_us=START + place * step - 40_000, run_us=25_000 * completed, asked_bytes=180,
-                answer_bytes=220, goal_kept=completed, billed=completed, name=place.to_bytes(8, "big"),
+                customer=f"customer-{place % 8}",
+                track=("lookup", "record")[place % 2],
+                outcome=pb.COMPLETED if completed else pb.DENIED,
+                ended_us=START + place * step,
+                arrived_us=START + place * step - 40_000,
+                run_us=25_000 * completed,
+                asked_bytes=180,
+                answer_bytes=220,
+                goal_kept=completed,
+                billed=completed,
+                name=place.to_bytes(8, "big"),
             )
-        )  # fmt: skip
+        )
         if pool.kept >= BLOCK:
             yield pool.cut(START / 1e6, pool.last, BLOCK)
     if not pool.empty:
@@ -181,9 +188,14 @@
 
 def main() -> None:
     steps: dict[str, Callable[[Path, int], bool]] = {
-        "append": append, "sqlite": sqlite, "recover": recover, "post": post, "verify": verify,
-        "statement": statement, "reconcile": reconcile,
-    }  # fmt: skip
+        "append": append,
+        "sqlite": sqlite,
+        "recover": recover,
+        "post": post,
+        "verify": verify,
+        "statement": statement,
+        "reconcile": reconcile,
+    }
     if sys.argv[1] in ("append", "sqlite"):
         made = time.perf_counter()
         for _ in blocks(int(sys.argv[3])):
--- a/sablewheel/trials/membership.py
+++ b/sablewheel/trials/membership.py
@@ -70,8 +70,15 @@
         """The fleets that get the same faults at the same time."""
         return [self.ours, *self.others]
 
-    def spell(self, what: str, act: Callable[[Fleet], None], undo: Callable[[Fleet], None], span: float,
-              rest: float = 4.0, may_go: frozenset[str] = frozenset()) -> None:  # fmt: skip
+    def spell(
+        self,
+        what: str,
+        act: Callable[[Fleet], None],
+        undo: Callable[[Fleet], None],
+        span: float,
+        rest: float = 4.0,
+        may_go: frozenset[str] = frozenset(),
+    ) -> None:
         """One fault on all fleets for `span` seconds, and the time after it in which it could still tell."""
         spell = Spell(what, time.time(), may_go=may_go)
         self.spells.append(spell)
@@ -355,8 +362,11 @@
     for group, begun, healed, ended in stage.cuts:
         out, back = _changes(stage.ours, begun, healed), _changes(stage.ours, healed, ended)
         gone = {name for name in group if any(f"remove:{name}@" in one for one in out.values())}
-        verdict.check(f"{len(group)} cut off together go in one view", len(out) == 1 and gone == group,
-                      "; ".join(out.values()) or "none")  # fmt: skip
+        verdict.check(
+            f"{len(group)} cut off together go in one view",
+            len(out) == 1 and gone == group,
+            "; ".join(out.values()) or "none",
+        )
         verdict.check("and come in again in one view or two", 1 <= len(back) <= 2, len(back))
         outs.append(len(out))
         backs.append(len(back))
@@ -422,8 +432,11 @@
     total = {kind: sum(those.values()) for kind, those in removed.items()}
     if stage.others:
         least = min(total[fleet.kind] for fleet in stage.others)
-        verdict.check("fewer healthy members taken out than by both baselines", total[ours.kind] < least,
-                      ", ".join(f"{kind} {count}" for kind, count in total.items()))  # fmt: skip
+        verdict.check(
+            "fewer healthy members taken out than by both baselines",
+            total[ours.kind] < least,
+            ", ".join(f"{kind} {count}" for kind, count in total.items()),
+        )
         faster = min(statistics.median(detected[fleet.kind]) for fleet in stage.others)
         medians = {kind: statistics.median(those) for kind, those in detected.items()}
         verdict.check(
--- a/sablewheel/trials/membership_model.py
+++ b/sablewheel/trials/membership_model.py
@@ -111,20 +111,36 @@
             probe, agreement = node.detector.probe, node.voting.agreement
             seen.append(
                 (
-                    node.view.names if node.view else None, node.view.epoch if node.view else 0,
-                    node.me.incarnation, node.detector.health, sorted(node.roster.raised.items()),
-                    sorted((n, s.incarnation, sorted(s.by), s.probed_since, s.faulty,
-                            round(self.now - s.since, 1)) for n, s in node.suspicions.held.items()),
-                    sorted((k, sorted((by, m.incarnation) for by, m in those.items()))
-                           for k, those in node.reports.alerts.items()),
+                    node.view.names if node.view else None,
+                    node.view.epoch if node.view else 0,
+                    node.me.incarnation,
+                    node.detector.health,
+                    sorted(node.roster.raised.items()),
+                    sorted(
+                        (
+                            n,
+                            s.incarnation,
+                            sorted(s.by),
+                            s.probed_since,
+                            s.faulty,
+                            round(self.now - s.since, 1),
+                        )
+                        for n, s in node.suspicions.held.items()
+                    ),
+                    sorted(
+                        (k, sorted((by, m.incarnation) for by, m in those.items()))
+                        for k, those in node.reports.alerts.items()
+                    ),
                     (probe.target, probe.asked, probe.nacks) if probe else None,
                     sorted(map(repr, agreement.votes.items())) if agreement else None,
                     repr(agreement.promised) if agreement else None,
                     [(repr(one.item), one.left) for one in node.gossip.news],
-                    round(node.wake_at - self.now, 1), node.reports.waits(self.now),
-                    node.suspicions.unheard(), node.detector.unanswered(),
+                    round(node.wake_at - self.now, 1),
+                    node.reports.waits(self.now),
+                    node.suspicions.unheard(),
+                    node.detector.unanswered(),
                 )
-            )  # fmt: skip
+            )
         way = [(sender, to, repr(message.body)) for sender, to, message in self.way]
         return hashlib.blake2b(repr((seen, way)).encode(), digest_size=12).digest()
 
--- a/sablewheel/trials/membership_size.py
+++ b/sablewheel/trials/membership_size.py
@@ -82,15 +82,24 @@
     base = found[sizes[0]]["messages_a_member_a_second"]
     for n, figures in found.items():
         rounds, limit = figures["rumour_rounds"], ROUNDS_MOST * math.log2(n)
-        verdict.check(f"{n}: a rumour is everywhere in a few times log n rounds", rounds <= limit,
-                      f"{rounds:.1f} of {limit:.1f}")  # fmt: skip
+        verdict.check(
+            f"{n}: a rumour is everywhere in a few times log n rounds",
+            rounds <= limit,
+            f"{rounds:.1f} of {limit:.1f}",
+        )
         ratio = figures["messages_a_member_a_second"] / base
         verdict.check(f"{n}: messages a member stay flat", ratio <= LOAD_MOST, f"{ratio:.3f}")
         limit = OUT_MOST * SETTINGS.suspicion_least * SETTINGS.period
-        verdict.check(f"{n}: the dead is out of nearly every view", figures["out_s"] <= limit,
-                      f"{figures['out_s']:.2f} s")  # fmt: skip
-        verdict.check(f"{n}: no healthy member is taken out", figures["healthy_removed"] == 0,
-                      f"{figures['healthy_removed']:.0f}")  # fmt: skip
+        verdict.check(
+            f"{n}: the dead is out of nearly every view",
+            figures["out_s"] <= limit,
+            f"{figures['out_s']:.2f} s",
+        )
+        verdict.check(
+            f"{n}: no healthy member is taken out",
+            figures["healthy_removed"] == 0,
+            f"{figures['healthy_removed']:.0f}",
+        )
         verdict.check(f"{n}: one view at the end", figures["views"] == 1, f"{figures['views']:.0f}")
         for name, value in figures.items():
             verdict.figures[f"{n}_{name}"] = round(value, 2)
--- a/sablewheel/trials/paired.py
+++ b/sablewheel/trials/paired.py
@@ -17,7 +17,7 @@
 def side_by_side(
     rig: Rig, kinds: Mapping[str, Text], seconds: float, goal: float, **load: Any
 ) -> dict[str, dict[str, float]]:
-    """By kind: CPU a ticket (us), p50 and p99 of completed answers (ms), completed within the goal a second,
+    """By kind: CPU a request (us), p50 and p99 of completed answers (ms), completed within the goal a second,
     MB.
     """
     ports: dict[str, int] = {}
--- a/sablewheel/trials/policy.py
+++ b/sablewheel/trials/policy.py
@@ -3,7 +3,7 @@
 Six servers, each with an interpreter of its own, links through the fault relay. A new version comes while two
 are cut off, who are given another; capable servers are killed and come back, twice in a row; one starts again
 on other hardware; all that are left are killed; a translation comes out wrong. Beside them, under the same
-tickets and the same kills, run two baselines: each server by itself, and a fleet at its weakest class's
+requests and the same kills, run two baselines: each server by itself, and a fleet at its weakest class's
 subset. What interpreters began is set against what flows require.
 """
 
@@ -38,7 +38,7 @@
 FEW = ("m4", "m5")  # who is cut off
 CHANGES_MOST = 2  # of what holds, for one fault
 SLACK = 0.2  # a run that was admitted may begin so long after its server's policy changed
-TRACKS = {"pay": {"share": 0.3, "labelled": True}, "read": {"share": 0.4}, "bulk": {"share": 0.3}}
+REQUEST_CLASSES = {"pay": {"share": 0.3, "labelled": True}, "read": {"share": 0.4}, "bulk": {"share": 0.3}}
 WORK = {"pay": 0.03, "read": 0.02, "bulk": 0.02}
 CLASSES = [
     {"name": "pay", "on-time-s": 1.0, "deadline-s": 2.0, "repeat": "keyed", "window-s": 5.0},
@@ -67,9 +67,13 @@
     worth: 1
 """
 MEMBERSHIP: dict[str, object] = {
-    "period-s": 0.25, "probe-timeout-s": 0.1, "found-after-s": 1.0, "join-every-s": 0.3,
-    "vote-timeout-s": 0.5, "sync-every-s": 1.0,
-}  # fmt: skip
+    "period-s": 0.25,
+    "probe-timeout-s": 0.1,
+    "found-after-s": 1.0,
+    "join-every-s": 0.3,
+    "vote-timeout-s": 0.5,
+    "sync-every-s": 1.0,
+}
 RULES = {"dwell-down-s": 0.8, "dwell-up-s": 5.0, "rest-s": 2.0, "settle-s": 1.0, "stagger-s": 2.0}
 LINE = re.compile(r"^time=(\S+) level=\S+ from=capability\.shell(?:\.changes)? event=(.*)$")
 
@@ -139,15 +143,24 @@
         path.write_text(self.texts(name, kind))
         small = kind == "small"
         extra = {
-            "cores": 2 if small else 4, "memory-kb": 20000.0, "run-factor": 4.0, "key-kb": 1.0,
-            "halt": "off" if small else "drop", "idle-s": 30.0, "callers": 4,
+            "cores": 2 if small else 4,
+            "memory-kb": 20000.0,
+            "run-factor": 4.0,
+            "key-kb": 1.0,
+            "halt": "off" if small else "drop",
+            "idle-s": 30.0,
+            "callers": 4,
             "share-for-s": 0.0 if small else 10.0,
-        }  # fmt: skip
+        }
         told = rig.configuration(
-            label, LISTEN, self.vms[name], name=name, listen=f"{self.host(name)}:{LISTEN}",
+            label,
+            LISTEN,
+            self.vms[name],
+            name=name,
+            listen=f"{self.host(name)}:{LISTEN}",
             limits={"memory_mb": 16 if small else 192, "sockets": 1024},
             settings={"classes": CLASSES, "servers": self.size, "extra": extra},
-        )  # fmt: skip
+        )
         words = ["sablewheel"]
         if self.has_policy:
             words = ["sablewheel.trials.policy_member", self.kind]
@@ -282,11 +295,14 @@
 def _routers(rig: Rig, act: Act, seconds: float) -> list[Process]:
     return [
         rig.router(
-            stage.label("router"), [f"{stage.host(name)}:{LISTEN}" for name in stage.names], rate=60,
-            seconds=seconds, tracks=TRACKS,
+            stage.label("router"),
+            [f"{stage.host(name)}:{LISTEN}" for name in stage.names],
+            rate=60,
+            seconds=seconds,
+            request_classes=REQUEST_CLASSES,
         )
         for stage in act.all
-    ]  # fmt: skip
+    ]
 
 
 def _plot(act: Act, rounds: int) -> list[tuple[float, Callable[[], None]]]:
@@ -360,8 +376,9 @@
     unfit = [one for one in served if one[2] != "disk"]
     verdict.check(
         "no ticket served by a class that can't run what its flow requires",
-        not unfit and len(served) > 100, f"{len(unfit)} of {len(served)}",
-    )  # fmt: skip
+        not unfit and len(served) > 100,
+        f"{len(unfit)} of {len(served)}",
+    )
     by_epoch: dict[str, set[tuple[str, str]]] = {}
     for line in holds:
         by_epoch.setdefault(line.pairs["epoch"], set()).add((line.pairs["policy"], line.pairs["rungs"]))
@@ -369,8 +386,11 @@
     verdict.check("no epoch with two active translations", not double, double or len(by_epoch))
     numbers = {one.pairs["policy"].split(".")[0] for one in holds}
     verdict.check("versions came into force", {"1", "2", "3"} <= numbers, sorted(numbers))
-    first = {one.pairs["epoch"] for one in holds if one.pairs["policy"].startswith("1.")
-             and one.when < min(span[0] for span in act.spans.values())}  # fmt: skip
+    first = {
+        one.pairs["epoch"]
+        for one in holds
+        if one.pairs["policy"].startswith("1.") and one.when < min(span[0] for span in act.spans.values())
+    }
     verdict.check("the first version at one epoch everywhere", len(first) == 1, sorted(first))
     refused = sum(one.what == "policy refused" for one in lines)
     verdict.check("a wrong translation is refused by who can't run it", refused > 0, refused)
@@ -388,15 +408,16 @@
         "a flow nobody can run is denied early, with a come-back time",
         len(quick) >= 0.95 * len(denied) > 5 and told >= 0.95 * len(quick) and late < 0.1,
         f"{len(quick)} of {len(denied)}, {told} told, {1000 * late:.1f} ms",
-    )  # fmt: skip
+    )
     causes = {one.pairs.get("reason", "") for one in lines if one.what == "flow denied"}
     verdict.check("and its cause is in the log", "no member can run durable-recall" in causes, len(causes))
     worth = {stage.kind: _worth(stage, tries[stage.kind], begun[stage.kind]) for stage in act.all}
     for stage in act.others:
         verdict.check(
-            f"worth served above the baseline {stage.kind}", worth[ours.kind] > worth[stage.kind],
+            f"worth served above the baseline {stage.kind}",
+            worth[ours.kind] > worth[stage.kind],
             f"{worth[ours.kind]} to {worth[stage.kind]}",
-        )  # fmt: skip
+        )
     verdict.check("all left in order at the end", not any(codes), codes)
     paths = [rig.folder / f"{ours.label(name)}.log" for name in ours.names]
     logs = "".join(path.read_text(errors="replace") for path in paths)
@@ -407,31 +428,31 @@
         for key, value in rig.counters(ours.processes[name]).items():
             if key.startswith(("policy_denied", "policy_refused", "forward_")) and value.isdigit():
                 counters[key] += int(value)
-    tracks = Counter(one["track"] for one in tries[ours.kind] if one["how"] == "denied")
+    request_classes = Counter(one["track"] for one in tries[ours.kind] if one["how"] == "denied")
     verdict.figures |= {
         "tickets": len(tries[ours.kind]),
         **{how: hows[how] for how in ("completed", "denied", "terminated", "lost", "unanswered")},
         "pay_served": len(served),
         "pay_served_unfit": len(unfit),
         "epochs": len(by_epoch),
-        **{f"denied_{track}": many for track, many in sorted(tracks.items())},
+        **{f"denied_{request_class}": many for request_class, many in sorted(request_classes.items())},
         **dict(sorted(counters.items())),
         **{f"worth_{kind}": value for kind, value in worth.items()},
     }
 
 
 def _begun(stage: Stage) -> dict[str, list[tuple[str, float]]]:
-    """By ticket, the servers that ran it and when."""
+    """By request, the servers that ran it and when."""
     found: dict[str, list[tuple[str, float]]] = {}
     for name in stage.names:
-        for word, ticket, when in stage.rig.runs(stage.label(name)):
+        for word, request, when in stage.rig.runs(stage.label(name)):
             if word == "begin":
-                found.setdefault(ticket, []).append((name, when))
+                found.setdefault(request, []).append((name, when))
     return found
 
 
 def _worth(stage: Stage, tries: list[dict[str, Any]], begun: dict[str, list[tuple[str, float]]]) -> int:
-    """What completed tickets are worth: nothing without what is required, more with what is preferred."""
+    """What completed requests are worth: nothing without what is required, more with what is preferred."""
     total = 0
     for one in tries:
         if one["how"] != "completed" or one["name"] not in begun:
--- a/sablewheel/trials/policy_fleet.py
+++ b/sablewheel/trials/policy_fleet.py
@@ -39,8 +39,16 @@
 
 TRANSLATES_FOR = 1.0
 FOUND_LEAST = 4  # more than half of these fleets: what starts anew behind a cut founds nothing of its own
-SETTINGS = Settings(period=0.25, probe_timeout=0.1, vote_timeout=0.5, sync_every=1.0, found_after=1.0,
-                    found_least=FOUND_LEAST, join_every=0.3, settle=1.0)  # fmt: skip
+SETTINGS = Settings(
+    period=0.25,
+    probe_timeout=0.1,
+    vote_timeout=0.5,
+    sync_every=1.0,
+    found_after=1.0,
+    found_least=FOUND_LEAST,
+    join_every=0.3,
+    settle=1.0,
+)
 RULES = Rules(dwell_down=2.0, dwell_up=10.0, rest=5.0, settle=1.0, stagger=2.0)
 EVERY = (1 << 12) - 1  # the codes of all features but rank-order
 CLASSES = {
@@ -163,8 +171,8 @@
         held = self.member(name).rollout.active
         return held.name.split(":")[0] if held is not None else ""
 
-    def route(self, name: str, track: str) -> Route:
-        return self.member(name).rollout.route(track, "any", self.zones[name])
+    def route(self, name: str, request_class: str) -> Route:
+        return self.member(name).rollout.route(request_class, "any", self.zones[name])
 
     def rung(self, name: str, flow: str) -> int:
         rollout = self.member(name).rollout
--- a/sablewheel/trials/policy_member.py
+++ b/sablewheel/trials/policy_member.py
@@ -1,7 +1,8 @@
 """A server of the policy's trial: ours, broken on purpose, or the baseline of a fleet at its weakest class.
 
 python -m sablewheel.trials.policy_member ours | ignore-class | minority-activates | no-dwell | unverified
-python -m sablewheel.trials.policy_member weakest TRACK     a server that denies what the weakest can't run
+python -m sablewheel.trials.policy_member weakest REQUEST_CLASS     a server that denies what the weakest
+can't run
 
 In all but the baseline the translation of one document, number TAMPERED, comes out wrong: it has every class
 run what the richest does.
@@ -41,11 +42,11 @@
         return Translated(Bundle(told.made.policy, wrong))
 
 
-def weakest(track: bytes) -> None:
+def weakest(request_class: bytes) -> None:
     arrived = Dispatch.arrived
 
     def only_weak(self: Dispatch, exchange: Exchange) -> None:
-        if exchange.track == track:
+        if exchange.request_class == request_class:
             return exchange.deny(0.0, True)
         arrived(self, exchange)
 
--- a/sablewheel/trials/recall.py
+++ b/sablewheel/trials/recall.py
@@ -55,9 +55,12 @@
 
     def interpreter(self, name: str) -> None:
         self.interpreters[name] = self.rig.interpreter(
-            name, self.vms[name], outlives=name != "n2", age=60.0 if name != "n2" else 0.0,
+            name,
+            self.vms[name],
+            outlives=name != "n2",
+            age=60.0 if name != "n2" else 0.0,
             work={"lookup": 0.02, "record": 0.04},
-        )  # fmt: skip
+        )
 
     def kill(self, name: str) -> None:
         self.memory[name].append(self.servers[name].usage()[1])
@@ -90,13 +93,18 @@
     rig, chance = stage.rig, random.Random(seed)
     routers = [
         rig.router(
-            f"r-{name}", [f"127.0.0.1:{stage.ports[name]}"], rate=130 if name == "n3" else 70,
-            seconds=seconds, repeats=0.6,
-            repeat_within=WITHIN, tracks={"record": {"share": 1.0, "labelled": True}}, cancels=0.03,
+            f"r-{name}",
+            [f"127.0.0.1:{stage.ports[name]}"],
+            rate=130 if name == "n3" else 70,
+            seconds=seconds,
+            repeats=0.6,
+            repeat_within=WITHIN,
+            request_classes={"record": {"share": 1.0, "labelled": True}},
+            cancels=0.03,
             seed=seed + place,
         )
         for place, name in enumerate(NAMES)
-    ]  # fmt: skip
+    ]
     begun, clock = time.monotonic(), 0.0
     turn = 0
     while True:
@@ -138,9 +146,9 @@
         tries = list(stage.rig.held(f"r-{name}"))
         labels = {one["name"]: one["label"] for one in tries}
         begins: dict[str, list[float]] = defaultdict(list)
-        for word, ticket, when in stage.rig.runs(name):
-            if word == "begin" and ticket in labels:
-                begins[labels[ticket]].append(when)
+        for word, request, when in stage.rig.runs(name):
+            if word == "begin" and request in labels:
+                begins[labels[request]].append(when)
         second_runs += sum(len(each) - 1 for each in begins.values())
         by_label: dict[str, list[dict[str, Any]]] = defaultdict(list)
         for one in sorted(tries, key=lambda one: one["until"]):
@@ -160,9 +168,10 @@
         if name == "n3":
             room_denials = sum(one["how"] == "denied" for one in tries)
             unadvised = [
-                f"{one['name']}@{one['from']:.3f}" for one in tries
+                f"{one['name']}@{one['from']:.3f}"
+                for one in tries
                 if one["how"] == "denied" and not one.get("come_back", False)
-            ]  # fmt: skip
+            ]
             advised = room_denials - len(unadvised)
     verdict.check("no label ran twice within its window", second_runs == 0, second_runs)
     verdict.check("nothing that ran was denied", denied_ran == 0, denied_ran)
--- a/sablewheel/trials/recall_cost.py
+++ b/sablewheel/trials/recall_cost.py
@@ -1,4 +1,4 @@
-"""What recall costs: labelled tickets on servers with it and without, side by side; and how long a start
+"""What recall costs: labelled requests on servers with it and without, side by side; and how long a start
 takes.
 """
 
@@ -26,7 +26,7 @@
 CPU, THROUGHPUT, READY = 1.5, 0.85, 1.2
 LIVE, WINDOWS = 100_000, 10
 GOAL = 0.8
-TRACKS = {"record": {"share": 1.0, "labelled": True}}
+REQUEST_CLASSES = {"record": {"share": 1.0, "labelled": True}}
 
 
 def run(seed: int, quick: bool) -> Verdict:
@@ -37,7 +37,7 @@
     for turn in range(turns):
         for rounds, rate in ((calm, 90), (pressed, 200)):
             with Rig(seed + turn) as rig:
-                load = {"rate": rate, "repeats": 0.1, "tracks": TRACKS, "seed": seed + turn}
+                load = {"rate": rate, "repeats": 0.1, "request_classes": REQUEST_CLASSES, "seed": seed + turn}
                 rounds.add(side_by_side(rig, kinds, seconds, GOAL, **load))
     for figure in ("cpu_us", "p50_ms", "p99_ms", "memory_mb"):
         for kind in kinds:
--- a/sablewheel/trials/replication.py
+++ b/sablewheel/trials/replication.py
@@ -30,7 +30,7 @@
 PAUSE = 5.0
 LABELLED_LEAST, REDOABLE_LEAST = 0.95, 0.98
 DRAWS = 60  # seeds of the baseline's faults
-TRACKS = {"lookup": {"share": 0.4}, "record": {"share": 0.6, "labelled": True}}
+REQUEST_CLASSES = {"lookup": {"share": 0.4}, "record": {"share": 0.6, "labelled": True}}
 CLASSES = [
     {"name": "lookup", "on-time-s": 1.0, "deadline-s": ABANDON, "repeat": "safe"},
     {"name": "record", "on-time-s": 1.0, "deadline-s": ABANDON, "repeat": "keyed", "window-s": WINDOW},
@@ -55,9 +55,13 @@
         path = self.rig.folder / f"{name}.yaml"
         path.write_text(self.features(name))
         told = self.rig.configuration(
-            name, LISTEN, self.vms[name], name=name, listen=f"{self.host(name)}:{LISTEN}",
+            name,
+            LISTEN,
+            self.vms[name],
+            name=name,
+            listen=f"{self.host(name)}:{LISTEN}",
             settings={"classes": CLASSES, "servers": self.size},
-        )  # fmt: skip
+        )
         words = ("sablewheel.trials.replication_server", self.broken) if self.broken else ("sablewheel",)
         self.processes[name] = self.rig.start(
             name, *words, shifted=False, RELAY_CONFIG=str(told), SABLEWHEEL_FEATURES=str(path)
@@ -116,11 +120,18 @@
     import json
 
     told = {
-        "servers": [f"{stage.host(name)}:{LISTEN}" for name in stage.names], "seed": seed, "rate": 45,
-        "seconds": seconds, "customers": {"saskatoon": 0.5, "regina": 0.5}, "tracks": TRACKS,
-        "log": str(stage.rig.folder / "client.held"), "at_once": 0.25, "again": 0.5, "again_within": 4.0,
+        "servers": [f"{stage.host(name)}:{LISTEN}" for name in stage.names],
+        "seed": seed,
+        "rate": 45,
+        "seconds": seconds,
+        "tenants": {"saskatoon": 0.5, "regina": 0.5},
+        "request_classes": REQUEST_CLASSES,
+        "log": str(stage.rig.folder / "client.held"),
+        "at_once": 0.25,
+        "again": 0.5,
+        "again_within": 4.0,
         "patience_end": ABANDON + 2.0,
-    }  # fmt: skip
+    }
     return json.dumps(told)
 
 
@@ -199,11 +210,11 @@
     own = {one["name"]: one for one in tries}
     begins, by_label = Counter[str](), defaultdict(list)
     for name in stage.names:
-        for word, ticket, when in rig.runs(name):
-            if word == "begin" and ticket in own:
-                begins[ticket] += 1
-                if own[ticket]["label"]:
-                    by_label[own[ticket]["label"]].append((when, name, ticket))
+        for word, request, when in rig.runs(name):
+            if word == "begin" and request in own:
+                begins[request] += 1
+                if own[request]["label"]:
+                    by_label[own[request]["label"]].append((when, name, request))
     twice = {label: sorted(runs) for label, runs in by_label.items() if len(runs) > 1}
     # Past its window a label is free: what comes then is a new one.
     again = [label for label, runs in twice.items() if runs[1][0] - runs[0][0] < WINDOW]
@@ -223,7 +234,7 @@
         if one["how"] == "completed":
             if one["label"]:
                 results[one["label"]].add(one["result"])
-                ran = {f"made by {ticket} of body of" for _, _, ticket in by_label[one["label"]]}
+                ran = {f"made by {request} of body of" for _, _, request in by_label[one["label"]]}
                 other += not any(one["result"].startswith(made) for made in ran)
             else:
                 never += not begins[one["name"]]
@@ -237,9 +248,14 @@
     for one in tries:
         if one["label"]:
             labels[one["label"]].append(one)
-    healthy = {track: _share(tries, labels, at, stage.spans["none"], track) for track in TRACKS}
+    healthy = {
+        request_class: _share(tries, labels, at, stage.spans["none"], request_class)
+        for request_class in REQUEST_CLASSES
+    }
     hurt = [span for what in ("zone cut", "killed", "stopped") for span in stage.spans.get(what, [])]
-    shares = {track: _share(tries, labels, at, hurt, track) for track in TRACKS}
+    shares = {
+        request_class: _share(tries, labels, at, hurt, request_class) for request_class in REQUEST_CLASSES
+    }
     counters, claims = Counter[str](), []
     for name in stage.names:
         for key, value in rig.counters(stage.processes[name]).items():
@@ -251,8 +267,11 @@
     verdict.check("no label runs a second time in its window", not again, f"{len(again)} of {len(by_label)}")
     verdict.check("who is answered gets the very bytes of the run", other + never == 0, f"{other}, {never}")
     verdict.check("nothing that ran is denied", denied_ran == 0, denied_ran)
-    verdict.check("each try has its one answer, in time", unanswered + lost + late + seconds == 0,
-                  f"{unanswered} none, {lost} lost, {late} late, {seconds} second")  # fmt: skip
+    verdict.check(
+        "each try has its one answer, in time",
+        unanswered + lost + late + seconds == 0,
+        f"{unanswered} none, {lost} lost, {late} late, {seconds} second",
+    )
     verdict.check(
         f"on the majority's side labelled tries are served at {LABELLED_LEAST} of healthy",
         record[1] > 30 and record[0] >= LABELLED_LEAST * healthy["record"][0] > 0.5,
@@ -265,8 +284,11 @@
     )
     from_outcome = counters["replication_answered_from_outcome"]
     verdict.check("repeats elsewhere are answered from the outcome", from_outcome > 50, from_outcome)
-    verdict.check("no two outcomes of one label", not counters["replication_two_outcomes"],
-                  counters["replication_two_outcomes"])  # fmt: skip
+    verdict.check(
+        "no two outcomes of one label",
+        not counters["replication_two_outcomes"],
+        counters["replication_two_outcomes"],
+    )
     verdict.check("all left in order at the end", not any(codes), codes)
     logs = "".join((rig.folder / f"{name}.log").read_text(errors="replace") for name in stage.names)
     verdict.check("no fault of our own in the logs", "Traceback" not in logs, logs.count("Traceback"))
@@ -298,7 +320,7 @@
     labels: dict[str, list[dict[str, Any]]],
     at: dict[str, str],
     spans: list[tuple[str, float, float]],
-    track: str,
+    request_class: str,
 ) -> tuple[float, int]:
     """The share served of tries that were sent within the spans, none of whose label's were at whom the span
     names: what was begun on the other side of a cut, or at one that is gone, nobody on this side can know.
@@ -307,7 +329,7 @@
     for who, since, to in spans:
         away = set(who.split(","))
         for one in tries:
-            if one["track"] != track or not since <= one["from"] < to or at[one["server"]] in away:
+            if one["track"] != request_class or not since <= one["from"] < to or at[one["server"]] in away:
                 continue
             if any(at[each["server"]] in away for each in labels.get(one["label"], ())):
                 continue
--- a/sablewheel/trials/replication_client.py
+++ b/sablewheel/trials/replication_client.py
@@ -21,19 +21,19 @@
     """What `router` sends, and each labelled try again at other servers."""
 
     async def try_at(
-        self, server: str, track: str, name: bytes, customer: str, label: bytes, body: bytes
+        self, server: str, request_class: str, name: bytes, tenant: str, label: bytes, body: bytes
     ) -> None:
-        await super().try_at(server, track, name, customer, label, body)
+        await super().try_at(server, request_class, name, tenant, label, body)
         if not label:
             return
         others = [one for one in self.told["servers"] if one != server]
         if self.chance.random() < float(self.told["at_once"]):
             at = self.chance.choice(others)
-            await super().try_at(at, track, self.name(), customer, label, body)
+            await super().try_at(at, request_class, self.name(), tenant, label, body)
         for _ in range(self.chance.choice((1, 2))):
             if self.chance.random() < float(self.told["again"]):
                 wait = self.chance.uniform(0.0, float(self.told["again_within"]))
-                self.later(self.again(wait, self.chance.choice(others), track, customer, label, body))
+                self.later(self.again(wait, self.chance.choice(others), request_class, tenant, label, body))
 
     def name(self) -> bytes:
         return b"%016x" % self.chance.getrandbits(64)
@@ -44,10 +44,10 @@
         task.add_done_callback(self.late.discard)
 
     async def again(
-        self, wait: float, server: str, track: str, customer: str, label: bytes, body: bytes
+        self, wait: float, server: str, request_class: str, tenant: str, label: bytes, body: bytes
     ) -> None:
         await asyncio.sleep(wait)
-        await Routers.try_at(self, server, track, self.name(), customer, label, body)
+        await Routers.try_at(self, server, request_class, self.name(), tenant, label, body)
 
     async def run(self) -> None:
         self.told["ends"] = time.monotonic() + float(self.told["seconds"])
--- a/sablewheel/trials/replication_model.py
+++ b/sablewheel/trials/replication_model.py
@@ -24,8 +24,16 @@
 
 __all__ = ["BROKEN", "run"]
 
-SETTINGS = Settings(longest=1e6, slots=1, patience=50.0, retry=5.0, retry_most=5.0, sync_every=20.0,
-                    repair_every=1e5, cold_waits=False)  # fmt: skip
+SETTINGS = Settings(
+    longest=1e6,
+    slots=1,
+    patience=50.0,
+    retry=5.0,
+    retry_most=5.0,
+    sync_every=20.0,
+    repair_every=1e5,
+    cold_waits=False,
+)
 LABEL, GROUP = b"label", b"group"
 SAYS = {
     "ring": "timer of {1}",
@@ -63,10 +71,18 @@
         for key, held in sorted(node.store._slots[slot].items())
     ]
     rounds = [
-        (one.ref, one.change, one.ballot, sorted(one.promises.items()), sorted(one.accepted), one.proposed,
-         one.tries < 0, sorted(one.refused.items()))
+        (
+            one.ref,
+            one.change,
+            one.ballot,
+            sorted(one.promises.items()),
+            sorted(one.accepted),
+            one.proposed,
+            one.tries < 0,
+            sorted(one.refused.items()),
+        )
         for one in node._rounds.values()
-    ]  # fmt: skip
+    ]
     spreads = [(one.ref, one.entry, sorted(one.heard)) for one in node._spreads.values()]
     ranges = [
         (slot, one.ready, one.start, sorted(one.told.items()))
@@ -75,12 +91,27 @@
     ]
     talks = [(name, one.asked, one.queue) for name, one in sorted(node._talks.items())]
     return repr(
-        (node.name, node.birth, node.epoch, node._frozen, node.ranges.epoch, sorted(node.ranges.views), store,
-         rounds, spreads, ranges, talks, sorted(node._known.items()), sorted(node.ranges.past_told),
-         sorted(node.ranges.past_from.items()), node._round,
-         sorted((key, own.state) for key, own in node.owns.items()), node._sync_at < 1e4,
-         len(node._timers))
-    )  # fmt: skip
+        (
+            node.name,
+            node.birth,
+            node.epoch,
+            node._frozen,
+            node.ranges.epoch,
+            sorted(node.ranges.views),
+            store,
+            rounds,
+            spreads,
+            ranges,
+            talks,
+            sorted(node._known.items()),
+            sorted(node.ranges.past_told),
+            sorted(node.ranges.past_from.items()),
+            node._round,
+            sorted((key, own.state) for key, own in node.owns.items()),
+            node._sync_at < 1e4,
+            len(node._timers),
+        )
+    )
 
 
 @dataclass
@@ -225,65 +256,138 @@
 STARTS = {
     "what a removed owner sent is late, the others have caught up": Start(
         (FIRST, (("b", 1), ("c", 1), ("d", 2))),
-        (("claim", "a"), ("deliver", "a", "b"), ("deliver", "b", "a"), ("view", "c", "2"),
-         ("view", "d", "2"), ("view", "b", "2"), ("rest", "a")),
-        (("claim", "d"),), "c",
+        (
+            ("claim", "a"),
+            ("deliver", "a", "b"),
+            ("deliver", "b", "a"),
+            ("view", "c", "2"),
+            ("view", "d", "2"),
+            ("view", "b", "2"),
+            ("rest", "a"),
+        ),
+        (("claim", "d"),),
+        "c",
     ),
     "an older copy, that it is free again, is heard after a newer claim": Start(
         (FIRST, (("a", 1), ("b", 1), ("d", 2))),
-        (("claim", "b"), *(("deliver", "b", "c"), ("deliver", "c", "b")) * 2, ("free", "b"),
-         ("deliver", "b", "c"), ("deliver", "c", "b"), ("claim", "a"), ("deliver", "a", "c"),
-         ("deliver", "c", "a"), ("ring", "a"), *(("deliver", "a", "c"), ("deliver", "c", "a")) * 2,
-         ("lose",)),
-        (("view", "a", "2"), ("view", "b", "2"), ("view", "d", "2"), ("claim", "d")), "d",
+        (
+            ("claim", "b"),
+            *(("deliver", "b", "c"), ("deliver", "c", "b")) * 2,
+            ("free", "b"),
+            ("deliver", "b", "c"),
+            ("deliver", "c", "b"),
+            ("claim", "a"),
+            ("deliver", "a", "c"),
+            ("deliver", "c", "a"),
+            ("ring", "a"),
+            *(("deliver", "a", "c"), ("deliver", "c", "a")) * 2,
+            ("lose",),
+        ),
+        (("view", "a", "2"), ("view", "b", "2"), ("view", "d", "2"), ("claim", "d")),
+        "d",
     ),
     "two claims of one label at one moment": Start(
-        (FIRST,), (("claim", "a"), ("claim", "b")), (), "c", (("a", 1), ("b", 1)),
+        (FIRST,),
+        (("claim", "a"), ("claim", "b")),
+        (),
+        "c",
+        (("a", 1), ("b", 1)),
     ),
     "a holder crashes and comes back empty": Start(
         (FIRST, (("a", 1), ("b", 1), ("c", 2))),
         (("claim", "a"), ("deliver", "a", "c"), ("deliver", "c", "a"), ("deliver", "a", "c"), ("crash", "c")),
-        (("view", "a", "2"), ("view", "b", "2"), ("view", "c", "2"), ("claim", "b")), "c", (), -1,
+        (("view", "a", "2"), ("view", "b", "2"), ("view", "c", "2"), ("claim", "b")),
+        "c",
+        (),
+        -1,
     ),
     "the owner is paused and removed, another comes for it": Start(
         (FIRST, (("b", 1), ("c", 1), ("d", 2))),
-        (("claim", "a"), ("deliver", "a", "b"), ("deliver", "b", "a"), ("view", "c", "2"),
-         ("view", "d", "2")),
-        (("view", "b", "2"), ("claim", "d")), "c", (), -1,
+        (
+            ("claim", "a"),
+            ("deliver", "a", "b"),
+            ("deliver", "b", "a"),
+            ("view", "c", "2"),
+            ("view", "d", "2"),
+        ),
+        (("view", "b", "2"), ("claim", "d")),
+        "c",
+        (),
+        -1,
     ),
     "two views in a row, before anybody has caught up": Start(
         (FIRST, (("a", 1), ("b", 1), ("d", 2)), (("b", 1), ("d", 2), ("e", 3))),
-        (("claim", "a"), ("deliver", "a", "c"), ("deliver", "c", "a"), ("deliver", "a", "c"),
-         ("view", "b", "2"), ("view", "d", "2")),
-        (("view", "a", "2"), ("view", "b", "3"), ("view", "d", "3"), ("view", "e", "3"), ("claim", "e")), "d",
-        (), -3,
+        (
+            ("claim", "a"),
+            ("deliver", "a", "c"),
+            ("deliver", "c", "a"),
+            ("deliver", "a", "c"),
+            ("view", "b", "2"),
+            ("view", "d", "2"),
+        ),
+        (("view", "a", "2"), ("view", "b", "3"), ("view", "d", "3"), ("view", "e", "3"), ("claim", "e")),
+        "d",
+        (),
+        -3,
     ),
     "one hears of no view but the last": Start(
         (FIRST, (("a", 1), ("b", 1), ("d", 2)), (("b", 1), ("d", 2), ("e", 3))),
-        (("claim", "a"), ("deliver", "a", "c"), ("deliver", "c", "a"), ("deliver", "a", "c"),
-         ("view", "d", "2")),
-        (("view", "a", "2"), ("view", "b", "3"), ("view", "d", "3"), ("view", "e", "3"), ("claim", "e")), "d",
-        (), -2,
+        (
+            ("claim", "a"),
+            ("deliver", "a", "c"),
+            ("deliver", "c", "a"),
+            ("deliver", "a", "c"),
+            ("view", "d", "2"),
+        ),
+        (("view", "a", "2"), ("view", "b", "3"), ("view", "d", "3"), ("view", "e", "3"), ("claim", "e")),
+        "d",
+        (),
+        -2,
     ),
     "two holders leave in order at one moment": Start(
         (FIRST, (("c", 1), ("d", 2), ("e", 3))),
-        (("claim", "a"), ("deliver", "a", "b"), ("deliver", "b", "a"), ("deliver", "a", "b"),
-         ("view", "c", "2"), ("view", "d", "2")),
-        (("view", "a", "2"), ("view", "b", "2"), ("view", "e", "2"), ("claim", "d")), "d", (), -2,
+        (
+            ("claim", "a"),
+            ("deliver", "a", "b"),
+            ("deliver", "b", "a"),
+            ("deliver", "a", "b"),
+            ("view", "c", "2"),
+            ("view", "d", "2"),
+        ),
+        (("view", "a", "2"), ("view", "b", "2"), ("view", "e", "2"), ("claim", "d")),
+        "d",
+        (),
+        -2,
     ),
     "one that was out is asked before it hears that it is in again": Start(
         (FIRST, (("b", 1), ("c", 1), ("d", 2)), (("a", 3), ("b", 1), ("d", 2))),
-        (("claim", "a"), ("deliver", "a", "c"), ("deliver", "c", "a"), ("deliver", "a", "c"),
-         ("view", "a", "2"), ("view", "b", "2"), ("view", "d", "2")),
-        (("view", "a", "3"), ("view", "b", "3"), ("view", "d", "3"), ("claim", "d")), "b", (), -2,
+        (
+            ("claim", "a"),
+            ("deliver", "a", "c"),
+            ("deliver", "c", "a"),
+            ("deliver", "a", "c"),
+            ("view", "a", "2"),
+            ("view", "b", "2"),
+            ("view", "d", "2"),
+        ),
+        (("view", "a", "3"), ("view", "b", "3"), ("view", "d", "3"), ("claim", "d")),
+        "b",
+        (),
+        -2,
     ),
     "a holder gives way to a new one": Start(
         (FIRST, (("a", 1), ("b", 1), ("d", 2))),
-        (("claim", "a"), ("deliver", "a", "c"), ("deliver", "c", "a"), ("deliver", "a", "c"),
-         ("deliver", "c", "a")),
-        (("view", "a", "2"), ("view", "b", "2"), ("view", "d", "2"), ("claim", "d")), "b",
+        (
+            ("claim", "a"),
+            ("deliver", "a", "c"),
+            ("deliver", "c", "a"),
+            ("deliver", "a", "c"),
+            ("deliver", "c", "a"),
+        ),
+        (("view", "a", "2"), ("view", "b", "2"), ("view", "d", "2"), ("claim", "d")),
+        "b",
     ),
-}  # fmt: skip
+}
 
 
 def begin(start: Start, kind: type[Replica]) -> tuple[Space, World]:
--- a/sablewheel/trials/replication_size.py
+++ b/sablewheel/trials/replication_size.py
@@ -103,8 +103,10 @@
     verdict.check("one is killed: all are caught up again", ready, f"{stage.fleet.now - begun:.2f} s")
     again = [stage.come(chance.choice(stage.members), one.label) for one in tries]
     stage.fleet.run(2.0)
-    same = sum(one.verdict == "completed" and one.result == first.result
-               for one, first in zip(again, tries, strict=True))  # fmt: skip
+    same = sum(
+        one.verdict == "completed" and one.result == first.result
+        for one, first in zip(again, tries, strict=True)
+    )
     verdict.check("and every label is answered from its outcome", same == labels and not stage.wrong(), same)
     verdict.figures["ranges of the one killed"] = moving
     verdict.figures["bytes to catch up after it"] = spent["bytes"]
--- a/sablewheel/trials/replication_stage.py
+++ b/sablewheel/trials/replication_stage.py
@@ -1,4 +1,4 @@
-"""A fleet of replicas in memory with what stands round each: tickets that claim, run, finish, wait and join.
+"""A fleet of replicas in memory with what stands round each: requests that claim, run, finish, wait and join.
 
 The keeper's part in small, for stories and sizes: each run is counted at the stage, whoever made it, and each
 answer is compared with what the run gave.
@@ -118,7 +118,7 @@
 
 @dataclass
 class Try:
-    """One ticket with a label, at one server, and what became of it."""
+    """One request with a label, at one server, and what became of it."""
 
     server: str
     label: str
@@ -219,13 +219,18 @@
         held = core.store.get(core.slot(self.group(label)), ("labels", label.encode()))
         return held.entry if held is not None else None
 
-    # -- tickets
+    # -- requests
 
     def come(
-        self, server: str, label: str, due: float = 3.0, takes: float = 0.05, stays: bool = True,
+        self,
+        server: str,
+        label: str,
+        due: float = 3.0,
+        takes: float = 0.05,
+        stays: bool = True,
         under: int = 0,
-    ) -> Try:  # fmt: skip
-        """A ticket of this label comes to that server."""
+    ) -> Try:
+        """A request of this label comes to that server."""
         now = self.fleet.now
         one = Try(server, label, now, now + due, takes, stays)
         self._ask(one, under)
--- a/sablewheel/trials/rig.py
+++ b/sablewheel/trials/rig.py
@@ -46,8 +46,8 @@
     "tick-s": 0.002,
     "over-share-worth": 0.05,
 }
-CUSTOMERS = {"saskatoon": 0.4, "regina": 0.3, "brandon": 0.2, "yorkton": 0.1}
-TRACKS = {"lookup": {"share": 0.6}, "record": {"share": 0.4, "labelled": True}}
+TENANTS = {"saskatoon": 0.4, "regina": 0.3, "brandon": 0.2, "yorkton": 0.1}
+REQUEST_CLASSES = {"lookup": {"share": 0.6}, "record": {"share": 0.4, "labelled": True}}
 WORK = {"lookup": 0.02, "record": 0.03}
 
 
@@ -145,9 +145,13 @@
 
     def interpreter(self, name: str, port: int, shifted: bool = False, **told: Any) -> Process:
         spec = {
-            "port": port, "cores": 4, "work": WORK, "log": str(self.folder / f"{name}.runs"),
-            "seed": self.seed, **told,
-        }  # fmt: skip
+            "port": port,
+            "cores": 4,
+            "work": WORK,
+            "log": str(self.folder / f"{name}.runs"),
+            "seed": self.seed,
+            **told,
+        }
         module = "sablewheel.trials.interpreter"
         process = self.start(f"{name}-vm", module, json.dumps(spec), shifted=shifted)
         self.wait_for_port(port, process)
@@ -155,21 +159,31 @@
 
     def router(self, name: str, servers: Iterable[str], **told: Any) -> Process:
         spec = {
-            "servers": list(servers), "customers": CUSTOMERS, "tracks": TRACKS, "seed": self.seed,
-            "log": str(self.folder / f"{name}.held"), **told,
-        }  # fmt: skip
+            "servers": list(servers),
+            "tenants": TENANTS,
+            "request_classes": REQUEST_CLASSES,
+            "seed": self.seed,
+            "log": str(self.folder / f"{name}.held"),
+            **told,
+        }
         return self.start(name, "sablewheel.trials.router", json.dumps(spec))
 
     def configuration(self, name: str, port: int, vm: int, /, **changes: Any) -> Path:
         settings = {**json.loads(json.dumps(SETTINGS)), **changes.pop("settings", {})}
         settings["orgs"] = [
-            {"name": one, "quota-rps": 300 * share, "fraction": share} for one, share in CUSTOMERS.items()
+            {"name": one, "quota-rps": 300 * share, "fraction": share} for one, share in TENANTS.items()
         ]
         told = {
-            "name": name, "listen": f"127.0.0.1:{port}", "vm": f"127.0.0.1:{vm}",
-            "naming": f"127.0.0.1:{self.naming.getsockname()[1]}", "seed": f"{self.seed:x}", "stop_ms": 3000,
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": settings, **changes,
-        }  # fmt: skip
+            "name": name,
+            "listen": f"127.0.0.1:{port}",
+            "vm": f"127.0.0.1:{vm}",
+            "naming": f"127.0.0.1:{self.naming.getsockname()[1]}",
+            "seed": f"{self.seed:x}",
+            "stop_ms": 3000,
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+            "settings": settings,
+            **changes,
+        }
         path = self.folder / f"{name}.json"
         path.write_text(json.dumps(told))
         return path
@@ -221,13 +235,13 @@
                 yield json.loads(line)
 
     def runs(self, name: str) -> Iterator[tuple[str, str, float]]:
-        """What an interpreter did: word, ticket's name and when (monotonic), in order."""
+        """What an interpreter did: word, request's name and when (monotonic), in order."""
         path = self.folder / f"{name}.runs"
         if path.exists():
             with path.open() as file:
                 for line in file:
-                    word, ticket, when = line.split()
-                    yield word, ticket, float(when)
+                    word, request, when = line.split()
+                    yield word, request, float(when)
 
     def counters(self, process: Process) -> dict[str, str]:
         """The last counters line of a server's log."""
--- a/sablewheel/trials/router.py
+++ b/sablewheel/trials/router.py
@@ -3,8 +3,9 @@
     python -m sablewheel.trials.router '{"servers": ["127.0.0.1:7001"], "rate": 100, "seconds": 5, ...}'
 
 Each try becomes a line of JSON in the log once it is answered, withdrawn or lost. Further keys: `seed`,
-`customers` (name to share), `tracks` (name to share and whether it is labelled), `repeats` (share of labelled
-tries that come again), `cancels` (share withdrawn after `patience`), `bursts` (customer, from, to, times).
+`tenants` (name to share), `request_classes` (name to share and whether it is labelled), `repeats` (share of
+labelled tries that come again), `cancels` (share withdrawn after `patience`), `bursts` (tenant, from, to,
+times).
 """
 
 from __future__ import annotations
@@ -73,33 +74,35 @@
                 self.lost(link, "unanswered")
         self.log.close()
 
-    def customer(self, now: float) -> str:
+    def tenant(self, now: float) -> str:
         for one in self.told.get("bursts", []):
             if one["from"] <= now < one["to"] and self.chance.random() < 1 - 1 / one["times"]:
                 return str(one["customer"])
-        names = self.told["customers"]
+        names = self.told["tenants"]
         return str(self.chance.choices(list(names), list(names.values()))[0])
 
     async def send(self, now: float) -> None:
         server = str(self.chance.choice(self.told["servers"]))
-        tracks = self.told["tracks"]
-        track = self.chance.choices(list(tracks), [one["share"] for one in tracks.values()])[0]
+        request_classes = self.told["request_classes"]
+        request_class = self.chance.choices(
+            list(request_classes), [one["share"] for one in request_classes.values()]
+        )[0]
         name = b"%016x" % self.chance.getrandbits(64)
-        customer, label, body = self.customer(now), b"", b"body of " + name
-        if tracks[track].get("labelled"):
+        tenant, label, body = self.tenant(now), b"", b"body of " + name
+        if request_classes[request_class].get("labelled"):
             known = self.labelled[server]
             within = time.monotonic() - float(self.told.get("repeat_within", 1.0))
             while known and known[0][3] < within:
                 known.popleft()
             if known and self.chance.random() < float(self.told.get("repeats", 0.0)):
-                label, body, customer, _ = self.chance.choice(known)
+                label, body, tenant, _ = self.chance.choice(known)
             else:
                 label = b"%032x" % self.chance.getrandbits(128)
-                known.append((label, body, customer, time.monotonic()))
-        await self.try_at(server, track, name, customer, label, body)
+                known.append((label, body, tenant, time.monotonic()))
+        await self.try_at(server, request_class, name, tenant, label, body)
 
     async def try_at(
-        self, server: str, track: str, name: bytes, customer: str, label: bytes, body: bytes
+        self, server: str, request_class: str, name: bytes, tenant: str, label: bytes, body: bytes
     ) -> None:
         """One try on its way, if there is a link to that server."""
         link = await self.link(server)
@@ -107,12 +110,17 @@
             return
         link.tag += 1
         one = {
-            "name": name.decode(), "customer": customer, "track": track, "server": server,
-            "label": label.decode(), "sent": time.time(), "from": time.monotonic(),
-        }  # fmt: skip
+            "name": name.decode(),
+            "customer": tenant,
+            "track": request_class,
+            "server": server,
+            "label": label.decode(),
+            "sent": time.time(),
+            "from": time.monotonic(),
+        }
         link.open[link.tag] = one
         link.writer.write(
-            wire.call(link.tag, name, track.encode(), time.time(), body, customer.encode(), label)
+            wire.call(link.tag, name, request_class.encode(), time.time(), body, tenant.encode(), label)
         )
         if self.chance.random() < float(self.told.get("cancels", 0.0)):
             task = asyncio.get_running_loop().create_task(self.withdraw(link, link.tag))
--- a/sablewheel/trials/wire.py
+++ b/sablewheel/trials/wire.py
@@ -10,24 +10,28 @@
 def call(
     tag: int,
     name: bytes,
-    track: bytes,
+    request_class: bytes,
     since: float,
     body: bytes,
-    customer: bytes,
+    tenant: bytes,
     label: bytes = b"",
     router: int = 1,
     kb: float = 10.0,
     subject: bytes = b"",
 ) -> bytes:
-    """A try of a ticket; `since` in Unix seconds, `label` of 32 hexadecimal digits or none."""
+    """A try of a request; `since` in Unix seconds, `label` of 32 hexadecimal digits or none."""
     fields = b"ref=%b,since=%d,sender=%d,project=%b,room=%.1f,class_rank=0.5" % (
-        name, int(since * 1000), router, customer, kb,
-    )  # fmt: skip
+        name,
+        int(since * 1000),
+        router,
+        tenant,
+        kb,
+    )
     if label:
         fields += b",replay=%b" % label
     if subject:
         fields += b",lookup=%b" % subject
-    return frame(b"RPC.CALL", b"%d" % tag, track, fields, body)
+    return frame(b"RPC.CALL", b"%d" % tag, request_class, fields, body)
 
 
 def cancel(tag: int) -> bytes:
--- a/tests/failing_calls.py
+++ b/tests/failing_calls.py
@@ -21,9 +21,19 @@
 SHORT_MOST = 7  # bytes of a short read or write
 FAILS_AT_START = 3
 ACCEPT = [
-    errno.ECONNABORTED, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPROTO, errno.EPERM,
-    errno.ENETDOWN, errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.EINTR,
-]  # fmt: skip
+    errno.ECONNABORTED,
+    errno.EMFILE,
+    errno.ENFILE,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+    errno.EPROTO,
+    errno.EPERM,
+    errno.ENETDOWN,
+    errno.ENETUNREACH,
+    errno.EHOSTUNREACH,
+    errno.ETIMEDOUT,
+    errno.EINTR,
+]
 READ = [errno.ENOMEM, errno.ENOBUFS, errno.EINTR, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ETIMEDOUT]
 WRITE = [*READ, errno.EPERM, errno.ENETDOWN]
 CONNECT = [errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.ECONNREFUSED]
--- a/tests/stories/test_affinity_stories.py
+++ b/tests/stories/test_affinity_stories.py
@@ -1,7 +1,7 @@
 """The steps of affinity.feature: a fleet in memory, kiosks that come by any router, and what an onlooker saw.
 
 After each story, whatever it was about: two servers never ran labelled work of one session, no label ran
-twice, and every ticket has its outcome.
+twice, and every request has its outcome.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 from sablewheel.affinity.placing import Load, bounds
 from sablewheel.affinity.plan import Settings
 from sablewheel.terms import Nature
-from sablewheel.trials.affinity_fleet import Ticket, World
+from sablewheel.trials.affinity_fleet import Request, World
 from sablewheel.trials.affinity_replicas import ReplicaWorld
 
 scenarios("affinity.feature", "affinity_replicas.feature")
 
-EVERY = 0.02  # seconds between two tickets of all kiosks
+EVERY = 0.02  # seconds between two requests of all kiosks
 QUIET = 8.0  # after a story, for what is under way
 BUDGET = 50.0
 
@@ -36,10 +36,10 @@
         self.chance = random.Random(7)
         self.kiosks: list[str] = []
         self.keys: dict[str, Any] = {"idle": 60.0, "moves_per_s": BUDGET, "handover_within": 3.0}
-        self.since = 0.0  # moves and tickets from then on are the story's
+        self.since = 0.0  # moves and requests from then on are the story's
         self.first = 0
         self.owners: dict[str, str] = {}  # at `since`
-        self.long_run: Ticket | None = None
+        self.long_run: Request | None = None
 
     def begin(self, servers: int, kiosks: int = 0, kind: type[World] = World, **keys: Any) -> None:
         self.keys |= keys
@@ -49,11 +49,11 @@
         self.mark()
 
     def mark(self) -> None:
-        self.since, self.first = self.world.fleet.now, len(self.world.tickets)
+        self.since, self.first = self.world.fleet.now, len(self.world.requests)
         self.owners = {kiosk: self.world.owner(kiosk) for kiosk in self.kiosks}
 
     def more(self, kiosks: int) -> None:
-        """Each begins with one ticket, and all go on a little."""
+        """Each begins with one request, and all go on a little."""
         for _ in range(kiosks):
             self.kiosks.append(f"kiosk-{len(self.kiosks)}")
             self.bring(self.kiosks[-1])
@@ -61,7 +61,7 @@
         if kiosks:
             self.go_on(1.5)
 
-    def bring(self, kiosk: str) -> Ticket:
+    def bring(self, kiosk: str) -> Request:
         nature = self.chance.choice([Nature.REDOABLE, Nature.LABELLED])
         return self.world.bring(self.chance.choice(self.world.alive), kiosk, nature, "pay")
 
@@ -77,8 +77,8 @@
         return self.world.moves(self.since)
 
     @property
-    def tickets(self) -> list[Ticket]:
-        return self.world.tickets[self.first :]
+    def requests(self) -> list[Request]:
+        return self.world.requests[self.first :]
 
     def causes(self) -> Counter[str]:
         notes = [note for when, _, note in self.world.notes if when >= self.since and note.what == "moved"]
@@ -92,7 +92,7 @@
     told.world.heal()
     told.world.no_majority = False
     told.world.run(QUIET)
-    assert [ticket for ticket in told.world.tickets if not ticket.outcome] == []
+    assert [request for request in told.world.requests if not request.outcome] == []
     if not told.keys.get("broken"):
         assert told.world.watch.wrong == []
 
@@ -264,7 +264,7 @@
     story.world.run(1.0)
     story.world.bump(1, {"pay": frozenset()})
     story.world.run(0.2)
-    story.first = len(story.world.tickets)
+    story.first = len(story.world.requests)
 
 
 # -- what is seen
@@ -325,7 +325,7 @@
 @then("no kiosk's ticket was denied or lost")
 def none_denied(story: Story) -> None:
     story.world.run(2.0)
-    assert [ticket for ticket in story.tickets if ticket.outcome != "completed"] == []
+    assert [request for request in story.requests if request.outcome != "completed"] == []
 
 
 @then(parsers.re(r"servers? (?P<names>m\d( and m\d)?) owns? nothing"))
@@ -378,13 +378,13 @@
     world.run(4.0)
     places = [story.chance.choice(world.alive) for _ in story.kiosks]
     pairs = zip(places, story.kiosks, strict=True)
-    tickets = [world.bring(at, kiosk, Nature.LABELLED, "pay") for at, kiosk in pairs]
+    requests = [world.bring(at, kiosk, Nature.LABELLED, "pay") for at, kiosk in pairs]
     world.run(5.0)
-    assert Counter((one.outcome, one.why) for one in tickets) == {("completed", "owner"): len(tickets)}
-    for kiosk, ticket in zip(story.kiosks, tickets, strict=True):
+    assert Counter((one.outcome, one.why) for one in requests) == {("completed", "owner"): len(requests)}
+    for kiosk, request in zip(story.kiosks, requests, strict=True):
         binding = world.register.bindings[kiosk]
         holders = [name for name in world.alive if kiosk in world.sessions(name).owned]
-        assert binding.state is State.HELD and holders == [binding.owner] == [ticket.ran_at]
+        assert binding.state is State.HELD and holders == [binding.owner] == [request.ran_at]
 
 
 @then(parsers.parse("in no second more than {most:d} sessions have moved, and {more:d} more at the start"))
@@ -397,7 +397,7 @@
 
 @then("some tickets were served elsewhere since the budget was spent")
 def for_budget(story: Story) -> None:
-    assert any(ticket.why == "budget" and ticket.outcome == "completed" for ticket in story.tickets)
+    assert any(request.why == "budget" and request.outcome == "completed" for request in story.requests)
 
 
 @then(parsers.parse("server {name} owns fewer sessions than half of what another owns"))
@@ -408,21 +408,21 @@
 
 @then("some redoable tickets were served where they came")
 def served_there(story: Story) -> None:
-    found = [one for one in story.tickets if one.why in ("unreached", "no_majority")]
+    found = [one for one in story.requests if one.why in ("unreached", "no_majority")]
     found = [one for one in found if one.outcome == "completed"]
     assert found and all(one.came.nature is Nature.REDOABLE and one.ran_at == one.at for one in found)
 
 
 @then("some labelled tickets were denied, and none of them ran")
 def denied_there(story: Story) -> None:
-    found = [one for one in story.tickets if one.outcome == "denied"]
+    found = [one for one in story.requests if one.outcome == "denied"]
     assert found and all(one.came.nature is Nature.LABELLED and not one.ran_at for one in found)
 
 
 @then("every ticket of that time is denied")
 def all_denied(story: Story) -> None:
     story.world.run(4.0)
-    assert story.tickets and {ticket.outcome for ticket in story.tickets} == {"denied"}
+    assert story.requests and {request.outcome for request in story.requests} == {"denied"}
 
 
 @then("no server took a session above its bound")
--- a/tests/stories/test_capability_stories.py
+++ b/tests/stories/test_capability_stories.py
@@ -374,9 +374,13 @@
 def test_a_part_broken_on_purpose_makes_its_story_fail(broken: str, story: str) -> None:
     done = subprocess.run(
         [sys.executable, "-m", "pytest", "-q", "-x", "-p", "no:cacheprovider", "-k", story, __file__],
-        env={**os.environ, "SABLEWHEEL_BROKEN": broken}, cwd=Path(__file__).parents[2],
-        capture_output=True, text=True, timeout=60, check=False,
-    )  # fmt: skip
+        env={**os.environ, "SABLEWHEEL_BROKEN": broken},
+        cwd=Path(__file__).parents[2],
+        capture_output=True,
+        text=True,
+        timeout=60,
+        check=False,
+    )
     assert done.returncode == 1 and "1 failed" in done.stdout, done.stdout[-2000:]
 
 
--- a/tests/stories/test_replication_stories.py
+++ b/tests/stories/test_replication_stories.py
@@ -74,7 +74,7 @@
         story.stage.core(name).store._entries_most = 3
 
 
-# -- tickets
+# -- requests
 
 
 @when(parsers.re(r"the record comes to (?P<who>(?!all).+?)(?: and takes (?P<takes>\d+) seconds?)?$"))
--- a/tests/stories/test_server_stories.py
+++ b/tests/stories/test_server_stories.py
@@ -105,8 +105,8 @@
 
     def fleet(self, size: int, up: bool = True, **changes: Any) -> None:
         settings = json.loads(json.dumps(SETTINGS))
-        for track in settings["classes"]:
-            track["deadline-s"] = DEADLINE
+        for request_class in settings["classes"]:
+            request_class["deadline-s"] = DEADLINE
         settings["safety"]["answer-slack-s"] = SLACK
         told = {"naming": self.names.addresses[0], "stop_ms": round(1000 * STOP), "settings": settings}
         made = []
@@ -285,8 +285,8 @@
     for place in story.places:
         assert place.engine.core.running
         place.engine.at_once = which == "open"
-        for name, (track, _) in list(place.engine.core.running.items()):
-            if which == "open" or track == b"record":
+        for name, (request_class, _) in list(place.engine.core.running.items()):
+            if which == "open" or request_class == b"record":
                 with contextlib.suppress(KeyError):  # it was ended behind what was just read
                     place.engine.end(name)
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -25,11 +25,11 @@
 
 
 START = f"init 3 7 {json.dumps(SETTINGS)}"
-TICKET = "request 3 41 0.5 17 65 - - - - - - 0 24.5"
+REQUEST = "request 3 41 0.5 17 65 - - - - - - 0 24.5"
 
 
-def test_a_ticket_is_run_and_what_is_over_does_no_harm() -> None:
-    done = adapter(batch(1, START, TICKET) + batch(2, "work_done 3 41 0.1 S") + batch(3, "lapsed 3 41"))
+def test_a_request_is_run_and_what_is_over_does_no_harm() -> None:
+    done = adapter(batch(1, START, REQUEST) + batch(2, "work_done 3 41 0.1 S") + batch(3, "lapsed 3 41"))
     assert done.returncode == 0 and done.stderr == ""
     assert "run 3 41\n" in done.stdout and done.stdout.endswith("end 3\n")
 
@@ -47,6 +47,6 @@
 def test_a_server_that_died_comes_back_knowing_nothing() -> None:
     back = START.replace("init 3 7", "init 3 8")
     done = adapter(
-        batch(1, START, TICKET) + batch(2, "destroy 3", back) + batch(3, "work_done 3 41 0.1 S", TICKET)
+        batch(1, START, REQUEST) + batch(2, "destroy 3", back) + batch(3, "work_done 3 41 0.1 S", REQUEST)
     )
     assert done.returncode == 0 and done.stdout.count("run 3 41\n") == 2
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -85,7 +85,7 @@
 def test_keys_of_different_fields_differ_and_have_one_size() -> None:
     rule = ("customer", "subject")
     pairs = [("a", "bc"), ("ab", "c"), ("a|subject:1:b", "c")]
-    keys = {key_of(rule, Carried(customer, subject)) for customer, subject in pairs}
+    keys = {key_of(rule, Carried(tenant, subject)) for tenant, subject in pairs}
     assert len(keys) == len(pairs) and all(len(one or "") == KEY_SIZE for one in keys)
     assert key_of(rule, Carried("c1")) is None and key_of(rule, Carried("c", "s" * (FIELD_MOST + 1))) is None
 
@@ -137,7 +137,7 @@
     assert old.passing("b").number == 6 and old.passing("b").taken("b", 1, 1).state is State.HELD
 
 
-def test_a_ticket_goes_to_its_owner_and_is_not_passed_on_twice() -> None:
+def test_a_request_goes_to_its_owner_and_is_not_passed_on_twice() -> None:
     one, there = server("b"), Binding("k", 5, "a", 1, 1)
     one.step(0.0, Got("a", Reply("k", 0, False)))  # an answer to nothing
     (read,) = one.step(0.0, Came(1, "k", Nature.LABELLED))
@@ -157,7 +157,7 @@
     assert "k" not in one.owned
 
 
-def test_no_majority_denies_labelled_tickets_and_loses_none() -> None:
+def test_no_majority_denies_labelled_requests_and_loses_none() -> None:
     one = server()
     (read,) = one.step(0.0, Came(1, "k", Nature.LABELLED))
     one.step(0.0, Came(2, "k", Nature.REDOABLE))
--- a/tests/test_affinity_placer.py
+++ b/tests/test_affinity_placer.py
@@ -21,11 +21,14 @@
 from sablewheel.replication.plan import Settings as ReplicaSettings
 from sablewheel.routing.exchange import UNWITNESSED, Exchange, Place
 from sablewheel.routing.seam import UNREMEMBERED
-from sablewheel.terms import Customer, Nature, Outcome, Router, Ticket, Track
+from sablewheel.terms import Nature, Outcome, Request, RequestClass, Router, Tenant
 
 NAMES = "abc"
-TRACKS = {b"lookup": Track(Nature.REDOABLE, 1.0, 4.0), b"record": Track(Nature.LABELLED, 1.0, 4.0, 6.0)}
-CUSTOMERS = {b"regina": Customer(10.0)}
+REQUEST_CLASSES = {
+    b"lookup": RequestClass(Nature.REDOABLE, 1.0, 4.0),
+    b"record": RequestClass(Nature.LABELLED, 1.0, 4.0, 6.0),
+}
+TENANTS = {b"regina": Tenant(10.0)}
 
 
 class Clock(Time):
@@ -66,22 +69,45 @@
         scheduler, clock = cast(Any, time), lambda: time.now
         links = cast(Any, self.links)
         self.forward = Forward(
-            scheduler, links, Passing(), 1000, TRACKS, CUSTOMERS, lambda: self.witness, clock
+            scheduler, links, Passing(), 1000, REQUEST_CLASSES, TENANTS, lambda: self.witness, clock
         )
         settings = ReplicaSettings(longest=9.0, cold_waits=False, slots=8)
         self.keeper = Keeper(
-            scheduler, links, ReplicationPlan(settings), name, 1, UNREMEMBERED, UNWITNESSED,
-            self.never_begun, self.count, clock=clock,
-        )  # fmt: skip
+            scheduler,
+            links,
+            ReplicationPlan(settings),
+            name,
+            1,
+            UNREMEMBERED,
+            UNWITNESSED,
+            self.never_begun,
+            self.count,
+            clock=clock,
+        )
         self.fleet = SimpleNamespace(
-            me=name, node=SimpleNamespace(me=SimpleNamespace(incarnation=1)), view=view,
-            on_view=self.on_view, leave=self.leave,
-        )  # fmt: skip
+            me=name,
+            node=SimpleNamespace(me=SimpleNamespace(incarnation=1)),
+            view=view,
+            on_view=self.on_view,
+            leave=self.leave,
+        )
         self.witness: Any = UNWITNESSED
         self.affinity = Affinity(
-            scheduler, AffinityPlan(settings=Settings(**keys)), cast(Any, self.fleet), links, self.forward,
-            self.keeper, self.keeper, self.keeper, CUSTOMERS, lambda: 1.0, 4.0, 5.0, self.count, clock,
-        )  # fmt: skip
+            scheduler,
+            AffinityPlan(settings=Settings(**keys)),
+            cast(Any, self.fleet),
+            links,
+            self.forward,
+            self.keeper,
+            self.keeper,
+            self.keeper,
+            TENANTS,
+            lambda: 1.0,
+            4.0,
+            5.0,
+            self.count,
+            clock,
+        )
         self.witness = Watching(self.affinity)
         self.desk = self.affinity.desk(self.forward.desk(self))
         self.keeper.view(view)
@@ -120,15 +146,24 @@
         self.time.run(1.0)
         self.names = 0
 
-    def bring(self, at: str, track: bytes = b"record", subject: str = "kiosk-1") -> tuple[Exchange, Told]:
+    def bring(
+        self, at: str, request_class: bytes = b"record", subject: str = "kiosk-1"
+    ) -> tuple[Exchange, Told]:
         told, server, self.names = Told(), self.servers[at], self.names + 1
-        label = b"%032x" % self.names if track == b"record" else None
-        ticket = Ticket(
-            TRACKS[track], Router(), CUSTOMERS[b"regina"], self.time.now, 1.0, subject=subject or None
+        label = b"%032x" % self.names if request_class == b"record" else None
+        request = Request(
+            REQUEST_CLASSES[request_class],
+            Router(),
+            TENANTS[b"regina"],
+            self.time.now,
+            1.0,
+            subject=subject or None,
         )
-        ticket.due = self.time.now + 3.0
+        request.due = self.time.now + 3.0
         name = b"%016x" % self.names
-        exchange = Exchange(name, track, b"body", self.names, label, ticket, cast(Any, told), server.witness)
+        exchange = Exchange(
+            name, request_class, b"body", self.names, label, request, cast(Any, told), server.witness
+        )
         server.desk.arrived(exchange)
         return exchange, told
 
@@ -142,19 +177,19 @@
         self.time.run(0.5)
 
 
-@pytest.mark.parametrize("track", TRACKS)
-def test_a_session_has_one_server_wherever_its_tickets_come(track: bytes) -> None:
+@pytest.mark.parametrize("request_class", REQUEST_CLASSES)
+def test_a_session_has_one_server_wherever_its_requests_come(request_class: bytes) -> None:
     three = Three()
     told = []
     for at in "abcab":
-        told.append(three.bring(at, track)[1])
+        told.append(three.bring(at, request_class)[1])
         three.time.run(0.5)
     assert list(three.running().values()) == [5]
     three.end_all()
     assert [one.answers for one in told] == [[("completed", b"done", 0.0)]] * 5
 
 
-def test_a_ticket_without_a_session_is_served_where_it_comes() -> None:
+def test_a_request_without_a_session_is_served_where_it_comes() -> None:
     three = Three()
     three.bring("b", subject="")
     three.time.run(0.5)
--- a/tests/test_calls_below.py
+++ b/tests/test_calls_below.py
@@ -166,18 +166,34 @@
 
 def test_the_program_counts_on_no_call_and_the_simulator_s_adapter_does(tmp_path: Path) -> None:
     told = {
-        "name": "n1", "listen": "127.0.0.1:7001", "vm": "127.0.0.1:6100", "naming": "127.0.0.1:2379",
+        "name": "n1",
+        "listen": "127.0.0.1:7001",
+        "vm": "127.0.0.1:6100",
+        "naming": "127.0.0.1:2379",
         "seed": "2a",
         "settings": {
             "classes": [{"name": "a", "on-time-s": 1, "deadline-s": 4, "repeat": "safe"}],
-            "extra": {"cores": 2, "memory-kb": 2000, "below": "common", "calls-out": 2.5, "share-span-s": 5,
-                      "class-calls": [True], "class-skip-worth": [0.5]},
+            "extra": {
+                "cores": 2,
+                "memory-kb": 2000,
+                "below": "common",
+                "calls-out": 2.5,
+                "share-span-s": 5,
+                "class-calls": [True],
+                "class-skip-worth": [0.5],
+            },
             "safety": {"fall-multiple": 5},
         },
-    }  # fmt: skip
+    }
     file = tmp_path / "configuration.json"
     file.write_text(json.dumps(told))
     mine = configuration.posting({"RELAY_CONFIG": str(file)}).machine
-    assert mine.ledger is None and not mine.tracks[0].calls and not mine.tracks[0].skip_share
+    assert (
+        mine.ledger is None and not mine.request_classes[0].calls and not mine.request_classes[0].skip_share
+    )
     whole = configuration.machine(configuration.Section(told["settings"], "settings"))
-    assert whole.ledger is not None and whole.tracks[0].calls and whole.tracks[0].skip_share == 0.5
+    assert (
+        whole.ledger is not None
+        and whole.request_classes[0].calls
+        and whole.request_classes[0].skip_share == 0.5
+    )
--- a/tests/test_capability.py
+++ b/tests/test_capability.py
@@ -22,7 +22,7 @@
 from sablewheel.capability.translate import InfeasibleError, plan_of, translate
 from sablewheel.capability.translation import NOT_PLACED, ClassPlan, Translation
 from sablewheel.capability.verify import verify
-from sablewheel.terms import Customer, Halting, Machine, Nature, Track
+from sablewheel.terms import Halting, Machine, Nature, RequestClass, Tenant
 
 EVERY = sum(1 << one.code for one in ability.CATALOGUE.values())
 RICH = Ability(cores=8, memory=1 << 18, descriptors=1024, traits=(1 << len(TRAITS)) - 1, codes=EVERY)
@@ -52,13 +52,15 @@
 """
 
 
-def test_a_document_is_read_and_its_flows_take_their_tickets() -> None:
+def test_a_document_is_read_and_its_flows_take_their_requests() -> None:
     policy = read(TEXT)
     assert policy.number == 3 and policy.flow("pay", "any", "z1") is policy.flows[0]
     assert policy.flow("look", "any", "z1") is policy.flows[1]
     assert policy.flows[0].wants(0) == {
-        "replicated-labels": {"copies": 3}, "durable-recall": {}, "sessions": {"most": 2000}
-    }  # fmt: skip
+        "replicated-labels": {"copies": 3},
+        "durable-recall": {},
+        "sessions": {"most": 2000},
+    }
     assert load(policy.text) == policy and load(policy.text).digest == policy.digest
     assert policy.flows[0].earns(1) == 12 and policy.flows[0].earns(2) == 10
 
@@ -97,7 +99,7 @@
 
 def test_an_ability_is_what_the_settings_and_the_start_up_checks_say() -> None:
     machine = Machine(
-        (Track(Nature.LABELLED, 1, 4, 60),), 2, 1e6, 1.0, (Customer(3.0),), halting=Halting.DROPS
+        (RequestClass(Nature.LABELLED, 1, 4, 60),), 2, 1e6, 1.0, (Tenant(3.0),), halting=Halting.DROPS
     )
     one = ability.of(machine, StartUp(200_000_000, 1012, disk=True, links=True))
     assert ability.read(one.said) == one and len(one.said) <= ability.SAID_MOST
@@ -185,8 +187,14 @@
 
     ladder = [Rung(wants(), worth) for worth in sorted(draw(st.sets(st.integers(1, 9), max_size=2)))[::-1]]
     forbid = tuple(draw(st.sets(st.sampled_from("pqrs"), max_size=1)))
-    return Flow(name, worth=draw(st.integers(0, 9)), require=wants(), ladder=tuple(ladder), forbid=forbid,
-                lines={f"{kind}.{one}": 1 for kind in ("require", "forbid") for one in "pqrs"})  # fmt: skip
+    return Flow(
+        name,
+        worth=draw(st.integers(0, 9)),
+        require=wants(),
+        ladder=tuple(ladder),
+        forbid=forbid,
+        lines={f"{kind}.{one}": 1 for kind in ("require", "forbid") for one in "pqrs"},
+    )
 
 
 POLICIES = st.tuples(flows("f0"), flows("f1"), flows("f2")).map(lambda those: Policy(1, those, "f"))
@@ -249,19 +257,28 @@
     plan = made.classes[one]
     rungs = list(plan.rungs)
     bad: list[ClassPlan] = [
-        *(replace(plan, features={k: v for k, v in plan.features.items() if k != gone})
-          for gone in plan.features),
-        *(replace(plan, features={**plan.features, name: {}}) for name, what in FEW.items()
-          if one.lacks(what) or any(other in plan.features for other in what.conflicts)),
+        *(
+            replace(plan, features={k: v for k, v in plan.features.items() if k != gone})
+            for gone in plan.features
+        ),
+        *(
+            replace(plan, features={**plan.features, name: {}})
+            for name, what in FEW.items()
+            if one.lacks(what) or any(other in plan.features for other in what.conflicts)
+        ),
         replace(plan, features={**plan.features, "unheard-of": {}}),
         replace(plan, rungs=plan.rungs[:-1]),
         *(replace(plan, rungs=tuple([*rungs[:n], NOT_PLACED, *rungs[n + 1 :]])) for n in range(3)),
-        *(replace(plan, rungs=tuple([*rungs[:n], flow.bottom + 1, *rungs[n + 1 :]]))
-          for n, flow in enumerate(policy.flows)),
+        *(
+            replace(plan, rungs=tuple([*rungs[:n], flow.bottom + 1, *rungs[n + 1 :]]))
+            for n, flow in enumerate(policy.flows)
+        ),
         *(replace(plan, features={**plan.features, "q": {"n": n}}) for n in (0, 5) if "q" in plan.features),
-        *(replace(plan, features={**plan.features, "q": {"n": n}})
-          for n in range(1, plan.features.get("q", {}).get("n", 1))),
-    ]  # fmt: skip
+        *(
+            replace(plan, features={**plan.features, "q": {"n": n}})
+            for n in range(1, plan.features.get("q", {}).get("n", 1))
+        ),
+    ]
     mutated = replace(made, classes={one: data.draw(st.sampled_from(bad))})
     assert verify(mutated, policy, one, FEW), mutated
     weaker = replace(one, memory=0)
@@ -270,21 +287,30 @@
 
 
 def test_a_plan_takes_away_what_the_policy_has_a_say_in_and_nothing_else() -> None:
-    tracks = (Track(Nature.REDOABLE, 1, 4, goal_stretch=0.5),)
-    machine = Machine(tracks, 2, 1e6, 1.0, (Customer(10.0),), halting=Halting.DROPS, share_reads_for=30.0,
-                      told_wait=True, over_share_worth=0.1)  # fmt: skip
+    request_classes = (RequestClass(Nature.REDOABLE, 1, 4, goal_stretch=0.5),)
+    machine = Machine(
+        request_classes,
+        2,
+        1e6,
+        1.0,
+        (Tenant(10.0),),
+        halting=Halting.DROPS,
+        share_reads_for=30.0,
+        told_wait=True,
+        over_share_worth=0.1,
+    )
     wants: dict[str, dict[str, int]] = {"customer-quotas": {"percent": 50}, "kept-results": {"seconds": 5}}
     policy = Policy(1, (Flow("f", require=wants, forbid=("stop-runs",)),))
     made = applying.settings(machine, policy, ClassPlan(wants, (0,)))
     changed = {key for key, value in vars(machine).items() if vars(made)[key] is not value}
-    assert changed == {"customers", "share_reads_for", "halting"}
-    assert (made.customers[0].quota, made.share_reads_for, made.halting) == (5.0, 5.0, Halting.NEVER)
+    assert changed == {"tenants", "share_reads_for", "halting"}
+    assert (made.tenants[0].quota, made.share_reads_for, made.halting) == (5.0, 5.0, Halting.NEVER)
     without = applying.settings(machine, policy, None)
     assert (without.over_share_worth, without.share_reads_for) == (1.0, 0.0)
-    assert without.customers is machine.customers
+    assert without.tenants is machine.tenants
     hints = Policy(1, (Flow("f", ladder=(Rung({"cost-hints": {}, "told-waits": {}}, 1),)),))
     low = applying.settings(machine, hints, ClassPlan({}, (1,)))
-    assert not low.told_wait and low.tracks[0].goal_stretch == 0 and low.halting is Halting.DROPS
+    assert not low.told_wait and low.request_classes[0].goal_stretch == 0 and low.halting is Halting.DROPS
 
 
 def test_messages_come_back_as_they_went_and_others_are_no_messages() -> None:
@@ -295,8 +321,11 @@
         for bad in (data[:-1], data + b"\xff", data.replace(b"\x08\x01", b"\x08\x07", 1), b""):
             with pytest.raises(codec.BadMessageError):
                 codec.decode(bad)
-    for bad in (codec.encode(Offer("x")), codec.encode(Piece(name, 0, 1 << 40, b"")),
-                codec.encode(Piece(name, 0, 1 << 20, bytes(PIECE_MOST + 1)))):  # fmt: skip
+    for bad in (
+        codec.encode(Offer("x")),
+        codec.encode(Piece(name, 0, 1 << 40, b"")),
+        codec.encode(Piece(name, 0, 1 << 20, bytes(PIECE_MOST + 1))),
+    ):
         with pytest.raises(codec.BadMessageError):
             codec.decode(bad)
 
@@ -316,8 +345,14 @@
 
 def test_a_job_is_translated_in_a_process_of_its_own() -> None:
     def asked(**job: object) -> dict[str, object]:
-        done = subprocess.run([sys.executable, "-m", "sablewheel.capability.translating"], timeout=30,
-                              input=json.dumps(job), capture_output=True, text=True, check=True)  # fmt: skip
+        done = subprocess.run(
+            [sys.executable, "-m", "sablewheel.capability.translating"],
+            timeout=30,
+            input=json.dumps(job),
+            capture_output=True,
+            text=True,
+            check=True,
+        )
         return dict(json.loads(done.stdout))
 
     first = asked(text=TEXT, file="p.yaml", classes=[RICH.said])
--- a/tests/test_capability_shell.py
+++ b/tests/test_capability_shell.py
@@ -19,7 +19,7 @@
 from sablewheel.membership.view import Fact, Member, View
 from sablewheel.program.features import FaultyFeaturesError, check
 from sablewheel.routing.exchange import Exchange
-from sablewheel.terms import Customer, Halting, Machine, Nature, Router, Ticket, Track
+from sablewheel.terms import Halting, Machine, Nature, Request, RequestClass, Router, Tenant
 from sablewheel.trials.policy_fleet import CLASSES
 
 POLICY = """\
@@ -31,7 +31,7 @@
     require: {durable-recall: }
     forbid: [stop-runs]
 """
-TRACK = Track(Nature.REDOABLE, 1.0, 4.0)
+REQUEST_CLASS = RequestClass(Nature.REDOABLE, 1.0, 4.0)
 
 
 class World:
@@ -119,7 +119,7 @@
         self.served: list[bytes] = []
 
     def arrived(self, exchange: Exchange) -> None:
-        self.served.append(exchange.track)
+        self.served.append(exchange.request_class)
 
     def gone(self, exchange: Exchange) -> None: ...
 
@@ -134,11 +134,11 @@
     ), changed
 
 
-def ask(made: Policies, track: bytes) -> tuple[list[bytes], list[Any]]:
+def ask(made: Policies, request_class: bytes) -> tuple[list[bytes], list[Any]]:
     desk, caller = Desk(), Caller()
-    customer: Customer | None = None
-    ticket = Ticket(TRACK, Router(), customer, 0.0, 1.0)
-    made.gate(desk).arrived(Exchange(b"n", track, b"", 1, None, ticket, caller))
+    tenant: Tenant | None = None
+    request = Request(REQUEST_CLASS, Router(), tenant, 0.0, 1.0)
+    made.gate(desk).arrived(Exchange(b"n", request_class, b"", 1, None, request, caller))
     return desk.served, caller.told
 
 
@@ -157,7 +157,7 @@
     world.install(2, {"m0": "rich", "m1": "diskless", "m2": "rich"}, staged=name)
     world.install(3, {"m0": "rich", "m1": "diskless", "m2": "rich"}, active=world.judged[ACTIVE], staged=name)
     assert changed and heard == [(0, {}), (4, {"pay": frozenset({"m0", "m2"})})]
-    machine = Machine((TRACK,), 2, 1e6, 1.0, halting=Halting.DROPS)
+    machine = Machine((REQUEST_CLASS,), 2, 1e6, 1.0, halting=Halting.DROPS)
     assert made.machine(machine).halting is Halting.NEVER
     assert ask(made, b"pay") == ([b"pay"], []) and ask(made, b"other") == ([b"other"], [])
     assert made.gauges()["policy"] == name
@@ -171,7 +171,7 @@
     made.close()
 
 
-def test_a_ticket_goes_to_who_may_serve_it_and_is_denied_where_nobody_can(tmp_path: Path) -> None:
+def test_a_request_goes_to_who_may_serve_it_and_is_denied_where_nobody_can(tmp_path: Path) -> None:
     giver, file = World(), tmp_path / "policy.yaml"
     file.write_text(POLICY)
     given, _ = policies(giver, "rich", file)
@@ -197,7 +197,9 @@
     giver.handler("m0", codec.encode(asked[-1][1]))
     world.handler(asked[-1][0], codec.encode(giver.sent[-1][1]))
     assert made.gauges()["policy"] == bundle.name
-    exchange = Exchange(b"n", b"pay", b"", 1, None, Ticket(TRACK, Router(), None, 0.0, 1.0), Caller())
+    exchange = Exchange(
+        b"n", b"pay", b"", 1, None, Request(REQUEST_CLASS, Router(), None, 0.0, 1.0), Caller()
+    )
     assert {made.place(exchange) for _ in range(4)} == {"m1", "m2"}
     world.broken("m2")
     assert {made.place(exchange) for _ in range(4)} == {"m1"}
--- a/tests/test_caps.py
+++ b/tests/test_caps.py
@@ -43,10 +43,21 @@
 
 def heard(town: Town, number: int) -> Router:
     asked = resp.Asked(
-        tag=1, name=b"a", track=b"lookup", router=b"%d" % number, customer=b"acme", since=town.now, kb=10.0,
-        label=None, subject=None, body=b"", until=None, again=False, estimate=None,
-    )  # fmt: skip
-    return town.server.ticket(asked).router
+        tag=1,
+        name=b"a",
+        request_class=b"lookup",
+        router=b"%d" % number,
+        tenant=b"acme",
+        since=town.now,
+        kb=10.0,
+        label=None,
+        subject=None,
+        body=b"",
+        until=None,
+        again=False,
+        estimate=None,
+    )
+    return town.server.request(asked).router
 
 
 def test_1024_routers_are_remembered_whatever_the_settings_tell_and_an_entry_is_small() -> None:
@@ -132,8 +143,10 @@
 
 def test_votes_fit_a_datagram_whoever_joins_or_goes_at_once() -> None:
     def members(what: str, many: int, size: int) -> list[Member]:
-        return [Member(f"{what}{n:05}".ljust(size, "x"), "203.0.113.100:65535", "zone", "region", 10**12)
-                for n in range(many)]  # fmt: skip
+        return [
+            Member(f"{what}{n:05}".ljust(size, "x"), "203.0.113.100:65535", "zone", "region", 10**12)
+            for n in range(many)
+        ]
 
     for size in (12, 128):
         joins = [Change(Kind.JOIN, one) for one in members("j", LEAST, size)]
@@ -205,8 +218,12 @@
 ) -> None:
     block = Block()
     host, told = f"127.{block.second}.0.1", tmp_path / "configuration.json"
-    track = {"name": "lookup", "on-time-s": 1.0, "deadline-s": 4.0, "repeat": "safe"}
-    settings = {"classes": [track], "extra": {"cores": 2, "memory-kb": 20000}, "safety": {"fall-multiple": 5}}
+    request_class = {"name": "lookup", "on-time-s": 1.0, "deadline-s": 4.0, "repeat": "safe"}
+    settings = {
+        "classes": [request_class],
+        "extra": {"cores": 2, "memory-kb": 20000},
+        "safety": {"fall-multiple": 5},
+    }
     places = {key: f"{host}:{port}" for key, port in (("listen", 7001), ("vm", 6100), ("naming", 2379))}
     told.write_text(json.dumps({"name": "n1", "seed": "2a", **places, "settings": settings}))
     on = tmp_path / "features.yaml"
