--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -28,10 +28,10 @@
     Tick,
     Wanted,
 )
-from sablewheel.terms import Machine, Nature, Outcome, Router, Speech, Ticket, Track
+from sablewheel.terms import Machine, Nature, Outcome, Request, RequestClass, Router, Speech
 
 COLD = Machine(
-    tracks=(Track(Nature.REDOABLE, 1.5, 4.5),),
+    request_classes=(RequestClass(Nature.REDOABLE, 1.5, 4.5),),
     cores=6,
     memory_kb=100_000.0,
     run_factor=4.0,
@@ -53,7 +53,7 @@
 
 @dataclass(eq=False)
 class Sender:
-    """Has at most as many tickets out as it was told, a fraction by chance, and stays away when advised."""
+    """Has at most as many requests out as it was told, a fraction by chance, and stays away when advised."""
 
     router: Router = field(default_factory=Router)
     out: int = 0
@@ -79,8 +79,8 @@
         self.controller = Controller(self.machine, 7)
         self.start = self.now = 1000.0
         self.said = inf
-        self.owners: dict[Ticket, Sender] = {}
-        self.left: dict[Ticket, float] = {}  # core time that each run still wants
+        self.owners: dict[Request, Sender] = {}
+        self.left: dict[Request, float] = {}  # core time that each run still wants
         self.got: deque[float] = deque()
         self.began: deque[float] = deque()
         self.crowds: deque[int] = deque(maxlen=round(machine.crowd_span / STEP))
@@ -109,42 +109,42 @@
             match deed:
                 case terms.Say(amount):
                     self.said = amount
-                case terms.Run(ticket):
-                    self.left[ticket] = self.work * self.draws.uniform(0.5, 1.5)
+                case terms.Run(request):
+                    self.left[request] = self.work * self.draws.uniform(0.5, 1.5)
                     self.began.append(self.now)
         # What is said goes with every answer of the batch.
         for deed in deeds:
             if isinstance(deed, (terms.Deny, terms.Terminate)):
-                sender = self.answer(deed.ticket)
+                sender = self.answer(deed.request)
                 if isinstance(deed, terms.Deny):
                     sender.away_until = self.now + deed.come_back
         for happening in happenings:
-            if isinstance(happening, terms.Ended) and happening.ticket in self.owners:
+            if isinstance(happening, terms.Ended) and happening.request in self.owners:
                 self.served += 1
-                self.answer(happening.ticket)
+                self.answer(happening.request)
 
-    def answer(self, ticket: Ticket) -> Sender:
-        sender = self.owners.pop(ticket)
+    def answer(self, request: Request) -> Sender:
+        sender = self.owners.pop(request)
         sender.out -= 1
         self.tell(sender)
         return sender
 
     def send(self, sender: Sender) -> terms.Arrived:
-        ticket = Ticket(self.machine.tracks[0], sender.router, None, self.now, 10.0)
-        self.owners[ticket] = sender
+        request = Request(self.machine.request_classes[0], sender.router, None, self.now, 10.0)
+        self.owners[request] = sender
         sender.out += 1
         self.got.append(self.now)
-        return terms.Arrived(ticket)
+        return terms.Arrived(request)
 
     def pass_time(self) -> None:
         self.now = round(self.now + STEP, 6)
         happenings: list[terms.Happening] = []
         each = STEP * self.speed * min(1.0, self.machine.cores / max(len(self.left), 1))
-        for ticket in list(self.left):
-            self.left[ticket] -= each
-            if self.left[ticket] <= 0:
-                del self.left[ticket]
-                happenings.append(terms.Ended(ticket, self.now - ticket.since, Outcome.WORKED))
+        for request in list(self.left):
+            self.left[request] -= each
+            if self.left[request] <= 0:
+                del self.left[request]
+                happenings.append(terms.Ended(request, self.now - request.since, Outcome.WORKED))
         self.decide(happenings + self.comers())
         self.look()
 
@@ -219,32 +219,32 @@
 
 
 class Members(Fleet):
-    """The senders are members of the view that pass tickets on to the cold one; none hears what it says."""
+    """The senders are members of the view that pass requests on to the cold one; none hears what it says."""
 
     def __init__(self, machine: Machine, members: int, flow: float, work: float) -> None:
         self.cores = {f"m{number}": Passing() for number in range(members)}
         self.cold = Passing()
-        self.guests: dict[Ticket, Key] = {}
+        self.guests: dict[Request, Key] = {}
         self.routers = {name: Router() for name in self.cores}
         self.number = self.answered = 0
         self.open: set[int] = set()
         super().__init__(machine, members, flow, work)
 
     def decide(self, happenings: list[terms.Happening]) -> None:
-        ended = [one.ticket for one in happenings if isinstance(one, terms.Ended)]
+        ended = [one.request for one in happenings if isinstance(one, terms.Ended)]
         for deed in self.controller.decide(self.now, happenings):
             match deed:
-                case terms.Run(ticket):
-                    self.left[ticket] = self.work * self.draws.uniform(0.5, 1.5)
-                case terms.Deny(ticket, come_back):
-                    self.over(ticket, Final.DENIED, come_back)
-                case terms.Terminate(ticket):
-                    self.over(ticket, Final.TERMINATED)
-        for ticket in ended:
-            self.over(ticket, Final.COMPLETED)
-
-    def over(self, ticket: Ticket, final: Final, come_back: float = 0.0) -> None:
-        key = self.guests.pop(ticket, None)
+                case terms.Run(request):
+                    self.left[request] = self.work * self.draws.uniform(0.5, 1.5)
+                case terms.Deny(request, come_back):
+                    self.over(request, Final.DENIED, come_back)
+                case terms.Terminate(request):
+                    self.over(request, Final.TERMINATED)
+        for request in ended:
+            self.over(request, Final.COMPLETED)
+
+    def over(self, request: Request, final: Final, come_back: float = 0.0) -> None:
+        key = self.guests.pop(request, None)
         if key is not None:
             self.served += final is Final.COMPLETED
             self.carry("cold", self.cold.step(self.now, Over(key, Answer(key[1], final, b"", come_back))))
@@ -259,11 +259,11 @@
                 case Send(to, message):
                     self.carry(to, self.cores[to].step(self.now, Got(name, message)))
                 case Admit(key, told, age):
-                    track, router = self.machine.tracks[0], self.routers[key[0]]
-                    ticket = Ticket(track, router, None, self.now - age, told.kb)
-                    self.guests[ticket] = key
+                    request_class, router = self.machine.request_classes[0], self.routers[key[0]]
+                    request = Request(request_class, router, None, self.now - age, told.kb)
+                    self.guests[request] = key
                     self.got.append(self.now)
-                    arrived.append(terms.Arrived(ticket))
+                    arrived.append(terms.Arrived(request))
                 case Answered(number) | Back(number):
                     self.open.remove(number)  # once only
                     self.answered += 1
--- a/tests/test_crossing_close.py
+++ b/tests/test_crossing_close.py
@@ -69,8 +69,8 @@
         names = (b"lookup", b"record")
         self.server = Server(
             self.scheduler,
-            dict(zip(names, MACHINE.tracks, strict=True)),
-            {b"acme": MACHINE.customers[0]},
+            dict(zip(names, MACHINE.request_classes, strict=True)),
+            {b"acme": MACHINE.tenants[0]},
             Standing(None, True),
             self.desk,
             self.counts.append,
@@ -469,7 +469,7 @@
     good.send(hall.call(1))
     hall.turn(lambda: hall.desk.held)
     assert len(hall.server.connections) == 2
-    hall.ahead(max(track.abandon for track in MACHINE.tracks) + 2.0)
+    hall.ahead(max(request_class.abandon for request_class in MACHINE.request_classes) + 2.0)
     hall.turn(lambda: "connections_stuck" in hall.counts)
     assert [one.open for one in hall.server.connections] == [{1: hall.desk.held[0]}]
 
--- a/tests/test_crossing_link.py
+++ b/tests/test_crossing_link.py
@@ -17,7 +17,7 @@
 from sablewheel.protocol import interpreter
 from sablewheel.routing.client import ASKED_MOST, Client
 from sablewheel.routing.exchange import Exchange
-from sablewheel.terms import Nature, Outcome, Router, Ticket, Track
+from sablewheel.terms import Nature, Outcome, Request, RequestClass, Router
 from sablewheel.transport.scheduler import Clock, Scheduler
 from sablewheel.transport.stream import Listener, Stream, connect
 
@@ -631,8 +631,8 @@
 
 
 def exchange(name: bytes) -> Exchange:
-    ticket = Ticket(Track(Nature.LABELLED, 1.0, 4.0), Router(), None, 0.0, 1.0)
-    return Exchange(name, b"record", b"body of " + name, 1, name, ticket, None)
+    request = Request(RequestClass(Nature.LABELLED, 1.0, 4.0), Router(), None, 0.0, 1.0)
+    return Exchange(name, b"record", b"body of " + name, 1, name, request, None)
 
 
 def test_a_move_that_crosses_a_break_in_the_middle_of_a_notice_loses_and_doubles_nothing() -> None:
--- a/tests/test_crossing_repeats.py
+++ b/tests/test_crossing_repeats.py
@@ -14,16 +14,16 @@
 from test_routing import MACHINE
 from world import MadeStream, Town, Try, call
 
-from sablewheel.terms import Customer, Halting, Machine, Nature, Track
+from sablewheel.terms import Halting, Machine, Nature, RequestClass, Tenant
 
 SHORT = 0.3  # a window shorter than the deadline, the grace and many a wait
 LIMIT = 0.05  # by which the protocol makes every time limit longer
 
 
 def made(window: float, **rest: object) -> Machine:
-    """The usual machine with another window for its labelled track."""
-    track = replace(MACHINE.tracks[1], window=window)
-    return replace(MACHINE, tracks=(MACHINE.tracks[0], track), **rest)  # type: ignore[arg-type]
+    """The usual machine with another window for its labelled request class."""
+    request_class = replace(MACHINE.request_classes[1], window=window)
+    return replace(MACHINE, request_classes=(MACHINE.request_classes[0], request_class), **rest)  # type: ignore[arg-type]
 
 
 class Judged(Town):
@@ -37,18 +37,18 @@
         self.never_ran: set[bytes] = set()  # names of which the interpreter said so
         super().__init__(machine)
 
-    def track_of(self, name: bytes) -> Track:
-        return self.machine.tracks[name == b"record"]
+    def request_class_of(self, name: bytes) -> RequestClass:
+        return self.machine.request_classes[name == b"record"]
 
-    def track(self, one: Try) -> Track:
-        return self.track_of(one.track)
+    def request_class(self, one: Try) -> RequestClass:
+        return self.request_class_of(one.request_class)
 
-    def write(self, track: bytes, label: bytes = b"", router: int = 4) -> Try:
+    def write(self, request_class: bytes, label: bytes = b"", router: int = 4) -> Try:
         """A router writes a try, now; it lies unread until `read`."""
         tag = len(self.tries) + 1
-        one = Try(tag, b"%016x" % tag, track, label, self.now)
+        one = Try(tag, b"%016x" % tag, request_class, label, self.now)
         self.tries.append(one)
-        self.unread.append((one, call(tag, one.name, track, one.since, one.body, label, router)))
+        self.unread.append((one, call(tag, one.name, request_class, one.since, one.body, label, router)))
         return one
 
     def read(self, *tries: Try) -> None:
@@ -59,9 +59,9 @@
         if going:
             self.router.feed(b"".join(data for _, data in going))
 
-    def call(self, track: bytes, label: bytes = b"", ago: float = 0.0) -> Try:
+    def call(self, request_class: bytes, label: bytes = b"", ago: float = 0.0) -> Try:
         assert not ago
-        one = self.write(track, label)
+        one = self.write(request_class, label)
         self.read(one)
         return one
 
@@ -89,11 +89,11 @@
             assert one.since <= self.notice + machine.drain_grace + LIMIT, "run after the drain's grace"
             for before in ran[:place]:
                 if one.label and one.label == before.label:
-                    assert one.since > before.since + self.track(before).window + LIMIT, "ran twice"
+                    assert one.since > before.since + self.request_class(before).window + LIMIT, "ran twice"
         for one in self.tries:
             assert len(one.answers) <= 1, "answered twice"
             if one in self.read_at and not one.answers and not one.cancelled:
-                due = max(one.since + self.track(one).abandon, self.read_at[one])
+                due = max(one.since + self.request_class(one).abandon, self.read_at[one])
                 assert self.now <= min(due + slack, self.stop), "lost"
             if not one.answers or one in self.judged:
                 continue
@@ -106,7 +106,7 @@
                 assert one not in ran, "denied what has run"
                 for other in ran:
                     if one.label and other.label == one.label and other.name in self.ran_before:
-                        until = other.since + self.track(other).window
+                        until = other.since + self.request_class(other).window
                         assert one.since > until, "a repeat of what has run was denied"
         self.ran_before = [one.name for one in ran]
 
@@ -197,7 +197,7 @@
     town.scheduler.clock.now += 0.2
     denied = town.call(b"record", b"a")  # past it
     town.settle()
-    town.wait(MACHINE.tracks[1].goal)
+    town.wait(MACHINE.request_classes[1].goal)
     assert words(denied) == [b"BUSY"]
     for one in lookups:
         town.end(one.name)
@@ -242,7 +242,7 @@
     for row in controller.table.values():
         row.service.add(100.0)
     late = town.write(b"record", b"a")
-    town.scheduler.clock.now += MACHINE.tracks[1].abandon + 1.0
+    town.scheduler.clock.now += MACHINE.request_classes[1].abandon + 1.0
     town.settle()  # a round that brings other things, or the accepting of its connection
     town.read()
     town.settle()
@@ -251,7 +251,7 @@
 
 def test_an_older_try_does_not_run_after_a_newer_one() -> None:
     """Held past a short window, the label was taken over; one within its share then overtook the older."""
-    town = Judged(made(SHORT, crowd_multiple=1.0, over_share_worth=0.5, customers=(Customer(0.5),)))
+    town = Judged(made(SHORT, crowd_multiple=1.0, over_share_worth=0.5, tenants=(Tenant(0.5),)))
     for _ in range(4):
         one = town.call(b"lookup")
         town.settle()
@@ -260,7 +260,7 @@
     town.wait(2.0)
     lookups = [town.call(b"lookup") for _ in range(MACHINE.cores)]
     town.wait(1.8)
-    older = town.call(b"record", b"a")  # beyond its customer's share
+    older = town.call(b"record", b"a")  # beyond its tenant's share
     town.wait(SHORT + LIMIT + 0.2)
     assert not older.answers
     newer = town.call(b"record", b"a")  # within it
@@ -275,8 +275,11 @@
 
 
 def two_windows(**rest: object) -> Machine:
-    tracks = (replace(MACHINE.tracks[1], window=0.2), replace(MACHINE.tracks[1], window=60.0))
-    return replace(MACHINE, tracks=tracks, **rest)  # type: ignore[arg-type]
+    request_classes = (
+        replace(MACHINE.request_classes[1], window=0.2),
+        replace(MACHINE.request_classes[1], window=60.0),
+    )
+    return replace(MACHINE, request_classes=request_classes, **rest)  # type: ignore[arg-type]
 
 
 def test_labels_of_short_windows_are_let_go_behind_one_of_a_long_window() -> None:
@@ -371,7 +374,7 @@
     answered = [one for one in tries if not one.cancelled]
     assert all(one.answers for one in answered)
     assert place == "held" or set(words(*answered)) <= {b"OK"}
-    assert sum(one.track == b"record" for one in town.ran()) <= 1
+    assert sum(one.request_class == b"record" for one in town.ran()) <= 1
 
 
 def test_two_repeats_in_the_round_of_the_firsts_denial() -> None:
@@ -382,7 +385,7 @@
     first = town.call(b"record", b"a")
     town.settle()
     repeats = [town.call(b"record", b"a") for _ in range(2)]
-    town.scheduler.clock.now += MACHINE.tracks[1].goal  # held out, in the batch of the one repeat
+    town.scheduler.clock.now += MACHINE.request_classes[1].goal  # held out, in the batch of the one repeat
     town.settle()
     assert words(first, *repeats) == [b"BUSY", b"FAILED", b"BUSY"]
     for one in lookups:
@@ -418,7 +421,7 @@
     first = town.call(b"record", b"a")
     town.settle()
     again = town.call(b"record", b"a")
-    town.scheduler.clock.now += MACHINE.tracks[1].abandon + 0.01
+    town.scheduler.clock.now += MACHINE.request_classes[1].abandon + 0.01
     town.settle()
     assert words(first, again) == [b"FAILED", b"FAILED"]
     third = town.call(b"record", b"a")
@@ -457,7 +460,7 @@
     town.settle()
     machine = made(window)
     town.dispatch.retune(machine, (0, 3, 1))
-    town.server._tracks.update(zip((b"lookup", b"record"), machine.tracks, strict=True))
+    town.server._request_classes.update(zip((b"lookup", b"record"), machine.request_classes, strict=True))
     town.wait(0.9)
     again = town.call(b"record", b"a")
     town.settle()
@@ -474,10 +477,10 @@
 
 def test_a_longer_wait_in_new_settings_keeps_labels_for_as_long() -> None:
     town = Judged(made(SHORT))
-    tracks = tuple(replace(one, abandon=10.0) for one in town.machine.tracks)
-    machine = replace(town.machine, tracks=tracks)
+    request_classes = tuple(replace(one, abandon=10.0) for one in town.machine.request_classes)
+    machine = replace(town.machine, request_classes=request_classes)
     town.dispatch.retune(machine, (0, 3, 1))
-    town.server._tracks.update(zip((b"lookup", b"record"), tracks, strict=True))
+    town.server._request_classes.update(zip((b"lookup", b"record"), request_classes, strict=True))
     town.machine = machine
     first = town.call(b"record", b"a")
     town.settle()
@@ -493,8 +496,8 @@
 
 @pytest.mark.parametrize("nature", [Nature.IRREVERSIBLE, Nature.LABELLED])
 def test_a_name_that_comes_again_after_its_try_is_over_is_not_run_again(nature: Nature) -> None:
-    track = replace(MACHINE.tracks[1], nature=nature, window=SHORT)
-    town = Judged(replace(MACHINE, tracks=(MACHINE.tracks[0], track)))
+    request_class = replace(MACHINE.request_classes[1], nature=nature, window=SHORT)
+    town = Judged(replace(MACHINE, request_classes=(MACHINE.request_classes[0], request_class)))
     label = b"a" if nature is Nature.LABELLED else b""
     one = town.call(b"record", label)
     town.settle()
@@ -518,7 +521,9 @@
     "two windows": two_windows(crowd_multiple=1.0),
     "irreversible": replace(
         MACHINE,
-        tracks=tuple(replace(one, nature=Nature.IRREVERSIBLE, window=SHORT) for one in MACHINE.tracks),
+        request_classes=tuple(
+            replace(one, nature=Nature.IRREVERSIBLE, window=SHORT) for one in MACHINE.request_classes
+        ),
     ),
     "never stopped": made(0.0, halting=Halting.NEVER, slack=0.0),
 }
@@ -545,8 +550,12 @@
 def test_rules_hold_while_tries_lie_unread(name: str, steps: list[tuple[str, int]]) -> None:
     town = Judged(VARIANTS[name])
 
-    def label(track: bytes, which: int) -> bytes:
-        return b"%b%d" % (track, which) if town.track_of(track).nature is Nature.LABELLED else b""
+    def label(request_class: bytes, which: int) -> bytes:
+        return (
+            b"%b%d" % (request_class, which)
+            if town.request_class_of(request_class).nature is Nature.LABELLED
+            else b""
+        )
 
     for step, which in steps:
         running = list(town.interpreter.running)
@@ -559,9 +568,9 @@
             case "write":
                 town.call(b"record", label(b"record", which))
             case "lie":
-                track = (b"lookup", b"record")[which % 2]
-                town.write(track, label(track, which))
-                town.write(track, label(track, which))
+                request_class = (b"lookup", b"record")[which % 2]
+                town.write(request_class, label(request_class, which))
+                town.write(request_class, label(request_class, which))
             case "deliver" if town.unread:
                 town.read(town.unread[which % len(town.unread)][0])
                 if which == 3:
@@ -588,7 +597,7 @@
                 one = known[-1 - which % len(known)]
                 stream = MadeStream(town.scheduler)
                 town.server.accepted(stream)
-                stream.feed(call(1, one.name, one.track, town.now, one.body, one.label))
+                stream.feed(call(1, one.name, one.request_class, town.now, one.body, one.label))
             case "lose":
                 town.call(b"record", label(b"record", which))
                 town.settle(deliver=False)
--- a/tests/test_crossing_shutdown.py
+++ b/tests/test_crossing_shutdown.py
@@ -225,9 +225,9 @@
 
 @pytest.mark.parametrize("ends", [True, False])
 def test_what_is_read_after_the_last_answers_is_refused(place: Place, ends: bool) -> None:
-    """A run ends and a ticket comes between the last answers and the end: no second answer, and no run.
+    """A run ends and a request comes between the last answers and the end: no second answer, and no run.
 
-    While the run goes on, a ticket of its name fails: a refusal would say that what it names never ran.
+    While the run goes on, a request of its name fails: a refusal would say that what it names never ran.
     """
     place.told["settings"]["safety"]["answer-slack-s"] = 0.0
     place.told["settings"]["tick-s"] = 0.0
@@ -461,7 +461,7 @@
         self.crowds += 1
 
     def client(self, most: float = PATIENCE) -> None:
-        """One that connects and writes its ticket; it is kept if the machine accepted it."""
+        """One that connects and writes its request; it is kept if the machine accepted it."""
         with contextlib.suppress(OSError):
             self.made.append(socket.create_connection(self.address, timeout=most))
             self.made[-1].sendall(b"ticket")
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -20,7 +20,7 @@
 
 
 def four(load: float = 50.0, **west1: float | bool) -> tuple[Zone, ...]:
-    """Two regions of two zones, each good for 100 tickets a second with headroom."""
+    """Two regions of two zones, each good for 100 requests a second with headroom."""
     first = {"capacity": 140.0, "load": load, **west1}
     return (
         Zone("west1", "west", **first),  # type: ignore[arg-type]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -105,8 +105,13 @@
 def test_bad_packets_are_counted_and_dropped(fleet: Fleet) -> None:
     place = (fleet.host("m1"), PORT)
     whole = codec.encode(Message(Envelope("stranger", 1), Nack(1)))
-    bad = [b"", b"\xff" * 40, whole[:-1], whole.replace(b"\x08\x01", b"\x08\x07", 1),
-           codec.encode(Message(Envelope("stranger", 1), Ask()))]  # fmt: skip
+    bad = [
+        b"",
+        b"\xff" * 40,
+        whole[:-1],
+        whole.replace(b"\x08\x01", b"\x08\x07", 1),
+        codec.encode(Message(Envelope("stranger", 1), Ask())),
+    ]
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as out:
         for packet in bad:
             out.sendto(packet, place)
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,5 +1,5 @@
 """The forward path: passing by its rules on a made network, links over loopback with peers that misbehave,
-and tickets passed between two desks. Every wait is bounded."""
+and requests passed between two desks. Every wait is bounded."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     Taken,
     decode,
     encode,
-)  # fmt: skip
+)
 from sablewheel.forwarding.passing import (
     Abandon,
     Admit,
@@ -49,24 +49,24 @@
     Unsent,
     Unsure,
     Wanted,
-)  # fmt: skip
+)
 from sablewheel.forwarding.plan import LinkSettings, PassSettings
 from sablewheel.membership.view import Member, View
 from sablewheel.program.features import FaultyFeaturesError, read
 from sablewheel.routing.exchange import UNWITNESSED, Exchange
-from sablewheel.terms import Nature, Router, Ticket, Track
+from sablewheel.terms import Nature, Request, RequestClass, Router
 from sablewheel.transport.scheduler import Clock, Scheduler
 from sablewheel.trials.fleet import LISTEN, Block
 from sablewheel.trials.forwarding import KEYS, Stage
-from sablewheel.trials.forwarding import TRACKS as SHARES
+from sablewheel.trials.forwarding import REQUEST_CLASSES as SHARES
 from sablewheel.trials.made_fleet import MadeFleet
 from sablewheel.trials.rig import Rig, free_port
 
 PATIENCE = 5.0
 
 
-def passed(name: bytes = b"n1", track: bytes = b"lookup", label: bytes | None = None) -> Passed:
-    return Passed(name, track, b"body", b"", label, 10.0, None)
+def passed(name: bytes = b"n1", request_class: bytes = b"lookup", label: bytes | None = None) -> Passed:
+    return Passed(name, request_class, b"body", b"", label, 10.0, None)
 
 
 def wanted(number: int, nature: Nature = Nature.REDOABLE, left: float = 2.0, to: str = "b") -> Wanted:
@@ -80,7 +80,7 @@
 # -- the rules, one by one
 
 
-def test_an_answer_comes_once_and_only_from_the_peer_that_has_the_ticket() -> None:
+def test_an_answer_comes_once_and_only_from_the_peer_that_has_the_request() -> None:
     core = Passing()
     core.step(0.0, wanted(1))
     assert core.step(0.1, Got("c", done(1))) == []
@@ -105,7 +105,7 @@
     assert core.step(0.5, Broken("b")) == becomes
 
 
-def test_a_labelled_ticket_goes_as_its_owner_says() -> None:
+def test_a_labelled_request_goes_as_its_owner_says() -> None:
     for again in (True, False):
         core = Passing()
         core.step(0.0, wanted(1, Nature.LABELLED))
@@ -127,7 +127,7 @@
     assert core.step(0.1, event) == [Back(1, frozenset("b"))]
 
 
-def test_only_a_redoable_ticket_is_taken_back_when_the_peer_does_not_say_it_has_it() -> None:
+def test_only_a_redoable_request_is_taken_back_when_the_peer_does_not_say_it_has_it() -> None:
     core = Passing()
     for number, nature in enumerate(Nature, 1):
         core.step(0.0, wanted(number, nature))
@@ -140,7 +140,7 @@
     assert isinstance(core.step(0.4, wanted(10))[0], Send)  # until it is heard
 
 
-def test_every_ticket_has_its_answer_before_its_time_is_up() -> None:
+def test_every_request_has_its_answer_before_its_time_is_up() -> None:
     core = Passing()
     for number, nature in enumerate(Nature, 1):
         core.step(0.0, wanted(number, nature, left=1.0))
@@ -181,7 +181,7 @@
     assert core.step(0.2, Over(("a", 1), done(1)))[0].message == done(1)  # type: ignore[union-attr]
 
 
-def test_a_caller_that_leaves_takes_its_ticket_along() -> None:
+def test_a_caller_that_leaves_takes_its_request_along() -> None:
     core = Passing()
     core.step(0.0, wanted(1))
     assert [one.message for one in core.step(0.1, Gone(1)) if isinstance(one, Send)] == [Cancel(1)]
@@ -192,7 +192,7 @@
 
 
 class Twice(Passing):
-    """Broken: an irreversible ticket is sent again after a break."""
+    """Broken: an irreversible request is sent again after a break."""
 
     def _may_have_run(self, number: int) -> list[Effect]:
         return [self._back(0.0, number, self.out.pop(number))]
@@ -200,8 +200,8 @@
 
 @dataclass
 class Story:
-    """Four members that pass tickets about, over links that drop, double and are cut; members pause and start
-    anew."""
+    """Four members that pass requests about, over links that drop, double and are cut; members pause and
+    start anew."""
 
     seed: int
     make: Callable[[], Passing] = Passing
@@ -250,8 +250,8 @@
 
     def heard(self, now: float, name: str, effect: Any) -> None:
         match effect:
-            case Admit(key, ticket, _):
-                self.runs[ticket.name] += 1
+            case Admit(key, request, _):
+                self.runs[request.name] += 1
                 answer = Over(key, done(key[1]))
                 self.fleet.later(0.1, lambda: self.fleet.tell(name, answer))
             case Back(number, _):
@@ -270,13 +270,14 @@
 
     def second_runs(self) -> int:
         return sum(
-            self.runs[b"%d" % number] > 1 for number, nature in self.natures.items()
+            self.runs[b"%d" % number] > 1
+            for number, nature in self.natures.items()
             if nature is not Nature.REDOABLE
-        )  # fmt: skip
+        )
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_each_ticket_has_one_outcome_and_what_may_not_run_twice_does_not(seed: int) -> None:
+def test_each_request_has_one_outcome_and_what_may_not_run_twice_does_not(seed: int) -> None:
     story = Story(seed)
     story.play()
     kept = set(story.natures) - story.lost_with
@@ -298,9 +299,16 @@
 
 @pytest.mark.parametrize(
     "message",
-    [Pass(1 << 60, passed(label=b"l" * 32), 0.25, 1.5), Taken(1), Refused(2), Cancel(3), done(4),
-     Answer(5, Final.DENIED, b"", 1.5, True), Answer(6, Final.TERMINATED)],
-)  # fmt: skip
+    [
+        Pass(1 << 60, passed(label=b"l" * 32), 0.25, 1.5),
+        Taken(1),
+        Refused(2),
+        Cancel(3),
+        done(4),
+        Answer(5, Final.DENIED, b"", 1.5, True),
+        Answer(6, Final.TERMINATED),
+    ],
+)
 def test_messages_come_back_as_they_went(message: Message) -> None:
     assert decode(encode(message)) == message
 
@@ -567,7 +575,7 @@
     play(body)
 
 
-# -- tickets between two desks
+# -- requests between two desks
 
 
 class Engine:
@@ -600,10 +608,10 @@
         self.told.append(("terminated",))
 
 
-TRACKS = {
-    b"lookup": Track(Nature.REDOABLE, 0.5, 2.0),
-    b"record": Track(Nature.LABELLED, 0.5, 2.0, 6.0),
-    b"stamp": Track(Nature.IRREVERSIBLE, 0.5, 2.0),
+REQUEST_CLASSES = {
+    b"lookup": RequestClass(Nature.REDOABLE, 0.5, 2.0),
+    b"record": RequestClass(Nature.LABELLED, 0.5, 2.0, 6.0),
+    b"stamp": RequestClass(Nature.IRREVERSIBLE, 0.5, 2.0),
 }
 
 
@@ -621,19 +629,21 @@
         self.engines, self.forwards = dict[str, Engine](), dict[str, Forward]()
         for place, name in enumerate("ab"):
             links = self.net.start(name)
-            forward = Forward(scheduler, links, Passing(), place + 1, {**TRACKS}, {}, lambda: UNWITNESSED)
+            forward = Forward(
+                scheduler, links, Passing(), place + 1, {**REQUEST_CLASSES}, {}, lambda: UNWITNESSED
+            )
             self.engines[name] = Engine()
             forward.desk(self.engines[name])
             forward.placer = To("b")  # on b as well: what was passed there must not go on
             self.forwards[name] = forward
         self.scheduler, self.router, self.count = scheduler, Asker(), 0
 
-    def ask(self, track: bytes, waited: float = 0.0) -> Exchange:
+    def ask(self, request_class: bytes, waited: float = 0.0) -> Exchange:
         self.count += 1
-        kind = TRACKS[track]
+        kind = REQUEST_CLASSES[request_class]
         label = b"l%d" % self.count if kind.nature is Nature.LABELLED else None
-        ticket = Ticket(kind, Router(), None, self.scheduler.clock.now - waited, 10.0)
-        exchange = Exchange(b"n%d" % self.count, track, b"body", 1, label, ticket, self.router)
+        request = Request(kind, Router(), None, self.scheduler.clock.now - waited, 10.0)
+        exchange = Exchange(b"n%d" % self.count, request_class, b"body", 1, label, request, self.router)
         self.forwards["a"].arrived(exchange)
         return exchange
 
@@ -651,20 +661,27 @@
     play(run)
 
 
-def test_a_ticket_passed_on_is_admitted_there_and_answered_once_here() -> None:
+def test_a_request_passed_on_is_admitted_there_and_answered_once_here() -> None:
     def body(scheduler: Scheduler, pair: Pair) -> None:
         answers: list[tuple[Callable[[Exchange], None], Any]] = [
             (lambda one: one.complete(b"made"), ("completed", b"made")),
             (lambda one: one.deny(0.75, True), ("denied", 0.75, True)),
             (lambda one: one.terminate(), ("terminated",)),
         ]
-        for track in TRACKS:
+        for request_class in REQUEST_CLASSES:
             for answer, told in answers:
-                exchange = pair.ask(track, waited=0.4)
+                exchange = pair.ask(request_class, waited=0.4)
                 guest = pair.guest()
-                assert (guest.name, guest.track, guest.body) == (exchange.name, track, b"body")
-                assert guest.label == exchange.label and guest.ticket.track is TRACKS[track]
-                assert guest.ticket.arrived <= exchange.ticket.arrived + 0.05
+                assert (guest.name, guest.request_class, guest.body) == (
+                    exchange.name,
+                    request_class,
+                    b"body",
+                )
+                assert (
+                    guest.label == exchange.label
+                    and guest.request.request_class is REQUEST_CLASSES[request_class]
+                )
+                assert guest.request.arrived <= exchange.request.arrived + 0.05
                 answer(guest)
                 wait(scheduler, lambda: pair.router.told)
                 assert pair.router.told == [told]
@@ -695,17 +712,17 @@
         pair.guest().complete(b"x" * (2 << 20))
         wait(scheduler, lambda: pair.router.told)
         assert pair.router.told == [("terminated",)]
-        ticket = Ticket(TRACKS[b"stamp"], Router(), None, scheduler.clock.now, 10.0)
-        long = Exchange(b"n" * 65, b"stamp", b"body", 1, None, ticket, pair.router)
+        request = Request(REQUEST_CLASSES[b"stamp"], Router(), None, scheduler.clock.now, 10.0)
+        long = Exchange(b"n" * 65, b"stamp", b"body", 1, None, request, pair.router)
         pair.forwards["a"].arrived(long)
         assert pair.engines["a"].open == [long]
 
     paired(body)
 
 
-def test_a_lost_link_ends_each_ticket_by_its_nature() -> None:
+def test_a_lost_link_ends_each_request_by_its_nature() -> None:
     def body(scheduler: Scheduler, pair: Pair) -> None:
-        asked = {track: pair.ask(track) for track in TRACKS}
+        asked = {request_class: pair.ask(request_class) for request_class in REQUEST_CLASSES}
         wait(scheduler, lambda: len(pair.engines["b"].open) == 3)
         pair.net.links["b"].close()
         wait(scheduler, lambda: len(pair.router.told) == 2)
@@ -723,19 +740,19 @@
 
 def test_what_a_peer_does_not_know_or_can_not_be_reached_in_time_is_served_here() -> None:
     def body(scheduler: Scheduler, pair: Pair) -> None:
-        del pair.forwards["b"]._tracks[b"record"]
+        del pair.forwards["b"]._request_classes[b"record"]
         exchange = pair.ask(b"record")
         wait(scheduler, lambda: pair.engines["a"].open == [exchange])
         pair.forwards["a"].placer = To(None)
         pair.ask(b"lookup")
-        pair.forwards["a"].placer = None  # type: ignore[assignment]  # a fault in who places costs no ticket
+        pair.forwards["a"].placer = None  # type: ignore[assignment]  # a fault in who places costs no request
         pair.ask(b"lookup")
         assert len(pair.engines["a"].open) == 3 and pair.forwards["a"].counts["faults"] == 1
 
     paired(body)
 
 
-def test_two_servers_serve_each_other_s_tickets_and_leave_in_order() -> None:
+def test_two_servers_serve_each_other_s_requests_and_leave_in_order() -> None:
     with Rig(1) as rig, closing(Block()) as block:
         stage = Stage(rig, block.second, "spread", 0, 2, 1, keys=KEYS)
         for name in stage.names:
@@ -747,7 +764,9 @@
         assert stage.processes["m1"].popen.wait(20.0) == 1
         assert f"sablewheel: membership.listen: {stage.host('m1')}:" in stage.processes["m1"].tail(50)
         stage.processes["m1"] = rig.processes[-2]
-        asks = rig.router("r-m0", [f"{stage.host('m0')}:{LISTEN}"], rate=40, seconds=2.0, tracks=SHARES)
+        asks = rig.router(
+            "r-m0", [f"{stage.host('m0')}:{LISTEN}"], rate=40, seconds=2.0, request_classes=SHARES
+        )
         assert asks.popen.wait(20.0) == 0
         tries = list(rig.held("r-m0"))
         assert len(tries) > 40 and {one["how"] for one in tries} <= {"completed", "denied"}
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -74,9 +74,10 @@
     order = [one.section for one in DECLARED]
     for name in order:
         section = next(
-            kind for kind in Top.model_fields[name].annotation.__args__  # type: ignore[union-attr]
+            kind
+            for kind in Top.model_fields[name].annotation.__args__  # type: ignore[union-attr]
             if isinstance(kind, type) and issubclass(kind, Section)
-        )  # fmt: skip
+        )
         assert name in Features.__dataclass_fields__
         assert all(order.index(needed) < order.index(name) for needed in section.needs)
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -39,7 +39,7 @@
 from sablewheel.program.features import FaultyFeaturesError, check, read
 from sablewheel.state.files import DiskFiles
 from sablewheel.state.log import Log
-from sablewheel.terms import Customer, Halting, Machine, Nature, Speech, Track
+from sablewheel.terms import Halting, Machine, Nature, RequestClass, Speech, Tenant
 from sablewheel.transport.background import Background
 from sablewheel.transport.rota import SAVED_MOST, Chore, Rota
 from sablewheel.transport.scheduler import Clock, Scheduler
@@ -49,8 +49,11 @@
 INCARNATION = b"incarn01"
 HOURS = Calendar("UTC", Length.HOUR, lag=60.0)
 MACHINE = Machine(
-    tracks=(Track(Nature.REDOABLE, 1.0, 4.0), Track(Nature.LABELLED, 1.0, 4.0, window=6.0)),
-    customers=(Customer(50.0),),
+    request_classes=(
+        RequestClass(Nature.REDOABLE, 1.0, 4.0),
+        RequestClass(Nature.LABELLED, 1.0, 4.0, window=6.0),
+    ),
+    tenants=(Tenant(50.0),),
     cores=2,
     memory_kb=2000.0,
     run_factor=4.0,
@@ -77,7 +80,7 @@
         monkeypatch.setattr(keeper, "Bridge", SlowBridge)
         plan = LedgerPlan(Depth.DURABLE, Path("made"), answers, commit_every=0.0, entries_most=50)
         background = Background(self.scheduler, lambda: 0)
-        names = {MACHINE.customers[0]: "acme"}
+        names = {MACHINE.tenants[0]: "acme"}
         self.keeper = Keeper(
             self.scheduler, background, plan, "n1", INCARNATION, names, lambda: 0.5, self.counts.append
         )
@@ -285,10 +288,15 @@
         for customer in ("acme", "zenith"):
             pool.add(
                 pb.Entry(
-                    customer=customer, track="record", outcome=pb.COMPLETED, ended_us=(at + place) * SECOND,
-                    billed=True, run_us=1000, name=(2 * place + (customer == "zenith")).to_bytes(8, "big"),
+                    customer=customer,
+                    track="record",
+                    outcome=pb.COMPLETED,
+                    ended_us=(at + place) * SECOND,
+                    billed=True,
+                    run_us=1000,
+                    name=(2 * place + (customer == "zenith")).to_bytes(8, "big"),
                 )
-            )  # fmt: skip
+            )
         found.append(pool.cut(at + place, pool.last, 100))
     return found
 
@@ -356,16 +364,19 @@
         ("update lines set run_us = 5 where place = 2", "line 2: not as it was written (n1/"),
         ("delete from lines where place = 2", "lines 2 to 2 are missing"),
         ("delete from lines where place = (select max(place) from lines)", "are there"),
-        ("insert into lines select period, 99, digest, kind, block, sequence, belongs, customer, track,"
-         " outcome, goal_kept, beyond, billed, entries, run_us, asked_bytes, answer_bytes, ended_us, name,"
-         " run, more from lines where place = 1", "missing"),
+        (
+            "insert into lines select period, 99, digest, kind, block, sequence, belongs, customer, track,"
+            " outcome, goal_kept, beyond, billed, entries, run_us, asked_bytes, answer_bytes, ended_us, name,"
+            " run, more from lines where place = 1",
+            "missing",
+        ),
         ("update periods set seal = x'00' where sealed = 1", "its seal"),
         ("update periods set seal = null, sealed = null", "without a seal"),
         ("update periods set lines = 3", "lines were written"),
         ("delete from blocks where number = 2", "missing"),
         ("update blocks set first_sequence = first_sequence + 1 where number = 3", "sequence"),
     ],
-)  # fmt: skip
+)
 def test_loss_insertion_and_change_are_found_and_located(book: Book, change: str, says: str) -> None:
     apply(book, "n1", sealed_blocks("n1", 3, at=NOON - 600), NOON)
     close(book, NOON + 61)
--- a/tests/test_ledger_decisions.py
+++ b/tests/test_ledger_decisions.py
@@ -105,9 +105,15 @@
     def add(self, customer: str, outcome: Any, hour: int, run: int) -> None:
         billed = outcome == pb.COMPLETED and run % 3 > 0
         entry = pb.Entry(
-            customer=customer, track="t", outcome=outcome, ended_us=(1_792_800_000 + hour * 3600) * SECOND,
-            run_us=run * billed, billed=billed, asked_bytes=run % 100, answer_bytes=run % 50,
-        )  # fmt: skip
+            customer=customer,
+            track="t",
+            outcome=outcome,
+            ended_us=(1_792_800_000 + hour * 3600) * SECOND,
+            run_us=run * billed,
+            billed=billed,
+            asked_bytes=run % 100,
+            answer_bytes=run % 50,
+        )
         assert self.pool.add(entry) == len(self.model) + 1
         self.model.append(entry)
 
@@ -399,27 +405,39 @@
         ),
         (
             pb.Block(
-                server="n", incarnation=INCARNATION, number=1, first_sequence=1, last_sequence=1,
+                server="n",
+                incarnation=INCARNATION,
+                number=1,
+                first_sequence=1,
+                last_sequence=1,
                 entries=[pb.Entry(sequence=1, outcome=pb.DENIED, billed=True)],
             ),
             "billed",
         ),
         (
             pb.Block(
-                server="n", incarnation=INCARNATION, number=1, first_sequence=1, last_sequence=1,
+                server="n",
+                incarnation=INCARNATION,
+                number=1,
+                first_sequence=1,
+                last_sequence=1,
                 entries=[pb.Entry(sequence=1)],
             ),
             "outcome",
         ),
         (
             pb.Block(
-                server="n", incarnation=INCARNATION, number=1, first_sequence=1, last_sequence=3,
+                server="n",
+                incarnation=INCARNATION,
+                number=1,
+                first_sequence=1,
+                last_sequence=3,
                 totals=[pb.Total(customer="c", outcome=pb.DENIED, entries=3)],
             ),
             "totals",
         ),
     ],
-)  # fmt: skip
+)
 def test_blocks_that_contradict_themselves_are_told_by_their_field(block: pb.Block, says: str) -> None:
     with pytest.raises(BlockError, match=says):
         blocks.read(block.SerializeToString())
@@ -526,8 +544,14 @@
 
 def a_correction(target: str = "n1/0123456789abcdef/7", **more: Any) -> Correction:
     told: dict[str, Any] = {
-        "customer": "a", "track": "t", "tickets": -1, "run_us": 0, "reason": "why", "author": "who", **more,
-    }  # fmt: skip
+        "customer": "a",
+        "track": "t",
+        "tickets": -1,
+        "run_us": 0,
+        "reason": "why",
+        "author": "who",
+        **more,
+    }
     return Correction(corrections.target(target), **told)
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -226,9 +226,14 @@
     silent.join.member.ClearField("says")
     assert codec.decode(silent.SerializeToString()).body == Join(member.silent)
     for says in (
-        (("link", "y" * 201),), (("class", "x" * 601),), (("", "x"),), (("k" * 33, "x"),),
-        (("b", ""), ("a", "")), (("a", ""), ("a", "")), tuple((f"k{place}", "") for place in range(9)),
-    ):  # fmt: skip
+        (("link", "y" * 201),),
+        (("class", "x" * 601),),
+        (("", "x"),),
+        (("k" * 33, "x"),),
+        (("b", ""), ("a", "")),
+        (("a", ""), ("a", "")),
+        tuple((f"k{place}", "") for place in range(9)),
+    ):
         with pytest.raises(ValueError, match="m1 says"):
             Member("m1", "127.0.0.1:1", says=says)
     with pytest.raises(codec.BadPacketError, match="m1 says clasp: at most 200 bytes"):
@@ -570,16 +575,31 @@
     member = Member("m1", "127.0.0.1:1", "z", "r", 7)
     cut = proposal([Change(Kind.REMOVE, member), Change(Kind.FACT, fact=Fact("zone/z1", "out"))])
     news = (
-        Alive("m1", 3), Suspect("m2", 1, "m1"), Alert(2, "m3", True, member),
+        Alive("m1", 3),
+        Suspect("m2", 1, "m1"),
+        Alert(2, "m3", True, member),
         Judgement(4, "m1", 3, Fact("zone/z1", "out")),
-    )  # fmt: skip
+    )
     view = View(3, (member, Member("m2", "127.0.0.1:2")), (Fact("zone/z1", "out"),))
     bodies: list[Body] = [
-        Prepare((2, "m1")), Promise((2, "m1"), (0, ""), cut), Promise((1, "a"), (1, "a"), None),
-        Accept((3, "x"), cut), Accepted((3, "x"), cut), Vote(cut), Ask(5), Ping(1, news),
-        PingReq(2, "m2", "127.0.0.1:2"), Ack(1, "m2", 4, news), Nack(3), Join(member, True), Leave(member),
-        Sync(view, (("m1", 2),), True), Sync(None), Digest(b"twelve bytes"), Votes(((cut, 0b101), ((), 0))),
-    ]  # fmt: skip
+        Prepare((2, "m1")),
+        Promise((2, "m1"), (0, ""), cut),
+        Promise((1, "a"), (1, "a"), None),
+        Accept((3, "x"), cut),
+        Accepted((3, "x"), cut),
+        Vote(cut),
+        Ask(5),
+        Ping(1, news),
+        PingReq(2, "m2", "127.0.0.1:2"),
+        Ack(1, "m2", 4, news),
+        Nack(3),
+        Join(member, True),
+        Leave(member),
+        Sync(view, (("m1", 2),), True),
+        Sync(None),
+        Digest(b"twelve bytes"),
+        Votes(((cut, 0b101), ((), 0))),
+    ]
     for body in bodies:
         message = Message(Envelope("m0", 4), body)
         assert codec.decode(codec.encode(message)) == message
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -163,9 +163,9 @@
     def send(self, data: bytes) -> None:
         self.sock.sendall(data)
 
-    def call(self, tag: int, track: bytes = b"lookup", label: bytes = b"") -> bytes:
+    def call(self, tag: int, request_class: bytes = b"lookup", label: bytes = b"") -> bytes:
         name = b"%08x%08x" % (id(self) % 2**32, tag)
-        return call(tag, name, track, time.time(), label or b"body%d" % tag, label)
+        return call(tag, name, request_class, time.time(), label or b"body%d" % tag, label)
 
     def read(self, tag: int) -> list[bytes]:
         while True:
@@ -339,8 +339,8 @@
 def bad_clients(open_name: bytes) -> dict[str, bytes]:
     """What clients send that are none of ours, by kind."""
 
-    def one(tag: int = 7, name: bytes = b"", track: bytes = b"lookup", label: bytes = b"") -> bytes:
-        return call(tag, name or b"bad0%012x" % tag, track, time.time(), b"another body", label)
+    def one(tag: int = 7, name: bytes = b"", request_class: bytes = b"lookup", label: bytes = b"") -> bytes:
+        return call(tag, name or b"bad0%012x" % tag, request_class, time.time(), b"another body", label)
 
     many = b"".join(one(tag) for tag in range(1, 301))
     return {
@@ -349,17 +349,17 @@
         "a length too short": one().replace(b"$6", b"$5"),
         "a negative length": one().replace(b"$6", b"$-6"),
         "a body of 60 MB": one().replace(b"$12", b"$60000000") + b"x" * 300_000,
-        "no such track": one(track=b"novel"),
+        "no such track": one(request_class=b"novel"),
         "no such customer": one().replace(b"acme", b"ecma"),
         "no number": one().replace(b"room=10.0", b"room=nan0"),
         "out of range": one().replace(b"room=10.0", b"room=1e99"),
         "from another time": one().replace(b"since=17", b"since=97"),
         "a body of 2 KiB and one": call(7, b"bad0" + b"0" * 12, b"lookup", time.time(), b"x" * 2049),
         "no such verb": frame(b"RPC.NOVEL", b"7", b""),
-        "no label": one(track=b"record"),
+        "no label": one(request_class=b"record"),
         "no name": one().replace(b"ref=", b"fer="),
         "the name of an open ticket": one(name=open_name),
-        "a label with another body": one(track=b"record", label=b"true"),
+        "a label with another body": one(request_class=b"record", label=b"true"),
         "a name that nobody knows": one(),
         "two under one tag": one() + one(7, b"bad0" + b"f" * 12),
         "hundreds at once": many,
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -91,8 +91,14 @@
 
 
 def test_a_call_gives_what_decisions_need_and_leaves_the_rest_as_it_came() -> None:
-    words = frame(b"RPC.CALL", b"9", b"record", b"ref=%b,since=1764576000123,sender=4,project=acme,room=24.5"
-                  b",class_rank=0.6250,replay=%b,novel=x" % (NAME, NAME * 2), b"\0body")  # fmt: skip
+    words = frame(
+        b"RPC.CALL",
+        b"9",
+        b"record",
+        b"ref=%b,since=1764576000123,sender=4,project=acme,room=24.5"
+        b",class_rank=0.6250,replay=%b,novel=x" % (NAME, NAME * 2),
+        b"\0body",
+    )
     asked = resp.message(resp.Parser().feed(words)[0])
     assert asked == resp.Asked(
         9, NAME, b"record", b"4", b"acme", 1764576000.123, 24.5, NAME * 2, None, b"\0body"
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -296,13 +296,21 @@
                 self.interpreter.applied = before.interpreter.applied
         bridge = SlowBridge()
         self.bridge, self.failures = bridge, list[str]()
-        tracks = {b"lookup": MACHINE.tracks[0], b"record": MACHINE.tracks[1]}
+        request_classes = {b"lookup": MACHINE.request_classes[0], b"record": MACHINE.request_classes[1]}
         self.recorder = Recorder(
-            self.scheduler, Background(self.scheduler, lambda: 0), bridge, plan,  # type: ignore[arg-type]
-            b"inc%05d" % len(disk.files.names()), tracks, UNWITNESSED,
-            lambda one: self.dispatch.ended(one, Outcome.MOOT, 0.0, b""), lambda: None, self.failures.append,
-            self.counts.append, self.moment,
-        )  # fmt: skip
+            self.scheduler,
+            Background(self.scheduler, lambda: 0),
+            bridge,  # type: ignore[arg-type]
+            plan,
+            b"inc%05d" % len(disk.files.names()),
+            request_classes,
+            UNWITNESSED,
+            lambda one: self.dispatch.ended(one, Outcome.MOOT, 0.0, b""),
+            lambda: None,
+            self.failures.append,
+            self.counts.append,
+            self.moment,
+        )
         bridge.work()
         self.server.witness = self.recorder
         self.dispatch._memory = self.recorder
@@ -311,7 +319,7 @@
         from sablewheel import terms
 
         recalled = self.recorder.recalled(born, self.labels)
-        self.dispatch._happenings[:0] = [terms.Recalled(ticket, life) for ticket, life in recalled]
+        self.dispatch._happenings[:0] = [terms.Recalled(request, life) for request, life in recalled]
         self.client.adopt(*self.recorder.adopted())
         if outlived:
             missed = b"".join(self.interpreter.notices[self.recorder.last_notice :])
@@ -341,8 +349,8 @@
             one.tag = -abs(one.tag)
         return RecallTown(self.patch, self.disk, self, **self.more)
 
-    def call(self, track: bytes, label: bytes = b"", ago: float = 0.0) -> Try:
-        one = super().call(track, label, ago)
+    def call(self, request_class: bytes, label: bytes = b"", ago: float = 0.0) -> Try:
+        one = super().call(request_class, label, ago)
         self.answers = self.answers or Parser()
         return one
 
@@ -393,7 +401,7 @@
         repeat = town.call(b"record", b"label")
         town.settle()
         assert repeat.answers[0][3] == first.answers[0][3] and len(town.interpreter.applied) == runs
-    town.wait(MACHINE.tracks[1].window + 5.0)
+    town.wait(MACHINE.request_classes[1].window + 5.0)
     later = town.call(b"record", b"label")
     town.settle()
     assert town.interpreter.applied[-1][0] == later.name  # its window is over: it may run again
@@ -447,7 +455,7 @@
     assert word(copy) == b"FAILED" and len(town.interpreter.applied) == 1
 
 
-def test_a_failing_disk_denies_new_labelled_tickets_before_they_run(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_failing_disk_denies_new_labelled_requests_before_they_run(monkeypatch: pytest.MonkeyPatch) -> None:
     disk = Disk(MadeFiles())
     town = RecallTown(monkeypatch, disk)
     first = run_one(town)
@@ -477,9 +485,11 @@
     town.settle()
     one = town.call(b"record", b"label")
     town.settle()
-    assert word(one) == b"BUSY" and running and not [
-        name for name, track, _ in town.interpreter.applied if track == b"record"
-    ]  # fmt: skip
+    assert (
+        word(one) == b"BUSY"
+        and running
+        and not [name for name, request_class, _ in town.interpreter.applied if request_class == b"record"]
+    )
 
 
 def test_no_room_for_labels_denies_and_tells_when_there_is(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -489,7 +499,7 @@
     denied = town.call(b"record", b"one too many")
     town.settle()
     assert word(denied) == b"BUSY" and "recall_no_room" in town.counts
-    town.wait(MACHINE.tracks[1].window + 0.5)
+    town.wait(MACHINE.request_classes[1].window + 0.5)
     assert word(run_one(town, b"one too many")) == b"OK"
 
 
--- a/tests/test_replication_keeper.py
+++ b/tests/test_replication_keeper.py
@@ -26,7 +26,7 @@
 from sablewheel.replication.plan import ReplicationPlan, Settings
 from sablewheel.routing.exchange import Caller, Exchange, Place
 from sablewheel.routing.seam import UNREMEMBERED
-from sablewheel.terms import Nature, Router, Ticket, Track
+from sablewheel.terms import Nature, Request, RequestClass, Router
 from sablewheel.terms import Outcome as Ended
 from sablewheel.transport.scheduler import Scheduler
 from sablewheel.trials import wire
@@ -36,7 +36,7 @@
 from sablewheel.trials.rig import Rig
 
 NAMES = "abc"
-RECORD = Track(Nature.LABELLED, 1.0, 2.0, 6.0)
+RECORD = RequestClass(Nature.LABELLED, 1.0, 2.0, 6.0)
 
 
 @dataclass
@@ -111,10 +111,17 @@
         replica = Settings(longest=9.0, cold_waits=False, slots=8)
         for name in NAMES:
             self.keepers[name] = Keeper(
-                cast(Scheduler, self.time), Wires(self.time, name, self.wires),
-                ReplicationPlan(replica, **keys), name, 1, UNREMEMBERED, self, self.never_begun(name),
-                self.count, clock=lambda: self.time.now,
-            )  # fmt: skip
+                cast(Scheduler, self.time),
+                Wires(self.time, name, self.wires),
+                ReplicationPlan(replica, **keys),
+                name,
+                1,
+                UNREMEMBERED,
+                self,
+                self.never_begun(name),
+                self.count,
+                clock=lambda: self.time.now,
+            )
         self.view = View(1, tuple(Member(name, "", f"z{name}", "", 1) for name in NAMES))
         for keeper in self.keepers.values():
             keeper.view(self.view)
@@ -140,12 +147,12 @@
 
     def come(self, name: str, label: bytes = b"label", body: bytes = b"body") -> tuple[Exchange, Told]:
         told, now = Told(), self.time.now
-        ticket = Ticket(RECORD, Router(), None, now, 0.0)
-        ticket.due = now + 2.0
-        exchange = Exchange(b"%d" % id(told), b"record", body, 0, label, ticket, told, self.keepers[name])
+        request = Request(RECORD, Router(), None, now, 0.0)
+        request.due = now + 2.0
+        exchange = Exchange(b"%d" % id(told), b"record", body, 0, label, request, told, self.keepers[name])
         self.keepers[name].prepare(exchange)
-        if ticket.room_in:
-            exchange.deny(ticket.room_in, False)
+        if request.room_in:
+            exchange.deny(request.room_in, False)
             return exchange, told
         exchange.place = Place.RUNNING
         self.keepers[name].before_run(exchange, lambda one: self.runs.append((name, one)))
@@ -271,11 +278,11 @@
 # -- real servers
 
 
-def ask(stage: Replicas, name: str, ticket: bytes, label: bytes) -> list[bytes]:
+def ask(stage: Replicas, name: str, request: bytes, label: bytes) -> list[bytes]:
     """The words of the answer to one try of a record, at one server."""
     with socket.create_connection((stage.host(name), LISTEN), 5.0) as peer:
         peer.settimeout(5.0)
-        peer.sendall(wire.call(7, ticket, b"record", clock.time(), b"body", b"regina", label))
+        peer.sendall(wire.call(7, request, b"record", clock.time(), b"body", b"regina", label))
         parser = Parser()
         while data := peer.recv(4096):
             for words in parser.feed(data):
@@ -343,7 +350,7 @@
     messages.Told(1, 2, ((3, 4, True),)),
     messages.Pull(1, 2, ("", b"")),
     messages.Piece(1, 2, 3, 4, ((key, entry, 5.5),), True),
-]  # fmt: skip
+]
 
 
 @pytest.mark.parametrize("message", SOME, ids=lambda one: type(one).__name__)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -12,14 +12,17 @@
 from world import MadeStream, Town, call, frame
 
 from sablewheel.choice import ROUTERS_KNOWN
-from sablewheel.terms import Customer, Halting, Machine, Nature, Track
+from sablewheel.terms import Halting, Machine, Nature, RequestClass, Tenant
 
 MACHINE = Machine(
-    tracks=(Track(Nature.REDOABLE, 1.0, 4.0), Track(Nature.LABELLED, 1.5, 4.0, window=6.0)),
+    request_classes=(
+        RequestClass(Nature.REDOABLE, 1.0, 4.0),
+        RequestClass(Nature.LABELLED, 1.5, 4.0, window=6.0),
+    ),
     cores=2,
     memory_kb=2000.0,
     run_factor=4.0,
-    customers=(Customer(50.0),),
+    tenants=(Tenant(50.0),),
     label_kb=0.2,
     halting=Halting.DROPS,
     tick=0.002,
@@ -158,7 +161,7 @@
         town.end(runs[0].name)
         town.settle()
     else:
-        town.wait(MACHINE.tracks[1].abandon)
+        town.wait(MACHINE.request_classes[1].abandon)
     assert [one[1] for one in again.answers] == [b"OK" if room else b"FAILED"]
     assert first.name not in town.interpreter.running
 
@@ -168,7 +171,7 @@
     first = town.call(b"record", b"a")
     town.settle()
     town.end(first.name)
-    town.wait(MACHINE.tracks[1].window + 1.0)
+    town.wait(MACHINE.request_classes[1].window + 1.0)
     late = town.call(b"record", b"a", ago=1.5)
     town.settle()
     assert late.answers[0][1] == b"OK" and len(town.interpreter.applied) == 1
@@ -271,7 +274,7 @@
     assert one.answers[0][1] == b"OK" and town.counts.count("links") == 2
 
 
-def test_rejected_and_empty_runs_end_their_tickets() -> None:
+def test_rejected_and_empty_runs_end_their_requests() -> None:
     town = Town(MACHINE)
     one, two = town.call(b"lookup"), town.call(b"lookup")
     town.settle()
@@ -304,8 +307,8 @@
     assert not town.router.open and not town.dispatch.open_count
 
 
-def test_a_ticket_that_crosses_the_farewell_unread_is_answered_before_the_close() -> None:
-    """A drain on the fleet days closed a connection over a ticket that had come after the farewell."""
+def test_a_request_that_crosses_the_farewell_unread_is_answered_before_the_close() -> None:
+    """A drain on the fleet days closed a connection over a request that had come after the farewell."""
     town = Town(MACHINE)
     town.server.close_unused(1.0)
     town.wait(2.0)
@@ -344,7 +347,7 @@
     assert one.answers[0][1] == b"FAILED"
 
 
-def test_a_ticket_whose_caller_leaves_in_the_same_read_takes_no_core() -> None:
+def test_a_request_whose_caller_leaves_in_the_same_read_takes_no_core() -> None:
     town = Town(MACHINE)
     for which in range(20):
         town.cancel(town.call(b"record", b"label%d" % which))
@@ -429,7 +432,7 @@
     town = Town(MACHINE)
     town.call(b"lookup", ago=-0.004)
     town.settle()
-    assert [ticket.arrived for ticket in town.dispatch._exchanges] == [town.now]
+    assert [request.arrived for request in town.dispatch._exchanges] == [town.now]
 
 
 def test_an_interpreter_that_moves_leaves_no_run_in_doubt_and_takes_commands_in_order() -> None:
@@ -467,7 +470,7 @@
     assert two.name in town.interpreter.running and sum(one.open for one in town.links) == 1
 
 
-def test_a_label_with_another_body_or_track_is_terminated_and_the_true_one_unharmed() -> None:
+def test_a_label_with_another_body_or_request_class_is_terminated_and_the_true_one_unharmed() -> None:
     town = Town(MACHINE)
     first = town.call(b"record", b"a")
     town.settle()
@@ -484,14 +487,14 @@
     assert first.answers[0][1] == again.answers[0][1] == b"OK" and town.dispatch.open_count == 0
 
 
-def test_the_name_of_an_open_ticket_is_refused_and_the_first_unharmed() -> None:
+def test_the_name_of_an_open_request_is_refused_and_the_first_unharmed() -> None:
     town = Town(MACHINE)
     tries = [town.call(b"record", b"a"), town.call(b"record", b"a")]  # one runs, one has joined it
     tries += [town.call(b"lookup") for _ in range(4)]  # one runs, the others are held
     town.settle()
     open_before = town.dispatch.open_count
     for place, one in enumerate(tries):
-        said = town.ask(call(900 + place, one.name, one.track, town.now, b"", b"b"))
+        said = town.ask(call(900 + place, one.name, one.request_class, town.now, b"", b"b"))
         assert [words[:2] for words in said] == [[b"%d" % (900 + place), b"FAILED"]]
     assert town.dispatch.open_count == open_before
     while town.interpreter.running:
@@ -512,7 +515,7 @@
     town.settle()
     assert made_up.answers[0][1] == b"FAILED"
     assert controller.taken == controller.put == controller.on_cores == 0 and not controller.trips.raw
-    assert not any(controller.customers.values()) and not town.labels._entries
+    assert not any(controller.tenants.values()) and not town.labels._entries
     true = town.call(b"record", b"a")
     town.settle()
     assert true.name in town.interpreter.running
@@ -566,10 +569,10 @@
     town.server.close_unused(1.0)
     try:
         for place in range(4000):
-            track, label = ((b"lookup", b""), (b"record", b"label%d" % place))[place % 2]
+            request_class, label = ((b"lookup", b""), (b"record", b"label%d" % place))[place % 2]
             stream = MadeStream(town.scheduler)
             town.server.accepted(stream)
-            frames = call(1, b"%016x" % place, track, town.now, b"x" * 200, label, 1000 + place)
+            frames = call(1, b"%016x" % place, request_class, town.now, b"x" * 200, label, 1000 + place)
             stream.feed(frames if place % 3 else frames + frame(b"RPC.CANCEL", b"1"))
             town.settle()
             if town.interpreter.running:
@@ -588,7 +591,7 @@
         tracemalloc.stop()
     controller = town.dispatch._controller
     assert sizes[1] < sizes[0] + 75_000 and controller is not None, sizes
-    assert not any(controller.customers.values())  # no shares, so no counts
+    assert not any(controller.tenants.values())  # no shares, so no counts
     assert len(controller.patience) == ROUTERS_KNOWN == 1024
 
 
@@ -605,7 +608,7 @@
     assert one.answers[0][1] == b"OK" and keyed.answers[0][1] == b"FAILED"
 
 
-def test_a_full_table_crowds_out_the_idle_but_not_one_with_a_ticket_unread() -> None:
+def test_a_full_table_crowds_out_the_idle_but_not_one_with_a_request_unread() -> None:
     """Crowding out closed connections whatever lay unread in them; those go next time, once read."""
     town = Town(MACHINE)
     town.wait(1.0)
@@ -615,7 +618,7 @@
         town.server.accepted(stream)
         stream.feed(frame(b"RPC.HEALTH", b"%d" % number, b""))  # all have been heard: the oldest goes first
     town.wait(1.0)
-    first.reader = None  # a ticket has come on the oldest connection, the reader's turn has not
+    first.reader = None  # a request has come on the oldest connection, the reader's turn has not
     town.call(b"lookup")
     staying = [one for one in others if one.open]
     assert len(staying) >= 5
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -14,23 +14,23 @@
 from sablewheel import terms
 from sablewheel.choice import BUSY_MOST, Controller, Samples
 from sablewheel.terms import (
-    Customer,
     Halting,
     Ledger,
     Machine,
     Nature,
     Outcome,
+    Request,
+    RequestClass,
     Router,
     Speech,
-    Ticket,
-    Track,
+    Tenant,
 )
 
 PLAIN = Machine(
-    tracks=(
-        Track(Nature.REDOABLE, 1.0, 4.0, calls=True, skip_share=0.5),
-        Track(Nature.LABELLED, 1.5, 4.0, window=6.0, calls=True),
-        Track(Nature.IRREVERSIBLE, 1.0, 3.0, calls=True),
+    request_classes=(
+        RequestClass(Nature.REDOABLE, 1.0, 4.0, calls=True, skip_share=0.5),
+        RequestClass(Nature.LABELLED, 1.5, 4.0, window=6.0, calls=True),
+        RequestClass(Nature.IRREVERSIBLE, 1.0, 3.0, calls=True),
     ),
     cores=2,
     memory_kb=400.0,
@@ -56,7 +56,7 @@
         ledger=ledger,
         fresh_start=cold,
         memory_kb=memory,
-        customers=(Customer(quota), Customer(quota)) if quota else (),
+        tenants=(Tenant(quota), Tenant(quota)) if quota else (),
         over_share_worth=0.05,
         told_wait=wait,
         routers=routers,
@@ -138,13 +138,13 @@
     return world.batch([])
 
 
-def taken(world: World, track: int, **rest: Any) -> Fact:
-    fact = world.arrive(track, **rest)
+def taken(world: World, request_class: int, **rest: Any) -> Fact:
+    fact = world.arrive(request_class, **rest)
     deeds(world)
     return fact
 
 
-def test_held_tickets_start_oldest_first_as_running_ones_end() -> None:
+def test_held_requests_start_oldest_first_as_running_ones_end() -> None:
     world = World(PLAIN)
     facts = [world.arrive(0) for _ in range(4)]
     deeds(world)
@@ -162,7 +162,7 @@
     assert again.place == JOINED
 
 
-def test_a_held_ticket_whose_goal_is_out_of_reach_is_denied_at_once() -> None:
+def test_a_held_request_whose_goal_is_out_of_reach_is_denied_at_once() -> None:
     world = World(PLAIN)
     facts = [world.arrive(0) for _ in range(3)]
     deeds(world)
@@ -171,7 +171,7 @@
 
 
 def test_calls_go_out_before_spent_budgets_are_looked_at() -> None:
-    """A ticket with no budget left lost its call although the ledger had room."""
+    """A request with no budget left lost its call although the ledger had room."""
     world = World(replace(PLAIN, ledger=Ledger(3.0, 2.0, 0.2)))
     fact = taken(world, 0, wait_left=0.01)
     world.need(fact)
@@ -212,7 +212,7 @@
 
 
 def test_what_callers_were_seen_to_wait_stands_in_for_an_untold_wait() -> None:
-    """Hasty callers timed out in a jam that kept running their tickets (tries unmarked, waits untold)."""
+    """Hasty callers timed out in a jam that kept running their requests (tries unmarked, waits untold)."""
     world = World(PLAIN)
     for _ in range(8):
         fact = taken(world, 0)
@@ -229,21 +229,21 @@
 
 
 @pytest.mark.parametrize("again", [False, True])
-def test_denied_tickets_are_asked_to_stay_where_further_tries_abound(again: bool) -> None:
-    """Two pressed servers sent each other's denied tickets back and forth, each reading paid again."""
+def test_denied_requests_are_asked_to_stay_where_further_tries_abound(again: bool) -> None:
+    """Two pressed servers sent each other's denied requests back and forth, each reading paid again."""
     world = World(replace(PLAIN, told_wait=True, marks_again=True))
     for _ in range(20):
         world.arrive(0, wait_left=4.0, again=again)
     deeds(world)
     world.wait(0.6)
     fact = world.arrive(0, wait_left=0.8)
-    denied = [deed for deed in deeds(world) if isinstance(deed, terms.Deny) and deed.ticket is fact.ticket]
+    denied = [deed for deed in deeds(world) if isinstance(deed, terms.Deny) and deed.request is fact.request]
     assert [deed.nowhere for deed in denied] == [again]
 
 
-def test_a_ticket_within_its_share_is_not_denied_for_waiters_beyond_theirs() -> None:
+def test_a_request_within_its_share_is_not_denied_for_waiters_beyond_theirs() -> None:
     """What started last grew old in the hold, and its age denied everybody who would start before it."""
-    machine = replace(PLAIN, customers=(Customer(0.1), Customer(50.0)), over_share_worth=0.05)
+    machine = replace(PLAIN, tenants=(Tenant(0.1), Tenant(50.0)), over_share_worth=0.05)
     world = World(machine)
     flood = [world.arrive(0) for _ in range(4)]
     deeds(world)
@@ -253,17 +253,17 @@
 
 
 def read_one(controller: Controller, now: float, router: Router, open_ones: float) -> list[terms.Deed]:
-    """A ticket comes and is completed at once; the gauges are told."""
-    ticket = Ticket(PLAIN.tracks[1], router, None, now, 1.0)
-    happenings: list[terms.Happening] = [terms.Arrived(ticket), terms.Bell(0.5, open_ones)]
+    """A request comes and is completed at once; the gauges are told."""
+    request = Request(PLAIN.request_classes[1], router, None, now, 1.0)
+    happenings: list[terms.Happening] = [terms.Arrived(request), terms.Bell(0.5, open_ones)]
     return controller.decide(now, happenings) + controller.decide(
-        now + 0.05, [terms.Ended(ticket, 0.05, Outcome.WORKED)]
+        now + 0.05, [terms.Ended(request, 0.05, Outcome.WORKED)]
     )
 
 
 @pytest.mark.parametrize(("crowd", "growing"), [(400, False), (400, True), (12, False)])
 def test_unused_connections_go_at_once_where_few_routers_come_back(crowd: int, growing: bool) -> None:
-    """Of a thousand routers each came once, and tables of their connections kept tickets from idle cores."""
+    """Of a thousand routers each came once, and tables of their connections kept requests from idle cores."""
     controller = Controller(replace(PLAIN, idle=30.0, routers=400), 7)
     routers = [Router() for _ in range(crowd)]
     spans: list[float] = []
@@ -285,14 +285,16 @@
         fact = taken(world, 1, estimate=0.1 + 0.1 * (number % 10))
         fact.place = OVER
         fact.answered = True
-        world.later.append(terms.Ended(fact.ticket, fact.ticket.estimate or 0.0, Outcome.WORKED))
+        world.later.append(terms.Ended(fact.request, fact.request.estimate or 0.0, Outcome.WORKED))
         deeds(world)
         world.wait(0.01)
     return world
 
 
-def test_the_wait_that_the_goal_allows_goes_by_each_tickets_hint() -> None:
-    """The track's slow quarter stood for all: small ones were denied and large ones ran past their goal."""
+def test_the_wait_that_the_goal_allows_goes_by_each_requests_hint() -> None:
+    """The request class's slow quarter stood for all: small ones were denied and large ones ran past their
+    goal.
+    """
     world = taught()
     running = [taken(world, 1, estimate=0.5) for _ in range(2)]
     large, small = taken(world, 1, estimate=1.6), taken(world, 1, estimate=0.1)
@@ -348,12 +350,14 @@
 
 def test_a_bad_spell_in_the_samples_leaves_room_in_the_hold() -> None:
     """After a flood the p99 of a few slow runs denied all that had to wait, beside idle cores."""
-    world = World(replace(PLAIN, tracks=(Track(Nature.REDOABLE, 1.0, 4.0), *PLAIN.tracks[1:])))
+    world = World(
+        replace(PLAIN, request_classes=(RequestClass(Nature.REDOABLE, 1.0, 4.0), *PLAIN.request_classes[1:]))
+    )
     for took in [0.2] * 9 + [6.0]:
         fact = taken(world, 0)
         fact.place = OVER
         fact.answered = True
-        world.later.append(terms.Ended(fact.ticket, took, Outcome.WORKED))
+        world.later.append(terms.Ended(fact.request, took, Outcome.WORKED))
         deeds(world)
     facts = [world.arrive(0) for _ in range(3)]
     deeds(world)
@@ -363,8 +367,8 @@
     assert [one.place for one in facts] == [RUNNING, RUNNING, HELD, HELD]
 
 
-def test_tickets_at_calls_leave_their_cores_to_others() -> None:
-    """Two tickets at a slow ledger filled the pool of a 2-core server, and its cores stood idle."""
+def test_requests_at_calls_leave_their_cores_to_others() -> None:
+    """Two requests at a slow ledger filled the pool of a 2-core server, and its cores stood idle."""
     world = World(replace(PLAIN, ledger=Ledger(3.0, 2.0, 0.2)))
     facts = [world.arrive(0) for _ in range(2)]
     deeds(world)
@@ -378,10 +382,13 @@
 
 
 @pytest.mark.parametrize("skip", [0.0, 0.5])
-def test_no_ticket_is_run_up_to_a_call_that_cannot_be_made_in_time(skip: float) -> None:
-    """While the ledger was slow a quarter of the tickets ran and then failed where they stood."""
-    tracks = (Track(Nature.REDOABLE, 2.0, 4.0, calls=True, skip_share=skip), *PLAIN.tracks[1:])
-    world = World(replace(PLAIN, tracks=tracks, cores=1, ledger=Ledger(0.2, 2.0, 0.0)))
+def test_no_request_is_run_up_to_a_call_that_cannot_be_made_in_time(skip: float) -> None:
+    """While the ledger was slow a quarter of the requests ran and then failed where they stood."""
+    request_classes = (
+        RequestClass(Nature.REDOABLE, 2.0, 4.0, calls=True, skip_share=skip),
+        *PLAIN.request_classes[1:],
+    )
+    world = World(replace(PLAIN, request_classes=request_classes, cores=1, ledger=Ledger(0.2, 2.0, 0.0)))
     fact = taken(world, 0)
     world.need(fact)
     deeds(world)
@@ -392,10 +399,10 @@
 
 
 def test_a_notice_leaves_due_times_that_come_before_the_stop() -> None:
-    """Ends of patience on the clock were taken for due times: a ticket was answered too late or early."""
+    """Ends of patience on the clock were taken for due times: a request was answered too late or early."""
     world = World(replace(PLAIN, told_wait=True))
-    for track, wait in [(2, 1.2), (2, 0.9), (1, 0.9), (0, 0.9), (2, 4.0)]:
-        taken(world, track, wait_left=wait)
+    for request_class, wait in [(2, 1.2), (2, 0.9), (1, 0.9), (0, 0.9), (2, 4.0)]:
+        taken(world, request_class, wait_left=wait)
         world.wait(0.05)
     for fact in world.at(RUNNING):
         world.finish(fact, Outcome.WORKED)
@@ -404,18 +411,20 @@
     world.wait(3.4)
 
 
-@pytest.mark.parametrize(("track", "kb", "kept"), [(0, 10.0, 1), (2, 10.0, 0), (0, 399.0, 0)])
-def test_shared_reads_ask_the_memory_guard_and_may_run_again(track: int, kb: float, kept: int) -> None:
-    """A read entered the table though memory was full, and irreversible tickets did too."""
+@pytest.mark.parametrize(("request_class", "kb", "kept"), [(0, 10.0, 1), (2, 10.0, 0), (0, 399.0, 0)])
+def test_shared_reads_ask_the_memory_guard_and_may_run_again(
+    request_class: int, kb: float, kept: int
+) -> None:
+    """A read entered the table though memory was full, and irreversible requests did too."""
     world = World(replace(PLAIN, share_reads_for=1.0, label_kb=2.0))
-    world.arrive(track, kb, subject="one")
+    world.arrive(request_class, kb, subject="one")
     assert sum(isinstance(deed, terms.Remember) for deed in deeds(world)) == kept
 
 
-def test_a_ticket_stands_at_a_call_no_longer_than_its_budget() -> None:
-    """Tickets long past their goals stood first in the queue to a slow ledger and failed all behind them."""
-    tracks = (Track(Nature.REDOABLE, 1.0, 8.0, calls=True), *PLAIN.tracks[1:])
-    world = World(replace(PLAIN, tracks=tracks, ledger=Ledger(0.1, 2.0, 0.2)))
+def test_a_request_stands_at_a_call_no_longer_than_its_budget() -> None:
+    """Requests long past their goals stood first in the queue to a slow ledger and failed all behind them."""
+    request_classes = (RequestClass(Nature.REDOABLE, 1.0, 8.0, calls=True), *PLAIN.request_classes[1:])
+    world = World(replace(PLAIN, request_classes=request_classes, ledger=Ledger(0.1, 2.0, 0.2)))
     fact = taken(world, 0)
     world.need(fact)
     world.wait(4.2)
@@ -426,8 +435,8 @@
     """Lines run for one arrival by a controller that has heard of so many routers and remembered as much."""
     world, lines = World(replace(PLAIN, routers=routers, memory_kb=1e6, said_for=100.0)), 0
     for number in range(routers):
-        ticket = world.arrive(1, label=number + 1).ticket
-        ticket.router = world.routers[number]
+        request = world.arrive(1, label=number + 1).request
+        request.router = world.routers[number]
         deeds(world)
 
     def count(*_: Any) -> Any:
@@ -436,7 +445,7 @@
         return count
 
     sys.settrace(count)
-    world.controller.decide(world.now, [terms.Arrived(replace(ticket, stage=terms.Stage.HELD))])
+    world.controller.decide(world.now, [terms.Arrived(replace(request, stage=terms.Stage.HELD))])
     sys.settrace(None)
     return lines
 
@@ -453,7 +462,12 @@
     the runs may double each time, up to three quarters of the cores, but not where all demand a core by now.
     Where nothing is told, none is added.
     """
-    plain = replace(PLAIN, tracks=(Track(Nature.REDOABLE, 3.0, 6.0),), crowd_multiple=6.0, memory_kb=4000.0)
+    plain = replace(
+        PLAIN,
+        request_classes=(RequestClass(Nature.REDOABLE, 3.0, 6.0),),
+        crowd_multiple=6.0,
+        memory_kb=4000.0,
+    )
     absent = float("inf")
     for busy, runnable, most in [
         (absent, absent, 2),
@@ -479,7 +493,9 @@
 def test_a_server_learns_within_a_burst_that_its_runs_leave_the_cores_idle() -> None:
     """A hundred samples told it, those of its start among them: two-core boxes in a release stayed at four
     runs, their cores a third busy, for ten seconds. That they fill the cores it learns in seconds too."""
-    plain = replace(PLAIN, tracks=(Track(Nature.REDOABLE, 3.0, 6.0),), crowd_multiple=6.0, memory_kb=9e3)
+    plain = replace(
+        PLAIN, request_classes=(RequestClass(Nature.REDOABLE, 3.0, 6.0),), crowd_multiple=6.0, memory_kb=9e3
+    )
     world = World(plain)
     cores = plain.cores
 
@@ -505,13 +521,13 @@
 
 
 def of_worth(*worths: float, by_work: bool = True) -> World:
-    """A track for each worth, alike but for that."""
-    tracks = tuple(Track(Nature.REDOABLE, 3.0, 6.0, worth=worth) for worth in worths)
-    return World(replace(PLAIN, tracks=tracks, memory_kb=4000.0, worth_by_work=by_work))
+    """A request class for each worth, alike but for that."""
+    request_classes = tuple(RequestClass(Nature.REDOABLE, 3.0, 6.0, worth=worth) for worth in worths)
+    return World(replace(PLAIN, request_classes=request_classes, memory_kb=4000.0, worth_by_work=by_work))
 
 
-def test_what_earns_most_starts_first_and_each_track_oldest_first() -> None:
-    """One line for all gave each track an even part, whatever its work earned."""
+def test_what_earns_most_starts_first_and_each_request_class_oldest_first() -> None:
+    """One line for all gave each request class an even part, whatever its work earned."""
     world = of_worth(1.0, 3.0)
     running = [taken(world, 0) for _ in range(2)]
     cheap, dear, later = taken(world, 0), taken(world, 1), taken(world, 1)
@@ -523,15 +539,15 @@
     assert started == [dear, later, cheap]
 
 
-def test_worth_a_ticket_counts_by_how_long_its_runs_take() -> None:
+def test_worth_a_request_counts_by_how_long_its_runs_take() -> None:
     world = of_worth(3.0, 1.0, by_work=False)
-    for track, took in [(0, 1.0), (1, 0.05)] * 10:
-        fact = taken(world, track)
+    for request_class, took in [(0, 1.0), (1, 0.05)] * 10:
+        fact = taken(world, request_class)
         fact.place, fact.answered = OVER, True
-        world.later.append(terms.Ended(fact.ticket, took, Outcome.WORKED))
+        world.later.append(terms.Ended(fact.request, took, Outcome.WORKED))
         deeds(world)
     world.wait(1.1)
-    running = [taken(world, track) for track in (0, 1)]
+    running = [taken(world, request_class) for request_class in (0, 1)]
     assert not any(world.controller._lags(row) for row in world.controller.rank)
     long, short = taken(world, 0), taken(world, 1)
     world.finish(running[0], Outcome.WORKED)
@@ -540,18 +556,18 @@
 
 
 @pytest.mark.parametrize("worths", [(1.0, 100.0), (100.0, 1.0), (1.0, 1.0), (0.0, 0.0)])
-def test_a_track_that_earns_little_is_left_half_of_its_even_part(worths: tuple[float, float]) -> None:
+def test_a_request_class_that_earns_little_is_left_half_of_its_even_part(worths: tuple[float, float]) -> None:
     world, begun = of_worth(*worths), [0, 0]
     for _ in range(300):  # four come while one ends
-        for track in (0, 1, 0, 1):
-            world.arrive(track)
+        for request_class in (0, 1, 0, 1):
+            world.arrive(request_class)
         deeds(world)
         before = set(world.at(RUNNING))
         world.finish(world.at(RUNNING)[0], Outcome.WORKED)
         deeds(world)
         world.wait(0.05)
         for fact in set(world.at(RUNNING)) - before:
-            begun[world.machine.tracks.index(fact.ticket.track)] += 1
+            begun[world.machine.request_classes.index(fact.request.request_class)] += 1
     cheap, dear = sorted(begun) if worths[0] != worths[1] else begun
     assert cheap + dear >= 290 and cheap >= 0.2 * (cheap + dear)
     if worths[0] != worths[1]:
@@ -559,13 +575,18 @@
 
 
 def test_new_settings_keep_what_was_taken_in_and_the_way_back_is_the_same() -> None:
-    """A move of settings in a running server: a track turns irreversible and back, runs can't be stopped."""
+    """A move of settings in a running server: a request class turns irreversible and back, runs can't be
+    stopped.
+    """
     world = World(PLAIN)
     before = [world.arrive(0) for _ in range(4)]
     deeds(world)
     moved = replace(
         PLAIN,
-        tracks=(replace(PLAIN.tracks[0], nature=Nature.IRREVERSIBLE), *PLAIN.tracks[1:]),
+        request_classes=(
+            replace(PLAIN.request_classes[0], nature=Nature.IRREVERSIBLE),
+            *PLAIN.request_classes[1:],
+        ),
         halting=Halting.NEVER,
     )
     for machine in (moved, PLAIN):
--- a/tests/test_told_waits.py
+++ b/tests/test_told_waits.py
@@ -9,15 +9,15 @@
 from world import Town, call
 
 from sablewheel.protocol import resp
-from sablewheel.terms import Halting, Machine, Track
+from sablewheel.terms import Halting, Machine, RequestClass
 
 TOLD = replace(MACHINE, told_wait=True, marks_again=True)
 
 
-def ask(town: Town, tag: int, fields: bytes, track: bytes = b"lookup") -> None:
+def ask(town: Town, tag: int, fields: bytes, request_class: bytes = b"lookup") -> None:
     """One call with these fields more, in a round of its own."""
-    data = call(tag, b"%016x" % tag, track, town.now, b"body")
-    at = data.index(b"$", data.index(track))
+    data = call(tag, b"%016x" % tag, request_class, town.now, b"body")
+    at = data.index(b"$", data.index(request_class))
     size, rest = data[at + 1 :].split(b"\r\n", 1)
     old, tail = rest[: int(size)], rest[int(size) :]
     town.router.feed(data[:at] + b"$%d\r\n" % (int(size) + len(fields)) + old + fields + tail)
@@ -46,7 +46,9 @@
 
 
 @pytest.mark.parametrize("halting", [Halting.DROPS, Halting.NEVER])
-def test_a_caller_that_waits_less_than_its_track_allows_is_answered_in_its_own_time(halting: Halting) -> None:
+def test_a_caller_that_waits_less_than_its_request_class_allows_is_answered_in_its_own_time(
+    halting: Halting,
+) -> None:
     """The made-up site mostly-keyed lost 2,029 requests on a calm day: `allow` was not read."""
     town, said = Town(replace(TOLD, halting=halting)), {}  # type: ignore[var-annotated]
     keep(town, said)
@@ -95,11 +97,14 @@
 
 def test_further_tries_and_the_work_foretold_reach_the_decision() -> None:
     machine = Machine(
-        tracks=(Track(MACHINE.tracks[0].nature, 1.0, 4.0), MACHINE.tracks[1]),
+        request_classes=(
+            RequestClass(MACHINE.request_classes[0].nature, 1.0, 4.0),
+            MACHINE.request_classes[1],
+        ),
         cores=2,
         memory_kb=2000.0,
         run_factor=4.0,
-        customers=MACHINE.customers,
+        tenants=MACHINE.tenants,
         tick=0.002,
         slack=0.08,
         crowd_multiple=3.0,
@@ -108,9 +113,9 @@
     )
     town = Town(machine)
     ask(town, 1, b",allow=2000,dup=2,effort=412.5")
-    (ticket,) = town.dispatch._exchanges
-    assert ticket.again and ticket.estimate == 0.4125
-    assert ticket.wait_left == pytest.approx(2.0, abs=0.01)
+    (request,) = town.dispatch._exchanges
+    assert request.again and request.estimate == 0.4125
+    assert request.wait_left == pytest.approx(2.0, abs=0.01)
 
 
 @pytest.mark.parametrize(
--- a/tests/world.py
+++ b/tests/world.py
@@ -17,7 +17,7 @@
 from sablewheel.routing.exchange import Standing
 from sablewheel.routing.labels import Labels
 from sablewheel.routing.server import Server
-from sablewheel.terms import Halting, Machine, Nature, Outcome, Router, Ticket
+from sablewheel.terms import Halting, Machine, Nature, Outcome, Request, Router
 from sablewheel.transport.scheduler import Clock, Scheduler
 from sablewheel.transport.stream import Stream
 
@@ -28,10 +28,10 @@
 
 
 class Fact:
-    """What the world knows of a ticket."""
+    """What the world knows of a request."""
 
-    def __init__(self, ticket: Ticket, label: int, due: float) -> None:
-        self.ticket, self.label, self.due = ticket, label, due
+    def __init__(self, request: Request, label: int, due: float) -> None:
+        self.request, self.label, self.due = request, label, due
         self.place = HELD
         self.answered = self.gone = self.ran = self.dropped = self.may_have_called = False
         self.abandon_at = 0.0
@@ -45,8 +45,8 @@
         self.machine, self.now, self.start = machine, 100.0, 100.0
         self.controller = Controller(machine, seed)
         self.routers = [Router() for _ in range(machine.routers)]
-        self.facts: dict[Ticket, Fact] = {}
-        self.table: dict[int, tuple[Ticket, float]] = {}
+        self.facts: dict[Request, Fact] = {}
+        self.table: dict[int, tuple[Request, float]] = {}
         self.run_labels: dict[int, list[float]] = {}
         self.alarms: list[float] = []
         self.later: list[terms.Happening] = []
@@ -60,29 +60,31 @@
         return [one for one in self.facts.values() if one.place in places]
 
     def arrive(
-        self, track: int, kb: float = 10.0, waited: float = 0.0, label: int = 0, **rest: object
+        self, request_class: int, kb: float = 10.0, waited: float = 0.0, label: int = 0, **rest: object
     ) -> Fact:
-        kind = self.machine.tracks[track]
+        kind = self.machine.request_classes[request_class]
         arrived = self.now - waited
-        customers = self.machine.customers
-        customer = customers[track % len(customers)] if customers else None
-        place = track if len(self.routers) < 9 else len(self.facts)  # few routers by track, many in turn
+        tenants = self.machine.tenants
+        tenant = tenants[request_class % len(tenants)] if tenants else None
+        place = (
+            request_class if len(self.routers) < 9 else len(self.facts)
+        )  # few routers by request class, many in turn
         router = self.routers[place % len(self.routers)]
-        ticket = Ticket(kind, router, customer, arrived, kb, **rest)  # type: ignore[arg-type]
-        left = ticket.wait_left
+        request = Request(kind, router, tenant, arrived, kb, **rest)  # type: ignore[arg-type]
+        left = request.wait_left
         due = self.now + left if left is not None else arrived + kind.abandon
-        fact = Fact(ticket, label, max(self.now, due))
+        fact = Fact(request, label, max(self.now, due))
         if label and kind.nature is Nature.LABELLED:
             first, live = self.table.get(label, (None, 0.0))
             if first is not None and arrived <= live:
                 known = self.facts[first]
                 if known.place in (HELD, JOINED) or self.run_labels.get(label):
-                    ticket.repeats = first
+                    request.repeats = first
             for told in self.later:  # tries of one batch are linked even when none was kept
-                if isinstance(told, terms.Arrived) and self.facts[told.ticket].label == label:
-                    ticket.repeats = told.ticket
-        self.facts[ticket] = fact
-        self.later.append(terms.Arrived(ticket))
+                if isinstance(told, terms.Arrived) and self.facts[told.request].label == label:
+                    request.repeats = told.request
+        self.facts[request] = fact
+        self.later.append(terms.Arrived(request))
         return fact
 
     def finish(self, fact: Fact, outcome: Outcome) -> None:
@@ -90,7 +92,7 @@
 
     def need(self, fact: Fact) -> None:
         fact.place = STANDING
-        self.later.append(terms.CallNeeded(fact.ticket))
+        self.later.append(terms.CallNeeded(fact.request))
         if fact.answered:
             self._done(fact, Outcome.STOPPED)
 
@@ -99,13 +101,13 @@
             self.lingers.append(self.now + self.machine.ledger.linger)
         fact.may_have_called = outcome not in (*PROVES_NEVER_RAN, Outcome.WORKED)
         fact.place = RUNNING if outcome is Outcome.WORKED else STANDING
-        self.later.append(terms.CallEnded(fact.ticket, 0.1, outcome))
+        self.later.append(terms.CallEnded(fact.request, 0.1, outcome))
         if fact.answered and fact.place == STANDING:
             self._done(fact, Outcome.STOPPED)
 
     def give_up(self, fact: Fact) -> None:
         fact.gone = fact.answered = True
-        self.later.append(terms.CallerGone(fact.ticket))
+        self.later.append(terms.CallerGone(fact.request))
         if fact.place in (HELD, PAUSED, JOINED):
             fact.place = OVER
         elif fact.place == STANDING:
@@ -116,7 +118,7 @@
         self.later.append(terms.Notice(left))
 
     def _done(self, fact: Fact, outcome: Outcome) -> None:
-        self.later.append(terms.Ended(fact.ticket, 0.5, outcome))
+        self.later.append(terms.Ended(fact.request, 0.5, outcome))
         if outcome is not Outcome.STOPPED or fact.answered:
             fact.place, fact.answered = OVER, True
 
@@ -164,14 +166,14 @@
     def _apply(self, deed: terms.Deed) -> None:
         if isinstance(deed, terms.Alarm):
             heapq.heappush(self.alarms, self.now + max(deed.after, self.machine.tick))
-        ticket = getattr(deed, "ticket", None)
-        if ticket is None:
+        request = getattr(deed, "request", None)
+        if request is None:
             return
-        fact, nature = self.facts[ticket], ticket.track.nature
+        fact, nature = self.facts[request], request.request_class.nature
         # Told in this very batch: what was decided of it does no harm.
         if fact.gone and fact.place == OVER and not isinstance(deed, terms.Release):
             if isinstance(deed, terms.Run):
-                self.later.append(terms.Ended(ticket, 0.0, Outcome.MOOT))
+                self.later.append(terms.Ended(request, 0.0, Outcome.MOOT))
             return
         ran_here = fact.ran or bool(fact.label and self.run_labels.get(fact.label))
         match deed:
@@ -180,10 +182,12 @@
                 if nature in NOT_AGAIN:
                     assert not fact.dropped, "run again after a drop"
                     tries = self.run_labels.setdefault(fact.label, []) if fact.label else []
-                    since = ticket.arrived - ticket.track.window
+                    since = request.arrived - request.request_class.window
                     assert fact.place == PAUSED or not any(one >= since for one in tries), "ran twice"
-                    tries.append(ticket.arrived)
-                assert ticket.arrived <= self.notice + self.machine.drain_grace, "run after the drain's grace"
+                    tries.append(request.arrived)
+                assert request.arrived <= self.notice + self.machine.drain_grace, (
+                    "run after the drain's grace"
+                )
                 fact.place, fact.ran = RUNNING, True
             case terms.Deny() | terms.Terminate():
                 assert not fact.answered, "answered twice"
@@ -200,23 +204,23 @@
             case terms.Stop():
                 assert self.machine.halting is not Halting.NEVER, "stopping is off"
                 if fact.place == RUNNING:
-                    self.later.append(terms.Ended(ticket, 0.1, Outcome.STOPPED))
+                    self.later.append(terms.Ended(request, 0.1, Outcome.STOPPED))
                     drops = self.machine.halting is Halting.DROPS
                     fact.dropped = fact.dropped or drops
                     fact.place = OVER if fact.answered else HELD if drops else PAUSED
             case terms.Call(allow=allow):
                 assert fact.place == STANDING, "no call to make"
                 assert nature not in NOT_AGAIN or not fact.may_have_called, "call repeated"
-                fact.place, fact.abandon_at = CALLING, self.now + (allow or ticket.track.abandon)
+                fact.place, fact.abandon_at = CALLING, self.now + (allow or request.request_class.abandon)
             case terms.LeaveOut():
-                assert ticket.track.skip_share > 0 and fact.place == STANDING
+                assert request.request_class.skip_share > 0 and fact.place == STANDING
                 fact.place = RUNNING
             case terms.Remember(life=life):
-                self.table[fact.label or -id(ticket)] = (ticket, self.now + life)
+                self.table[fact.label or -id(request)] = (request, self.now + life)
             case terms.Release():
-                self.table.pop(fact.label or -id(ticket), None)
+                self.table.pop(fact.label or -id(request), None)
             case terms.Join():
-                assert fact.place == HELD and ticket.track.nature is not Nature.IRREVERSIBLE
+                assert fact.place == HELD and request.request_class.nature is not Nature.IRREVERSIBLE
                 fact.place = JOINED
 
     def _check(self) -> None:
@@ -226,8 +230,8 @@
             assert fact.answered or self.now <= fact.due + slack, "lost: not answered by its due time"
             assert fact.answered or self.now < self.stop, "drain: not answered before the stop"
         on = self.at(RUNNING, STANDING, CALLING, JOINED, PAUSED)
-        kb = sum(fact.ticket.kb for fact in self.at(HELD))
-        kb += sum(fact.ticket.kb for fact in on) * machine.run_factor
+        kb = sum(fact.request.kb for fact in self.at(HELD))
+        kb += sum(fact.request.kb for fact in on) * machine.run_factor
         kb += machine.label_kb * sum(live > self.now for _, live in self.table.values())
         assert kb <= machine.memory_kb + 1e-6, "fall-over: memory"
         share = 1.0
@@ -280,14 +284,14 @@
                 return b"BANNER steady 5000\r\n" + b"".join(self.notices[int(last) :]) if self.up else b""
             case [verb, name, *_] if not self.up:
                 return b"ERROR %b %b\r\n" % (verb, name)
-            case [b"APPLY", name, *_] if name.startswith(b"bad0"):  # no ticket of that name came to it
+            case [b"APPLY", name, *_] if name.startswith(b"bad0"):  # no request of that name came to it
                 return b"ERROR APPLY %b\r\n" % name
-            case [b"APPLY", name, track, _]:
+            case [b"APPLY", name, request_class, _]:
                 if name in self.answered:
                     return b"" if name in self.running else self._tell(name, b"nothing", b"")
                 if name not in self.running:
-                    self.running[name] = (track, body)
-                    self.applied.append((name, track, body))
+                    self.running[name] = (request_class, body)
+                    self.applied.append((name, request_class, body))
             case [b"BREAK", name]:
                 return self.end(name, b"interrupted") if name in self.running else b""
             case [b"TOP", tag]:
@@ -313,12 +317,18 @@
 
 
 def call(
-    tag: int, name: bytes, track: bytes, since: float, body: bytes, label: bytes = b"", router: int = 4
+    tag: int,
+    name: bytes,
+    request_class: bytes,
+    since: float,
+    body: bytes,
+    label: bytes = b"",
+    router: int = 4,
 ) -> bytes:
     fields = b"ref=%b,since=%d,sender=%d,project=acme,room=10.0,class_rank=0.5" % (name, since * 1000, router)
     if label:
         fields += b",replay=%032x" % zlib.crc32(label)
-    return frame(b"RPC.CALL", b"%d" % tag, track, fields, body)
+    return frame(b"RPC.CALL", b"%d" % tag, request_class, fields, body)
 
 
 class MadeScheduler(Scheduler):
@@ -398,8 +408,14 @@
 class Try:
     """One try as its router knows it."""
 
-    def __init__(self, tag: int, name: bytes, track: bytes, label: bytes, since: float) -> None:
-        self.tag, self.name, self.track, self.label, self.since = tag, name, track, label, since
+    def __init__(self, tag: int, name: bytes, request_class: bytes, label: bytes, since: float) -> None:
+        self.tag, self.name, self.request_class, self.label, self.since = (
+            tag,
+            name,
+            request_class,
+            label,
+            since,
+        )
         self.body = (label or name) + b"\r\n$3"
         self.answers: list[list[bytes]] = []
         self.cancelled = False
@@ -419,8 +435,8 @@
         names = (b"lookup", b"record")
         self.server = Server(
             self.scheduler,
-            dict(zip(names, machine.tracks, strict=True)),
-            {b"acme": machine.customers[0]},
+            dict(zip(names, machine.request_classes, strict=True)),
+            {b"acme": machine.tenants[0]},
             self.standing,
             self.dispatch,
             self.counts.append,
@@ -451,11 +467,11 @@
     def now(self) -> float:
         return self.scheduler.clock.now
 
-    def call(self, track: bytes, label: bytes = b"", ago: float = 0.0) -> Try:
+    def call(self, request_class: bytes, label: bytes = b"", ago: float = 0.0) -> Try:
         tag = len(self.tries) + 1
-        one = Try(tag, b"%016x" % tag, track, label, self.now - ago)
+        one = Try(tag, b"%016x" % tag, request_class, label, self.now - ago)
         self.tries.append(one)
-        self.router.feed(call(tag, one.name, track, one.since, one.body, label))
+        self.router.feed(call(tag, one.name, request_class, one.since, one.body, label))
         return one
 
     def ask(self, data: bytes) -> list[list[bytes]]:
@@ -521,15 +537,15 @@
 
     def check(self) -> None:
         slack, grace = self.machine.slack + 0.05 + 1e-6, self.machine.drain_grace + 0.05
-        applied = {name: (track, body) for name, track, body in self.interpreter.applied}
-        keyed = [name for name, track, _ in self.interpreter.applied if track == b"record"]
+        applied = {name: (request_class, body) for name, request_class, body in self.interpreter.applied}
+        keyed = [name for name, request_class, _ in self.interpreter.applied if request_class == b"record"]
         assert len(set(keyed)) == len(keyed), "one try was run twice"
         repeated = len(self.interpreter.applied) - len(applied)
         assert repeated <= self.counts.count("runs_sent_again"), "one was run twice and not sent again"
         made = {b"made of " + body for _, body in applied.values()}
         ran: dict[bytes, float] = {}
         for one in self.tries:
-            due = one.since + self.machine.tracks[one.track == b"record"].abandon
+            due = one.since + self.machine.request_classes[one.request_class == b"record"].abandon
             assert one.cancelled or one.answers or self.now <= min(due + slack, self.stop), "lost"
             assert len(one.answers) <= 1, "answered twice"
             word = one.answers[0][1] if one.answers else b""
@@ -539,10 +555,10 @@
                 )
             if one.name not in applied:
                 continue
-            assert applied[one.name] == (one.track, one.body), "changed on the way"
+            assert applied[one.name] == (one.request_class, one.body), "changed on the way"
             assert one.since <= self.notice + grace, "run after the drain's grace"
             if one.label:
                 assert word != b"BUSY", "denied what has run"
-                window = self.machine.tracks[1].window
+                window = self.machine.request_classes[1].window
                 assert one.since - ran.get(one.label, -window) >= window, "one label ran twice"
                 ran[one.label] = one.since
