--- a/sablewheel/affinity/binding.py
+++ b/sablewheel/affinity/binding.py
@@ -11,7 +11,7 @@
 
 
 class State(Enum):
-    """HELD: its owner serves it. PASSING: its owner takes no more labelled work and hands it to the heir.
+    """HELD: its owner serves it. PASSING: its owner takes no more keyed work and hands it to the heir.
     ENDED: nobody's; the next request begins a new session above this number."""
 
     HELD = "held"
--- a/sablewheel/affinity/events.py
+++ b/sablewheel/affinity/events.py
@@ -11,7 +11,7 @@
 from typing import TypeAlias
 
 from ..membership.view import View
-from ..terms import Nature
+from ..terms import Idempotency
 from .binding import Binding, Cause
 from .placing import Load
 
@@ -25,7 +25,7 @@
 
 
 class Why(Enum):
-    """Why a request is served here or denied; each is counted apart."""
+    """Why a request is served here or rejected; each is counted apart."""
 
     OWNER = "owner"  # this server owns its session
     NO_VIEW = "no_view"  # this server is in no view
@@ -47,7 +47,7 @@
 
     ref: int
     key: str
-    nature: Nature
+    idempotency: Idempotency
     flow: str = ""
     sender: str = ""
     back: bool = False  # it was passed on before, and came back since its session had gone on
@@ -55,7 +55,7 @@
     @property
     def strict(self) -> bool:
         """Whether only the session's owner may run it."""
-        return self.nature is not Nature.REDOABLE
+        return self.idempotency is not Idempotency.IDEMPOTENT
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fenced:
-    """As `Refused`, where the request has been denied already: the next one looks again."""
+    """As `Refused`, where the request has been rejected already: the next one looks again."""
 
     key: str
     number: int
@@ -245,11 +245,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Deny:
-    """It never ran; come back after so many seconds. A label whose outcome is known may be answered so."""
+class Reject:
+    """It never ran; come back after so many seconds. An idempotency key whose outcome is known may be
+    answered so.
+    """
 
     ref: int
-    come_back: float
+    retry_after_s: float
     why: Why
 
 
@@ -284,4 +286,4 @@
     fields: Mapping[str, object] = field(default_factory=dict)
 
 
-Effect: TypeAlias = Here | Pass | Back | Deny | Write | Read | Send | Note
+Effect: TypeAlias = Here | Pass | Back | Reject | Write | Read | Send | Note
--- a/sablewheel/affinity/keys.py
+++ b/sablewheel/affinity/keys.py
@@ -1,8 +1,8 @@
 """Which session a request belongs to: a key made of fields that it carries. Pure.
 
-A label stays with its session: its repeats must come to the same key whatever way they take, or two owners
-would know the label. So the key of a labelled request never rests on its router: where the rule names one,
-the subject stands in for it, or the label itself.
+An idempotency key stays with its session: its repeats must come to the same key whatever way they take, or
+two owners would know the idempotency key. So the key of a keyed request never rests on its router: where the
+rule names one, the subject stands in for it, or the idempotency key itself.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
     tenant: str = ""
     subject: str = ""
     router: str = ""
-    label: str = ""
+    idempotency_key: str = ""
 
 
 def key_of(rule: tuple[str, ...], request: Carried) -> str | None:
@@ -34,10 +34,12 @@
     parts: list[str] = []
     for name in rule:
         value = str(getattr(request, FIELDS[name]))
-        if name == "router" and request.label:
+        if name == "router" and request.idempotency_key:
             if "subject" in rule:
                 continue  # it is in the key already
-            name, value = ("subject", request.subject) if request.subject else ("label", request.label)
+            name, value = (
+                ("subject", request.subject) if request.subject else ("label", request.idempotency_key)
+            )
         if not value or len(value.encode()) > FIELD_MOST:
             return None
         parts.append(f"{name}:{len(value)}:{value}")  # with its length: no two requests share a key by chance
--- a/sablewheel/affinity/placer.py
+++ b/sablewheel/affinity/placer.py
@@ -1,7 +1,7 @@
 """Sessions in the server: a desk in front of the forward path, and what the decisions need round them.
 
 Decides nothing. Each request with a session is held until its owner is known, mostly at once; then it is
-served here, passed on, or denied. Bindings are read and written through replication, whose claims go by the
+served here, passed on, or rejected. Bindings are read and written through replication, whose claims go by the
 binding's number. Servers speak of sessions in frames of their own over the links, which may lose any.
 """
 
@@ -20,10 +20,10 @@
 from ..replication.messages import Answer
 from ..replication.replica import SESSIONS
 from ..routing.exchange import Caller, Exchange, Witness
-from ..routing.labels import Labels
+from ..routing.labels import IdempotencyTable
 from ..routing.seam import Memory
 from ..routing.server import Desk
-from ..terms import Nature, Outcome, Request, Tenant
+from ..terms import Idempotency, Outcome, Request, Tenant
 from ..transport.scheduler import Scheduler
 from ..transport.wake import Wake
 from . import codec
@@ -32,7 +32,6 @@
     Answered,
     Back,
     Came,
-    Deny,
     Drain,
     Effect,
     Event,
@@ -44,6 +43,7 @@
     Over,
     Pass,
     Read,
+    Reject,
     Send,
     Tick,
     Told,
@@ -141,7 +141,7 @@
                 self.counts["without_session"] += 1
                 return self._desk.arrived(exchange)
             if self._forward.is_away(exchange.name):
-                return exchange.terminate()  # the name of an open request: as the dispatch would
+                return exchange.fail()  # the name of an open request: as the dispatch would
         elif not exchange.session:
             return self._forward.serve(exchange)
         came = self._came(exchange, guest.sender if guest is not None else "")
@@ -154,7 +154,7 @@
             log.exception("session not found, for a fault")
             if self._held.pop(came.ref, None) is not None:
                 if came.strict:
-                    exchange.deny(self._plan.settings.come_back, False)
+                    exchange.reject(self._plan.settings.retry_after_s, False)
                 else:
                     self._forward.serve(exchange)
 
@@ -172,7 +172,9 @@
         self._refs += 1
         self._held[self._refs] = exchange
         flow = self.flow_of(exchange)
-        return Came(self._refs, exchange.session, exchange.request.request_class.nature, flow, sender, back)
+        return Came(
+            self._refs, exchange.session, exchange.request.request_class.idempotency, flow, sender, back
+        )
 
     def _home(self, exchange: Exchange, to: str, tried: frozenset[str]) -> None:
         """One of ours is back from `to` and may run again."""
@@ -186,12 +188,14 @@
                 names = {one: name.decode("utf-8", "replace") for name, one in self._tenants.items()}
                 self._tenant_names = names
             tenant = self._tenant_names.get(request.tenant, "")
-        label = exchange.label if request.request_class.nature is Nature.LABELLED else None
+        idempotency_key = (
+            exchange.idempotency_key if request.request_class.idempotency is Idempotency.KEYED else None
+        )
         carried = Carried(
             tenant,
             request.subject or "",
-            request.router.name.decode("utf-8", "replace"),
-            (label or b"").decode("utf-8", "replace"),
+            request.client.name.decode("utf-8", "replace"),
+            (idempotency_key or b"").decode("utf-8", "replace"),
         )
         return key_of(self._plan.fields, carried)
 
@@ -201,8 +205,8 @@
     def ready(self) -> bool:
         return self._memory.ready
 
-    def recalled(self, born: float, labels: Labels) -> list[tuple[Request, float]]:
-        return self._memory.recalled(born, labels)
+    def recalled(self, born: float, idempotency_keys: IdempotencyTable) -> list[tuple[Request, float]]:
+        return self._memory.recalled(born, idempotency_keys)
 
     def adopted(self) -> tuple[list[Exchange], int]:
         return self._memory.adopted()
@@ -232,13 +236,13 @@
         self._answered(exchange)
         self._witness.completed(exchange, result, caller)
 
-    def denied(self, exchange: Exchange) -> None:
+    def rejected(self, exchange: Exchange) -> None:
         self._answered(exchange)
-        self._witness.denied(exchange)
+        self._witness.rejected(exchange)
 
-    def terminated(self, exchange: Exchange) -> None:
+    def failed(self, exchange: Exchange) -> None:
         self._answered(exchange)
-        self._witness.terminated(exchange)
+        self._witness.failed(exchange)
 
     def gone_by(self, exchange: Exchange) -> None:
         self._answered(exchange)
@@ -257,9 +261,9 @@
     # -- what replication asks
 
     def _group_of(self, exchange: Exchange) -> tuple[bytes, int]:
-        """Labels of a session are held together, and claimed under its number."""
+        """IdempotencyTable of a session are held together, and claimed under its number."""
         if not exchange.session:
-            return exchange.label or b"", 0
+            return exchange.idempotency_key or b"", 0
         one = self._open.get(exchange)
         return exchange.session.encode(), one.number if one is not None else 0
 
@@ -334,9 +338,9 @@
                     sender, KIND, codec.encode(Told(binding)), WITHIN
                 )  # comes before the request
                 self._forward.decline(exchange)
-            case Deny(ref, come_back, _):
+            case Reject(ref, retry_after_s, _):
                 exchange = self._held.pop(ref)
-                exchange.deny(come_back, False)
+                exchange.reject(retry_after_s, False)
             case Write(ref, key, expect, value, life):
                 self._keeper.write(
                     SESSIONS,
@@ -370,7 +374,7 @@
         exchange = self._held.pop(ref)
         if exchange.closed:  # nobody waits any more
             return self._step(Over(ref, exchange.session))
-        if number and exchange.request.request_class.nature is not Nature.REDOABLE:
+        if number and exchange.request.request_class.idempotency is not Idempotency.IDEMPOTENT:
             self._open[exchange] = Open(ref, exchange.session, number)
         self._forward.serve(exchange)
 
@@ -422,5 +426,5 @@
     """The witness of an `Affinity`, whose desk has a `gone` of its own."""
 
     def __init__(self, affinity: Affinity) -> None:
-        self.completed, self.denied = affinity.completed, affinity.denied
-        self.terminated, self.gone = affinity.terminated, affinity.gone_by
+        self.completed, self.rejected = affinity.completed, affinity.rejected
+        self.failed, self.gone = affinity.failed, affinity.gone_by
--- a/sablewheel/affinity/plan.py
+++ b/sablewheel/affinity/plan.py
@@ -21,10 +21,10 @@
     routes_most: int = 200_000  # remembered of others' sessions
     seeks_most: int = 4_096  # sessions whose owner is looked for at once
     waiting_most: int = 64  # requests that wait for one session's owner
-    come_back: float = 0.2  # what a denied labelled request is told at least
+    retry_after_s: float = 0.2  # what a rejected keyed request is told at least
     offer_within: float = 0.5  # an offer unanswered for so long goes to the next server
     bind_within: float = 2.0  # the longest that requests wait for an owner
-    handover_within: float = 3.0  # an owner waits so long for labelled runs; then they pass on as claims
+    handover_within: float = 3.0  # an owner waits so long for keyed runs; then they pass on as claims
     repeat: float = 0.25  # a step of a handover that is not answered is tried again
     claim_within: float = 0.5  # a claim won later is freed; a gone owner's sessions rest for so long
     drain_share: float = 0.8  # of the grace, over which a drain spreads its moves
--- a/sablewheel/benchlink/wire.py
+++ b/sablewheel/benchlink/wire.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from ..program import configuration
-from ..terms import Machine, Outcome
+from ..terms import Outcome, ServerSettings
 
 
 class MalformedError(ValueError):
@@ -26,14 +26,14 @@
     "bell": 2,
 }
 OUTCOMES = {
-    "S": Outcome.WORKED,
+    "S": Outcome.SUCCEEDED,
     "E": Outcome.ERROR,
-    "F": Outcome.FULL,
+    "F": Outcome.REJECTED,
     "T": Outcome.TIMED_OUT,
-    "C": Outcome.UNREACHED,
-    "R": Outcome.CUT_OFF,
-    "X": Outcome.STOPPED,
-    "N": Outcome.MOOT,
+    "C": Outcome.UNREACHABLE,
+    "R": Outcome.CONNECTION_LOST,
+    "X": Outcome.CANCELLED,
+    "N": Outcome.NEVER_STARTED,
 }
 
 
@@ -107,10 +107,10 @@
     return found
 
 
-def machine(text: str) -> Machine:
+def server_settings(text: str) -> ServerSettings:
     """The settings of an `init`; keys not known are skipped."""
     try:
-        return configuration.machine(configuration.Section(json.loads(text), "settings"))
+        return configuration.server_settings(configuration.Section(json.loads(text), "settings"))
     except ValueError as trouble:
         raise MalformedError(str(trouble)) from None
 
--- a/sablewheel/capability/ability.py
+++ b/sablewheel/capability/ability.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from types import MappingProxyType
 
-from ..terms import Halting, Machine
+from ..terms import Cancellation, ServerSettings
 
 SAID_MOST = 200  # bytes: the bound of a value in `Member.says`
 MEMORY_PART = 2  # features may take one part in so many of the program's memory
@@ -295,22 +295,22 @@
     return os.access(folder, os.W_OK)
 
 
-def of(machine: Machine, start: StartUp, catalogue: Catalogue = CATALOGUE) -> Ability:
+def of(machine: ServerSettings, start: StartUp, catalogue: Catalogue = CATALOGUE) -> Ability:
     """The ability of a server with these settings."""
     without = set(start.without)
-    if not machine.share_reads_for:
+    if not machine.coalesce_reads_for_s:
         without.add("kept-results")
-    if not any(one.goal_stretch for one in machine.request_classes):
+    if not any(one.objective_s_per_hint for one in machine.request_classes):
         without.add("cost-hints")
     has = {
         LINKS: start.links,
         DISK: start.disk,
-        DROPS: machine.halting is Halting.DROPS,
-        PAUSES: machine.halting is Halting.PAUSES,
+        DROPS: machine.cancellation is Cancellation.DISCARDS_WORK,
+        PAUSES: machine.cancellation is Cancellation.SUSPENDS,
         GONE: start.hears_gone,
-        WAITS: machine.told_wait,
-        CUSTOMERS: any(one.quota > 0 for one in machine.tenants),
-        LABELS: any(one.window > 0 for one in machine.request_classes),
+        WAITS: machine.deadline_propagated,
+        CUSTOMERS: any(one.quota_per_s > 0 for one in machine.tenants),
+        LABELS: any(one.idempotency_window_s > 0 for one in machine.request_classes),
     }
     return Ability(
         cores=machine.cores,
@@ -319,5 +319,5 @@
         descriptors=down(start.descriptors),
         traits=sum(1 << place for place, one in enumerate(TRAITS) if has[one]),
         codes=sum(1 << one.code for one in catalogue.values() if one.name not in without),
-        warm=down(machine.warm_up),
+        warm=down(machine.warm_up_s),
     )
--- a/sablewheel/capability/applying.py
+++ b/sablewheel/capability/applying.py
@@ -8,7 +8,7 @@
 
 from dataclasses import replace
 
-from ..terms import Halting, Machine
+from ..terms import Cancellation, ServerSettings
 from .ability import CATALOGUE, Catalogue
 from .policy import Policy
 from .translation import ClassPlan
@@ -22,29 +22,35 @@
     return frozenset(named | needed)
 
 
-def settings(machine: Machine, policy: Policy, plan: ClassPlan | None) -> Machine:
+def settings(server_settings: ServerSettings, policy: Policy, plan: ClassPlan | None) -> ServerSettings:
     """The machine that the controller is to go by under this policy; `plan` None: the class has none, and
     runs none of what the policy has a say in."""
     named, on = governed(policy), plan.features if plan is not None else {}
     off = named - set(on)
-    if "stop-runs" in off and machine.halting is Halting.DROPS:
-        machine = replace(machine, halting=Halting.NEVER)
-    if "pause-runs" in off and machine.halting is Halting.PAUSES:
-        machine = replace(machine, halting=Halting.NEVER)
+    if "stop-runs" in off and server_settings.cancellation is Cancellation.DISCARDS_WORK:
+        server_settings = replace(server_settings, cancellation=Cancellation.UNSUPPORTED)
+    if "pause-runs" in off and server_settings.cancellation is Cancellation.SUSPENDS:
+        server_settings = replace(server_settings, cancellation=Cancellation.UNSUPPORTED)
     if "told-waits" in off:
-        machine = replace(machine, told_wait=False)
+        server_settings = replace(server_settings, deadline_propagated=False)
     if "customer-quotas" in off:
-        machine = replace(machine, over_share_worth=1.0)  # work beyond a share counts like any other
+        server_settings = replace(
+            server_settings, over_quota_weight=1.0
+        )  # work beyond a share counts like any other
     if "customer-quotas" in on:
         share = on["customer-quotas"].get("percent", 100) / 100
-        tenants = tuple(replace(one, quota=one.quota * share) for one in machine.tenants)
-        machine = replace(machine, tenants=tenants)
+        tenants = tuple(replace(one, quota_per_s=one.quota_per_s * share) for one in server_settings.tenants)
+        server_settings = replace(server_settings, tenants=tenants)
     if "kept-results" in off:
-        machine = replace(machine, share_reads_for=0.0)
+        server_settings = replace(server_settings, coalesce_reads_for_s=0.0)
     if "kept-results" in on:
         most = float(on["kept-results"].get("seconds", 1))
-        machine = replace(machine, share_reads_for=min(machine.share_reads_for, most))
+        server_settings = replace(
+            server_settings, coalesce_reads_for_s=min(server_settings.coalesce_reads_for_s, most)
+        )
     if "cost-hints" in off:
-        request_classes = tuple(replace(one, goal_stretch=0.0) for one in machine.request_classes)
-        machine = replace(machine, request_classes=request_classes)
-    return machine
+        request_classes = tuple(
+            replace(one, objective_s_per_hint=0.0) for one in server_settings.request_classes
+        )
+        server_settings = replace(server_settings, request_classes=request_classes)
+    return server_settings
--- a/sablewheel/capability/plan.py
+++ b/sablewheel/capability/plan.py
@@ -18,7 +18,7 @@
     translate_within: float = 120.0
     fetch_within: float = 1.0
     offer_every: float = 2.0
-    come_back: float = 2.0  # what denied callers are told
+    retry_after_s: float = 2.0  # what rejected callers are told
 
     def __post_init__(self) -> None:
         if self.up_margin < 1:
--- a/sablewheel/capability/rollout.py
+++ b/sablewheel/capability/rollout.py
@@ -10,7 +10,7 @@
 Ladders: a flow is served by the classes that run it on its rung or a better one. Fewer members can mean too
 little for the load on that rung: then the whole fleet steps down, once that has lasted (dwell), all flows
 together; up again only with a margin (hysteresis) that lasted longer, and not soon after the last change.
-What is required is never stepped down: with nobody to run it, its flow is denied.
+What is required is never stepped down: with nobody to run it, its flow is rejected.
 """
 
 from __future__ import annotations
--- a/sablewheel/capability/shell.py
+++ b/sablewheel/capability/shell.py
@@ -1,8 +1,8 @@
 """Policies in the server: views, frames and timers become the rollout's events, and its effects go out.
 
 Decides nothing. Its gate stands right before the dispatch, where what peers pass on comes by as well: a
-request is served here, or passed to a member that may, or denied at once with the cause counted and logged. A
-translation is done by a process of its own, which is looked after and never waited for.
+request is served here, or passed to a member that may, or rejected at once with the cause counted and logged.
+A translation is done by a process of its own, which is looked after and never waited for.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from ..membership.view import Fact, View
 from ..routing.exchange import Exchange
 from ..routing.server import Desk
-from ..terms import Machine, Tenant
+from ..terms import ServerSettings, Tenant
 from ..transport.scheduler import Scheduler
 from ..transport.wake import Wake
 from . import bundle, codec
@@ -53,7 +53,7 @@
 ROUTES_MOST = 4096  # of request classes and tenants, remembered until something changes
 
 log = logging.getLogger(__name__)
-changes = logging.getLogger(f"{__name__}.changes")  # bounded apart: denials must not hide what holds
+changes = logging.getLogger(f"{__name__}.changes")  # bounded apart: rejections must not hide what holds
 
 
 class Fleet(Protocol):
@@ -94,7 +94,7 @@
         self._applied: Apply | None = None
         self._names: dict[Tenant | None, str] = {}
         self._routes: dict[tuple[bytes, Tenant | None, str], Route] = {}
-        self._causes: dict[str, str] = {}  # by flow, the last cause of a denial that was logged
+        self._causes: dict[str, str] = {}  # by flow, the last cause of a rejection that was logged
         self._listeners: list[Callable[[int, dict[str, frozenset[str]]], None]] = []
         self._told: tuple[int, dict[str, frozenset[str]]] = (0, {})
         self._broken: dict[str, float] = {}  # when the last link to each broke
@@ -113,12 +113,12 @@
 
     # -- what the program asks
 
-    def machine(self, machine: Machine) -> Machine:
+    def server_settings(self, server_settings: ServerSettings) -> ServerSettings:
         """The settings as the policy that holds would have them."""
         applied = self._applied
         if applied is None or applied.bundle is None:
-            return machine
-        return settings(machine, applied.bundle.policy, applied.plan)
+            return server_settings
+        return settings(server_settings, applied.bundle.policy, applied.plan)
 
     def hangup(self) -> None:
         """SIGHUP: the operators' document is read anew."""
@@ -176,7 +176,7 @@
         self._turn += 1
         return those[self._turn % len(those)]
 
-    def deny(self, exchange: Exchange, route: Route) -> None:
+    def reject(self, exchange: Exchange, route: Route) -> None:
         """At once, before it costs anything; where others may serve it the caller is free to go to them."""
         what = "elsewhere" if route.others else "nobody" if route.flow else "unknown"
         self._count(f"denied_{what}")
@@ -184,8 +184,8 @@
             self._causes[route.flow] = route.why
             pairs = {"flow": route.flow or "-", "reason": route.why, "others": len(route.others)}
             log.warning("flow denied", extra={"pairs": pairs})
-        nowhere = bool(route.flow) and not route.others
-        exchange.deny(self._plan.rules.come_back if nowhere else 0.0, nowhere)
+        no_retry_elsewhere = bool(route.flow) and not route.others
+        exchange.reject(self._plan.rules.retry_after_s if no_retry_elsewhere else 0.0, no_retry_elsewhere)
 
     def served(self, route: Route) -> None:
         if not route.here:
@@ -347,7 +347,7 @@
             self._policies.served(route)
             self._inner.arrived(exchange)
         else:
-            self._policies.deny(exchange, route)
+            self._policies.reject(exchange, route)
 
     def gone(self, exchange: Exchange) -> None:
         self._inner.gone(exchange)
--- a/sablewheel/command/demo.py
+++ b/sablewheel/command/demo.py
@@ -83,7 +83,7 @@
         "Why tickets were denied: the wait in front of the cores would have left too little of their"
     )
     console.print(
-        f"time. {found.denied_within} were within their customer's share, {found.denied_beyond} beyond."
+        f"time. {found.rejected_within} were within their customer's share, {found.rejected_beyond} beyond."
     )
     console.print("Denied ones were answered at once, with when to come back.")
     order = "in order" if found.verified else "NOT in order"
--- a/sablewheel/command/recall.py
+++ b/sablewheel/command/recall.py
@@ -46,7 +46,7 @@
         for one in entries:
             print_json(
                 {
-                    "label": one.label.decode("ascii", "replace"),
+                    "label": one.idempotency_key.decode("ascii", "replace"),
                     "name": one.name.decode("ascii", "replace"),
                     "track": one.request_class,
                     "state": one.state.value,
--- a/sablewheel/failover/judge.py
+++ b/sablewheel/failover/judge.py
@@ -14,7 +14,7 @@
 @dataclass(frozen=True)
 class Evidence:
     """What a member sees of a zone: servers that belong to it, those in the agreed view, and those that fail
-    or deny nearly all they get."""
+    or reject nearly all they get."""
 
     servers: int
     present: int
--- a/sablewheel/forwarding/forward.py
+++ b/sablewheel/forwarding/forward.py
@@ -2,9 +2,9 @@
 here.
 
 Decides nothing: whether and to whom a request goes says a placer, what becomes of it says `passing`. One that
-is away is this server's still, to its router: its answer, denial or error comes back over the link and goes
-the same way as any other. One that came is admitted as if a router had sent it, so the controller here knows
-no difference; its caller is the peer.
+is away is this server's still, to its router: its answer, rejection or error comes back over the link and
+goes the same way as any other. One that came is admitted as if a router had sent it, so the controller here
+knows no difference; its caller is the peer.
 
 A request that is away has no witness here: the server that runs it tells its own, so it is counted once. One
 that ends here after all, as its link broke, is told to ours.
@@ -20,7 +20,7 @@
 from ..membership.view import View
 from ..routing.exchange import UNWITNESSED, Exchange, Witness
 from ..routing.server import Desk
-from ..terms import Nature, Request, RequestClass, Router, Tenant
+from ..terms import Client, Idempotency, Request, RequestClass, Tenant
 from ..transport.scheduler import Scheduler
 from ..transport.wake import Wake
 from .links import Links
@@ -73,7 +73,7 @@
 
 
 class Owner(Protocol):
-    """Who knows what became of a labelled request that may have run on a peer."""
+    """Who knows what became of a keyed request that may have run on a peer."""
 
     def may_run_again(self, exchange: Exchange, peer: str, told: Callable[[bool], None]) -> None:
         """Call `told`, now or later and within the request's time: whether it is sure that it never ran."""
@@ -118,12 +118,14 @@
     def completed(self, exchange: Exchange, result: bytes) -> None:
         self._forward.over(self.key, Answer(self.key[1], Final.COMPLETED, result))
 
-    def denied(self, exchange: Exchange, come_back: float, nowhere: bool) -> None:
-        come_back = min(max(come_back, 0.0), SPAN_MOST)
-        self._forward.over(self.key, Answer(self.key[1], Final.DENIED, b"", come_back, nowhere))
+    def rejected(self, exchange: Exchange, retry_after_s: float, no_retry_elsewhere: bool) -> None:
+        retry_after_s = min(max(retry_after_s, 0.0), SPAN_MOST)
+        self._forward.over(
+            self.key, Answer(self.key[1], Final.REJECTED, b"", retry_after_s, no_retry_elsewhere)
+        )
 
-    def terminated(self, exchange: Exchange) -> None:
-        self._forward.over(self.key, Answer(self.key[1], Final.TERMINATED))
+    def failed(self, exchange: Exchange) -> None:
+        self._forward.over(self.key, Answer(self.key[1], Final.FAILED))
 
 
 class Forward:
@@ -154,7 +156,7 @@
         self._numbers: dict[Exchange, int] = {}
         self._names: set[bytes] = set()  # of those that are away
         self._guests: dict[Key, Exchange] = {}
-        self._routers: dict[str, Router] = {}  # a peer is one, to the controller
+        self._routers: dict[str, Client] = {}  # a peer is one, to the controller
         self._wake = Wake(scheduler, clock, self._ring)
         self.counts: dict[str, int] = {}
         links.on(KIND, self._heard, parted=True)
@@ -168,7 +170,7 @@
 
     def arrived(self, exchange: Exchange) -> None:
         if exchange.name in self._names:
-            return exchange.terminate()  # the name of an open request: as the dispatch would
+            return exchange.fail()  # the name of an open request: as the dispatch would
         to = self._place(exchange)
         if to is None or not self.pass_on(exchange, to):
             self._serve_here(exchange)
@@ -210,8 +212,8 @@
         if told is None or to in tried:
             return False
         # Read anew: what this round took so far is no part of the hop, and would be lost from the age.
-        age = max(self._scheduler.clock.read() - request.arrived, 0.0)
-        left = request.request_class.abandon - age
+        age = max(self._scheduler.clock.read() - request.arrived_at, 0.0)
+        left = request.request_class.timeout_s - age
         if left <= 0:
             return False
         self._number += 1
@@ -220,7 +222,7 @@
         self._numbers[exchange] = number
         self._names.add(exchange.name)
         exchange.witness = UNWITNESSED
-        self._step(Wanted(number, to, request.request_class.nature, told, age, left, tried))
+        self._step(Wanted(number, to, request.request_class.idempotency, told, age, left, tried))
         return True
 
     # -- what else the program asks
@@ -275,7 +277,7 @@
             case Abandon(key):
                 guest = self._guests.pop(key, None)
                 desk = self.guests or self._inner
-                if guest is not None and guest.abandon() and desk is not None:
+                if guest is not None and guest.discard() and desk is not None:
                     desk.gone(guest)
             case Answered(number, answer, here):
                 away = self._home(number)
@@ -307,7 +309,7 @@
         elif isinstance(message, Answer) and message.result:
             # It ran, and its result is too much for a frame or the queue: an error is better than silence.
             self._count("results_unsent")
-            self._send(to, Answer(number, Final.TERMINATED), within)
+            self._send(to, Answer(number, Final.FAILED), within)
 
     def _home(self, number: int) -> Away | None:
         away = self._away.pop(number, None)
@@ -323,10 +325,10 @@
         match answer.final:
             case Final.COMPLETED:
                 exchange.complete(answer.result)
-            case Final.DENIED:
-                exchange.deny(answer.come_back, answer.nowhere)
-            case Final.TERMINATED:
-                exchange.terminate()
+            case Final.REJECTED:
+                exchange.reject(answer.retry_after_s, answer.no_retry_elsewhere)
+            case Final.FAILED:
+                exchange.fail()
 
     def _again(self, exchange: Exchange, tried: frozenset[str]) -> None:
         to = self._place(exchange) if len(tried) < TRIES_MOST else None
@@ -348,16 +350,21 @@
             if found is None:
                 return None
             tenant = found
-        label = exchange.label if request.request_class.nature is Nature.LABELLED else None
-        if max(len(exchange.name), len(exchange.request_class), len(tenant), len(label or b"")) > NAME_MOST:
+        idempotency_key = (
+            exchange.idempotency_key if request.request_class.idempotency is Idempotency.KEYED else None
+        )
+        if (
+            max(len(exchange.name), len(exchange.request_class), len(tenant), len(idempotency_key or b""))
+            > NAME_MOST
+        ):
             return None
         return Passed(
             exchange.name,
             exchange.request_class,
             exchange.body,
             tenant,
-            label,
-            request.kb,
+            idempotency_key,
+            request.memory_kb,
             request.subject,
             exchange.session,
         )
@@ -366,10 +373,14 @@
         """A peer's request becomes ours; what this server does not know is declined, and never ran here."""
         request_class, tenant = self._request_classes.get(told.request_class), self._tenants.get(told.tenant)
         unknown = request_class is None or (tenant is None and bool(self._tenants))
-        if request_class is None or unknown or (request_class.nature is Nature.LABELLED and not told.label):
+        if (
+            request_class is None
+            or unknown
+            or (request_class.idempotency is Idempotency.KEYED and not told.idempotency_key)
+        ):
             self._count("unknown_names")
             return self._step(Over(key, None))
-        router = self._routers.setdefault(key[0], Router())
+        router = self._routers.setdefault(key[0], Client())
         arrived = self._scheduler.clock.now - age
         request = Request(request_class, router, tenant, arrived, told.kb, subject=told.subject)
         exchange = Exchange(
@@ -377,7 +388,7 @@
             told.request_class,
             told.body,
             0,
-            told.label,
+            told.idempotency_key,
             request,
             Guest(self, key),
             self._witness(),
--- a/sablewheel/forwarding/messages.py
+++ b/sablewheel/forwarding/messages.py
@@ -14,7 +14,7 @@
 
 from . import forwarding_pb2 as pb
 
-NAME_MOST = 64  # bytes of a request's name, its request class's, its tenant's, its label
+NAME_MOST = 64  # bytes of a request's name, its request class's, its tenant's, its idempotency key
 SPAN_MOST = 86400.0
 
 
@@ -26,19 +26,19 @@
     """How a request ended."""
 
     COMPLETED = 1
-    DENIED = 2
-    TERMINATED = 3
+    REJECTED = 2
+    FAILED = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Passed:
-    """What goes along of a request; the label only where a repeat joins its first."""
+    """What goes along of a request; the idempotency key only where a repeat joins its first."""
 
     name: bytes
     request_class: bytes
     body: bytes
     tenant: bytes
-    label: bytes | None
+    idempotency_key: bytes | None
     kb: float
     subject: str | None
     session: str = ""
@@ -75,8 +75,8 @@
     number: int
     final: Final
     result: bytes = b""
-    come_back: float = 0.0
-    nowhere: bool = False
+    retry_after_s: float = 0.0
+    no_retry_elsewhere: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,6 +89,14 @@
 Message: TypeAlias = Pass | Taken | Refused | Answer | Cancel
 
 
+# The protobuf enumeration keeps the names of the first version of the format.
+_KINDS = {
+    Final.COMPLETED: pb.Answer.COMPLETED,
+    Final.REJECTED: pb.Answer.DENIED,
+    Final.FAILED: pb.Answer.TERMINATED,
+}
+
+
 def encode(message: Message) -> bytes:
     number = message.number
     match message:
@@ -98,7 +106,7 @@
                 track=one.request_class,
                 body=one.body,
                 customer=one.tenant,
-                label=one.label or b"",
+                label=one.idempotency_key or b"",
                 kb=one.kb,
                 subject=one.subject or "",
                 session=one.session,
@@ -112,8 +120,10 @@
             return pb.TicketMessage(number=number, refused=pb.Refused()).SerializeToString()
         case Cancel():
             return pb.TicketMessage(number=number, cancel=pb.Cancel()).SerializeToString()
-        case Answer(_, final, result, come_back, nowhere):
-            answer = pb.Answer(kind=final.name, result=result, come_back=come_back, nowhere=nowhere)
+        case Answer(_, final, result, retry_after_s, no_retry_elsewhere):
+            answer = pb.Answer(
+                kind=_KINDS[final], result=result, come_back=retry_after_s, nowhere=no_retry_elsewhere
+            )
             return pb.TicketMessage(number=number, answer=answer).SerializeToString()
 
 
--- a/sablewheel/forwarding/passing.py
+++ b/sablewheel/forwarding/passing.py
@@ -2,12 +2,12 @@
 
 Each member is both sides. Of what it passed on it knows the peer and the time that is left; of what it took
 in, whose it is. The rule when the link breaks or the peer does not say that it has the request goes by
-nature:
+idempotency:
 
-- redoable: back to its own server, which may run it or pass it to another, while its time lasts
-- labelled: its owner is asked whether it may run again, who knows what became of it; unless one says yes it
+- idempotent: back to its own server, which may run it or pass it to another, while its time lasts
+- keyed: its owner is asked whether it may run again, who knows what became of it; unless one says yes it
   ends in an error, as it may have run
-- irreversible: an error, once the first may have arrived; never a second sending
+- non-idempotent: an error, once the first may have arrived; never a second sending
 
 What was surely never sent, or was refused, may go anywhere. A request that was taken in is the receiver's own
 and goes no further: only `Wanted` passes on, and nobody calls it for one taken in.
@@ -20,20 +20,28 @@
 from math import inf
 from typing import TypeAlias
 
-from ..terms import Nature
+from ..terms import Idempotency
 from .messages import Answer, Cancel, Final, Message, Pass, Passed, Refused, Taken
 from .plan import PassSettings
 
 Key = tuple[str, int]  # whose it is, and its number there
 
 
+# The counters keep the names that alerts and dashboards know.
+ANSWER_COUNTERS = {
+    Final.COMPLETED: "answer_completed",
+    Final.REJECTED: "answer_denied",
+    Final.FAILED: "answer_terminated",
+}
+
+
 @dataclass(frozen=True, slots=True)
 class Wanted:
     """A request of ours is to go to a peer; `tried` are those it cannot go to any more. The number is new."""
 
     number: int
     to: str
-    nature: Nature
+    idempotency: Idempotency
     request: Passed
     age: float
     left: float
@@ -124,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unsure:
-    """One with a label may have run; ask who owns it and tell `Judged`."""
+    """One with an idempotency key may have run; ask who owns it and tell `Judged`."""
 
     number: int
 
@@ -154,7 +162,7 @@
     """One of ours at a peer."""
 
     to: str
-    nature: Nature
+    idempotency: Idempotency
     due: float
     taken_by: float  # inf once the peer said that it has it
     tried: frozenset[str]
@@ -221,7 +229,7 @@
             return [Back(event.number, event.tried | {to})]
         due = now + event.left - settings.spare
         taken_by = min(now + settings.taken_within, due)
-        self.out[event.number] = Out(to, event.nature, due, taken_by, event.tried)
+        self.out[event.number] = Out(to, event.idempotency, due, taken_by, event.tried)
         self._wake(taken_by)
         self._count("passed")
         return [Send(to, Pass(event.number, event.request, event.age, event.left), event.left)]
@@ -235,21 +243,21 @@
 
     def _error(self, number: int) -> Effect:
         self._count("ended_in_error")
-        return Answered(number, Answer(number, Final.TERMINATED), True)
+        return Answered(number, Answer(number, Final.FAILED), True)
 
     def _in_doubt(self, now: float, number: int, one: Out) -> list[Effect]:
         """It may have arrived, and no answer will come."""
-        if one.nature is Nature.REDOABLE:
+        if one.idempotency is Idempotency.IDEMPOTENT:
             del self.out[number]
             return [self._back(now, number, one)]
-        if one.nature is Nature.LABELLED:
+        if one.idempotency is Idempotency.KEYED:
             one.asked = True
             one.taken_by = inf
             return [Unsure(number)]
         return self._may_have_run(number)
 
     def _may_have_run(self, number: int) -> list[Effect]:
-        """An irreversible request that was sent: an error, whatever became of it."""
+        """An non-idempotent request that was sent: an error, whatever became of it."""
         del self.out[number]
         return [self._error(number)]
 
@@ -279,7 +287,7 @@
                 one.taken_by = inf
                 self._count("not_taken")
                 self._doubt(now, one.to)
-                if one.nature is Nature.REDOABLE:
+                if one.idempotency is Idempotency.IDEMPOTENT:
                     effects.append(Send(one.to, Cancel(number), max(one.due - now, 0.0)))
                     effects += self._in_doubt(now, number, one)
                     continue
@@ -313,7 +321,7 @@
                 return [self._back(now, number, one)]
             case Answer(number):
                 del self.out[number]
-                self._count(f"answer_{message.final.name.lower()}")
+                self._count(ANSWER_COUNTERS[message.final])
                 return [Answered(number, message, False)]
 
     # -- theirs here
--- a/sablewheel/ledger/keeper.py
+++ b/sablewheel/ledger/keeper.py
@@ -151,10 +151,10 @@
         if len(self._held) == 1 and wait > 0:
             self._scheduler.after(wait, lambda: None)  # a round to commit in
 
-    def denied(self, exchange: Exchange) -> None:
+    def rejected(self, exchange: Exchange) -> None:
         self._note(exchange, pb.DENIED)
 
-    def terminated(self, exchange: Exchange) -> None:
+    def failed(self, exchange: Exchange) -> None:
         self._note(exchange, pb.TERMINATED)
 
     def gone(self, exchange: Exchange) -> None:
@@ -172,18 +172,20 @@
         track = self._tracks.get(exchange.request_class)
         if track is None:
             track = self._tracks[exchange.request_class] = exchange.request_class.decode("utf-8", "replace")
-        goal = ticket.request_class.goal + ticket.request_class.goal_stretch * (ticket.estimate or 0.0)
+        goal = ticket.request_class.latency_objective_s + ticket.request_class.objective_s_per_hint * (
+            ticket.cost_hint or 0.0
+        )
         entry = pb.Entry(
             customer=self._names.get(ticket.tenant, "") if ticket.tenant is not None else "",
             track=track,
             outcome=outcome,
             ended_us=round(self._scheduler.clock.to_unix(now) * 1e6),
-            arrived_us=round(self._scheduler.clock.to_unix(ticket.arrived) * 1e6),
+            arrived_us=round(self._scheduler.clock.to_unix(ticket.arrived_at) * 1e6),
             run_us=round(billed.took * 1e6) if billed is not None else 0,
             asked_bytes=len(exchange.body),
             answer_bytes=answer_bytes,
-            goal_kept=outcome == pb.COMPLETED and now - ticket.arrived <= goal,
-            beyond_share=ticket.beyond,
+            goal_kept=outcome == pb.COMPLETED and now - ticket.arrived_at <= goal,
+            beyond_share=ticket.over_quota,
             billed=billed is not None,
             name=_id(exchange.name),
             run=_id(first.name) if first is not None else b"",
--- a/sablewheel/overload/unconfirmed.py
+++ b/sablewheel/overload/unconfirmed.py
@@ -27,7 +27,7 @@
         `longest` is the longest deadline of any class: a run that is so late serves nobody, and another one
         beside it is within the slack of the guards.
         """
-        deadline = max(request.arrived + request.request_class.abandon, now)
+        deadline = max(request.arrived_at + request.request_class.timeout_s, now)
         self._until.setdefault(request, deadline + longest)
 
     def discard(self, request: Request) -> None:
--- a/sablewheel/program/configuration.py
+++ b/sablewheel/program/configuration.py
@@ -1,7 +1,7 @@
 """The one place where the configuration and the settings are read, checked and given defaults.
 
-`posting` reads what an instance is told at its start; `machine` makes the controller's `Machine` of the
-settings, for the program and for the simulator's adapter alike. Every message names the key at fault.
+`posting` reads what an instance is told at its start; `machine` makes the controller's `ServerSettings` of
+the settings, for the program and for the simulator's adapter alike. Every message names the key at fault.
 """
 
 from __future__ import annotations
@@ -14,12 +14,29 @@
 from math import inf
 from typing import Any, TypeVar
 
-from ..terms import Halting, Ledger, Machine, Nature, RequestClass, Speech, Tenant
-
-NATURES = {"safe": Nature.REDOABLE, "keyed": Nature.LABELLED, "unsafe": Nature.IRREVERSIBLE}
-HALTINGS = {"off": Halting.NEVER, "drop": Halting.DROPS, "pause": Halting.PAUSES}
+from ..terms import (
+    AdvertisementKind,
+    Cancellation,
+    Dependency,
+    Idempotency,
+    RequestClass,
+    ServerSettings,
+    Tenant,
+)
+
+NATURES = {"safe": Idempotency.IDEMPOTENT, "keyed": Idempotency.KEYED, "unsafe": Idempotency.NON_IDEMPOTENT}
+HALTINGS = {
+    "off": Cancellation.UNSUPPORTED,
+    "drop": Cancellation.DISCARDS_WORK,
+    "pause": Cancellation.SUSPENDS,
+}
 VALUES = {"request": False, "work": True}
-SPEECHES = {"off": Speech.SILENT, "tokens": Speech.CREDIT, "min_rank": Speech.LEVEL, "bias": Speech.CHANCE}
+SPEECHES = {
+    "off": AdvertisementKind.NONE,
+    "tokens": AdvertisementKind.CREDIT,
+    "min_rank": AdvertisementKind.LOAD_LEVEL,
+    "bias": AdvertisementKind.ACCEPT_PROBABILITY,
+}
 LEVELS = {"debug": "DEBUG", "info": "INFO", "warning": "WARNING", "error": "ERROR"}
 RESERVED = 12  # descriptors that routers' connections don't get: standard ones, links, some in hand
 RESERVED_MORE = 8  # and up to so many where there are more: what else whoever started the process gave it
@@ -48,7 +65,7 @@
     stop_after: float
     memory_bytes: int
     connections_most: int
-    machine: Machine
+    server_settings: ServerSettings
     request_classes: dict[bytes, RequestClass]
     tenants: dict[bytes, Tenant]
     gauge_places: tuple[int | None, int | None, int | None]  # cpu_busy, sockets, runnable
@@ -166,7 +183,7 @@
         seed = int(digits, 16)
     except ValueError:
         raise FaultyKeyError("seed: hexadecimal digits are wanted") from None
-    built = machine(settings, calls_below=False)
+    built = server_settings(settings, calls_below=False)
     gauges = settings.section("extra").items("gauges", [])
     names, owners = settings.names("classes"), settings.names("orgs")
     return Posting(
@@ -178,7 +195,7 @@
         stop_after=top.number("stop_ms", 3000, least=1) / 1000,
         memory_bytes=int(limits.number("memory_mb", 192, least=8) * 1e6),
         connections_most=sockets - RESERVED - min(max(sockets - 2 * RESERVED - 4, 0) // 4, RESERVED_MORE),
-        machine=built,
+        server_settings=built,
         request_classes=dict(zip(names, built.request_classes, strict=True)),
         tenants=dict(zip(owners, built.tenants, strict=True)),
         gauge_places=(
@@ -200,7 +217,7 @@
         yield path
 
 
-def machine(settings: Section, calls_below: bool = True) -> Machine:
+def server_settings(settings: Section, calls_below: bool = True) -> ServerSettings:
     """The controller's view of the settings; keys not known here are skipped.
 
     `calls_below`: whether the protocol has words for a call of the service below and for going on without.
@@ -212,56 +229,60 @@
         raise FaultyKeyError(f"{settings.name('classes')}: at least one is wanted")
     calls, skips = extra.places("class-calls"), extra.places("class-skip-worth")
     habits = settings.section("client-habits", {})
-    return Machine(
+    return ServerSettings(
         request_classes=tuple(
             RequestClass(
-                nature=one.choice("repeat", NATURES),
-                goal=one.number("on-time-s"),
-                abandon=one.number("deadline-s"),
-                window=one.number("window-s", 0.0),
-                goal_stretch=one.number("aim-stretch", 0.0),
-                worth=one.number("worth", 1.0),
-                calls=calls.flag(str(place), False) and calls_below,
-                skip_share=skips.number(str(place), 0.0) * calls_below,
+                idempotency=one.choice("repeat", NATURES),
+                latency_objective_s=one.number("on-time-s"),
+                timeout_s=one.number("deadline-s"),
+                idempotency_window_s=one.number("window-s", 0.0),
+                objective_s_per_hint=one.number("aim-stretch", 0.0),
+                priority_weight=one.number("worth", 1.0),
+                calls_dependency=calls.flag(str(place), False) and calls_below,
+                skip_value_ratio=skips.number(str(place), 0.0) * calls_below,
             )
             for place, one in enumerate(request_classes)
         ),
         cores=extra.whole("cores", least=1),
         memory_kb=extra.number("memory-kb"),
-        run_factor=extra.number("run-factor", 1.0),
-        tenants=tuple(Tenant(quota=one.number("quota-rps", 0.0)) for one in settings.sections("orgs", [])),
-        ledger=_ledger(extra) if calls_below else None,
+        running_memory_factor=extra.number("run-factor", 1.0),
+        tenants=tuple(
+            Tenant(quota_per_s=one.number("quota-rps", 0.0)) for one in settings.sections("orgs", [])
+        ),
+        dependency=_ledger(extra) if calls_below else None,
         servers=settings.whole("servers", 1) or 1,
-        routers=extra.whole("callers", 1) or 1,
-        label_kb=extra.number("key-kb", 0.0),
-        halting=extra.choice("halt", HALTINGS, "off"),
-        speech=extra.choice("say", SPEECHES, "off"),
-        said_for=extra.number("said-for-s", 0.0),
-        share_reads_for=extra.number("share-for-s", 0.0),
-        told_wait=extra.flag("passes-deadline", False),
-        marks_again=habits.flag("marks-retry", False),
-        over_share_worth=settings.number("over-share-worth", 1.0),
-        worth_by_work=settings.choice("value-by", VALUES, "request"),
-        fresh_start=extra.flag("fresh-start", False),
-        idle=extra.number("idle-s", 0.0),
-        tick=settings.number("tick-s", 0.0),
-        slack=safety.number("answer-slack-s", 0.0),
-        drain_grace=safety.number("drain-grace-s", 0.0),
-        crowd_multiple=safety.number("fall-multiple"),
-        crowd_span=safety.number("fall-s", 0.0),
-        cold_from=safety.number("cold-from", 1.0),
-        warm_up=safety.number("warm-up-s", 0.0),
-        advice_limit=limits.number("max-retry-after-s", 0.0) if limits.flag("retry-after", False) else 0.0,
+        clients=extra.whole("callers", 1) or 1,
+        idempotency_key_kb=extra.number("key-kb", 0.0),
+        cancellation=extra.choice("halt", HALTINGS, "off"),
+        advertisement=extra.choice("say", SPEECHES, "off"),
+        advertisement_ttl_s=extra.number("said-for-s", 0.0),
+        coalesce_reads_for_s=extra.number("share-for-s", 0.0),
+        deadline_propagated=extra.flag("passes-deadline", False),
+        marks_retries=habits.flag("marks-retry", False),
+        over_quota_weight=settings.number("over-share-worth", 1.0),
+        weight_by_work=settings.choice("value-by", VALUES, "request"),
+        starts_cold=extra.flag("fresh-start", False),
+        idle_timeout_s=extra.number("idle-s", 0.0),
+        min_batch_interval_s=settings.number("tick-s", 0.0),
+        answer_slack_s=safety.number("answer-slack-s", 0.0),
+        drain_grace_s=safety.number("drain-grace-s", 0.0),
+        max_concurrency_per_core=safety.number("fall-multiple"),
+        concurrency_span_s=safety.number("fall-s", 0.0),
+        cold_speed_ratio=safety.number("cold-from", 1.0),
+        warm_up_s=safety.number("warm-up-s", 0.0),
+        max_retry_after_s=limits.number("max-retry-after-s", 0.0)
+        if limits.flag("retry-after", False)
+        else 0.0,
     )
 
 
-def _ledger(extra: Section) -> Ledger | None:
+def _ledger(extra: Section) -> Dependency | None:
     below = extra.text("below", "off")
     if below == "off":
         return None
     in_hand = extra.number("calls-out", -1.0, least=-1.0)
-    return Ledger(
-        in_hand=in_hand if below == "common" and in_hand >= 0 else None,
-        span=extra.number("share-span-s", 0.0),
-        linger=extra.number("lingers-s", 0.0),
+    return Dependency(
+        capacity=in_hand if below == "common" and in_hand >= 0 else None,
+        span_s=extra.number("share-span-s", 0.0),
+        linger_s=extra.number("lingers-s", 0.0),
     )
--- a/sablewheel/program/feature.py
+++ b/sablewheel/program/feature.py
@@ -10,7 +10,7 @@
 from ..routing.exchange import UNWITNESSED, Witness
 from ..routing.seam import UNREMEMBERED, Memory
 from ..routing.server import Desk
-from ..terms import Machine
+from ..terms import ServerSettings
 
 
 class Feature(Protocol):
@@ -35,7 +35,7 @@
     def desk(self, inner: Desk) -> Desk:
         """Who is told what routers sent: `inner`, the dispatch, or who stands in front of it."""
 
-    def machine(self, machine: Machine) -> Machine:
+    def server_settings(self, server_settings: ServerSettings) -> ServerSettings:
         """The controller's settings as features would have them."""
 
     def hangup(self) -> None:
@@ -69,8 +69,8 @@
     def desk(self, inner: Desk) -> Desk:
         return inner
 
-    def machine(self, machine: Machine) -> Machine:
-        return machine
+    def server_settings(self, server_settings: ServerSettings) -> ServerSettings:
+        return server_settings
 
     def hangup(self) -> None: ...
     def end_round(self) -> None: ...
@@ -96,7 +96,7 @@
     memory: Memory | None = None
     desk: Callable[[Desk], Desk] | None = None
     gate: Callable[[Desk], Desk] | None = None  # a desk within all others: what peers pass here meets it too
-    machine: Callable[[Machine], Machine] | None = None
+    server_settings: Callable[[ServerSettings], ServerSettings] | None = None
     hangup: Callable[[], None] | None = None
     sockets: Callable[[], int] | None = None  # descriptors it may hold, which routers' connections don't get
     up_at: Callable[[], float] | None = None
--- a/sablewheel/program/features.py
+++ b/sablewheel/program/features.py
@@ -428,7 +428,7 @@
             translate_within=self.translate_within_s,
             fetch_within=self.fetch_within_s,
             offer_every=self.offer_every_s,
-            come_back=self.come_back_s,
+            retry_after_s=self.come_back_s,
         )
         return PolicyPlan(self.file, self.speed, rules)
 
@@ -526,7 +526,7 @@
             routes_most=self.routes_most,
             seeks_most=self.seeks_most,
             waiting_most=self.waiting_most,
-            come_back=self.come_back_s,
+            retry_after_s=self.come_back_s,
             offer_within=self.offer_within_s,
             bind_within=self.bind_within_s,
             handover_within=self.handover_within_s,
--- a/sablewheel/program/parts.py
+++ b/sablewheel/program/parts.py
@@ -26,7 +26,7 @@
 from ..routing.exchange import UNWITNESSED, Exchange, Witness
 from ..routing.seam import UNREMEMBERED, Memory
 from ..routing.server import Desk
-from ..terms import Machine
+from ..terms import ServerSettings
 from ..transport.background import Background
 from ..transport.bridge import Bridge
 from ..transport.scheduler import Scheduler
@@ -225,7 +225,7 @@
         speed=plan.speed,
         without=frozenset(absent),
     )
-    return ability.of(posting.machine, start)
+    return ability.of(posting.server_settings, start)
 
 
 def _policy(ground: Ground, plan: PolicyPlan) -> Part:
@@ -239,7 +239,7 @@
     ground.policies = made
     return Part(
         gate=made.gate,
-        machine=made.machine,
+        server_settings=made.server_settings,
         hangup=made.hangup,
         close=lambda _: made.close(),
         gauges=made.gauges,
@@ -251,7 +251,7 @@
 
     fleet, links, posting = ground.fleet, ground.links, ground.posting
     assert fleet is not None and links is not None and ground.forward is not None  # the section needs them
-    slack = posting.machine.slack
+    slack = posting.server_settings.answer_slack_s
     settings = replace(plan.settings, longest=longest(posting.request_classes, slack))
     keeper = ground.replication = Keeper(
         ground.scheduler,
@@ -284,15 +284,17 @@
 
     fleet, links, forward, keeper = ground.fleet, ground.links, ground.forward, ground.replication
     assert fleet and links and forward and keeper  # the section needs theirs
-    machine, clock = ground.posting.machine, ground.scheduler.clock
+    server_settings, clock = ground.posting.server_settings, ground.scheduler.clock
     born = clock.now
 
     def warmth() -> float:
-        if not machine.fresh_start or machine.warm_up <= 0:
+        if not server_settings.starts_cold or server_settings.warm_up_s <= 0:
             return 1.0
-        return machine.cold_from + (1.0 - machine.cold_from) * min((clock.now - born) / machine.warm_up, 1.0)
+        return server_settings.cold_speed_ratio + (1.0 - server_settings.cold_speed_ratio) * min(
+            (clock.now - born) / server_settings.warm_up_s, 1.0
+        )
 
-    grace = min(machine.drain_grace, ground.posting.stop_after)
+    grace = min(server_settings.drain_grace_s, ground.posting.stop_after)
     affinity = Affinity(
         ground.scheduler,
         plan,
@@ -304,7 +306,7 @@
         ground.witness,
         ground.posting.tenants,
         warmth,
-        float(machine.cores),
+        float(server_settings.cores),
         grace,
         ground.count,
     )
@@ -414,11 +416,11 @@
                 inner = part.desk(inner)
         return inner
 
-    def machine(self, machine: Machine) -> Machine:
+    def server_settings(self, server_settings: ServerSettings) -> ServerSettings:
         for part in self._made:
-            if part.machine is not None:
-                machine = part.machine(machine)
-        return machine
+            if part.server_settings is not None:
+                server_settings = part.server_settings(server_settings)
+        return server_settings
 
     def hangup(self) -> None:
         for part in self._made:
--- a/sablewheel/protocol/interpreter.py
+++ b/sablewheel/protocol/interpreter.py
@@ -12,10 +12,10 @@
 FOLLOWING_MOST = 1 << 20  # bytes behind a line
 UNNUMBERED = (b"BANNER", b"TOPS", b"ERROR")
 ENDS = {
-    b"success": Outcome.WORKED,
+    b"success": Outcome.SUCCEEDED,
     b"failure": Outcome.ERROR,
-    b"interrupted": Outcome.STOPPED,
-    b"nothing": Outcome.MOOT,
+    b"interrupted": Outcome.CANCELLED,
+    b"nothing": Outcome.NEVER_STARTED,
 }
 
 
--- a/sablewheel/protocol/resp.py
+++ b/sablewheel/protocol/resp.py
@@ -61,7 +61,7 @@
     tenant: bytes
     since: float
     kb: float
-    label: bytes | None
+    idempotency_key: bytes | None
     subject: str | None
     body: bytes
     until: float | None = None
@@ -203,7 +203,7 @@
         tenant=fields.get(b"project", b""),
         since=since,
         kb=kb,
-        label=fields.get(b"replay"),
+        idempotency_key=fields.get(b"replay"),
         subject=fields[b"lookup"].decode("ascii") if b"lookup" in fields else None,
         body=body,
         until=since + int(fields[b"allow"]) / 1000 if b"allow" in fields else None,
@@ -216,11 +216,11 @@
     return _array(b"%d" % tag, b"OK", _fields(said), result)
 
 
-def denied(tag: int, said: float | None, come_back: float, nowhere: bool) -> bytes:
-    return _array(b"%d" % tag, b"BUSY", _fields(said, come_back, nowhere), b"")
+def rejected(tag: int, said: float | None, retry_after_s: float, no_retry_elsewhere: bool) -> bytes:
+    return _array(b"%d" % tag, b"BUSY", _fields(said, retry_after_s, no_retry_elsewhere), b"")
 
 
-def terminated(tag: int, said: float | None) -> bytes:
+def failed(tag: int, said: float | None) -> bytes:
     return _array(b"%d" % tag, b"FAILED", _fields(said), b"")
 
 
@@ -232,13 +232,13 @@
     return _array(b"0", b"BYE")
 
 
-def _fields(said: float | None, come_back: float = 0.0, nowhere: bool = False) -> bytes:
+def _fields(said: float | None, retry_after_s: float = 0.0, no_retry_elsewhere: bool = False) -> bytes:
     parts = []
     if said is not None:
         parts.append(b"pressure=" + f"{said:.6f}".rstrip("0").rstrip(".").encode())
-    if come_back > 0:
-        parts.append(b"cooldown=%d" % max(round(come_back * 1000), 1))
-    if nowhere:
+    if retry_after_s > 0:
+        parts.append(b"cooldown=%d" % max(round(retry_after_s * 1000), 1))
+    if no_retry_elsewhere:
         parts.append(b"nowhere=1")
     return b",".join(parts)
 
--- a/sablewheel/recall/__init__.py
+++ b/sablewheel/recall/__init__.py
@@ -1,3 +1,3 @@
-"""Recall: labelled runs remembered over restarts, so that a repeat gets its original answer and never runs
+"""Recall: keyed runs remembered over restarts, so that a repeat gets its original answer and never runs
 again.
 """
--- a/sablewheel/recall/carrying.py
+++ b/sablewheel/recall/carrying.py
@@ -12,7 +12,8 @@
 
 
 class Carrier:
-    """Knows in which record each live label lies, in the log's order, and how much of the log that is.
+    """Knows in which record each live idempotency key lies, in the log's order, and how much of the log that
+    is.
 
     Invariant: all live entries lie in records from `oldest` on. A pass carries what was in the log when it
     began, each entry once, so it ends whatever comes meanwhile.
@@ -25,24 +26,24 @@
         self._through = 0  # the pass carries what lies in records up to this one; 0: there is none
         self._after = 0  # the log's size some time after the last pass
 
-    def wrote(self, label: bytes, number: int, size: int) -> None:
-        """All that is known of a label is in this record now, the newest of all; it takes so many bytes
-        there.
+    def wrote(self, idempotency_key: bytes, number: int, size: int) -> None:
+        """All that is known of an idempotency key is in this record now, the newest of all; it takes so many
+        bytes there.
         """
-        self.gone(label)
-        self._lies[label] = (number, size)
+        self.gone(idempotency_key)
+        self._lies[idempotency_key] = (number, size)
         self._live_bytes += size
 
-    def grew(self, label: bytes, size: int) -> None:
+    def grew(self, idempotency_key: bytes, size: int) -> None:
         """More was written of it, in a later record."""
-        if label in self._lies:
-            number, before = self._lies[label]
-            self._lies[label] = (number, before + size)
+        if idempotency_key in self._lies:
+            number, before = self._lies[idempotency_key]
+            self._lies[idempotency_key] = (number, before + size)
             self._live_bytes += size
 
-    def gone(self, label: bytes) -> None:
-        if label in self._lies:
-            self._live_bytes -= self._lies.pop(label)[1]
+    def gone(self, idempotency_key: bytes) -> None:
+        if idempotency_key in self._lies:
+            self._live_bytes -= self._lies.pop(idempotency_key)[1]
 
     def oldest(self, newest: int) -> int:
         """The first record that must stay; `newest` is the last there is."""
@@ -60,12 +61,12 @@
         return self._through > 0
 
     def step(self, log_bytes: int) -> list[bytes]:
-        """The labels to carry next; none: the pass is over."""
+        """The idempotency keys to carry next; none: the pass is over."""
         found: list[bytes] = []
-        for label, (number, _) in self._lies.items():
+        for idempotency_key, (number, _) in self._lies.items():
             if number > self._through or len(found) >= CARRY_MOST:
                 break
-            found.append(label)
+            found.append(idempotency_key)
         if not found:
             self._through, self._after = 0, log_bytes
         return found
--- a/sablewheel/recall/cold.py
+++ b/sablewheel/recall/cold.py
@@ -1,4 +1,4 @@
-"""A labelled request at a server that remembers nothing of its predecessor: whether it may run. Pure."""
+"""A keyed request at a server that remembers nothing of its predecessor: whether it may run. Pure."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def may_have_run(rule: Start, started: float, arrived: float, window: float, now: float) -> bool:
-    """Whether by this rule a labelled request is taken to have run in an incarnation before; it is terminated
+    """Whether by this rule a keyed request is taken to have run in an incarnation before; it is failed
     then.
 
     `started` is when this incarnation began, `arrived` when the request reached the machine, in seconds.
--- a/sablewheel/recall/loading.py
+++ b/sablewheel/recall/loading.py
@@ -24,7 +24,9 @@
     longest: float
     last: Moment | None = None
     notice: int = 0
-    numbers: dict[bytes, int] = field(default_factory=dict)  # of the record that holds a label's intent
+    numbers: dict[bytes, int] = field(
+        default_factory=dict
+    )  # of the record that holds an idempotency key's intent
     records: int = 0
     written: float | None = None  # when the last record was, by the clock of now; None: none, or another boot
     rebased: int = 0
@@ -47,7 +49,7 @@
                 min(intent.until_us / 1e6, moment.unix + self.longest),
             )
             self.memory.intend(entry)
-            self.numbers[entry.label] = number
+            self.numbers[entry.idempotency_key] = number
         for outcome in record.outcomes:
             self.notice = max(self.notice, outcome.notice)
             if outcome.how == pb.NEVER:
@@ -64,7 +66,9 @@
         if self.last is not None and self.last.boot == now.boot:
             self.written = self.last.unix + shift(self.last, now)
         self._advance(now)
-        self.numbers = {label: self.numbers[label] for label in self.memory.entries}
+        self.numbers = {
+            idempotency_key: self.numbers[idempotency_key] for idempotency_key in self.memory.entries
+        }
 
     def _advance(self, moment: Moment) -> None:
         before, self.last = self.last, moment
@@ -76,4 +80,4 @@
             self.memory.rebase(by, moment.unix + self.longest)
             self.rebased += 1
         for entry in self.memory.expire(moment.unix):
-            self.numbers.pop(entry.label, None)
+            self.numbers.pop(entry.idempotency_key, None)
--- a/sablewheel/recall/plan.py
+++ b/sablewheel/recall/plan.py
@@ -8,7 +8,7 @@
 
 
 class Start(Enum):
-    """What a server that remembers nothing does with labelled requests that a predecessor may have run.
+    """What a server that remembers nothing does with keyed requests that a predecessor may have run.
 
     RUN: runs them; what a killed server held is no longer its duty. EARLY: terminates those that had reached
     the machine before it started. STRICT: terminates all until one window has passed. WAIT: says that it is
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class RecallPlan:
-    """One server's memory of its labelled runs. `folder` None: no lasting disk, only `cold` counts."""
+    """One server's memory of its keyed runs. `folder` None: no lasting disk, only `cold` counts."""
 
     folder: Path | None = None
     cold: Start = Start.RUN
--- a/sablewheel/recall/recorder.py
+++ b/sablewheel/recall/recorder.py
@@ -1,7 +1,7 @@
-"""Recall in the server: an intent before each labelled run, an outcome after it, and what a restart still
+"""Recall in the server: an intent before each keyed run, an outcome after it, and what a restart still
 knows.
 
-A labelled run is sent when its intent is durable; its answer leaves when its outcome is. So whatever is
+A keyed run is sent when its intent is durable; its answer leaves when its outcome is. So whatever is
 killed when, a repeat finds what its first became, or that it may have run, and never runs again within its
 window.
 """
@@ -17,12 +17,12 @@
 
 from ..routing.exchange import Caller, Exchange, Place, Witness, digest
 from ..routing.holding import Held, Holding
-from ..routing.labels import Labels
+from ..routing.labels import IdempotencyTable
 from ..state import log as durable
 from ..state.files import DiskFiles
 from ..state.health import Disk
 from ..state.store import Store
-from ..terms import Nature, Outcome, Request, RequestClass, Router, Stage
+from ..terms import Client, Idempotency, Outcome, Request, RequestClass, Stage
 from ..transport.background import Background
 from ..transport.bridge import Bridge
 from ..transport.clock import Clock
@@ -71,7 +71,7 @@
 
 
 class Recorder:
-    """Memory of one server's labelled runs; a witness that holds their answers, in front of another."""
+    """Memory of one server's keyed runs; a witness that holds their answers, in front of another."""
 
     def __init__(
         self,
@@ -92,8 +92,8 @@
         self._never_begun, self._remembered, self._fail = never_begun, remembered, fail
         self._request_classes, self._bridge = request_classes, bridge
         self._read_moment = moment or (lambda: read_moment(scheduler.clock))
-        labelled = [one for one in request_classes.values() if one.nature is Nature.LABELLED]
-        self._longest = max((one.window for one in labelled), default=0.0)
+        keyed = [one for one in request_classes.values() if one.idempotency is Idempotency.KEYED]
+        self._longest = max((one.idempotency_window_s for one in keyed), default=0.0)
         self.started = scheduler.clock.now
         self._memory = Memory(plan.entries_most, plan.bytes_most)
         self._carrier = Carrier(plan.segment_bytes)
@@ -155,9 +155,9 @@
         loaded.finish(self._read_moment())
         self._written = loaded.written
         self.last_notice = loaded.notice if self._plan.interpreter_outlives else 0
-        for label in sorted(loaded.numbers, key=loaded.numbers.__getitem__):
-            size = ENTRY_ON_DISK + len(self._memory.entries[label].result)
-            self._carrier.wrote(label, loaded.numbers[label], size)
+        for idempotency_key in sorted(loaded.numbers, key=loaded.numbers.__getitem__):
+            size = ENTRY_ON_DISK + len(self._memory.entries[idempotency_key].result)
+            self._carrier.wrote(idempotency_key, loaded.numbers[idempotency_key], size)
         self._log = records
         self._store = Store(
             self._scheduler, self._bridge, records, SLOW_AFTER, self._fenced, self._disk_changed
@@ -174,12 +174,12 @@
         self.ready = True
         self._remembered()
 
-    def recalled(self, born: float, labels: Labels) -> list[tuple[Request, float]]:
-        """The interpreter is up, since `born`: put what is remembered into the table of labels.
+    def recalled(self, born: float, idempotency_keys: IdempotencyTable) -> list[tuple[Request, float]]:
+        """The interpreter is up, since `born`: put what is remembered into the table of idempotency keys.
 
-        Gives the controller's part: requests that are over, and how long their labels count. A run whose end
-        nobody wrote down is waited for where the interpreter outlived this server's predecessor; else it may
-        have run or not, nobody can tell, and its repeats end in an error.
+        Gives the controller's part: requests that are over, and how long their idempotency keys count. A run
+        whose end nobody wrote down is waited for where the interpreter outlived this server's predecessor;
+        else it may have run or not, nobody can tell, and its repeats end in an error.
         """
         now, told = self._scheduler.clock.now, []
         outlived = self._plan.interpreter_outlives and self._written is not None and born < self._written
@@ -199,9 +199,9 @@
                 self._adopted[entry.name] = exchange
                 self._count("recall_adopted")
             life = entry.until - now
-            labels.remember(exchange, now, life)
+            idempotency_keys.remember(exchange, now, life)
             if entry.state is State.WORKED:
-                labels.keep(exchange, entry.result)
+                idempotency_keys.keep(exchange, entry.result)
             told.append((exchange.request, life))
             self._count("recall_labels")
         return told
@@ -212,11 +212,13 @@
 
     def _exchange(self, entry: Entry, request_class: RequestClass) -> Exchange:
         """A try that is over, as repeats find it."""
-        request = Request(request_class, Router(), None, entry.arrived, 0.0)
-        request.stage, request.begun, request.answered = Stage.OVER, True, True
+        request = Request(request_class, Client(), None, entry.arrived, 0.0)
+        request.stage, request.started, request.answered = Stage.FINISHED, True, True
         if entry.state is not State.INTENDED:
-            request.ended = Outcome.WORKED if entry.state is not State.FAILED else Outcome.ERROR
-        exchange = Exchange(entry.name, entry.request_class.encode(), b"", 0, entry.label, request, None)
+            request.outcome = Outcome.SUCCEEDED if entry.state is not State.FAILED else Outcome.ERROR
+        exchange = Exchange(
+            entry.name, entry.request_class.encode(), b"", 0, entry.idempotency_key, request, None
+        )
         exchange.place = Place.OVER
         exchange.digest = entry.sameness
         exchange.billed = entry.state is not State.INTENDED
@@ -232,31 +234,33 @@
     # -- what the dispatch asks and tells
 
     def may_not_run(self, exchange: Exchange) -> bool:
-        """Whether a labelled request without a remembered first may have run in a predecessor."""
+        """Whether a keyed request without a remembered first may have run in a predecessor."""
         if self._plan.cold in (Start.RUN, Start.WAIT) or (self._store is not None and not self._damaged):
             return False
         request = exchange.request
         now = self._scheduler.clock.now
-        if may_have_run(self._plan.cold, self.started, request.arrived, request.request_class.window, now):
+        if may_have_run(
+            self._plan.cold, self.started, request.arrived_at, request.request_class.idempotency_window_s, now
+        ):
             self._count("recall_cold_terminated")
             return True
         return False
 
     def prepare(self, exchange: Exchange) -> None:
-        """What a run of it will wait for beside the cores, and whether its label has room: the controller's
-        to weigh against its budget.
+        """What a run of it will wait for beside the cores, and whether its idempotency key has room: the
+        controller's to weigh against its budget.
         """
         if self._store is None:
             return
         now, request = self._scheduler.clock.now, exchange.request
         self._expire(now)
-        request.overhead = self._commit_wait(now)
+        request.extra_wait_s = self._commit_wait(now)
         if self._store.disk in (Disk.FULL, Disk.FAILING):
-            request.room_in = 1.0
+            request.key_capacity_in_s = 1.0
         else:
-            request.room_in = self._memory.room_in(now, self._prepared)
+            request.key_capacity_in_s = self._memory.room_in(now, self._prepared)
             self._prepared += 1
-        if request.room_in:
+        if request.key_capacity_in_s:
             self._count("recall_no_room")
 
     def _commit_wait(self, now: float) -> float:
@@ -267,40 +271,44 @@
         return max(usual, under_way) + self._plan.commit_every
 
     def remember(self, exchange: Exchange) -> None:
-        """Its label is kept from now on: the intent goes out at once, so that its commit passes while the
-        request waits for a core.
+        """Its idempotency key is kept from now on: the intent goes out at once, so that its commit passes
+        while the request waits for a core.
         """
         request = exchange.request
         if (
             self._store is None
-            or exchange.label is None
-            or request.request_class.nature is not Nature.LABELLED
+            or exchange.idempotency_key is None
+            or request.request_class.idempotency is not Idempotency.KEYED
         ):
             return
-        until = request.arrived + request.request_class.window
+        until = request.arrived_at + request.request_class.idempotency_window_s
         sameness = digest(exchange.request_class, exchange.body)
         request_class = exchange.request_class.decode("utf-8", "replace")
-        entry = Entry(exchange.label, sameness, exchange.name, request_class, request.arrived, until)
+        entry = Entry(
+            exchange.idempotency_key, sameness, exchange.name, request_class, request.arrived_at, until
+        )
         self._memory.intend(entry)
         self._intents.append(entry)
 
     def release(self, exchange: Exchange) -> None:
-        """It will never run here: its label is free again."""
+        """It will never run here: its idempotency key is free again."""
         entry = self._entry(exchange)
         if entry is None or entry.state is not State.INTENDED:
             return
         if entry in self._intents:
             self._intents.remove(entry)  # nobody was told of it
         else:
-            never = pb.Outcome(label=entry.label, name=entry.name, how=pb.NEVER, notice=exchange.notice)
+            never = pb.Outcome(
+                label=entry.idempotency_key, name=entry.name, how=pb.NEVER, notice=exchange.notice
+            )
             self._outcomes.append(never)
-        self._memory.forget(entry.label, entry.name)
-        self._carrier.gone(entry.label)
+        self._memory.forget(entry.idempotency_key, entry.name)
+        self._carrier.gone(entry.idempotency_key)
 
     def _entry(self, exchange: Exchange) -> Entry | None:
-        if self._store is None or exchange.label is None:
+        if self._store is None or exchange.idempotency_key is None:
             return None
-        entry = self._memory.entries.get(exchange.label)
+        entry = self._memory.entries.get(exchange.idempotency_key)
         return entry if entry is not None and entry.name == exchange.name else None
 
     def before_run(self, exchange: Exchange, run: Run) -> None:
@@ -315,19 +323,19 @@
         waiting.append(Waiting(exchange, run))
 
     def ended(self, exchange: Exchange, outcome: Outcome, result: bytes) -> None:
-        """A labelled run is over, or never began."""
+        """A keyed run is over, or never began."""
         self._adopted.pop(exchange.name, None)
         if (
             self._store is None
-            or exchange.label is None
-            or exchange.request.request_class.nature is not Nature.LABELLED
+            or exchange.idempotency_key is None
+            or exchange.request.request_class.idempotency is not Idempotency.KEYED
         ):
             return
-        if outcome is Outcome.MOOT:
+        if outcome is Outcome.NEVER_STARTED:
             self.release(exchange)
         else:
-            state = State.WORKED if outcome is Outcome.WORKED else State.FAILED
-            entry = self._memory.end(exchange.label, exchange.name, state, result)
+            state = State.WORKED if outcome is Outcome.SUCCEEDED else State.FAILED
+            entry = self._memory.end(exchange.idempotency_key, exchange.name, state, result)
             if entry is None:
                 return
             told = written.outcome(entry)
@@ -335,26 +343,31 @@
             if state is State.WORKED:
                 told.result = result
             self._outcomes.append(told)
-        if exchange.request.stage is Stage.OVER:  # one of the predecessor's: the controller knows it as over
-            exchange.request.ended = outcome
+        if (
+            exchange.request.stage is Stage.FINISHED
+        ):  # one of the predecessor's: the controller knows it as over
+            exchange.request.outcome = outcome
         self._mark += 1
 
     # -- the witness: answers wait for outcomes
 
     def completed(self, exchange: Exchange, result: bytes, caller: Caller) -> None:
-        labelled = exchange.label is not None and exchange.request.request_class.nature is Nature.LABELLED
-        if self._store is None or not labelled or self._durable_mark >= self._mark:
+        keyed = (
+            exchange.idempotency_key is not None
+            and exchange.request.request_class.idempotency is Idempotency.KEYED
+        )
+        if self._store is None or not keyed or self._durable_mark >= self._mark:
             return self._inner.completed(exchange, result, caller)
         if self._store.disk in (Disk.FULL, Disk.FAILING):
             self._count("recall_answers_ahead")
             return self._inner.completed(exchange, result, caller)
         self._holding.hold(self._mark, exchange, result, caller)
 
-    def denied(self, exchange: Exchange) -> None:
-        self._inner.denied(exchange)
+    def rejected(self, exchange: Exchange) -> None:
+        self._inner.rejected(exchange)
 
-    def terminated(self, exchange: Exchange) -> None:
-        self._inner.terminated(exchange)
+    def failed(self, exchange: Exchange) -> None:
+        self._inner.failed(exchange)
 
     def gone(self, exchange: Exchange) -> None:
         self._inner.gone(exchange)
@@ -387,8 +400,8 @@
         assert number is not None  # the store was idle
         for entry, told in zip(self._intents, record.intents, strict=True):
             entry.record = number
-            if self._memory.entries.get(entry.label) is entry:
-                self._carrier.wrote(entry.label, number, told.ByteSize())
+            if self._memory.entries.get(entry.idempotency_key) is entry:
+                self._carrier.wrote(entry.idempotency_key, number, told.ByteSize())
         for outcome in self._outcomes:
             self._carrier.grew(outcome.label, outcome.ByteSize())
         self._marks.append((number, self._mark, self._waiting))
@@ -412,8 +425,8 @@
             self._let_run(one)
 
     def _let_run(self, one: Waiting) -> None:
-        """Its intent is durable. If nobody waits for it any more it is not begun, and its label is free
-        again.
+        """Its intent is durable. If nobody waits for it any more it is not begun, and its idempotency key is
+        free again.
         """
         exchange = one.exchange
         if exchange.place is not Place.RUNNING:
@@ -433,7 +446,7 @@
 
     def _expire(self, now: float) -> None:
         for entry in self._memory.expire(now):
-            self._carrier.gone(entry.label)
+            self._carrier.gone(entry.idempotency_key)
 
     def _sweep(self) -> None:
         now = self._scheduler.clock.now
@@ -450,25 +463,25 @@
         store = self._store
         if store is None or not store.idle or self._intents or self._outcomes:
             return False  # the sweep asks again
-        labels = [one for one in self._carrier.step(store.size) if one in self._memory.entries]
-        if not labels:
+        idempotency_keys = [one for one in self._carrier.step(store.size) if one in self._memory.entries]
+        if not idempotency_keys:
             return False
         record = pb.Record(moment=self._moment(), snapshot=True)
         sizes = {}
-        for label in labels:
-            entry = self._memory.entries[label]
+        for idempotency_key in idempotency_keys:
+            entry = self._memory.entries[idempotency_key]
             intent = written.intent(entry)
             record.intents.append(intent)
-            sizes[label] = intent.ByteSize()
+            sizes[idempotency_key] = intent.ByteSize()
             if entry.state is not State.INTENDED:
                 outcome = written.outcome(entry)
                 record.outcomes.append(outcome)
-                sizes[label] += outcome.ByteSize()
+                sizes[idempotency_key] += outcome.ByteSize()
         number = store.append(record.SerializeToString())
         if number is None:
             return False
-        for label in labels:
-            self._carrier.wrote(label, number, sizes[label])
+        for idempotency_key in idempotency_keys:
+            self._carrier.wrote(idempotency_key, number, sizes[idempotency_key])
         self._marks.append((number, self._mark, []))
         self._count("recall_carried")
         store.flush()
--- a/sablewheel/recall/written.py
+++ b/sablewheel/recall/written.py
@@ -35,7 +35,7 @@
 def intent(entry: Entry) -> pb.Intent:
     """An entry's intent as it is written."""
     return pb.Intent(
-        label=entry.label,
+        label=entry.idempotency_key,
         sameness=entry.sameness,
         name=entry.name,
         track=entry.request_class,
@@ -47,7 +47,7 @@
 def outcome(entry: Entry) -> pb.Outcome:
     """An entry's outcome as it is written; only of one that has one."""
     return pb.Outcome(
-        label=entry.label,
+        label=entry.idempotency_key,
         name=entry.name,
         how=HOW[entry.state],
         result=entry.result,
@@ -61,7 +61,9 @@
 
 
 def compact_folder(folder: Path, longest: float, now: Moment) -> tuple[int, int, int]:
-    """Bytes before and after, labels kept. Takes the lock; what is old goes only once the new is durable."""
+    """Bytes before and after, idempotency keys kept. Takes the lock; what is old goes only once the new
+    is durable.
+    """
     files = DiskFiles(folder)
     try:
         log = Log(files, KIND, os.urandom(8), 1 << 50)
--- a/sablewheel/replication/__init__.py
+++ b/sablewheel/replication/__init__.py
@@ -1,1 +1,1 @@
-"""What several servers know together: labelled runs, session bindings, policies, each on some members."""
+"""What several servers know together: keyed runs, session bindings, policies, each on some members."""
--- a/sablewheel/replication/entries.py
+++ b/sablewheel/replication/entries.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-OUTCOMES_MOST = 2  # of one label: a second one is evidence of a fault, a third would add nothing
+OUTCOMES_MOST = 2  # of one idempotency key: a second one is evidence of a fault, a third would add nothing
 
 Ballot = tuple[int, int, str, int]  # epoch, round, proposer's name, its birth
 Owner = tuple[str, int, int]  # name, birth, its own count of claims
@@ -38,8 +38,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """A key's value. Of a label `number` counts its claims and `owner` made the last one; of a binding or a
-    document `number` counts its changes and `value` is the last one. `digest` tells what a label asks for.
+    """A key's value. Of an idempotency key `number` counts its claims and `owner` made the last one; of a
+    binding or a document `number` counts its changes and `value` is the last one. `digest` tells what an
+    idempotency key asks for.
     """
 
     ballot: Ballot = NO_BALLOT
--- a/sablewheel/replication/messages.py
+++ b/sablewheel/replication/messages.py
@@ -192,7 +192,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """Before a labelled run: `life` seconds from now no other may run it."""
+    """Before a keyed run: `life` seconds from now no other may run it."""
 
     ref: int
     key: bytes
@@ -234,7 +234,7 @@
     ref: int
     collection: str
     key: bytes
-    group: bytes = b""  # a label's; of a binding its key is the group
+    group: bytes = b""  # an idempotency key's; of a binding its key is the group
 
 
 @dataclass(frozen=True, slots=True)
@@ -265,7 +265,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stored:
-    """The outcome of this label is on a majority of its holders."""
+    """The outcome of this idempotency key is on a majority of its holders."""
 
     key: bytes
 
--- a/sablewheel/replication/plan.py
+++ b/sablewheel/replication/plan.py
@@ -9,7 +9,9 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """One member's replica. `longest` is the longest life that an entry of labels or documents may have."""
+    """One member's replica. `longest` is the longest life that an entry of idempotency keys or
+    documents may have.
+    """
 
     copies: int = 3
     slots: int = SLOTS
@@ -35,4 +37,4 @@
 
     settings: Settings = field(default_factory=Settings)
     hold_most: float = 0.25  # an answer waits for its outcome to be on a majority, no longer
-    deny_after: float = 0.3  # no majority for so long: requests of that range are denied at the door
+    reject_after: float = 0.3  # no majority for so long: requests of that range are rejected at the door
--- a/sablewheel/replication/replica.py
+++ b/sablewheel/replication/replica.py
@@ -1,8 +1,8 @@
 """One member's whole part: proposer for its own server's requests, holder for others'. Pure.
 
 `step(now, event) -> effects`; no I/O, no clock, chance handed in. A claim is never taken over: who won it is
-the only one that may ever run its label. What is late, from an older view or an earlier self, is refused
-where it would decide, and counts nowhere.
+the only one that may ever run its idempotency key. What is late, from an older view or an earlier self, is
+refused where it would decide, and counts no_retry_elsewhere.
 """
 
 from __future__ import annotations
@@ -197,7 +197,7 @@
         return good >= self.needed(len(names))
 
     def may_have_run(self, key: bytes, group: bytes) -> bool:
-        """Whether the copy here, ready or not, has a claim or an outcome of this label."""
+        """Whether the copy here, ready or not, has a claim or an outcome of this idempotency key."""
         held = self.store.get(self.slot(group), (LABELS, key))
         return held is not None and held.entry.state in (State.CLAIMED, State.DONE)
 
@@ -357,7 +357,7 @@
             self._probe_at = min(self._probe_at, self._now + PROBE_EVERY)
 
     def _probe(self) -> None:
-        """Who is silent is asked whether it is back: nothing else may be, where requests are denied."""
+        """Who is silent is asked whether it is back: nothing else may be, where requests are rejected."""
         for name in self.silent if self.epoch else ():
             self._send(name, Ask(self.epoch, ()))
         self._probe_at = self._now + PROBE_EVERY if self.silent else inf
@@ -391,11 +391,11 @@
             if asked is not None:
                 self._answer(asked, verdict, entry)
             return
-        label = one.key[1]
-        own = self.owns.get(label)
+        idempotency_key = one.key[1]
+        own = self.owns.get(idempotency_key)
         if one.change.what == "free":
             if own is not None and own.state == "freeing":
-                del self.owns[label]
+                del self.owns[idempotency_key]
             return
         assert own is not None
         if verdict == "unreachable":
@@ -407,18 +407,18 @@
             self._failed.pop(one.slot, None)
         if verdict == "won":
             own.state, own.entry = "won", entry
-            if self._now >= own.until:  # a wake after the label's life: too late to begin
+            if self._now >= own.until:  # a wake after the idempotency key's life: too late to begin
                 verdict = "unreachable"
-                self._begin_free(label, own)
+                self._begin_free(idempotency_key, own)
         elif one.offered and verdict != "known" and own.state == "asking":
-            self._begin_free(label, own)  # it may stand, and will not be run
+            self._begin_free(idempotency_key, own)  # it may stand, and will not be run
         else:
-            del self.owns[label]
+            del self.owns[idempotency_key]
         if asked is not None:
             self._answer(asked, verdict, entry)
 
     def _heard_of(self, one: Round, entry: Entry) -> tuple[str, Entry]:
-        """Too few answered a claim; but what one holder has may have run, so it is not denied."""
+        """Too few answered a claim; but what one holder has may have run, so it is not rejected."""
         found = EMPTY
         for told in one.promises.values():
             found = merge(found, told)
@@ -649,8 +649,8 @@
         self._ends(until)
 
     def _most(self, key: Key) -> float:
-        """The longest life of such an entry. Bindings may outlast labels: where one is lost its session
-        begins anew above its number, so nobody waits for their lives to pass."""
+        """The longest life of such an entry. Bindings may outlast idempotency keys: where one is lost its
+        session begins anew above its number, so nobody waits for their lives to pass."""
         return max(self._set.longest, self.binding_life if key[0] == SESSIONS else 0.0)
 
     def _take(self, slot: int, key: Key, entry: Entry, left: float) -> bool:
@@ -673,7 +673,7 @@
         self._expire_at = min(self._expire_at, until + EXPIRE_EVERY)
 
     def _look(self, key: Key, held: Entry, came: Entry) -> None:
-        """Two outcomes of one label: both are kept, and said once here."""
+        """Two outcomes of one idempotency key: both are kept, and said once here."""
         both = {*held.outcomes, *came.outcomes}
         if len(both) > 1 and len(held.outcomes) < 2:
             self.counts["two_outcomes"] += 1
--- a/sablewheel/routing/client.py
+++ b/sablewheel/routing/client.py
@@ -17,7 +17,7 @@
 from typing import Protocol
 
 from ..protocol import interpreter
-from ..terms import Nature, Outcome
+from ..terms import Idempotency, Outcome
 from ..transport.scheduler import Scheduler
 from ..transport.stream import Stream
 from .exchange import Exchange
@@ -32,6 +32,19 @@
 HAND_OVER_LOOK = 0.005
 ADOPTED = -1  # the fence of a run that was sent before this process began
 
+# The counters keep the names that alerts and dashboards know.
+RUN_COUNTERS = {
+    Outcome.SUCCEEDED: "runs_worked",
+    Outcome.ERROR: "runs_error",
+    Outcome.REJECTED: "runs_full",
+    Outcome.TIMED_OUT: "runs_timed_out",
+    Outcome.UNREACHABLE: "runs_unreached",
+    Outcome.CONNECTION_LOST: "runs_cut_off",
+    Outcome.CANCELLED: "runs_stopped",
+    Outcome.NEVER_STARTED: "runs_moot",
+    Outcome.LOST: "runs_lost",
+}
+
 log = logging.getLogger(__name__)
 # Many lines at a break, which must not use up the rate of the link's own.
 run_log = logging.getLogger(f"{__name__}.runs")
@@ -63,10 +76,10 @@
 
 def may_run_twice(exchange: Exchange) -> bool:
     """Whether a second run of this request would do no harm."""
-    return exchange.request.request_class.nature is Nature.REDOABLE
+    return exchange.request.request_class.idempotency is Idempotency.IDEMPOTENT
 
 
-class Client:
+class InterpreterClient:
     """The one link; `gauges` are those last told, while they hold."""
 
     def __init__(
@@ -341,7 +354,7 @@
             self._apply(run)
         for run in waiting:
             if run not in wanted:
-                self._end(run.exchange.name, Outcome.MOOT, 0.0, b"")
+                self._end(run.exchange.name, Outcome.NEVER_STARTED, 0.0, b"")
         return len(wanted)
 
     def _send_again(self, run: Run) -> None:
@@ -413,7 +426,8 @@
     def _rejected(self, command: interpreter.Command, name: bytes) -> None:
         """The command was not carried out: so its run never started, unless one before it was.
 
-        Guards against a label set free for a run that goes on: a repeat would run it a second time.
+        Guards against an idempotency key set free for a run that goes on: a repeat would run it a second
+        time.
         """
         self._count("commands_rejected")
         if command is interpreter.Command.GAUGES:
@@ -421,9 +435,9 @@
         pairs = {"command": command.name.lower(), "name": name.decode("ascii", "replace")}
         log.warning("interpreter rejected a command", extra={"pairs": pairs})
         if command is interpreter.Command.START and name in self._runs:
-            self._end(name, Outcome.ERROR if self._runs[name].again else Outcome.MOOT, 0.0, b"")
+            self._end(name, Outcome.ERROR if self._runs[name].again else Outcome.NEVER_STARTED, 0.0, b"")
 
     def _end(self, name: bytes, outcome: Outcome, took: float, result: bytes) -> None:
         exchange = self._runs.pop(name).exchange
-        self._count(f"runs_{outcome.name.lower()}")
+        self._count(RUN_COUNTERS[outcome])
         self._desk.ended(exchange, outcome, took, result)
--- a/sablewheel/routing/dispatch.py
+++ b/sablewheel/routing/dispatch.py
@@ -1,4 +1,4 @@
-"""Between the controller and the world: batches of happenings in, deeds carried out. Chooses nothing."""
+"""Between the controller and the world: batches of events in, actions carried out. Chooses nothing."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 from .. import terms
 from ..choice import Controller
-from ..terms import Deed, Happening, Machine, Nature, Outcome, Request
+from ..terms import Action, Event, Idempotency, Outcome, Request, ServerSettings
 from ..transport.scheduler import Scheduler
-from .client import Client, may_run_twice
+from .client import InterpreterClient, may_run_twice
 from .exchange import Exchange, Place, Standing
-from .labels import Labels
+from .labels import IdempotencyTable
 from .reasons import FailureReason, log_reason
 from .recent import RecentRuns
 from .seam import UNREMEMBERED, Memory
@@ -22,9 +22,12 @@
 log = logging.getLogger(__name__)
 
 
-def _longest_span(machine: Machine) -> float:
+def _longest_span(server_settings: ServerSettings) -> float:
     """The longest deadline or window of any class, in seconds."""
-    return max(max(request_class.abandon, request_class.window) for request_class in machine.request_classes)
+    return max(
+        max(request_class.timeout_s, request_class.idempotency_window_s)
+        for request_class in server_settings.request_classes
+    )
 
 
 class Dispatch:
@@ -33,62 +36,67 @@
     def __init__(
         self,
         scheduler: Scheduler,
-        machine: Machine,
+        server_settings: ServerSettings,
         seed: int,
         gauge_places: tuple[int | None, int | None, int | None],
         standing: Standing,
-        labels: Labels,
+        idempotency_keys: IdempotencyTable,
         opened: Callable[[], None],
         memory: Memory = UNREMEMBERED,
     ) -> None:
         self._memory = memory
         self._scheduler, self._clock = scheduler, scheduler.clock
-        self._machine, self._seed = machine, seed
+        self._server_settings, self._seed = server_settings, seed
         self._places = gauge_places
-        self._standing, self._labels, self._opened = standing, labels, opened
+        self._standing, self._idempotency_keys, self._opened = standing, idempotency_keys, opened
         self._controller: Controller | None = None
-        self._happenings: list[Happening] = []
-        self._undecided: set[bytes] = set()  # labels among them
+        self._events: list[Event] = []
+        self._undecided: set[bytes] = set()  # idempotency keys among them
         self._told: list[Exchange] = []  # and those whose callers told how long they wait
         self.batches = 0  # decided so far: whether rounds carry requests
         self._born = 0.0  # when the interpreter was
         self._early: dict[Exchange, None] = {}  # read before there was a controller
         self._exchanges: dict[Request, Exchange] = {}  # until answered and off the interpreter
-        self.denials: dict[str, int] = {}  # by reason, and those told no time to come back
+        self.rejections: dict[str, int] = {}  # by reason, and those told no time to come back
         self.failures: dict[str, int] = {}  # by reason
         self._names: set[bytes] = set()  # theirs
-        self._recent = RecentRuns(_longest_span(machine))
+        self._recent = RecentRuns(_longest_span(server_settings))
         self._server: Server
-        self._client: Client
+        self._client: InterpreterClient
 
-    def attach(self, server: Server, client: Client) -> None:
+    def attach(self, server: Server, client: InterpreterClient) -> None:
         """The two sides, which were given this as their desk."""
         self._server, self._client = server, client
-        client.can_stop = self._machine.halting is terms.Halting.DROPS
+        client.can_stop = self._server_settings.cancellation is terms.Cancellation.DISCARDS_WORK
 
     @property
     def open_count(self) -> int:
         return len(self._exchanges) + len(self._early)
 
-    def retune(self, machine: Machine, gauge_places: tuple[int | None, int | None, int | None]) -> None:
+    def retune(
+        self, server_settings: ServerSettings, gauge_places: tuple[int | None, int | None, int | None]
+    ) -> None:
         """New settings while it serves: what was taken in goes on as it was, new requests go by these."""
         self._places = gauge_places
         if self._controller is not None:
-            machine = replace(machine, fresh_start=self._controller.machine.fresh_start)
-            self._controller.retune(machine)
-        self._machine = machine
-        self._client.can_stop = machine.halting is terms.Halting.DROPS
-        self._recent.life = max(self._recent.life, _longest_span(machine))
-        self._labels.lag = max(
-            self._labels.lag, *(request_class.abandon for request_class in machine.request_classes)
+            server_settings = replace(
+                server_settings, starts_cold=self._controller.server_settings.starts_cold
+            )
+            self._controller.retune(server_settings)
+        self._server_settings = server_settings
+        self._client.can_stop = server_settings.cancellation is terms.Cancellation.DISCARDS_WORK
+        self._recent.life = max(self._recent.life, _longest_span(server_settings))
+        self._idempotency_keys.lag = max(
+            self._idempotency_keys.lag,
+            *(request_class.timeout_s for request_class in server_settings.request_classes),
         )
 
     def greeted(self, cold: bool, age: float) -> None:
         """The interpreter is up, for `age` seconds: the controller opens the server as of then."""
         log.info("interpreter up", extra={"pairs": {"cold": cold, "age": age}})
         if self._controller is None:
-            machine = replace(self._machine, fresh_start=cold)
-            self._controller = Controller(machine, self._seed)
+            server_settings = replace(self._server_settings, starts_cold=cold)
+            self._controller = Controller(server_settings, self._seed)
             since = self._clock.now - age
             self._carry_out(self._controller.decide(since, []), since)
             self._born = since
@@ -100,8 +108,8 @@
         if self._controller is None:
             return
         if self._memory.ready:
-            recalled = self._memory.recalled(self._born, self._labels)
-            self._happenings[:0] = [terms.Recalled(request, life) for request, life in recalled]
+            recalled = self._memory.recalled(self._born, self._idempotency_keys)
+            self._events[:0] = [terms.KeyRecovered(request, life) for request, life in recalled]
             exchanges, last = self._memory.adopted()
             self._client.adopt(exchanges, last if at_greeting else None)
         early, self._early = self._early, {}
@@ -113,59 +121,62 @@
     def arrived(self, exchange: Exchange) -> None:
         """A try that was read: the controller's, unless it contradicts one that is known.
 
-        The name of an open request, or a label that came with another body or request class: it is terminated
-        at once and changes nothing for the true one. Guards against clients that copy or mix up names and
-        labels; might hurt a true request only where a copy of its label came first and is still open.
+        The name of an open request, or an idempotency key that came with another body or request class: it is
+        failed at once and changes nothing for the true one. Guards against clients that copy or mix up names
+        and idempotency keys; might hurt a true request only where a copy of its idempotency key came first
+        and is still open.
         """
-        request, label = exchange.request, exchange.label
+        request, idempotency_key = exchange.request, exchange.idempotency_key
         if self._controller is None or (
-            not self._memory.ready and request.request_class.nature is Nature.LABELLED
+            not self._memory.ready and request.request_class.idempotency is Idempotency.KEYED
         ):
             return self._wait_for_start(exchange)
-        keyed = request.request_class.nature is Nature.LABELLED
+        keyed = request.request_class.idempotency is Idempotency.KEYED
         if exchange.name in self._names or (exchange.name in self._recent and not keyed):
             return self._fail_request(exchange, FailureReason.REPEATED_ID)
-        if label is not None and keyed:
+        if idempotency_key is not None and keyed:
             # Another try in this very batch: its fate first, or this one could not be told what it repeats.
-            if label in self._undecided:
+            if idempotency_key in self._undecided:
                 self.decide()
-            exchange.first = self._labels.find(label, request.arrived)
+            exchange.first = self._idempotency_keys.find(idempotency_key, request.arrived_at)
             if exchange.first is not None and not exchange.first.asks_same(exchange):
                 return self._fail_request(exchange, FailureReason.OTHER_CONTENT)
             if exchange.first is None and exchange.name in self._recent:
                 return self._fail_request(exchange, FailureReason.REPEATED_ID)
-            # What it repeats may be forgotten, on either side of a restart: neither run nor denied.
+            # What it repeats may be forgotten, on either side of a restart: neither run nor rejected.
             if exchange.first is None and (
-                self._labels.forgets(request.arrived, self._clock.now) or self._memory.may_not_run(exchange)
+                self._idempotency_keys.forgets(request.arrived_at, self._clock.now)
+                or self._memory.may_not_run(exchange)
             ):
                 return self._fail_request(exchange, FailureReason.TOO_OLD)
-            if request.arrived >= self._clock.now:
+            if request.arrived_at >= self._clock.now:
                 # The round's clock stands while it reads: this one may have come since, and by its own
                 # `since` the window ends later than counted from the time that is known here.
-                exchange.ahead = self._clock.read() - request.arrived
-            self._undecided.add(label)
+                exchange.ahead = self._clock.read() - request.arrived_at
+            self._undecided.add(idempotency_key)
             self._memory.prepare(exchange)
-            request.repeats = exchange.first.request if exchange.first is not None else None
+            request.duplicate_of = exchange.first.request if exchange.first is not None else None
         else:
-            exchange.label = None
+            exchange.idempotency_key = None
         self._exchanges[request] = exchange
         self._names.add(exchange.name)
-        if exchange.until is not None and self._machine.told_wait:
+        if exchange.until is not None and self._server_settings.deadline_propagated:
             self._told.append(exchange)
-        self._happenings.append(terms.Arrived(request))
+        self._events.append(terms.RequestArrived(request))
 
     def _wait_for_start(self, exchange: Exchange) -> None:
         """Nothing is decided before the interpreter is up and all that is remembered is known.
 
-        Guards against tries of one label that come before that: neither would know of the other, nor of a
-        first that ran before the start, and each would run. None waits longer than its request class allows.
+        Guards against tries of one idempotency key that come before that: neither would know of the other,
+        nor of a first that ran before the start, and each would run. None waits longer than its request class
+        allows.
         """
         self._early[exchange] = None
         request = exchange.request
-        until = request.arrived + request.request_class.abandon
-        if exchange.until is not None and self._machine.told_wait:
+        until = request.arrived_at + request.request_class.timeout_s
+        if exchange.until is not None and self._server_settings.deadline_propagated:
             until = exchange.until
-        left = until - self._machine.tick - self._clock.now
+        left = until - self._server_settings.min_batch_interval_s - self._clock.now
 
         def give_up() -> None:
             if exchange in self._early:
@@ -179,27 +190,27 @@
         if exchange in self._early:
             del self._early[exchange]
             return
-        self._happenings.append(terms.CallerGone(exchange.request))
+        self._events.append(terms.CallerGone(exchange.request))
         if exchange.place is Place.HELD:
-            if not exchange.request.begun:  # one that was stopped has run
-                self._labels.release(exchange)
+            if not exchange.request.started:  # one that was stopped has run
+                self._idempotency_keys.release(exchange)
             self._memory.release(exchange)
         if exchange.place in (Place.HELD, Place.JOINED):
             self._over(exchange)
 
     def ended(self, exchange: Exchange, outcome: Outcome, took: float, result: bytes) -> None:
         """A run is over: its answer goes out with it, and its repeats have theirs."""
-        self._happenings.append(terms.Ended(exchange.request, took, outcome))
+        self._events.append(terms.RunEnded(exchange.request, took, outcome))
         exchange.took = took
         self._memory.ended(exchange, outcome, result)
-        if outcome is Outcome.MOOT:
+        if outcome is Outcome.NEVER_STARTED:
             self._recent.discard(exchange.name)
             # It never began, so no repeat joins it; the controller's word for that comes when it is off.
-            self._labels.release(exchange)
-        if outcome is Outcome.WORKED:
+            self._idempotency_keys.release(exchange)
+        if outcome is Outcome.SUCCEEDED:
             exchange.complete(result)
-            if self._labels.holds(exchange):
-                self._labels.keep(exchange, result)
+            if self._idempotency_keys.holds(exchange):
+                self._idempotency_keys.keep(exchange, result)
         elif outcome is Outcome.ERROR:
             self._fail_request(exchange, FailureReason.RUN_FAILED)
         elif outcome is Outcome.LOST:
@@ -207,18 +218,18 @@
         elif not exchange.closed:
             exchange.place = Place.HELD  # stopped: still owed an answer, which is the controller's to choose
             return
-        self._over(exchange, result if outcome is Outcome.WORKED else None)
+        self._over(exchange, result if outcome is Outcome.SUCCEEDED else None)
 
     def call_needed(self, exchange: Exchange) -> None:
         """Its run stands at a call of a service below."""
-        self._happenings.append(terms.CallNeeded(exchange.request))
+        self._events.append(terms.DependencyCallNeeded(exchange.request))
 
     def start_unconfirmed(self, exchange: Exchange) -> None:
         """Its command was written to a link that broke: its run may never have begun."""
-        self._happenings.append(terms.StartUnconfirmed(exchange.request))
+        self._events.append(terms.StartUnconfirmed(exchange.request))
 
     def notice(self, left: float) -> None:
-        self._happenings.append(terms.Notice(left))
+        self._events.append(terms.ShutdownNotice(left))
 
     def _ring(self) -> None:
         told = self._client.gauges()
@@ -227,7 +238,7 @@
             value = told[place] if place is not None and place < len(told) else None
             return inf if value is None else value
 
-        self._happenings.append(terms.Bell(*(gauge(place) for place in self._places)))
+        self._events.append(terms.TimerFired(*(gauge(place) for place in self._places)))
 
     # -- the batch
 
@@ -235,7 +246,7 @@
         """Decide on all that came, and let everything out, also what was decided before a fault of ours."""
         try:
             self.decide()
-            self._labels.sweep(self._clock.now)
+            self._idempotency_keys.sweep(self._clock.now)
             self._recent.sweep(self._clock.now)
         finally:
             try:
@@ -244,49 +255,49 @@
                 self._server.flush()
 
     def decide(self) -> None:
-        """Batches until nothing is left: some deeds are followed by a happening at once."""
-        while self._happenings and self._controller is not None:
+        """Batches until nothing is left: some actions are followed by an event at once."""
+        while self._events and self._controller is not None:
             now = self._clock.read()
-            happenings, self._happenings = self._happenings, []
+            events, self._events = self._events, []
             self._undecided.clear()
             for exchange in self._told:  # as of now: reading, or the wait for the start, took its part of it
-                exchange.request.wait_left = max((exchange.until or now) - now, 0.0)
+                exchange.request.remaining_s = max((exchange.until or now) - now, 0.0)
             self._told.clear()
             self.batches += 1
-            self._carry_out(self._controller.decide(now, happenings), now)
+            self._carry_out(self._controller.decide(now, events), now)
 
-    def _carry_out(self, deeds: list[Deed], decided: float) -> None:
-        for deed in deeds:
-            match deed:
-                case terms.Alarm(after):
+    def _carry_out(self, actions: list[Action], decided: float) -> None:
+        for action in actions:
+            match action:
+                case terms.SetTimer(after):
                     self._scheduler.after(decided + after - self._clock.now, self._ring)
-                case terms.Say(amount):
+                case terms.AdvertiseCapacity(amount):
                     self._standing.said = amount
-                case terms.Health(good):
+                case terms.SetHealth(good):
                     self._standing.good = good
                 case terms.CloseIdle(after):
-                    self._server.close_unused(after or self._machine.idle)
+                    self._server.close_unused(after or self._server_settings.idle_timeout_s)
                 case terms.Log(words):
                     log.info("controller", extra={"pairs": {"says": words}})
                 case _:
-                    exchange = self._exchanges.get(deed.request)
+                    exchange = self._exchanges.get(action.request)
                     if exchange is not None:
                         try:
-                            self._act(deed, exchange)
+                            self._act(action, exchange)
                         except Exception:
                             self._fail(exchange)
-                    elif isinstance(deed, terms.Run):  # its caller left in this very batch
-                        self._happenings.append(terms.Ended(deed.request, 0.0, Outcome.MOOT))
+                    elif isinstance(action, terms.Run):  # its caller left in this very batch
+                        self._events.append(terms.RunEnded(action.request, 0.0, Outcome.NEVER_STARTED))
 
     def _fail(self, exchange: Exchange) -> None:
-        """A fault of ours in what was decided of it: it ends in an error, and the other deeds are done."""
+        """A fault of ours in what was decided of it: it ends in an error, and the other actions are done."""
         log.exception("request failed by a fault", extra={"pairs": {"tag": exchange.tag}})
         self._scheduler.on_fault()
         begun = exchange.place in (Place.RUNNING, Place.JOINED)
         if begun:
-            self._happenings.append(terms.Ended(exchange.request, 0.0, Outcome.ERROR))
+            self._events.append(terms.RunEnded(exchange.request, 0.0, Outcome.ERROR))
         elif not exchange.closed:
-            self._happenings.append(terms.CallerGone(exchange.request))
+            self._events.append(terms.CallerGone(exchange.request))
         self._fail_request(exchange, FailureReason.FAULT)
         self._over(exchange)
 
@@ -296,50 +307,50 @@
             name = f"failed_{reason.value}"
             self.failures[name] = self.failures.get(name, 0) + 1
             log_reason(log, "request failed", reason, request=exchange.name.decode("ascii", "replace"))
-        exchange.terminate()
+        exchange.fail()
 
-    def _count_denial(self, exchange: Exchange, why: terms.Denial, come_back: float) -> None:
+    def _count_rejection(self, exchange: Exchange, why: terms.RejectionReason, retry_after_s: float) -> None:
         request = exchange.name.decode("ascii", "replace")
-        log_reason(log, "request refused", why, request=request, come_back=come_back)
-        names = [f"denied_{why.value}"] + ([] if come_back > 0 else ["denied_without_advice"])
+        log_reason(log, "request refused", why, request=request, retry_after_s=retry_after_s)
+        names = [f"denied_{why.value}"] + ([] if retry_after_s > 0 else ["denied_without_advice"])
         for name in names:
-            self.denials[name] = self.denials.get(name, 0) + 1
+            self.rejections[name] = self.rejections.get(name, 0) + 1
 
-    def _act(self, deed: Deed, exchange: Exchange) -> None:
-        """A deed on a request that is not over."""
-        match deed:
+    def _act(self, action: Action, exchange: Exchange) -> None:
+        """An action on a request that is not over."""
+        match action:
             case terms.Run():
                 if exchange.place is Place.HELD:
                     exchange.place = Place.RUNNING
                     if not may_run_twice(exchange):
                         self._recent.add(exchange.name, self._clock.now)
                     self._memory.before_run(exchange, self._client.run)
-            case terms.Stop():
+            case terms.Cancel():
                 if exchange.place is Place.RUNNING:
                     self._client.halt(exchange)
             case terms.PresumeLost():
                 self._client.give_up(exchange)
-            case terms.Deny(_, come_back, nowhere, why):
-                exchange.deny(come_back, nowhere)
-                self._count_denial(exchange, why, come_back)
-                self._labels.release(exchange)  # the controller releases none whose life is over
+            case terms.Reject(_, retry_after_s, no_retry_elsewhere, why):
+                exchange.reject(retry_after_s, no_retry_elsewhere)
+                self._count_rejection(exchange, why, retry_after_s)
+                self._idempotency_keys.release(exchange)  # the controller releases none whose life is over
                 self._answered(exchange)
-            case terms.Terminate():
+            case terms.Fail():
                 self._fail_request(exchange, FailureReason.GIVEN_UP)
                 self._answered(exchange)
-            case terms.Remember(_, life):
-                self._labels.remember(exchange, self._clock.now, life + exchange.ahead)
+            case terms.ReserveKey(_, life):
+                self._idempotency_keys.remember(exchange, self._clock.now, life + exchange.ahead)
                 self._memory.remember(exchange)
-            case terms.Release():
-                self._labels.release(exchange)
+            case terms.ReleaseKey():
+                self._idempotency_keys.release(exchange)
                 self._memory.release(exchange)
-            case terms.Join():
+            case terms.AttachToOriginal():
                 if exchange.place is Place.HELD:
                     self._join(exchange)
             case _:
                 # A call, or the word to go on without: the protocol has neither, so `configuration.posting`
                 # tells the controller of no service below, and it asks for neither.
-                pairs = {"deed": type(deed).__name__}
+                pairs = {"deed": type(action).__name__}
                 log.error("deed that this protocol does not know", extra={"pairs": pairs})
 
     def _answered(self, exchange: Exchange) -> None:
@@ -362,12 +373,12 @@
             self._fail_request(exchange, FailureReason.NO_RESULT)
         else:
             exchange.complete(result)
-        outcome = Outcome.ERROR if result is None else Outcome.WORKED
-        self._happenings.append(terms.Ended(exchange.request, self._clock.now - exchange.began, outcome))
+        outcome = Outcome.ERROR if result is None else Outcome.SUCCEEDED
+        self._events.append(terms.RunEnded(exchange.request, self._clock.now - exchange.began, outcome))
         self._over(exchange, result)
 
     def _over(self, exchange: Exchange, result: bytes | None = None) -> None:
-        """Off this server, but for what the table of labels keeps; those that wait for it hear."""
+        """Off this server, but for what the table of idempotency keys keeps; those that wait for it hear."""
         exchange.place = Place.OVER
         exchange.body, exchange.first = b"", None
         if self._exchanges.pop(exchange.request, None) is not None:
@@ -381,18 +392,20 @@
     def refuse(self, exchange: Exchange) -> None:
         """One that never ran, nor will on a server that leaves: it may come back to whoever follows.
 
-        But what ran is not denied, in any other try either: what repeats it, or may, is terminated.
+        But what ran is not rejected, in any other try either: what repeats it, or may, is failed.
         """
         request = exchange.request
         known = exchange.name in self._names or exchange.name in self._recent
         if request not in self._exchanges and known:  # the id of one that is open, or ran
             return self._fail_request(exchange, FailureReason.REPEATED_ID)
-        if request.request_class.nature is Nature.LABELLED and exchange.label is not None:
-            first = self._labels.find(exchange.label, request.arrived)
+        if request.request_class.idempotency is Idempotency.KEYED and exchange.idempotency_key is not None:
+            first = self._idempotency_keys.find(exchange.idempotency_key, request.arrived_at)
             if first not in (None, exchange) or not self._memory.ready or self._memory.may_not_run(exchange):
                 return self._fail_request(exchange, FailureReason.STOPPING)
-        exchange.deny(self._machine.advice_limit, False)
-        self._count_denial(exchange, terms.Denial.DRAINING, self._machine.advice_limit)
+        exchange.reject(self._server_settings.max_retry_after_s, False)
+        self._count_rejection(
+            exchange, terms.RejectionReason.DRAINING, self._server_settings.max_retry_after_s
+        )
 
     def refuse_early(self) -> None:
         """Those that wait for the start, which the server leaves without."""
@@ -408,7 +421,7 @@
         for exchange in list(self._exchanges.values()):
             if exchange.closed:
                 continue
-            if exchange.place is Place.HELD and not exchange.request.begun:
+            if exchange.place is Place.HELD and not exchange.request.started:
                 self.refuse(exchange)
             else:
                 self._fail_request(exchange, FailureReason.STOPPING)
--- a/sablewheel/routing/exchange.py
+++ b/sablewheel/routing/exchange.py
@@ -16,7 +16,7 @@
 
 
 def digest(request_class: bytes, body: bytes) -> bytes:
-    """Whether two requests of one label ask for the same, also after a restart; 16 bytes."""
+    """Whether two requests of one idempotency key ask for the same, also after a restart; 16 bytes."""
     from hashlib import blake2b  # some MB that a server without recall need not have
 
     return blake2b(request_class + b"\0" + body, digest_size=16).digest()
@@ -26,8 +26,8 @@
     """Where a try came from and its answer goes."""
 
     def completed(self, exchange: Exchange, result: bytes) -> None: ...
-    def denied(self, exchange: Exchange, come_back: float, nowhere: bool) -> None: ...
-    def terminated(self, exchange: Exchange) -> None: ...
+    def rejected(self, exchange: Exchange, retry_after_s: float, no_retry_elsewhere: bool) -> None: ...
+    def failed(self, exchange: Exchange) -> None: ...
 
 
 class Witness(Protocol):
@@ -36,8 +36,8 @@
     def completed(self, exchange: Exchange, result: bytes, caller: Caller) -> None:
         """Must hand the result to `caller.completed`, now or soon; `exchange.first` is what it repeats."""
 
-    def denied(self, exchange: Exchange) -> None: ...
-    def terminated(self, exchange: Exchange) -> None: ...
+    def rejected(self, exchange: Exchange) -> None: ...
+    def failed(self, exchange: Exchange) -> None: ...
     def gone(self, exchange: Exchange) -> None:
         """Nobody waits any more, so there is no answer."""
 
@@ -50,8 +50,8 @@
     def completed(self, exchange: Exchange, result: bytes, caller: Caller) -> None:
         caller.completed(exchange, result)
 
-    def denied(self, exchange: Exchange) -> None: ...
-    def terminated(self, exchange: Exchange) -> None: ...
+    def rejected(self, exchange: Exchange) -> None: ...
+    def failed(self, exchange: Exchange) -> None: ...
     def gone(self, exchange: Exchange) -> None: ...
 
 
@@ -87,8 +87,8 @@
         "caller",
         "digest",
         "first",
+        "idempotency_key",
         "joined",
-        "label",
         "name",
         "notice",
         "place",
@@ -109,20 +109,22 @@
         request_class: bytes,
         body: bytes,
         tag: int,
-        label: bytes | None,
+        idempotency_key: bytes | None,
         request: Request,
         caller: Caller | None,
         witness: Witness = UNWITNESSED,
     ) -> None:
         self.name, self.request_class, self.body = name, request_class, body
-        self.tag, self.label, self.request = tag, label, request
+        self.tag, self.idempotency_key, self.request = tag, idempotency_key, request
         self.caller = caller  # until answered, or nobody waits
         self.witness = witness
         self.took = 0.0  # how long its run took, once that is over
         self.notice = 0  # the number under which that was told
         self.digest = b""  # of request class and body, where this one was remembered over a restart
         self.billed = False  # whether the result of its run went out to somebody
-        self.sameness = hash((request_class, body))  # of two with one label: whether they ask for the same
+        self.sameness = hash(
+            (request_class, body)
+        )  # of two with one idempotency key: whether they ask for the same
         self.place = Place.HELD
         self.result: bytes | None = None  # as long as it is kept
         self.joined: list[Exchange] = []  # repeats that wait for its end
@@ -133,7 +135,9 @@
         self.session = ""  # the key of the session that it belongs to, where sessions are told apart
 
     def asks_same(self, other: Exchange) -> bool:
-        """Whether another with this label asks for the same; one remembered from before has a digest only."""
+        """Whether another with this idempotency key asks for the same; one remembered from before has a
+        digest only.
+        """
         if not self.digest:
             return self.sameness == other.sameness
         return self.digest == digest(other.request_class, other.body)
@@ -146,17 +150,17 @@
         if (caller := self._close()) is not None:
             self.witness.completed(self, result, caller)
 
-    def deny(self, come_back: float, nowhere: bool) -> None:
+    def reject(self, retry_after_s: float, no_retry_elsewhere: bool) -> None:
         if (caller := self._close()) is not None:
-            self.witness.denied(self)
-            caller.denied(self, come_back, nowhere)
+            self.witness.rejected(self)
+            caller.rejected(self, retry_after_s, no_retry_elsewhere)
 
-    def terminate(self) -> None:
+    def fail(self) -> None:
         if (caller := self._close()) is not None:
-            self.witness.terminated(self)
-            caller.terminated(self)
+            self.witness.failed(self)
+            caller.failed(self)
 
-    def abandon(self) -> bool:
+    def discard(self) -> bool:
         """Nobody waits any more; whether that is news."""
         if self._close() is None:
             return False
--- a/sablewheel/routing/holding.py
+++ b/sablewheel/routing/holding.py
@@ -41,7 +41,7 @@
 
     def hold(self, mark: int, exchange: Exchange, result: bytes, caller: Caller) -> None:
         now = self._scheduler.clock.now
-        due = min(now + self._most, max(exchange.request.due - DUE_SPARE, now))
+        due = min(now + self._most, max(exchange.request.deadline - DUE_SPARE, now))
         self._held.append(Held(mark, due, exchange, result, caller))
         if len(self._held) == 1:
             self._scheduler.after(due - now, self._release_due)
--- a/sablewheel/routing/seam.py
+++ b/sablewheel/routing/seam.py
@@ -11,39 +11,39 @@
 
 from ..terms import Outcome, Request
 from .exchange import Exchange
-from .labels import Labels
+from .labels import IdempotencyTable
 
 
 class Memory(Protocol):
-    """Who remembers labelled runs over restarts."""
+    """Who remembers keyed runs over restarts."""
 
     @property
     def ready(self) -> bool:
-        """Whether all that is remembered is known; until then labelled tries wait, others are served."""
+        """Whether all that is remembered is known; until then keyed tries wait, others are served."""
 
-    def recalled(self, born: float, labels: Labels) -> list[tuple[Request, float]]:
-        """The interpreter is up, since `born`: fill the table of labels. Requests and how long their labels
-        count.
+    def recalled(self, born: float, idempotency_keys: IdempotencyTable) -> list[tuple[Request, float]]:
+        """The interpreter is up, since `born`: fill the table of idempotency keys. Requests and how long
+        their idempotency keys count.
         """
 
     def adopted(self) -> tuple[list[Exchange], int]:
         """Runs of a predecessor whose ends may still be told, and the last notice that was read."""
 
     def may_not_run(self, exchange: Exchange) -> bool:
-        """Whether a labelled try without a known first may have run in a predecessor, by the rule that is
+        """Whether a keyed try without a known first may have run in a predecessor, by the rule that is
         set.
         """
 
     def prepare(self, exchange: Exchange) -> None:
-        """Note on a labelled try's request what a run of it would wait for beside the cores, and whether
+        """Note on a keyed try's request what a run of it would wait for beside the cores, and whether
         there is room.
         """
 
     def remember(self, exchange: Exchange) -> None:
-        """The controller keeps its label from now on: it may run."""
+        """The controller keeps its idempotency key from now on: it may run."""
 
     def release(self, exchange: Exchange) -> None:
-        """It will not run, and its label is free."""
+        """It will not run, and its idempotency key is free."""
 
     def before_run(self, exchange: Exchange, run: Callable[[Exchange], None]) -> None:
         """Call `run` now, or when it may be sent, or report that it never began."""
@@ -58,7 +58,7 @@
     __slots__ = ()
     ready = True
 
-    def recalled(self, born: float, labels: Labels) -> list[tuple[Request, float]]:
+    def recalled(self, born: float, idempotency_keys: IdempotencyTable) -> list[tuple[Request, float]]:
         return []
 
     def adopted(self) -> tuple[list[Exchange], int]:
--- a/sablewheel/routing/server.py
+++ b/sablewheel/routing/server.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from ..protocol import resp
-from ..terms import Nature, Request, RequestClass, Router, Tenant
+from ..terms import Client, Idempotency, Request, RequestClass, Tenant
 from ..transport.scheduler import Scheduler
 from ..transport.stream import Stream
 from .exchange import UNWITNESSED, Exchange, Standing, Witness
@@ -177,7 +177,7 @@
                     self._withdraw(self.open[trouble.tag])
                 raise resp.GarbledError(str(trouble)) from None
             tag = trouble.tag
-            self._queue(lambda said: resp.terminated(tag, said))
+            self._queue(lambda said: resp.failed(tag, said))
 
     def _ask(self, asked: resp.Asked) -> None:
         server, tag = self._server, asked.tag
@@ -188,10 +188,17 @@
             raise resp.FaultyError("more open than allowed", tag)
         request = server.request(asked)
         exchange = Exchange(
-            asked.name, asked.request_class, asked.body, tag, asked.label, request, self, server.witness
+            asked.name,
+            asked.request_class,
+            asked.body,
+            tag,
+            asked.idempotency_key,
+            request,
+            self,
+            server.witness,
         )
         if asked.until is not None:
-            exchange.until = request.arrived + (asked.until - asked.since)
+            exchange.until = request.arrived_at + (asked.until - asked.since)
         self.open[tag] = exchange
         try:
             server.desk.arrived(exchange)
@@ -199,11 +206,11 @@
             # A fault of ours costs the one request that met it, loudly; the others here go on.
             log.exception("request failed by a fault", extra={"pairs": {"tag": tag}})
             server.count("faults")
-            exchange.terminate()
+            exchange.fail()
 
     def _withdraw(self, exchange: Exchange) -> None:
         self.open.pop(exchange.tag, None)
-        if exchange.abandon():
+        if exchange.discard():
             self._server.count("tickets_gone")
             self._server.desk.gone(exchange)
 
@@ -213,13 +220,15 @@
         tag = exchange.tag
         self._final(exchange, "completed", lambda said: resp.completed(tag, said, result))
 
-    def denied(self, exchange: Exchange, come_back: float, nowhere: bool) -> None:
+    def rejected(self, exchange: Exchange, retry_after_s: float, no_retry_elsewhere: bool) -> None:
         tag = exchange.tag
-        self._final(exchange, "denied", lambda said: resp.denied(tag, said, come_back, nowhere))
+        self._final(
+            exchange, "denied", lambda said: resp.rejected(tag, said, retry_after_s, no_retry_elsewhere)
+        )
 
-    def terminated(self, exchange: Exchange) -> None:
+    def failed(self, exchange: Exchange) -> None:
         tag = exchange.tag
-        self._final(exchange, "terminated", lambda said: resp.terminated(tag, said))
+        self._final(exchange, "terminated", lambda said: resp.failed(tag, said))
 
     def farewell(self, reason: CloseReason) -> None:
         if not self.leaving:
@@ -276,7 +285,7 @@
         self.connections: dict[Connection, None] = {}
         self.dirty: dict[Connection, None] = {}
         self._request_classes, self._tenants = request_classes, tenants
-        self._routers: dict[bytes, Router] = {}
+        self._routers: dict[bytes, Client] = {}
         self._unused_most: float | None = None
         scheduler.every(SWEEP, self._sweep)
 
@@ -305,14 +314,14 @@
             raise resp.FaultyError(f"no such track: {asked.request_class[:40]!r}", asked.tag)
         if tenant is None and self._tenants:
             raise resp.FaultyError(f"no such customer: {asked.tenant[:40]!r}", asked.tag)
-        if request_class.nature is Nature.LABELLED and not asked.label:
+        if request_class.idempotency is Idempotency.KEYED and not asked.idempotency_key:
             raise resp.FaultyError("no label on a track that needs one", asked.tag)
         arrived = self.scheduler.clock.from_unix(asked.since)
         now = self.scheduler.clock.now
         if not now - AGE_MOST < arrived < now + AHEAD_MOST:
             raise resp.FaultyError(f"a figure out of range: since={asked.since:.3f}", asked.tag)
         arrived = min(arrived, now)  # whole milliseconds of another's reading may lie ahead of ours
-        router = self._routers.pop(asked.router, None) or Router(name=asked.router)
+        router = self._routers.pop(asked.router, None) or Client(name=asked.router)
         self._routers[asked.router] = router
         while len(self._routers) > self._routers_most:  # a new configuration may tell of fewer
             del self._routers[next(iter(self._routers))]
@@ -322,8 +331,8 @@
             tenant,
             arrived,
             asked.kb,
-            estimate=asked.estimate,
-            again=asked.again,
+            cost_hint=asked.estimate,
+            is_retry=asked.again,
             subject=asked.subject,
         )
 
@@ -400,7 +409,7 @@
     def _sweep(self) -> None:
         now = self.scheduler.clock.now
         longest = max(
-            (request_class.abandon for request_class in self._request_classes.values()), default=0.0
+            (request_class.timeout_s for request_class in self._request_classes.values()), default=0.0
         )
         for connection in list(self.connections):
             stream, stuck = connection.stream, connection.stream.stuck_since
--- a/sablewheel/terms.py
+++ b/sablewheel/terms.py
@@ -1,7 +1,7 @@
 """The interface of the decision module: what it is told and what it may do.
 
 Plain types only. A `Request` points to its request class, tenant and router; ids stay at the door, with
-whoever carries the happenings in and the deeds out. All times are seconds with fractions.
+whoever carries the events in and the actions out. All times are seconds with fractions.
 """
 
 from __future__ import annotations
@@ -12,189 +12,189 @@
 from typing import TypeAlias
 
 
-class Nature(Enum):
+class Idempotency(Enum):
     """What a second run of a request would do."""
 
-    REDOABLE = auto()
-    LABELLED = auto()
-    IRREVERSIBLE = auto()
+    IDEMPOTENT = auto()
+    KEYED = auto()
+    NON_IDEMPOTENT = auto()
 
 
-class Halting(Enum):
+class Cancellation(Enum):
     """What stopping a running request does on this machine."""
 
-    NEVER = auto()
-    DROPS = auto()
-    PAUSES = auto()
+    UNSUPPORTED = auto()
+    DISCARDS_WORK = auto()
+    SUSPENDS = auto()
 
 
-class Speech(Enum):
+class AdvertisementKind(Enum):
     """What callers do with the free number that goes with every answer."""
 
-    SILENT = auto()
+    NONE = auto()
     CREDIT = auto()
-    LEVEL = auto()
-    CHANCE = auto()
+    LOAD_LEVEL = auto()
+    ACCEPT_PROBABILITY = auto()
 
 
 class Outcome(Enum):
     """How a run or a call ended."""
 
-    WORKED = auto()
+    SUCCEEDED = auto()
     ERROR = auto()
-    FULL = auto()
+    REJECTED = auto()
     TIMED_OUT = auto()
-    UNREACHED = auto()
-    CUT_OFF = auto()
-    STOPPED = auto()
-    MOOT = auto()
+    UNREACHABLE = auto()
+    CONNECTION_LOST = auto()
+    CANCELLED = auto()
+    NEVER_STARTED = auto()
     LOST = auto()  # no end was told in all the time that it was waited for: it may have run
 
 
 class Stage(Enum):
     """Where a request stands; kept by the controller."""
 
-    HELD = auto()
+    QUEUED = auto()
     RUNNING = auto()
-    AT_CALL = auto()
+    WAITING_TO_CALL = auto()
     CALLING = auto()
-    JOINED = auto()
-    OVER = auto()
+    COALESCED = auto()
+    FINISHED = auto()
 
 
 @dataclass(frozen=True, eq=False)
 class RequestClass:
     """A class of requests; `worth` is what one completed in time earns, or a second of its work."""
 
-    nature: Nature
-    goal: float
-    abandon: float
-    window: float = 0.0
-    goal_stretch: float = 0.0
-    calls: bool = False
-    skip_share: float = 0.0
-    worth: float = 1.0
+    idempotency: Idempotency
+    latency_objective_s: float
+    timeout_s: float
+    idempotency_window_s: float = 0.0
+    objective_s_per_hint: float = 0.0
+    calls_dependency: bool = False
+    skip_value_ratio: float = 0.0
+    priority_weight: float = 1.0
 
 
 @dataclass(frozen=True, eq=False)
 class Tenant:
     """Whose requests they are; `quota` is requests a second over the whole fleet."""
 
-    quota: float
+    quota_per_s: float
 
 
 @dataclass(frozen=True, eq=False)
-class Ledger:
+class Dependency:
     """What requests call; `in_hand` is this server's share of what it survives, None if not told."""
 
-    in_hand: float | None = None
-    span: float = 0.0
-    linger: float = 0.0
+    capacity: float | None = None
+    span_s: float = 0.0
+    linger_s: float = 0.0
 
 
 @dataclass(eq=False, slots=True)
-class Router:
+class Client:
     """Someone who sends requests here; the controller notes its open requests and when it was last heard."""
 
-    out: int = 0
-    heard: float = -inf
+    in_flight: int = 0
+    last_received_at: float = -inf
     name: bytes = b""
 
 
 @dataclass(frozen=True, eq=False)
-class Machine:
+class ServerSettings:
     """The server as it is told at its start."""
 
     request_classes: tuple[RequestClass, ...]
     cores: int
     memory_kb: float
-    run_factor: float
+    running_memory_factor: float
     tenants: tuple[Tenant, ...] = ()
-    ledger: Ledger | None = None
+    dependency: Dependency | None = None
     servers: int = 1
-    routers: int = 1
-    label_kb: float = 0.0
-    halting: Halting = Halting.NEVER
-    speech: Speech = Speech.SILENT
-    said_for: float = 0.0
-    share_reads_for: float = 0.0
-    told_wait: bool = False
-    marks_again: bool = False
-    over_share_worth: float = 1.0
-    worth_by_work: bool = False
-    fresh_start: bool = False
-    idle: float = 0.0
-    tick: float = 0.0
-    slack: float = 0.0
-    drain_grace: float = 0.0
-    crowd_multiple: float = 1.0
-    crowd_span: float = 0.0
-    cold_from: float = 1.0
-    warm_up: float = 0.0
-    advice_limit: float = 0.0
+    clients: int = 1
+    idempotency_key_kb: float = 0.0
+    cancellation: Cancellation = Cancellation.UNSUPPORTED
+    advertisement: AdvertisementKind = AdvertisementKind.NONE
+    advertisement_ttl_s: float = 0.0
+    coalesce_reads_for_s: float = 0.0
+    deadline_propagated: bool = False
+    marks_retries: bool = False
+    over_quota_weight: float = 1.0
+    weight_by_work: bool = False
+    starts_cold: bool = False
+    idle_timeout_s: float = 0.0
+    min_batch_interval_s: float = 0.0
+    answer_slack_s: float = 0.0
+    drain_grace_s: float = 0.0
+    max_concurrency_per_core: float = 1.0
+    concurrency_span_s: float = 0.0
+    cold_speed_ratio: float = 1.0
+    warm_up_s: float = 0.0
+    max_retry_after_s: float = 0.0
 
 
 @dataclass(eq=False, slots=True, weakref_slot=True)
 class Request:
     """One try of a request. The fields below `repeats` are the controller's own notes, but for the last two:
-    what a run waits for beside the cores, and how long until its label can be kept."""
+    what a run waits for beside the cores, and how long until its idempotency key can be kept."""
 
     request_class: RequestClass
-    router: Router
+    client: Client
     tenant: Tenant | None
-    arrived: float
-    kb: float
-    wait_left: float | None = None
-    estimate: float | None = None
-    again: bool = False
+    arrived_at: float
+    memory_kb: float
+    remaining_s: float | None = None
+    cost_hint: float | None = None
+    is_retry: bool = False
     writes: bool = False
     subject: str | None = None
-    repeats: Request | None = None
-    stage: Stage = Stage.HELD
-    begun: bool = False
-    ended: Outcome | None = None
+    duplicate_of: Request | None = None
+    stage: Stage = Stage.QUEUED
+    started: bool = False
+    outcome: Outcome | None = None
     answered: bool = False
-    due: float = 0.0
-    budget: float = 0.0
+    deadline: float = 0.0
+    wait_budget_s: float = 0.0
     read_at: float = 0.0
-    since: float = 0.0
-    called: float = 0.0
-    remembered: bool = False
-    beyond: bool = False
-    ahead: float = 0.0
-    overhead: float = 0.0
-    room_in: float = 0.0
+    stage_since: float = 0.0
+    called_at: float = 0.0
+    holds_key: bool = False
+    over_quota: bool = False
+    queued_work_ahead_s: float = 0.0
+    extra_wait_s: float = 0.0
+    key_capacity_in_s: float = 0.0
 
 
 @dataclass(slots=True)
-class Arrived:
+class RequestArrived:
     """A request was read and is now held."""
 
     request: Request
 
 
 @dataclass(slots=True)
-class Ended:
+class RunEnded:
     """A run or a join is over."""
 
     request: Request
-    took: float
+    took_s: float
     outcome: Outcome
 
 
 @dataclass(slots=True)
-class CallNeeded:
+class DependencyCallNeeded:
     """A running request stands at a call."""
 
     request: Request
 
 
 @dataclass(slots=True)
-class CallEnded:
+class DependencyCallEnded:
     """A call came back."""
 
     request: Request
-    took: float
+    took_s: float
     outcome: Outcome
 
 
@@ -213,32 +213,42 @@
 
 
 @dataclass(slots=True)
-class Recalled:
-    """A finished request is remembered from before the start; its label counts for `life` seconds more."""
+class KeyRecovered:
+    """A finished request is remembered from before the start; its idempotency key counts for `life`
+    seconds more.
+    """
 
     request: Request
-    life: float
+    valid_for_s: float
 
 
 @dataclass(slots=True)
-class Notice:
+class ShutdownNotice:
     """The server will be stopped after `left` seconds."""
 
-    left: float
+    remaining_s: float
 
 
 @dataclass(slots=True)
-class Bell:
+class TimerFired:
     """An alarm rang; how much of the cores is busy, how many connections are open and how much work demands a
     core (runs, reading, checks), where told."""
 
-    busy: float = inf
-    connections: float = inf
-    runnable: float = inf
-
-
-Happening: TypeAlias = (
-    Arrived | Ended | CallNeeded | CallEnded | StartUnconfirmed | CallerGone | Recalled | Notice | Bell
+    cpu_busy_ratio: float = inf
+    open_connections: float = inf
+    runnable_work: float = inf
+
+
+Event: TypeAlias = (
+    RequestArrived
+    | RunEnded
+    | DependencyCallNeeded
+    | DependencyCallEnded
+    | StartUnconfirmed
+    | CallerGone
+    | KeyRecovered
+    | ShutdownNotice
+    | TimerFired
 )
 
 
@@ -250,8 +260,8 @@
 
 
 @dataclass(slots=True)
-class Stop:
-    """Stop running work; no answer by itself."""
+class Cancel:
+    """Cancel running work; no answer by itself."""
 
     request: Request
 
@@ -263,120 +273,122 @@
     request: Request
 
 
-class Denial(Enum):
-    """Why a request was denied; each is counted apart."""
+class RejectionReason(Enum):
+    """Why a request was rejected; each is counted apart."""
 
     DRAINING = "draining"  # it came after the drain's grace
-    NO_ROOM = "no_room"  # its label has no room yet
+    IDEMPOTENCY_TABLE_FULL = "no_room"  # its idempotency key has no room yet
     MEMORY = "memory"  # the memory guard
-    WAIT = "wait"  # its wait would pass its budget, or its goal is out of reach
-    HELD_OUT = "held_out"  # held until its time was up
+    WAIT_BUDGET = "wait"  # its wait would pass its budget, or its goal is out of reach
+    QUEUE_TIMEOUT = "held_out"  # held until its time was up
 
 
 @dataclass(slots=True)
-class Deny:
-    """Final answer: it never ran. `come_back`: when to return; `nowhere`: try no other server."""
+class Reject:
+    """Final answer: it never ran. `retry_after_s`: when to return; `no_retry_elsewhere`: try no other
+    server.
+    """
 
     request: Request
-    come_back: float = 0.0
-    nowhere: bool = False
-    why: Denial = Denial.WAIT
+    retry_after_s: float = 0.0
+    no_retry_elsewhere: bool = False
+    reason: RejectionReason = RejectionReason.WAIT_BUDGET
 
 
 @dataclass(slots=True)
-class Terminate:
+class Fail:
     """Final answer: an error, with no promise."""
 
     request: Request
 
 
 @dataclass(slots=True)
-class Call:
+class CallDependency:
     """Make the call a request stands at, given up after `allow` seconds."""
 
     request: Request
-    allow: float
+    timeout_s: float
 
 
 @dataclass(slots=True)
-class LeaveOut:
+class SkipDependencyCall:
     """Go on without the call."""
 
     request: Request
 
 
 @dataclass(slots=True)
-class Remember:
-    """Put a request into the table of labels."""
+class ReserveKey:
+    """Put a request into the table of idempotency keys."""
 
     request: Request
-    life: float
+    valid_for_s: float
 
 
 @dataclass(slots=True)
-class Release:
+class ReleaseKey:
     """Take a request out of the table."""
 
     request: Request
 
 
 @dataclass(slots=True)
-class Join:
+class AttachToOriginal:
     """Answer a held request with the result of the one it repeats."""
 
     request: Request
 
 
 @dataclass(slots=True)
-class Health:
+class SetHealth:
     """What health checks are told; `stored` answers them without work."""
 
-    good: bool
-    stored: bool
+    healthy: bool
+    cacheable: bool
 
 
 @dataclass(slots=True)
-class Say:
+class AdvertiseCapacity:
     """The free number on every answer from now on."""
 
-    amount: float
+    value: float
 
 
 @dataclass(slots=True)
 class CloseIdle:
     """Close connections unused for `after` seconds."""
 
-    after: float
+    idle_timeout_s: float
 
 
 @dataclass(slots=True)
-class Alarm:
+class SetTimer:
     """Ring after `after` seconds; it cannot be taken back."""
 
-    after: float
+    after_s: float
 
 
 @dataclass(slots=True)
 class Log:
     """A line for the report."""
 
-    words: str
+    message: str
 
 
-Deed: TypeAlias = (
+Action: TypeAlias = (
     Run
-    | Stop
+    | Cancel
     | PresumeLost
-    | Deny
-    | Terminate
-    | Call
-    | LeaveOut
-    | Remember
-    | Release
-    | Join
-    | Health
-    | Say
+    | Reject
+    | Fail
+    | CallDependency
+    | SkipDependencyCall
+    | ReserveKey
+    | ReleaseKey
+    | AttachToOriginal
+    | SetHealth
+    | AdvertiseCapacity
     | CloseIdle
-    | Alarm
+    | SetTimer
     | Log
 )
--- a/sablewheel/transport/clock.py
+++ b/sablewheel/transport/clock.py
@@ -2,7 +2,7 @@
 
 Deadlines, windows, waits and graces are spans of real time, so they go by the monotonic clock, which nobody
 can set. The wall clock may be stepped by an hour either way. It enters where callers' stamps come in
-(`from_unix`) and where a record leaves that people read (`to_unix`), and nowhere else.
+(`from_unix`) and where a record leaves that people read (`to_unix`), and no_retry_elsewhere else.
 """
 
 from __future__ import annotations
--- a/sablewheel/trials/affinity_client.py
+++ b/sablewheel/trials/affinity_client.py
@@ -23,7 +23,7 @@
     turn = 0
 
     async def try_at(
-        self, server: str, request_class: str, name: bytes, tenant: str, label: bytes, body: bytes
+        self, server: str, request_class: str, name: bytes, tenant: str, idempotency_key: bytes, body: bytes
     ) -> None:
         link = await self.link(server)
         if link is None:
@@ -38,7 +38,7 @@
             "track": request_class,
             "server": server,
             "kiosk": kiosk,
-            "label": label.decode(),
+            "label": idempotency_key.decode(),
             "sent": time.time(),
             "from": time.monotonic(),
         }
@@ -50,7 +50,7 @@
                 time.time(),
                 body,
                 tenant.encode(),
-                label,
+                idempotency_key,
                 subject=kiosk.encode(),
             )
         )
