--- a/sablewheel/trials/affinity_server.py
+++ b/sablewheel/trials/affinity_server.py
@@ -28,7 +28,10 @@
         settings = dataclasses.replace(plan.settings, broken=VARIANT)
         super().__init__(scheduler, dataclasses.replace(plan, settings=settings), *rest, **more)
         if VARIANT == "two-owners":  # the numbers fence nobody either
-            self._keeper.group_of = lambda exchange: (exchange.session.encode() or exchange.label or b"", 0)
+            self._keeper.group_of = lambda exchange: (
+                exchange.session.encode() or exchange.idempotency_key or b"",
+                0,
+            )
         self._version = ""
         self._look()
 
--- a/sablewheel/trials/affinity_storm.py
+++ b/sablewheel/trials/affinity_storm.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from ..affinity.plan import Settings
-from ..terms import Nature
+from ..terms import Idempotency
 from .affinity_fleet import Request, World
 
 SPAN, CALM = 30.0, 14.0  # seconds of storm, and of calm before all is looked at
@@ -38,7 +38,7 @@
 
     world: World
     undecided: list[Request]  # requests without an outcome, in the end
-    unserved: list[Request]  # labelled ones of the calm that were denied, though there was room
+    unserved: list[Request]  # keyed ones of the calm that were rejected, though there was room
     doubled: list[str]  # sessions that two servers hold, in the end
     over: list[str]  # servers above their room
 
@@ -69,18 +69,18 @@
     while world.fleet.now < until:
         for _ in range(chance.randrange(20, 120)):
             if world.alive:
-                nature = chance.choice([Nature.REDOABLE, Nature.LABELLED])
-                world.bring(chance.choice(world.alive), chance.choice(keys), nature)
+                idempotency = chance.choice([Idempotency.IDEMPOTENT, Idempotency.KEYED])
+                world.bring(chance.choice(world.alive), chance.choice(keys), idempotency)
             world.run(0.01)
         _strike(world, chance, chance.choice(KINDS))
     _calm(world)
     here = [name for name in world.alive if name in world.view]
     for key in keys * 2:  # at a pace that the budget bears
-        world.bring(chance.choice(here), key, Nature.REDOABLE)
+        world.bring(chance.choice(here), key, Idempotency.IDEMPOTENT)
         world.run(0.25)
     fresh = []
     for key in keys:
-        fresh.append(world.bring(chance.choice(here), key, Nature.LABELLED))
+        fresh.append(world.bring(chance.choice(here), key, Idempotency.KEYED))
         world.run(0.1)
     world.run(8.0)
     bad = [one for one in fresh if one.outcome != "completed" and one.why not in ("full", "stale")]
--- a/sablewheel/trials/forwarder.py
+++ b/sablewheel/trials/forwarder.py
@@ -39,7 +39,7 @@
     def _serve_here(self, exchange: Exchange) -> None:
         """The trial holds what the controller is told of a guest against what its router knows."""
         if isinstance(exchange.caller, forward.Guest):
-            self._admitted.write(f"{exchange.name.decode()} {exchange.request.arrived:.6f}\n")
+            self._admitted.write(f"{exchange.name.decode()} {exchange.request.arrived_at:.6f}\n")
         super()._serve_here(exchange)
 
     def place(self, exchange: Exchange) -> str | None:
@@ -49,7 +49,7 @@
 
 
 def twice() -> None:
-    """An irreversible request goes again after a break."""
+    """An non-idempotent request goes again after a break."""
 
     def again(self: Passing, number: int) -> list[Effect]:
         return [self._back(0.0, number, self.out.pop(number))]
--- a/sablewheel/trials/forwarding.py
+++ b/sablewheel/trials/forwarding.py
@@ -37,7 +37,7 @@
 SHARE_LEAST = 0.95
 REQUEST_CLASSES = {
     "lookup": {"share": 0.5},
-    "record": {"share": 0.25, "labelled": True},
+    "record": {"share": 0.25, "keyed": True},
     "stamp": {"share": 0.25},
 }
 WORK = {"lookup": 0.03, "record": 0.1, "stamp": 0.5}  # long runs, so that links break with some under way
@@ -249,7 +249,8 @@
             never += one["how"] == "completed" and not begins[one["name"]]
     health, _ = _share(tries, stage.spans["none"])
     killed, asked = _share(tries, [(who, a, b) for who, a, b in stage.spans["killed"] if b - a > 1.0])
-    # Of a stop only its beginning, until all links know: what comes later goes nowhere near the peer.
+    # Of a stop only its beginning, until all links know: what comes later goes no_retry_elsewhere near the
+    # peer.
     stopped, also = _share(tries, [(who, a, a + 1.2) for who, a, _ in stage.spans["stopped"]])
     counters = Counter[str]()
     for name in stage.names:
@@ -310,7 +311,7 @@
 def _share(
     tries: dict[str, list[dict[str, Any]]], spans: list[tuple[str, float, float]]
 ) -> tuple[float, int]:
-    """The share of redoable requests served that were sent within the spans, to others than they name."""
+    """The share of idempotent requests served that were sent within the spans, to others than they name."""
     served = asked = 0
     for who, since, to in spans:
         for name, each in tries.items():
--- a/sablewheel/trials/policy_member.py
+++ b/sablewheel/trials/policy_member.py
@@ -47,7 +47,7 @@
 
     def only_weak(self: Dispatch, exchange: Exchange) -> None:
         if exchange.request_class == request_class:
-            return exchange.deny(0.0, True)
+            return exchange.reject(0.0, True)
         arrived(self, exchange)
 
     setattr(Dispatch, "arrived", only_weak)  # noqa: B010  for this process alone
--- a/sablewheel/trials/recall_cost.py
+++ b/sablewheel/trials/recall_cost.py
@@ -1,4 +1,4 @@
-"""What recall costs: labelled requests on servers with it and without, side by side; and how long a start
+"""What recall costs: keyed requests on servers with it and without, side by side; and how long a start
 takes.
 """
 
@@ -26,7 +26,7 @@
 CPU, THROUGHPUT, READY = 1.5, 0.85, 1.2
 LIVE, WINDOWS = 100_000, 10
 GOAL = 0.8
-REQUEST_CLASSES = {"record": {"share": 1.0, "labelled": True}}
+REQUEST_CLASSES = {"record": {"share": 1.0, "keyed": True}}
 
 
 def run(seed: int, quick: bool) -> Verdict:
@@ -95,8 +95,10 @@
         for first in range(0, live, group):
             record = pb.Record(moment=moment(now))
             for number in range(first, min(first + group, live)):
-                label = b"%016x%016x" % (turn, number)
-                entry = Entry(label, b"s" * 16, label[:16], "record", until - window, until)
+                idempotency_key = b"%016x%016x" % (turn, number)
+                entry = Entry(
+                    idempotency_key, b"s" * 16, idempotency_key[:16], "record", until - window, until
+                )
                 record.intents.append(intent(entry))
                 entry.state, entry.result = State.WORKED, b"r" * 200
                 record.outcomes.append(outcome(entry))
--- a/sablewheel/trials/replication_client.py
+++ b/sablewheel/trials/replication_client.py
@@ -2,7 +2,7 @@
 
     python -m sablewheel.trials.replication_client '{"servers": [...], "again": 0.6, ...}'
 
-As `router`; besides, each labelled try comes again: `at_once` share of them at another server in the same
+As `router`; besides, each keyed try comes again: `at_once` share of them at another server in the same
 instant, and `again` of them once or twice more, after a wait of up to `again_within` seconds.
 """
 
@@ -18,22 +18,24 @@
 
 
 class Repeaters(Routers):
-    """What `router` sends, and each labelled try again at other servers."""
+    """What `router` sends, and each keyed try again at other servers."""
 
     async def try_at(
-        self, server: str, request_class: str, name: bytes, tenant: str, label: bytes, body: bytes
+        self, server: str, request_class: str, name: bytes, tenant: str, idempotency_key: bytes, body: bytes
     ) -> None:
-        await super().try_at(server, request_class, name, tenant, label, body)
-        if not label:
+        await super().try_at(server, request_class, name, tenant, idempotency_key, body)
+        if not idempotency_key:
             return
         others = [one for one in self.told["servers"] if one != server]
         if self.chance.random() < float(self.told["at_once"]):
             at = self.chance.choice(others)
-            await super().try_at(at, request_class, self.name(), tenant, label, body)
+            await super().try_at(at, request_class, self.name(), tenant, idempotency_key, body)
         for _ in range(self.chance.choice((1, 2))):
             if self.chance.random() < float(self.told["again"]):
                 wait = self.chance.uniform(0.0, float(self.told["again_within"]))
-                self.later(self.again(wait, self.chance.choice(others), request_class, tenant, label, body))
+                self.later(
+                    self.again(wait, self.chance.choice(others), request_class, tenant, idempotency_key, body)
+                )
 
     def name(self) -> bytes:
         return b"%016x" % self.chance.getrandbits(64)
@@ -44,10 +46,10 @@
         task.add_done_callback(self.late.discard)
 
     async def again(
-        self, wait: float, server: str, request_class: str, tenant: str, label: bytes, body: bytes
+        self, wait: float, server: str, request_class: str, tenant: str, idempotency_key: bytes, body: bytes
     ) -> None:
         await asyncio.sleep(wait)
-        await Routers.try_at(self, server, request_class, self.name(), tenant, label, body)
+        await Routers.try_at(self, server, request_class, self.name(), tenant, idempotency_key, body)
 
     async def run(self) -> None:
         self.told["ends"] = time.monotonic() + float(self.told["seconds"])
--- a/sablewheel/trials/rig.py
+++ b/sablewheel/trials/rig.py
@@ -47,7 +47,7 @@
     "over-share-worth": 0.05,
 }
 TENANTS = {"saskatoon": 0.4, "regina": 0.3, "brandon": 0.2, "yorkton": 0.1}
-REQUEST_CLASSES = {"lookup": {"share": 0.6}, "record": {"share": 0.4, "labelled": True}}
+REQUEST_CLASSES = {"lookup": {"share": 0.6}, "record": {"share": 0.4, "keyed": True}}
 WORK = {"lookup": 0.02, "record": 0.03}
 
 
--- a/sablewheel/trials/router.py
+++ b/sablewheel/trials/router.py
@@ -3,8 +3,8 @@
     python -m sablewheel.trials.router '{"servers": ["127.0.0.1:7001"], "rate": 100, "seconds": 5, ...}'
 
 Each try becomes a line of JSON in the log once it is answered, withdrawn or lost. Further keys: `seed`,
-`tenants` (name to share), `request_classes` (name to share and whether it is labelled), `repeats` (share of
-labelled tries that come again), `cancels` (share withdrawn after `patience`), `bursts` (tenant, from, to,
+`tenants` (name to share), `request_classes` (name to share and whether it is keyed), `repeats` (share of
+keyed tries that come again), `cancels` (share withdrawn after `patience`), `bursts` (tenant, from, to,
 times).
 """
 
@@ -48,7 +48,7 @@
         self.chance = random.Random(told.get("seed", 1))
         self.links: dict[str, list[Link]] = {one: [] for one in told["servers"]}
         self.log = open(told["log"], "a", buffering=1 << 16)  # noqa: SIM115  kept until the end
-        self.labelled: dict[str, deque[tuple[bytes, bytes, str, float]]] = {
+        self.keyed: dict[str, deque[tuple[bytes, bytes, str, float]]] = {
             one: deque(maxlen=1000) for one in told["servers"]
         }
         self.late: set[asyncio.Task[None]] = set()
@@ -88,21 +88,21 @@
             list(request_classes), [one["share"] for one in request_classes.values()]
         )[0]
         name = b"%016x" % self.chance.getrandbits(64)
-        tenant, label, body = self.tenant(now), b"", b"body of " + name
-        if request_classes[request_class].get("labelled"):
-            known = self.labelled[server]
+        tenant, idempotency_key, body = self.tenant(now), b"", b"body of " + name
+        if request_classes[request_class].get("keyed"):
+            known = self.keyed[server]
             within = time.monotonic() - float(self.told.get("repeat_within", 1.0))
             while known and known[0][3] < within:
                 known.popleft()
             if known and self.chance.random() < float(self.told.get("repeats", 0.0)):
-                label, body, tenant, _ = self.chance.choice(known)
+                idempotency_key, body, tenant, _ = self.chance.choice(known)
             else:
-                label = b"%032x" % self.chance.getrandbits(128)
-                known.append((label, body, tenant, time.monotonic()))
-        await self.try_at(server, request_class, name, tenant, label, body)
+                idempotency_key = b"%032x" % self.chance.getrandbits(128)
+                known.append((idempotency_key, body, tenant, time.monotonic()))
+        await self.try_at(server, request_class, name, tenant, idempotency_key, body)
 
     async def try_at(
-        self, server: str, request_class: str, name: bytes, tenant: str, label: bytes, body: bytes
+        self, server: str, request_class: str, name: bytes, tenant: str, idempotency_key: bytes, body: bytes
     ) -> None:
         """One try on its way, if there is a link to that server."""
         link = await self.link(server)
@@ -114,13 +114,15 @@
             "customer": tenant,
             "track": request_class,
             "server": server,
-            "label": label.decode(),
+            "label": idempotency_key.decode(),
             "sent": time.time(),
             "from": time.monotonic(),
         }
         link.open[link.tag] = one
         link.writer.write(
-            wire.call(link.tag, name, request_class.encode(), time.time(), body, tenant.encode(), label)
+            wire.call(
+                link.tag, name, request_class.encode(), time.time(), body, tenant.encode(), idempotency_key
+            )
         )
         if self.chance.random() < float(self.told.get("cancels", 0.0)):
             task = asyncio.get_running_loop().create_task(self.withdraw(link, link.tag))
--- a/sablewheel/trials/wire.py
+++ b/sablewheel/trials/wire.py
@@ -14,12 +14,12 @@
     since: float,
     body: bytes,
     tenant: bytes,
-    label: bytes = b"",
+    idempotency_key: bytes = b"",
     router: int = 1,
     kb: float = 10.0,
     subject: bytes = b"",
 ) -> bytes:
-    """A try of a request; `since` in Unix seconds, `label` of 32 hexadecimal digits or none."""
+    """A try of a request; `since` in Unix seconds, `idempotency_key` of 32 hexadecimal digits or none."""
     fields = b"ref=%b,since=%d,sender=%d,project=%b,room=%.1f,class_rank=0.5" % (
         name,
         int(since * 1000),
@@ -27,8 +27,8 @@
         tenant,
         kb,
     )
-    if label:
-        fields += b",replay=%b" % label
+    if idempotency_key:
+        fields += b",replay=%b" % idempotency_key
     if subject:
         fields += b",lookup=%b" % subject
     return frame(b"RPC.CALL", b"%d" % tag, request_class, fields, body)
