--- a/sablewheel/__main__.py
+++ b/sablewheel/__main__.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from .program.application import Application
     from .program.configuration import Posting
-    from .program.features import Features
+    from .program.feature_file import Features
 
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
 DOOR_SPARE = 1.0  # how long past a predecessor's own notice its door is waited for
@@ -34,7 +34,7 @@
         print(f"sablewheel: {trouble}", file=sys.stderr)
         return 2
     if file:
-        from .program.features import FaultyFeaturesError, read
+        from .program.feature_file import FaultyFeaturesError, read
 
         try:
             features = read(file)
@@ -87,7 +87,7 @@
     Raises what the step raised last, once START_AGAIN_MOST seconds are over; at once for any other failure,
     and for an address in use, whose holder is waited for longer.
     """
-    from .transport.failures import START_AGAIN
+    from .transport.system_call_errors import START_AGAIN
 
     until = time.monotonic() + START_AGAIN_MOST
     while True:
--- a/sablewheel/benchlink/__main__.py
+++ b/sablewheel/bench_adapter/__main__.py
@@ -31,7 +31,7 @@
     try:
         serve(sys.stdin, sys.stdout)
     except (wire.MalformedError, UnicodeDecodeError) as trouble:
-        print(f"sablewheel.benchlink: {trouble}", file=sys.stderr)
+        print(f"sablewheel.bench_adapter: {trouble}", file=sys.stderr)
         return 1
     return 0
 
--- a/sablewheel/benchlink/host.py
+++ b/sablewheel/bench_adapter/host.py
@@ -5,9 +5,9 @@
 from math import inf
 from weakref import WeakKeyDictionary, WeakValueDictionary
 
-from .. import terms
-from ..choice import Controller
-from ..terms import Action, Client, Event, Request, ServerSettings, Tenant
+from ..overload import interface
+from ..overload.controller import Controller
+from ..overload.interface import Action, Client, Event, Request, ServerSettings, Tenant
 from . import wire
 from .wire import Line, MalformedError, number, seconds, whole
 
@@ -30,25 +30,27 @@
         """What a line tells, or None if it speaks of a request that is long over."""
         parts = line.parts
         if line.verb == "request":
-            return terms.RequestArrived(self._request(parts, now))
+            return interface.RequestArrived(self._request(parts, now))
         if line.verb == "bell":
             whole(parts[0])
             told = wire.gauges(parts[1])
-            return terms.TimerFired(
+            return interface.TimerFired(
                 told.get("cpu_busy", inf), told.get("sockets", inf), told.get("runnable", inf)
             )
         if line.verb == "drain":
-            return terms.ShutdownNotice(number(parts[0], 0.0))
+            return interface.ShutdownNotice(number(parts[0], 0.0))
         request = self.requests.get(whole(parts[0]))
         if line.verb in ("work_done", "returned"):
             took, outcome = number(parts[1], 0.0), wire.outcome(parts[2])
             if request is None:
                 return None
-            kind = terms.RunEnded if line.verb == "work_done" else terms.DependencyCallEnded
+            kind = interface.RunEnded if line.verb == "work_done" else interface.DependencyCallEnded
             return kind(request, took, outcome)
         if request is None:
             return None
-        return terms.DependencyCallNeeded(request) if line.verb == "needs" else terms.CallerGone(request)
+        return (
+            interface.DependencyCallNeeded(request) if line.verb == "needs" else interface.CallerGone(request)
+        )
 
     def _request(self, parts: list[str], now: float) -> Request:
         request_class_place, tenant_place = whole(parts[10]), whole(parts[4], 0)
@@ -81,7 +83,7 @@
     def _forgotten(self, request: Request, original: int) -> Request:
         """Stands for an original that nobody holds any more: it has run, or it would not be named."""
         stub = Request(request.request_class, request.client, request.tenant, request.arrived_at, 0.0)
-        stub.stage, stub.started = terms.Stage.FINISHED, True
+        stub.stage, stub.started = interface.Stage.FINISHED, True
         self._enter(stub, original)
         return stub
 
@@ -93,35 +95,35 @@
         """An action as the wire writes it."""
         i, ids = self.name, self.ids
         match action:
-            case terms.Run(request):
+            case interface.Run(request):
                 return f"run {i} {ids[request]}"
-            case terms.Cancel(request):
+            case interface.Cancel(request):
                 return f"suspend {i} {ids[request]}"
-            case terms.Reject(request, retry_after_s, no_retry_elsewhere):
+            case interface.Reject(request, retry_after_s, no_retry_elsewhere):
                 return f"busy {i} {ids[request]} {seconds(retry_after_s)} {int(no_retry_elsewhere)}"
-            case terms.Fail(request):
+            case interface.Fail(request):
                 return f"fail {i} {ids[request]}"
-            case terms.CallDependency(request, allow):
+            case interface.CallDependency(request, allow):
                 return f"call {i} {ids[request]} {seconds(allow)}"
-            case terms.SkipDependencyCall(request):
+            case interface.SkipDependencyCall(request):
                 return f"go_on {i} {ids[request]}"
-            case terms.ReserveKey(request, life):
+            case interface.ReserveKey(request, life):
                 return f"remember {i} {ids[request]} {seconds(life)}"
-            case terms.ReleaseKey(request):
+            case interface.ReleaseKey(request):
                 return f"release_key {i} {ids[request]}"
-            case terms.AttachToOriginal(request):
+            case interface.AttachToOriginal(request):
                 return f"join {i} {ids[request]}"
-            case terms.SetHealth(good, stored):
+            case interface.SetHealth(good, stored):
                 return f"set_health {i} {int(good)} {int(stored)}"
-            case terms.AdvertiseCapacity(amount):
+            case interface.AdvertiseCapacity(amount):
                 return f"say {i} {seconds(amount)}"
-            case terms.CloseIdle(after):
+            case interface.CloseIdle(after):
                 return f"close_idle {i} {seconds(after)}"
-            case terms.SetTimer(after):
+            case interface.SetTimer(after):
                 return f"set_alarm {i} {seconds(after)} 0"
-            case terms.PresumeLost():
+            case interface.PresumeLost():
                 raise AssertionError("starts are never unconfirmed on the simulator's wire")
-            case terms.Log(words):
+            case interface.Log(words):
                 return f"say_log {i} {words}"
 
 
--- a/sablewheel/benchlink/wire.py
+++ b/sablewheel/bench_adapter/wire.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
+from ..overload.interface import Outcome, ServerSettings
 from ..program import configuration
-from ..terms import Outcome, ServerSettings
 
 
 class MalformedError(ValueError):
--- a/sablewheel/command/demo.py
+++ b/sablewheel/command/demo.py
@@ -9,7 +9,7 @@
 from rich.live import Live
 from rich.table import Table
 
-from ..trials.demo import BURSTING, Day, Moment, Outcome
+from ..experiments.demo import BURSTING, Day, Moment, Outcome
 
 ROWS = (
     ("tickets_in", "tickets read"),
--- a/sablewheel/command/ledger.py
+++ b/sablewheel/command/ledger.py
@@ -12,10 +12,10 @@
 
 import click
 
-from ..ledger import corrections, reports, statement
-from ..ledger.book import Book, BookError
-from ..ledger.corrections import Correction, CorrectionError
-from ..program.features import FaultyFeaturesError, read
+from ..program.feature_file import FaultyFeaturesError, read
+from ..usage_metering import corrections, reports, statement
+from ..usage_metering.corrections import Correction, CorrectionError
+from ..usage_metering.journal import Book, BookError
 from .main import print_json
 
 book_option = click.option(
@@ -59,7 +59,7 @@
     \b
     sablewheel ledger collect --features collector.yaml
     """
-    from ..program.collect import run
+    from ..program.collector_process import run
 
     plan = read(features).collector
     if plan is None:
@@ -173,7 +173,7 @@
     \b
     sablewheel ledger reconcile --book book.sqlite /var/lib/sablewheel/n1 /var/lib/sablewheel/n2
     """
-    from ..ledger.auditing import reconcile_folders
+    from ..usage_metering.auditing import reconcile_folders
 
     found, notes = reconcile_folders(Book(book_path, read_only=True), folders)
     if as_json:
--- a/sablewheel/command/main.py
+++ b/sablewheel/command/main.py
@@ -12,7 +12,7 @@
 
 from .. import __version__
 from ..program.configuration import FaultyKeyError, posting
-from ..program.features import VARIABLE, FaultyFeaturesError, read
+from ..program.feature_file import VARIABLE, FaultyFeaturesError, read
 
 GROUPS = {
     "ledger": ("ledger", "Collect usage, print statements, correct, verify and reconcile."),
--- a/sablewheel/command/members.py
+++ b/sablewheel/command/members.py
@@ -7,9 +7,9 @@
 import click
 
 from ..membership import codec
-from ..membership.asking import ask
 from ..membership.messages import Told
 from ..membership.plan import address_of
+from ..membership.probes import ask
 from ..membership.view import fingerprint
 from .main import print_json
 
--- a/sablewheel/command/recall.py
+++ b/sablewheel/command/recall.py
@@ -8,9 +8,9 @@
 
 import click
 
-from ..recall.recorder import read_moment
-from ..recall.written import compact_folder, load_folder
-from ..state.files import InUseError
+from ..result_store.codec import compact_folder, load_folder
+from ..result_store.recorder import read_moment
+from ..storage.files import InUseError
 from .main import print_json
 
 folder_argument = click.argument("folder", type=click.Path(path_type=Path, exists=True, file_okay=False))
--- a/sablewheel/command/trial.py
+++ b/sablewheel/command/trial.py
@@ -8,8 +8,8 @@
 
 import click
 
-from ..trials.rig import RigError
-from ..trials.verdict import Verdict
+from ..experiments.rig import RigError
+from ..experiments.verdict import Verdict
 
 TRIALS = {
     "affinity": "affinity",
@@ -44,7 +44,7 @@
     sablewheel trial ledger --quick
     sablewheel trial ledger --broken no-dedup    must not hold
     """
-    module = importlib.import_module(f"..trials.{TRIALS[name]}", __package__)
+    module = importlib.import_module(f"..experiments.{TRIALS[name]}", __package__)
     kinds = getattr(module, "BROKEN", ())
     if broken and broken not in kinds:
         raise click.BadParameter(
--- a/sablewheel/trials/affinity.py
+++ b/sablewheel/experiments/affinity.py
@@ -51,7 +51,7 @@
     "vote-timeout-s": 0.5,
     "sync-every-s": 1.0,
 }
-MOVED = re.compile(r"^time=(\S+) level=\S+ from=affinity\.placer event=moved (.*)$")
+MOVED = re.compile(r"^time=(\S+) level=\S+ from=session_affinity\.session_router event=moved (.*)$")
 
 
 @dataclass(frozen=True)
@@ -110,7 +110,7 @@
             stop_ms=int(1000 * (GRACE + 2.0)),
             settings={"classes": CLASSES, "servers": self.size, "safety": safety, "extra": extra},
         )
-        words = ("sablewheel.trials.affinity_server", str(self.version), self.broken)
+        words = ("sablewheel.experiments.affinity_server", str(self.version), self.broken)
         self.processes[name] = self.rig.start(
             name, *words, shifted=False, RELAY_CONFIG=str(told), SABLEWHEEL_FEATURES=str(path)
         )
@@ -161,7 +161,7 @@
         plot = _plot(calm)
         seconds = sum(span for span, _ in plot)
         client = rig.start(
-            "client", "sablewheel.trials.affinity_client", _client(stage, seed, seconds), shifted=False
+            "client", "sablewheel.experiments.affinity_client", _client(stage, seed, seconds), shifted=False
         )
         for span, what in plot:
             marks[what] = time.monotonic()
--- a/sablewheel/trials/affinity_client.py
+++ b/sablewheel/experiments/affinity_client.py
@@ -1,6 +1,6 @@
 """A stand-in for kiosks behind their routers: each has its session, and its requests come to any server.
 
-    python -m sablewheel.trials.affinity_client '{"servers": [...], "kiosks": 60, ...}'
+    python -m sablewheel.experiments.affinity_client '{"servers": [...], "kiosks": 60, ...}'
 
 As `router`; every try is one kiosk's, in turn, and names the kiosk in the log.
 """
--- a/sablewheel/trials/affinity_fleet.py
+++ b/sablewheel/experiments/affinity_fleet.py
@@ -15,8 +15,10 @@
 from math import inf
 from typing import Any
 
-from ..affinity.binding import Binding, State
-from ..affinity.events import (
+from ..membership.view import Fact, Member, View
+from ..overload.interface import Idempotency
+from ..session_affinity.binding import Binding, State
+from ..session_affinity.events import (
     Active,
     Answered,
     Back,
@@ -40,11 +42,9 @@
     Why,
     Write,
 )
-from ..affinity.placing import Load
-from ..affinity.plan import Settings
-from ..affinity.sessions import Phase, Sessions
-from ..membership.view import Fact, Member, View
-from ..terms import Idempotency
+from ..session_affinity.placement import Load
+from ..session_affinity.plan import Settings
+from ..session_affinity.sessions import Phase, Sessions
 from .made_fleet import MadeFleet
 
 Key = str
--- a/sablewheel/trials/affinity_model.py
+++ b/sablewheel/experiments/affinity_model.py
@@ -18,8 +18,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..affinity.binding import Binding, State
-from ..affinity.events import (
+from ..membership.view import Member, View
+from ..overload.interface import Idempotency
+from ..session_affinity.binding import Binding, State
+from ..session_affinity.events import (
     Active,
     Answered,
     Back,
@@ -36,12 +38,10 @@
     Verdict,
     Viewed,
 )
-from ..affinity.events import Send as Say
-from ..affinity.events import Write as Put
-from ..affinity.plan import Settings
-from ..affinity.sessions import Phase
-from ..membership.view import Member, View
-from ..terms import Idempotency
+from ..session_affinity.events import Send as Say
+from ..session_affinity.events import Write as Put
+from ..session_affinity.plan import Settings
+from ..session_affinity.sessions import Phase
 from .affinity_fleet import Ask, Begin, Claimed, Free, Register, Run, Server, Watch
 from .verdict import Verdict as Found
 
--- a/sablewheel/trials/affinity_replicas.py
+++ b/sablewheel/experiments/affinity_replicas.py
@@ -10,17 +10,17 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..affinity.binding import Binding
-from ..affinity.codec import pack, unpack
-from ..affinity.events import Answered, Event, Got, Over, Read, Tick, Verdict, Viewed, Write
-from ..affinity.plan import Settings
 from ..membership.view import View
 from ..replication import messages as wire
 from ..replication.entries import Entry
-from ..replication.keeper import GONE
 from ..replication.placement import Site
 from ..replication.plan import Settings as ReplicaSettings
 from ..replication.replica import SESSIONS, Replica
+from ..replication.service import GONE
+from ..session_affinity.binding import Binding
+from ..session_affinity.codec import pack, unpack
+from ..session_affinity.events import Answered, Event, Got, Over, Read, Tick, Verdict, Viewed, Write
+from ..session_affinity.plan import Settings
 from .affinity_fleet import Ask, Begin, Claim, Claimed, Free, Server, World
 
 LIFE = 6.0  # seconds that idempotency keys count
--- a/sablewheel/trials/affinity_server.py
+++ b/sablewheel/experiments/affinity_server.py
@@ -1,6 +1,6 @@
 """A server whose policy version a trial sets, with affinity as it is or broken on purpose.
 
-python -m sablewheel.trials.affinity_server FILE [VARIANT]
+python -m sablewheel.experiments.affinity_server FILE [VARIANT]
 
 FILE has the version that the fleet is to agree on; each server holds it to be due, as an operator's word.
 """
@@ -14,8 +14,8 @@
 from pathlib import Path
 from typing import Any
 
-from ..affinity import placer
 from ..membership.view import Fact
+from ..session_affinity import session_router as placer
 
 LOOK_EVERY = 0.1
 FILE, VARIANT = Path(sys.argv[1]), "".join(sys.argv[2:3])
--- a/sablewheel/trials/affinity_size.py
+++ b/sablewheel/experiments/affinity_size.py
@@ -12,8 +12,8 @@
 import random
 from collections import Counter
 
-from ..affinity.plan import Settings
-from ..terms import Idempotency
+from ..overload.interface import Idempotency
+from ..session_affinity.plan import Settings
 from .affinity_fleet import World
 from .verdict import Verdict
 
--- a/sablewheel/trials/affinity_storm.py
+++ b/sablewheel/experiments/affinity_storm.py
@@ -10,8 +10,8 @@
 import random
 from dataclasses import dataclass
 
-from ..affinity.plan import Settings
-from ..terms import Idempotency
+from ..overload.interface import Idempotency
+from ..session_affinity.plan import Settings
 from .affinity_fleet import Request, World
 
 SPAN, CALM = 30.0, 14.0  # seconds of storm, and of calm before all is looked at
--- a/sablewheel/trials/broken_server.py
+++ b/sablewheel/experiments/broken_server.py
@@ -1,6 +1,6 @@
 """The server with recall broken on purpose; each of these must be caught by the trial.
 
-python -m sablewheel.trials.broken_server no-intent | answer-before-outcome | evict-intents | trust-clock
+python -m sablewheel.experiments.broken_server no-intent | answer-before-outcome | evict-intents | trust-clock
 """
 
 from __future__ import annotations
@@ -8,11 +8,12 @@
 import runpy
 import sys
 
-from ..recall import loading, recorder
-from ..recall.memory import Entry, Memory
-from ..recall.recorder import Recorder, Run
-from ..recall.windows import Moment
-from ..routing.exchange import Caller, Exchange
+from ..result_store import recorder
+from ..result_store import recovery as loading
+from ..result_store.memory import Entry, Memory
+from ..result_store.recorder import Recorder, Run
+from ..result_store.windows import Moment
+from ..serving.exchange import Caller, Exchange
 
 
 def no_intent() -> None:
--- a/sablewheel/trials/collector.py
+++ b/sablewheel/experiments/collector.py
@@ -1,6 +1,6 @@
 """The collector, whole or broken on purpose: each broken one must be caught by the trial.
 
-python -m sablewheel.trials.collector FEATURES [ack-before-apply | no-dedup | no-seal]
+python -m sablewheel.experiments.collector FEATURES [ack-before-apply | no-dedup | no-seal]
 """
 
 from __future__ import annotations
@@ -8,16 +8,16 @@
 import sys
 from typing import Any
 
-from ..ledger import ledger_pb2 as pb
-from ..ledger.book import Book
-from ..ledger.collecting import Again, Apply, Verdict
-from ..ledger.collector import Collector, Connection
-from ..ledger.export import VERSION
-from ..ledger.periods import Period
-from ..ledger.plan import CollectorPlan
-from ..program.collect import run
-from ..program.features import read
+from ..program.collector_process import run
+from ..program.feature_file import read
 from ..transport.scheduler import Scheduler
+from ..usage_metering import usage_metering_pb2 as pb
+from ..usage_metering.collecting import Again, Apply, Verdict
+from ..usage_metering.collector import Collector, Connection
+from ..usage_metering.export import VERSION
+from ..usage_metering.journal import Book
+from ..usage_metering.periods import Period
+from ..usage_metering.plan import CollectorPlan
 
 LATE = 1.5
 
--- a/sablewheel/trials/demo.py
+++ b/sablewheel/experiments/demo.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from ..ledger.book import Book
+from ..usage_metering.journal import Book
 from .ledger import collector_features, features
 from .rig import TENANTS, Process, Rig, free_port
 
@@ -57,7 +57,7 @@
         self.into.mkdir(parents=True, exist_ok=True)
         collector = rig.folder / "collector.yaml"
         collector.write_text(collector_features(door, rig.folder / "book.sqlite"))
-        self.collector = rig.start("collector", "sablewheel.trials.collector", str(collector))
+        self.collector = rig.start("collector", "sablewheel.experiments.collector", str(collector))
         rig.wait_for_port(door, self.collector)
         rig.interpreter("n1", vm)
         text = features("durable", door, rig.folder / "ledger")
--- a/sablewheel/trials/fleet.py
+++ b/sablewheel/experiments/fleet.py
@@ -14,15 +14,15 @@
 from typing import Any
 
 from ..membership import codec
-from ..membership.asking import ask
 from ..membership.messages import Told
+from ..membership.probes import ask
 from .rig import PATIENCE, Process, Rig, RigError, free_port
 
 PORT = 7700  # of each member's membership, on a loopback address of its own
 LISTEN = 7701  # for its requests
 DOOR = 7800  # the relay's first door
 CONTROL = 7799
-LINE = re.compile(r"^time=(\S+) level=\S+ from=membership\.shell\.view event=(.*)$")
+LINE = re.compile(r"^time=(\S+) level=\S+ from=membership\.service\.view event=(.*)$")
 
 
 class Block:
@@ -52,7 +52,7 @@
 
     def __init__(self, rig: Rig, name: str, host: str, seed: int, doors: list[dict[str, Any]]) -> None:
         spec = {"seed": seed, "host": host, "control": CONTROL, "doors": doors}
-        self.process = rig.start(name, "sablewheel.trials.relay", json.dumps(spec), shifted=False)
+        self.process = rig.start(name, "sablewheel.experiments.relay", json.dumps(spec), shifted=False)
         rig.wait_for_port(CONTROL, self.process, host)
         self._line = socket.create_connection((host, CONTROL), PATIENCE)
         self._answers = self._line.makefile("rb")
@@ -137,7 +137,7 @@
         rig, idempotency_key = self.rig, self.idempotency_key(name)
         path = rig.folder / f"{idempotency_key}.yaml"
         path.write_text(self.features(name))
-        words = ["sablewheel"] if self.kind == "ours" else ["sablewheel.trials.member", self.kind]
+        words = ["sablewheel"] if self.kind == "ours" else ["sablewheel.experiments.member", self.kind]
         told = str(
             rig.configuration(
                 idempotency_key, LISTEN, self.vm, name=name, listen=f"{self.host(name)}:{LISTEN}"
--- a/sablewheel/trials/forwarder.py
+++ b/sablewheel/experiments/forwarder.py
@@ -1,7 +1,7 @@
 """A server that passes most of its requests to peers drawn at random, as the trial wants; or with its forward
 path broken on purpose.
 
-python -m sablewheel.trials.forwarder spread | twice | no-shrink | no-return FILE
+python -m sablewheel.experiments.forwarder spread | twice | no-shrink | no-return FILE
 
 FILE has a line for each request that came from a peer: its name, and when it reached the first machine as
 this one takes it.
@@ -14,10 +14,11 @@
 import sys
 from typing import Any
 
-from ..forwarding import forward, frames
-from ..forwarding.passing import Broken, Effect, Event, Passing, Tick
+from ..forwarding import frames
+from ..forwarding import service as forward
+from ..forwarding.forwarding_state import Broken, Effect, Event, Passing, Tick
 from ..membership.view import View
-from ..routing.exchange import Exchange
+from ..serving.exchange import Exchange
 
 SHARE = 0.7  # of requests that go to a peer
 
--- a/sablewheel/trials/forwarding.py
+++ b/sablewheel/experiments/forwarding.py
@@ -95,7 +95,7 @@
         )
         self.processes[name] = self.rig.start(
             name,
-            "sablewheel.trials.forwarder",
+            "sablewheel.experiments.forwarder",
             self.kind,
             str(self.rig.folder / f"{name}.guests"),
             shifted=False,
--- a/sablewheel/trials/interpreter.py
+++ b/sablewheel/experiments/interpreter.py
@@ -1,7 +1,7 @@
 """A stand-in for the interpreter, after its published page: cores, runs, numbered notices, and a list of all
 runs.
 
-    python -m sablewheel.trials.interpreter '{"port": 6100, "cores": 4, "work": {"lookup": 0.02}, ...}'
+    python -m sablewheel.experiments.interpreter '{"port": 6100, "cores": 4, "work": {"lookup": 0.02}, ...}'
 
 The list has a line for each run that began and one for each that ended, written before anybody is told.
 """
--- a/sablewheel/trials/ledger.py
+++ b/sablewheel/experiments/ledger.py
@@ -15,10 +15,10 @@
 from pathlib import Path
 from typing import Any
 
-from ..ledger import reports, statement
-from ..ledger.auditing import reconcile_folders
-from ..ledger.book import Book
-from ..ledger.corrections import Correction, CorrectionError, Target
+from ..usage_metering import reports, statement
+from ..usage_metering.auditing import reconcile_folders
+from ..usage_metering.corrections import Correction, CorrectionError, Target
+from ..usage_metering.journal import Book
 from .hiccups import Hiccups
 from .rig import Process, Rig, free_port
 from .verdict import Verdict
@@ -75,7 +75,7 @@
         path = self.rig.folder / "collector.yaml"
         path.write_text(collector_features(self.door, self.book))
         words = [str(path)] + ([self.broken] if self.broken else [])
-        self.collector = self.rig.start("collector", "sablewheel.trials.collector", *words)
+        self.collector = self.rig.start("collector", "sablewheel.experiments.collector", *words)
         self.rig.wait_for_port(self.door, self.collector)
 
     def kill_collector(self) -> None:
--- a/sablewheel/trials/ledger_cost.py
+++ b/sablewheel/experiments/ledger_cost.py
@@ -12,10 +12,10 @@
 
 import psutil
 
-from ..ledger import ledger_pb2 as pb
-from ..ledger.periods import Periods
-from ..ledger.plan import Calendar, Length
-from ..ledger.pool import Pool
+from ..usage_metering import usage_metering_pb2 as pb
+from ..usage_metering.aggregation import Pool
+from ..usage_metering.periods import Periods
+from ..usage_metering.plan import Calendar, Length
 from .ledger import collector_features, features
 from .paired import Rounds, side_by_side
 from .rig import Rig, free_port
@@ -36,7 +36,7 @@
             door = free_port()
             path = rig.folder / "collector.yaml"
             path.write_text(collector_features(door, rig.folder / "book.sqlite"))
-            rig.wait_for_port(door, rig.start("collector", "sablewheel.trials.collector", str(path)))
+            rig.wait_for_port(door, rig.start("collector", "sablewheel.experiments.collector", str(path)))
             texts = {kind: partial(_text, kind, door) for kind in kinds}
             rounds.add(side_by_side(rig, texts, seconds, GOAL, rate=RATE, repeats=0.1, cancels=0.02))
     for figure in ("cpu_us", "p50_ms", "p99_ms", "memory_mb"):
--- a/sablewheel/trials/ledger_size.py
+++ b/sablewheel/experiments/ledger_size.py
@@ -18,17 +18,17 @@
 
 import psutil
 
-from ..ledger import collecting, reports
-from ..ledger import ledger_pb2 as pb
-from ..ledger.auditing import reconcile_folders
-from ..ledger.blocks import Sealed
-from ..ledger.book import Book
-from ..ledger.keeper import KIND, Predecessors
-from ..ledger.periods import Periods
-from ..ledger.plan import Calendar, Length
-from ..ledger.pool import Pool
-from ..state.files import DiskFiles
-from ..state.log import Log
+from ..storage.files import DiskFiles
+from ..storage.log import Log
+from ..usage_metering import collecting, reports
+from ..usage_metering import usage_metering_pb2 as pb
+from ..usage_metering.aggregation import Pool
+from ..usage_metering.auditing import reconcile_folders
+from ..usage_metering.blocks import Sealed
+from ..usage_metering.journal import Book
+from ..usage_metering.periods import Periods
+from ..usage_metering.plan import Calendar, Length
+from ..usage_metering.recorder import KIND, Predecessors
 from .rig import Rig
 from .verdict import Verdict
 
@@ -70,7 +70,7 @@
 
 def _step(name: str, folder: Path, entries: int) -> dict[str, float]:
     """One step in a process of its own, so that its memory is its own."""
-    words = [sys.executable, "-m", "sablewheel.trials.ledger_size", name, str(folder), str(entries)]
+    words = [sys.executable, "-m", "sablewheel.experiments.ledger_size", name, str(folder), str(entries)]
     done = subprocess.run(words, capture_output=True, text=True, timeout=900, check=False)
     if done.returncode:
         raise RuntimeError(done.stderr[-2000:])
--- a/sablewheel/trials/member.py
+++ b/sablewheel/experiments/member.py
@@ -1,6 +1,6 @@
 """A server whose membership is a baseline of the trial, or broken on purpose.
 
-python -m sablewheel.trials.member swim | heartbeat | no-suspicion | no-incarnation | one-observer
+python -m sablewheel.experiments.member swim | heartbeat | no-suspicion | no-incarnation | one-observer
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import sys
 from dataclasses import replace
 
-from ..membership import shell
+from ..membership import service as shell
 from ..membership.node import Node
 from ..membership.plan import BROKEN, Mode, Settings
 from ..membership.view import Member
--- a/sablewheel/trials/membership_report.py
+++ b/sablewheel/experiments/membership_report.py
@@ -1,6 +1,6 @@
 """The report of membership's runs by size: one SVG that opens anywhere, from the figures of the trial's line.
 
-python -m sablewheel.trials.membership_report LINE.json REPORT.svg
+python -m sablewheel.experiments.membership_report LINE.json REPORT.svg
 """
 
 from __future__ import annotations
--- a/sablewheel/trials/policy.py
+++ b/sablewheel/experiments/policy.py
@@ -75,7 +75,7 @@
     "sync-every-s": 1.0,
 }
 RULES = {"dwell-down-s": 0.8, "dwell-up-s": 5.0, "rest-s": 2.0, "settle-s": 1.0, "stagger-s": 2.0}
-LINE = re.compile(r"^time=(\S+) level=\S+ from=capability\.shell(?:\.changes)? event=(.*)$")
+LINE = re.compile(r"^time=(\S+) level=\S+ from=feature_policy\.service(?:\.changes)? event=(.*)$")
 
 
 @dataclass(frozen=True)
@@ -163,9 +163,9 @@
         )
         words = ["sablewheel"]
         if self.has_policy:
-            words = ["sablewheel.trials.policy_member", self.kind]
+            words = ["sablewheel.experiments.policy_member", self.kind]
         elif self.kind == "weakest":
-            words = ["sablewheel.trials.policy_member", "weakest", "pay"]
+            words = ["sablewheel.experiments.policy_member", "weakest", "pay"]
         self.kinds.setdefault(name, []).append((time.monotonic(), kind))
         self.processes[name] = rig.start(
             idempotency_key, *words, shifted=False, RELAY_CONFIG=str(told), SABLEWHEEL_FEATURES=str(path)
--- a/sablewheel/trials/policy_fleet.py
+++ b/sablewheel/experiments/policy_fleet.py
@@ -13,24 +13,14 @@
 from itertools import pairwise
 from typing import Any
 
-from ..capability.ability import TRAITS, Ability
-from ..capability.bundle import Bundle
-from ..capability.document import FaultyPolicyError, read
-from ..capability.plan import Rules
-from ..capability.rollout import (
-    Apply,
-    Judge,
-    Note,
-    Rollout,
-    Route,
-    Send,
-    Translate,
-    Translated,
-    Viewed,
-)
-from ..capability.rollout import Got as Heard
-from ..capability.rollout import Tick as Ring
-from ..capability.translate import InfeasibleError, translate
+from ..feature_policy.document import FaultyPolicyError, read
+from ..feature_policy.host_capabilities import TRAITS, Ability
+from ..feature_policy.plan import Rules
+from ..feature_policy.policy_bundle import Bundle
+from ..feature_policy.rollout import Apply, Judge, Note, Rollout, Route, Send, Translate, Translated, Viewed
+from ..feature_policy.rollout import Got as Heard
+from ..feature_policy.rollout import Tick as Ring
+from ..feature_policy.translate import InfeasibleError, translate
 from ..membership import events
 from ..membership.node import Node
 from ..membership.plan import Settings
--- a/sablewheel/trials/policy_member.py
+++ b/sablewheel/experiments/policy_member.py
@@ -1,8 +1,10 @@
 """A server of the policy's trial: ours, broken on purpose, or the baseline of a fleet at its weakest class.
 
-python -m sablewheel.trials.policy_member ours | ignore-class | minority-activates | no-dwell | unverified
-python -m sablewheel.trials.policy_member weakest REQUEST_CLASS     a server that denies what the weakest
-can't run
+    python -m sablewheel.experiments.policy_member KIND
+    python -m sablewheel.experiments.policy_member weakest REQUEST_CLASS
+
+KIND is ours, ignore-class, minority-activates, no-dwell or unverified. With `weakest` the server rejects what
+the weakest class of hosts can't run.
 
 In all but the baseline the translation of one document, number TAMPERED, comes out wrong: it has every class
 run what the richest does.
@@ -15,12 +17,12 @@
 from dataclasses import replace
 from typing import Any
 
-from ..capability import shell
-from ..capability.bundle import Bundle
-from ..capability.plan import PolicyPlan
-from ..capability.rollout import BROKEN, Translated
-from ..routing.dispatch import Dispatch
-from ..routing.exchange import Exchange
+from ..feature_policy import service as shell
+from ..feature_policy.plan import PolicyPlan
+from ..feature_policy.policy_bundle import Bundle
+from ..feature_policy.rollout import BROKEN, Translated
+from ..serving.dispatcher import Dispatch
+from ..serving.exchange import Exchange
 
 TAMPERED = 9
 
--- a/sablewheel/trials/recall.py
+++ b/sablewheel/experiments/recall.py
@@ -48,7 +48,7 @@
     memory: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
 
     def start(self, name: str) -> None:
-        module = ("sablewheel.trials.broken_server", self.broken) if self.broken else ("sablewheel",)
+        module = ("sablewheel.experiments.broken_server", self.broken) if self.broken else ("sablewheel",)
         self.servers[name] = self.rig.server(
             name, self.ports[name], self.vms[name], self.texts[name], module=module, settings={"servers": 1}
         )
--- a/sablewheel/trials/recall_cost.py
+++ b/sablewheel/experiments/recall_cost.py
@@ -11,13 +11,13 @@
 import time
 from pathlib import Path
 
-from ..recall import recall_pb2 as pb
-from ..recall.loading import Loaded
-from ..recall.memory import Entry, Memory, State
-from ..recall.recorder import KIND, read_moment
-from ..recall.written import intent, moment, outcome
-from ..state.files import DiskFiles
-from ..state.log import Log
+from ..result_store import result_store_pb2 as pb
+from ..result_store.codec import intent, moment, outcome
+from ..result_store.memory import Entry, Memory, State
+from ..result_store.recorder import KIND, read_moment
+from ..result_store.recovery import Loaded
+from ..storage.files import DiskFiles
+from ..storage.log import Log
 from .paired import Rounds, side_by_side
 from .recall import features
 from .rig import Rig
@@ -62,7 +62,7 @@
         runs: dict[str, list[float]] = {name: [] for name in folders}
         for _ in range(7):  # in turn, so that whatever else the machine does falls on both
             for name, folder in folders.items():
-                words = [sys.executable, "-m", "sablewheel.trials.recall_cost", str(folder)]
+                words = [sys.executable, "-m", "sablewheel.experiments.recall_cost", str(folder)]
                 done = subprocess.run(words, capture_output=True, text=True, timeout=120, check=True)
                 told = json.loads(done.stdout.splitlines()[-1])
                 runs[name].append(told["seconds"])
--- a/sablewheel/trials/relay.py
+++ b/sablewheel/experiments/relay.py
@@ -1,6 +1,6 @@
 """The fault relay: a stand-in for the network between processes, on loopback, with faults by a seed.
 
-    python -m sablewheel.trials.relay '{"seed": 1, "host": "127.32.0.250", "control": 7799, "doors": [
+    python -m sablewheel.experiments.relay '{"seed": 1, "host": "127.32.0.250", "control": 7799, "doors": [
         {"owner": "n1", "port": 7800, "to": "127.32.0.1:7700"}, ...]}'
 
 Each door stands in for one address of its owner: whoever sends there reaches the owner through the link from
--- a/sablewheel/trials/replication.py
+++ b/sablewheel/experiments/replication.py
@@ -62,7 +62,7 @@
             listen=f"{self.host(name)}:{LISTEN}",
             settings={"classes": CLASSES, "servers": self.size},
         )
-        words = ("sablewheel.trials.replication_server", self.broken) if self.broken else ("sablewheel",)
+        words = ("sablewheel.experiments.replication_server", self.broken) if self.broken else ("sablewheel",)
         self.processes[name] = self.rig.start(
             name, *words, shifted=False, RELAY_CONFIG=str(told), SABLEWHEEL_FEATURES=str(path)
         )
@@ -97,7 +97,10 @@
         healthy = 4.0 if quick else 10.0
         seconds = healthy + sum(span for span, _ in plot)
         client = rig.start(
-            "client", "sablewheel.trials.replication_client", _client(stage, seed, seconds), shifted=False
+            "client",
+            "sablewheel.experiments.replication_client",
+            _client(stage, seed, seconds),
+            shifted=False,
         )
         time.sleep(1.0)
         with stage.fault("none"):
--- a/sablewheel/trials/replication_client.py
+++ b/sablewheel/experiments/replication_client.py
@@ -1,6 +1,6 @@
 """A stand-in for routers whose clients come again at any server, at one moment, soon and later.
 
-    python -m sablewheel.trials.replication_client '{"servers": [...], "again": 0.6, ...}'
+    python -m sablewheel.experiments.replication_client '{"servers": [...], "again": 0.6, ...}'
 
 As `router`; besides, each keyed try comes again: `at_once` share of them at another server in the same
 instant, and `again` of them once or twice more, after a wait of up to `again_within` seconds.
--- a/sablewheel/trials/replication_server.py
+++ b/sablewheel/experiments/replication_server.py
@@ -1,6 +1,6 @@
 """A server whose replication is broken on purpose.
 
-python -m sablewheel.trials.replication_server one-copy | async-backup | ... (KINDS of the stage)
+python -m sablewheel.experiments.replication_server one-copy | async-backup | ... (KINDS of the stage)
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 import runpy
 import sys
 
-from ..replication import keeper
+from ..replication import service as keeper
 from .replication_stage import KINDS
 
 if __name__ == "__main__":
--- a/sablewheel/trials/rig.py
+++ b/sablewheel/experiments/rig.py
@@ -136,7 +136,9 @@
     def start(
         self, name: str, module: str, *arguments: str, shifted: bool = True, **environment: str
     ) -> Process:
-        words = ["-m", "sablewheel.trials.shifted", str(self.clock), module] if shifted else ["-m", module]
+        words = (
+            ["-m", "sablewheel.experiments.shifted", str(self.clock), module] if shifted else ["-m", module]
+        )
         process = Process([sys.executable, *words, *arguments], self.folder / f"{name}.log", environment)
         self.processes.append(process)
         return process
@@ -152,7 +154,7 @@
             "seed": self.seed,
             **told,
         }
-        module = "sablewheel.trials.interpreter"
+        module = "sablewheel.experiments.interpreter"
         process = self.start(f"{name}-vm", module, json.dumps(spec), shifted=shifted)
         self.wait_for_port(port, process)
         return process
@@ -166,7 +168,7 @@
             "log": str(self.folder / f"{name}.held"),
             **told,
         }
-        return self.start(name, "sablewheel.trials.router", json.dumps(spec))
+        return self.start(name, "sablewheel.experiments.router", json.dumps(spec))
 
     def configuration(self, name: str, port: int, vm: int, /, **changes: Any) -> Path:
         settings = {**json.loads(json.dumps(SETTINGS)), **changes.pop("settings", {})}
--- a/sablewheel/trials/router.py
+++ b/sablewheel/experiments/router.py
@@ -1,6 +1,6 @@
 """A stand-in for routers and the clients behind them: sends tries at a rate and keeps what it was answered.
 
-    python -m sablewheel.trials.router '{"servers": ["127.0.0.1:7001"], "rate": 100, "seconds": 5, ...}'
+    python -m sablewheel.experiments.router '{"servers": ["127.0.0.1:7001"], "rate": 100, "seconds": 5, ...}'
 
 Each try becomes a line of JSON in the log once it is answered, withdrawn or lost. Further keys: `seed`,
 `tenants` (name to share), `request_classes` (name to share and whether it is keyed), `repeats` (share of
--- a/sablewheel/capability/applying.py
+++ b/sablewheel/feature_policy/applying.py
@@ -8,8 +8,8 @@
 
 from dataclasses import replace
 
-from ..terms import Cancellation, ServerSettings
-from .ability import CATALOGUE, Catalogue
+from ..overload.interface import Cancellation, ServerSettings
+from .host_capabilities import CATALOGUE, Catalogue
 from .policy import Policy
 from .translation import ClassPlan
 
--- a/sablewheel/capability/codec.py
+++ b/sablewheel/feature_policy/codec.py
@@ -4,8 +4,8 @@
 
 from google.protobuf.message import DecodeError
 
-from . import bundle
-from . import capability_pb2 as pb
+from . import feature_policy_pb2 as pb
+from . import policy_bundle as bundle
 from .messages import PIECE_MOST, Fetch, Message, Offer, Piece, Refused
 
 VERSION = 1
--- a/sablewheel/capability/document.py
+++ b/sablewheel/feature_policy/document.py
@@ -16,7 +16,7 @@
 from ruamel.yaml.comments import CommentedMap, CommentedSeq
 from ruamel.yaml.error import MarkedYAMLError, YAMLError
 
-from .ability import CATALOGUE, Catalogue
+from .host_capabilities import CATALOGUE, Catalogue
 from .policy import FLOWS_MOST, LADDERS_MOST, RUNGS_MOST, WORTH_MOST, Flow, Policy, Rung, Wants
 
 TEXT_MOST = 256 << 10  # bytes of a document
--- a/sablewheel/capability/ability.py
+++ b/sablewheel/feature_policy/host_capabilities.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from types import MappingProxyType
 
-from ..terms import Cancellation, ServerSettings
+from ..overload.interface import Cancellation, ServerSettings
 
 SAID_MOST = 200  # bytes: the bound of a value in `Member.says`
 MEMORY_PART = 2  # features may take one part in so many of the program's memory
@@ -83,7 +83,7 @@
 Catalogue = Mapping[str, Feature]
 MB = 1 << 20
 
-# What servers of this build have, from terms.Machine and the features file. Costs are upper bounds by the
+# What servers of this build have, from interface.Machine and the features file. Costs are upper bounds by the
 # features' own bounds, not measurements: a label is 320 bytes with its entry, a session 256.
 CATALOGUE: Catalogue = MappingProxyType(
     {
--- a/sablewheel/capability/rollout.py
+++ b/sablewheel/feature_policy/rollout.py
@@ -20,12 +20,13 @@
 from math import inf
 
 from ..membership.view import Fact, Member, View
-from . import ability, bundle
-from .ability import CATALOGUE, Ability, AbilityError, Catalogue
-from .bundle import Bundle, BundleError, active, order
+from . import host_capabilities as ability
+from . import policy_bundle as bundle
+from .host_capabilities import CATALOGUE, Ability, AbilityError, Catalogue
 from .messages import PIECE_MOST, Fetch, Message, Offer, Piece, Refused
 from .plan import Rules
 from .policy import Flow
+from .policy_bundle import Bundle, BundleError, active, order
 from .translation import NOT_PLACED, ClassPlan
 from .verify import verify
 
--- a/sablewheel/capability/shell.py
+++ b/sablewheel/feature_policy/service.py
@@ -18,17 +18,18 @@
 from typing import IO, Protocol
 
 from ..membership.view import Fact, View
-from ..routing.exchange import Exchange
-from ..routing.server import Desk
-from ..terms import ServerSettings, Tenant
+from ..overload.interface import ServerSettings, Tenant
+from ..serving.exchange import Exchange
+from ..serving.listener import Desk
 from ..transport.scheduler import Scheduler
-from ..transport.wake import Wake
-from . import bundle, codec
-from .ability import Ability
+from ..transport.wakeup import Wake
+from . import codec
+from . import policy_bundle as bundle
 from .applying import settings
-from .bundle import BundleError
+from .host_capabilities import Ability
 from .plan import PolicyPlan
 from .policy import POLICY_MOST
+from .policy_bundle import BundleError
 from .rollout import (
     Apply,
     Effect,
--- a/sablewheel/capability/translate.py
+++ b/sablewheel/feature_policy/translate.py
@@ -18,7 +18,7 @@
 
 from ortools.sat.python import cp_model
 
-from .ability import CATALOGUE, Ability, Catalogue
+from .host_capabilities import CATALOGUE, Ability, Catalogue
 from .policy import Flow, Policy, Wants
 from .translation import CLASSES_MOST, NOT_PLACED, ClassPlan, Translation
 
--- a/sablewheel/capability/translating.py
+++ b/sablewheel/feature_policy/translating.py
@@ -1,8 +1,10 @@
 """A translation in a process of its own, since it takes seconds and a library that servers don't load.
 
-    python -m sablewheel.capability.translating                 a job on standard input, as servers give it
-    python -m sablewheel.capability.translating FILE MEMBER     what FILE would come to for the fleet of a
-                                                                running member (ADDRESS:PORT)
+    python -m sablewheel.feature_policy.translating
+    python -m sablewheel.feature_policy.translating FILE MEMBER
+
+The first reads a job from standard input, as servers give it; the second prints what FILE would come to for
+the fleet of a running member (ADDRESS:PORT).
 
 A job is JSON: `text` and `file` of a document, or `base`, a bundle whose policy is to be translated for more
 classes; `classes`, as members say them. The answer is JSON on standard output: `bundle`, or `faults`.
@@ -15,10 +17,11 @@
 from pathlib import Path
 from typing import Any
 
-from . import ability, bundle
-from .ability import Ability, AbilityError
-from .bundle import Bundle, BundleError
+from . import host_capabilities as ability
+from . import policy_bundle as bundle
 from .document import FaultyPolicyError, read
+from .host_capabilities import Ability, AbilityError
+from .policy_bundle import Bundle, BundleError
 from .translate import InfeasibleError, UndecidedError, translate
 
 
@@ -38,9 +41,9 @@
 
 def shown(file: str, member: str) -> int:
     """Print what a document would come to for the fleet of a running member."""
-    from ..membership.asking import ask
     from ..membership.codec import BadPacketError
     from ..membership.plan import address_of
+    from ..membership.probes import ask
 
     place = address_of(member)
     if place is None:
--- a/sablewheel/capability/translation.py
+++ b/sablewheel/feature_policy/translation.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 from functools import cached_property
 
-from . import ability
-from .ability import Ability, AbilityError
+from . import host_capabilities as ability
+from .host_capabilities import Ability, AbilityError
 from .policy import Values
 
 TRANSLATION_MOST = 2 << 20  # bytes of its text
--- a/sablewheel/capability/verify.py
+++ b/sablewheel/feature_policy/verify.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Iterator
 
-from .ability import CATALOGUE, Ability, Catalogue
+from .host_capabilities import CATALOGUE, Ability, Catalogue
 from .policy import Flow, Policy
 from .translation import NOT_PLACED, ClassPlan, Translation
 
--- a/sablewheel/forwarding/passing.py
+++ b/sablewheel/forwarding/forwarding_state.py
@@ -20,7 +20,7 @@
 from math import inf
 from typing import TypeAlias
 
-from ..terms import Idempotency
+from ..overload.interface import Idempotency
 from .messages import Answer, Cancel, Final, Message, Pass, Passed, Refused, Taken
 from .plan import PassSettings
 
--- a/sablewheel/forwarding/forward.py
+++ b/sablewheel/forwarding/service.py
@@ -18,25 +18,12 @@
 from typing import Protocol
 
 from ..membership.view import View
-from ..routing.exchange import UNWITNESSED, Exchange, Witness
-from ..routing.server import Desk
-from ..terms import Client, Idempotency, Request, RequestClass, Tenant
+from ..overload.interface import Client, Idempotency, Request, RequestClass, Tenant
+from ..serving.exchange import UNWITNESSED, Exchange, Witness
+from ..serving.listener import Desk
 from ..transport.scheduler import Scheduler
-from ..transport.wake import Wake
-from .links import Links
-from .messages import (
-    NAME_MOST,
-    SPAN_MOST,
-    Answer,
-    BadMessageError,
-    Final,
-    Message,
-    Pass,
-    Passed,
-    decode,
-    encode,
-)
-from .passing import (
+from ..transport.wakeup import Wake
+from .forwarding_state import (
     Abandon,
     Admit,
     Answered,
@@ -57,6 +44,19 @@
     Unsure,
     Wanted,
 )
+from .messages import (
+    NAME_MOST,
+    SPAN_MOST,
+    Answer,
+    BadMessageError,
+    Final,
+    Message,
+    Pass,
+    Passed,
+    decode,
+    encode,
+)
+from .peer_connections import Links
 
 KIND = "ticket"
 TRIES_MOST = 2  # peers that one request is passed to, one after the other
--- a/sablewheel/membership/detector.py
+++ b/sablewheel/membership/detector.py
@@ -12,10 +12,10 @@
 from itertools import islice
 
 from .gossip import Gossip
+from .member_table import Roster
 from .messages import Ack, Alive, Nack, Ping, PingReq, Suspect
 from .outbox import Outbox
 from .plan import Mode, Settings
-from .roster import Roster
 from .suspicions import Suspicion, Suspicions
 
 RELAYED_MOST = 1024  # probes under way for others; one more is left to its asker's other helpers
--- a/sablewheel/membership/gossip.py
+++ b/sablewheel/membership/gossip.py
@@ -6,9 +6,9 @@
 from collections.abc import Hashable, Iterable
 from dataclasses import dataclass
 
+from .member_table import Roster
 from .messages import Alert, Alive, Judgement, News, Suspect
 from .plan import Mode, Settings
-from .roster import Roster
 
 NEWS_KEPT = 1024  # rumours held at once, or two of each member where that is more
 
--- a/sablewheel/membership/joining.py
+++ b/sablewheel/membership/joining.py
@@ -7,10 +7,10 @@
 import random
 from dataclasses import replace
 
+from .member_table import JOINERS_MOST, Roster
 from .messages import Alert, Digest, Join, Sync
 from .outbox import Outbox
 from .plan import Settings
-from .roster import JOINERS_MOST, Roster
 from .view import Change, Kind, Member, View, fingerprint
 
 ASKED_MOST = 3  # of the view that is without this member: the seeds may all be out with it
--- a/sablewheel/membership/judgements.py
+++ b/sablewheel/membership/judgements.py
@@ -5,9 +5,9 @@
 from collections import Counter
 
 from .gossip import Gossip
+from .member_table import Roster
 from .messages import Judgement, Ping
 from .outbox import Outbox
-from .roster import Roster
 from .view import Change, Fact, Kind
 
 FACTS_MOST = 256  # keys that members may hold judgements on
--- a/sablewheel/membership/leaving.py
+++ b/sablewheel/membership/leaving.py
@@ -4,10 +4,10 @@
 
 import math
 
+from .member_table import Roster
 from .messages import Leave
 from .outbox import Outbox
 from .plan import Settings
-from .roster import Roster
 
 AGAIN = 2  # times that it is said after the first
 
--- a/sablewheel/membership/node.py
+++ b/sablewheel/membership/node.py
@@ -17,13 +17,13 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from .baseline import Baseline
 from .detector import Detector
 from .events import Effect, Event, Got, Judge, Part, Tick, Viewed
 from .gossip import Gossip
 from .joining import Joining
 from .judgements import Judgements
 from .leaving import Leaving
+from .member_table import Roster
 from .messages import (
     Ack,
     Alert,
@@ -48,7 +48,7 @@
 from .outbox import Outbox
 from .plan import Mode, Settings
 from .reports import Reports
-from .roster import Roster
+from .round_trip_baseline import Baseline
 from .suspicions import Suspicions
 from .view import Member, Proposal, View, changes_text, fingerprint
 from .voting import Voting
--- a/sablewheel/membership/outbox.py
+++ b/sablewheel/membership/outbox.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from .events import Effect, Note, Send
+from .member_table import Roster
 from .messages import Body, Envelope, Message
-from .roster import Roster
 
 
 class Outbox:
--- a/sablewheel/membership/reports.py
+++ b/sablewheel/membership/reports.py
@@ -10,22 +10,12 @@
 from dataclasses import replace
 
 from .gossip import Gossip
+from .member_table import JOINERS_MOST, Roster
 from .messages import Alert, Ping
 from .outbox import Outbox
 from .plan import Settings
-from .roster import JOINERS_MOST, Roster
 from .suspicions import Suspicions
-from .view import (
-    CUT_MOST,
-    JOINS_CUT_MOST,
-    NOBODY,
-    SAYS_CUT_MOST,
-    Change,
-    Kind,
-    Member,
-    Proposal,
-    proposal,
-)
+from .view import CUT_MOST, JOINS_CUT_MOST, NOBODY, SAYS_CUT_MOST, Change, Kind, Member, Proposal, proposal
 
 GATHER = 1.0  # periods that a join waits for others
 
--- a/sablewheel/membership/baseline.py
+++ b/sablewheel/membership/round_trip_baseline.py
@@ -7,10 +7,10 @@
 
 from collections.abc import Callable
 
+from .member_table import Roster
 from .messages import Alive, Ping
 from .outbox import Outbox
 from .plan import Settings
-from .roster import Roster
 
 
 class Baseline:
--- a/sablewheel/membership/shell.py
+++ b/sablewheel/membership/service.py
@@ -16,7 +16,7 @@
 from ..transport.datagram import Mailbox
 from ..transport.scheduler import Scheduler
 from ..transport.stream import Listener, Stream, connect
-from ..transport.wake import Wake
+from ..transport.wakeup import Wake
 from . import codec
 from .events import Event, Got, Judge, Note, Part, Send, Tick, Viewed
 from .messages import Ask, Envelope, Message, Sync
--- a/sablewheel/membership/suspicions.py
+++ b/sablewheel/membership/suspicions.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass, field
 
 from .gossip import Gossip
+from .member_table import Roster
 from .messages import News, Suspect
 from .outbox import Outbox
 from .plan import Settings
-from .roster import Roster
 from .view import View
 
 
--- a/sablewheel/membership/voting.py
+++ b/sablewheel/membership/voting.py
@@ -5,11 +5,11 @@
 import random
 from collections.abc import Callable
 
-from .agree import Agreement, Out
+from .consensus import Agreement, Out
+from .member_table import Roster
 from .messages import Round, Vote, Votes
 from .outbox import Outbox
 from .plan import Settings
-from .roster import Roster
 from .view import Kind, Proposal, changes_text
 
 VOTES_FANOUT, VOTES_EVERY = 4, 5  # whom votes are passed on to, and how often in a period, in a large view
--- a/sablewheel/choice.py
+++ b/sablewheel/overload/controller.py
@@ -12,9 +12,8 @@
 from itertools import takewhile
 from math import inf, sqrt
 
-from . import terms
-from .overload.unconfirmed import UnconfirmedStarts
-from .terms import (
+from . import interface
+from .interface import (
     Action,
     AdvertisementKind,
     Client,
@@ -26,6 +25,7 @@
     ServerSettings,
     Stage,
 )
+from .unconfirmed_starts import UnconfirmedStarts
 
 SLOPE_LEAST = 0.1  # t_e: the least extra output per extra intake that still counts as a gain
 DROPS_MOST = 1.0  # t_d: drops per request taken in
@@ -116,7 +116,7 @@
         }
         self.rank = list(self.table.values())  # whose work earns most comes first
         self.longest = max(request_class.timeout_s for request_class in server_settings.request_classes)
-        self.tenants: dict[terms.Tenant, deque[float]] = {one: deque() for one in server_settings.tenants}
+        self.tenants: dict[interface.Tenant, deque[float]] = {one: deque() for one in server_settings.tenants}
         # A line a request class, by its place, for what is within its tenant's share; then one for what is
         # beyond.
         self.hold: tuple[deque[Request], ...] = tuple(deque() for _ in 2 * server_settings.request_classes)
@@ -181,37 +181,37 @@
         if self.opened < 0:
             self.opened = now
             self.turn_at = self.tend_at = now + self.server_settings.advertisement_ttl_s
-            self.actions.append(terms.SetHealth(True, True))
+            self.actions.append(interface.SetHealth(True, True))
         # Entries expire by themselves: a release would cut off a repeat that came before and is read after.
         while self.idempotency_keys and self.idempotency_keys[0][0] <= now:
             self._forget(heappop(self.idempotency_keys)[2])
         for event in events:
             match event:
-                case terms.RequestArrived(request):
+                case interface.RequestArrived(request):
                     self._take(request)
-                case terms.RunEnded(request, took, outcome):
+                case interface.RunEnded(request, took, outcome):
                     self._ended(request, took, outcome)
-                case terms.DependencyCallNeeded(request):
+                case interface.DependencyCallNeeded(request):
                     self._stand(request)
-                case terms.DependencyCallEnded(request, took, outcome):
+                case interface.DependencyCallEnded(request, took, outcome):
                     self._returned(request, took, outcome)
-                case terms.StartUnconfirmed(request):
+                case interface.StartUnconfirmed(request):
                     if request.stage is Stage.RUNNING:
                         self.unconfirmed.add(request, now, self.longest)
-                case terms.CallerGone(request):
+                case interface.CallerGone(request):
                     self._gone(request)
-                case terms.KeyRecovered(request, life):
+                case interface.KeyRecovered(request, life):
                     self._keep_idempotency_key(request, life)
-                case terms.ShutdownNotice(left):
+                case interface.ShutdownNotice(left):
                     self._notice(left)
-                case terms.TimerFired(busy, connections, runnable):
+                case interface.TimerFired(busy, connections, runnable):
                     self.armed = inf
                     self.connections = connections
                     self._learn_core_share(busy, runnable)
         self._make_calls()
         while self.dues and (self.dues[0][0] <= now or self.dues[0][2].answered):
             self._give_up(heappop(self.dues)[2])
-        self.actions.extend(terms.PresumeLost(request) for request in self.unconfirmed.take_overdue(now))
+        self.actions.extend(interface.PresumeLost(request) for request in self.unconfirmed.take_overdue(now))
         joining, self.joining = self.joining, []
         for request, first in joining:
             if request.stage is Stage.QUEUED:
@@ -461,7 +461,7 @@
         if request.tenant is not None and self.server_settings.over_quota_weight < 1:  # else nobody looks
             request.over_quota = self._over_share(request)
             self.tenants[request.tenant].append(self.now)
-        self.actions.append(terms.Run(request))
+        self.actions.append(interface.Run(request))
 
     def _join(self, request: Request, first: Request) -> None:
         """A repeat waits for the result of the first; if there can be none, it ends in an error.
@@ -477,7 +477,7 @@
         request.stage = Stage.COALESCED
         self.on_cores += 1
         self.kb += self._more_kb(request)
-        self.actions.append(terms.AttachToOriginal(request))
+        self.actions.append(interface.AttachToOriginal(request))
 
     # -- what happens to a request on its way
 
@@ -536,7 +536,7 @@
             line.popleft()
         return self.now - line[0].stage_since if line else 0.0
 
-    def _wait_to_call(self, request_class: terms.RequestClass) -> float:
+    def _wait_to_call(self, request_class: interface.RequestClass) -> float:
         """How long the calls of those that run ahead will keep this server's share of the ledger.
 
         Departure, acts where an answer without its call earns nothing: no request is run up to a call that
@@ -569,7 +569,7 @@
                 request.wait_budget_s -= self.now - request.stage_since
                 request.stage, request.called_at = Stage.CALLING, self.now
                 self.calls[request] = allow
-                self.actions.append(terms.CallDependency(request, allow))
+                self.actions.append(interface.CallDependency(request, allow))
                 self.table[request.request_class].calls += 1
             self.at_call.popleft()
 
@@ -596,7 +596,7 @@
         """The call is not made: the answer earns its part without, or there is none."""
         if not request.request_class.skip_value_ratio:
             return self._drop_begun(request)
-        self.actions.append(terms.SkipDependencyCall(request))
+        self.actions.append(interface.SkipDependencyCall(request))
         request.stage = Stage.RUNNING
         self.on_cores += 1
 
@@ -644,11 +644,11 @@
     def _stop(self, request: Request) -> None:
         """Stop a run that no repeat can use, where the machine can."""
         can = (
-            self.server_settings.cancellation is not terms.Cancellation.UNSUPPORTED
+            self.server_settings.cancellation is not interface.Cancellation.UNSUPPORTED
             and request.stage is Stage.RUNNING
         )
         if can and request.request_class.idempotency is Idempotency.IDEMPOTENT:
-            self.actions.append(terms.Cancel(request))
+            self.actions.append(interface.Cancel(request))
 
     def _reject(self, request: Request, why: RejectionReason) -> None:
         """Final answer to a request that never ran, with when to come back.
@@ -665,12 +665,12 @@
         self.drops += 1
         self._release(request)
         rest = min(max(oldest, request.key_capacity_in_s), self.server_settings.max_retry_after_s)
-        self.actions.append(terms.Reject(request, rest, request.is_retry or full, why))
+        self.actions.append(interface.Reject(request, rest, request.is_retry or full, why))
         self._answer(request)
         self._leave(request)
 
     def _terminate(self, request: Request) -> None:
-        self.actions.append(terms.Fail(request))
+        self.actions.append(interface.Fail(request))
         self._answer(request)
         if request.stage in (Stage.QUEUED, Stage.COALESCED):
             self._leave(request)
@@ -698,7 +698,7 @@
 
     def _remember(self, request: Request, life: float) -> None:
         self._keep_idempotency_key(request, life)
-        self.actions.append(terms.ReserveKey(request, life))
+        self.actions.append(interface.ReserveKey(request, life))
 
     def _keep_idempotency_key(self, request: Request, life: float) -> None:
         request.holds_key = True
@@ -719,7 +719,7 @@
 
     def _release(self, request: Request) -> None:
         if self._forget(request):
-            self.actions.append(terms.ReleaseKey(request))
+            self.actions.append(interface.ReleaseKey(request))
 
     def _forget(self, request: Request) -> bool:
         kept, request.holds_key = request.holds_key, False
@@ -735,7 +735,7 @@
             - self.server_settings.answer_slack_s
             - 2 * self.server_settings.min_batch_interval_s
         )
-        self.actions.append(terms.SetHealth(False, True))
+        self.actions.append(interface.SetHealth(False, True))
         for request in {entry[2]: None for entry in self.dues}:
             if request.deadline > self.leave_at:
                 request.deadline = self.leave_at
@@ -866,7 +866,7 @@
                     server_settings.idle_timeout_s,
                 )
         if self.idle != before:
-            self.actions.append(terms.CloseIdle(self.idle))
+            self.actions.append(interface.CloseIdle(self.idle))
 
     def _credit_most(self) -> float:
         return min(self._crowd_most(), self._memory_most())
@@ -909,7 +909,7 @@
         amount = round(amount, 2)
         if amount != self.said:
             self.said = amount
-            self.actions.append(terms.AdvertiseCapacity(amount))
+            self.actions.append(interface.AdvertiseCapacity(amount))
 
     def _cold_share(self, most: float, callers: int) -> float:
         """Each caller's share while this server warms up.
@@ -945,4 +945,4 @@
             need = min(need, self.past_calls[0][0] + span)
         if need < self.armed:
             self.armed = need
-            self.actions.append(terms.SetTimer(max(need - self.now, 0.0)))
+            self.actions.append(interface.SetTimer(max(need - self.now, 0.0)))
--- a/sablewheel/overload/unconfirmed.py
+++ b/sablewheel/overload/unconfirmed_starts.py
@@ -9,7 +9,7 @@
 
 from math import inf
 
-from ..terms import Request
+from .interface import Request
 
 
 class UnconfirmedStarts:
--- a/sablewheel/program/application.py
+++ b/sablewheel/program/application.py
@@ -10,13 +10,13 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
+from ..overload.interface import Outcome
 from ..protocol import naming
-from ..routing.client import InterpreterClient
-from ..routing.dispatch import Dispatch
-from ..routing.exchange import Exchange, Standing
-from ..routing.labels import IdempotencyTable
-from ..routing.server import Desk, Server
-from ..terms import Outcome
+from ..serving.dispatcher import Dispatch
+from ..serving.exchange import Exchange, Standing
+from ..serving.idempotency_keys import IdempotencyTable
+from ..serving.interpreter_client import InterpreterClient
+from ..serving.listener import Desk, Server
 from ..transport.datagram import Post
 from ..transport.scheduler import Clock, Scheduler
 from ..transport.stream import Address, Listener, Stream, connect
@@ -26,7 +26,7 @@
 from .feature import Feature, NoFeature
 
 if TYPE_CHECKING:
-    from .features import Features
+    from .feature_file import Features
 
 SHARE_EVERY = 1.0  # how often it is looked how many connections features leave to routers
 REPORT_EVERY = 0.25  # a server silent for 3 s is off the list, and one report in a few may be lost
@@ -78,7 +78,7 @@
         scheduler.on_fault = lambda: count("faults")
         self._feature: Feature = NoFeature()
         if features is not None and features.any:
-            from .parts import Parts
+            from .feature_registry import Parts
 
             self._feature = Parts(
                 features,
--- a/sablewheel/program/collect.py
+++ b/sablewheel/program/collector_process.py
@@ -9,10 +9,10 @@
 
 import structlog
 
-from ..ledger.book import Book, BookError
-from ..ledger.collector import Collector
-from ..ledger.plan import CollectorPlan
 from ..transport.scheduler import Clock, Scheduler
+from ..usage_metering.collector import Collector
+from ..usage_metering.journal import Book, BookError
+from ..usage_metering.plan import CollectorPlan
 
 
 def logger() -> Any:
--- a/sablewheel/program/configuration.py
+++ b/sablewheel/program/configuration.py
@@ -14,7 +14,7 @@
 from math import inf
 from typing import Any, TypeVar
 
-from ..terms import (
+from ..overload.interface import (
     AdvertisementKind,
     Cancellation,
     Dependency,
--- a/sablewheel/program/feature.py
+++ b/sablewheel/program/feature.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from ..routing.exchange import UNWITNESSED, Witness
-from ..routing.seam import UNREMEMBERED, Memory
-from ..routing.server import Desk
-from ..terms import ServerSettings
+from ..overload.interface import ServerSettings
+from ..serving.exchange import UNWITNESSED, Witness
+from ..serving.hooks import UNREMEMBERED, Memory
+from ..serving.listener import Desk
 
 
 class Feature(Protocol):
--- a/sablewheel/program/features.py
+++ b/sablewheel/program/feature_file.py
@@ -26,16 +26,16 @@
 from ruamel.yaml.comments import CommentedMap, CommentedSeq
 from ruamel.yaml.error import MarkedYAMLError, YAMLError
 
-from ..affinity.plan import AffinityPlan
-from ..affinity.plan import Settings as AffinitySettings
-from ..capability.plan import PolicyPlan, Rules
+from ..feature_policy.plan import PolicyPlan, Rules
 from ..forwarding.plan import ForwardingPlan, LinkSettings, PassSettings
-from ..ledger.periods import PeriodError, zone_of
-from ..ledger.plan import Answers, Calendar, CollectorPlan, Depth, ExportPlan, LedgerPlan, Length
 from ..membership.plan import MembershipPlan, Settings
-from ..recall.plan import RecallPlan, Start, Unreadable
 from ..replication.plan import ReplicationPlan
 from ..replication.plan import Settings as ReplicaSettings
+from ..result_store.plan import RecallPlan, Start, Unreadable
+from ..session_affinity.plan import AffinityPlan
+from ..session_affinity.plan import Settings as AffinitySettings
+from ..usage_metering.periods import PeriodError, zone_of
+from ..usage_metering.plan import Answers, Calendar, CollectorPlan, Depth, ExportPlan, LedgerPlan, Length
 
 VERSION = 1
 VARIABLE = "SABLEWHEEL_FEATURES"
--- a/sablewheel/program/parts.py
+++ b/sablewheel/program/feature_registry.py
@@ -16,31 +16,31 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING, Any
 
-from ..affinity.plan import AffinityPlan
-from ..capability.plan import PolicyPlan
+from ..feature_policy.plan import PolicyPlan
 from ..forwarding.plan import ForwardingPlan
-from ..ledger.plan import Depth, LedgerPlan
 from ..membership.plan import MembershipPlan
-from ..recall.plan import RecallPlan
+from ..overload.interface import ServerSettings
 from ..replication.plan import ReplicationPlan
-from ..routing.exchange import UNWITNESSED, Exchange, Witness
-from ..routing.seam import UNREMEMBERED, Memory
-from ..routing.server import Desk
-from ..terms import ServerSettings
+from ..result_store.plan import RecallPlan
+from ..serving.exchange import UNWITNESSED, Exchange, Witness
+from ..serving.hooks import UNREMEMBERED, Memory
+from ..serving.listener import Desk
+from ..session_affinity.plan import AffinityPlan
 from ..transport.background import Background
-from ..transport.bridge import Bridge
 from ..transport.scheduler import Scheduler
+from ..transport.worker_thread import Bridge
+from ..usage_metering.plan import Depth, LedgerPlan
 from .configuration import Posting
 from .feature import Part
-from .features import Features
+from .feature_file import Features
 
 if TYPE_CHECKING:
-    from ..capability.ability import Ability
-    from ..capability.shell import Policies
-    from ..forwarding.forward import Forward
-    from ..forwarding.links import Links
-    from ..membership.shell import Fleet
-    from ..replication.keeper import Keeper
+    from ..feature_policy.host_capabilities import Ability
+    from ..feature_policy.service import Policies
+    from ..forwarding.peer_connections import Links
+    from ..forwarding.service import Forward
+    from ..membership.service import Fleet
+    from ..replication.service import Keeper
 
 
 @dataclass
@@ -105,7 +105,7 @@
 
 
 def _ledger(ground: Ground, plan: LedgerPlan) -> Part:
-    from ..ledger.keeper import Keeper
+    from ..usage_metering.recorder import Keeper
 
     posting = ground.posting
     names = {one: name.decode("utf-8", "replace") for name, one in posting.tenants.items()}
@@ -131,7 +131,7 @@
 
 
 def _recall(ground: Ground, plan: RecallPlan) -> Part:
-    from ..recall.recorder import Recorder
+    from ..result_store.recorder import Recorder
 
     recorder = Recorder(
         ground.scheduler,
@@ -160,7 +160,7 @@
 
 
 def _membership(ground: Ground, plan: MembershipPlan) -> Part:
-    from ..membership.shell import Fleet
+    from ..membership.service import Fleet
 
     posting = ground.posting
     with _listening("membership", plan.listen):
@@ -176,9 +176,9 @@
 
 
 def _forwarding(ground: Ground, plan: ForwardingPlan) -> Part:
-    from ..forwarding.forward import Forward
-    from ..forwarding.links import Links
-    from ..forwarding.passing import Passing
+    from ..forwarding.forwarding_state import Passing
+    from ..forwarding.peer_connections import Links
+    from ..forwarding.service import Forward
 
     fleet, posting = ground.fleet, ground.posting
     assert fleet is not None  # the section needs membership's
@@ -211,7 +211,7 @@
 
 def _ability(plan: PolicyPlan, posting: Posting, features: Features) -> Ability:
     """What this server can do: by its settings, the features that are on beside it, and its disk."""
-    from ..capability import ability
+    from ..feature_policy import host_capabilities as ability
 
     recall = features.recall
     folder = recall.folder if recall is not None else None
@@ -229,7 +229,7 @@
 
 
 def _policy(ground: Ground, plan: PolicyPlan) -> Part:
-    from ..capability.shell import Policies
+    from ..feature_policy.service import Policies
 
     fleet, links, forward = ground.fleet, ground.links, ground.forward
     assert fleet is not None and links is not None and forward is not None  # the section needs theirs
@@ -247,7 +247,7 @@
 
 
 def _replication(ground: Ground, plan: ReplicationPlan) -> Part:
-    from ..replication.keeper import Keeper, longest
+    from ..replication.service import Keeper, longest
 
     fleet, links, posting = ground.fleet, ground.links, ground.posting
     assert fleet is not None and links is not None and ground.forward is not None  # the section needs them
@@ -279,8 +279,8 @@
 
 
 def _affinity(ground: Ground, plan: AffinityPlan) -> Part:
-    from ..affinity.events import Active
-    from ..affinity.placer import Affinity, Watching
+    from ..session_affinity.events import Active
+    from ..session_affinity.session_router import Affinity, Watching
 
     fleet, links, forward, keeper = ground.fleet, ground.links, ground.forward, ground.replication
     assert fleet and links and forward and keeper  # the section needs theirs
--- a/sablewheel/protocol/interpreter.py
+++ b/sablewheel/protocol/interpreter.py
@@ -6,7 +6,7 @@
 from enum import Enum, auto
 from typing import TypeAlias
 
-from ..terms import Outcome
+from ..overload.interface import Outcome
 
 LINE_MOST = 4096
 FOLLOWING_MOST = 1 << 20  # bytes behind a line
--- a/sablewheel/replication/replica.py
+++ b/sablewheel/replication/replica.py
@@ -13,7 +13,6 @@
 from dataclasses import dataclass, field, replace
 from math import inf
 
-from .catchup import Ranges, Standing
 from .entries import EMPTY, NO_BALLOT, Ballot, Change, Entry, Outcome, Owner, State, merge
 from .messages import (
     Accept,
@@ -47,9 +46,10 @@
     Viewed,
     Write,
 )
+from .paxos_register import Round, next_ballot
 from .placement import majority, slot_of
 from .plan import Settings
-from .register import Round, next_ballot
+from .range_transfer import Ranges, Standing
 from .store import Store
 
 LABELS = "labels"
--- a/sablewheel/replication/keeper.py
+++ b/sablewheel/replication/service.py
@@ -20,13 +20,13 @@
 from typing import Protocol
 
 from ..membership.view import View
-from ..routing.exchange import Caller, Exchange, Place, Witness, digest
-from ..routing.holding import DUE_SPARE
-from ..routing.labels import IdempotencyTable
-from ..routing.seam import Memory
-from ..terms import Client, Idempotency, Outcome, Request, RequestClass
+from ..overload.interface import Client, Idempotency, Outcome, Request, RequestClass
+from ..serving.delayed_answers import DUE_SPARE
+from ..serving.exchange import Caller, Exchange, Place, Witness, digest
+from ..serving.hooks import Memory
+from ..serving.idempotency_keys import IdempotencyTable
 from ..transport.scheduler import Scheduler
-from ..transport.wake import Wake
+from ..transport.wakeup import Wake
 from . import codec
 from .entries import Entry, State
 from .messages import (
--- a/sablewheel/recall/written.py
+++ b/sablewheel/result_store/codec.py
@@ -7,11 +7,11 @@
 
 from google.protobuf.message import DecodeError
 
-from ..state.files import DiskFiles
-from ..state.log import Log, read_folder
-from . import recall_pb2 as pb
-from .loading import Loaded
+from ..storage.files import DiskFiles
+from ..storage.log import Log, read_folder
+from . import result_store_pb2 as pb
 from .memory import Entry, Memory, State
+from .recovery import Loaded
 from .windows import Moment
 
 KIND = b"recall"
--- a/sablewheel/recall/recorder.py
+++ b/sablewheel/result_store/recorder.py
@@ -15,25 +15,25 @@
 from math import inf
 from pathlib import Path
 
-from ..routing.exchange import Caller, Exchange, Place, Witness, digest
-from ..routing.holding import Held, Holding
-from ..routing.labels import IdempotencyTable
-from ..state import log as durable
-from ..state.files import DiskFiles
-from ..state.health import Disk
-from ..state.store import Store
-from ..terms import Client, Idempotency, Outcome, Request, RequestClass, Stage
+from ..overload.interface import Client, Idempotency, Outcome, Request, RequestClass, Stage
+from ..serving.delayed_answers import Held, Holding
+from ..serving.exchange import Caller, Exchange, Place, Witness, digest
+from ..serving.idempotency_keys import IdempotencyTable
+from ..storage import log as durable
+from ..storage.files import DiskFiles
+from ..storage.health import Disk
+from ..storage.store import Store
 from ..transport.background import Background
-from ..transport.bridge import Bridge
 from ..transport.clock import Clock
 from ..transport.scheduler import Scheduler
-from . import recall_pb2 as pb
-from . import written
+from ..transport.worker_thread import Bridge
+from . import codec as written
+from . import result_store_pb2 as pb
 from .carrying import Carrier
-from .cold import may_have_run, up_at
-from .loading import Loaded
+from .cold_start import may_have_run, up_at
 from .memory import Entry, Memory, State
 from .plan import RecallPlan, Start, Unreadable
+from .recovery import Loaded
 from .windows import Moment
 
 KIND = b"recall"
--- a/sablewheel/recall/loading.py
+++ b/sablewheel/result_store/recovery.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, field
 
-from . import recall_pb2 as pb
+from . import result_store_pb2 as pb
 from .memory import Entry, Memory, State
 from .windows import Moment, shift
 
--- a/sablewheel/routing/reasons.py
+++ b/sablewheel/serving/close_reasons.py
@@ -1,6 +1,6 @@
 """Why a request failed and why a connection ended, for the log and the counters.
 
-Refusals have their reasons in `terms.Rejection`, since the decision module chooses those.
+Refusals have their reasons in `interface.Rejection`, since the decision module chooses those.
 """
 
 from __future__ import annotations
--- a/sablewheel/routing/dispatch.py
+++ b/sablewheel/serving/dispatcher.py
@@ -7,17 +7,17 @@
 from dataclasses import replace
 from math import inf
 
-from .. import terms
-from ..choice import Controller
-from ..terms import Action, Event, Idempotency, Outcome, Request, ServerSettings
+from ..overload import interface
+from ..overload.controller import Controller
+from ..overload.interface import Action, Event, Idempotency, Outcome, Request, ServerSettings
 from ..transport.scheduler import Scheduler
-from .client import InterpreterClient, may_run_twice
+from .close_reasons import FailureReason, log_reason
 from .exchange import Exchange, Place, Standing
-from .labels import IdempotencyTable
-from .reasons import FailureReason, log_reason
-from .recent import RecentRuns
-from .seam import UNREMEMBERED, Memory
-from .server import Server
+from .hooks import UNREMEMBERED, Memory
+from .idempotency_keys import IdempotencyTable
+from .interpreter_client import InterpreterClient, may_run_twice
+from .listener import Server
+from .recent_runs import RecentRuns
 
 log = logging.getLogger(__name__)
 
@@ -67,7 +67,7 @@
     def attach(self, server: Server, client: InterpreterClient) -> None:
         """The two sides, which were given this as their desk."""
         self._server, self._client = server, client
-        client.can_stop = self._server_settings.cancellation is terms.Cancellation.DISCARDS_WORK
+        client.can_stop = self._server_settings.cancellation is interface.Cancellation.DISCARDS_WORK
 
     @property
     def open_count(self) -> int:
@@ -84,7 +84,7 @@
             )
             self._controller.retune(server_settings)
         self._server_settings = server_settings
-        self._client.can_stop = server_settings.cancellation is terms.Cancellation.DISCARDS_WORK
+        self._client.can_stop = server_settings.cancellation is interface.Cancellation.DISCARDS_WORK
         self._recent.life = max(self._recent.life, _longest_span(server_settings))
         self._idempotency_keys.lag = max(
             self._idempotency_keys.lag,
@@ -109,7 +109,7 @@
             return
         if self._memory.ready:
             recalled = self._memory.recalled(self._born, self._idempotency_keys)
-            self._events[:0] = [terms.KeyRecovered(request, life) for request, life in recalled]
+            self._events[:0] = [interface.KeyRecovered(request, life) for request, life in recalled]
             exchanges, last = self._memory.adopted()
             self._client.adopt(exchanges, last if at_greeting else None)
         early, self._early = self._early, {}
@@ -162,7 +162,7 @@
         self._names.add(exchange.name)
         if exchange.until is not None and self._server_settings.deadline_propagated:
             self._told.append(exchange)
-        self._events.append(terms.RequestArrived(request))
+        self._events.append(interface.RequestArrived(request))
 
     def _wait_for_start(self, exchange: Exchange) -> None:
         """Nothing is decided before the interpreter is up and all that is remembered is known.
@@ -190,7 +190,7 @@
         if exchange in self._early:
             del self._early[exchange]
             return
-        self._events.append(terms.CallerGone(exchange.request))
+        self._events.append(interface.CallerGone(exchange.request))
         if exchange.place is Place.HELD:
             if not exchange.request.started:  # one that was stopped has run
                 self._idempotency_keys.release(exchange)
@@ -200,7 +200,7 @@
 
     def ended(self, exchange: Exchange, outcome: Outcome, took: float, result: bytes) -> None:
         """A run is over: its answer goes out with it, and its repeats have theirs."""
-        self._events.append(terms.RunEnded(exchange.request, took, outcome))
+        self._events.append(interface.RunEnded(exchange.request, took, outcome))
         exchange.took = took
         self._memory.ended(exchange, outcome, result)
         if outcome is Outcome.NEVER_STARTED:
@@ -222,14 +222,14 @@
 
     def call_needed(self, exchange: Exchange) -> None:
         """Its run stands at a call of a service below."""
-        self._events.append(terms.DependencyCallNeeded(exchange.request))
+        self._events.append(interface.DependencyCallNeeded(exchange.request))
 
     def start_unconfirmed(self, exchange: Exchange) -> None:
         """Its command was written to a link that broke: its run may never have begun."""
-        self._events.append(terms.StartUnconfirmed(exchange.request))
+        self._events.append(interface.StartUnconfirmed(exchange.request))
 
     def notice(self, left: float) -> None:
-        self._events.append(terms.ShutdownNotice(left))
+        self._events.append(interface.ShutdownNotice(left))
 
     def _ring(self) -> None:
         told = self._client.gauges()
@@ -238,7 +238,7 @@
             value = told[place] if place is not None and place < len(told) else None
             return inf if value is None else value
 
-        self._events.append(terms.TimerFired(*(gauge(place) for place in self._places)))
+        self._events.append(interface.TimerFired(*(gauge(place) for place in self._places)))
 
     # -- the batch
 
@@ -269,15 +269,15 @@
     def _carry_out(self, actions: list[Action], decided: float) -> None:
         for action in actions:
             match action:
-                case terms.SetTimer(after):
+                case interface.SetTimer(after):
                     self._scheduler.after(decided + after - self._clock.now, self._ring)
-                case terms.AdvertiseCapacity(amount):
+                case interface.AdvertiseCapacity(amount):
                     self._standing.said = amount
-                case terms.SetHealth(good):
+                case interface.SetHealth(good):
                     self._standing.good = good
-                case terms.CloseIdle(after):
+                case interface.CloseIdle(after):
                     self._server.close_unused(after or self._server_settings.idle_timeout_s)
-                case terms.Log(words):
+                case interface.Log(words):
                     log.info("controller", extra={"pairs": {"says": words}})
                 case _:
                     exchange = self._exchanges.get(action.request)
@@ -286,8 +286,8 @@
                             self._act(action, exchange)
                         except Exception:
                             self._fail(exchange)
-                    elif isinstance(action, terms.Run):  # its caller left in this very batch
-                        self._events.append(terms.RunEnded(action.request, 0.0, Outcome.NEVER_STARTED))
+                    elif isinstance(action, interface.Run):  # its caller left in this very batch
+                        self._events.append(interface.RunEnded(action.request, 0.0, Outcome.NEVER_STARTED))
 
     def _fail(self, exchange: Exchange) -> None:
         """A fault of ours in what was decided of it: it ends in an error, and the other actions are done."""
@@ -295,9 +295,9 @@
         self._scheduler.on_fault()
         begun = exchange.place in (Place.RUNNING, Place.JOINED)
         if begun:
-            self._events.append(terms.RunEnded(exchange.request, 0.0, Outcome.ERROR))
+            self._events.append(interface.RunEnded(exchange.request, 0.0, Outcome.ERROR))
         elif not exchange.closed:
-            self._events.append(terms.CallerGone(exchange.request))
+            self._events.append(interface.CallerGone(exchange.request))
         self._fail_request(exchange, FailureReason.FAULT)
         self._over(exchange)
 
@@ -309,7 +309,9 @@
             log_reason(log, "request failed", reason, request=exchange.name.decode("ascii", "replace"))
         exchange.fail()
 
-    def _count_rejection(self, exchange: Exchange, why: terms.RejectionReason, retry_after_s: float) -> None:
+    def _count_rejection(
+        self, exchange: Exchange, why: interface.RejectionReason, retry_after_s: float
+    ) -> None:
         request = exchange.name.decode("ascii", "replace")
         log_reason(log, "request refused", why, request=request, retry_after_s=retry_after_s)
         names = [f"denied_{why.value}"] + ([] if retry_after_s > 0 else ["denied_without_advice"])
@@ -319,32 +321,32 @@
     def _act(self, action: Action, exchange: Exchange) -> None:
         """An action on a request that is not over."""
         match action:
-            case terms.Run():
+            case interface.Run():
                 if exchange.place is Place.HELD:
                     exchange.place = Place.RUNNING
                     if not may_run_twice(exchange):
                         self._recent.add(exchange.name, self._clock.now)
                     self._memory.before_run(exchange, self._client.run)
-            case terms.Cancel():
+            case interface.Cancel():
                 if exchange.place is Place.RUNNING:
                     self._client.halt(exchange)
-            case terms.PresumeLost():
+            case interface.PresumeLost():
                 self._client.give_up(exchange)
-            case terms.Reject(_, retry_after_s, no_retry_elsewhere, why):
+            case interface.Reject(_, retry_after_s, no_retry_elsewhere, why):
                 exchange.reject(retry_after_s, no_retry_elsewhere)
                 self._count_rejection(exchange, why, retry_after_s)
                 self._idempotency_keys.release(exchange)  # the controller releases none whose life is over
                 self._answered(exchange)
-            case terms.Fail():
+            case interface.Fail():
                 self._fail_request(exchange, FailureReason.GIVEN_UP)
                 self._answered(exchange)
-            case terms.ReserveKey(_, life):
+            case interface.ReserveKey(_, life):
                 self._idempotency_keys.remember(exchange, self._clock.now, life + exchange.ahead)
                 self._memory.remember(exchange)
-            case terms.ReleaseKey():
+            case interface.ReleaseKey():
                 self._idempotency_keys.release(exchange)
                 self._memory.release(exchange)
-            case terms.AttachToOriginal():
+            case interface.AttachToOriginal():
                 if exchange.place is Place.HELD:
                     self._join(exchange)
             case _:
@@ -374,7 +376,7 @@
         else:
             exchange.complete(result)
         outcome = Outcome.ERROR if result is None else Outcome.SUCCEEDED
-        self._events.append(terms.RunEnded(exchange.request, self._clock.now - exchange.began, outcome))
+        self._events.append(interface.RunEnded(exchange.request, self._clock.now - exchange.began, outcome))
         self._over(exchange, result)
 
     def _over(self, exchange: Exchange, result: bytes | None = None) -> None:
@@ -404,7 +406,7 @@
                 return self._fail_request(exchange, FailureReason.STOPPING)
         exchange.reject(self._server_settings.max_retry_after_s, False)
         self._count_rejection(
-            exchange, terms.RejectionReason.DRAINING, self._server_settings.max_retry_after_s
+            exchange, interface.RejectionReason.DRAINING, self._server_settings.max_retry_after_s
         )
 
     def refuse_early(self) -> None:
--- a/sablewheel/routing/exchange.py
+++ b/sablewheel/serving/exchange.py
@@ -12,7 +12,7 @@
 from enum import Enum, auto
 from typing import Protocol
 
-from ..terms import Request
+from ..overload.interface import Request
 
 
 def digest(request_class: bytes, body: bytes) -> bytes:
--- a/sablewheel/routing/seam.py
+++ b/sablewheel/serving/hooks.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from ..terms import Outcome, Request
+from ..overload.interface import Outcome, Request
 from .exchange import Exchange
-from .labels import IdempotencyTable
+from .idempotency_keys import IdempotencyTable
 
 
 class Memory(Protocol):
--- a/sablewheel/routing/client.py
+++ b/sablewheel/serving/interpreter_client.py
@@ -16,8 +16,8 @@
 from math import inf
 from typing import Protocol
 
+from ..overload.interface import Idempotency, Outcome
 from ..protocol import interpreter
-from ..terms import Idempotency, Outcome
 from ..transport.scheduler import Scheduler
 from ..transport.stream import Stream
 from .exchange import Exchange
--- a/sablewheel/routing/server.py
+++ b/sablewheel/serving/listener.py
@@ -8,12 +8,12 @@
 from math import inf
 from typing import Protocol
 
+from ..overload.interface import Client, Idempotency, Request, RequestClass, Tenant
 from ..protocol import resp
-from ..terms import Client, Idempotency, Request, RequestClass, Tenant
 from ..transport.scheduler import Scheduler
 from ..transport.stream import Stream
+from .close_reasons import CloseReason, log_reason
 from .exchange import UNWITNESSED, Exchange, Standing, Witness
-from .reasons import CloseReason, log_reason
 
 OPEN_MOST = 32  # tries that the protocol allows on one connection at a time
 SWEEP = 0.25  # how often unused connections are looked for
--- a/sablewheel/affinity/codec.py
+++ b/sablewheel/session_affinity/codec.py
@@ -10,10 +10,10 @@
 
 from google.protobuf.message import DecodeError
 
-from . import affinity_pb2 as pb
+from . import session_affinity_pb2 as pb
 from .binding import Binding, Cause, State
 from .events import Declined, Message, Offer, Reply, Take, Told
-from .placing import Load
+from .placement import Load
 
 VERSION = 1
 NAME_MOST = 256
--- a/sablewheel/affinity/events.py
+++ b/sablewheel/session_affinity/events.py
@@ -11,9 +11,9 @@
 from typing import TypeAlias
 
 from ..membership.view import View
-from ..terms import Idempotency
+from ..overload.interface import Idempotency
 from .binding import Binding, Cause
-from .placing import Load
+from .placement import Load
 
 
 class Verdict(Enum):
--- a/sablewheel/affinity/placer.py
+++ b/sablewheel/session_affinity/session_router.py
@@ -12,20 +12,20 @@
 from collections import Counter
 from collections.abc import Callable
 
-from ..forwarding.forward import Forward, Guest
-from ..forwarding.links import Links
-from ..membership.shell import Fleet
+from ..forwarding.peer_connections import Links
+from ..forwarding.service import Forward, Guest
+from ..membership.service import Fleet
 from ..membership.view import View
-from ..replication.keeper import Keeper
+from ..overload.interface import Idempotency, Outcome, Request, Tenant
 from ..replication.messages import Answer
 from ..replication.replica import SESSIONS
-from ..routing.exchange import Caller, Exchange, Witness
-from ..routing.labels import IdempotencyTable
-from ..routing.seam import Memory
-from ..routing.server import Desk
-from ..terms import Idempotency, Outcome, Request, Tenant
+from ..replication.service import Keeper
+from ..serving.exchange import Caller, Exchange, Witness
+from ..serving.hooks import Memory
+from ..serving.idempotency_keys import IdempotencyTable
+from ..serving.listener import Desk
 from ..transport.scheduler import Scheduler
-from ..transport.wake import Wake
+from ..transport.wakeup import Wake
 from . import codec
 from .events import (
     Active,
@@ -53,7 +53,7 @@
     Write,
 )
 from .keys import Carried, key_of
-from .placing import Load
+from .placement import Load
 from .plan import AffinityPlan
 from .sessions import Sessions
 
--- a/sablewheel/affinity/sessions.py
+++ b/sablewheel/session_affinity/sessions.py
@@ -64,7 +64,7 @@
     Why,
     Write,
 )
-from .placing import Load, begin_on, bounds, move_to, spread
+from .placement import Load, begin_on, bounds, move_to, spread
 from .plan import Settings
 
 FLOWS_MOST = 16  # flows remembered of one session: what its next owner must be able to run
--- a/sablewheel/state/store.py
+++ b/sablewheel/storage/store.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..transport.bridge import Bridge
 from ..transport.scheduler import Scheduler
+from ..transport.worker_thread import Bridge
 from .health import Disk, DiskHealth
 from .log import DiskFault, Log, Place
 
--- a/sablewheel/transport/background.py
+++ b/sablewheel/transport/background.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Callable
 
-from .rota import Chore, Rota
+from .periodic import Chore, Rota
 from .scheduler import Scheduler, Timer
 
 SLICE = 0.002  # seconds of chores in one round without requests
--- a/sablewheel/transport/stream.py
+++ b/sablewheel/transport/stream.py
@@ -12,8 +12,8 @@
 
 from greenlet import getcurrent, greenlet
 
-from .failures import ACCEPTED_ONE_FAILED, CONNECTION_GONE, NO_DESCRIPTOR, Failures
 from .scheduler import READABLE, WRITABLE, Scheduler
+from .system_call_errors import ACCEPTED_ONE_FAILED, CONNECTION_GONE, NO_DESCRIPTOR, Failures
 
 CHUNK = 131072  # the most read at once
 FAIR_CHUNK = 16384  # at once of a connection accepted: one that sends at full speed has one turn a round
--- a/sablewheel/ledger/pool.py
+++ b/sablewheel/usage_metering/aggregation.py
@@ -9,7 +9,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from . import ledger_pb2 as pb
+from . import usage_metering_pb2 as pb
 from .blocks import Sealed, seal
 from .periods import Periods
 
--- a/sablewheel/ledger/auditing.py
+++ b/sablewheel/usage_metering/auditing.py
@@ -5,10 +5,10 @@
 from collections.abc import Iterable, Iterator
 from pathlib import Path
 
-from ..state.log import read_folder
+from ..storage.log import read_folder
 from . import blocks
-from . import ledger_pb2 as pb
-from .book import Book
+from . import usage_metering_pb2 as pb
+from .journal import Book
 from .reconcile import Difference, Own, compare, differing
 
 KIND = b"ledger"
--- a/sablewheel/ledger/blocks.py
+++ b/sablewheel/usage_metering/blocks.py
@@ -14,7 +14,7 @@
 
 from google.protobuf.message import DecodeError
 
-from . import ledger_pb2 as pb
+from . import usage_metering_pb2 as pb
 
 ENTRY_TAG = bytes([11 << 3 | 2])  # of Block.entries
 INCARNATION_SIZE = 8
--- a/sablewheel/ledger/collecting.py
+++ b/sablewheel/usage_metering/collecting.py
@@ -10,7 +10,7 @@
 from typing import TypeAlias
 
 from . import blocks
-from . import ledger_pb2 as pb
+from . import usage_metering_pb2 as pb
 
 
 @dataclass(frozen=True)
--- a/sablewheel/ledger/collector.py
+++ b/sablewheel/usage_metering/collector.py
@@ -14,11 +14,11 @@
 from ..transport.scheduler import Scheduler
 from ..transport.stream import Listener, Stream
 from . import collecting
-from . import ledger_pb2 as pb
-from .book import Book
+from . import usage_metering_pb2 as pb
 from .collecting import Again, Apply, Known, Presence, Refuse
 from .export import VERSION
 from .frames import FrameError, Frames, frame
+from .journal import Book
 from .plan import CollectorPlan
 
 GREETING_MOST = 5.0  # from connecting to a whole greeting
--- a/sablewheel/ledger/frames.py
+++ b/sablewheel/usage_metering/frames.py
@@ -6,7 +6,7 @@
 
 from google.protobuf.message import DecodeError
 
-from . import ledger_pb2 as pb
+from . import usage_metering_pb2 as pb
 
 SIZE = 4
 
--- a/sablewheel/ledger/book.py
+++ b/sablewheel/usage_metering/journal.py
@@ -15,10 +15,10 @@
 from pathlib import Path
 from typing import Any
 
-from . import ledger_pb2 as pb
-from .closing import Closer
+from . import usage_metering_pb2 as pb
 from .collecting import Apply, Known
 from .corrections import Correction, Target, check
+from .period_closing import Closer
 from .periods import Period, Periods
 from .plan import Calendar, Length
 
--- a/sablewheel/ledger/positions.py
+++ b/sablewheel/usage_metering/positions.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from ..state.log import START, Place
+from ..storage.log import START, Place
 
 EVERY = 1 << 18  # bytes of a segment between two notes
 
--- a/sablewheel/ledger/reconcile.py
+++ b/sablewheel/usage_metering/reconcile.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from . import ledger_pb2 as pb
+from . import usage_metering_pb2 as pb
 
 
 @dataclass(frozen=True)
--- a/sablewheel/ledger/keeper.py
+++ b/sablewheel/usage_metering/recorder.py
@@ -13,21 +13,21 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..routing.exchange import Caller, Exchange, Place
-from ..routing.holding import Held, Holding
-from ..state import log as durable
-from ..state.files import DiskFiles
-from ..state.health import Disk
-from ..state.store import Store
-from ..terms import Tenant
+from ..overload.interface import Tenant
+from ..serving.delayed_answers import Held, Holding
+from ..serving.exchange import Caller, Exchange, Place
+from ..storage import log as durable
+from ..storage.files import DiskFiles
+from ..storage.health import Disk
+from ..storage.store import Store
 from ..transport.background import Background
-from ..transport.bridge import Bridge
 from ..transport.scheduler import Scheduler
-from . import ledger_pb2 as pb
+from ..transport.worker_thread import Bridge
+from . import usage_metering_pb2 as pb
+from .aggregation import Pool
 from .blocks import Sealed
 from .periods import Periods
 from .plan import Answers, Depth, LedgerPlan
-from .pool import Pool
 from .positions import Positions
 from .sender import Sender
 from .sources import BLOCK_ENTRIES, DurableSource, MemorySource
--- a/sablewheel/ledger/reports.py
+++ b/sablewheel/usage_metering/reports.py
@@ -8,7 +8,7 @@
 import json
 from collections.abc import Iterator
 
-from .book import Book, BookError
+from .journal import Book, BookError
 from .periods import PeriodError
 from .statement import Corrected, Row, Statement, build
 
--- a/sablewheel/ledger/sender.py
+++ b/sablewheel/usage_metering/sender.py
@@ -8,7 +8,7 @@
 from ..transport.scheduler import Scheduler, Timer
 from ..transport.stream import Stream, connect
 from . import export
-from . import ledger_pb2 as pb
+from . import usage_metering_pb2 as pb
 from .blocks import Sealed
 from .export import Event, Exporter, Link, TellLost
 from .frames import FrameError, Frames, frame
--- a/sablewheel/ledger/sources.py
+++ b/sablewheel/usage_metering/sources.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable, Mapping
 from typing import Protocol
 
-from ..state.log import START, Place
-from ..state.store import Store
-from . import ledger_pb2 as pb
+from ..storage.log import START, Place
+from ..storage.store import Store
+from . import usage_metering_pb2 as pb
+from .aggregation import Pool
 from .blocks import Sealed, digest
 from .export import TellLost
-from .pool import Pool
 from .positions import Positions
 
 BLOCK_ENTRIES = 512
--- a/tests/installation.py
+++ b/tests/installation.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable
 from typing import Any
 
+from sablewheel.experiments import wire
+from sablewheel.experiments.rig import Rig, free_port
 from sablewheel.protocol.resp import Parser
-from sablewheel.trials import wire
-from sablewheel.trials.rig import Rig, free_port
 
 PATIENCE = 15.0
 KEYED, SAFE = b"record", b"lookup"
--- a/tests/world.py
+++ b/tests/simulated_server.py
@@ -9,15 +9,15 @@
 
 from greenlet import getcurrent, greenlet
 
-from sablewheel import terms
-from sablewheel.choice import Controller
+from sablewheel.overload import interface
+from sablewheel.overload.controller import Controller
+from sablewheel.overload.interface import Cancellation, Client, Idempotency, Outcome, Request, ServerSettings
 from sablewheel.protocol.resp import Parser
-from sablewheel.routing.client import InterpreterClient
-from sablewheel.routing.dispatch import Dispatch
-from sablewheel.routing.exchange import Standing
-from sablewheel.routing.labels import IdempotencyTable
-from sablewheel.routing.server import Server
-from sablewheel.terms import Cancellation, Client, Idempotency, Outcome, Request, ServerSettings
+from sablewheel.serving.dispatcher import Dispatch
+from sablewheel.serving.exchange import Standing
+from sablewheel.serving.idempotency_keys import IdempotencyTable
+from sablewheel.serving.interpreter_client import InterpreterClient
+from sablewheel.serving.listener import Server
 from sablewheel.transport.scheduler import Clock, Scheduler
 from sablewheel.transport.stream import Stream
 
@@ -49,7 +49,7 @@
         self.table: dict[int, tuple[Request, float]] = {}
         self.run_idempotency_keys: dict[int, list[float]] = {}
         self.alarms: list[float] = []
-        self.later: list[terms.Event] = []
+        self.later: list[interface.Event] = []
         self.crowd: list[tuple[float, float, int]] = []
         self.in_hand: list[tuple[float, float, int]] = []
         self.lingers: list[float] = []
@@ -87,12 +87,12 @@
                     request.duplicate_of = first
             for told in self.later:  # tries of one batch are linked even when none was kept
                 if (
-                    isinstance(told, terms.RequestArrived)
+                    isinstance(told, interface.RequestArrived)
                     and self.facts[told.request].idempotency_key == idempotency_key
                 ):
                     request.duplicate_of = told.request
         self.facts[request] = fact
-        self.later.append(terms.RequestArrived(request))
+        self.later.append(interface.RequestArrived(request))
         return fact
 
     def finish(self, fact: Fact, outcome: Outcome) -> None:
@@ -100,7 +100,7 @@
 
     def need(self, fact: Fact) -> None:
         fact.place = STANDING
-        self.later.append(terms.DependencyCallNeeded(fact.request))
+        self.later.append(interface.DependencyCallNeeded(fact.request))
         if fact.answered:
             self._done(fact, Outcome.CANCELLED)
 
@@ -109,13 +109,13 @@
             self.lingers.append(self.now + self.server_settings.dependency.linger_s)
         fact.may_have_called = outcome not in (*PROVES_NEVER_RAN, Outcome.SUCCEEDED)
         fact.place = RUNNING if outcome is Outcome.SUCCEEDED else STANDING
-        self.later.append(terms.DependencyCallEnded(fact.request, 0.1, outcome))
+        self.later.append(interface.DependencyCallEnded(fact.request, 0.1, outcome))
         if fact.answered and fact.place == STANDING:
             self._done(fact, Outcome.CANCELLED)
 
     def give_up(self, fact: Fact) -> None:
         fact.gone = fact.answered = True
-        self.later.append(terms.CallerGone(fact.request))
+        self.later.append(interface.CallerGone(fact.request))
         if fact.place in (HELD, PAUSED, JOINED):
             fact.place = OVER
         elif fact.place == STANDING:
@@ -123,10 +123,10 @@
 
     def drain(self, left: float) -> None:
         self.notice, self.stop = self.now, self.now + left
-        self.later.append(terms.ShutdownNotice(left))
+        self.later.append(interface.ShutdownNotice(left))
 
     def _done(self, fact: Fact, outcome: Outcome) -> None:
-        self.later.append(terms.RunEnded(fact.request, 0.5, outcome))
+        self.later.append(interface.RunEnded(fact.request, 0.5, outcome))
         if outcome is not Outcome.CANCELLED or fact.answered:
             fact.place, fact.answered = OVER, True
 
@@ -146,7 +146,7 @@
             for fact in self.at(CALLING):
                 if fact.abandon_at <= self.now:
                     self.call_back(fact, Outcome.TIMED_OUT)
-            self.batch([terms.TimerFired(self.busy(), 3.0)] * bells)
+            self.batch([interface.TimerFired(self.busy(), 3.0)] * bells)
             if self.now >= until:
                 return
 
@@ -163,7 +163,7 @@
                 self.in_hand.append((self.now, min(end, to), 1))
         self.now = to
 
-    def batch(self, more: list[terms.Event]) -> list[terms.Action]:
+    def batch(self, more: list[interface.Event]) -> list[interface.Action]:
         events, self.later = self.later + more, []
         actions = self.controller.decide(self.now, events)
         for action in actions:
@@ -171,8 +171,8 @@
         self._check()
         return actions
 
-    def _apply(self, action: terms.Action) -> None:
-        if isinstance(action, terms.SetTimer):
+    def _apply(self, action: interface.Action) -> None:
+        if isinstance(action, interface.SetTimer):
             heapq.heappush(
                 self.alarms, self.now + max(action.after_s, self.server_settings.min_batch_interval_s)
             )
@@ -181,15 +181,15 @@
             return
         fact, idempotency = self.facts[request], request.request_class.idempotency
         # Told in this very batch: what was decided of it does no harm.
-        if fact.gone and fact.place == OVER and not isinstance(action, terms.ReleaseKey):
-            if isinstance(action, terms.Run):
-                self.later.append(terms.RunEnded(request, 0.0, Outcome.NEVER_STARTED))
+        if fact.gone and fact.place == OVER and not isinstance(action, interface.ReleaseKey):
+            if isinstance(action, interface.Run):
+                self.later.append(interface.RunEnded(request, 0.0, Outcome.NEVER_STARTED))
             return
         ran_here = fact.ran or bool(
             fact.idempotency_key and self.run_idempotency_keys.get(fact.idempotency_key)
         )
         match action:
-            case terms.Run():
+            case interface.Run():
                 assert fact.place in (HELD, PAUSED), f"run while {fact.place}"
                 if idempotency in NOT_AGAIN:
                     assert not fact.dropped, "run again after a drop"
@@ -205,9 +205,9 @@
                     "run after the drain's grace"
                 )
                 fact.place, fact.ran = RUNNING, True
-            case terms.Reject() | terms.Fail():
+            case interface.Reject() | interface.Fail():
                 assert not fact.answered, "answered twice"
-                if isinstance(action, terms.Reject):
+                if isinstance(action, interface.Reject):
                     assert not (idempotency in NOT_AGAIN and ran_here), "denied what has run"
                     assert (
                         fact.place in (HELD, JOINED)
@@ -222,25 +222,25 @@
                     fact.place = OVER
                 elif fact.place == STANDING:
                     self._done(fact, Outcome.CANCELLED)
-            case terms.Cancel():
+            case interface.Cancel():
                 assert self.server_settings.cancellation is not Cancellation.UNSUPPORTED, "stopping is off"
                 if fact.place == RUNNING:
-                    self.later.append(terms.RunEnded(request, 0.1, Outcome.CANCELLED))
+                    self.later.append(interface.RunEnded(request, 0.1, Outcome.CANCELLED))
                     drops = self.server_settings.cancellation is Cancellation.DISCARDS_WORK
                     fact.dropped = fact.dropped or drops
                     fact.place = OVER if fact.answered else HELD if drops else PAUSED
-            case terms.CallDependency(timeout_s=allow):
+            case interface.CallDependency(timeout_s=allow):
                 assert fact.place == STANDING, "no call to make"
                 assert idempotency not in NOT_AGAIN or not fact.may_have_called, "call repeated"
                 fact.place, fact.abandon_at = CALLING, self.now + (allow or request.request_class.timeout_s)
-            case terms.SkipDependencyCall():
+            case interface.SkipDependencyCall():
                 assert request.request_class.skip_value_ratio > 0 and fact.place == STANDING
                 fact.place = RUNNING
-            case terms.ReserveKey(valid_for_s=life):
+            case interface.ReserveKey(valid_for_s=life):
                 self.table[fact.idempotency_key or -id(request)] = (request, self.now + life)
-            case terms.ReleaseKey():
+            case interface.ReleaseKey():
                 self.table.pop(fact.idempotency_key or -id(request), None)
-            case terms.AttachToOriginal():
+            case interface.AttachToOriginal():
                 assert (
                     fact.place == HELD and request.request_class.idempotency is not Idempotency.NON_IDEMPOTENT
                 )
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -24,7 +24,7 @@
 
 from installation import KEYED, SAFE, Client, Installation, LinkProxy, Pair
 
-from sablewheel.trials.rig import Rig
+from sablewheel.experiments.rig import Rig
 
 DEADLINE = 2.0  # seconds, of both classes in the rig's settings
 STOP = DEADLINE + 0.7  # the earliest SIGKILL after SIGTERM
--- a/tests/stories/test_affinity_stories.py
+++ b/tests/stories/test_affinity_stories.py
@@ -15,12 +15,12 @@
 import pytest
 from pytest_bdd import given, parsers, scenarios, then, when
 
-from sablewheel.affinity.binding import State
-from sablewheel.affinity.placing import Load, bounds
-from sablewheel.affinity.plan import Settings
-from sablewheel.terms import Idempotency
-from sablewheel.trials.affinity_fleet import Request, World
-from sablewheel.trials.affinity_replicas import ReplicaWorld
+from sablewheel.experiments.affinity_fleet import Request, World
+from sablewheel.experiments.affinity_replicas import ReplicaWorld
+from sablewheel.overload.interface import Idempotency
+from sablewheel.session_affinity.binding import State
+from sablewheel.session_affinity.placement import Load, bounds
+from sablewheel.session_affinity.plan import Settings
 
 scenarios("affinity.feature", "affinity_replicas.feature")
 
--- a/tests/stories/test_capability_stories.py
+++ b/tests/stories/test_capability_stories.py
@@ -16,9 +16,9 @@
 import pytest
 from pytest_bdd import given, parsers, scenarios, then, when
 
-from sablewheel.capability.ability import CATALOGUE
-from sablewheel.capability.rollout import KEPT, Wish
-from sablewheel.trials.policy_fleet import CLASSES, PolicyFleet
+from sablewheel.experiments.policy_fleet import CLASSES, PolicyFleet
+from sablewheel.feature_policy.host_capabilities import CATALOGUE
+from sablewheel.feature_policy.rollout import KEPT, Wish
 
 scenarios("capability.feature")
 
--- a/tests/stories/test_membership_stories.py
+++ b/tests/stories/test_membership_stories.py
@@ -9,9 +9,9 @@
 import pytest
 from pytest_bdd import given, parsers, scenarios, then, when
 
+from sablewheel.experiments.made_net import Net
 from sablewheel.membership.events import Part, Send
 from sablewheel.membership.plan import Settings
-from sablewheel.trials.made_net import Net
 
 scenarios("membership.feature")
 
--- a/tests/stories/test_replication_stories.py
+++ b/tests/stories/test_replication_stories.py
@@ -7,8 +7,8 @@
 import pytest
 from pytest_bdd import given, parsers, scenarios, then, when
 
+from sablewheel.experiments.replication_stage import Stage, Try, drifted
 from sablewheel.replication.messages import Viewed
-from sablewheel.trials.replication_stage import Stage, Try, drifted
 
 scenarios("replication.feature")
 NAMES = "abcde"
--- a/tests/stories/test_server_stories.py
+++ b/tests/stories/test_server_stories.py
@@ -20,8 +20,8 @@
 
 import pytest
 from pytest_bdd import given, parsers, scenarios, then, when
+from simulated_server import frame
 from test_program import PATIENCE, SETTINGS, Engine, Peer, Place, wait_until
-from world import frame
 
 scenarios("servers.feature")
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -16,7 +16,11 @@
 
 def adapter(text: str) -> "subprocess.CompletedProcess[str]":
     return subprocess.run(
-        [sys.executable, "-m", "sablewheel.benchlink"], input=text, capture_output=True, text=True, timeout=20
+        [sys.executable, "-m", "sablewheel.bench_adapter"],
+        input=text,
+        capture_output=True,
+        text=True,
+        timeout=20,
     )
 
 
@@ -41,7 +45,7 @@
 def test_malformed_input_ends_with_a_message(bad: str) -> None:
     done = adapter(batch(1, START, bad))
     assert done.returncode == 1 and done.stdout == ""
-    assert done.stderr.startswith("sablewheel.benchlink: ") and "Traceback" not in done.stderr
+    assert done.stderr.startswith("sablewheel.bench_adapter: ") and "Traceback" not in done.stderr
 
 
 def test_a_server_that_died_comes_back_knowing_nothing() -> None:
--- a/tests/test_crossing_close.py
+++ b/tests/test_close_races.py
@@ -17,16 +17,16 @@
 from pathlib import Path
 
 import pytest
+from simulated_server import MadeStream, Town, call, frame
 from test_program import Engine, Place, leave, wait_until
-from test_routing import SERVER_SETTINGS
-from world import MadeStream, Town, call, frame
+from test_serving import SERVER_SETTINGS
 
 from sablewheel.program import configuration
 from sablewheel.protocol.resp import Parser
-from sablewheel.routing import server as routers
-from sablewheel.routing.exchange import Exchange, Standing
-from sablewheel.routing.reasons import CloseReason
-from sablewheel.routing.server import Connection, Server
+from sablewheel.serving import listener as routers
+from sablewheel.serving.close_reasons import CloseReason
+from sablewheel.serving.exchange import Exchange, Standing
+from sablewheel.serving.listener import Connection, Server
 from sablewheel.transport import stream as transport
 from sablewheel.transport.scheduler import Clock, Scheduler, Timer
 from sablewheel.transport.stream import Listener, Stream
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -12,10 +12,7 @@
 
 import pytest
 
-from sablewheel import terms
-from sablewheel.choice import Controller
-from sablewheel.forwarding.messages import Answer, Final, Passed
-from sablewheel.forwarding.passing import (
+from sablewheel.forwarding.forwarding_state import (
     Admit,
     Answered,
     Back,
@@ -28,7 +25,10 @@
     Tick,
     Wanted,
 )
-from sablewheel.terms import (
+from sablewheel.forwarding.messages import Answer, Final, Passed
+from sablewheel.overload import interface
+from sablewheel.overload.controller import Controller
+from sablewheel.overload.interface import (
     AdvertisementKind,
     Client,
     Idempotency,
@@ -113,23 +113,23 @@
     def tell(self, sender: Sender) -> None:
         sender.told, sender.told_at = self.said, self.now
 
-    def decide(self, events: list[terms.Event]) -> None:
+    def decide(self, events: list[interface.Event]) -> None:
         actions = self.controller.decide(self.now, events)
         for action in actions:
             match action:
-                case terms.AdvertiseCapacity(amount):
+                case interface.AdvertiseCapacity(amount):
                     self.said = amount
-                case terms.Run(request):
+                case interface.Run(request):
                     self.left[request] = self.work * self.draws.uniform(0.5, 1.5)
                     self.began.append(self.now)
         # What is said goes with every answer of the batch.
         for action in actions:
-            if isinstance(action, (terms.Reject, terms.Fail)):
+            if isinstance(action, (interface.Reject, interface.Fail)):
                 sender = self.answer(action.request)
-                if isinstance(action, terms.Reject):
+                if isinstance(action, interface.Reject):
                     sender.away_until = self.now + action.retry_after_s
         for event in events:
-            if isinstance(event, terms.RunEnded) and event.request in self.owners:
+            if isinstance(event, interface.RunEnded) and event.request in self.owners:
                 self.served += 1
                 self.answer(event.request)
 
@@ -139,30 +139,30 @@
         self.tell(sender)
         return sender
 
-    def send(self, sender: Sender) -> terms.RequestArrived:
+    def send(self, sender: Sender) -> interface.RequestArrived:
         request = Request(self.server_settings.request_classes[0], sender.router, None, self.now, 10.0)
         self.owners[request] = sender
         sender.out += 1
         self.got.append(self.now)
-        return terms.RequestArrived(request)
+        return interface.RequestArrived(request)
 
     def pass_time(self) -> None:
         self.now = round(self.now + STEP, 6)
-        events: list[terms.Event] = []
+        events: list[interface.Event] = []
         each = STEP * self.speed * min(1.0, self.server_settings.cores / max(len(self.left), 1))
         for request in list(self.left):
             self.left[request] -= each
             if self.left[request] <= 0:
                 del self.left[request]
-                events.append(terms.RunEnded(request, self.now - request.stage_since, Outcome.SUCCEEDED))
+                events.append(interface.RunEnded(request, self.now - request.stage_since, Outcome.SUCCEEDED))
         self.decide(events + self.comers())
         self.look()
 
-    def comers(self) -> list[terms.Event]:
+    def comers(self) -> list[interface.Event]:
         for place, sender in enumerate(self.senders):
             if (self.now - self.start + CHECKED * place / len(self.senders)) % CHECKED < STEP:
                 self.tell(sender)
-        come: list[terms.Event] = []
+        come: list[interface.Event] = []
         for sender in self.draws.sample(self.senders, len(self.senders)):
             comes = self.draws.random() < self.flow * STEP / len(self.senders)
             if comes and sender.may(self.now, self.server_settings.advertisement_ttl_s, self.draws):
@@ -197,10 +197,10 @@
     for _ in range(3):
         said.append(fleet.said)
         fleet.now += 4.9
-        fleet.decide([terms.TimerFired()])
+        fleet.decide([interface.TimerFired()])
     assert said[0] < said[1] < said[2] <= 1.0
     fleet.now = fleet.start + COLD.warm_up_s
-    fleet.decide([terms.TimerFired()])
+    fleet.decide([interface.TimerFired()])
     assert fleet.said == 2**31
 
 
@@ -249,15 +249,15 @@
         self.open: set[int] = set()
         super().__init__(server_settings, members, flow, work)
 
-    def decide(self, events: list[terms.Event]) -> None:
-        ended = [one.request for one in events if isinstance(one, terms.RunEnded)]
+    def decide(self, events: list[interface.Event]) -> None:
+        ended = [one.request for one in events if isinstance(one, interface.RunEnded)]
         for action in self.controller.decide(self.now, events):
             match action:
-                case terms.Run(request):
+                case interface.Run(request):
                     self.left[request] = self.work * self.draws.uniform(0.5, 1.5)
-                case terms.Reject(request, retry_after_s):
+                case interface.Reject(request, retry_after_s):
                     self.over(request, Final.REJECTED, retry_after_s)
-                case terms.Fail(request):
+                case interface.Fail(request):
                     self.over(request, Final.FAILED)
         for request in ended:
             self.over(request, Final.COMPLETED)
@@ -268,9 +268,9 @@
             self.served += final is Final.COMPLETED
             self.carry("cold", self.cold.step(self.now, Over(key, Answer(key[1], final, b"", retry_after_s))))
 
-    def carry(self, name: str, effects: list[Effect]) -> list[terms.Event]:
+    def carry(self, name: str, effects: list[Effect]) -> list[interface.Event]:
         """What one core would have done, done; what came out of it for the cold one's controller."""
-        arrived: list[terms.Event] = []
+        arrived: list[interface.Event] = []
         for effect in effects:
             match effect:
                 case Send("cold", message):
@@ -282,14 +282,14 @@
                     request = Request(request_class, router, None, self.now - age, told.kb)
                     self.guests[request] = key
                     self.got.append(self.now)
-                    arrived.append(terms.RequestArrived(request))
+                    arrived.append(interface.RequestArrived(request))
                 case Answered(number) | Back(number):
                     self.open.remove(number)  # once only
                     self.answered += 1
         return arrived
 
-    def comers(self) -> list[terms.Event]:
-        come: list[terms.Event] = []
+    def comers(self) -> list[interface.Event]:
+        come: list[interface.Event] = []
         for name, core in self.cores.items():
             self.carry(name, core.step(self.now, Tick()))
             if self.draws.random() < self.flow * STEP / len(self.cores):
--- a/tests/test_calls_below.py
+++ b/tests/test_dependency_calls.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 
 import pytest
-from test_routing import SERVER_SETTINGS
-from world import Town, Try
+from simulated_server import Town, Try
+from test_serving import SERVER_SETTINGS
 
 from sablewheel.program import configuration
 
--- a/tests/test_crossing_repeats.py
+++ b/tests/test_duplicate_races.py
@@ -11,10 +11,10 @@
 import pytest
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
-from test_routing import SERVER_SETTINGS
-from world import MadeStream, Town, Try, call
+from simulated_server import MadeStream, Town, Try, call
+from test_serving import SERVER_SETTINGS
 
-from sablewheel.terms import Cancellation, Idempotency, RequestClass, ServerSettings, Tenant
+from sablewheel.overload.interface import Cancellation, Idempotency, RequestClass, ServerSettings, Tenant
 
 SHORT = 0.3  # a window shorter than the deadline, the grace and many a wait
 LIMIT = 0.05  # by which the protocol makes every time limit longer
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -12,7 +12,7 @@
 import pytest
 from installation import KEYED, PATIENCE, SAFE, Client, Installation
 
-from sablewheel.trials.rig import Rig
+from sablewheel.experiments.rig import Rig
 
 DEADLINE = 2.0  # of both classes in the rig's settings
 SLACK = 0.4  # of a busy machine, beside the settings'
--- a/tests/test_capability.py
+++ b/tests/test_feature_policy.py
@@ -13,16 +13,25 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sablewheel.capability import ability, applying, bundle, codec, translation
-from sablewheel.capability.ability import TRAITS, Ability, AbilityError, Feature, Parameter, StartUp
-from sablewheel.capability.bundle import Bundle
-from sablewheel.capability.document import FaultyPolicyError, read
-from sablewheel.capability.messages import PIECE_MOST, Fetch, Offer, Piece, Refused
-from sablewheel.capability.policy import Flow, Policy, Rung, load
-from sablewheel.capability.translate import InfeasibleError, plan_of, translate
-from sablewheel.capability.translation import NOT_PLACED, ClassPlan, Translation
-from sablewheel.capability.verify import verify
-from sablewheel.terms import Cancellation, Idempotency, RequestClass, ServerSettings, Tenant
+from sablewheel.feature_policy import applying, codec, translation
+from sablewheel.feature_policy import host_capabilities as ability
+from sablewheel.feature_policy import policy_bundle as bundle
+from sablewheel.feature_policy.document import FaultyPolicyError, read
+from sablewheel.feature_policy.host_capabilities import (
+    TRAITS,
+    Ability,
+    AbilityError,
+    Feature,
+    Parameter,
+    StartUp,
+)
+from sablewheel.feature_policy.messages import PIECE_MOST, Fetch, Offer, Piece, Refused
+from sablewheel.feature_policy.policy import Flow, Policy, Rung, load
+from sablewheel.feature_policy.policy_bundle import Bundle
+from sablewheel.feature_policy.translate import InfeasibleError, plan_of, translate
+from sablewheel.feature_policy.translation import NOT_PLACED, ClassPlan, Translation
+from sablewheel.feature_policy.verify import verify
+from sablewheel.overload.interface import Cancellation, Idempotency, RequestClass, ServerSettings, Tenant
 
 EVERY = sum(1 << one.code for one in ability.CATALOGUE.values())
 RICH = Ability(cores=8, memory=1 << 18, descriptors=1024, traits=(1 << len(TRAITS)) - 1, codes=EVERY)
@@ -359,7 +368,7 @@
 def test_a_job_is_translated_in_a_process_of_its_own() -> None:
     def asked(**job: object) -> dict[str, object]:
         done = subprocess.run(
-            [sys.executable, "-m", "sablewheel.capability.translating"],
+            [sys.executable, "-m", "sablewheel.feature_policy.translating"],
             timeout=30,
             input=json.dumps(job),
             capture_output=True,
--- a/tests/test_capability_shell.py
+++ b/tests/test_feature_policy_service.py
@@ -9,18 +9,26 @@
 
 import pytest
 
-from sablewheel.capability import codec
-from sablewheel.capability.bundle import Bundle
-from sablewheel.capability.messages import Fetch, Offer
-from sablewheel.capability.plan import PolicyPlan, Rules
-from sablewheel.capability.rollout import ACTIVE, STAGED
-from sablewheel.capability.shell import Policies
-from sablewheel.capability.translating import shown
+from sablewheel.experiments.policy_fleet import CLASSES
+from sablewheel.feature_policy import codec
+from sablewheel.feature_policy.messages import Fetch, Offer
+from sablewheel.feature_policy.plan import PolicyPlan, Rules
+from sablewheel.feature_policy.policy_bundle import Bundle
+from sablewheel.feature_policy.rollout import ACTIVE, STAGED
+from sablewheel.feature_policy.service import Policies
+from sablewheel.feature_policy.translating import shown
 from sablewheel.membership.view import Fact, Member, View
-from sablewheel.program.features import FaultyFeaturesError, check
-from sablewheel.routing.exchange import Exchange
-from sablewheel.terms import Cancellation, Client, Idempotency, Request, RequestClass, ServerSettings, Tenant
-from sablewheel.trials.policy_fleet import CLASSES
+from sablewheel.overload.interface import (
+    Cancellation,
+    Client,
+    Idempotency,
+    Request,
+    RequestClass,
+    ServerSettings,
+    Tenant,
+)
+from sablewheel.program.feature_file import FaultyFeaturesError, check
+from sablewheel.serving.exchange import Exchange
 
 POLICY = """\
 version: 1
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,11 +15,11 @@
 from click.testing import CliRunner
 
 from sablewheel.command.main import main
+from sablewheel.experiments.fleet import PORT, Block, Fleet
+from sablewheel.experiments.rig import Rig
 from sablewheel.membership import codec
 from sablewheel.membership.messages import Ask, Envelope, Message, Nack
-from sablewheel.program.features import FaultyFeaturesError, read
-from sablewheel.trials.fleet import PORT, Block, Fleet
-from sablewheel.trials.rig import Rig
+from sablewheel.program.feature_file import FaultyFeaturesError, read
 
 WITHIN = 20.0
 QUICK: dict[str, object] = {
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -14,24 +14,13 @@
 
 import pytest
 
+from sablewheel.experiments.fleet import LISTEN, Block
+from sablewheel.experiments.forwarding import KEYS, Stage
+from sablewheel.experiments.forwarding import REQUEST_CLASSES as SHARES
+from sablewheel.experiments.made_fleet import MadeFleet
+from sablewheel.experiments.rig import Rig, free_port
 from sablewheel.forwarding import forwarding_pb2 as pb
-from sablewheel.forwarding.forward import Forward
-from sablewheel.forwarding.frames import Frames, Hops, frame
-from sablewheel.forwarding.links import Links
-from sablewheel.forwarding.messages import (
-    Answer,
-    BadMessageError,
-    Cancel,
-    Final,
-    Message,
-    Pass,
-    Passed,
-    Refused,
-    Taken,
-    decode,
-    encode,
-)
-from sablewheel.forwarding.passing import (
+from sablewheel.forwarding.forwarding_state import (
     Abandon,
     Admit,
     Answered,
@@ -50,17 +39,28 @@
     Unsure,
     Wanted,
 )
+from sablewheel.forwarding.frames import Frames, Hops, frame
+from sablewheel.forwarding.messages import (
+    Answer,
+    BadMessageError,
+    Cancel,
+    Final,
+    Message,
+    Pass,
+    Passed,
+    Refused,
+    Taken,
+    decode,
+    encode,
+)
+from sablewheel.forwarding.peer_connections import Links
 from sablewheel.forwarding.plan import LinkSettings, PassSettings
+from sablewheel.forwarding.service import Forward
 from sablewheel.membership.view import Member, View
-from sablewheel.program.features import FaultyFeaturesError, read
-from sablewheel.routing.exchange import UNWITNESSED, Exchange
-from sablewheel.terms import Client, Idempotency, Request, RequestClass
+from sablewheel.overload.interface import Client, Idempotency, Request, RequestClass
+from sablewheel.program.feature_file import FaultyFeaturesError, read
+from sablewheel.serving.exchange import UNWITNESSED, Exchange
 from sablewheel.transport.scheduler import Clock, Scheduler
-from sablewheel.trials.fleet import LISTEN, Block
-from sablewheel.trials.forwarding import KEYS, Stage
-from sablewheel.trials.forwarding import REQUEST_CLASSES as SHARES
-from sablewheel.trials.made_fleet import MadeFleet
-from sablewheel.trials.rig import Rig, free_port
 
 PATIENCE = 5.0
 
--- a/tests/test_incident_duplicate_run.py
+++ b/tests/test_incident_duplicate_run.py
@@ -25,7 +25,7 @@
 import pytest
 from installation import KEYED, PATIENCE, Installation, Pair
 
-from sablewheel.trials.rig import Rig
+from sablewheel.experiments.rig import Rig
 
 CROSSING_MOST = 1.0  # seconds for which a notice is held so that a command may cross it
 
--- a/tests/test_faults.py
+++ b/tests/test_internal_errors.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import pytest
-from test_routing import SERVER_SETTINGS
-from world import Town
+from simulated_server import Town
+from test_serving import SERVER_SETTINGS
 
 
 @pytest.mark.parametrize("step", ["remember", "run", "deny"])
--- a/tests/test_crossing_link.py
+++ b/tests/test_interpreter_link_races.py
@@ -11,13 +11,13 @@
 from random import Random
 
 import pytest
-from test_routing import SERVER_SETTINGS
-from world import Interpreter, MadeStream, Town
+from simulated_server import Interpreter, MadeStream, Town
+from test_serving import SERVER_SETTINGS
 
+from sablewheel.overload.interface import Client, Idempotency, Outcome, Request, RequestClass
 from sablewheel.protocol import interpreter
-from sablewheel.routing.client import ASKED_MOST, InterpreterClient
-from sablewheel.routing.exchange import Exchange
-from sablewheel.terms import Client, Idempotency, Outcome, Request, RequestClass
+from sablewheel.serving.exchange import Exchange
+from sablewheel.serving.interpreter_client import ASKED_MOST, InterpreterClient
 from sablewheel.transport.scheduler import Clock, Scheduler
 from sablewheel.transport.stream import Listener, Stream, connect
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -12,10 +12,17 @@
 import pytest
 
 import sablewheel
-from sablewheel.program.features import Features, Section, Top
-from sablewheel.program.parts import DECLARED
+from sablewheel.program.feature_file import Features, Section, Top
+from sablewheel.program.feature_registry import DECLARED
 
 ROOT = Path(sablewheel.__file__).parent
+# The packages of the sections whose names in the features file differ from theirs.
+PACKAGES = {
+    "ledger": "usage_metering",
+    "recall": "result_store",
+    "policy": "feature_policy",
+    "affinity": "session_affinity",
+}
 
 
 def imports(file: Path) -> Iterator[str]:
@@ -62,11 +69,11 @@
 
 def test_no_circle_of_modules_nor_of_packages() -> None:
     modules = graph()
-    assert "sablewheel.routing.exchange" in modules["sablewheel.routing.labels"]
+    assert "sablewheel.serving.exchange" in modules["sablewheel.serving.idempotency_keys"]
     assert circle(modules) == [] and circle(rooms(modules)) == []
-    modules["sablewheel.routing.exchange"].add("sablewheel.routing.labels")
+    modules["sablewheel.serving.exchange"].add("sablewheel.serving.idempotency_keys")
     assert circle(modules)  # the check finds one that is there
-    modules["sablewheel.routing.exchange"].add("sablewheel.program.parts")
+    modules["sablewheel.serving.exchange"].add("sablewheel.program.feature_registry")
     assert circle(rooms(modules))
 
 
@@ -86,8 +93,8 @@
 def test_a_section_that_is_off_is_not_imported(section: str) -> None:
     """The parts know their features by name only, until they are made; plans are plain values."""
     program = (
-        "import sys, sablewheel.program.parts;"
-        f"sys.exit(any(one.startswith('sablewheel.{section}.') and"
+        "import sys, sablewheel.program.feature_registry;"
+        f"sys.exit(any(one.startswith('sablewheel.{PACKAGES.get(section, section)}.') and"
         " one.split('.')[-1] not in ('plan', 'periods', 'view') for one in sys.modules))"
     )
     assert subprocess.run([sys.executable, "-c", program], timeout=30).returncode == 0
--- a/tests/test_caps.py
+++ b/tests/test_limits.py
@@ -9,14 +9,15 @@
 from types import SimpleNamespace
 
 import pytest
-from test_routing import SERVER_SETTINGS
-from world import Town
-
-from sablewheel.capability.ability import CATALOGUE
-from sablewheel.forwarding.links import Links
+from simulated_server import Town
+from test_serving import SERVER_SETTINGS
+
+from sablewheel.experiments.fleet import Block
+from sablewheel.experiments.made_net import Net
+from sablewheel.experiments.rig import free_port
+from sablewheel.feature_policy.host_capabilities import CATALOGUE
+from sablewheel.forwarding.peer_connections import Links
 from sablewheel.forwarding.plan import LinkSettings
-from sablewheel.ledger.collector import Collector
-from sablewheel.ledger.plan import CollectorPlan
 from sablewheel.membership import codec
 from sablewheel.membership.detector import RELAYED_MOST
 from sablewheel.membership.events import Got, Send, Tick
@@ -27,15 +28,15 @@
 from sablewheel.membership.reports import _fitting as fitting
 from sablewheel.membership.view import Change, Kind, Member, View, proposal
 from sablewheel.membership.voting import _fitting as votes_fitting
-from sablewheel.program import application, configuration, features
-from sablewheel.program.parts import Parts
+from sablewheel.overload.interface import Client
+from sablewheel.program import application, configuration
+from sablewheel.program import feature_file as features
+from sablewheel.program.feature_registry import Parts
 from sablewheel.protocol import resp
-from sablewheel.routing.server import ROUTERS_TIMES
-from sablewheel.terms import Client
+from sablewheel.serving.listener import ROUTERS_TIMES
 from sablewheel.transport.scheduler import Clock, Scheduler
-from sablewheel.trials.fleet import Block
-from sablewheel.trials.made_net import Net
-from sablewheel.trials.rig import free_port
+from sablewheel.usage_metering.collector import Collector
+from sablewheel.usage_metering.plan import CollectorPlan
 
 LEAST = 1024  # the operators' own bound
 ENTRY_BYTES = 256  # a router remembered: its object, its number and its place in the table
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -8,12 +8,18 @@
 
 import pytest
 
-from sablewheel.membership import codec, shell
+from sablewheel.experiments.fleet import PORT, Block
+from sablewheel.experiments.made_net import Net
+from sablewheel.experiments.membership_model import Deaf, explore, starts
+from sablewheel.experiments.membership_report import NAMES, by_size, draw
+from sablewheel.membership import codec
 from sablewheel.membership import membership_pb2 as pb
-from sablewheel.membership.agree import Agreement
+from sablewheel.membership import service as shell
+from sablewheel.membership.consensus import Agreement
 from sablewheel.membership.detector import RELAYED_MOST
 from sablewheel.membership.events import Got, Judge, Part, Send
 from sablewheel.membership.gossip import NEWS_KEPT
+from sablewheel.membership.member_table import JOINERS_MOST
 from sablewheel.membership.messages import (
     Accept,
     Accepted,
@@ -41,14 +47,9 @@
 from sablewheel.membership.node import Node
 from sablewheel.membership.plan import BROKEN, MembershipPlan, Mode, Settings
 from sablewheel.membership.reports import Reports
-from sablewheel.membership.roster import JOINERS_MOST
-from sablewheel.membership.shell import Fleet
+from sablewheel.membership.service import Fleet
 from sablewheel.membership.view import Change, Fact, Kind, Member, View, fingerprint, proposal, rings
 from sablewheel.transport.scheduler import Clock, Scheduler
-from sablewheel.trials.fleet import PORT, Block
-from sablewheel.trials.made_net import Net
-from sablewheel.trials.membership_model import Deaf, explore, starts
-from sablewheel.trials.membership_report import NAMES, by_size, draw
 
 
 def started(n: int, settings: Settings | None = None, seed: int = 1) -> Net:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 import pytest
-from world import Interpreter, call, frame
+from simulated_server import Interpreter, call, frame
 
 from sablewheel.program import configuration, logs
 from sablewheel.protocol.resp import Parser
@@ -558,7 +558,7 @@
 
 
 def test_the_adapter_needs_no_greenlet() -> None:
-    program = "import sys, sablewheel.benchlink.__main__; sys.exit('greenlet' in sys.modules)"
+    program = "import sys, sablewheel.bench_adapter.__main__; sys.exit('greenlet' in sys.modules)"
     assert subprocess.run([sys.executable, "-c", program], timeout=PATIENCE).returncode == 0
 
 
@@ -566,14 +566,14 @@
     second, bound, form = 5.0, logs.RateBound(), logs.KeyValueFormatter()
     monkeypatch.setattr(time, "monotonic", lambda: second)
     record = logging.LogRecord(
-        "sablewheel.routing.server", logging.WARNING, "", 0, "faulty frame", None, None
+        "sablewheel.serving.listener", logging.WARNING, "", 0, "faulty frame", None, None
     )
     record.pairs = {"tag": 7, "reason": 'a "b"\nc', "empty": ""}
     passed = sum(bound.filter(record) is True for _ in range(logs.LINES_A_SECOND + 30))
     assert passed == logs.LINES_A_SECOND
     second = 6.0
     assert bound.filter(record)
-    said = 'from=routing.server event="faulty frame" tag=7 reason="a \\"b\\"\\nc" empty="" left_out=30'
+    said = 'from=serving.listener event="faulty frame" tag=7 reason="a \\"b\\"\\nc" empty="" left_out=30'
     assert form.format(record).endswith(said)
 
 
--- a/tests/test_told_waits.py
+++ b/tests/test_propagated_deadlines.py
@@ -5,11 +5,11 @@
 from dataclasses import replace
 
 import pytest
-from test_routing import SERVER_SETTINGS
-from world import Town, call
+from simulated_server import Town, call
+from test_serving import SERVER_SETTINGS
 
+from sablewheel.overload.interface import Cancellation, RequestClass, ServerSettings
 from sablewheel.protocol import resp
-from sablewheel.terms import Cancellation, RequestClass, ServerSettings
 
 TOLD = replace(SERVER_SETTINGS, deadline_propagated=True, marks_retries=True)
 
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -8,7 +8,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from world import call, frame
+from simulated_server import call, frame
 
 from sablewheel.protocol import interpreter, naming, resp
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -10,14 +10,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sablewheel.replication.catchup import Ranges
+from sablewheel.experiments import replication_model
+from sablewheel.experiments.replication_stage import KINDS, AsyncBackup, Stage, drawn
 from sablewheel.replication.entries import EMPTY, Change, Entry, Outcome, State, changed, merge
 from sablewheel.replication.messages import Accept, Ask, Claim, Got, Refuse, Send, Told, Viewed
 from sablewheel.replication.placement import Placement, Site, slot_of
 from sablewheel.replication.plan import Settings
+from sablewheel.replication.range_transfer import Ranges
 from sablewheel.replication.replica import PAST_MOST, Replica
-from sablewheel.trials import replication_model
-from sablewheel.trials.replication_stage import KINDS, AsyncBackup, Stage, drawn
 
 OWNERS = [("a", 1, 1), ("b", 1, 1), ("b", 2, 1)]
 owners = st.sampled_from(OWNERS)
--- a/tests/test_replication_keeper.py
+++ b/tests/test_replication_service.py
@@ -16,24 +16,24 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from sablewheel.experiments import wire
+from sablewheel.experiments.fleet import LISTEN, Block
+from sablewheel.experiments.forwarding import KEYS
+from sablewheel.experiments.replication import Replicas
+from sablewheel.experiments.rig import Rig
 from sablewheel.membership.view import Fact, Member, View
-from sablewheel.program.features import FaultyFeaturesError, read
+from sablewheel.overload.interface import Client, Idempotency, Request, RequestClass
+from sablewheel.overload.interface import Outcome as Ended
+from sablewheel.program.feature_file import FaultyFeaturesError, read
 from sablewheel.protocol.resp import Parser
 from sablewheel.replication import codec, messages
 from sablewheel.replication.entries import EMPTY, Entry, Outcome
-from sablewheel.replication.keeper import Keeper
 from sablewheel.replication.placement import Site
 from sablewheel.replication.plan import ReplicationPlan, Settings
-from sablewheel.routing.exchange import Caller, Exchange, Place
-from sablewheel.routing.seam import UNREMEMBERED
-from sablewheel.terms import Client, Idempotency, Request, RequestClass
-from sablewheel.terms import Outcome as Ended
+from sablewheel.replication.service import Keeper
+from sablewheel.serving.exchange import Caller, Exchange, Place
+from sablewheel.serving.hooks import UNREMEMBERED
 from sablewheel.transport.scheduler import Scheduler
-from sablewheel.trials import wire
-from sablewheel.trials.fleet import LISTEN, Block
-from sablewheel.trials.forwarding import KEYS
-from sablewheel.trials.replication import Replicas
-from sablewheel.trials.rig import Rig
 
 NAMES = "abc"
 RECORD = RequestClass(Idempotency.KEYED, 1.0, 2.0, 6.0)
--- a/tests/test_recall.py
+++ b/tests/test_result_store.py
@@ -11,29 +11,29 @@
 
 import pytest
 from click.testing import CliRunner
+from fake_disk import MadeFiles
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
-from made_disk import MadeFiles
-from test_ledger import SERVER_SETTINGS, SlowBridge
-from world import Town, Try
+from simulated_server import Town, Try
+from test_usage_metering import SERVER_SETTINGS, SlowBridge
 
 from sablewheel.command.main import main
+from sablewheel.overload.interface import Outcome
 from sablewheel.protocol.resp import Parser
-from sablewheel.recall import recall_pb2 as pb
-from sablewheel.recall import recorder as recording
-from sablewheel.recall import written
-from sablewheel.recall.carrying import Carrier
-from sablewheel.recall.cold import may_have_run, up_at
-from sablewheel.recall.loading import Loaded
-from sablewheel.recall.memory import ENTRY_BYTES, Entry, Memory, State
-from sablewheel.recall.plan import RecallPlan, Start, Unreadable
-from sablewheel.recall.recorder import KIND, Recorder
-from sablewheel.recall.windows import Moment, shift, until_after
-from sablewheel.routing.exchange import UNWITNESSED
-from sablewheel.state.files import DiskFiles
-from sablewheel.state.log import Log
-from sablewheel.terms import Outcome
+from sablewheel.result_store import codec as written
+from sablewheel.result_store import recorder as recording
+from sablewheel.result_store import result_store_pb2 as pb
+from sablewheel.result_store.carrying import Carrier
+from sablewheel.result_store.cold_start import may_have_run, up_at
+from sablewheel.result_store.memory import ENTRY_BYTES, Entry, Memory, State
+from sablewheel.result_store.plan import RecallPlan, Start, Unreadable
+from sablewheel.result_store.recorder import KIND, Recorder
+from sablewheel.result_store.recovery import Loaded
+from sablewheel.result_store.windows import Moment, shift, until_after
+from sablewheel.serving.exchange import UNWITNESSED
+from sablewheel.storage.files import DiskFiles
+from sablewheel.storage.log import Log
 from sablewheel.transport.background import Background
 
 BOOT = b"boot0001"
@@ -330,10 +330,10 @@
         self.dispatch._memory = self.recorder
         # The town greeted its interpreter before: what a start would have told is told now.
         born = self.now - (5000.0 if outlived or before is None else 0.0)
-        from sablewheel import terms
+        from sablewheel.overload import interface
 
         recalled = self.recorder.recalled(born, self.idempotency_keys)
-        self.dispatch._events[:0] = [terms.KeyRecovered(request, life) for request, life in recalled]
+        self.dispatch._events[:0] = [interface.KeyRecovered(request, life) for request, life in recalled]
         self.client.adopt(*self.recorder.adopted())
         if outlived:
             missed = b"".join(self.interpreter.notices[self.recorder.last_notice :])
@@ -464,7 +464,7 @@
     copy = Try(len(town.tries) + 1, b"%016x" % 99, b"record", b"", town.now)
     copy.body = b"another body"
     town.tries.append(copy)
-    from world import call
+    from simulated_server import call
 
     town.router.feed(call(copy.tag, copy.name, b"record", town.now, copy.body, b"label"))
     town.settle()
--- a/tests/test_crossing_scheduler.py
+++ b/tests/test_scheduler_races.py
@@ -16,7 +16,7 @@
 from test_transport import play as play_for
 
 from sablewheel.transport.scheduler import READABLE, Clock, Scheduler
-from sablewheel.transport.wake import Wake
+from sablewheel.transport.wakeup import Wake
 
 MOST = 2.0  # no test waits longer
 
--- a/tests/test_rules.py
+++ b/tests/test_service_rules.py
@@ -9,11 +9,11 @@
 import pytest
 from hypothesis import HealthCheck, Phase, given, seed, settings
 from hypothesis import strategies as st
-from world import CALLING, HELD, JOINED, OVER, RUNNING, STANDING, Fact, World
+from simulated_server import CALLING, HELD, JOINED, OVER, RUNNING, STANDING, Fact, World
 
-from sablewheel import terms
-from sablewheel.choice import BUSY_MOST, Controller, Samples
-from sablewheel.terms import (
+from sablewheel.overload import interface
+from sablewheel.overload.controller import BUSY_MOST, Controller, Samples
+from sablewheel.overload.interface import (
     AdvertisementKind,
     Cancellation,
     Client,
@@ -169,7 +169,7 @@
     assert all(fact.answered for fact in world.facts.values())
 
 
-def actions(world: World) -> list[terms.Action]:
+def actions(world: World) -> list[interface.Action]:
     return world.batch([])
 
 
@@ -275,7 +275,7 @@
     rejected = [
         action
         for action in actions(world)
-        if isinstance(action, terms.Reject) and action.request is fact.request
+        if isinstance(action, interface.Reject) and action.request is fact.request
     ]
     assert [action.no_retry_elsewhere for action in rejected] == [again]
 
@@ -291,12 +291,12 @@
     assert [one.place for one in flood] == [RUNNING, RUNNING, HELD, HELD] and fact.place == HELD
 
 
-def read_one(controller: Controller, now: float, router: Client, open_ones: float) -> list[terms.Action]:
+def read_one(controller: Controller, now: float, router: Client, open_ones: float) -> list[interface.Action]:
     """A request comes and is completed at once; the gauges are told."""
     request = Request(PLAIN.request_classes[1], router, None, now, 1.0)
-    events: list[terms.Event] = [terms.RequestArrived(request), terms.TimerFired(0.5, open_ones)]
+    events: list[interface.Event] = [interface.RequestArrived(request), interface.TimerFired(0.5, open_ones)]
     return controller.decide(now, events) + controller.decide(
-        now + 0.05, [terms.RunEnded(request, 0.05, Outcome.SUCCEEDED)]
+        now + 0.05, [interface.RunEnded(request, 0.05, Outcome.SUCCEEDED)]
     )
 
 
@@ -309,11 +309,11 @@
     for number in range(100):
         open_ones = 100.0 + number if growing else 70.0
         actions = read_one(controller, 100.0 + 0.2 * number, routers[number % crowd], open_ones)
-        spans += [action.idle_timeout_s for action in actions if isinstance(action, terms.CloseIdle)]
+        spans += [action.idle_timeout_s for action in actions if isinstance(action, interface.CloseIdle)]
     assert spans == ([PLAIN.answer_slack_s] if crowd == 400 and not growing else [])
     for number in range(100):  # the same few now come again and again
         actions = read_one(controller, 130.0 + 0.2 * number, routers[number % 4], 70.0)
-        spans += [action.idle_timeout_s for action in actions if isinstance(action, terms.CloseIdle)]
+        spans += [action.idle_timeout_s for action in actions if isinstance(action, interface.CloseIdle)]
     assert spans[-1:] in ([], [30.0])
 
 
@@ -324,7 +324,7 @@
         fact = taken(world, 1, cost_hint=0.1 + 0.1 * (number % 10))
         fact.place = OVER
         fact.answered = True
-        world.later.append(terms.RunEnded(fact.request, fact.request.cost_hint or 0.0, Outcome.SUCCEEDED))
+        world.later.append(interface.RunEnded(fact.request, fact.request.cost_hint or 0.0, Outcome.SUCCEEDED))
         actions(world)
         world.wait(0.01)
     return world
@@ -399,7 +399,7 @@
         fact = taken(world, 0)
         fact.place = OVER
         fact.answered = True
-        world.later.append(terms.RunEnded(fact.request, took, Outcome.SUCCEEDED))
+        world.later.append(interface.RunEnded(fact.request, took, Outcome.SUCCEEDED))
         actions(world)
     facts = [world.arrive(0) for _ in range(3)]
     actions(world)
@@ -462,7 +462,7 @@
     """A read entered the table though memory was full, and non-idempotent requests did too."""
     world = World(replace(PLAIN, coalesce_reads_for_s=1.0, idempotency_key_kb=2.0))
     world.arrive(request_class, kb, subject="one")
-    assert sum(isinstance(action, terms.ReserveKey) for action in actions(world)) == kept
+    assert sum(isinstance(action, interface.ReserveKey) for action in actions(world)) == kept
 
 
 def test_a_request_stands_at_a_call_no_longer_than_its_budget() -> None:
@@ -492,7 +492,9 @@
         return count
 
     sys.settrace(count)
-    world.controller.decide(world.now, [terms.RequestArrived(replace(request, stage=terms.Stage.QUEUED))])
+    world.controller.decide(
+        world.now, [interface.RequestArrived(replace(request, stage=interface.Stage.QUEUED))]
+    )
     sys.settrace(None)
     return lines
 
@@ -530,7 +532,7 @@
         world = World(plain)
         flood = [world.arrive(0) for _ in range(2)]
         actions(world)
-        world.batch([terms.TimerFired(busy, 3.0, runnable)] * 3)
+        world.batch([interface.TimerFired(busy, 3.0, runnable)] * 3)
         flood += [world.arrive(0) for _ in range(14)]
         actions(world)
         running = [one for one in flood if one.place == RUNNING]
@@ -556,7 +558,7 @@
             for _ in range(4):
                 world.arrive(0)
             actions(world)
-            world.batch([terms.TimerFired(world.busy(), 3.0)])
+            world.batch([interface.TimerFired(world.busy(), 3.0)])
             for fact in world.at(RUNNING)[:cores]:
                 world.finish(fact, Outcome.SUCCEEDED)
             world.wait(0.2)
@@ -564,7 +566,7 @@
 
     for _ in range(50):  # of its start, when runs did fill the cores
         world.arrive(0)
-        world.batch([terms.TimerFired(1.0, 3.0)])
+        world.batch([interface.TimerFired(1.0, 3.0)])
     assert burst(0.15) >= 0.7 * BUSY_MOST * cores / 0.15
     burst(1.0)
     assert burst(1.0) <= cores + 1
@@ -596,7 +598,7 @@
     for request_class, took in [(0, 1.0), (1, 0.05)] * 10:
         fact = taken(world, request_class)
         fact.place, fact.answered = OVER, True
-        world.later.append(terms.RunEnded(fact.request, took, Outcome.SUCCEEDED))
+        world.later.append(interface.RunEnded(fact.request, took, Outcome.SUCCEEDED))
         actions(world)
     world.wait(1.1)
     running = [taken(world, request_class) for request_class in (0, 1)]
@@ -660,9 +662,9 @@
     """Just after a start nothing is held and no trip is known: a rejection said come back in 0 ms."""
     world = World(replace(PLAIN, memory_kb=60.0 if not waited else PLAIN.memory_kb))
     facts = [world.arrive(0, waited=waited) for _ in range(1 if waited else 8)]
-    rejected = [action for action in actions(world) if isinstance(action, terms.Reject)]
+    rejected = [action for action in actions(world) if isinstance(action, interface.Reject)]
     assert rejected and all(0 < action.retry_after_s <= PLAIN.max_retry_after_s for action in rejected)
     assert {action.reason for action in rejected} == {
-        terms.RejectionReason.WAIT_BUDGET if waited else terms.RejectionReason.MEMORY
+        interface.RejectionReason.WAIT_BUDGET if waited else interface.RejectionReason.MEMORY
     }
     assert all(fact.answered for fact in facts if fact.place == OVER)
--- a/tests/test_routing.py
+++ b/tests/test_serving.py
@@ -9,10 +9,10 @@
 import pytest
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
-from world import MadeStream, Town, call, frame
+from simulated_server import MadeStream, Town, call, frame
 
-from sablewheel.choice import ROUTERS_KNOWN
-from sablewheel.terms import Cancellation, Idempotency, RequestClass, ServerSettings, Tenant
+from sablewheel.overload.controller import ROUTERS_KNOWN
+from sablewheel.overload.interface import Cancellation, Idempotency, RequestClass, ServerSettings, Tenant
 
 SERVER_SETTINGS = ServerSettings(
     request_classes=(
--- a/tests/test_affinity.py
+++ b/tests/test_session_affinity.py
@@ -9,10 +9,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sablewheel.affinity import codec
-from sablewheel.affinity.binding import Binding, Cause, State, newer
-from sablewheel.affinity.budget import DEPTH, Budget
-from sablewheel.affinity.events import (
+from sablewheel.experiments.affinity_model import STARTS, explore
+from sablewheel.experiments.affinity_replicas import ReplicaWorld
+from sablewheel.experiments.affinity_storm import storm
+from sablewheel.membership.view import Member, View
+from sablewheel.overload.interface import Idempotency
+from sablewheel.program.feature_file import FaultyFeaturesError, check
+from sablewheel.session_affinity import codec
+from sablewheel.session_affinity.binding import Binding, Cause, State, newer
+from sablewheel.session_affinity.budget import DEPTH, Budget
+from sablewheel.session_affinity.events import (
     Active,
     Answered,
     Came,
@@ -38,16 +44,10 @@
     Why,
     Write,
 )
-from sablewheel.affinity.keys import FIELD_MOST, KEY_SIZE, Carried, key_of
-from sablewheel.affinity.placing import Load, begin_on, bounds, move_to
-from sablewheel.affinity.plan import Settings
-from sablewheel.affinity.sessions import Phase, Sessions
-from sablewheel.membership.view import Member, View
-from sablewheel.program.features import FaultyFeaturesError, check
-from sablewheel.terms import Idempotency
-from sablewheel.trials.affinity_model import STARTS, explore
-from sablewheel.trials.affinity_replicas import ReplicaWorld
-from sablewheel.trials.affinity_storm import storm
+from sablewheel.session_affinity.keys import FIELD_MOST, KEY_SIZE, Carried, key_of
+from sablewheel.session_affinity.placement import Load, begin_on, bounds, move_to
+from sablewheel.session_affinity.plan import Settings
+from sablewheel.session_affinity.sessions import Phase, Sessions
 
 VIEW = View(1, tuple(Member(name, name, incarnation=1) for name in ("a", "b", "c")))
 NUMBER = 1 << 20 | 1  # the first of epoch 1
--- a/tests/test_affinity_placer.py
+++ b/tests/test_session_router.py
@@ -8,20 +8,20 @@
 from typing import Any, cast
 
 import pytest
-from test_replication_keeper import Time, Told
+from test_replication_service import Time, Told
 
-from sablewheel.affinity.events import Active
-from sablewheel.affinity.placer import KIND, Affinity, Watching
-from sablewheel.affinity.plan import AffinityPlan, Settings
-from sablewheel.forwarding.forward import Forward
-from sablewheel.forwarding.passing import Passing
+from sablewheel.forwarding.forwarding_state import Passing
+from sablewheel.forwarding.service import Forward
 from sablewheel.membership.view import Fact, Member, View
-from sablewheel.replication.keeper import Keeper
+from sablewheel.overload.interface import Client, Idempotency, Outcome, Request, RequestClass, Tenant
 from sablewheel.replication.plan import ReplicationPlan
 from sablewheel.replication.plan import Settings as ReplicaSettings
-from sablewheel.routing.exchange import UNWITNESSED, Exchange, Place
-from sablewheel.routing.seam import UNREMEMBERED
-from sablewheel.terms import Client, Idempotency, Outcome, Request, RequestClass, Tenant
+from sablewheel.replication.service import Keeper
+from sablewheel.serving.exchange import UNWITNESSED, Exchange, Place
+from sablewheel.serving.hooks import UNREMEMBERED
+from sablewheel.session_affinity.events import Active
+from sablewheel.session_affinity.plan import AffinityPlan, Settings
+from sablewheel.session_affinity.session_router import KIND, Affinity, Watching
 
 NAMES = "abc"
 REQUEST_CLASSES = {
--- a/tests/test_crossing_shutdown.py
+++ b/tests/test_shutdown_races.py
@@ -19,8 +19,8 @@
 from typing import Any
 
 import pytest
+from simulated_server import call, frame
 from test_program import PATIENCE, SETTINGS, Peer, Place, wait_until
-from world import call, frame
 
 from sablewheel.protocol import naming
 from sablewheel.transport.scheduler import Clock, Scheduler
@@ -80,7 +80,7 @@
 import os, signal, sys, time
 from sablewheel import __main__ as start
 from sablewheel.program.application import Application
-from sablewheel.routing.dispatch import Dispatch
+from sablewheel.serving.dispatcher import Dispatch
 def tell(*numbers):
     for number in numbers:
         os.kill(os.getpid(), number)
@@ -270,7 +270,7 @@
 
 def test_who_waits_for_what_is_remembered_is_answered_before_the_end(place: Place) -> None:
     """It may be a repeat of what ran before the start: so it fails, and it is not rejected."""
-    process = child(place, "from sablewheel.routing import seam; seam.Unremembered.ready = False")
+    process = child(place, "from sablewheel.serving import hooks; hooks.Unremembered.ready = False")
     peer = place.ready()
     peer.send(peer.call(1, b"record", b"ab"))
     assert peer.ask(999, HEALTH)[1] == b"UP"
@@ -653,7 +653,7 @@
 FAULTY = """
 import sys
 from sablewheel import __main__ as start
-from sablewheel.routing.dispatch import Dispatch
+from sablewheel.serving.dispatcher import Dispatch
 from sablewheel.transport.stream import Listener
 def fault(*_):
     raise RuntimeError("a fault of ours")
--- a/tests/test_state.py
+++ b/tests/test_storage.py
@@ -10,17 +10,17 @@
 from pathlib import Path
 
 import pytest
+from fake_disk import MadeFiles
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from made_disk import MadeFiles
-
-from sablewheel.state import records
-from sablewheel.state.files import DiskFiles, InUseError
-from sablewheel.state.health import Disk, DiskHealth
-from sablewheel.state.log import START, DiskFault, Log
-from sablewheel.state.store import Store
-from sablewheel.transport.bridge import Bridge
+
+from sablewheel.storage import records
+from sablewheel.storage.files import DiskFiles, InUseError
+from sablewheel.storage.health import Disk, DiskHealth
+from sablewheel.storage.log import START, DiskFault, Log
+from sablewheel.storage.store import Store
 from sablewheel.transport.scheduler import Clock, Scheduler
+from sablewheel.transport.worker_thread import Bridge
 
 KIND = b"test"
 
--- a/tests/test_ledger.py
+++ b/tests/test_usage_metering.py
@@ -20,26 +20,11 @@
 
 import pytest
 from click.testing import CliRunner
-from made_disk import MadeFiles
-from world import Town
+from fake_disk import MadeFiles
+from simulated_server import Town
 
 from sablewheel.command.main import main
-from sablewheel.ledger import blocks, collecting, export, keeper, reports, statement
-from sablewheel.ledger import ledger_pb2 as pb
-from sablewheel.ledger.auditing import reconcile_folders
-from sablewheel.ledger.blocks import Sealed
-from sablewheel.ledger.book import Book, BookError
-from sablewheel.ledger.collector import Collector
-from sablewheel.ledger.corrections import Correction, CorrectionError, Target
-from sablewheel.ledger.frames import Frames, frame
-from sablewheel.ledger.keeper import Keeper
-from sablewheel.ledger.periods import Periods
-from sablewheel.ledger.plan import Answers, Calendar, CollectorPlan, Depth, LedgerPlan, Length
-from sablewheel.ledger.pool import Pool
-from sablewheel.program.features import FaultyFeaturesError, check, read
-from sablewheel.state.files import DiskFiles
-from sablewheel.state.log import Log
-from sablewheel.terms import (
+from sablewheel.overload.interface import (
     AdvertisementKind,
     Cancellation,
     Idempotency,
@@ -47,9 +32,25 @@
     ServerSettings,
     Tenant,
 )
+from sablewheel.program.feature_file import FaultyFeaturesError, check, read
+from sablewheel.storage.files import DiskFiles
+from sablewheel.storage.log import Log
 from sablewheel.transport.background import Background
-from sablewheel.transport.rota import SAVED_MOST, Chore, Rota
+from sablewheel.transport.periodic import SAVED_MOST, Chore, Rota
 from sablewheel.transport.scheduler import Clock, Scheduler
+from sablewheel.usage_metering import blocks, collecting, export, reports, statement
+from sablewheel.usage_metering import recorder as keeper
+from sablewheel.usage_metering import usage_metering_pb2 as pb
+from sablewheel.usage_metering.aggregation import Pool
+from sablewheel.usage_metering.auditing import reconcile_folders
+from sablewheel.usage_metering.blocks import Sealed
+from sablewheel.usage_metering.collector import Collector
+from sablewheel.usage_metering.corrections import Correction, CorrectionError, Target
+from sablewheel.usage_metering.frames import Frames, frame
+from sablewheel.usage_metering.journal import Book, BookError
+from sablewheel.usage_metering.periods import Periods
+from sablewheel.usage_metering.plan import Answers, Calendar, CollectorPlan, Depth, LedgerPlan, Length
+from sablewheel.usage_metering.recorder import Keeper
 
 SECOND = 1_000_000
 NOON = 1_796_126_400  # 2026-12-01T12:00Z
@@ -763,8 +764,9 @@
     code = (
         "import sys; import sablewheel.__main__, sablewheel.program.application, sablewheel.program.logs;"
         "print([one for one in sys.modules if one.split('.')[0] in ('pydantic', 'google', 'ruamel', 'click',"
-        " 'sqlite3', 'structlog', 'rich', 'zoneinfo', 'hashlib') or one.startswith(('sablewheel.ledger',"
-        " 'sablewheel.state', 'sablewheel.trials', 'sablewheel.command'))])"
+        " 'sqlite3', 'structlog', 'rich', 'zoneinfo', 'hashlib') or"
+        " one.startswith(('sablewheel.usage_metering',"
+        " 'sablewheel.storage', 'sablewheel.experiments', 'sablewheel.command'))])"
     )
     done = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, timeout=30, check=True
--- a/tests/test_ledger_decisions.py
+++ b/tests/test_usage_metering_decisions.py
@@ -13,19 +13,19 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from sablewheel.ledger import blocks, collecting, corrections, export
-from sablewheel.ledger import ledger_pb2 as pb
-from sablewheel.ledger.blocks import BlockError, Sealed
-from sablewheel.ledger.closing import Closer
-from sablewheel.ledger.collecting import Again, Apply, Known, Refuse
-from sablewheel.ledger.corrections import Correction, CorrectionError
-from sablewheel.ledger.export import Exporter, Link
-from sablewheel.ledger.frames import FrameError, Frames, frame
-from sablewheel.ledger.periods import PeriodError, Periods
-from sablewheel.ledger.plan import Calendar, ExportPlan, Length
-from sablewheel.ledger.pool import Pool
-from sablewheel.ledger.positions import Positions
-from sablewheel.state.log import START, Place
+from sablewheel.storage.log import START, Place
+from sablewheel.usage_metering import blocks, collecting, corrections, export
+from sablewheel.usage_metering import usage_metering_pb2 as pb
+from sablewheel.usage_metering.aggregation import Pool
+from sablewheel.usage_metering.blocks import BlockError, Sealed
+from sablewheel.usage_metering.collecting import Again, Apply, Known, Refuse
+from sablewheel.usage_metering.corrections import Correction, CorrectionError
+from sablewheel.usage_metering.export import Exporter, Link
+from sablewheel.usage_metering.frames import FrameError, Frames, frame
+from sablewheel.usage_metering.period_closing import Closer
+from sablewheel.usage_metering.periods import PeriodError, Periods
+from sablewheel.usage_metering.plan import Calendar, ExportPlan, Length
+from sablewheel.usage_metering.positions import Positions
 
 SECOND = 1_000_000
 ZONES = ("UTC", "America/Regina", "Europe/Berlin", "Australia/Lord_Howe", "America/Havana", "Pacific/Apia")
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -9,7 +9,7 @@
 import pytest
 from installation import KEYED, PATIENCE, SAFE, Installation
 
-from sablewheel.trials.rig import Rig
+from sablewheel.experiments.rig import Rig
 
 DEADLINE = 2.0  # of both classes in the rig's settings
 STOP = 3.0
