--- a/sablewheel/__main__.py
+++ b/sablewheel/__main__.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from .program.application import Application
-    from .program.configuration import Posting
+    from .program.configuration import PlacementSettings
     from .program.feature_file import Features
 
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
@@ -29,7 +29,7 @@
 
     features, file = None, os.environ.get("SABLEWHEEL_FEATURES")
     try:
-        posting = patiently(configuration.posting)
+        placement_settings = patiently(configuration.placement_settings)
     except configuration.FaultyKeyError as trouble:
         print(f"sablewheel: {trouble}", file=sys.stderr)
         return 2
@@ -41,14 +41,14 @@
         except FaultyFeaturesError as trouble:
             print(trouble, file=sys.stderr)
             return 2
-    logs.start(posting.level)
+    logs.start(placement_settings.level)
     try:
-        application = put_together(posting, features)
+        application = put_together(placement_settings, features)
     except OSError as trouble:
         if trouble.errno is None or trouble.filename:  # a feature's folder, not the door
             print(f"sablewheel: {trouble}", file=sys.stderr)
             return 1
-        host, port = posting.listen
+        host, port = placement_settings.listen
         print(f"sablewheel: listen: {host}:{port}: {trouble.strerror}", file=sys.stderr)
         return 1
     if application is None:
@@ -62,7 +62,7 @@
     return code
 
 
-def put_together(posting: Posting, features: Features | None) -> Application | None:
+def put_together(placement_settings: PlacementSettings, features: Features | None) -> Application | None:
     """The program's parts, its address taken; None: told to leave while another process held the address.
 
     Raises OSError where the address can't be had, or a feature's folder can't be used.
@@ -70,15 +70,15 @@
     from .program.application import Application
 
     if features is not None:  # not again: they hold folders by now
-        return Application(posting, features)
+        return Application(placement_settings, features)
     try:
-        return patiently(lambda: Application(posting))
+        return patiently(lambda: Application(placement_settings))
     except OSError as trouble:
         if trouble.errno != EADDRINUSE:
             raise
-    if not await_door(posting.listen, posting.stop_after + DOOR_SPARE):
+    if not await_door(placement_settings.listen, placement_settings.stop_after + DOOR_SPARE):
         return None
-    return patiently(lambda: Application(posting))
+    return patiently(lambda: Application(placement_settings))
 
 
 def patiently(step: Callable[[], T]) -> T:
--- a/sablewheel/command/main.py
+++ b/sablewheel/command/main.py
@@ -11,7 +11,7 @@
 import click
 
 from .. import __version__
-from ..program.configuration import FaultyKeyError, posting
+from ..program.configuration import FaultyKeyError, placement_settings
 from ..program.feature_file import VARIABLE, FaultyFeaturesError, read
 
 GROUPS = {
@@ -81,7 +81,7 @@
     for file in files:
         try:
             if Path(file).suffix == ".json":
-                posting({**os.environ, "RELAY_CONFIG": file})
+                placement_settings({**os.environ, "RELAY_CONFIG": file})
             else:
                 read(file)
         except FaultyFeaturesError as trouble:
--- a/sablewheel/experiments/affinity_model.py
+++ b/sablewheel/experiments/affinity_model.py
@@ -95,7 +95,7 @@
 
 
 def _bound(one: Binding) -> str:
-    return f"{one.owner}#{one.number} {one.state.value}" + (f" to {one.heir}" if one.heir else "")
+    return f"{one.owner}#{one.number} {one.state.value}" + (f" to {one.successor}" if one.successor else "")
 
 
 @dataclass
--- a/sablewheel/feature_policy/service.py
+++ b/sablewheel/feature_policy/service.py
@@ -20,7 +20,7 @@
 from ..membership.view import Fact, View
 from ..overload.interface import ServerSettings, Tenant
 from ..serving.exchange import Exchange
-from ..serving.listener import Desk
+from ..serving.listener import RequestHandler
 from ..transport.scheduler import Scheduler
 from ..transport.wakeup import Wake
 from . import codec
@@ -149,7 +149,7 @@
 
     # -- the gate, and where else a request may go
 
-    def gate(self, inner: Desk) -> Desk:
+    def gate(self, inner: RequestHandler) -> RequestHandler:
         return Gate(self, inner)
 
     def route(self, exchange: Exchange) -> Route:
@@ -339,7 +339,7 @@
 
     __slots__ = ("_inner", "_policies")
 
-    def __init__(self, policies: Policies, inner: Desk) -> None:
+    def __init__(self, policies: Policies, inner: RequestHandler) -> None:
         self._policies, self._inner = policies, inner
 
     def arrived(self, exchange: Exchange) -> None:
--- a/sablewheel/forwarding/service.py
+++ b/sablewheel/forwarding/service.py
@@ -1,4 +1,4 @@
-"""Passing requests on, in the server: a desk in front of the dispatch, and the caller of what peers pass
+"""Passing requests on, in the server: a handler in front of the dispatch, and the caller of what peers pass
 here.
 
 Decides nothing: whether and to whom a request goes says a placer, what becomes of it says `passing`. One that
@@ -6,7 +6,7 @@
 goes the same way as any other. One that came is admitted as if a router had sent it, so the controller here
 knows no difference; its caller is the peer.
 
-A request that is away has no witness here: the server that runs it tells its own, so it is counted once. One
+A request that is away has no observer here: the server that runs it tells its own, so it is counted once. One
 that ends here after all, as its link broke, is told to ours.
 """
 
@@ -19,8 +19,8 @@
 
 from ..membership.view import View
 from ..overload.interface import Client, Idempotency, Request, RequestClass, Tenant
-from ..serving.exchange import UNWITNESSED, Exchange, Witness
-from ..serving.listener import Desk
+from ..serving.exchange import NO_OBSERVER, Exchange, RequestObserver
+from ..serving.listener import RequestHandler
 from ..transport.scheduler import Scheduler
 from ..transport.wakeup import Wake
 from .forwarding_state import (
@@ -96,10 +96,10 @@
 class Away:
     """One of ours at a peer."""
 
-    __slots__ = ("exchange", "to", "witness")
+    __slots__ = ("exchange", "observer", "to")
 
-    def __init__(self, exchange: Exchange, to: str, witness: Witness) -> None:
-        self.exchange, self.to, self.witness = exchange, to, witness
+    def __init__(self, exchange: Exchange, to: str, observer: RequestObserver) -> None:
+        self.exchange, self.to, self.observer = exchange, to, observer
 
 
 class Guest:
@@ -139,18 +139,20 @@
         incarnation: int,
         request_classes: dict[bytes, RequestClass],
         tenants: dict[bytes, Tenant],
-        witness: Callable[[], Witness],
+        observer: Callable[[], RequestObserver],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._scheduler, self._links, self._passing, self._clock = scheduler, links, passing, clock
-        self._request_classes, self._tenants, self._witness = request_classes, tenants, witness
+        self._request_classes, self._tenants, self._observer = request_classes, tenants, observer
         self._tenant_names: dict[Tenant, bytes] = {}
         self.placer: Placer = Here()
         self.owner: Owner = Unknown()
-        self.guests: Desk | None = None  # who is told of what peers pass here; None: the inner desk
+        self.guests: RequestHandler | None = (
+            None  # who is told of what peers pass here; None: the inner handler
+        )
         # Who decides on one of ours that is back from a peer and may run again; with those not to be asked.
         self.home: Callable[[Exchange, str, frozenset[str]], None] | None = None
-        self._inner: Desk | None = None
+        self._inner: RequestHandler | None = None
         self._number = incarnation << LIVES
         self._away: dict[int, Away] = {}
         self._numbers: dict[Exchange, int] = {}
@@ -162,9 +164,9 @@
         links.on(KIND, self._heard, parted=True)
         links.on_broken(lambda peer: self._step(Broken(peer)))
 
-    # -- the seam: a desk in front of the dispatch
+    # -- the seam: a handler in front of the dispatch
 
-    def desk(self, inner: Desk) -> Desk:
+    def handler(self, inner: RequestHandler) -> RequestHandler:
         self._inner = inner
         return self
 
@@ -218,10 +220,10 @@
             return False
         self._number += 1
         number = self._number
-        self._away[number] = Away(exchange, to, exchange.witness)
+        self._away[number] = Away(exchange, to, exchange.observer)
         self._numbers[exchange] = number
         self._names.add(exchange.name)
-        exchange.witness = UNWITNESSED
+        exchange.observer = NO_OBSERVER
         self._step(Wanted(number, to, request.request_class.idempotency, told, age, left, tried))
         return True
 
@@ -276,9 +278,9 @@
                 self._admit(key, request, age)
             case Abandon(key):
                 guest = self._guests.pop(key, None)
-                desk = self.guests or self._inner
-                if guest is not None and guest.discard() and desk is not None:
-                    desk.gone(guest)
+                handler = self.guests or self._inner
+                if guest is not None and guest.discard() and handler is not None:
+                    handler.gone(guest)
             case Answered(number, answer, here):
                 away = self._home(number)
                 if away is not None:
@@ -286,7 +288,7 @@
             case Back(number, tried):
                 away = self._home(number)
                 if away is not None and not away.exchange.closed:
-                    away.exchange.witness = away.witness
+                    away.exchange.observer = away.observer
                     if self.home is not None:
                         self.home(away.exchange, away.to, tried)
                     else:
@@ -321,7 +323,7 @@
     def _answer(self, away: Away, answer: Answer, here: bool) -> None:
         exchange = away.exchange
         if here:
-            exchange.witness = away.witness
+            exchange.observer = away.observer
         match answer.final:
             case Final.COMPLETED:
                 exchange.complete(answer.result)
@@ -391,7 +393,7 @@
             told.idempotency_key,
             request,
             Guest(self, key),
-            self._witness(),
+            self._observer(),
         )
         exchange.session = told.session
         self._guests[key] = exchange
--- a/sablewheel/program/application.py
+++ b/sablewheel/program/application.py
@@ -16,12 +16,12 @@
 from ..serving.exchange import Exchange, Standing
 from ..serving.idempotency_keys import IdempotencyTable
 from ..serving.interpreter_client import InterpreterClient
-from ..serving.listener import Desk, Server
+from ..serving.listener import RequestHandler, Server
 from ..transport.datagram import Post
 from ..transport.scheduler import Clock, Scheduler
 from ..transport.stream import Address, Listener, Stream, connect
 from . import configuration
-from .configuration import FaultyKeyError, Posting, UnreadableFileError
+from .configuration import FaultyKeyError, PlacementSettings, UnreadableFileError
 from .counters import Counters
 from .feature import Feature, NoFeature
 
@@ -52,9 +52,9 @@
 
 
 class Refusing:
-    """In front of the desk once nothing that comes may run: each try is refused as it is read."""
+    """In front of the handler once nothing that comes may run: each try is refused as it is read."""
 
-    def __init__(self, inner: Desk, refuse: Callable[[Exchange], None]) -> None:
+    def __init__(self, inner: RequestHandler, refuse: Callable[[Exchange], None]) -> None:
         self._inner, self.arrived = inner, refuse
 
     def gone(self, exchange: Exchange) -> None:
@@ -64,15 +64,19 @@
 class Application:
     """All parts, and how they start and end."""
 
-    def __init__(self, posting: Posting, features: Features | None = None) -> None:
+    def __init__(self, placement_settings: PlacementSettings, features: Features | None = None) -> None:
         self.phase = Phase.WAITING
-        self._posting = posting
+        self._placement_settings = placement_settings
         self._counters = Counters()
         self._scheduler = scheduler = Scheduler(Clock())
         self._standing = Standing()
-        longest = max(request_class.timeout_s for request_class in posting.server_settings.request_classes)
+        longest = max(
+            request_class.timeout_s for request_class in placement_settings.server_settings.request_classes
+        )
         idempotency_keys = IdempotencyTable(
-            longest, posting.server_settings.answer_slack_s, posting.memory_bytes // KEPT_SHARE
+            longest,
+            placement_settings.server_settings.answer_slack_s,
+            placement_settings.memory_bytes // KEPT_SHARE,
         )
         count = self._counters.count
         scheduler.on_fault = lambda: count("faults")
@@ -82,7 +86,7 @@
 
             self._feature = Parts(
                 features,
-                posting,
+                placement_settings,
                 scheduler,
                 lambda: self._dispatch.batches,
                 self._never_begun,
@@ -93,9 +97,9 @@
             )
         self._dispatch = Dispatch(
             scheduler,
-            posting.server_settings,
-            posting.seed,
-            posting.gauge_places,
+            placement_settings.server_settings,
+            placement_settings.seed,
+            placement_settings.gauge_places,
             self._standing,
             idempotency_keys,
             self._opened,
@@ -103,28 +107,32 @@
         )
         self._server = Server(
             scheduler,
-            posting.request_classes,
-            posting.tenants,
+            placement_settings.request_classes,
+            placement_settings.tenants,
             self._standing,
-            self._feature.desk(self._dispatch),
+            self._feature.handler(self._dispatch),
             count,
             self._for_routers(),
-            self._feature.witness,
-            posting.server_settings.clients,
+            self._feature.observer,
+            placement_settings.server_settings.clients,
         )
         if features is not None and features.any:
             scheduler.every(SHARE_EVERY, lambda: self._server.allow(self._for_routers()))
-        self._post = Post(posting.naming)
+        self._post = Post(placement_settings.naming)
         # The last that may fail: a start that is tried again must not find its own door open.
         self._listener = Listener(
             scheduler,
-            posting.listen,
+            placement_settings.listen,
             self._server.room,
             self._server.accepted,
             self._server.make_room,
         )
         self._client = InterpreterClient(
-            scheduler, self._linking(posting.interpreter), self._dispatch, count, self._feature.last_notice
+            scheduler,
+            self._linking(placement_settings.interpreter),
+            self._dispatch,
+            count,
+            self._feature.last_notice,
         )
         self._dispatch.attach(self._server, self._client)
         self._stop_at = 0.0
@@ -147,7 +155,9 @@
         self._report()
         gc.collect()
         gc.freeze()
-        log.info("listening", extra={"pairs": {"name": self._posting.name, "phase": self.phase.value}})
+        log.info(
+            "listening", extra={"pairs": {"name": self._placement_settings.name, "phase": self.phase.value}}
+        )
         self._scheduler.run()
         self._feature.close(
             max(self._stop_at - self._scheduler.clock.read() - LAST_INSTANT / 2, LAST_INSTANT / 2)
@@ -173,20 +183,22 @@
         """The notice to leave; a second one changes nothing."""
         if self.phase not in (Phase.WAITING, Phase.SERVING):
             return
-        posting, now = self._posting, self._scheduler.clock.now
-        self._stop_at = now + posting.stop_after
+        placement_settings, now = self._placement_settings, self._scheduler.clock.now
+        self._stop_at = now + placement_settings.stop_after
         # First of all, so that no fault on the way can leave a server that is told to go without its end.
-        self._scheduler.after(max(posting.stop_after - LAST_ANSWERS, 0.0), self._answer_all)
+        self._scheduler.after(max(placement_settings.stop_after - LAST_ANSWERS, 0.0), self._answer_all)
         if self.phase is Phase.WAITING:
             # Nothing ran and nothing will: who waits for the start, here or still unread, is owed that word.
             self._feature.leaving()
             self._refuse()
             return self._part()
         # Past the grace nothing that comes may run: a closed door says so soonest.
-        grace = min(posting.server_settings.drain_grace_s, posting.stop_after - 2 * LAST_INSTANT)
+        grace = min(
+            placement_settings.server_settings.drain_grace_s, placement_settings.stop_after - 2 * LAST_INSTANT
+        )
         self._scheduler.after(max(grace, 0.0), self._part)
         self._enter(Phase.DRAINING)
-        self._dispatch.notice(posting.stop_after)
+        self._dispatch.notice(placement_settings.stop_after)
         self._send_report()
         self._feature.leaving()
 
@@ -204,8 +216,8 @@
 
     def _refuse(self) -> None:
         """From now on nothing that is read runs, and what waits for the start has waited for nothing."""
-        if not isinstance(self._server.desk, Refusing):
-            self._server.desk = Refusing(self._server.desk, self._dispatch.refuse)
+        if not isinstance(self._server.handler, Refusing):
+            self._server.handler = Refusing(self._server.handler, self._dispatch.refuse)
         self._dispatch.refuse_early()
 
     def _answer_all(self) -> None:
@@ -244,7 +256,7 @@
     def _try_to_read_anew(self, times_left: int, rest: float) -> None:
         """A file that can't be read now is tried again: it may name the only address that still serves."""
         try:
-            told = configuration.posting()
+            told = configuration.placement_settings()
         except UnreadableFileError as trouble:
             pairs = {"reason": trouble, "tries_left": times_left}
             log.error("configuration not read", extra={"pairs": pairs})
@@ -255,8 +267,8 @@
         else:
             self._take_anew(told)
 
-    def _take_anew(self, told: Posting) -> None:
-        held = self._posting
+    def _take_anew(self, told: PlacementSettings) -> None:
+        held = self._placement_settings
         keys = list(configuration.differing(held.told, told.told))
         # Requests in flight name their request class and tenant: settings that rename them wait for a
         # restart.
@@ -268,15 +280,15 @@
         waiting = [key for key in keys if key not in taken]
         pairs = {"taken": ",".join(taken), "need_restart": ",".join(waiting)}
         log.info("configuration read anew", extra={"pairs": pairs})
-        self._posting = replace(
+        self._placement_settings = replace(
             held,
             interpreter=told.interpreter,
             naming=told.naming,
             told={**held.told, **{key: told.told[key] for key in configuration.TAKEN_ANEW}},
         )
         if any(top(key) == "settings" for key in taken):
-            self._posting = replace(
-                self._posting, server_settings=told.server_settings, gauge_places=told.gauge_places
+            self._placement_settings = replace(
+                self._placement_settings, server_settings=told.server_settings, gauge_places=told.gauge_places
             )
             self._retune()
         if told.naming != held.naming:
@@ -288,15 +300,17 @@
 
     def _retune(self) -> None:
         """The settings that were read, as features would have them now, for requests from now on."""
-        posting = self._posting
-        server_settings = self._feature.server_settings(posting.server_settings)
-        self._dispatch.retune(server_settings, posting.gauge_places)
+        placement_settings = self._placement_settings
+        server_settings = self._feature.server_settings(placement_settings.server_settings)
+        self._dispatch.retune(server_settings, placement_settings.gauge_places)
         self._server.expect(server_settings.clients)
         # The dicts that the server reads names by; their order is that of the settings.
-        posting.request_classes.update(
-            zip(list(posting.request_classes), server_settings.request_classes, strict=True)
+        placement_settings.request_classes.update(
+            zip(list(placement_settings.request_classes), server_settings.request_classes, strict=True)
+        )
+        placement_settings.tenants.update(
+            zip(list(placement_settings.tenants), server_settings.tenants, strict=True)
         )
-        posting.tenants.update(zip(list(posting.tenants), server_settings.tenants, strict=True))
 
     def _linking(self, address: Address) -> Callable[[], Stream | None]:
         def linked() -> Stream | None:
@@ -323,7 +337,7 @@
 
     def _for_routers(self) -> int:
         """How many connections routers may have beside what features need by now."""
-        most = self._posting.connections_most
+        most = self._placement_settings.connections_most
         return max(most - self._feature.sockets, most // 2)
 
     def _report(self) -> None:
@@ -344,10 +358,13 @@
         as long as a report takes, what comes as the interpreter returns.
         """
         longest = max(
-            request_class.timeout_s for request_class in self._posting.server_settings.request_classes
+            request_class.timeout_s
+            for request_class in self._placement_settings.server_settings.request_classes
         )
         self._standing.able = self._client.away <= longest
-        word = naming.report(self._posting.name, self.phase is Phase.SERVING and self._standing.able)
+        word = naming.report(
+            self._placement_settings.name, self.phase is Phase.SERVING and self._standing.able
+        )
         self._counters.count("reports_sent" if self._post.send(word) else "reports_failed")
 
     def _print(self, occasion: str) -> None:
--- a/sablewheel/program/configuration.py
+++ b/sablewheel/program/configuration.py
@@ -1,7 +1,8 @@
 """The one place where the configuration and the settings are read, checked and given defaults.
 
-`posting` reads what an instance is told at its start; `machine` makes the controller's `ServerSettings` of
-the settings, for the program and for the simulator's adapter alike. Every message names the key at fault.
+`placement_settings` reads what an instance is told at its start; `machine` makes the controller's
+`ServerSettings` of the settings, for the program and for the simulator's adapter alike. Every message names
+the key at fault.
 """
 
 from __future__ import annotations
@@ -54,7 +55,7 @@
 
 
 @dataclass(frozen=True)
-class Posting:
+class PlacementSettings:
     """Where this server stands and what it has, as told at its start."""
 
     name: str
@@ -163,7 +164,7 @@
         return names
 
 
-def posting(environment: Mapping[str, str] = os.environ) -> Posting:
+def placement_settings(environment: Mapping[str, str] = os.environ) -> PlacementSettings:
     """What this instance is told: the file that RELAY_CONFIG names, and SABLEWHEEL_LOG for the log level."""
     path = environment.get("RELAY_CONFIG")
     if not path:
@@ -186,7 +187,7 @@
     built = server_settings(settings, calls_below=False)
     gauges = settings.section("extra").items("gauges", [])
     names, owners = settings.names("classes"), settings.names("orgs")
-    return Posting(
+    return PlacementSettings(
         name=top.text("name"),
         listen=top.address("listen"),
         interpreter=top.address("vm"),
--- a/sablewheel/program/feature.py
+++ b/sablewheel/program/feature.py
@@ -8,16 +8,16 @@
 from typing import Protocol
 
 from ..overload.interface import ServerSettings
-from ..serving.exchange import UNWITNESSED, Witness
-from ..serving.hooks import UNREMEMBERED, Memory
-from ..serving.listener import Desk
+from ..serving.exchange import NO_OBSERVER, RequestObserver
+from ..serving.hooks import NO_RESULT_STORE, Memory
+from ..serving.listener import RequestHandler
 
 
 class Feature(Protocol):
     """All features together, as the phases need them."""
 
     @property
-    def witness(self) -> Witness: ...
+    def observer(self) -> RequestObserver: ...
     @property
     def memory(self) -> Memory: ...
     @property
@@ -32,7 +32,7 @@
     def last_notice(self) -> int:
         """The last notice of the interpreter that a predecessor has read."""
 
-    def desk(self, inner: Desk) -> Desk:
+    def handler(self, inner: RequestHandler) -> RequestHandler:
         """Who is told what routers sent: `inner`, the dispatch, or who stands in front of it."""
 
     def server_settings(self, server_settings: ServerSettings) -> ServerSettings:
@@ -60,13 +60,13 @@
 class NoFeature:
     """Nothing is switched on."""
 
-    witness: Witness = UNWITNESSED
-    memory: Memory = UNREMEMBERED
+    observer: RequestObserver = NO_OBSERVER
+    memory: Memory = NO_RESULT_STORE
     up_at = 0.0
     sockets = 0
     last_notice = 0
 
-    def desk(self, inner: Desk) -> Desk:
+    def handler(self, inner: RequestHandler) -> RequestHandler:
         return inner
 
     def server_settings(self, server_settings: ServerSettings) -> ServerSettings:
@@ -92,10 +92,12 @@
     A seam that is filled in replaces what stood there, so it must pass on to what it was given of it.
     """
 
-    witness: Witness | None = None
+    observer: RequestObserver | None = None
     memory: Memory | None = None
-    desk: Callable[[Desk], Desk] | None = None
-    gate: Callable[[Desk], Desk] | None = None  # a desk within all others: what peers pass here meets it too
+    handler: Callable[[RequestHandler], RequestHandler] | None = None
+    gate: Callable[[RequestHandler], RequestHandler] | None = (
+        None  # a handler within all others: what peers pass here meets it too
+    )
     server_settings: Callable[[ServerSettings], ServerSettings] | None = None
     hangup: Callable[[], None] | None = None
     sockets: Callable[[], int] | None = None  # descriptors it may hold, which routers' connections don't get
--- a/sablewheel/program/feature_registry.py
+++ b/sablewheel/program/feature_registry.py
@@ -3,7 +3,7 @@
 Each is declared once, in `DECLARED`: its section of the features file, how it is made, whether it has work
 for the worker thread. What it needs of other sections stands with its section's keys in `features.py`. The
 order of the list is the order in which they are made, so what stands on another comes after it; and it is the
-order in which seams wrap each other: the witness of a later one is told first and passes on to that of an
+order in which seams wrap each other: the observer of a later one is told first and passes on to that of an
 earlier one. At the program's later moments the last made comes first, as it stands on the others.
 """
 
@@ -22,15 +22,15 @@
 from ..overload.interface import ServerSettings
 from ..replication.plan import ReplicationPlan
 from ..result_store.plan import RecallPlan
-from ..serving.exchange import UNWITNESSED, Exchange, Witness
-from ..serving.hooks import UNREMEMBERED, Memory
-from ..serving.listener import Desk
+from ..serving.exchange import NO_OBSERVER, Exchange, RequestObserver
+from ..serving.hooks import NO_RESULT_STORE, Memory
+from ..serving.listener import RequestHandler
 from ..session_affinity.plan import AffinityPlan
 from ..transport.background import Background
 from ..transport.scheduler import Scheduler
 from ..transport.worker_thread import Bridge
 from ..usage_metering.plan import Depth, LedgerPlan
-from .configuration import Posting
+from .configuration import PlacementSettings
 from .feature import Part
 from .feature_file import Features
 
@@ -44,7 +44,7 @@
 
 
 @dataclass
-class Ground:
+class FeatureContext:
     """What features stand on: the server's, and what features made before have put down for later ones.
 
     `bridge` is there if any feature has work for it; the program closes it, behind all who use it.
@@ -52,7 +52,7 @@
 
     scheduler: Scheduler
     background: Background
-    posting: Posting
+    placement_settings: PlacementSettings
     incarnation: bytes
     bridge: Bridge | None
     never_begun: Callable[[Exchange], None]
@@ -61,8 +61,8 @@
     count: Callable[[str], None]
     features: Features
     retune: Callable[[], None] = lambda: None  # the settings that a feature would have are others now
-    witness: Witness = UNWITNESSED
-    memory: Memory = UNREMEMBERED
+    observer: RequestObserver = NO_OBSERVER
+    memory: Memory = NO_RESULT_STORE
     says: tuple[tuple[str, str], ...] = ()  # what all features together have this member say of itself
     fleet: Fleet | None = None  # by membership
     links: Links | None = None  # by forwarding
@@ -80,19 +80,25 @@
     return ()
 
 
-def _no_tells(plan: Any, posting: Posting, features: Features) -> tuple[tuple[str, str], ...]:
+def _no_tells(
+    plan: Any, placement_settings: PlacementSettings, features: Features
+) -> tuple[tuple[str, str], ...]:
     return ()
 
 
 @dataclass(frozen=True)
 class Declared:
-    """One feature. `make` gets the ground and the section's plan, and imports the feature's package."""
+    """One feature. `make` gets the feature_context and the section's plan, and imports the feature's
+    package.
+    """
 
     section: str
-    make: Callable[[Ground, Any], Part]
+    make: Callable[[FeatureContext, Any], Part]
     blocks: Callable[[Any], bool] = _no_blocks  # whether it has work for the worker thread
     says: Callable[[Any], tuple[tuple[str, str], ...]] = _no_says  # in the fleet's view, of this member
-    tells: Callable[[Any, Posting, Features], tuple[tuple[str, str], ...]] = _no_tells  # the same, of more
+    tells: Callable[[Any, PlacementSettings, Features], tuple[tuple[str, str], ...]] = (
+        _no_tells  # the same, of more
+    )
 
 
 @contextlib.contextmanager
@@ -104,24 +110,24 @@
         raise OSError(f"{section}.listen: {address[0]}:{address[1]}: {trouble.strerror}") from None
 
 
-def _ledger(ground: Ground, plan: LedgerPlan) -> Part:
+def _ledger(feature_context: FeatureContext, plan: LedgerPlan) -> Part:
     from ..usage_metering.recorder import Keeper
 
-    posting = ground.posting
-    names = {one: name.decode("utf-8", "replace") for name, one in posting.tenants.items()}
+    placement_settings = feature_context.placement_settings
+    names = {one: name.decode("utf-8", "replace") for name, one in placement_settings.tenants.items()}
     keeper = Keeper(
-        ground.scheduler,
-        ground.background,
+        feature_context.scheduler,
+        feature_context.background,
         plan,
-        posting.name,
-        ground.incarnation,
+        placement_settings.name,
+        feature_context.incarnation,
         names,
-        random.Random(posting.seed).random,
-        ground.count,
-        ground.bridge,
+        random.Random(placement_settings.seed).random,
+        feature_context.count,
+        feature_context.bridge,
     )
     return Part(
-        witness=keeper,
+        observer=keeper,
         end_round=keeper.end_round,
         parting=keeper.parting,
         settled=keeper.settled,
@@ -130,24 +136,24 @@
     )
 
 
-def _recall(ground: Ground, plan: RecallPlan) -> Part:
+def _recall(feature_context: FeatureContext, plan: RecallPlan) -> Part:
     from ..result_store.recorder import Recorder
 
     recorder = Recorder(
-        ground.scheduler,
-        ground.background,
-        ground.bridge,
+        feature_context.scheduler,
+        feature_context.background,
+        feature_context.bridge,
         plan,
-        ground.incarnation,
-        ground.posting.request_classes,
-        ground.witness,
-        ground.never_begun,
-        ground.remembered,
-        ground.fail,
-        ground.count,
+        feature_context.incarnation,
+        feature_context.placement_settings.request_classes,
+        feature_context.observer,
+        feature_context.never_begun,
+        feature_context.remembered,
+        feature_context.fail,
+        feature_context.count,
     )
     return Part(
-        witness=recorder,
+        observer=recorder,
         memory=recorder,
         up_at=recorder.up_at,
         last_notice=lambda: recorder.last_notice,
@@ -159,49 +165,59 @@
     )
 
 
-def _membership(ground: Ground, plan: MembershipPlan) -> Part:
+def _membership(feature_context: FeatureContext, plan: MembershipPlan) -> Part:
     from ..membership.service import Fleet
 
-    posting = ground.posting
+    placement_settings = feature_context.placement_settings
     with _listening("membership", plan.listen):
-        fleet = Fleet(ground.scheduler, plan, posting.name, posting.seed, says=ground.says)
-    ground.fleet = fleet
-    ground.leave = fleet.leave
+        fleet = Fleet(
+            feature_context.scheduler,
+            plan,
+            placement_settings.name,
+            placement_settings.seed,
+            says=feature_context.says,
+        )
+    feature_context.fleet = fleet
+    feature_context.leave = fleet.leave
 
     def leaving() -> None:
-        if ground.leave is not None:
-            ground.leave()
+        if feature_context.leave is not None:
+            feature_context.leave()
 
     return Part(leaving=leaving, close=lambda _: fleet.close(), gauges=fleet.gauges)
 
 
-def _forwarding(ground: Ground, plan: ForwardingPlan) -> Part:
+def _forwarding(feature_context: FeatureContext, plan: ForwardingPlan) -> Part:
     from ..forwarding.forwarding_state import Passing
     from ..forwarding.peer_connections import Links
     from ..forwarding.service import Forward
 
-    fleet, posting = ground.fleet, ground.posting
+    fleet, placement_settings = feature_context.fleet, feature_context.placement_settings
     assert fleet is not None  # the section needs membership's
     born = fleet.node.me.incarnation
     # At least half of the connections there may be stays for routers.
-    settings = replace(plan.links, links_most=min(plan.links.links_most, posting.connections_most // 2))
+    settings = replace(
+        plan.links, links_most=min(plan.links.links_most, placement_settings.connections_most // 2)
+    )
     with _listening("forwarding", plan.listen):
-        links = ground.links = Links(ground.scheduler, plan.listen, settings, fleet.me, born)
-    forward = ground.forward = Forward(
-        ground.scheduler,
+        links = feature_context.links = Links(
+            feature_context.scheduler, plan.listen, settings, fleet.me, born
+        )
+    forward = feature_context.forward = Forward(
+        feature_context.scheduler,
         links,
         Passing(plan.passing),
-        round(ground.scheduler.clock.now * 1000),
-        posting.request_classes,
-        posting.tenants,
-        lambda: ground.witness,  # the outermost of all features, once they are made
+        round(feature_context.scheduler.clock.now * 1000),
+        placement_settings.request_classes,
+        placement_settings.tenants,
+        lambda: feature_context.observer,  # the outermost of all features, once they are made
     )
     fleet.on_view(links.view)
     fleet.on_view(forward.view)
     return Part(
-        desk=forward.desk,
+        handler=forward.handler,
         sockets=lambda: links.room_for,
-        leaving=lambda: forward.leaving() if ground.leave is not None else None,
+        leaving=lambda: forward.leaving() if feature_context.leave is not None else None,
         end_round=links.end_round,
         settled=lambda: forward.settled and links.quiet,
         close=lambda _: links.close(),
@@ -209,7 +225,7 @@
     )
 
 
-def _ability(plan: PolicyPlan, posting: Posting, features: Features) -> Ability:
+def _ability(plan: PolicyPlan, placement_settings: PlacementSettings, features: Features) -> Ability:
     """What this server can do: by its settings, the features that are on beside it, and its disk."""
     from ..feature_policy import host_capabilities as ability
 
@@ -218,25 +234,33 @@
     absent = set(ability.UNKNOWN_HERE)
     absent |= {name for name, section in ability.SECTIONS.items() if getattr(features, section, None) is None}
     start = ability.StartUp(
-        posting.memory_bytes,
-        posting.connections_most,
+        placement_settings.memory_bytes,
+        placement_settings.connections_most,
         disk=folder is not None and ability.lasting(folder),
         links=features.forwarding is not None,
         speed=plan.speed,
         without=frozenset(absent),
     )
-    return ability.of(posting.server_settings, start)
+    return ability.of(placement_settings.server_settings, start)
 
 
-def _policy(ground: Ground, plan: PolicyPlan) -> Part:
+def _policy(feature_context: FeatureContext, plan: PolicyPlan) -> Part:
     from ..feature_policy.service import Policies
 
-    fleet, links, forward = ground.fleet, ground.links, ground.forward
+    fleet, links, forward = feature_context.fleet, feature_context.links, feature_context.forward
     assert fleet is not None and links is not None and forward is not None  # the section needs theirs
-    own = _ability(plan, ground.posting, ground.features)
-    made = Policies(ground.scheduler, plan, fleet, links, own, ground.posting.tenants, ground.retune)
+    own = _ability(plan, feature_context.placement_settings, feature_context.features)
+    made = Policies(
+        feature_context.scheduler,
+        plan,
+        fleet,
+        links,
+        own,
+        feature_context.placement_settings.tenants,
+        feature_context.retune,
+    )
     forward.placer = made  # who places by more than this asks `made.place` in turn
-    ground.policies = made
+    feature_context.policies = made
     return Part(
         gate=made.gate,
         server_settings=made.server_settings,
@@ -246,30 +270,36 @@
     )
 
 
-def _replication(ground: Ground, plan: ReplicationPlan) -> Part:
+def _replication(feature_context: FeatureContext, plan: ReplicationPlan) -> Part:
     from ..replication.service import Keeper, longest
 
-    fleet, links, posting = ground.fleet, ground.links, ground.posting
-    assert fleet is not None and links is not None and ground.forward is not None  # the section needs them
-    slack = posting.server_settings.answer_slack_s
-    settings = replace(plan.settings, longest=longest(posting.request_classes, slack))
-    keeper = ground.replication = Keeper(
-        ground.scheduler,
+    fleet, links, placement_settings = (
+        feature_context.fleet,
+        feature_context.links,
+        feature_context.placement_settings,
+    )
+    assert (
+        fleet is not None and links is not None and feature_context.forward is not None
+    )  # the section needs them
+    slack = placement_settings.server_settings.answer_slack_s
+    settings = replace(plan.settings, longest=longest(placement_settings.request_classes, slack))
+    keeper = feature_context.replication = Keeper(
+        feature_context.scheduler,
         links,
         replace(plan, settings=settings),
-        posting.name,
+        placement_settings.name,
         fleet.node.me.incarnation,
-        ground.memory,
-        ground.witness,
-        ground.never_begun,
-        ground.count,
-        posting.seed,
+        feature_context.memory,
+        feature_context.observer,
+        feature_context.never_begun,
+        feature_context.count,
+        placement_settings.seed,
         slack,
     )
-    ground.forward.owner = keeper
+    feature_context.forward.owner = keeper
     fleet.on_view(keeper.view)
     return Part(
-        witness=keeper,
+        observer=keeper,
         memory=keeper,
         leaving=keeper.leaving,
         settled=keeper.settled,
@@ -278,13 +308,21 @@
     )
 
 
-def _affinity(ground: Ground, plan: AffinityPlan) -> Part:
+def _affinity(feature_context: FeatureContext, plan: AffinityPlan) -> Part:
     from ..session_affinity.events import Active
     from ..session_affinity.session_router import Affinity, Watching
 
-    fleet, links, forward, keeper = ground.fleet, ground.links, ground.forward, ground.replication
+    fleet, links, forward, keeper = (
+        feature_context.fleet,
+        feature_context.links,
+        feature_context.forward,
+        feature_context.replication,
+    )
     assert fleet and links and forward and keeper  # the section needs theirs
-    server_settings, clock = ground.posting.server_settings, ground.scheduler.clock
+    server_settings, clock = (
+        feature_context.placement_settings.server_settings,
+        feature_context.scheduler.clock,
+    )
     born = clock.now
 
     def warmth() -> float:
@@ -294,31 +332,33 @@
             (clock.now - born) / server_settings.warm_up_s, 1.0
         )
 
-    grace = min(server_settings.drain_grace_s, ground.posting.stop_after)
+    grace = min(server_settings.drain_grace_s, feature_context.placement_settings.stop_after)
     affinity = Affinity(
-        ground.scheduler,
+        feature_context.scheduler,
         plan,
         fleet,
         links,
         forward,
         keeper,
-        ground.memory,
-        ground.witness,
-        ground.posting.tenants,
+        feature_context.memory,
+        feature_context.observer,
+        feature_context.placement_settings.tenants,
         warmth,
         float(server_settings.cores),
         grace,
-        ground.count,
+        feature_context.count,
+    )
+    feature_context.leave = (
+        None  # the fleet is told, and peers' requests are refused, once sessions are handed over
     )
-    ground.leave = None  # the fleet is told, and peers' requests are refused, once sessions are handed over
-    policies = ground.policies
+    policies = feature_context.policies
     if policies is not None:
         affinity.flow_of = lambda exchange: policies.route(exchange).flow
         policies.on_active(lambda number, able: affinity.activate(Active(max(number, 1), able)))
     return Part(
-        witness=Watching(affinity),
+        observer=Watching(affinity),
         memory=affinity,
-        desk=affinity.desk,
+        handler=affinity.handler,
         leaving=affinity.leaving,
         settled=affinity.settled,
         close=lambda _: affinity.close(),
@@ -334,7 +374,9 @@
     Declared(
         "policy",
         _policy,
-        tells=lambda plan, posting, features: (("class", _ability(plan, posting, features).said),),
+        tells=lambda plan, placement_settings, features: (
+            ("class", _ability(plan, placement_settings, features).said),
+        ),
     ),
     Declared("replication", _replication),
     Declared("affinity", _affinity),
@@ -347,7 +389,7 @@
     def __init__(
         self,
         features: Features,
-        posting: Posting,
+        placement_settings: PlacementSettings,
         scheduler: Scheduler,
         moved: Callable[[], int],
         never_begun: Callable[[Exchange], None],
@@ -360,10 +402,10 @@
         self._on = [(one, plan) for one in DECLARED if (plan := features.plan(one.section)) is not None]
         incarnation = round(scheduler.clock.now * 1000).to_bytes(6, "big") + os.urandom(2)
         self._bridge = Bridge(scheduler) if any(one.blocks(plan) for one, plan in self._on) else None
-        ground = Ground(
+        feature_context = FeatureContext(
             scheduler,
             self._background,
-            posting,
+            placement_settings,
             incarnation,
             self._bridge,
             never_begun,
@@ -375,16 +417,16 @@
             says=tuple(
                 pair
                 for one, plan in self._on
-                for pair in (*one.says(plan), *one.tells(plan, posting, features))
+                for pair in (*one.says(plan), *one.tells(plan, placement_settings, features))
             ),
         )
         made: list[Part] = []
         for one, plan in self._on:
-            part = one.make(ground, plan)
-            ground.witness = part.witness or ground.witness
-            ground.memory = part.memory or ground.memory
+            part = one.make(feature_context, plan)
+            feature_context.observer = part.observer or feature_context.observer
+            feature_context.memory = part.memory or feature_context.memory
             made.append(part)
-        self.witness, self.memory = ground.witness, ground.memory
+        self.observer, self.memory = feature_context.observer, feature_context.memory
         self._made = made
         self._sockets = [part.sockets for part in made if part.sockets is not None]
         made = made[::-1]  # the last made comes first
@@ -407,13 +449,13 @@
     def last_notice(self) -> int:
         return max((part.last_notice() for part in self._made if part.last_notice is not None), default=0)
 
-    def desk(self, inner: Desk) -> Desk:
+    def handler(self, inner: RequestHandler) -> RequestHandler:
         for part in self._made:
             if part.gate is not None:
                 inner = part.gate(inner)
         for part in self._made:
-            if part.desk is not None:
-                inner = part.desk(inner)
+            if part.handler is not None:
+                inner = part.handler(inner)
         return inner
 
     def server_settings(self, server_settings: ServerSettings) -> ServerSettings:
--- a/sablewheel/replication/service.py
+++ b/sablewheel/replication/service.py
@@ -22,7 +22,7 @@
 from ..membership.view import View
 from ..overload.interface import Client, Idempotency, Outcome, Request, RequestClass
 from ..serving.delayed_answers import DUE_SPARE
-from ..serving.exchange import Caller, Exchange, Place, Witness, digest
+from ..serving.exchange import Caller, Exchange, Place, RequestObserver, digest
 from ..serving.hooks import Memory
 from ..serving.idempotency_keys import IdempotencyTable
 from ..transport.scheduler import Scheduler
@@ -102,7 +102,7 @@
 
 
 class Keeper:
-    """Memory and witness of one server's keyed runs, in front of those given as `inner`."""
+    """Memory and observer of one server's keyed runs, in front of those given as `inner`."""
 
     def __init__(
         self,
@@ -112,7 +112,7 @@
         name: str,
         birth: int,
         memory: Memory,
-        witness: Witness,
+        observer: RequestObserver,
         never_begun: Run,
         count: Callable[[str], None],
         seed: int = 0,
@@ -121,7 +121,7 @@
         kind: type[Replica] = Replica,
     ) -> None:
         self._scheduler, self._links, self._plan, self._clock = scheduler, links, plan, clock
-        self._memory, self._witness, self._never_begun = memory, witness, never_begun
+        self._memory, self._observer, self._never_begun = memory, observer, never_begun
         self._count, self._slack = count, slack
         chance = random.Random(f"{seed}-{name}-{birth}")
         self.replica = kind(name, birth, plan.settings, chance, clock())
@@ -216,12 +216,12 @@
                 )
         self._memory.ended(exchange, outcome, result)
 
-    # -- the witness: answers wait for outcomes
+    # -- the observer: answers wait for outcomes
 
     def completed(self, exchange: Exchange, result: bytes, caller: Caller) -> None:
         held = self._unstored.get(exchange.idempotency_key) if exchange.idempotency_key is not None else None
         if held is None:
-            return self._witness.completed(exchange, result, caller)
+            return self._observer.completed(exchange, result, caller)
         one, now = Held(exchange, result, caller), self._scheduler.clock.now
         held.append(one)
         wait = min(self._plan.hold_most, max(exchange.request.deadline - DUE_SPARE - now, 0.0))
@@ -232,16 +232,16 @@
         if one in held:
             held.remove(one)
             self._count("replication_answers_ahead")
-            self._witness.completed(one.exchange, one.result, one.caller)
+            self._observer.completed(one.exchange, one.result, one.caller)
 
     def rejected(self, exchange: Exchange) -> None:
-        self._witness.rejected(exchange)
+        self._observer.rejected(exchange)
 
     def failed(self, exchange: Exchange) -> None:
-        self._witness.failed(exchange)
+        self._observer.failed(exchange)
 
     def gone(self, exchange: Exchange) -> None:
-        self._witness.gone(exchange)
+        self._observer.gone(exchange)
 
     # -- what a claim came to
 
@@ -335,7 +335,7 @@
         self._waiting -= len(those)
         for exchange, caller in those:
             self._count("replication_let_go")
-            exchange.witness.rejected(exchange)
+            exchange.observer.rejected(exchange)
             caller.rejected(exchange, POLL_LAST, False)
 
     def _tell(self, waiting: Waiting, entry: Entry | None) -> None:
@@ -349,11 +349,11 @@
             if outcome is not None and outcome.how == "worked":
                 first = self._stand_in(exchange)
                 exchange.place, exchange.first = Place.JOINED, first
-                exchange.witness.completed(exchange, outcome.result, caller)
+                exchange.observer.completed(exchange, outcome.result, caller)
                 exchange.place, exchange.first = Place.OVER, None
                 self._count("replication_answered_from_outcome")
             else:
-                exchange.witness.failed(exchange)
+                exchange.observer.failed(exchange)
                 caller.failed(exchange)
 
     def _stand_in(self, exchange: Exchange) -> Exchange:
@@ -459,7 +459,7 @@
                 held = self._unstored.pop(key, [])
                 those, held[:] = held[:], []  # their bounds find nothing more to let go
                 for one in those:
-                    self._witness.completed(one.exchange, one.result, one.caller)
+                    self._observer.completed(one.exchange, one.result, one.caller)
             case Note(what, fields):
                 if what == UNPLACED:
                     self._unstored.pop(bytes.fromhex(str(fields["key"])), None)
@@ -489,7 +489,7 @@
         for held in self._unstored.values():
             those, held[:] = held[:], []
             for one in those:
-                self._witness.completed(one.exchange, one.result, one.caller)
+                self._observer.completed(one.exchange, one.result, one.caller)
         self._unstored.clear()
         self._open = False
 
--- a/sablewheel/result_store/recorder.py
+++ b/sablewheel/result_store/recorder.py
@@ -17,7 +17,7 @@
 
 from ..overload.interface import Client, Idempotency, Outcome, Request, RequestClass, Stage
 from ..serving.delayed_answers import Held, Holding
-from ..serving.exchange import Caller, Exchange, Place, Witness, digest
+from ..serving.exchange import Caller, Exchange, Place, RequestObserver, digest
 from ..serving.idempotency_keys import IdempotencyTable
 from ..storage import log as durable
 from ..storage.files import DiskFiles
@@ -71,7 +71,7 @@
 
 
 class Recorder:
-    """Memory of one server's keyed runs; a witness that holds their answers, in front of another."""
+    """Memory of one server's keyed runs; a observer that holds their answers, in front of another."""
 
     def __init__(
         self,
@@ -81,7 +81,7 @@
         plan: RecallPlan,
         incarnation: bytes,
         request_classes: dict[bytes, RequestClass],
-        inner: Witness,
+        inner: RequestObserver,
         never_begun: Run,
         remembered: Callable[[], None],
         fail: Callable[[str], None],
@@ -349,7 +349,7 @@
             exchange.request.outcome = outcome
         self._mark += 1
 
-    # -- the witness: answers wait for outcomes
+    # -- the observer: answers wait for outcomes
 
     def completed(self, exchange: Exchange, result: bytes, caller: Caller) -> None:
         keyed = (
--- a/sablewheel/serving/dispatcher.py
+++ b/sablewheel/serving/dispatcher.py
@@ -13,7 +13,7 @@
 from ..transport.scheduler import Scheduler
 from .close_reasons import FailureReason, log_reason
 from .exchange import Exchange, Place, Standing
-from .hooks import UNREMEMBERED, Memory
+from .hooks import NO_RESULT_STORE, Memory
 from .idempotency_keys import IdempotencyTable
 from .interpreter_client import InterpreterClient, may_run_twice
 from .listener import Server
@@ -42,7 +42,7 @@
         standing: Standing,
         idempotency_keys: IdempotencyTable,
         opened: Callable[[], None],
-        memory: Memory = UNREMEMBERED,
+        memory: Memory = NO_RESULT_STORE,
     ) -> None:
         self._memory = memory
         self._scheduler, self._clock = scheduler, scheduler.clock
@@ -65,7 +65,7 @@
         self._client: InterpreterClient
 
     def attach(self, server: Server, client: InterpreterClient) -> None:
-        """The two sides, which were given this as their desk."""
+        """The two sides, which were given this as their handler."""
         self._server, self._client = server, client
         client.can_stop = self._server_settings.cancellation is interface.Cancellation.DISCARDS_WORK
 
@@ -350,8 +350,9 @@
                 if exchange.place is Place.HELD:
                     self._join(exchange)
             case _:
-                # A call, or the word to go on without: the protocol has neither, so `configuration.posting`
-                # tells the controller of no service below, and it asks for neither.
+                # A call, or the word to go on without: the protocol has neither, so
+                # `configuration.placement_settings` tells the controller of no service below, and it asks for
+                # neither.
                 pairs = {"deed": type(action).__name__}
                 log.error("deed that this protocol does not know", extra={"pairs": pairs})
 
--- a/sablewheel/serving/exchange.py
+++ b/sablewheel/serving/exchange.py
@@ -2,8 +2,8 @@
 
 The routers' side makes it, the interpreter's side runs it, the dispatch decides on it. It keeps what goes on
 unchanged as the bytes that came, and takes care that there is one final answer, or none if nobody waits.
-Here an outcome becomes final, once; it tells its witness. A completed answer leaves through the witness, who
-may hold it back until what it wrote is durable, for a bounded time; all others leave at once.
+Here an outcome becomes final, once; it tells its observer. A completed answer leaves through the observer,
+who may hold it back until what it wrote is durable, for a bounded time; all others leave at once.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
     def failed(self, exchange: Exchange) -> None: ...
 
 
-class Witness(Protocol):
+class RequestObserver(Protocol):
     """Who is told of each final outcome, exactly once a request, before its answer is written."""
 
     def completed(self, exchange: Exchange, result: bytes, caller: Caller) -> None:
@@ -55,7 +55,7 @@
     def gone(self, exchange: Exchange) -> None: ...
 
 
-UNWITNESSED = Unwitnessed()
+NO_OBSERVER = Unwitnessed()
 
 
 @dataclass(slots=True)
@@ -91,6 +91,7 @@
         "joined",
         "name",
         "notice",
+        "observer",
         "place",
         "request",
         "request_class",
@@ -100,7 +101,6 @@
         "tag",
         "took",
         "until",
-        "witness",
     )
 
     def __init__(
@@ -112,12 +112,12 @@
         idempotency_key: bytes | None,
         request: Request,
         caller: Caller | None,
-        witness: Witness = UNWITNESSED,
+        observer: RequestObserver = NO_OBSERVER,
     ) -> None:
         self.name, self.request_class, self.body = name, request_class, body
         self.tag, self.idempotency_key, self.request = tag, idempotency_key, request
         self.caller = caller  # until answered, or nobody waits
-        self.witness = witness
+        self.observer = observer
         self.took = 0.0  # how long its run took, once that is over
         self.notice = 0  # the number under which that was told
         self.digest = b""  # of request class and body, where this one was remembered over a restart
@@ -148,27 +148,27 @@
 
     def complete(self, result: bytes) -> None:
         if (caller := self._close()) is not None:
-            self.witness.completed(self, result, caller)
+            self.observer.completed(self, result, caller)
 
     def reject(self, retry_after_s: float, no_retry_elsewhere: bool) -> None:
         if (caller := self._close()) is not None:
-            self.witness.rejected(self)
+            self.observer.rejected(self)
             caller.rejected(self, retry_after_s, no_retry_elsewhere)
 
     def fail(self) -> None:
         if (caller := self._close()) is not None:
-            self.witness.failed(self)
+            self.observer.failed(self)
             caller.failed(self)
 
     def discard(self) -> bool:
         """Nobody waits any more; whether that is news."""
         if self._close() is None:
             return False
-        self.witness.gone(self)
+        self.observer.gone(self)
         return True
 
     def detach(self) -> Caller | None:
-        """Its answer is the taker's to give from now on, through the witness; None: nobody waits."""
+        """Its answer is the taker's to give from now on, through the observer; None: nobody waits."""
         return self._close()
 
     def _close(self) -> Caller | None:
--- a/sablewheel/serving/hooks.py
+++ b/sablewheel/serving/hooks.py
@@ -1,7 +1,7 @@
 """The seam of what is remembered over restarts: what a feature must do, and the object that does nothing.
 
 The other seams lie where they are called: who witnesses an outcome in `exchange.py`, who stands between the
-routers' side and the dispatch (a `Desk`) in `server.py`.
+routers' side and the dispatch (a `RequestHandler`) in `server.py`.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
         """A run is over, before its answer is."""
 
 
-class Unremembered:
+class NoResultStore:
     """Nothing is kept over a restart."""
 
     __slots__ = ()
@@ -76,4 +76,4 @@
     def ended(self, exchange: Exchange, outcome: Outcome, result: bytes) -> None: ...
 
 
-UNREMEMBERED = Unremembered()
+NO_RESULT_STORE = NoResultStore()
--- a/sablewheel/serving/interpreter_client.py
+++ b/sablewheel/serving/interpreter_client.py
@@ -3,7 +3,7 @@
 The link may break and come back. What ended meanwhile is told again by number. The fence, a question for
 gauges asked once the greeting has come, has its answer when all of that is in. Commands given while there is
 no link wait for it. A command that was written to a link that broke may have been carried out or not. It is
-written again only where a second run does no harm; for any other the desk is told that its start is
+written again only where a second run does no harm; for any other the handler is told that its start is
 unconfirmed. The interpreter may also move to another address: the old link serves until the new one
 stands, and is then left behind a fence, so that no command is under way between the two.
 """
@@ -50,7 +50,7 @@
 run_log = logging.getLogger(f"{__name__}.runs")
 
 
-class Desk(Protocol):
+class RequestHandler(Protocol):
     """Who is told what the interpreter said."""
 
     def greeted(self, cold: bool, age: float) -> None: ...
@@ -67,7 +67,7 @@
     def __init__(self, exchange: Exchange) -> None:
         self.exchange = exchange
         self.command_end = 0  # where its command ends among the bytes of this link, 0 if it is not there
-        self.unconfirmed = False  # the desk was told so
+        self.unconfirmed = False  # the handler was told so
         self.sent_at = 0.0  # when its command was last given
         self.fence = 0  # 0: not written; else the question behind it, whose answer proves that it was read
         self.halted = False
@@ -86,11 +86,11 @@
         self,
         scheduler: Scheduler,
         connect: Callable[[], Stream | None],
-        desk: Desk,
+        handler: RequestHandler,
         count: Callable[[str], None],
         last: int = 0,
     ) -> None:
-        self._scheduler, self._desk, self._count = scheduler, desk, count
+        self._scheduler, self._handler, self._count = scheduler, handler, count
         self._runs: dict[bytes, Run] = {}
         self._stream: Stream | None = None
         self._ready = False  # behind the fence
@@ -128,7 +128,7 @@
         return 0.0 if self._away_since is None else self._scheduler.clock.now - self._away_since
 
     def run(self, exchange: Exchange) -> None:
-        """The name is that of no other run: the desk takes no two requests of one name."""
+        """The name is that of no other run: the handler takes no two requests of one name."""
         run = self._runs[exchange.name] = Run(exchange)
         self._count("runs_sent")
         if self._ready and (may_run_twice(exchange) or self._unheard < QUIET_MOST):
@@ -257,7 +257,7 @@
                 for notice in notices:
                     if isinstance(notice, interpreter.Greeting):
                         self._greeted = True
-                        self._desk.greeted(notice.cold, notice.age)
+                        self._handler.greeted(notice.cold, notice.age)
                         opening, self._asking = self._fence + 1, True
                     else:
                         self._heed(notice, opening, safe)
@@ -273,7 +273,7 @@
                     self._last = number
                     self._count("calls_needed")
                     if name in self._runs:
-                        self._desk.call_needed(self._runs[name].exchange)
+                        self._handler.call_needed(self._runs[name].exchange)
             case interpreter.Remark(number):
                 self._last = max(self._last, number)
             case interpreter.Rejected(command, name):
@@ -369,7 +369,7 @@
         self._count("runs_unconfirmed")
         pairs = {**self._told_of(run), "written_before": self._since_sent(run)}
         run_log.info("start of a run unconfirmed", extra={"pairs": pairs})
-        self._desk.start_unconfirmed(run.exchange)
+        self._handler.start_unconfirmed(run.exchange)
 
     def _told_of(self, run: Run) -> dict[str, object]:
         """What a log line tells of a run: its request and class."""
@@ -440,4 +440,4 @@
     def _end(self, name: bytes, outcome: Outcome, took: float, result: bytes) -> None:
         exchange = self._runs.pop(name).exchange
         self._count(RUN_COUNTERS[outcome])
-        self._desk.ended(exchange, outcome, took, result)
+        self._handler.ended(exchange, outcome, took, result)
--- a/sablewheel/serving/listener.py
+++ b/sablewheel/serving/listener.py
@@ -13,7 +13,7 @@
 from ..transport.scheduler import Scheduler
 from ..transport.stream import Stream
 from .close_reasons import CloseReason, log_reason
-from .exchange import UNWITNESSED, Exchange, Standing, Witness
+from .exchange import NO_OBSERVER, Exchange, RequestObserver, Standing
 
 OPEN_MOST = 32  # tries that the protocol allows on one connection at a time
 SWEEP = 0.25  # how often unused connections are looked for
@@ -36,7 +36,7 @@
 log = logging.getLogger(__name__)
 
 
-class Desk(Protocol):
+class RequestHandler(Protocol):
     """Who is told what routers sent."""
 
     def arrived(self, exchange: Exchange) -> None: ...
@@ -195,13 +195,13 @@
             asked.idempotency_key,
             request,
             self,
-            server.witness,
+            server.observer,
         )
         if asked.until is not None:
             exchange.until = request.arrived_at + (asked.until - asked.since)
         self.open[tag] = exchange
         try:
-            server.desk.arrived(exchange)
+            server.handler.arrived(exchange)
         except Exception:
             # A fault of ours costs the one request that met it, loudly; the others here go on.
             log.exception("request failed by a fault", extra={"pairs": {"tag": tag}})
@@ -212,7 +212,7 @@
         self.open.pop(exchange.tag, None)
         if exchange.discard():
             self._server.count("tickets_gone")
-            self._server.desk.gone(exchange)
+            self._server.handler.gone(exchange)
 
     # -- what goes
 
@@ -271,17 +271,17 @@
         request_classes: dict[bytes, RequestClass],
         tenants: dict[bytes, Tenant],
         standing: Standing,
-        desk: Desk,
+        handler: RequestHandler,
         count: Callable[[str], None],
         connections_most: int,
-        witness: Witness = UNWITNESSED,
+        observer: RequestObserver = NO_OBSERVER,
         routers: int = 1,
     ) -> None:
         """`routers`: how many the settings tell of."""
-        self.witness = witness
+        self.observer = observer
         self._connections_most = connections_most
         self.expect(routers)
-        self.scheduler, self.standing, self.desk, self.count = scheduler, standing, desk, count
+        self.scheduler, self.standing, self.handler, self.count = scheduler, standing, handler, count
         self.connections: dict[Connection, None] = {}
         self.dirty: dict[Connection, None] = {}
         self._request_classes, self._tenants = request_classes, tenants
--- a/sablewheel/session_affinity/binding.py
+++ b/sablewheel/session_affinity/binding.py
@@ -11,7 +11,7 @@
 
 
 class State(Enum):
-    """HELD: its owner serves it. PASSING: its owner takes no more keyed work and hands it to the heir.
+    """HELD: its owner serves it. PASSING: its owner takes no more keyed work and hands it to the successor.
     ENDED: nobody's; the next request begins a new session above this number."""
 
     HELD = "held"
@@ -40,17 +40,17 @@
     incarnation: int
     version: int
     state: State = State.HELD
-    heir: str = ""  # while it is passing
+    successor: str = ""  # while it is passing
 
-    def passing(self, heir: str) -> Binding:
-        return replace(self, number=self.number + 1, state=State.PASSING, heir=heir)
+    def passing(self, successor: str) -> Binding:
+        return replace(self, number=self.number + 1, state=State.PASSING, successor=successor)
 
     def taken(self, owner: str, incarnation: int, version: int) -> Binding:
         """As the next owner holds it, or the same owner under another version."""
         return Binding(self.key, self.number + 1, owner, incarnation, version)
 
     def ended(self) -> Binding:
-        return replace(self, number=self.number + 1, state=State.ENDED, heir="")
+        return replace(self, number=self.number + 1, state=State.ENDED, successor="")
 
 
 def newer(one: Binding | None, other: Binding | None) -> Binding | None:
--- a/sablewheel/session_affinity/codec.py
+++ b/sablewheel/session_affinity/codec.py
@@ -104,14 +104,14 @@
         incarnation=one.incarnation,
         version=one.version,
         state=one.state.value,
-        heir=one.heir,
+        heir=one.successor,
     )
 
 
 def _in(told: pb.Binding) -> Binding:
     if told.state not in (one.value for one in State):
         raise BadPacketError(f"state: no such state: {told.state[:40]!r}")
-    heir = _name(told.heir, "heir") if told.heir else ""
+    successor = _name(told.heir, "heir") if told.heir else ""
     return Binding(
         _name(told.key, "key"),
         told.number,
@@ -119,7 +119,7 @@
         told.incarnation,
         told.version,
         State(told.state),
-        heir,
+        successor,
     )
 
 
--- a/sablewheel/session_affinity/events.py
+++ b/sablewheel/session_affinity/events.py
@@ -165,7 +165,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Take:
-    """The owner, who runs nothing of this session any more, to the heir."""
+    """The owner, who runs nothing of this session any more, to the successor."""
 
     binding: Binding
     cause: Cause
@@ -175,7 +175,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Declined:
-    """The heir has no room for it, or can't run it."""
+    """The successor has no room for it, or can't run it."""
 
     key: str
     number: int
--- a/sablewheel/session_affinity/session_router.py
+++ b/sablewheel/session_affinity/session_router.py
@@ -1,4 +1,4 @@
-"""Sessions in the server: a desk in front of the forward path, and what the decisions need round them.
+"""Sessions in the server: a handler in front of the forward path, and what the decisions need round them.
 
 Decides nothing. Each request with a session is held until its owner is known, mostly at once; then it is
 served here, passed on, or rejected. Bindings are read and written through replication, whose claims go by the
@@ -20,10 +20,10 @@
 from ..replication.messages import Answer
 from ..replication.replica import SESSIONS
 from ..replication.service import Keeper
-from ..serving.exchange import Caller, Exchange, Witness
+from ..serving.exchange import Caller, Exchange, RequestObserver
 from ..serving.hooks import Memory
 from ..serving.idempotency_keys import IdempotencyTable
-from ..serving.listener import Desk
+from ..serving.listener import RequestHandler
 from ..transport.scheduler import Scheduler
 from ..transport.wakeup import Wake
 from . import codec
@@ -79,7 +79,7 @@
 
 
 class Affinity:
-    """One server's sessions: a desk, and memory and witness in front of those given as `inner`.
+    """One server's sessions: a handler, and memory and observer in front of those given as `inner`.
 
     `warmth` tells how warm this server is, from 0 to 1; `capacity` what it can carry, in any one unit.
     """
@@ -93,7 +93,7 @@
         forward: Forward,
         keeper: Keeper,
         memory: Memory,
-        witness: Witness,
+        observer: RequestObserver,
         tenants: dict[bytes, Tenant],
         warmth: Callable[[], float],
         capacity: float,
@@ -103,7 +103,7 @@
     ) -> None:
         self._scheduler, self._plan, self._fleet, self._links = scheduler, plan, fleet, links
         self._forward, self._keeper, self._clock, self._count = forward, keeper, clock, count
-        self._memory, self._witness, self._tenants = memory, witness, tenants
+        self._memory, self._observer, self._tenants = memory, observer, tenants
         self._tenant_names: dict[Tenant, str] = {}
         self._warmth, self._capacity, self._grace = warmth, capacity, grace
         self.flow_of: Callable[[Exchange], str] = lambda exchange: exchange.request_class.decode(
@@ -111,7 +111,7 @@
         )
         self.sessions = Sessions(fleet.me, fleet.node.me.incarnation, plan.settings, clock())
         self.sessions.step(clock(), Active(1))
-        self._inner: Desk | None = None
+        self._inner: RequestHandler | None = None
         self._refs = 0
         self._held: dict[int, Exchange] = {}  # requests that wait for a decision
         self._open: dict[Exchange, Open] = {}
@@ -127,9 +127,9 @@
         fleet.on_view(self._viewed)
         scheduler.after(LOADS_EVERY, self._tell_loads)
 
-    # -- the desk
+    # -- the handler
 
-    def desk(self, inner: Desk) -> Desk:
+    def handler(self, inner: RequestHandler) -> RequestHandler:
         self._inner = inner
         return self
 
@@ -139,7 +139,7 @@
             exchange.session = self._session(exchange) or ""
             if not exchange.session:
                 self.counts["without_session"] += 1
-                return self._desk.arrived(exchange)
+                return self._handler.arrived(exchange)
             if self._forward.is_away(exchange.name):
                 return exchange.fail()  # the name of an open request: as the dispatch would
         elif not exchange.session:
@@ -161,10 +161,10 @@
     def gone(self, exchange: Exchange) -> None:
         """Nobody waits any more; one that is still held is let go of when it is decided on."""
         if exchange not in self._held.values():
-            self._desk.gone(exchange)
+            self._handler.gone(exchange)
 
     @property
-    def _desk(self) -> Desk:
+    def _handler(self) -> RequestHandler:
         assert self._inner is not None
         return self._inner
 
@@ -199,7 +199,7 @@
         )
         return key_of(self._plan.fields, carried)
 
-    # -- memory and witness: what is open of a session
+    # -- memory and observer: what is open of a session
 
     @property
     def ready(self) -> bool:
@@ -234,19 +234,19 @@
 
     def completed(self, exchange: Exchange, result: bytes, caller: Caller) -> None:
         self._answered(exchange)
-        self._witness.completed(exchange, result, caller)
+        self._observer.completed(exchange, result, caller)
 
     def rejected(self, exchange: Exchange) -> None:
         self._answered(exchange)
-        self._witness.rejected(exchange)
+        self._observer.rejected(exchange)
 
     def failed(self, exchange: Exchange) -> None:
         self._answered(exchange)
-        self._witness.failed(exchange)
+        self._observer.failed(exchange)
 
     def gone_by(self, exchange: Exchange) -> None:
         self._answered(exchange)
-        self._witness.gone(exchange)
+        self._observer.gone(exchange)
 
     def _answered(self, exchange: Exchange) -> None:
         """Its answer is given; a run of it that has begun counts until it ends."""
@@ -423,7 +423,7 @@
 
 
 class Watching:
-    """The witness of an `Affinity`, whose desk has a `gone` of its own."""
+    """The observer of an `Affinity`, whose handler has a `gone` of its own."""
 
     def __init__(self, affinity: Affinity) -> None:
         self.completed, self.rejected = affinity.completed, affinity.rejected
--- a/sablewheel/session_affinity/sessions.py
+++ b/sablewheel/session_affinity/sessions.py
@@ -6,7 +6,8 @@
   binding's.
 - A live owner gives a session away in three steps: it takes no more keyed work and writes `passing`, waits
   until its keyed runs end or pass on as claims (their idempotency keys stay claimed, nobody runs them again),
-  and only then tells the heir to take it. Until that, nobody else may take from an owner that is in the view.
+  and only then tells the successor to take it. Until that, nobody else may take from an owner that is in the
+  view.
 - An owner that is out of the view, or back as another self, is succeeded, `claim_within` after the register
   was read at the new epoch. If it was only paused or cut off, its later claims are refused, by epoch and by
   number; one that was won before begins within `claim_within` of its asking or is freed (`may_begin`). So all
@@ -79,7 +80,7 @@
     CHANGING = auto()  # still served; the same owner's next binding is being written
     STOPPING = auto()  # no more keyed work; `passing` is being written
     PASSING = auto()  # written; its keyed runs are under way
-    GIVING = auto()  # none is, or they passed on as claims; the heir is told
+    GIVING = auto()  # none is, or they passed on as claims; the successor is told
 
 
 @dataclass(slots=True)
@@ -674,7 +675,7 @@
                 held = self.owned.get(key)
                 if held is not None and held.phase is Phase.GIVING and held.binding.number == number:
                     held.tried.add(sender)
-                    self._next_heir(now, held)
+                    self._next_successor(now, held)
             case Told(binding):
                 self._told(now, binding)
 
@@ -803,25 +804,25 @@
 
     def _hand_over(self, now: float, held: Held, cause: Cause) -> bool:
         """Begin to give it away; False if there is nobody to give it to."""
-        heir = self._heir(held)
-        if not heir:
+        successor = self._successor(held)
+        if not successor:
             return False
         held.cause = cause
-        if self.settings.broken == "no-handover":  # it goes on taking while the heir begins
-            self._send(heir, Take(held.binding, cause, tuple(sorted(held.flows))))
+        if self.settings.broken == "no-handover":  # it goes on taking while the successor begins
+            self._send(successor, Take(held.binding, cause, tuple(sorted(held.flows))))
             return True
-        self._stop(now, held, heir)
+        self._stop(now, held, successor)
         return True
 
-    def _heir(self, held: Held) -> str:
+    def _successor(self, held: Held) -> str:
         version = held.binding.version if held.binding.version in self._able else self.version
         able = self._able_for(held.flows, version) - {self.me}
         found = self._choose(held.binding.key, able, True, held.tried)
         return found or self._least(able - held.tried) or self._least(able)
 
-    def _stop(self, now: float, held: Held, heir: str) -> None:
+    def _stop(self, now: float, held: Held, successor: str) -> None:
         held.phase, held.since = Phase.STOPPING, now
-        self._write_held(now, held, held.binding.passing(heir))
+        self._write_held(now, held, held.binding.passing(successor))
 
     def _written(self, now: float, held: Held, verdict: Verdict, entry: Binding | None) -> None:
         """The register's answer to what this owner wrote of its session."""
@@ -853,7 +854,7 @@
         if held.phase is Phase.CHANGING and held.cause is not None and stands.version == self.version:
             self.counts[f"brought_{held.cause.value}"] += 1
         if held.phase is Phase.STOPPING:  # what stands is a change of its own, older than the handover
-            return self._stop(now, held, self._heir(held))
+            return self._stop(now, held, self._successor(held))
         held.phase, held.cause = Phase.SERVING, None
         return None
 
@@ -865,25 +866,25 @@
         return self._arm(held.binding.key, held.at)
 
     def _give(self, now: float, held: Held) -> None:
-        """Nothing of it runs here that may yet begin: the heir may take it."""
+        """Nothing of it runs here that may yet begin: the successor may take it."""
         if held.phase is not Phase.GIVING:
             held.phase, held.since = Phase.GIVING, now
             if held.open:
                 self.counts["passed_as_claims"] += len(held.open)
                 self._note("passed as claims", key=held.binding.key, runs=len(held.open))
-        heir = held.binding.heir
-        if self.view is None or heir not in self.view or now - held.since > self.settings.bind_within:
-            held.tried.add(heir)
-            return self._next_heir(now, held)
+        successor = held.binding.successor
+        if self.view is None or successor not in self.view or now - held.since > self.settings.bind_within:
+            held.tried.add(successor)
+            return self._next_successor(now, held)
         flows = tuple(sorted(held.flows))
-        self._send(heir, Take(held.binding, held.cause or Cause.DRAIN, flows, bool(held.tried)))
+        self._send(successor, Take(held.binding, held.cause or Cause.DRAIN, flows, bool(held.tried)))
         held.at = now + self.settings.repeat
         return self._arm(held.binding.key, held.at)
 
-    def _next_heir(self, now: float, held: Held) -> None:
-        heir = self._heir(held)
-        if heir and heir != self.me:
-            return self._stop(now, held, heir)
+    def _next_successor(self, now: float, held: Held) -> None:
+        successor = self._successor(held)
+        if successor and successor != self.me:
+            return self._stop(now, held, successor)
         held.at = now + self.settings.repeat
         return self._arm(held.binding.key, held.at)
 
@@ -951,8 +952,8 @@
             if seek.target not in view:
                 self._place(now, seek)
         for held in [one for one in self.owned.values() if one.phase is Phase.GIVING]:
-            if held.binding.heir not in view:
-                self._next_heir(now, held)
+            if held.binding.successor not in view:
+                self._next_successor(now, held)
 
     def _activate(self, now: float, active: Active) -> None:
         if active.version < self.version:
@@ -1041,7 +1042,7 @@
         held.at = inf
         match held.phase:
             case Phase.STOPPING if not held.asked:
-                self._stop(now, held, self._heir(held) or held.binding.heir)
+                self._stop(now, held, self._successor(held) or held.binding.successor)
             case Phase.PASSING | Phase.GIVING:
                 self._give(now, held)
 
--- a/sablewheel/transport/periodic.py
+++ b/sablewheel/transport/periodic.py
@@ -1,19 +1,19 @@
-"""Background work beside requests: which chore may do its next small step, and when. Pure.
+"""Background work beside requests: which periodic_task may do its next small step, and when. Pure.
 
-A chore has a priority, a share of the time that it may take on average, and steps of a millisecond or so. In
-a round that carried requests nothing is done, but for a chore that has waited too long already: it has one
-step.
+A periodic_task has a priority, a share of the time that it may take on average, and steps of a millisecond or
+so. In a round that carried requests nothing is done, but for a periodic_task that has waited too long
+already: it has one step.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-SAVED_MOST = 0.05  # seconds of its budget that a chore may save up
+SAVED_MOST = 0.05  # seconds of its budget that a periodic_task may save up
 
 
 @dataclass
-class Chore:
+class PeriodicTask:
     """`share`: of one core, 0 to 1. `starved`: seconds after which it gets a step in spite of requests.
 
     Invariant: over any span it takes at most `share` of the span, and `SAVED_MOST` and one step more.
@@ -29,51 +29,51 @@
     took: float = 0.0
 
 
-class Rota:
+class PeriodicScheduler:
     """Chooses; whoever does the work tells what it took."""
 
     def __init__(self) -> None:
-        self._chores: list[Chore] = []
+        self._periodic_tasks: list[PeriodicTask] = []
         self._refilled = 0.0
 
-    def add(self, chore: Chore) -> None:
-        self._chores.append(chore)
-        self._chores.sort(key=lambda one: one.priority)
+    def add(self, periodic_task: PeriodicTask) -> None:
+        self._periodic_tasks.append(periodic_task)
+        self._periodic_tasks.sort(key=lambda one: one.priority)
 
-    def want(self, chore: Chore, now: float) -> None:
-        chore.wanted_since = chore.wanted_since or now
+    def want(self, periodic_task: PeriodicTask, now: float) -> None:
+        periodic_task.wanted_since = periodic_task.wanted_since or now
 
     @property
     def wanted(self) -> bool:
-        return any(one.wanted_since for one in self._chores)
+        return any(one.wanted_since for one in self._periodic_tasks)
 
-    def choose(self, now: float, busy: bool) -> Chore | None:
-        """The chore whose step is next; None if all that want one must wait."""
+    def choose(self, now: float, busy: bool) -> PeriodicTask | None:
+        """The periodic_task whose step is next; None if all that want one must wait."""
         span = max(now - self._refilled, 0.0)
         self._refilled = now
-        for one in self._chores:
+        for one in self._periodic_tasks:
             one.budget = min(one.budget + span * one.share, SAVED_MOST)
-        for one in self._chores:
+        for one in self._periodic_tasks:
             if one.wanted_since and one.budget > 0 and (not busy or now - one.wanted_since >= one.starved):
                 return one
         return None
 
-    def done(self, chore: Chore, now: float, took: float, more: bool) -> None:
+    def done(self, periodic_task: PeriodicTask, now: float, took: float, more: bool) -> None:
         """A step took so long; `more`: whether another is wanted."""
-        chore.budget -= took
-        chore.took += took
-        chore.steps += 1
-        chore.wanted_since = now if more else 0.0
+        periodic_task.budget -= took
+        periodic_task.took += took
+        periodic_task.steps += 1
+        periodic_task.wanted_since = now if more else 0.0
 
     def again_in(self, now: float, busy: bool) -> float | None:
-        """Seconds until some chore may have its step; None if none wants one."""
+        """Seconds until some periodic_task may have its step; None if none wants one."""
         spans = [
             max(
                 -one.budget / one.share if one.budget <= 0 else 0.0,
                 one.wanted_since + one.starved - now if busy else 0.0,
                 0.0,
             )
-            for one in self._chores
+            for one in self._periodic_tasks
             if one.wanted_since
         ]
         return min(spans) if spans else None
--- a/sablewheel/usage_metering/recorder.py
+++ b/sablewheel/usage_metering/recorder.py
@@ -68,7 +68,7 @@
 
 
 class Keeper:
-    """The witness of one server's tickets. `names` gives customers their names."""
+    """The observer of one server's tickets. `names` gives customers their names."""
 
     def __init__(
         self,
--- a/tests/test_close_races.py
+++ b/tests/test_close_races.py
@@ -44,7 +44,7 @@
         return self.now
 
 
-class Desk:
+class RequestHandler:
     """Holds what arrived until the test answers it."""
 
     def __init__(self) -> None:
@@ -59,20 +59,20 @@
 
 
 class Hall:
-    """The routers' side over real sockets; the test is every router and the desk."""
+    """The routers' side over real sockets; the test is every router and the handler."""
 
     def __init__(self, connections_most: int) -> None:
         self.clock = Ahead()
         self.scheduler = Scheduler(self.clock)
         self.counts: list[str] = []
-        self.desk = Desk()
+        self.handler = RequestHandler()
         names = (b"lookup", b"record")
         self.server = Server(
             self.scheduler,
             dict(zip(names, SERVER_SETTINGS.request_classes, strict=True)),
             {b"acme": SERVER_SETTINGS.tenants[0]},
             Standing(None, True),
-            self.desk,
+            self.handler,
             self.counts.append,
             connections_most,
         )
@@ -243,10 +243,10 @@
     """A close over bytes that came after the last look at them reset the connection: the answer was lost."""
     peer = hall.peer()
     peer.send(hall.call(1))
-    hall.turn(lambda: hall.desk.held)
+    hall.turn(lambda: hall.handler.held)
     connection = hall.connection(peer)
     crossing(connection.stream, lambda: peer.sendall(hall.call(2)))
-    hall.desk.held[0].complete(b"made" * 1000)
+    hall.handler.held[0].complete(b"made" * 1000)
     hall.server.farewell()
     hall.server.flush()  # the router has not read it by then
     hall.ahead(2.0)
@@ -254,7 +254,7 @@
     hall.turn(lambda: "connections_crossed" in hall.counts)
     said, over = words(peer)
     assert [one[:2] for one in said] == [[b"1", b"OK"], [b"0", b"BYE"]] and over
-    assert len(hall.desk.held) == 1, "what came after the shutdown was run"
+    assert len(hall.handler.held) == 1, "what came after the shutdown was run"
     peer.close()
     hall.turn(lambda: not hall.server.connections)
 
@@ -264,8 +264,8 @@
     one, two = hall.peer(), hall.peer()
     one.send(hall.call(1))
     two.send(hall.call(2))
-    hall.turn(lambda: len(hall.desk.held) == 2)
-    for exchange in hall.desk.held:
+    hall.turn(lambda: len(hall.handler.held) == 2)
+    for exchange in hall.handler.held:
         exchange.complete(b"made" * 1000)
     hall.server.flush()
     two.send(hall.call(3))  # has come, is not read yet
@@ -273,14 +273,14 @@
     wait_until(lambda: hall.connection(two).stream.unread)
     crossing(last.stream, lambda: one.sendall(hall.call(4)))
     hall.server.finish()
-    hall.turn(lambda: len(hall.desk.held) == 3)
-    hall.desk.held[2].reject(0.0, False)
+    hall.turn(lambda: len(hall.handler.held) == 3)
+    hall.handler.held[2].reject(0.0, False)
     hall.server.flush()
     hall.turn(lambda: "connections_crossed" in hall.counts)
     said, over = words(one)
     assert [frame[1] for frame in said] == [b"OK"] and over
     assert [frame[1] for frame in words(two)[0]] == [b"OK", b"BUSY"]
-    assert len(hall.desk.held) == 3
+    assert len(hall.handler.held) == 3
 
 
 def test_a_router_that_stays_after_the_shutdown_is_closed_in_a_while(hall: Hall) -> None:
@@ -366,13 +366,13 @@
     one, two = hall.peer(), hall.peer()
     one.send(hall.call(1) + hall.call(2))
     two.send(hall.call(3))
-    hall.turn(lambda: len(hall.desk.held) == 3)
-    held = {exchange.name: exchange for exchange in hall.desk.held}
+    hall.turn(lambda: len(hall.handler.held) == 3)
+    held = {exchange.name: exchange for exchange in hall.handler.held}
     held[b"%016x" % 1].complete(b"x" * 4096)
     one.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     one.close()  # a reset, as the answer is queued
-    hall.turn(lambda: hall.desk.left)
-    assert [exchange.name for exchange in hall.desk.left] == [b"%016x" % 2]
+    hall.turn(lambda: hall.handler.left)
+    assert [exchange.name for exchange in hall.handler.left] == [b"%016x" % 2]
     held[b"%016x" % 3].complete(b"made")
     hall.turn(lambda: len(hall.server.connections) == 1 and not hall.server.dirty)
     assert words(two)[0][0][1] == b"OK"
@@ -386,7 +386,7 @@
     late = hall.call(1)
     hall.clock.now -= 1.1  # the round began before the request was made
     connection._read(late)
-    assert len(hall.desk.held) == 1 and "frames_faulty" not in hall.counts
+    assert len(hall.handler.held) == 1 and "frames_faulty" not in hall.counts
 
 
 # -- a full table
@@ -416,10 +416,10 @@
             for sock in idle:
                 if closes and sock.fileno() >= 0 and ended(sock):
                     sock.close()
-            return bool(hall.desk.held) and hall.counts.count("checks_in") == most * asked + 1
+            return bool(hall.handler.held) and hall.counts.count("checks_in") == most * asked + 1
 
         hall.turn(served)
-        hall.desk.held[0].complete(b"made")
+        hall.handler.held[0].complete(b"made")
         hall.server.flush()
         assert words(asking)[0][0][1] == b"OK" and words(check)[0][0][1] == b"UP"
         assert hall.counts.count("connections_crowded_out") <= 4, "more went than were in the way"
@@ -433,19 +433,19 @@
         busy = [hall.peer() for _ in range(4)]
         for tag, sock in enumerate(busy, 1):
             sock.send(hall.call(tag))
-        hall.turn(lambda: len(hall.desk.held) == 4)
+        hall.turn(lambda: len(hall.handler.held) == 4)
         late = hall.peer()
         late.send(hall.call(9))
         hall.ahead(1.0)
         hall.turn(lambda: hall.listener is not None)
         hall.server.make_room()
         assert len(hall.server.connections) == 4
-        hall.desk.held[0].complete(b"made")
+        hall.handler.held[0].complete(b"made")
         hall.server.flush()
         hall.ahead(0.2)
-        hall.turn(lambda: len(hall.desk.held) == 5)
+        hall.turn(lambda: len(hall.handler.held) == 5)
         assert words(busy[0])[0][0][1] == b"OK"
-        assert "connections_crowded_out" in hall.counts and not hall.desk.left
+        assert "connections_crowded_out" in hall.counts and not hall.handler.left
     finally:
         finish(hall)
 
@@ -467,11 +467,11 @@
 
     hall.turn(stuffed)
     good.send(hall.call(1))
-    hall.turn(lambda: hall.desk.held)
+    hall.turn(lambda: hall.handler.held)
     assert len(hall.server.connections) == 2
     hall.ahead(max(request_class.timeout_s for request_class in SERVER_SETTINGS.request_classes) + 2.0)
     hall.turn(lambda: "connections_stuck" in hall.counts)
-    assert [one.open for one in hall.server.connections] == [{1: hall.desk.held[0]}]
+    assert [one.open for one in hall.server.connections] == [{1: hall.handler.held[0]}]
 
 
 def test_one_reset_before_it_was_taken_is_no_sign_of_a_full_table(
@@ -515,7 +515,7 @@
         hall.ahead(0.2)
         late = hall.peer()
         late.send(hall.call(1))
-        hall.turn(lambda: hall.desk.held)
+        hall.turn(lambda: hall.handler.held)
         assert faults == [True]
     finally:
         finish(hall)
@@ -579,6 +579,6 @@
     for limit in (16, 28, 48, 64, 384, 512, 1024):
         place = Place(tmp_path, limits={"sockets": limit})
         place.file.write_text(json.dumps(place.told))
-        told[limit] = configuration.posting({"RELAY_CONFIG": str(place.file)}).connections_most
+        told[limit] = configuration.placement_settings({"RELAY_CONFIG": str(place.file)}).connections_most
         place.end()
     assert told == {16: 4, 28: 16, 48: 31, 64: 44, 384: 364, 512: 492, 1024: 1004}
--- a/tests/test_dependency_calls.py
+++ b/tests/test_dependency_calls.py
@@ -187,7 +187,7 @@
     }
     file = tmp_path / "configuration.json"
     file.write_text(json.dumps(told))
-    mine = configuration.posting({"RELAY_CONFIG": str(file)}).server_settings
+    mine = configuration.placement_settings({"RELAY_CONFIG": str(file)}).server_settings
     assert (
         mine.dependency is None
         and not mine.request_classes[0].calls_dependency
--- a/tests/test_feature_policy_service.py
+++ b/tests/test_feature_policy_service.py
@@ -120,7 +120,7 @@
         self.told.append(None)
 
 
-class Desk:
+class RequestHandler:
     """The dispatch."""
 
     def __init__(self) -> None:
@@ -143,11 +143,11 @@
 
 
 def ask(made: Policies, request_class: bytes) -> tuple[list[bytes], list[Any]]:
-    desk, caller = Desk(), Caller()
+    handler, caller = RequestHandler(), Caller()
     tenant: Tenant | None = None
     request = Request(REQUEST_CLASS, Client(), tenant, 0.0, 1.0)
-    made.gate(desk).arrived(Exchange(b"n", request_class, b"", 1, None, request, caller))
-    return desk.served, caller.told
+    made.gate(handler).arrived(Exchange(b"n", request_class, b"", 1, None, request, caller))
+    return handler.served, caller.told
 
 
 def test_a_document_is_translated_beside_the_server_and_what_holds_is_applied(tmp_path: Path) -> None:
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -59,7 +59,7 @@
 from sablewheel.membership.view import Member, View
 from sablewheel.overload.interface import Client, Idempotency, Request, RequestClass
 from sablewheel.program.feature_file import FaultyFeaturesError, read
-from sablewheel.serving.exchange import UNWITNESSED, Exchange
+from sablewheel.serving.exchange import NO_OBSERVER, Exchange
 from sablewheel.transport.scheduler import Clock, Scheduler
 
 PATIENCE = 5.0
@@ -583,7 +583,7 @@
 
 
 class Engine:
-    """A desk that keeps what arrives."""
+    """A handler that keeps what arrives."""
 
     def __init__(self) -> None:
         self.open: list[Exchange] = []
@@ -634,10 +634,10 @@
         for place, name in enumerate("ab"):
             links = self.net.start(name)
             forward = Forward(
-                scheduler, links, Passing(), place + 1, {**REQUEST_CLASSES}, {}, lambda: UNWITNESSED
+                scheduler, links, Passing(), place + 1, {**REQUEST_CLASSES}, {}, lambda: NO_OBSERVER
             )
             self.engines[name] = Engine()
-            forward.desk(self.engines[name])
+            forward.handler(self.engines[name])
             forward.placer = To("b")  # on b as well: what was passed there must not go on
             self.forwards[name] = forward
         self.scheduler, self.router, self.count = scheduler, Asker(), 0
--- a/tests/test_interpreter_link_races.py
+++ b/tests/test_interpreter_link_races.py
@@ -588,7 +588,7 @@
 # -- on loopback
 
 
-class Desk:
+class RequestHandler:
     def __init__(self) -> None:
         self.ends: list[tuple[bytes, Outcome, bytes]] = []
         self.greetings = 0
@@ -639,10 +639,12 @@
 
 def test_a_move_that_crosses_a_break_in_the_middle_of_a_notice_loses_and_doubles_nothing() -> None:
     """The old address resets its link within a notice, over a command unread, as the new one is taken."""
-    scheduler, core, desk = Scheduler(Clock()), Interpreter(), Desk()
+    scheduler, core, handler = Scheduler(Clock()), Interpreter(), RequestHandler()
     counts: list[str] = []
     old, new = Engine(scheduler, core), Engine(scheduler, core)
-    client = InterpreterClient(scheduler, lambda: connect(scheduler, old.address, 1.0), desk, counts.append)
+    client = InterpreterClient(
+        scheduler, lambda: connect(scheduler, old.address, 1.0), handler, counts.append
+    )
     scheduler.after_round.append(client.flush)
     names = [b"%016x" % which for which in range(4)]
 
@@ -664,11 +666,11 @@
         client.run(exchange(names[3]))
         scheduler.sleep(0.0)
         old.reset()
-        until(lambda: desk.greetings == 2 and set(core.running) == set(names[2:]))
+        until(lambda: handler.greetings == 2 and set(core.running) == set(names[2:]))
         for name in names[2:]:
             new.links[-1].write(core.end(name) + core.notices[-1])
         new.links[-1].flush()
-        until(lambda: len(desk.ends) == 4)
+        until(lambda: len(handler.ends) == 4)
         scheduler.sleep(0.05)  # for an end too many
         scheduler.stop()
 
@@ -679,8 +681,8 @@
         end.close()
     new.listener.close()
     assert [name for name, *_ in core.applied] == names
-    assert desk.ends == [(name, Outcome.SUCCEEDED, b"made of body of " + name) for name in names]
-    assert desk.greetings == 2 and not counts.count("runs_error")
+    assert handler.ends == [(name, Outcome.SUCCEEDED, b"made of body of " + name) for name in names]
+    assert handler.greetings == 2 and not counts.count("runs_error")
 
 
 # -- the parser over a change of link
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -233,7 +233,9 @@
         f"forwarding:\n  listen: {host}:7702\n"
     )
     monkeypatch.setattr(application, "SHARE_EVERY", 0.01)
-    one = application.Application(configuration.posting({"RELAY_CONFIG": str(told)}), features.read(on))
+    one = application.Application(
+        configuration.placement_settings({"RELAY_CONFIG": str(told)}), features.read(on)
+    )
     assert one._server._connections_most == 1004 - 64
     parts = one._feature
     assert isinstance(parts, Parts)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -236,12 +236,12 @@
 import os, signal, sys
 from sablewheel import __main__ as start
 from sablewheel.program import configuration
-read = configuration.posting
+read = configuration.placement_settings
 def posting():
     os.kill(os.getpid(), signal.SIGUSR1)
     os.kill(os.getpid(), signal.SIGTERM)
     return read()
-configuration.posting = posting
+configuration.placement_settings = posting
 sys.exit(start.main())
 """
 
@@ -539,7 +539,7 @@
             inner[path[-1]] = odd
             place.file.write_text(json.dumps(told))
             with contextlib.suppress(configuration.FaultyKeyError):
-                configuration.posting({"RELAY_CONFIG": str(place.file)})
+                configuration.placement_settings({"RELAY_CONFIG": str(place.file)})
 
 
 def test_no_file_no_json_and_an_address_in_use_are_told_in_a_line(place: Place) -> None:
@@ -548,7 +548,7 @@
         if text is not None:
             place.file.write_text(text)
         with pytest.raises(configuration.FaultyKeyError) as fault:
-            configuration.posting(environment)
+            configuration.placement_settings(environment)
         assert str(fault.value).startswith(said)
     place.start()
     place.ready()
@@ -632,6 +632,6 @@
     told["settings"]["extra"]["gauges"] = gauges
     place.file.write_text(json.dumps(told))
     try:
-        assert configuration.posting({"RELAY_CONFIG": str(place.file)}).gauge_places == places
+        assert configuration.placement_settings({"RELAY_CONFIG": str(place.file)}).gauge_places == places
     finally:
         place.end()
--- a/tests/test_replication_service.py
+++ b/tests/test_replication_service.py
@@ -32,7 +32,7 @@
 from sablewheel.replication.plan import ReplicationPlan, Settings
 from sablewheel.replication.service import Keeper
 from sablewheel.serving.exchange import Caller, Exchange, Place
-from sablewheel.serving.hooks import UNREMEMBERED
+from sablewheel.serving.hooks import NO_RESULT_STORE
 from sablewheel.transport.scheduler import Scheduler
 
 NAMES = "abc"
@@ -116,7 +116,7 @@
                 ReplicationPlan(replica, **keys),
                 name,
                 1,
-                UNREMEMBERED,
+                NO_RESULT_STORE,
                 self,
                 self.never_begun(name),
                 self.count,
--- a/tests/test_result_store.py
+++ b/tests/test_result_store.py
@@ -31,7 +31,7 @@
 from sablewheel.result_store.recorder import KIND, Recorder
 from sablewheel.result_store.recovery import Loaded
 from sablewheel.result_store.windows import Moment, shift, until_after
-from sablewheel.serving.exchange import UNWITNESSED
+from sablewheel.serving.exchange import NO_OBSERVER
 from sablewheel.storage.files import DiskFiles
 from sablewheel.storage.log import Log
 from sablewheel.transport.background import Background
@@ -318,7 +318,7 @@
             plan,
             b"inc%05d" % len(disk.files.names()),
             request_classes,
-            UNWITNESSED,
+            NO_OBSERVER,
             lambda one: self.dispatch.ended(one, Outcome.NEVER_STARTED, 0.0, b""),
             lambda: None,
             self.failures.append,
@@ -326,7 +326,7 @@
             self.moment,
         )
         bridge.work()
-        self.server.witness = self.recorder
+        self.server.observer = self.recorder
         self.dispatch._memory = self.recorder
         # The town greeted its interpreter before: what a start would have told is told now.
         born = self.now - (5000.0 if outlived or before is None else 0.0)
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -372,7 +372,7 @@
     town.wait(1.0)
     assert town.counts.count("links") == 2 and town.link is not None and town.link.open
     del town.dispatch.ended
-    town.server.desk = type("Faulty", (), {"arrived": fault, "gone": lambda *_: None})()
+    town.server.handler = type("Faulty", (), {"arrived": fault, "gone": lambda *_: None})()
     said = town.ask(call(99, b"%016x" % 255, b"lookup", town.now, b""))
     assert [words[:2] for words in said] == [[b"99", b"FAILED"]]
     assert town.counts.count("faults") == 2  # the link's and the request's
--- a/tests/test_session_affinity.py
+++ b/tests/test_session_affinity.py
@@ -196,9 +196,9 @@
     one = owner(idempotency=Idempotency.KEYED)
     one.step(0.0, Loads({"b": Load(5), "c": Load(5)}))
     (write,) = one.step(1.0, Active(1, {"": frozenset({"b"})}))
-    assert isinstance(write, Write) and (write.value.state, write.value.heir) == (State.PASSING, "b")
+    assert isinstance(write, Write) and (write.value.state, write.value.successor) == (State.PASSING, "b")
     assert one.step(1.1, Answered(write.ref, Verdict.WON, write.value)) == []  # one run is open
-    assert one.step(1.1, Came(2, "k", Idempotency.KEYED)) == []  # it waits for the heir
+    assert one.step(1.1, Came(2, "k", Idempotency.KEYED)) == []  # it waits for the successor
     (take,) = one.step(1.2, Over(1, "k"))
     assert isinstance(take, Send) and isinstance(take.message, Take) and take.to == "b"
     assert not one.may_begin(1.2, "k", NUMBER, 1.2)
--- a/tests/test_session_router.py
+++ b/tests/test_session_router.py
@@ -17,8 +17,8 @@
 from sablewheel.replication.plan import ReplicationPlan
 from sablewheel.replication.plan import Settings as ReplicaSettings
 from sablewheel.replication.service import Keeper
-from sablewheel.serving.exchange import UNWITNESSED, Exchange, Place
-from sablewheel.serving.hooks import UNREMEMBERED
+from sablewheel.serving.exchange import NO_OBSERVER, Exchange, Place
+from sablewheel.serving.hooks import NO_RESULT_STORE
 from sablewheel.session_affinity.events import Active
 from sablewheel.session_affinity.plan import AffinityPlan, Settings
 from sablewheel.session_affinity.session_router import KIND, Affinity, Watching
@@ -69,7 +69,7 @@
         scheduler, clock = cast(Any, time), lambda: time.now
         links = cast(Any, self.links)
         self.forward = Forward(
-            scheduler, links, Passing(), 1000, REQUEST_CLASSES, TENANTS, lambda: self.witness, clock
+            scheduler, links, Passing(), 1000, REQUEST_CLASSES, TENANTS, lambda: self.observer, clock
         )
         settings = ReplicaSettings(longest=9.0, cold_waits=False, slots=8)
         self.keeper = Keeper(
@@ -78,8 +78,8 @@
             ReplicationPlan(settings),
             name,
             1,
-            UNREMEMBERED,
-            UNWITNESSED,
+            NO_RESULT_STORE,
+            NO_OBSERVER,
             self.never_begun,
             self.count,
             clock=clock,
@@ -91,7 +91,7 @@
             on_view=self.on_view,
             leave=self.leave,
         )
-        self.witness: Any = UNWITNESSED
+        self.observer: Any = NO_OBSERVER
         self.affinity = Affinity(
             scheduler,
             AffinityPlan(settings=Settings(**keys)),
@@ -108,8 +108,8 @@
             self.count,
             clock,
         )
-        self.witness = Watching(self.affinity)
-        self.desk = self.affinity.desk(self.forward.desk(self))
+        self.observer = Watching(self.affinity)
+        self.handler = self.affinity.handler(self.forward.handler(self))
         self.keeper.view(view)
         self.see(view)
 
@@ -169,9 +169,9 @@
             idempotency_key,
             request,
             cast(Any, told),
-            server.witness,
+            server.observer,
         )
-        server.desk.arrived(exchange)
+        server.handler.arrived(exchange)
         return exchange, told
 
     def running(self) -> dict[str, int]:
@@ -211,16 +211,16 @@
     three.servers[owner].affinity.leaving()
     three.time.run(1.0)
     other = next(name for name in NAMES if name != owner)
-    _, waits = three.bring(other)  # it waits for the heir
+    _, waits = three.bring(other)  # it waits for the successor
     three.time.run(0.3)
     assert three.running() == {owner: 1} and not three.servers[owner].left
     three.end_all()
     three.time.run(1.0)
-    (heir,) = three.running()
-    assert heir != owner and not waits.answers
-    three.bring(owner)  # one that comes late goes on to the heir
+    (successor,) = three.running()
+    assert successor != owner and not waits.answers
+    three.bring(owner)  # one that comes late goes on to the successor
     three.time.run(0.3)
-    assert three.running() == {heir: 2} and not three.servers[owner].left
+    assert three.running() == {successor: 2} and not three.servers[owner].left
     three.end_all()
     assert waits.answers == [("completed", b"done", 0.0)]
     three.time.run(5.0)
@@ -247,7 +247,7 @@
     three = Three()
     exchange, told = three.bring("a", b"lookup")
     assert exchange.discard()
-    three.servers["a"].desk.gone(exchange)
+    three.servers["a"].handler.gone(exchange)
     three.time.run(1.0)
     assert three.running() == {} and told.answers == [] and three.servers["a"].affinity.settled()
 
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -270,7 +270,7 @@
 
 def test_who_waits_for_what_is_remembered_is_answered_before_the_end(place: Place) -> None:
     """It may be a repeat of what ran before the start: so it fails, and it is not rejected."""
-    process = child(place, "from sablewheel.serving import hooks; hooks.Unremembered.ready = False")
+    process = child(place, "from sablewheel.serving import hooks; hooks.NoResultStore.ready = False")
     peer = place.ready()
     peer.send(peer.call(1, b"record", b"ab"))
     assert peer.ask(999, HEALTH)[1] == b"UP"
--- a/tests/test_usage_metering.py
+++ b/tests/test_usage_metering.py
@@ -36,7 +36,7 @@
 from sablewheel.storage.files import DiskFiles
 from sablewheel.storage.log import Log
 from sablewheel.transport.background import Background
-from sablewheel.transport.periodic import SAVED_MOST, Chore, Rota
+from sablewheel.transport.periodic import SAVED_MOST, PeriodicScheduler, PeriodicTask
 from sablewheel.transport.scheduler import Clock, Scheduler
 from sablewheel.usage_metering import blocks, collecting, export, reports, statement
 from sablewheel.usage_metering import recorder as keeper
@@ -92,7 +92,7 @@
         self.keeper = Keeper(
             self.scheduler, background, plan, "n1", INCARNATION, names, lambda: 0.5, self.counts.append
         )
-        self.server.witness = self.keeper
+        self.server.observer = self.keeper
         self.bridge: SlowBridge = self.keeper._bridge  # type: ignore[assignment]
 
     def settle(self, deliver: bool = True) -> None:
@@ -657,32 +657,38 @@
 # -- background work
 
 
-def test_chores_keep_to_their_share_and_yield_to_tickets() -> None:
-    rota, low, high = Rota(), Chore("low", 2, 0.5), Chore("high", 1, 0.1)
-    rota.add(low)
-    rota.add(high)
+def test_periodic_tasks_keep_to_their_share_and_yield_to_tickets() -> None:
+    periodic_scheduler, low, high = (
+        PeriodicScheduler(),
+        PeriodicTask("low", 2, 0.5),
+        PeriodicTask("high", 1, 0.1),
+    )
+    periodic_scheduler.add(low)
+    periodic_scheduler.add(high)
     took = {"low": 0.0, "high": 0.0}
     now = 100.0
     for step in range(20_000):
         now += 0.001
         busy = step % 2 == 0
-        rota.want(low, now)
-        rota.want(high, now)
-        chore = rota.choose(now, busy)
-        if chore is not None:
-            assert not busy or now - chore.wanted_since >= chore.starved
-            took[chore.name] += 0.001
-            rota.done(chore, now, 0.001, more=True)
+        periodic_scheduler.want(low, now)
+        periodic_scheduler.want(high, now)
+        periodic_task = periodic_scheduler.choose(now, busy)
+        if periodic_task is not None:
+            assert not busy or now - periodic_task.wanted_since >= periodic_task.starved
+            took[periodic_task.name] += 0.001
+            periodic_scheduler.done(periodic_task, now, 0.001, more=True)
     assert 0.9 * 2.0 <= took["high"] <= 0.1 * 20 + SAVED_MOST + 0.001
     assert 4.0 <= took["low"] <= 0.5 * 20 + SAVED_MOST + 0.001
 
 
 def test_a_starved_chore_has_its_step_in_spite_of_tickets() -> None:
-    rota, chore = Rota(), Chore("one", 1, 0.5, starved=0.25)
-    rota.add(chore)
-    rota.want(chore, 10.0)
-    assert rota.choose(10.2, busy=True) is None and rota.again_in(10.2, busy=True) == pytest.approx(0.05)
-    assert rota.choose(10.3, busy=True) is chore
+    periodic_scheduler, periodic_task = PeriodicScheduler(), PeriodicTask("one", 1, 0.5, starved=0.25)
+    periodic_scheduler.add(periodic_task)
+    periodic_scheduler.want(periodic_task, 10.0)
+    assert periodic_scheduler.choose(10.2, busy=True) is None and periodic_scheduler.again_in(
+        10.2, busy=True
+    ) == pytest.approx(0.05)
+    assert periodic_scheduler.choose(10.3, busy=True) is periodic_task
 
 
 # -- features file and command
