--- a/sablewheel/command/ledger.py
+++ b/sablewheel/command/ledger.py
@@ -1,4 +1,4 @@
-"""`sablewheel ledger`: the collector and the tools on its book."""
+"""`sablewheel ledger`: the collector and the tools on its journal."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from ..program.feature_file import FaultyFeaturesError, read
 from ..usage_metering import corrections, reports, statement
 from ..usage_metering.corrections import Correction, CorrectionError
-from ..usage_metering.journal import Book, BookError
+from ..usage_metering.journal import Journal, JournalError
 from .main import print_json
 
 book_option = click.option(
@@ -23,14 +23,14 @@
 )
 
 
-def told_plainly(function: Callable[..., None]) -> Callable[..., None]:
+def print_known_errors(function: Callable[..., None]) -> Callable[..., None]:
     """Errors that have a sentence of their own are printed as that; exit 1."""
 
     @wraps(function)
     def inner(*values: Any, **named: Any) -> None:
         try:
             function(*values, **named)
-        except (BookError, CorrectionError, FaultyFeaturesError) as trouble:
+        except (JournalError, CorrectionError, FaultyFeaturesError) as trouble:
             click.echo(f"sablewheel ledger: {trouble}", err=True)
             sys.exit(1)
 
@@ -43,8 +43,8 @@
 
     \b
     sablewheel ledger collect --features deploy/sablewheel.yaml
-    sablewheel ledger statement --book book.sqlite --period 2026-12-01
-    sablewheel ledger reconcile --book book.sqlite /var/lib/sablewheel/n1 /var/lib/sablewheel/n2
+    sablewheel ledger statement --journal journal.sqlite --period 2026-12-01
+    sablewheel ledger reconcile --journal journal.sqlite /var/lib/sablewheel/n1 /var/lib/sablewheel/n2
     """
 
 
@@ -52,9 +52,9 @@
 @click.option(
     "--features", required=True, type=click.Path(), help="A features file with a collector section."
 )
-@told_plainly
+@print_known_errors
 def collect(features: str) -> None:
-    """Take the exports of many servers into one durable book, until told to leave (SIGTERM, SIGINT).
+    """Take the exports of many servers into one durable journal, until told to leave (SIGTERM, SIGINT).
 
     \b
     sablewheel ledger collect --features collector.yaml
@@ -63,7 +63,7 @@
 
     plan = read(features).collector
     if plan is None:
-        raise BookError(f"{features}: no collector section")
+        raise JournalError(f"{features}: no collector section")
     sys.exit(run(plan))
 
 
@@ -74,15 +74,15 @@
 @click.option(
     "--format", "form", type=click.Choice(["text", "csv", "json"]), default="text", show_default=True
 )
-@told_plainly
+@print_known_errors
 def statement_(book_path: Path, period: str, customer: str | None, form: str) -> None:
     """What customers used in a period; the same for ever once it is closed.
 
     \b
-    sablewheel ledger statement --book book.sqlite --period 2026-12-01 --customer regina-intl
-    sablewheel ledger statement --book book.sqlite --period 2026-12 --format csv > december.csv
+    sablewheel ledger statement --journal journal.sqlite --period 2026-12-01 --customer regina-intl
+    sablewheel ledger statement --journal journal.sqlite --period 2026-12 --format csv > december.csv
     """
-    found = reports.statements(Book(book_path, read_only=True), period, customer)
+    found = reports.statements(Journal(book_path, read_only=True), period, customer)
     forms = {"text": statement.as_text, "csv": statement.as_csv, "json": statement.as_json}
     click.echo(forms[form](found), nl=form == "json")
 
@@ -96,7 +96,7 @@
 @click.option("--run-s", type=float, default=0.0, help="Added to the billed run time, in seconds.")
 @click.option("--reason", required=True)
 @click.option("--author", default=getpass.getuser, show_default="you")
-@told_plainly
+@print_known_errors
 def correct(
     book_path: Path,
     customer: str,
@@ -110,35 +110,36 @@
     """Add a correction to the open period. What it refers to stays as it is.
 
     \b
-    sablewheel ledger correct --book book.sqlite --customer regina-intl --track record \\
+    sablewheel ledger correct --journal journal.sqlite --customer regina-intl --track record \\
         --target n1/0192a7c3b1e2f00d/4711 --tickets -1 --reason "ran twice by hand, ticket 17"
     """
     if abs(run_s) > 1e9:
         raise CorrectionError("run time: out of range")
     one = Correction(corrections.target(target), customer, track, tickets, round(run_s * 1e6), reason, author)
     if not book_path.exists():
-        raise BookError(f"{book_path}: there is no such book")
-    period = Book(book_path).correct(one, time.time())
+        raise JournalError(f"{book_path}: there is no such book")
+    period = Journal(book_path).correct(one, time.time())
     click.echo(f"corrected in period {period}: {one.target}, {tickets:+} tickets, {run_s:+g} s")
 
 
 @ledger.command()
 @book_option
 @click.option("--against", help="A seal from an older statement: it must still be in the book.")
-@told_plainly
+@print_known_errors
 def verify(book_path: Path, against: str | None) -> None:
-    """Check every line, seal and block of a book; each fault with its place. Exit 1 if there is any.
+    """Check every line, seal and block of a journal; each fault with its place. Exit 1 if there is any.
 
     \b
-    sablewheel ledger verify --book book.sqlite --against 5f0c...
+    sablewheel ledger verify --journal journal.sqlite --against 5f0c...
     """
-    book = Book(book_path, read_only=True)
+    journal = Journal(book_path, read_only=True)
     faults = 0
-    for fault in book.verify():
+    for fault in journal.verify():
         click.echo(fault)
         faults += 1
     if against is not None and not any(
-        bytes(one[0]).hex() == against for one in book.rows("select seal from periods where seal is not null")
+        bytes(one[0]).hex() == against
+        for one in journal.rows("select seal from periods where seal is not null")
     ):
         click.echo(f"no period has the seal {against}")
         faults += 1
@@ -151,14 +152,14 @@
 @click.option("--customer")
 @click.option("--period")
 @click.option("--most", default=100, show_default=True, help="Lines at the most.")
-@told_plainly
+@print_known_errors
 def show(book_path: Path, customer: str | None, period: str | None, most: int) -> None:
     """Lines one by one, as JSON.
 
     \b
-    sablewheel ledger show --book book.sqlite --customer regina-intl --period 2026-12-01 --most 20
+    sablewheel ledger show --journal journal.sqlite --customer regina-intl --period 2026-12-01 --most 20
     """
-    for row in reports.entries(Book(book_path, read_only=True), customer, period, most):
+    for row in reports.entries(Journal(book_path, read_only=True), customer, period, most):
         print_json(row)
 
 
@@ -166,16 +167,17 @@
 @book_option
 @click.argument("folders", nargs=-1, required=True, type=click.Path(path_type=Path, exists=True))
 @click.option("--json", "as_json", is_flag=True, help="One line of JSON.")
-@told_plainly
+@print_known_errors
 def reconcile(book_path: Path, folders: tuple[Path, ...], as_json: bool) -> None:
-    """Servers' own ledger folders against the book: gaps, doubles, changed entries. Exit 1 if there is any.
+    """Servers' own ledger folders against the journal: gaps, doubles, changed entries. Exit 1 if there is
+    any.
 
     \b
-    sablewheel ledger reconcile --book book.sqlite /var/lib/sablewheel/n1 /var/lib/sablewheel/n2
+    sablewheel ledger reconcile --journal journal.sqlite /var/lib/sablewheel/n1 /var/lib/sablewheel/n2
     """
     from ..usage_metering.auditing import reconcile_folders
 
-    found, notes = reconcile_folders(Book(book_path, read_only=True), folders)
+    found, notes = reconcile_folders(Journal(book_path, read_only=True), folders)
     if as_json:
         print_json(
             {
--- a/sablewheel/experiments/ledger_cost.py
+++ b/sablewheel/experiments/ledger_cost.py
@@ -13,7 +13,7 @@
 import psutil
 
 from ..usage_metering import usage_metering_pb2 as pb
-from ..usage_metering.aggregation import Pool
+from ..usage_metering.aggregation import EntryBuffer
 from ..usage_metering.periods import Periods
 from ..usage_metering.plan import Calendar, Length
 from .ledger import collector_features, features
@@ -66,11 +66,13 @@
 
 
 def _away(verdict: Verdict, quick: bool) -> None:
-    """Ten hours of entries into a pool whose collector is away: it holds what it may, and still adds up."""
+    """Ten hours of entries into an entry buffer whose collector is away: it holds what it may, and
+    still adds up.
+    """
     entries = HOURS_AWAY * 3600 * RATE
     if quick:
         entries //= 20
-    pool = Pool("n1", b"12345678", Periods(Calendar(length=Length.HOUR)), 20_000, 5_000)
+    entry_buffer = EntryBuffer("n1", b"12345678", Periods(Calendar(length=Length.HOUR)), 20_000, 5_000)
     process, most, half = psutil.Process(), 0.0, 0.0
     start = 1_764_576_000_000_000
     step = HOURS_AWAY * 3600 * 1_000_000 // entries
@@ -79,7 +81,7 @@
         completed = place % 3 != 0
         billed += completed
         run_us += 20_000 * completed
-        pool.add(
+        entry_buffer.add(
             pb.Entry(
                 customer=f"c{place % 8}",
                 track=("lookup", "record")[place % 2],
@@ -96,8 +98,8 @@
             most = max(most, used)
             if place < entries / 2:
                 half = max(half, used)
-    kept = pool.kept
-    block = pb.Block.FromString(pool.cut(0.0, 0, 1 << 30).data)
+    kept = entry_buffer.kept
+    block = pb.Block.FromString(entry_buffer.cut(0.0, 0, 1 << 30).data)
     sums = sum(one.entries for one in block.totals if one.billed) + sum(one.billed for one in block.entries)
     runs = sum(one.run_us for one in block.totals) + sum(one.run_us for one in block.entries)
     verdict.figures["away_entries"] = entries
--- a/sablewheel/program/collector_process.py
+++ b/sablewheel/program/collector_process.py
@@ -11,7 +11,7 @@
 
 from ..transport.scheduler import Clock, Scheduler
 from ..usage_metering.collector import Collector
-from ..usage_metering.journal import Book, BookError
+from ..usage_metering.journal import Journal, JournalError
 from ..usage_metering.plan import CollectorPlan
 
 
@@ -29,26 +29,26 @@
 
 
 def run(
-    plan: CollectorPlan, make: Callable[[Scheduler, CollectorPlan, Book, Any], Collector] = Collector
+    plan: CollectorPlan, make: Callable[[Scheduler, CollectorPlan, Journal, Any], Collector] = Collector
 ) -> int:
     """Collect until told to leave; 0, or 1 if the address can't be listened on."""
     log, scheduler = logger(), Scheduler(Clock())
-    book = Book(plan.book, plan.calendar)
+    journal = Journal(plan.book, plan.calendar)
     try:
-        collector = make(scheduler, plan, book, log)
+        collector = make(scheduler, plan, journal, log)
     except OSError as trouble:
-        raise BookError(f"listen: {plan.listen[0]}:{plan.listen[1]}: {trouble.strerror}") from None
+        raise JournalError(f"listen: {plan.listen[0]}:{plan.listen[1]}: {trouble.strerror}") from None
 
-    def tell() -> None:
+    def send_frame() -> None:
         log.info(
             "counters", connections_open=len(collector.connections), **dict(sorted(collector.counts.items()))
         )
 
     for number in (signal.SIGTERM, signal.SIGINT):
         scheduler.on_signal(number, scheduler.stop)
-    scheduler.on_signal(signal.SIGUSR1, tell)
-    log.info("collecting", listen=f"{plan.listen[0]}:{plan.listen[1]}", book=str(plan.book))
+    scheduler.on_signal(signal.SIGUSR1, send_frame)
+    log.info("collecting", listen=f"{plan.listen[0]}:{plan.listen[1]}", journal=str(plan.book))
     scheduler.run()
     collector.close()
-    tell()
+    send_frame()
     return 0
--- a/sablewheel/program/feature_registry.py
+++ b/sablewheel/program/feature_registry.py
@@ -111,11 +111,11 @@
 
 
 def _ledger(feature_context: FeatureContext, plan: LedgerPlan) -> Part:
-    from ..usage_metering.recorder import Keeper
+    from ..usage_metering.recorder import UsageRecorder
 
     placement_settings = feature_context.placement_settings
     names = {one: name.decode("utf-8", "replace") for name, one in placement_settings.tenants.items()}
-    keeper = Keeper(
+    recorder = UsageRecorder(
         feature_context.scheduler,
         feature_context.background,
         plan,
@@ -127,12 +127,12 @@
         feature_context.bridge,
     )
     return Part(
-        observer=keeper,
-        end_round=keeper.end_round,
-        parting=keeper.parting,
-        settled=keeper.settled,
-        close=keeper.close,
-        gauges=keeper.gauges,
+        observer=recorder,
+        end_round=recorder.end_round,
+        parting=recorder.parting,
+        settled=recorder.settled,
+        close=recorder.close,
+        gauges=recorder.gauges,
     )
 
 
--- a/sablewheel/usage_metering/aggregation.py
+++ b/sablewheel/usage_metering/aggregation.py
@@ -1,4 +1,4 @@
-"""Entries between their ticket and their block: a bounded pool that folds its oldest to totals. Pure.
+"""Entries between their ticket and their block: a bounded entry buffer that folds its oldest to totals. Pure.
 
 Nothing is lost when it is full: what is folded still counts, exactly, by customer, track, outcome, period and
 what else a bill needs; only the single entries are gone, and the totals say so.
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from . import usage_metering_pb2 as pb
-from .blocks import Sealed, seal
+from .blocks import SealedBlock, seal
 from .periods import Periods
 
 Key = tuple[
@@ -34,7 +34,7 @@
         self.answer_bytes += other.answer_bytes
 
 
-class Folded:
+class TotalsTable:
     """Rows of totals, at most `rows_most`: beyond it the two oldest periods become one span of time."""
 
     def __init__(self, periods: Periods, rows_most: int) -> None:
@@ -98,7 +98,7 @@
         ]
 
 
-class Pool:
+class EntryBuffer:
     """Entries of one incarnation in sequence; `cut` makes the next block of the chain of them.
 
     Invariant: `first` .. `last` are the sequence numbers not yet in a block; the folded come first, the
@@ -110,7 +110,7 @@
     ) -> None:
         self._server, self._incarnation, self._entries_most = server, incarnation, entries_most
         self._entries: deque[bytes] = deque()
-        self._folded = Folded(periods, totals_most)
+        self._folded = TotalsTable(periods, totals_most)
         self._unsure: list[pb.Unsure] = []
         self._previous = b""
         self.number = 0  # of the last block
@@ -147,7 +147,7 @@
             pb.Unsure(incarnation=incarnation, after_sequence=after, through_sequence=through)
         )
 
-    def cut(self, now: float, answered: int, entries_most: int) -> Sealed:
+    def cut(self, now: float, answered: int, entries_most: int) -> SealedBlock:
         """The next block: totals if there are any, then up to `entries_most` entries."""
         taken = [self._entries.popleft() for _ in range(min(entries_most, len(self._entries)))]
         folded = self._folded.entries
--- a/sablewheel/usage_metering/blocks.py
+++ b/sablewheel/usage_metering/blocks.py
@@ -18,8 +18,8 @@
 
 ENTRY_TAG = bytes([11 << 3 | 2])  # of Block.entries
 INCARNATION_SIZE = 8
-NAME_MOST = 256
-COUNT_MOST = 1 << 40
+MAX_NAME_CHARACTERS = 256
+MAX_COUNT = 1 << 40
 
 
 class BlockError(ValueError):
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True)
-class Sealed:
+class SealedBlock:
     """A block as it goes to disk and over the wire."""
 
     incarnation: bytes
@@ -50,13 +50,13 @@
     return bytes(out)
 
 
-def seal(head: pb.Block, entries: Iterable[bytes]) -> Sealed:
+def seal(head: pb.Block, entries: Iterable[bytes]) -> SealedBlock:
     """A block of its head, which holds all but the entries, and of entries that are bytes already."""
     parts = [head.SerializeToString()]
     for one in entries:
         parts += (ENTRY_TAG, _varint(len(one)), one)
     data = b"".join(parts)
-    return Sealed(head.incarnation, head.number, head.last_sequence, data, digest(data))
+    return SealedBlock(head.incarnation, head.number, head.last_sequence, data, digest(data))
 
 
 def read(data: bytes) -> pb.Block:
@@ -65,8 +65,8 @@
         block = pb.Block.FromString(data)
     except DecodeError:
         raise BlockError("not a block: the bytes can't be read") from None
-    if not block.server or len(block.server) > NAME_MOST:
-        raise BlockError(f"server: a name of 1 to {NAME_MOST} characters is wanted")
+    if not block.server or len(block.server) > MAX_NAME_CHARACTERS:
+        raise BlockError(f"server: a name of 1 to {MAX_NAME_CHARACTERS} characters is wanted")
     if len(block.incarnation) != INCARNATION_SIZE:
         raise BlockError(f"incarnation: {INCARNATION_SIZE} bytes are wanted, got {len(block.incarnation)}")
     if not block.number:
@@ -78,7 +78,7 @@
         _check_counts(f"totals[{place}]", total.customer, total.track, total.outcome)
         if total.billed and total.outcome != pb.COMPLETED:
             raise BlockError(f"totals[{place}].billed: of an outcome that is not completed")
-        if total.end_us <= total.first_us or not 0 < total.entries < COUNT_MOST:
+        if total.end_us <= total.first_us or not 0 < total.entries < MAX_COUNT:
             raise BlockError(f"totals[{place}]: a period and entries are wanted")
     return block
 
@@ -98,8 +98,8 @@
 
 
 def _check_counts(where: str, customer: str, track: str, outcome: int) -> None:
-    if len(customer) > NAME_MOST or len(track) > NAME_MOST:
-        raise BlockError(f"{where}: a name of more than {NAME_MOST} characters")
+    if len(customer) > MAX_NAME_CHARACTERS or len(track) > MAX_NAME_CHARACTERS:
+        raise BlockError(f"{where}: a name of more than {MAX_NAME_CHARACTERS} characters")
     if outcome not in (pb.COMPLETED, pb.DENIED, pb.TERMINATED, pb.GONE):
         raise BlockError(f"{where}.outcome: {outcome} is none")
 
--- a/sablewheel/usage_metering/collecting.py
+++ b/sablewheel/usage_metering/collecting.py
@@ -1,7 +1,7 @@
 """What the collector makes of what comes: apply once, know again, or refuse by name. Pure.
 
-The order of blocks of one incarnation is the whole memory it needs: the last number in the book, its digest
-and its last sequence number. What comes again is known by its number and must have the same digest.
+The order of blocks of one incarnation is the whole memory it needs: the last number in the journal, its
+digest and its last sequence number. What comes again is known by its number and must have the same digest.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 
 
 @dataclass(frozen=True)
-class Known:
-    """The last block of an incarnation in the book; `digest` empty: blocks were lost, the chain
+class LastBlock:
+    """The last block of an incarnation in the journal; `digest` empty: blocks were lost, the chain
     begins anew.
     """
 
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class Apply:
-    """The next block; it may go into the book."""
+    """The next block; it may go into the journal."""
 
     block: pb.Block
     digest: bytes
@@ -34,78 +34,80 @@
 
 
 @dataclass(frozen=True)
-class Again:
-    """It is in the book already: acknowledged, not applied."""
+class AlreadyApplied:
+    """It is in the journal already: acknowledged, not applied."""
 
     incarnation: bytes
     number: int
 
 
 @dataclass(frozen=True)
-class Refuse:
+class Refusal:
     """Told to the server by name, and the connection ends."""
 
     fault: str
     detail: str
 
 
-Verdict: TypeAlias = Apply | Again | Refuse
+BatchDecision: TypeAlias = Apply | AlreadyApplied | Refusal
 
 
-def greeted(hello: pb.Hello, version: int) -> Refuse | None:
+def check_greeting(hello: pb.Hello, version: int) -> Refusal | None:
     """What is wrong with a greeting, if anything."""
     if hello.version != version:
-        return Refuse("version", f"{hello.version}, this collector speaks {version}")
-    if not hello.server or len(hello.server) > blocks.NAME_MOST or not hello.server.isprintable():
-        return Refuse("server", f"a printable name of 1 to {blocks.NAME_MOST} characters is wanted")
+        return Refusal("version", f"{hello.version}, this collector speaks {version}")
+    if not hello.server or len(hello.server) > blocks.MAX_NAME_CHARACTERS or not hello.server.isprintable():
+        return Refusal(
+            "server", f"a printable name of 1 to {blocks.MAX_NAME_CHARACTERS} characters is wanted"
+        )
     if len(hello.incarnation) != blocks.INCARNATION_SIZE:
-        return Refuse("incarnation", f"{blocks.INCARNATION_SIZE} bytes are wanted")
+        return Refusal("incarnation", f"{blocks.INCARNATION_SIZE} bytes are wanted")
     return None
 
 
-def judge(
-    server: str, batch: pb.Batch, known: dict[bytes, Known], kept: dict[tuple[bytes, int], bytes]
-) -> Verdict:
-    """A batch of a server. `known` by incarnation; `kept` holds digests of blocks in the book, where
+def decide_batch(
+    server: str, batch: pb.Batch, known: dict[bytes, LastBlock], kept: dict[tuple[bytes, int], bytes]
+) -> BatchDecision:
+    """A batch of a server. `known` by incarnation; `kept` holds digests of blocks in the journal, where
     looked up.
     """
     if blocks.digest(batch.block) != batch.digest:
-        return Refuse("digest", "the bytes are not those that the digest was made of")
+        return Refusal("digest", "the bytes are not those that the digest was made of")
     try:
         block = blocks.read(batch.block)
     except blocks.BlockError as trouble:
-        return Refuse("block", str(trouble))
+        return Refusal("block", str(trouble))
     if block.server != server:
-        return Refuse("server", f"a block of {block.server!r} from {server!r}")
-    last = known.get(block.incarnation, Known())
+        return Refusal("server", f"a block of {block.server!r} from {server!r}")
+    last = known.get(block.incarnation, LastBlock())
     if block.number <= last.number:
         held = kept.get((block.incarnation, block.number), batch.digest)
         if block.number == last.number and last.digest:
             held = last.digest
         if held != batch.digest:
-            return Refuse("changed", f"block {block.number} is in the book with another digest")
-        return Again(block.incarnation, block.number)
+            return Refusal("changed", f"block {block.number} is in the book with another digest")
+        return AlreadyApplied(block.incarnation, block.number)
     if last.number and not last.digest and block.number == last.number + 1:
         return Apply(block, batch.digest, len(batch.block))  # behind a loss that was told
     against = blocks.follows(block, last.number, last.digest, last.last_sequence)
     if against is not None:
-        return Refuse("gap" if block.number > last.number + 1 else "chain", against)
+        return Refusal("gap" if block.number > last.number + 1 else "chain", against)
     return Apply(block, batch.digest, len(batch.block))
 
 
 @dataclass
-class Presence:
+class ConnectedIncarnations:
     """Which incarnations of each name are connected: two at a time are two servers with one name."""
 
     connected: dict[str, dict[bytes, int]] = field(default_factory=dict)
 
-    def came(self, server: str, incarnation: bytes) -> bool:
+    def connected_again(self, server: str, incarnation: bytes) -> bool:
         """Whether another incarnation of that name is here as well."""
         here = self.connected.setdefault(server, {})
         here[incarnation] = here.get(incarnation, 0) + 1
         return len(here) > 1
 
-    def went(self, server: str, incarnation: bytes) -> None:
+    def disconnected(self, server: str, incarnation: bytes) -> None:
         here = self.connected.get(server, {})
         here[incarnation] = here.get(incarnation, 1) - 1
         if here[incarnation] <= 0:
--- a/sablewheel/usage_metering/collector.py
+++ b/sablewheel/usage_metering/collector.py
@@ -1,4 +1,4 @@
-"""The collector: exports of many servers into one book, each block once. A program of its own.
+"""The collector: exports of many servers into one journal, each block once. A program of its own.
 
 One round of poll is one transaction: all batches that it brought are judged and posted, committed together,
 and only then acknowledged. Killed before the commit it has nothing, killed after it the batch is known again.
@@ -15,16 +15,16 @@
 from ..transport.stream import Listener, Stream
 from . import collecting
 from . import usage_metering_pb2 as pb
-from .collecting import Again, Apply, Known, Presence, Refuse
+from .collecting import AlreadyApplied, Apply, ConnectedIncarnations, LastBlock, Refusal
 from .export import VERSION
 from .frames import FrameError, Frames, frame
-from .journal import Book
+from .journal import Journal
 from .plan import CollectorPlan
 
-GREETING_MOST = 5.0  # from connecting to a whole greeting
-SWEEP = 1.0
-ROUND_MOST = 64  # batches in one transaction
-STRANGE_MOST = 1000  # names of unknown customers that are told, each once
+GREETING_TIMEOUT_S = 5.0  # from connecting to a whole greeting
+SWEEP_INTERVAL_S = 1.0
+MAX_BATCHES_PER_TRANSACTION = 64  # batches in one transaction
+MAX_UNKNOWN_TENANTS_LOGGED = 1000  # names of unknown customers that are told, each once
 
 
 class Connection:
@@ -33,7 +33,7 @@
     def __init__(self, collector: Collector, stream: Stream, most: int) -> None:
         self.stream, self.frames = stream, Frames(most)
         self.server, self.incarnation = "", b""
-        self.heard = collector.scheduler.clock.now
+        self.last_received_at = collector.scheduler.clock.now
         self.inbox: list[pb.Frame] = []
         self.leaving = False
         self._collector = collector
@@ -41,43 +41,49 @@
     def serve(self) -> None:
         try:
             while not self.leaving and (data := self.stream.read()):
-                self.heard = self._collector.scheduler.clock.now
+                self.last_received_at = self._collector.scheduler.clock.now
                 self.inbox.extend(self.frames.feed(data))
                 self._collector.dirty[self] = None
         except FrameError as trouble:
-            self._collector.refuse(self, Refuse("frame", str(trouble)))
+            self._collector.refuse(self, Refusal("frame", str(trouble)))
         if not self.leaving:
             self._collector.dropped(self)
 
-    def tell(self, kind: pb.Frame) -> None:
+    def send_frame(self, kind: pb.Frame) -> None:
         self.stream.write(frame(kind))
         self.stream.flush()
 
 
 class Collector:
-    """Door, connections and book; `log` is a structlog logger or its like."""
+    """Door, connections and journal; `log` is a structlog logger or its like."""
 
     def __init__(
         self,
         scheduler: Scheduler,
         plan: CollectorPlan,
-        book: Book,
+        journal: Journal,
         log: Any,
         clock: Callable[[], float] = time.time,
     ) -> None:
-        self.scheduler, self._plan, self.book, self._log, self._clock = scheduler, plan, book, log, clock
+        self.scheduler, self._plan, self.journal, self._log, self._clock = (
+            scheduler,
+            plan,
+            journal,
+            log,
+            clock,
+        )
         self.connections: dict[Connection, None] = {}
         self.dirty: dict[Connection, None] = {}
         self.counts: dict[str, int] = {}
-        self._presence = Presence()
-        self._strange: set[str] = set()  # customers that were told already
-        book.name_customers(plan.customers)
+        self._presence = ConnectedIncarnations()
+        self._unknown_tenants: set[str] = set()  # customers that were told already
+        journal.name_customers(plan.customers)
         self._disk_fault = ""
-        self._closed_look = 0.0
+        self._last_close_check_s = 0.0
         self._listener = Listener(scheduler, plan.listen, self._room, self._accepted, lambda: None)
         scheduler.after_round.append(self.end_round)
-        scheduler.after(SWEEP, self._sweep)
-        self._closer_look()
+        scheduler.after(SWEEP_INTERVAL_S, self._sweep)
+        self._close_due_periods()
 
     def count(self, name: str, by: int = 1) -> None:
         self.counts[name] = self.counts.get(name, 0) + by
@@ -86,7 +92,7 @@
         self._listener.close()
         for connection in list(self.connections):
             self.dropped(connection)
-        self.book.close()
+        self.journal.close()
 
     # -- connections
 
@@ -103,18 +109,18 @@
         if connection in self.connections:
             del self.connections[connection]
             if connection.server:
-                self._presence.went(connection.server, connection.incarnation)
+                self._presence.disconnected(connection.server, connection.incarnation)
         connection.leaving = True
         connection.inbox.clear()
         connection.stream.close()
 
-    def refuse(self, connection: Connection, why: Refuse) -> None:
+    def refuse(self, connection: Connection, why: Refusal) -> None:
         """Tell the fault by name, then close; what was acknowledged stays, what was not comes again."""
         if connection.leaving:
             return
         self.count(f"refused_{why.fault}")
         self._log.warning("refused", server=connection.server, fault=why.fault, detail=why.detail)
-        connection.tell(pb.Frame(refused=pb.Refused(fault=why.fault, detail=why.detail[:500])))
+        connection.send_frame(pb.Frame(refused=pb.Refused(fault=why.fault, detail=why.detail[:500])))
         connection.leaving = True
         connection.inbox.clear()
         self.scheduler.after(0.2, lambda: self.dropped(connection))
@@ -122,13 +128,13 @@
     def _sweep(self) -> None:
         now = self.scheduler.clock.now
         for connection in list(self.connections):
-            silent = now - connection.heard
-            if silent > self._plan.silent_most or (not connection.server and silent > GREETING_MOST):
+            silent = now - connection.last_received_at
+            if silent > self._plan.silent_most or (not connection.server and silent > GREETING_TIMEOUT_S):
                 self.count("connections_silent")
                 self.dropped(connection)
-        if now >= self._closed_look + self._plan.close_every:
-            self._closer_look()
-        self.scheduler.after(SWEEP, self._sweep)
+        if now >= self._last_close_check_s + self._plan.close_every:
+            self._close_due_periods()
+        self.scheduler.after(SWEEP_INTERVAL_S, self._sweep)
 
     # -- the round
 
@@ -140,16 +146,16 @@
             try:
                 for connection in dirty:
                     while connection.inbox and not connection.leaving:
-                        if len(posted) >= ROUND_MOST:
+                        if len(posted) >= MAX_BATCHES_PER_TRANSACTION:
                             self.dirty[connection] = None
                             break
                         one = connection.inbox.pop(0)
                         if not begun and one.WhichOneof("kind") in ("batch", "lost"):
-                            self.book.begin()
+                            self.journal.begin()
                             begun = True
                         self._take(connection, one, posted)
                 if begun:
-                    self.book.commit()
+                    self.journal.commit()
             except sqlite3.Error as trouble:
                 self._failed(trouble, dirty)
                 return
@@ -164,19 +170,19 @@
         for connection, told in posted:
             last[connection, told.incarnation] = told
         for (connection, _), told in last.items():
-            connection.tell(pb.Frame(acknowledged=told))
+            connection.send_frame(pb.Frame(acknowledged=told))
 
     def _failed(self, trouble: sqlite3.Error, dirty: dict[Connection, None]) -> None:
-        """The book can't be written: nothing of the round counts, and every server hears so and comes
+        """The journal can't be written: nothing of the round counts, and every server hears so and comes
         again.
         """
-        self.book.roll_back()
+        self.journal.roll_back()
         self.count("book_faults")
         if str(trouble) != self._disk_fault:
             self._log.error("book not writable", reason=str(trouble))
             self._disk_fault = str(trouble)
         for connection in dirty:
-            self.refuse(connection, Refuse("book", str(trouble)))
+            self.refuse(connection, Refusal("book", str(trouble)))
 
     def _take(
         self, connection: Connection, one: pb.Frame, posted: list[tuple[Connection, pb.Acknowledged]]
@@ -185,12 +191,14 @@
         if kind == "hello":
             return self._greeted(connection, one.hello)
         if not connection.server:
-            return self.refuse(connection, Refuse("greeting", f"{kind} before a greeting"))
+            return self.refuse(connection, Refusal("greeting", f"{kind} before a greeting"))
         if kind == "batch":
             return self._batch(connection, one.batch, posted)
         if kind == "lost":
             told = one.lost
-            if self.book.lose(connection.server, told.incarnation, told.through, told.reason, self._clock()):
+            if self.journal.lose(
+                connection.server, told.incarnation, told.through, told.reason, self._clock()
+            ):
                 self.count("holes")
                 self._log.error(
                     "blocks lost",
@@ -200,54 +208,54 @@
                     reason=told.reason,
                 )
             return
-        self.refuse(connection, Refuse("kind", f"{kind} is not a server's to send"))
+        self.refuse(connection, Refusal("kind", f"{kind} is not a server's to send"))
 
     def _greeted(self, connection: Connection, hello: pb.Hello) -> None:
-        why = collecting.greeted(hello, VERSION)
+        why = collecting.check_greeting(hello, VERSION)
         if why is None and connection.server:
-            why = Refuse("greeting", "a second one")
+            why = Refusal("greeting", "a second one")
         if why is not None:
             return self.refuse(connection, why)
         connection.server, connection.incarnation = hello.server, hello.incarnation
-        if self._presence.came(hello.server, hello.incarnation):
+        if self._presence.connected_again(hello.server, hello.incarnation):
             # Nothing is lost by it, their entries are told apart; but two servers answer to one name.
             self.count("twins")
             self._log.error(
                 "two servers with one name", server=hello.server, incarnation=hello.incarnation.hex()
             )
-        connection.tell(pb.Frame(welcome=self.welcome(hello.server)))
+        connection.send_frame(pb.Frame(welcome=self.welcome(hello.server)))
 
     def welcome(self, server: str) -> pb.Welcome:
-        """What is in the book of a server, by incarnation."""
+        """What is in the journal of a server, by incarnation."""
         welcome = pb.Welcome(version=VERSION)
-        for incarnation, known in self.book.known(server).items():
+        for incarnation, known in self.journal.known(server).items():
             welcome.have.append(pb.Have(incarnation=incarnation, number=known.number, digest=known.digest))
         return welcome
 
-    def judge(self, server: str, batch: pb.Batch) -> collecting.Verdict:
-        known = self.book.known(server)
-        verdict = collecting.judge(server, batch, known, {})
-        if isinstance(verdict, Again):
-            last = known.get(verdict.incarnation, Known())
-            held = self.book.held(server, verdict.incarnation, verdict.number)
+    def decide_batch(self, server: str, batch: pb.Batch) -> collecting.BatchDecision:
+        known = self.journal.known(server)
+        verdict = collecting.decide_batch(server, batch, known, {})
+        if isinstance(verdict, AlreadyApplied):
+            last = known.get(verdict.incarnation, LastBlock())
+            held = self.journal.held(server, verdict.incarnation, verdict.number)
             if verdict.number < last.number and held is not None and held != batch.digest:
-                return Refuse("changed", f"block {verdict.number} is in the book with another digest")
+                return Refusal("changed", f"block {verdict.number} is in the book with another digest")
         return verdict
 
     def _batch(
         self, connection: Connection, batch: pb.Batch, posted: list[tuple[Connection, pb.Acknowledged]]
     ) -> None:
-        verdict = self.judge(connection.server, batch)
+        verdict = self.decide_batch(connection.server, batch)
         match verdict:
-            case Refuse():
+            case Refusal():
                 return self.refuse(connection, verdict)
-            case Again(incarnation, number):
+            case AlreadyApplied(incarnation, number):
                 self.count("blocks_again")
             case Apply(block):
-                self.book.apply(connection.server, verdict, self._clock())
+                self.journal.apply(connection.server, verdict, self._clock())
                 self.count("blocks")
                 self.count("entries", block.last_sequence - block.first_sequence + 1)
-                self._look_at_customers(block)
+                self._check_tenants(block)
                 skew = block.written_us / 1e6 - self._clock()
                 if skew > self._plan.skew_most:
                     self.count("blocks_from_the_future")
@@ -255,8 +263,8 @@
                 incarnation, number = block.incarnation, block.number
         posted.append((connection, pb.Acknowledged(incarnation=incarnation, number=number)))
 
-    def _look_at_customers(self, block: pb.Block) -> None:
-        """Use of a customer that nobody named is posted all the same, whoever will pay for it."""
+    def _check_tenants(self, block: pb.Block) -> None:
+        """ClassUsage of a customer that nobody named is posted all the same, whoever will pay for it."""
         known = self._plan.customers
         if not known:
             return
@@ -264,24 +272,29 @@
         for name in names:
             if name not in known:
                 self.count("entries_of_unknown_customers")
-                if name not in self._strange and len(self._strange) < STRANGE_MOST:
-                    self._strange.add(name)
+                if (
+                    name not in self._unknown_tenants
+                    and len(self._unknown_tenants) < MAX_UNKNOWN_TENANTS_LOGGED
+                ):
+                    self._unknown_tenants.add(name)
                     self._log.warning("unknown customer", customer=name, server=block.server)
 
     # -- periods
 
-    def _closer_look(self) -> None:
+    def _close_due_periods(self) -> None:
         """Close what is due. A clock that jumped closes nothing until it is believed."""
-        self._closed_look = self.scheduler.clock.now
-        closer = self.book.closer
-        jumped = closer.jumped
-        closer.look(self._clock(), time.monotonic())
-        if closer.jumped != jumped:
-            self._log.warning("clock jumped" if closer.jumped else "clock believed again", by=closer.jumped)
+        self._last_close_check_s = self.scheduler.clock.now
+        period_closer = self.journal.period_closer
+        jumped = period_closer.jumped
+        period_closer.observe_clocks(self._clock(), time.monotonic())
+        if period_closer.jumped != jumped:
+            self._log.warning(
+                "clock jumped" if period_closer.jumped else "clock believed again", by=period_closer.jumped
+            )
         try:
-            self.book.begin()
-            closed = self.book.close_due()
-            self.book.commit()
+            self.journal.begin()
+            closed = self.journal.close_due()
+            self.journal.commit()
         except sqlite3.Error as trouble:
             return self._failed(trouble, {})
         for name in closed:
--- a/sablewheel/usage_metering/corrections.py
+++ b/sablewheel/usage_metering/corrections.py
@@ -9,9 +9,9 @@
 import re
 from dataclasses import dataclass
 
-REASON_MOST, AUTHOR_MOST = 500, 100
+MAX_REASON_CHARACTERS, MAX_AUTHOR_CHARACTERS = 500, 100
 ENTRY = re.compile(r"(?P<server>[^/\s]+)/(?P<incarnation>[0-9a-f]{16})/(?P<sequence>[1-9][0-9]*)")
-COUNT_MOST = 1 << 40
+MAX_COUNT = 1 << 40
 
 
 class CorrectionError(ValueError):
@@ -70,13 +70,13 @@
     customer, track, billed tickets and run time, None if there is no such entry. `made_before` is the sum of
     tickets that earlier corrections of the same target have taken away from this customer.
     """
-    if not one.reason.strip() or len(one.reason) > REASON_MOST:
-        raise CorrectionError(f"reason: a text of 1 to {REASON_MOST} characters is wanted")
-    if not one.author.strip() or len(one.author) > AUTHOR_MOST:
-        raise CorrectionError(f"author: a name of 1 to {AUTHOR_MOST} characters is wanted")
+    if not one.reason.strip() or len(one.reason) > MAX_REASON_CHARACTERS:
+        raise CorrectionError(f"reason: a text of 1 to {MAX_REASON_CHARACTERS} characters is wanted")
+    if not one.author.strip() or len(one.author) > MAX_AUTHOR_CHARACTERS:
+        raise CorrectionError(f"author: a name of 1 to {MAX_AUTHOR_CHARACTERS} characters is wanted")
     if not one.tickets and not one.run_us:
         raise CorrectionError("tickets, run time: it corrects nothing")
-    if abs(one.tickets) > COUNT_MOST or abs(one.run_us) > COUNT_MOST * 1000:
+    if abs(one.tickets) > MAX_COUNT or abs(one.run_us) > MAX_COUNT * 1000:
         raise CorrectionError("tickets, run time: out of range")
     if one.target.period:
         if closed is None:
--- a/sablewheel/usage_metering/export.py
+++ b/sablewheel/usage_metering/export.py
@@ -13,11 +13,11 @@
 from enum import Enum
 from typing import TypeAlias
 
-from .blocks import Sealed
+from .blocks import SealedBlock
 from .plan import ExportPlan
 
 VERSION = 1
-PATIENT_REST = 60.0  # after a refusal, which no hurry will mend
+REJECTED_BACKOFF_S = 60.0  # after a refusal, which no hurry will mend
 
 
 class Link(Enum):
@@ -35,14 +35,14 @@
 
 
 @dataclass(frozen=True)
-class Broken:
+class ConnectionLost:
     """There is none, or none any more."""
 
     reason: str
 
 
 @dataclass(frozen=True)
-class Welcomed:
+class WelcomeReceived:
     """What the collector has of this server: by incarnation, its last block's number and digest."""
 
     version: int
@@ -50,15 +50,15 @@
 
 
 @dataclass(frozen=True)
-class Confirmed:
-    """This block of an incarnation and all before it are in the book."""
+class BlocksAcknowledged:
+    """This block of an incarnation and all before it are in the journal."""
 
     incarnation: bytes
     number: int
 
 
 @dataclass(frozen=True)
-class TurnedAway:
+class RejectedByCollector:
     """The collector refuses, by name."""
 
     fault: str
@@ -66,18 +66,26 @@
 
 
 @dataclass(frozen=True)
-class Offered:
+class BlocksOffered:
     """Blocks that are next in the log, in order."""
 
-    blocks: tuple[Sealed, ...]
+    blocks: tuple[SealedBlock, ...]
 
 
 @dataclass(frozen=True)
-class Tick:
+class TimerFired:
     """Time has passed."""
 
 
-Event: TypeAlias = Connected | Broken | Welcomed | Confirmed | TurnedAway | Offered | Tick
+Event: TypeAlias = (
+    Connected
+    | ConnectionLost
+    | WelcomeReceived
+    | BlocksAcknowledged
+    | RejectedByCollector
+    | BlocksOffered
+    | TimerFired
+)
 
 
 @dataclass(frozen=True)
@@ -94,7 +102,7 @@
 class Send:
     """Send this block."""
 
-    block: Sealed
+    block: SealedBlock
 
 
 @dataclass(frozen=True)
@@ -107,17 +115,17 @@
 
 
 @dataclass(frozen=True)
-class Rewind:
+class RewindTo:
     """Go back in the log: the first block that the collector lacks is the next to be offered."""
 
     have: Mapping[bytes, tuple[int, bytes]]
 
 
 @dataclass(frozen=True)
-class Settled:
+class BlockSettled:
     """This block will never be asked for again, but by a collector that was restored."""
 
-    block: Sealed
+    block: SealedBlock
 
 
 @dataclass(frozen=True)
@@ -126,30 +134,30 @@
 
 
 @dataclass(frozen=True)
-class Note:
+class Counted:
     """For log and counters: a name, and what there is to say."""
 
     name: str
     detail: str = ""
 
 
-Effect: TypeAlias = Connect | Greet | Send | TellLost | Rewind | Settled | Disconnect | Note
+Effect: TypeAlias = Connect | Greet | Send | TellLost | RewindTo | BlockSettled | Disconnect | Counted
 
 
-class Exporter:
+class ExportState:
     """One server's export. `chance()` gives 0 to 1, for the jitter of its rests.
 
-    Invariant: `unsettled` are blocks sent at least once and not known to be in the book, in the log's order
-    and at most `window_bytes` of them but for one; no block is offered to it twice between two rewinds.
+    Invariant: `unsettled` are blocks sent at least once and not known to be in the journal, in the log's
+    order and at most `window_bytes` of them but for one; no block is offered to it twice between two rewinds.
     """
 
     def __init__(self, plan: ExportPlan, chance: Callable[[], float]) -> None:
         self._plan, self._chance = plan, chance
         self.link = Link.RESTING
-        self.unsettled: deque[Sealed] = deque()
+        self.unsettled: deque[SealedBlock] = deque()
         self._bytes = 0
-        self._rest = plan.first_rest
-        self._wake = 0.0  # when a rest, or the patience for an answer, is over
+        self._backoff_s = plan.first_rest
+        self._wake_at_s = 0.0  # when a rest, or the patience for an answer, is over
         self._sent: dict[
             bytes, int
         ] = {}  # by incarnation: the last number ever sent, or said to be had at a start
@@ -162,56 +170,56 @@
     @property
     def wake_at(self) -> float:
         """When a tick is due; 0: none is."""
-        return self._wake
+        return self._wake_at_s
 
     def step(self, now: float, event: Event) -> list[Effect]:
         match event:
-            case Tick():
+            case TimerFired():
                 return self._tick(now)
             case Connected() if self.link is Link.CONNECTING:
-                self.link, self._wake = Link.GREETING, now + self._plan.answer_within
+                self.link, self._wake_at_s = Link.GREETING, now + self._plan.answer_within
                 return [Greet()]
-            case Broken(reason) if self.link is not Link.RESTING:
-                return [Note("broken", reason), *self._give_up(now)]
-            case TurnedAway(fault, detail) if self.link is not Link.RESTING:
-                effects = [Note(f"refused_{fault}", detail), Disconnect(), *self._give_up(now)]
-                self._wake = max(self._wake, now + min(PATIENT_REST, self._plan.last_rest))
+            case ConnectionLost(reason) if self.link is not Link.RESTING:
+                return [Counted("broken", reason), *self._give_up(now)]
+            case RejectedByCollector(fault, detail) if self.link is not Link.RESTING:
+                effects = [Counted(f"refused_{fault}", detail), Disconnect(), *self._give_up(now)]
+                self._wake_at_s = max(self._wake_at_s, now + min(REJECTED_BACKOFF_S, self._plan.last_rest))
                 return effects
-            case Welcomed(version, have) if self.link is Link.GREETING:
+            case WelcomeReceived(version, have) if self.link is Link.GREETING:
                 return self._welcomed(now, version, have)
-            case Confirmed(incarnation, number) if self.link is Link.STREAMING:
+            case BlocksAcknowledged(incarnation, number) if self.link is Link.STREAMING:
                 return self._confirmed(now, incarnation, number)
-            case Offered(blocks) if self.link is Link.STREAMING:
+            case BlocksOffered(blocks) if self.link is Link.STREAMING:
                 return self._offered(now, blocks)
         return []
 
     def _tick(self, now: float) -> list[Effect]:
-        if now < self._wake or (self.link is Link.STREAMING and not self.unsettled):
+        if now < self._wake_at_s or (self.link is Link.STREAMING and not self.unsettled):
             return []
         if self.link is Link.RESTING:
-            self.link, self._wake = Link.CONNECTING, now + self._plan.answer_within
+            self.link, self._wake_at_s = Link.CONNECTING, now + self._plan.answer_within
             return [Connect()]
-        return [Note("silent", self.link.value), Disconnect(), *self._give_up(now)]
+        return [Counted("silent", self.link.value), Disconnect(), *self._give_up(now)]
 
     def _give_up(self, now: float) -> list[Effect]:
         """Rest, each time twice as long and never quite as long as the others: a collector that comes back
         after an outage must not meet all servers at one moment."""
         self.link = Link.RESTING
-        self._wake = now + self._rest * (0.5 + self._chance())
-        self._rest = min(2 * self._rest, self._plan.last_rest)
+        self._wake_at_s = now + self._backoff_s * (0.5 + self._chance())
+        self._backoff_s = min(2 * self._backoff_s, self._plan.last_rest)
         return []
 
     def _distrust(self, now: float, detail: str) -> list[Effect]:
         """It claims what it can't have: nothing is discarded on its word, and it is asked again much
         later.
         """
-        effects = [Note("claims_unsent", detail), Disconnect(), *self._give_up(now)]
-        self._wake = max(self._wake, now + min(PATIENT_REST, self._plan.last_rest))
+        effects = [Counted("claims_unsent", detail), Disconnect(), *self._give_up(now)]
+        self._wake_at_s = max(self._wake_at_s, now + min(REJECTED_BACKOFF_S, self._plan.last_rest))
         return effects
 
     def _welcomed(self, now: float, version: int, have: Mapping[bytes, tuple[int, bytes]]) -> list[Effect]:
         if version != VERSION:
-            return [Note("version", f"{version}"), Disconnect(), *self._give_up(now)]
+            return [Counted("version", f"{version}"), Disconnect(), *self._give_up(now)]
         for block in self.unsettled:
             number, known = have.get(block.incarnation, (0, b""))
             if number == block.number and known != block.digest:
@@ -229,8 +237,8 @@
         # than what it confirmed once, if it was restored from a copy.
         self.unsettled.clear()
         self._bytes = 0
-        self.link, self._wake, self._rest = Link.STREAMING, 0.0, self._plan.first_rest
-        return [*effects, Rewind(have)]
+        self.link, self._wake_at_s, self._backoff_s = Link.STREAMING, 0.0, self._plan.first_rest
+        return [*effects, RewindTo(have)]
 
     def _confirmed(self, now: float, incarnation: bytes, number: int) -> list[Effect]:
         if number > self._sent.get(incarnation, 0):
@@ -246,23 +254,23 @@
         )
         for _ in range(place + 1):  # they are applied in the order in which they were sent
             effects.append(self._settle())
-        self._wake = now + self._plan.answer_within if self.unsettled else 0.0
+        self._wake_at_s = now + self._plan.answer_within if self.unsettled else 0.0
         return effects
 
-    def _settle(self) -> Settled:
+    def _settle(self) -> BlockSettled:
         block = self.unsettled.popleft()
         self._bytes -= len(block.data)
-        return Settled(block)
+        return BlockSettled(block)
 
-    def _offered(self, now: float, blocks: tuple[Sealed, ...]) -> list[Effect]:
+    def _offered(self, now: float, blocks: tuple[SealedBlock, ...]) -> list[Effect]:
         effects: list[Effect] = []
         for block in blocks:
             self._sent[block.incarnation] = max(self._sent.get(block.incarnation, 0), block.number)
             self.unsettled.append(block)
             self._bytes += len(block.data)
             effects.append(Send(block))
-        if blocks and not self._wake:
-            self._wake = now + self._plan.answer_within
+        if blocks and not self._wake_at_s:
+            self._wake_at_s = now + self._plan.answer_within
         return effects
 
     def known(self, incarnation: bytes, number: int) -> None:
--- a/sablewheel/usage_metering/frames.py
+++ b/sablewheel/usage_metering/frames.py
@@ -8,7 +8,7 @@
 
 from . import usage_metering_pb2 as pb
 
-SIZE = 4
+LENGTH_BYTES = 4
 
 
 class FrameError(ValueError):
@@ -17,7 +17,7 @@
 
 def frame(kind: pb.Frame) -> bytes:
     data = kind.SerializeToString()
-    return len(data).to_bytes(SIZE, "big") + data
+    return len(data).to_bytes(LENGTH_BYTES, "big") + data
 
 
 class Frames:
@@ -35,14 +35,14 @@
         self._bytes += data
         at = 0
         try:
-            while len(self._bytes) - at >= SIZE:
-                size = int.from_bytes(self._bytes[at : at + SIZE], "big")
+            while len(self._bytes) - at >= LENGTH_BYTES:
+                size = int.from_bytes(self._bytes[at : at + LENGTH_BYTES], "big")
                 if not 0 < size <= self._most:
                     raise FrameError(f"a frame of {size} bytes, 1 to {self._most} are taken")
-                if len(self._bytes) - at < SIZE + size:
+                if len(self._bytes) - at < LENGTH_BYTES + size:
                     return
-                whole = bytes(self._bytes[at + SIZE : at + SIZE + size])
-                at += SIZE + size
+                whole = bytes(self._bytes[at + LENGTH_BYTES : at + LENGTH_BYTES + size])
+                at += LENGTH_BYTES + size
                 try:
                     read = pb.Frame.FromString(whole)
                 except DecodeError:
--- a/sablewheel/usage_metering/journal.py
+++ b/sablewheel/usage_metering/journal.py
@@ -1,4 +1,5 @@
-"""The collector's book: SQLite, one transaction for all that a round brought, lines that are only ever added.
+"""The collector's journal: SQLite, one transaction for all that a round brought, lines that are only ever
+added.
 
 A line's digest covers the line and the digest of the one before it in its period; a period's seal covers its
 last line's digest, its number of lines and the seal before. So a line that is lost, put in or changed later
@@ -16,13 +17,13 @@
 from typing import Any
 
 from . import usage_metering_pb2 as pb
-from .collecting import Apply, Known
+from .collecting import Apply, LastBlock
 from .corrections import Correction, Target, check
-from .period_closing import Closer
+from .period_closing import PeriodCloser
 from .periods import Period, Periods
 from .plan import Calendar, Length
 
-FORMAT = 1
+FORMAT_VERSION = 1
 ENTRY, TOTAL, CORRECTION = 0, 1, 2
 KINDS = ("entry", "total", "correction")
 SCHEMA = """
@@ -57,8 +58,8 @@
 Line = tuple[Any, ...]  # the columns of LINE, in that order
 
 
-class BookError(RuntimeError):
-    """A book that can't be used; the message says why."""
+class JournalError(RuntimeError):
+    """A journal that can't be used; the message says why."""
 
 
 def line_digest(before: bytes, line: Line) -> bytes:
@@ -72,22 +73,22 @@
 
 
 @dataclass
-class Source:
-    """One incarnation of a server, as the book has it."""
+class BlockSource:
+    """One incarnation of a server, as the journal has it."""
 
     id: int
     server: str
     incarnation: bytes
-    known: Known
+    known: LastBlock
 
 
-class Book:
-    """One file. Writers use `with book.transaction()`; a book has one writer."""
+class Journal:
+    """One file. Writers use `with journal.transaction()`; a journal has one writer."""
 
     def __init__(self, path: Path, calendar: Calendar | None = None, read_only: bool = False) -> None:
         self.path = path
         if read_only and not path.exists():
-            raise BookError(f"{path}: there is no such book")
+            raise JournalError(f"{path}: there is no such book")
         try:
             if read_only:
                 self._db = sqlite3.connect(f"file:{path}?mode=ro", uri=True, isolation_level=None, timeout=10)
@@ -99,12 +100,12 @@
             self._db.execute("pragma cache_size=-16000")
             self._prepare(calendar)
         except sqlite3.DatabaseError as trouble:
-            raise BookError(f"{path}: {trouble}") from None
+            raise JournalError(f"{path}: {trouble}") from None
         except OSError as trouble:
-            raise BookError(f"{path}: {trouble.strerror}") from None
-        self.closer = Closer(self.periods, closed_through=int(self._meta("closed_through") or 0))
-        self.closer.now = self.closer.closed_through
-        self._sources: dict[tuple[str, bytes], Source] = {}
+            raise JournalError(f"{path}: {trouble.strerror}") from None
+        self.period_closer = PeriodCloser(self.periods, closed_through=int(self._meta("closed_through") or 0))
+        self.period_closer.now = self.period_closer.closed_through
+        self._sources: dict[tuple[str, bytes], BlockSource] = {}
         self._period_ids: dict[
             int, tuple[int, int, bytes]
         ] = {}  # by start: id, lines, head; in a transaction
@@ -112,9 +113,9 @@
     def _prepare(self, calendar: Calendar | None) -> None:
         if not self._db.execute("select 1 from sqlite_master where name = 'meta'").fetchone():
             if calendar is None:
-                raise BookError(f"{self.path}: not a book of this program")
+                raise JournalError(f"{self.path}: not a book of this program")
             told = {
-                "format": str(FORMAT),
+                "format": str(FORMAT_VERSION),
                 "zone": calendar.zone,
                 "length": calendar.length.value,
                 "lag": repr(calendar.lag),
@@ -126,13 +127,15 @@
                 self._db.execute(statement)
             self._db.executemany("insert into meta values(?, ?)", told.items())
             self._db.execute("commit")
-        if self._meta("format") != str(FORMAT):
-            raise BookError(f"{self.path}: format {self._meta('format')}, this program reads {FORMAT}")
+        if self._meta("format") != str(FORMAT_VERSION):
+            raise JournalError(
+                f"{self.path}: format {self._meta('format')}, this program reads {FORMAT_VERSION}"
+            )
         kept = Calendar(
             self._meta("zone") or "UTC", Length(self._meta("length")), float(self._meta("lag") or 0.0)
         )
         if calendar is not None and (calendar.zone, calendar.length) != (kept.zone, kept.length):
-            raise BookError(
+            raise JournalError(
                 f"{self.path}: the book's periods are {kept.length.value}s of {kept.zone}, not"
                 f" {calendar.length.value}s of {calendar.zone}; a book keeps its calendar"
             )
@@ -164,7 +167,9 @@
         self._period_ids.clear()
         self._db.execute("begin immediate")
         # Another writer (a correction made by hand, or the collector beside it) may have closed periods.
-        self.closer.closed_through = max(self.closer.closed_through, int(self._meta("closed_through") or 0))
+        self.period_closer.closed_through = max(
+            self.period_closer.closed_through, int(self._meta("closed_through") or 0)
+        )
 
     def commit(self) -> None:
         for period, lines, head in self._period_ids.values():
@@ -178,15 +183,15 @@
         if self._db.in_transaction:
             self._db.execute("rollback")
 
-    def known(self, server: str) -> dict[bytes, Known]:
-        """By incarnation: the last block of this server that is in the book."""
+    def known(self, server: str) -> dict[bytes, LastBlock]:
+        """By incarnation: the last block of this server that is in the journal."""
         rows = self._db.execute(
             "select incarnation, number, digest, last_sequence from sources where server = ?", (server,)
         )
-        return {bytes(one[0]): Known(one[1], bytes(one[2]), one[3]) for one in rows}
+        return {bytes(one[0]): LastBlock(one[1], bytes(one[2]), one[3]) for one in rows}
 
     def held(self, server: str, incarnation: bytes, number: int) -> bytes | None:
-        """The digest under which a block is in the book."""
+        """The digest under which a block is in the journal."""
         row = self._db.execute(
             "select b.digest from blocks b join sources s on b.source = s.id"
             " where s.server = ? and s.incarnation = ? and b.number = ?",
@@ -226,7 +231,7 @@
                 "insert into unsure values(?, ?, ?, ?)",
                 (before.id, flag.after_sequence, flag.through_sequence, place),
             )
-        source.known = Known(block.number, one.digest, block.last_sequence)
+        source.known = LastBlock(block.number, one.digest, block.last_sequence)
         self._db.execute(
             "update sources set number = ?, digest = ?, last_sequence = ?, last_seen_us = ?, skew_us = ?,"
             " answered = ? where id = ?",
@@ -251,13 +256,13 @@
             "insert into holes values(?, ?, ?, ?, ?)",
             (source.id, source.known.number, through, reason[:200], now),
         )
-        source.known = Known(through, b"", source.known.last_sequence)
+        source.known = LastBlock(through, b"", source.known.last_sequence)
         self._db.execute("update sources set number = ?, digest = x'' where id = ?", (through, source.id))
         return True
 
     def correct(self, one: Correction, made: float) -> str:
         """Add a correction to the open period; its name. Raises `CorrectionError` if it may not be made."""
-        self.closer.look(made, made)
+        self.period_closer.observe_clocks(made, made)
         self.begin()
         try:
             target = one.target
@@ -270,7 +275,7 @@
                 and json.loads(more)["tickets"] < 0
             )
             check(one, closed, billed, taken)
-            period = self.closer.open_now()
+            period = self.period_closer.current_period()
             more = json.dumps(
                 {"target": str(target), "tickets": one.tickets, "reason": one.reason, "author": one.author},
                 sort_keys=True,
@@ -316,20 +321,21 @@
         return None, row
 
     def close_due(self) -> list[str]:
-        """Close and seal what is due by the closer, oldest first; the names. Within a transaction."""
+        """Close and seal what is due by the period_closer, oldest first; the names. Within a transaction."""
         closed = []
         for name, start, end in self._db.execute(
             "select name, start_us, end_us from periods where seal is null order by start_us"
         ).fetchall():
             period = Period(start, end, name)
-            if not self.closer.due(period):
+            if not self.period_closer.due(period):
                 break
             self._seal(period)
-            self.closer.closed(period)
+            self.period_closer.closed(period)
             closed.append(name)
         if closed:
             self._db.execute(
-                "update meta set value = ? where key = 'closed_through'", (str(self.closer.closed_through),)
+                "update meta set value = ? where key = 'closed_through'",
+                (str(self.period_closer.closed_through),),
             )
         return closed
 
@@ -342,10 +348,10 @@
         seal = seal_digest(bytes(before or b""), period.name, lines, head)
         self._db.execute(
             "update periods set closed_us = ?, seal = ?, sealed = ? where id = ?",
-            (self.closer.now, seal, number + 1, place),
+            (self.period_closer.now, seal, number + 1, place),
         )
 
-    def _source(self, server: str, incarnation: bytes, now: int) -> Source:
+    def _source(self, server: str, incarnation: bytes, now: int) -> BlockSource:
         key = (server, incarnation)
         if key not in self._sources:
             self._db.execute(
@@ -359,13 +365,13 @@
             ).fetchone()
             if len(self._sources) > 1000:
                 self._sources.clear()
-            self._sources[key] = Source(row[0], *key, Known(row[1], bytes(row[2]), row[3]))
+            self._sources[key] = BlockSource(row[0], *key, LastBlock(row[1], bytes(row[2]), row[3]))
         return self._sources[key]
 
     def _lines(self, place: int, block: pb.Block) -> Iterator[tuple[Period, Line]]:
-        closer, sequence = self.closer, block.first_sequence
+        period_closer, sequence = self.period_closer, block.first_sequence
         for total in block.totals:
-            period, belongs = closer.place(total.first_us, total.end_us)
+            period, belongs = period_closer.place(total.first_us, total.end_us)
             yield (
                 period,
                 (
@@ -391,7 +397,7 @@
             )
             sequence += total.entries
         for entry in block.entries:
-            period, belongs = closer.place(entry.ended_us, entry.ended_us)
+            period, belongs = period_closer.place(entry.ended_us, entry.ended_us)
             yield (
                 period,
                 (
@@ -441,7 +447,7 @@
     # -- checking
 
     def verify(self) -> Iterator[str]:
-        """Every fault found, with its place; nothing if the book is as it was written."""
+        """Every fault found, with its place; nothing if the journal is as it was written."""
         seal = b""
         order = "order by sealed is null, sealed, start_us"
         for period, name, lines, head, kept, closed in self._db.execute(
@@ -467,7 +473,8 @@
                 yield f"period {name}: {lines} lines were written, {place} are there"
             if kept is None:
                 if closed is not None or (
-                    self.closer.closed_through and self._end(period) <= self.closer.closed_through
+                    self.period_closer.closed_through
+                    and self._end(period) <= self.period_closer.closed_through
                 ):
                     yield f"period {name}: closed without a seal"
                 continue
--- a/sablewheel/usage_metering/period_closing.py
+++ b/sablewheel/usage_metering/period_closing.py
@@ -11,28 +11,28 @@
 
 from .periods import Period, Periods
 
-JUMP_MOST = 30.0  # seconds by which clock and steady clock may part between two looks
-HOLD = 300.0  # seconds for which a clock that jumped must go on steadily before it is believed
+MAX_CLOCK_JUMP_S = 30.0  # seconds by which clock and steady clock may part between two looks
+BELIEVE_AFTER_S = 300.0  # seconds for which a clock that jumped must go on steadily before it is believed
 
 
 @dataclass
-class Closer:
+class PeriodCloser:
     """`closed_through`: all periods that end by then are closed, in microseconds; it only grows."""
 
     periods: Periods
     closed_through: int = 0
     now: int = 0  # the time that is believed, microseconds; never goes back
     jumped: float = 0.0  # by how much the clock left the steady one, until that is believed
-    hold: float = HOLD
+    hold: float = BELIEVE_AFTER_S
     _clock: float = 0.0
     _steady: float = 0.0
     _until: float = 0.0
 
-    def look(self, clock: float, steady: float) -> int:
+    def observe_clocks(self, clock: float, steady: float) -> int:
         """A reading of both clocks, in seconds; the time that is believed, in microseconds."""
         if self._steady:
             parted = (clock - self._clock) - (steady - self._steady)
-            if abs(parted) > JUMP_MOST:
+            if abs(parted) > MAX_CLOCK_JUMP_S:
                 self.jumped += parted
                 self._until = steady + self.hold
         if self.jumped and steady >= self._until:
@@ -64,8 +64,8 @@
         if single and not self.is_closed(own):
             return own, None
         name = own.name if single else f"{own.name}..{self.periods.of(max(end - 1, start)).name}"
-        return self.open_now(), name
+        return self.current_period(), name
 
-    def open_now(self) -> Period:
-        """The period of now; never a closed one, wherever the clock went."""
+    def current_period(self) -> Period:
+        """The period of now; never a closed one, wherever the clock disconnected."""
         return self.periods.of(max(self.now, self.closed_through))
--- a/sablewheel/usage_metering/periods.py
+++ b/sablewheel/usage_metering/periods.py
@@ -15,8 +15,11 @@
 
 from .plan import Calendar, Length
 
-SECOND = 1_000_000
-FIRST, LAST = 0, 253_000_000_000 * SECOND  # moments that a calendar knows: 1970 to 9987
+MICROSECONDS_PER_SECOND = 1_000_000
+FIRST_MOMENT_US, LAST_MOMENT_US = (
+    0,
+    253_000_000_000 * MICROSECONDS_PER_SECOND,
+)  # moments that a calendar knows: 1970 to 9987
 NAMES = {
     Length.HOUR: re.compile(r"\d{4}-\d\d-\d\dT\d\d(:\d\d)?[+-]\d\d:\d\d(:\d\d)?"),
     Length.DAY: re.compile(r"\d{4}-\d\d-\d\d"),
@@ -57,17 +60,19 @@
         """The period that a moment belongs to; moments no calendar knows are taken as its first or last."""
         last = self._last
         if last is None or not last.start <= moment < last.end:
-            self._last = last = self._find(min(max(moment, FIRST), LAST) // SECOND)
+            self._last = last = self._find(
+                min(max(moment, FIRST_MOMENT_US), LAST_MOMENT_US) // MICROSECONDS_PER_SECOND
+            )
         return last
 
     def next(self, period: Period) -> Period:
         return self.of(period.end)
 
     def named(self, name: str) -> Period:
-        """The period of a name; raises `PeriodError` that says what names look like."""
+        """The period of a name; raises `PeriodError` that says what names read like."""
         length = self.calendar.length
         if not NAMES[length].fullmatch(name):
-            example = self.of(1_764_576_000 * SECOND).name
+            example = self.of(1_764_576_000 * MICROSECONDS_PER_SECOND).name
             raise PeriodError(
                 f"{name!r} is no {length.value} of {self.calendar.zone}: one is called {example}"
             )
@@ -77,7 +82,7 @@
         except ValueError as trouble:
             raise PeriodError(f"{name!r}: {trouble}") from None
         moment = told if told.tzinfo else told.replace(tzinfo=self._zone)
-        period = self.of(int(moment.timestamp()) * SECOND)
+        period = self.of(int(moment.timestamp()) * MICROSECONDS_PER_SECOND)
         if period.name != name:
             raise PeriodError(
                 f"{self.calendar.zone} has no {length.value} {name!r}; near it is {period.name}"
@@ -97,7 +102,11 @@
             first = date.replace(day=1)
             after = (first + timedelta(days=32)).replace(day=1)
             name = f"{date:%Y-%m}"
-        return Period(self._midnight(first) * SECOND, self._midnight(after) * SECOND, f"{name:0>4}")
+        return Period(
+            self._midnight(first) * MICROSECONDS_PER_SECOND,
+            self._midnight(after) * MICROSECONDS_PER_SECOND,
+            f"{name:0>4}",
+        )
 
     def _midnight(self, date: object) -> int:
         """The first second of a date; where clocks skip midnight, the moment they skip at."""
@@ -118,7 +127,7 @@
         begins = datetime.fromtimestamp(start, self._zone)
         name = begins.strftime("%Y-%m-%dT%H" if not begins.minute else "%Y-%m-%dT%H:%M")
         zone = begins.isoformat()[19:]
-        return Period(start * SECOND, end * SECOND, name + zone)
+        return Period(start * MICROSECONDS_PER_SECOND, end * MICROSECONDS_PER_SECOND, name + zone)
 
     def _change(self, before: int, after: int) -> int:
         """The first second with the offset that `after` has; `before` has another."""
--- a/sablewheel/usage_metering/plan.py
+++ b/sablewheel/usage_metering/plan.py
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True)
 class CollectorPlan:
-    """The collector: its book, its door, its periods. `customers` empty: any name is taken."""
+    """The collector: its journal, its door, its periods. `customers` empty: any name is taken."""
 
     book: Path
     listen: tuple[str, int]
--- a/sablewheel/usage_metering/positions.py
+++ b/sablewheel/usage_metering/positions.py
@@ -10,12 +10,12 @@
 
 from ..storage.log import START, Place
 
-EVERY = 1 << 18  # bytes of a segment between two notes
+NOTE_INTERVAL_BYTES = 1 << 18  # bytes of a segment between two notes
 
 
 @dataclass
-class Positions:
-    """Notes of blocks in the log's order, one for each segment and each `EVERY` bytes of it."""
+class BlockIndex:
+    """Notes of blocks in the log's order, one for each segment and each `NOTE_INTERVAL_BYTES` bytes of it."""
 
     notes: list[tuple[Place, bytes, int]] = field(default_factory=list)
     last: dict[bytes, int] = field(default_factory=dict)  # by incarnation, its last block that is known
@@ -25,7 +25,7 @@
         self.last[incarnation] = max(self.last.get(incarnation, 0), number)
         if self.notes:
             before, held, _ = self.notes[-1]
-            near = place.segment == before.segment and place.offset < before.offset + EVERY
+            near = place.segment == before.segment and place.offset < before.offset + NOTE_INTERVAL_BYTES
             if (place.segment, place.offset) <= (before.segment, before.offset) or (
                 near and held == incarnation
             ):
--- a/sablewheel/usage_metering/reconcile.py
+++ b/sablewheel/usage_metering/reconcile.py
@@ -1,4 +1,4 @@
-"""Reconciliation: what servers have on their own disks against what the collector has in its book. Pure.
+"""Reconciliation: what servers have on their own disks against what the collector has in its journal. Pure.
 
 Blocks are compared by digest, so only those that differ are opened. Findings name server, incarnation, block
 and entry; what is only not exported yet is told apart from what is missing.
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True)
-class Own:
+class ServerBlock:
     """One block of a server's own file."""
 
     server: str
@@ -24,19 +24,19 @@
 
 
 @dataclass
-class Difference:
+class ReconciliationReport:
     """What reconciliation found. Lists name things; counts are of tickets."""
 
     same: int = 0  # blocks that agree
-    pending: int = 0  # blocks that the book has not reached yet
+    pending: int = 0  # blocks that the journal has not reached yet
     pending_entries: int = 0
     gaps: list[str] = field(default_factory=list)
     doubles: list[str] = field(default_factory=list)
     changed: list[str] = field(default_factory=list)
-    unmatched: list[str] = field(default_factory=list)  # incarnations in the book without files
+    unmatched: list[str] = field(default_factory=list)  # incarnations in the journal without files
     billed: dict[tuple[str, str], tuple[int, int]] = field(
         default_factory=dict
-    )  # server, customer: own, book
+    )  # server, customer: own, journal
 
     @property
     def clean(self) -> bool:
@@ -44,19 +44,19 @@
         return not (self.gaps or self.doubles or self.changed or wrong)
 
 
-Held = Callable[[str, bytes, int], bytes | None]  # a block's digest in the book
-Reached = Callable[[str, bytes], int]  # the last number in the book
-Changed = Callable[[Own, pb.Block], list[str]]  # which entries of a block differ
+Held = Callable[[str, bytes, int], bytes | None]  # a block's digest in the journal
+Reached = Callable[[str, bytes], int]  # the last number in the journal
+Changed = Callable[[ServerBlock, pb.Block], list[str]]  # which entries of a block differ
 
 
 def compare(
-    own: Iterable[tuple[Own, pb.Block]],
+    own: Iterable[tuple[ServerBlock, pb.Block]],
     held: Held,
     reached: Reached,
     changed: Changed,
-    difference: Difference,
+    difference: ReconciliationReport,
 ) -> set[tuple[str, bytes]]:
-    """One server's blocks, in their order, against the book; the incarnations that were seen."""
+    """One server's blocks, in their order, against the journal; the incarnations that were seen."""
     last: dict[tuple[str, bytes], int] = {}
     for one, block in own:
         key = (one.server, one.incarnation)
@@ -86,7 +86,7 @@
     return set(last)
 
 
-def _add_billed(difference: Difference, server: str, block: pb.Block) -> None:
+def _add_billed(difference: ReconciliationReport, server: str, block: pb.Block) -> None:
     sums: dict[str, int] = {}
     for entry in block.entries:
         if entry.billed:
@@ -100,7 +100,7 @@
 
 
 def differing(block: pb.Block, lines: dict[int, tuple[str, str, int, bool, int]]) -> list[str]:
-    """Entries of a block that the book has otherwise: by sequence, their customer, track, outcome,
+    """Entries of a block that the journal has otherwise: by sequence, their customer, track, outcome,
     billed, run.
     """
     found = []
--- a/sablewheel/usage_metering/reports.py
+++ b/sablewheel/usage_metering/reports.py
@@ -1,4 +1,4 @@
-"""What the book's tools read: statements, entries and the facts for reconciliation. Queries only, no
+"""What the journal's tools read: statements, entries and the facts for reconciliation. Queries only, no
 decisions.
 """
 
@@ -8,24 +8,26 @@
 import json
 from collections.abc import Iterator
 
-from .journal import Book, BookError
+from .journal import Journal, JournalError
 from .periods import PeriodError
-from .statement import Corrected, Row, Statement, build
+from .statement import CorrectionLine, Row, Statement, build
 
 
-def statements(book: Book, period: str, customer: str | None = None) -> list[Statement]:
-    """All customers' statements of a period, or one's. Raises `BookError` for what is not in the book."""
+def statements(journal: Journal, period: str, customer: str | None = None) -> list[Statement]:
+    """All customers' statements of a period, or one's. Raises `JournalError` for what is not in the
+    journal.
+    """
     try:
-        named = book.periods.named(period)
+        named = journal.periods.named(period)
     except PeriodError as trouble:
-        raise BookError(f"period: {trouble}") from None
-    row = next(iter(book.rows("select id, seal from periods where name = ?", named.name)), None)
+        raise JournalError(f"period: {trouble}") from None
+    row = next(iter(journal.rows("select id, seal from periods where name = ?", named.name)), None)
     if row is None:
-        raise BookError(f"period: nothing was posted in {period!r}")
+        raise JournalError(f"period: nothing was posted in {period!r}")
     where, values = ("and customer = ?", [customer]) if customer is not None else ("", [])
     rows = (
         Row(one[0], one[1], one[2], one[3], one[4], bool(one[5]), bool(one[6]), bool(one[7]), *one[8:])
-        for one in book.rows(
+        for one in journal.rows(
             "select kind, belongs, customer, track, outcome, goal_kept, beyond, billed, sum(entries),"
             " sum(run_us), sum(asked_bytes), sum(answer_bytes) from lines"
             f" where period = ? and kind < 2 {where}"
@@ -35,8 +37,8 @@
         )
     )
     corrections = [
-        Corrected(told["target"], one[0], one[1], one[2], one[3], told["reason"], told["author"], one[4])
-        for one in book.rows(
+        CorrectionLine(told["target"], one[0], one[1], one[2], one[3], told["reason"], told["author"], one[4])
+        for one in journal.rows(
             "select customer, track, entries, run_us, ended_us, more from lines where period = ? and kind = 2"
             f" {where} order by place",
             row[0],
@@ -45,7 +47,7 @@
         if (told := json.loads(one[5]))
     ]
     unsure = dict(
-        book.rows(
+        journal.rows(
             "select l.customer, count(*) from unsure u join blocks b on b.source = u.source"
             " and b.last_sequence > u.after_sequence and b.first_sequence <= u.through_sequence"
             " join lines l on l.block = b.id and l.sequence > u.after_sequence"
@@ -56,20 +58,29 @@
         )
     )
     found = build(
-        named.name, book.periods.calendar.zone, bytes(row[1]) if row[1] else None, rows, corrections, unsure
+        named.name,
+        journal.periods.calendar.zone,
+        bytes(row[1]) if row[1] else None,
+        rows,
+        corrections,
+        unsure,
     )
-    known = book.customers()
+    known = journal.customers()
     for one in found:
         one.known = not known or one.customer in known
     if customer is not None and not found:
-        names = [one[0] for one in book.rows("select distinct customer from lines where period = ?", row[0])]
+        names = [
+            one[0] for one in journal.rows("select distinct customer from lines where period = ?", row[0])
+        ]
         near = difflib.get_close_matches(customer, names, 1)
         hint = f"; {near[0]!r} may be meant" if near else ""
-        raise BookError(f"customer: nothing of {customer!r} in {period}{hint}")
+        raise JournalError(f"customer: nothing of {customer!r} in {period}{hint}")
     return found
 
 
-def entries(book: Book, customer: str | None, period: str | None, most: int) -> Iterator[dict[str, object]]:
+def entries(
+    journal: Journal, customer: str | None, period: str | None, most: int
+) -> Iterator[dict[str, object]]:
     """Lines one by one, in the order in which they were posted, at most so many."""
     where, values = ["1"], []
     for name, value in (("l.customer", customer), ("p.name", period)):
@@ -104,7 +115,7 @@
         "run",
         "more",
     )
-    for row in book.rows(query, *values, most):
+    for row in journal.rows(query, *values, most):
         yield {
             name: value.hex() if isinstance(value, bytes) else value
             for name, value in zip(names, row, strict=True)
--- a/sablewheel/usage_metering/sources.py
+++ b/sablewheel/usage_metering/sources.py
@@ -1,4 +1,4 @@
-"""Where the exporter's blocks come from: the pool in memory, or the log on disk. Both give the same
+"""Where the exporter's blocks come from: the entry buffer in memory, or the log on disk. Both give the same
 bytes again.
 """
 
@@ -11,18 +11,18 @@
 from ..storage.log import START, Place
 from ..storage.store import Store
 from . import usage_metering_pb2 as pb
-from .aggregation import Pool
-from .blocks import Sealed, digest
+from .aggregation import EntryBuffer
+from .blocks import SealedBlock, digest
 from .export import TellLost
-from .positions import Positions
+from .positions import BlockIndex
 
-BLOCK_ENTRIES = 512
-READ_MOST = 1 << 17
+MAX_BLOCK_ENTRIES = 512
+MAX_READ_BYTES = 1 << 17
 
-Deliver = Callable[[list[TellLost], list[Sealed]], None]
+Deliver = Callable[[list[TellLost], list[SealedBlock]], None]
 
 
-class Source(Protocol):
+class BlockSource(Protocol):
     """Blocks in the log's order."""
 
     def rewind(self, have: Mapping[bytes, tuple[int, bytes]]) -> None:
@@ -31,22 +31,24 @@
     def pull(self, most: int, deliver: Deliver) -> bool:
         """Give the next blocks, about `most` bytes, now or later; whether there may be some."""
 
-    def settled(self, block: Sealed) -> None:
-        """In the collector's book, and so before it."""
+    def settled(self, block: SealedBlock) -> None:
+        """In the collector's journal, and so before it."""
 
 
 class MemorySource:
-    """Cuts blocks out of the pool when they can be sent; keeps those that are not in the book."""
+    """Cuts blocks out of the entry buffer when they can be sent; keeps those that are not in the journal."""
 
-    def __init__(self, pool: Pool, incarnation: bytes, cut: Callable[[], Sealed | None]) -> None:
-        self._pool, self._incarnation, self._cut = pool, incarnation, cut
-        self.kept: deque[Sealed] = deque()
+    def __init__(
+        self, entry_buffer: EntryBuffer, incarnation: bytes, cut: Callable[[], SealedBlock | None]
+    ) -> None:
+        self._entries_buffer, self._incarnation, self._cut = entry_buffer, incarnation, cut
+        self.kept: deque[SealedBlock] = deque()
         self._place = 0  # of the next one among the kept
         self._lost: list[TellLost] = []
 
     def rewind(self, have: Mapping[bytes, tuple[int, bytes]]) -> None:
         number = have.get(self._incarnation, (0, b""))[0]
-        first = self.kept[0].number if self.kept else self._pool.number + 1
+        first = self.kept[0].number if self.kept else self._entries_buffer.number + 1
         self._lost = []
         if number < first - 1:
             reason = "a server without a disk keeps no block that was acknowledged"
@@ -65,7 +67,7 @@
         deliver(lost, [block])
         return True
 
-    def settled(self, block: Sealed) -> None:
+    def settled(self, block: SealedBlock) -> None:
         while self.kept and self.kept[0].number <= block.number:
             self.kept.popleft()
             self._place -= 1
@@ -73,9 +75,9 @@
 
 
 class DurableSource:
-    """Reads the log, on the worker; what is in the book may leave the disk."""
+    """Reads the log, on the worker; what is in the journal may leave the disk."""
 
-    def __init__(self, store: Store, positions: Positions, keep_bytes: int) -> None:
+    def __init__(self, store: Store, positions: BlockIndex, keep_bytes: int) -> None:
         self._store, self._positions, self._keep_bytes = store, positions, keep_bytes
         self._place: Place = START
         self._have: dict[bytes, int] = {}
@@ -100,16 +102,16 @@
             if turn != self._turn:
                 return deliver([], [])  # rewound meanwhile
             went_on, self._place = place != self._place, place
-            lost, blocks = self._sort_out(found)
+            lost, blocks = self._select_blocks(found)
             if lost or blocks or went_on:
                 deliver(lost, blocks)
 
-        self._reading = self._store.read(self._place, min(most, READ_MOST), read)
+        self._reading = self._store.read(self._place, min(most, MAX_READ_BYTES), read)
         return False  # what it finds is delivered, and asks for more then
 
-    def _sort_out(self, found: list[tuple[bytes, Place]]) -> tuple[list[TellLost], list[Sealed]]:
+    def _select_blocks(self, found: list[tuple[bytes, Place]]) -> tuple[list[TellLost], list[SealedBlock]]:
         lost: list[TellLost] = []
-        blocks: list[Sealed] = []
+        blocks: list[SealedBlock] = []
         for data, place in found:
             block = pb.Block.FromString(data)
             self._positions.note(place, block.incarnation, block.number)
@@ -124,11 +126,13 @@
                     lost.pop()
                     break
             self._have[block.incarnation] = block.number
-            blocks.append(Sealed(block.incarnation, block.number, block.last_sequence, data, digest(data)))
+            blocks.append(
+                SealedBlock(block.incarnation, block.number, block.last_sequence, data, digest(data))
+            )
             self._places.append((block.incarnation, block.number, place))
         return lost, blocks
 
-    def settled(self, block: Sealed) -> None:
+    def settled(self, block: SealedBlock) -> None:
         place: Place | None = None
         while self._places:
             incarnation, number, here = self._places[0]
--- a/sablewheel/usage_metering/statement.py
+++ b/sablewheel/usage_metering/statement.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True)
-class Corrected:
+class CorrectionLine:
     """One correction, as it was made."""
 
     target: str
@@ -52,7 +52,7 @@
 
 
 @dataclass
-class Use:
+class ClassUsage:
     """One customer's use by track."""
 
     track: str
@@ -79,9 +79,9 @@
     zone: str
     closed: bool
     seal: str
-    use: dict[str, Use] = field(default_factory=dict)
-    late: dict[str, dict[str, Use]] = field(default_factory=dict)  # by the period it belongs to
-    corrections: list[Corrected] = field(default_factory=list)
+    use: dict[str, ClassUsage] = field(default_factory=dict)
+    late: dict[str, dict[str, ClassUsage]] = field(default_factory=dict)  # by the period it belongs to
+    corrections: list[CorrectionLine] = field(default_factory=list)
     known: bool = True  # whether it is a customer that the collector was told of
     unsure: int = 0  # completed entries whose answer may never have left its server
 
@@ -94,12 +94,12 @@
     def run_us(self) -> int:
         return sum(one.run_us for one in self._all()) + sum(one.run_us for one in self.corrections)
 
-    def _all(self) -> list[Use]:
+    def _all(self) -> list[ClassUsage]:
         return [*self.use.values(), *(one for late in self.late.values() for one in late.values())]
 
 
-def add(use: dict[str, Use], row: Row) -> None:
-    one = use.setdefault(row.track, Use(row.track))
+def add(use: dict[str, ClassUsage], row: Row) -> None:
+    one = use.setdefault(row.track, ClassUsage(row.track))
     name = OUTCOMES[row.outcome]
     setattr(one, name, getattr(one, name) + row.entries)
     if name == "completed":
@@ -119,7 +119,7 @@
     zone: str,
     seal: bytes | None,
     rows: Iterable[Row],
-    corrections: Iterable[Corrected],
+    corrections: Iterable[CorrectionLine],
     unsure: dict[str, int],
 ) -> list[Statement]:
     """Statements of all customers in a period, by name."""
@@ -142,7 +142,7 @@
 
 
 def as_json(statements: list[Statement]) -> str:
-    def use(told: dict[str, Use]) -> list[dict[str, Any]]:
+    def use(told: dict[str, ClassUsage]) -> list[dict[str, Any]]:
         return [vars(told[name]) for name in sorted(told)]
 
     return json.dumps(
