--- a/sablewheel/experiments/ledger.py
+++ b/sablewheel/experiments/ledger.py
@@ -1,5 +1,5 @@
-"""The ledger's trial: three servers, a collector that dies and hiccups, a server that dies, a drain across a
-close.
+"""Usage metering's trial: three servers, a collector that dies and hiccups, a server that dies, a drain
+across a close.
 
 What the routers hold, what the interpreters ran and what stands in the journal must be the same, request by
 request.
--- a/sablewheel/experiments/ledger_cost.py
+++ b/sablewheel/experiments/ledger_cost.py
@@ -1,7 +1,8 @@
-"""What the ledger costs: the same load on servers with it and without it, side by side, CPU and answer times.
+"""What usage metering costs: the same load on servers with it and without it, side by side, CPU and answer
+times.
 
 Servers of one round run at the same time under equal loads, so that whatever else the machine does falls on
-all. Verdicts rest on ratios to the server without a ledger in the same rounds. Also: memory with the
+all. Verdicts rest on ratios to the server without a usage metering in the same rounds. Also: memory with the
 collector away.
 """
 
--- a/sablewheel/experiments/ledger_size.py
+++ b/sablewheel/experiments/ledger_size.py
@@ -1,5 +1,5 @@
-"""The ledger at size: append, recovery, placement_settings, verify, statement and reconcile for 100,000 and
-1,000,000 entries.
+"""Usage metering at size: append, recovery, placement_settings, verify, statement and reconcile for 100,000
+and 1,000,000 entries.
 
 Each figure comes with its growth, which must be linear; memory must not grow with the number of entries.
 Append is set beside a plain bulk insert of the same rows into SQLite, in the same run.
--- a/sablewheel/usage_metering/__init__.py
+++ b/sablewheel/usage_metering/__init__.py
@@ -1,3 +1,1 @@
-"""The usage ledger: an entry for each ticket's final outcome, periods, corrections, and export
-exactly once.
-"""
+"""Usage metering: entries for final outcomes, exported exactly once, in periods that close."""
--- a/sablewheel/usage_metering/aggregation.py
+++ b/sablewheel/usage_metering/aggregation.py
@@ -1,7 +1,7 @@
-"""Entries between their ticket and their block: a bounded entry buffer that folds its oldest to totals. Pure.
+"""Buffer entries between their request and their block; fold the oldest into totals. Pure.
 
-Nothing is lost when it is full: what is folded still counts, exactly, by customer, track, outcome, period and
-what else a bill needs; only the single entries are gone, and the totals say so.
+Nothing is lost when the buffer is full: what is folded still counts, exactly, by tenant, request class,
+outcome, period and what else a bill needs; only the single entries are gone, and the totals say so.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 Key = tuple[
     int, int, str, str, int, bool, bool, bool
-]  # period's start and end, customer, track, outcome, flags
+]  # period's start and end, tenant, request class, outcome, flags
 
 
 @dataclass(slots=True)
@@ -28,6 +28,7 @@
     answer_bytes: int = 0
 
     def add(self, other: Sums) -> None:
+        """Add another row to this one."""
         self.entries += other.entries
         self.run_us += other.run_us
         self.asked_bytes += other.asked_bytes
@@ -44,6 +45,7 @@
         self.joined = 0  # how often periods had to be joined
 
     def add(self, entry: pb.Entry) -> None:
+        """Add one entry to the row of its period, tenant, request class and outcome."""
         period = self._periods.of(entry.ended_us)
         key = (
             period.start,
@@ -67,7 +69,7 @@
     def _join_oldest(self) -> bool:
         spans = sorted({key[:2] for key in self.rows})
         if len(spans) < 2:
-            return False  # one span: its rows are bounded by customers and tracks
+            return False  # one span: its rows are bounded by tenants and request classes
         one, other = spans[0], spans[1]
         both = (min(one[0], other[0]), max(one[1], other[1]))
         rows, self.rows = self.rows, {}
@@ -129,6 +131,7 @@
 
     @property
     def empty(self) -> bool:
+        """Whether there is nothing that a block would have to carry."""
         return not self.waiting and not self._unsure
 
     def add(self, entry: pb.Entry) -> int:
--- a/sablewheel/usage_metering/auditing.py
+++ b/sablewheel/usage_metering/auditing.py
@@ -1,4 +1,4 @@
-"""Reads servers' ledger folders and the journal for reconciliation; `reconcile` decides what agrees."""
+"""Read servers' usage metering folders and the journal; `reconcile` decides what agrees."""
 
 from __future__ import annotations
 
--- a/sablewheel/usage_metering/blocks.py
+++ b/sablewheel/usage_metering/blocks.py
@@ -1,9 +1,8 @@
-"""Entries to bytes, bytes to blocks, and blocks checked: the chain that export and reconciliation rest on.
-Pure.
+"""Serialize entries to blocks and check blocks: the chain that export and reconciliation rest on. Pure.
 
-A block is written once and goes everywhere as these bytes. It names its server and incarnation, has a number
-without gaps, carries the digest of the one before, and accounts for a row of sequence numbers without gaps:
-first those folded to totals, then one entry each.
+A block is written once and goes everywhere as these bytes. It names its server and incarnation, has a
+number without gaps, carries the digest of the block before it, and accounts for a range of sequence numbers
+without gaps: first those folded into totals, then one entry each.
 """
 
 from __future__ import annotations
@@ -38,6 +37,7 @@
 
 
 def digest(data: bytes) -> bytes:
+    """Return the SHA-256 digest of a block's bytes."""
     return hashlib.sha256(data).digest()
 
 
@@ -116,4 +116,5 @@
 
 
 def describe(entries: Sequence[pb.Entry]) -> str:
+    """Return the first sequence numbers of some entries, for a message."""
     return ", ".join(f"{one.sequence}" for one in entries[:5]) + (" ..." if len(entries) > 5 else "")
--- a/sablewheel/usage_metering/collecting.py
+++ b/sablewheel/usage_metering/collecting.py
@@ -1,7 +1,8 @@
-"""What the collector makes of what comes: apply once, know again, or refuse by name. Pure.
+"""Decide what a collector does with a batch: apply it once, recognise it, or reject it by name. Pure.
 
-The order of blocks of one incarnation is the whole memory it needs: the last number in the journal, its
-digest and its last sequence number. What comes again is known by its number and must have the same digest.
+The order of the blocks of one incarnation is all the state it needs: the last number in the journal, its
+digest and its last sequence number. A block that comes again is recognised by its number and must have the
+same digest.
 """
 
 from __future__ import annotations
@@ -15,8 +16,9 @@
 
 @dataclass(frozen=True)
 class LastBlock:
-    """The last block of an incarnation in the journal; `digest` empty: blocks were lost, the chain
-    begins anew.
+    """The last block of an incarnation in the journal.
+
+    An empty `digest` means that blocks were lost and the chain begins anew.
     """
 
     number: int = 0
@@ -68,8 +70,9 @@
 def decide_batch(
     server: str, batch: pb.Batch, known: dict[bytes, LastBlock], kept: dict[tuple[bytes, int], bytes]
 ) -> BatchDecision:
-    """A batch of a server. `known` by incarnation; `kept` holds digests of blocks in the journal, where
-    looked up.
+    """Decide on a batch of a server.
+
+    `known` has the last block by incarnation; `kept` has digests of blocks in the journal, where looked up.
     """
     if blocks.digest(batch.block) != batch.digest:
         return Refusal("digest", "the bytes are not those that the digest was made of")
@@ -108,6 +111,7 @@
         return len(here) > 1
 
     def disconnected(self, server: str, incarnation: bytes) -> None:
+        """Note that a connection of an incarnation has ended."""
         here = self.connected.get(server, {})
         here[incarnation] = here.get(incarnation, 1) - 1
         if here[incarnation] <= 0:
--- a/sablewheel/usage_metering/collector.py
+++ b/sablewheel/usage_metering/collector.py
@@ -1,7 +1,8 @@
-"""The collector: exports of many servers into one journal, each block once. A program of its own.
+"""Collect the exports of many servers into one journal, each block once. A program of its own.
 
-One round of poll is one transaction: all batches that it brought are judged and posted, committed together,
-and only then acknowledged. Killed before the commit it has nothing, killed after it the batch is known again.
+One round of poll is one transaction: all batches that it brought are decided and posted, committed
+together, and only then acknowledged. Killed before the commit it has nothing; killed after it, the batch is
+recognised when it comes again.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 GREETING_TIMEOUT_S = 5.0  # from connecting to a whole greeting
 SWEEP_INTERVAL_S = 1.0
 MAX_BATCHES_PER_TRANSACTION = 64  # batches in one transaction
-MAX_UNKNOWN_TENANTS_LOGGED = 1000  # names of unknown customers that are told, each once
+MAX_UNKNOWN_TENANTS_LOGGED = 1000  # names of unknown tenants that are told, each once
 
 
 class Connection:
@@ -39,6 +40,7 @@
         self._collector = collector
 
     def serve(self) -> None:
+        """Read frames until the connection ends; they are handled at the end of the round."""
         try:
             while not self.leaving and (data := self.stream.read()):
                 self.last_received_at = self._collector.scheduler.clock.now
@@ -50,6 +52,7 @@
             self._collector.dropped(self)
 
     def send_frame(self, kind: pb.Frame) -> None:
+        """Write one frame to the server."""
         self.stream.write(frame(kind))
         self.stream.flush()
 
@@ -76,7 +79,7 @@
         self.dirty: dict[Connection, None] = {}
         self.counts: dict[str, int] = {}
         self._presence = ConnectedIncarnations()
-        self._unknown_tenants: set[str] = set()  # customers that were told already
+        self._unknown_tenants: set[str] = set()  # tenants that were told already
         journal.name_customers(plan.customers)
         self._disk_fault = ""
         self._last_close_check_s = 0.0
@@ -86,9 +89,11 @@
         self._close_due_periods()
 
     def count(self, name: str, by: int = 1) -> None:
+        """Add to a counter."""
         self.counts[name] = self.counts.get(name, 0) + by
 
     def close(self) -> None:
+        """Stop listening, drop all connections and close the journal."""
         self._listener.close()
         for connection in list(self.connections):
             self.dropped(connection)
@@ -106,6 +111,7 @@
         self.scheduler.spawn(connection.serve)
 
     def dropped(self, connection: Connection) -> None:
+        """Forget a connection and close it."""
         if connection in self.connections:
             del self.connections[connection]
             if connection.server:
@@ -139,6 +145,7 @@
     # -- the round
 
     def end_round(self) -> None:
+        """Handle all frames of the round in one transaction, then acknowledge them."""
         while self.dirty:
             dirty, self.dirty = self.dirty, {}
             posted: list[tuple[Connection, pb.Acknowledged]] = []
@@ -173,9 +180,7 @@
             connection.send_frame(pb.Frame(acknowledged=told))
 
     def _failed(self, trouble: sqlite3.Error, dirty: dict[Connection, None]) -> None:
-        """The journal can't be written: nothing of the round counts, and every server hears so and comes
-        again.
-        """
+        """Roll the round back after a failed write and tell every server in it to come again."""
         self.journal.roll_back()
         self.count("book_faults")
         if str(trouble) != self._disk_fault:
@@ -233,6 +238,7 @@
         return welcome
 
     def decide_batch(self, server: str, batch: pb.Batch) -> collecting.BatchDecision:
+        """Decide on a batch by the last blocks and, for an old number, the digest in the journal."""
         known = self.journal.known(server)
         verdict = collecting.decide_batch(server, batch, known, {})
         if isinstance(verdict, AlreadyApplied):
@@ -264,7 +270,7 @@
         posted.append((connection, pb.Acknowledged(incarnation=incarnation, number=number)))
 
     def _check_tenants(self, block: pb.Block) -> None:
-        """ClassUsage of a customer that nobody named is posted all the same, whoever will pay for it."""
+        """ClassUsage of a tenant that nobody named is posted all the same, whoever will pay for it."""
         known = self._plan.customers
         if not known:
             return
--- a/sablewheel/usage_metering/corrections.py
+++ b/sablewheel/usage_metering/corrections.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class Target:
-    """What a correction refers to: one entry, or a customer's use in a closed period."""
+    """What a correction refers to: one entry, or a tenant's use in a closed period."""
 
     server: str = ""
     incarnation: bytes = b""
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Correction:
-    """What it adds to its customer's sums; negative where it takes away. Run time in microseconds."""
+    """What it adds to its tenant's sums; negative where it takes away. Run time in microseconds."""
 
     target: Target
     customer: str
@@ -67,17 +67,10 @@
     """Raises `CorrectionError` if it may not be made.
 
     For a period: `closed` tells whether it is, None if it is not known. For an entry: `billed` holds its
-    customer, track, billed tickets and run time, None if there is no such entry. `made_before` is the sum of
-    tickets that earlier corrections of the same target have taken away from this customer.
+    tenant, request class, billed requests and run time, None if there is no such entry. `made_before` is the
+    sum of requests that earlier corrections of the same target have taken away from this tenant.
     """
-    if not one.reason.strip() or len(one.reason) > MAX_REASON_CHARACTERS:
-        raise CorrectionError(f"reason: a text of 1 to {MAX_REASON_CHARACTERS} characters is wanted")
-    if not one.author.strip() or len(one.author) > MAX_AUTHOR_CHARACTERS:
-        raise CorrectionError(f"author: a name of 1 to {MAX_AUTHOR_CHARACTERS} characters is wanted")
-    if not one.tickets and not one.run_us:
-        raise CorrectionError("tickets, run time: it corrects nothing")
-    if abs(one.tickets) > MAX_COUNT or abs(one.run_us) > MAX_COUNT * 1000:
-        raise CorrectionError("tickets, run time: out of range")
+    _check_texts_and_sums(one)
     if one.target.period:
         if closed is None:
             raise CorrectionError(f"period: {one.target.period!r} is not in the book")
@@ -95,3 +88,15 @@
         )
     if -one.run_us > run_us:
         raise CorrectionError(f"run time: the entry bills {run_us / 1e6:g} s only")
+
+
+def _check_texts_and_sums(one: Correction) -> None:
+    """Raise `CorrectionError` for a missing or long text, and for sums that are empty or out of range."""
+    if not one.reason.strip() or len(one.reason) > MAX_REASON_CHARACTERS:
+        raise CorrectionError(f"reason: a text of 1 to {MAX_REASON_CHARACTERS} characters is wanted")
+    if not one.author.strip() or len(one.author) > MAX_AUTHOR_CHARACTERS:
+        raise CorrectionError(f"author: a name of 1 to {MAX_AUTHOR_CHARACTERS} characters is wanted")
+    if not one.tickets and not one.run_us:
+        raise CorrectionError("tickets, run time: it corrects nothing")
+    if abs(one.tickets) > MAX_COUNT or abs(one.run_us) > MAX_COUNT * 1000:
+        raise CorrectionError("tickets, run time: out of range")
--- a/sablewheel/usage_metering/export.py
+++ b/sablewheel/usage_metering/export.py
@@ -17,7 +17,7 @@
 from .plan import ExportPlan
 
 VERSION = 1
-REJECTED_BACKOFF_S = 60.0  # after a refusal, which no hurry will mend
+REJECTED_BACKOFF_S = 60.0  # after a rejection, which no hurry will mend
 
 
 class Link(Enum):
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True)
 class RejectedByCollector:
-    """The collector refuses, by name."""
+    """The collector rejects, by name."""
 
     fault: str
     detail: str
@@ -173,6 +173,7 @@
         return self._wake_at_s
 
     def step(self, now: float, event: Event) -> list[Effect]:
+        """Take one event; return what is to be done, in order."""
         match event:
             case TimerFired():
                 return self._tick(now)
@@ -202,16 +203,19 @@
         return [Counted("silent", self.link.value), Disconnect(), *self._give_up(now)]
 
     def _give_up(self, now: float) -> list[Effect]:
-        """Rest, each time twice as long and never quite as long as the others: a collector that comes back
-        after an outage must not meet all servers at one moment."""
+        """Back off, each time twice as long and with jitter.
+
+        A collector that comes back after an outage must not meet all servers at one moment.
+        """
         self.link = Link.RESTING
         self._wake_at_s = now + self._backoff_s * (0.5 + self._chance())
         self._backoff_s = min(2 * self._backoff_s, self._plan.last_rest)
         return []
 
     def _distrust(self, now: float, detail: str) -> list[Effect]:
-        """It claims what it can't have: nothing is discarded on its word, and it is asked again much
-        later.
+        """Disconnect from a collector that claims what it can't have, and retry much later.
+
+        Nothing is discarded on its claim.
         """
         effects = [Counted("claims_unsent", detail), Disconnect(), *self._give_up(now)]
         self._wake_at_s = max(self._wake_at_s, now + min(REJECTED_BACKOFF_S, self._plan.last_rest))
--- a/sablewheel/usage_metering/frames.py
+++ b/sablewheel/usage_metering/frames.py
@@ -16,6 +16,7 @@
 
 
 def frame(kind: pb.Frame) -> bytes:
+    """Return the bytes of one frame."""
     data = kind.SerializeToString()
     return len(data).to_bytes(LENGTH_BYTES, "big") + data
 
@@ -29,9 +30,11 @@
 
     @property
     def partial(self) -> bool:
+        """Whether bytes of an incomplete frame are buffered."""
         return bool(self._bytes)
 
     def feed(self, data: bytes) -> Iterator[pb.Frame]:
+        """Take more bytes and yield the frames that are complete; raises `FrameError`."""
         self._bytes += data
         at = 0
         try:
--- a/sablewheel/usage_metering/journal.py
+++ b/sablewheel/usage_metering/journal.py
@@ -1,14 +1,12 @@
-"""The collector's journal: SQLite, one transaction for all that a round brought, lines that are only ever
-added.
+"""The collector's journal: SQLite, one transaction a round, lines that are only ever added.
 
-A line's digest covers the line and the digest of the one before it in its period; a period's seal covers its
-last line's digest, its number of lines and the seal before. So a line that is lost, put in or changed later
-is found by `verify`, with its place.
+A line's digest covers the line and the digest of the one before it in its period; a period's seal covers
+its last line's digest, its number of lines and the seal before. So a line that is lost, inserted or changed
+later is found by `verify`, with its place.
 """
 
 from __future__ import annotations
 
-import hashlib
 import json
 import sqlite3
 from collections.abc import Iterable, Iterator
@@ -19,59 +17,28 @@
 from . import usage_metering_pb2 as pb
 from .collecting import Apply, LastBlock
 from .corrections import Correction, Target, check
+from .journal_schema import (
+    CORRECTION,
+    ENTRY,
+    FORMAT_VERSION,
+    LINE,
+    LINE_SLOTS,
+    SCHEMA,
+    TOTAL,
+    Line,
+    line_digest,
+    seal_digest,
+)
+from .journal_verification import find_faults
 from .period_closing import PeriodCloser
 from .periods import Period, Periods
 from .plan import Calendar, Length
 
-FORMAT_VERSION = 1
-ENTRY, TOTAL, CORRECTION = 0, 1, 2
-KINDS = ("entry", "total", "correction")
-SCHEMA = """
-create table meta(key text primary key, value text not null) without rowid;
-create table sources(id integer primary key, server text not null, incarnation blob not null,
-  number integer not null, digest blob not null, last_sequence integer not null,
-  first_seen_us integer not null, last_seen_us integer not null, skew_us integer not null,
-  answered integer not null default 0, unique(server, incarnation));
-create table blocks(id integer primary key, source integer not null, number integer not null,
-  digest blob not null, first_sequence integer not null, last_sequence integer not null,
-  size integer not null, written_us integer not null, received_us integer not null, unique(source, number));
-create index block_sequences on blocks(source, first_sequence);
-create table periods(id integer primary key, name text not null unique, start_us integer not null,
-  end_us integer not null, lines integer not null, head blob not null, closed_us integer, seal blob, sealed
-  integer); create table lines(period integer not null, place integer not null, digest blob not null, kind
-  integer not null, block integer not null, sequence integer not null, belongs text, customer text not null,
-  track text not null, outcome integer not null, goal_kept integer not null, beyond integer not null, billed
-  integer not null, entries integer not null, run_us integer not null, asked_bytes integer not null,
-  answer_bytes integer not null, ended_us integer not null, name blob, run blob, more text, primary
-  key(period, place)) without rowid; create index line_blocks on lines(block, sequence);
-create index corrections on lines(kind) where kind = 2;
-create table holes(source integer not null, after_number integer not null, through_number integer not null,
-  reason text not null, told_us integer not null);
-create table unsure(source integer not null, after_sequence integer not null, through_sequence integer not
-null, block integer not null);
-"""
-LINE = (
-    "kind, block, sequence, belongs, customer, track, outcome, goal_kept, beyond, billed, entries, run_us,"
-    " asked_bytes, answer_bytes, ended_us, name, run, more"
-)
-LINE_SLOTS = ", ".join("?" * 21)
-Line = tuple[Any, ...]  # the columns of LINE, in that order
-
 
 class JournalError(RuntimeError):
     """A journal that can't be used; the message says why."""
 
 
-def line_digest(before: bytes, line: Line) -> bytes:
-    """The digest of a line behind another; bytes stand as hexadecimal in what is digested."""
-    text = json.dumps([one.hex() if isinstance(one, bytes) else one for one in line], separators=(",", ":"))
-    return hashlib.sha256(before + text.encode()).digest()
-
-
-def seal_digest(before: bytes, name: str, lines: int, head: bytes) -> bytes:
-    return hashlib.sha256(before + f"{name}\n{lines}\n".encode() + head).digest()
-
-
 @dataclass
 class BlockSource:
     """One incarnation of a server, as the journal has it."""
@@ -146,15 +113,17 @@
         return row[0] if row else None
 
     def name_customers(self, names: frozenset[str]) -> None:
-        """Who is a customer, as the collector is told; empty: any name."""
+        """Who is a tenant, as the collector is told; empty: any name."""
         self.begin()
         self._db.execute("insert or replace into meta values('customers', ?)", (json.dumps(sorted(names)),))
         self.commit()
 
     def customers(self) -> frozenset[str]:
+        """Return the names of known tenants; empty if any name is accepted."""
         return frozenset(json.loads(self._meta("customers") or "[]"))
 
     def close(self) -> None:
+        """Close the file."""
         self._db.close()
 
     def rows(self, query: str, *values: object) -> Iterator[Any]:
@@ -164,6 +133,7 @@
     # -- writing: all between `begin` and `commit`, or none of it
 
     def begin(self) -> None:
+        """Begin a transaction."""
         self._period_ids.clear()
         self._db.execute("begin immediate")
         # Another writer (a correction made by hand, or the collector beside it) may have closed periods.
@@ -172,12 +142,14 @@
         )
 
     def commit(self) -> None:
+        """Write the heads of the periods that have grown, and commit."""
         for period, lines, head in self._period_ids.values():
             self._db.execute("update periods set lines = ?, head = ? where id = ?", (lines, head, period))
         self._period_ids.clear()
         self._db.execute("commit")
 
     def roll_back(self) -> None:
+        """Undo the transaction and forget what was cached in it."""
         self._period_ids.clear()
         self._sources.clear()
         if self._db.in_transaction:
@@ -447,74 +419,5 @@
     # -- checking
 
     def verify(self) -> Iterator[str]:
-        """Every fault found, with its place; nothing if the journal is as it was written."""
-        seal = b""
-        order = "order by sealed is null, sealed, start_us"
-        for period, name, lines, head, kept, closed in self._db.execute(
-            f"select id, name, lines, head, seal, closed_us from periods {order}"
-        ).fetchall():
-            digest, place, faults = b"", 0, 0
-            for row in self._db.execute(
-                f"select place, digest, {LINE} from lines where period = ? order by place", (period,)
-            ):
-                place += 1
-                if row[0] != place:
-                    yield f"period {name}: lines {place} to {row[0] - 1} are missing"
-                    faults, place = faults + 1, row[0]
-                elif (digest := line_digest(digest, row[2:])) != bytes(row[1]):
-                    origin = self._origin(row[3], row[4])
-                    yield f"period {name}, line {place}: not as it was written ({origin})"
-                    faults += 1
-                digest = bytes(row[1])
-                if faults >= 20:
-                    yield f"period {name}: and maybe more"
-                    break
-            if not faults and (place != lines or digest != bytes(head)):
-                yield f"period {name}: {lines} lines were written, {place} are there"
-            if kept is None:
-                if closed is not None or (
-                    self.period_closer.closed_through
-                    and self._end(period) <= self.period_closer.closed_through
-                ):
-                    yield f"period {name}: closed without a seal"
-                continue
-            due = seal_digest(seal, name, lines, bytes(head))
-            if bytes(kept) != due:
-                yield f"period {name}: its seal does not fit its lines and the seal before"
-            seal = bytes(kept)
-        yield from self._verify_blocks()
-
-    def _end(self, period: int) -> int:
-        return int(self._db.execute("select end_us from periods where id = ?", (period,)).fetchone()[0])
-
-    def _origin(self, block: int, sequence: int) -> str:
-        row = self._db.execute(
-            "select s.server, s.incarnation, b.number from blocks b join sources s on b.source = s.id"
-            " where b.id = ?",
-            (block,),
-        ).fetchone()
-        return f"{row[0]}/{bytes(row[1]).hex()}/{sequence}, block {row[2]}" if row else f"block {block}"
-
-    def _verify_blocks(self) -> Iterator[str]:
-        """Each block's lines must account for its row of sequence numbers, and blocks follow without gaps."""
-        stray = next(
-            self.rows("select count(*) from lines where kind < 2 and block not in (select id from blocks)")
-        )[0]
-        if stray:
-            yield f"{stray} lines are of no block in the book"
-        last: dict[int, tuple[int, int]] = {}
-        holes = {(one[0], one[1] + 1): one[2] for one in self._db.execute("select * from holes")}
-        for block, source, number, first, end, held in self._db.execute(
-            "select b.id, b.source, b.number, b.first_sequence, b.last_sequence,"
-            " (select coalesce(sum(entries), 0) from lines where block = b.id) from blocks b"
-            " order by b.source, b.number"
-        ):
-            before, sequence = last.get(source, (0, 0))
-            if number != before + 1 and holes.get((source, before + 1)) != number - 1:
-                yield f"{self._origin(block, first)}: blocks {before + 1} to {number - 1} are missing"
-            elif number == before + 1 and first != sequence + 1:
-                yield f"{self._origin(block, first)}: sequence {first} where {sequence + 1} was due"
-            if held != end - first + 1:
-                due = end - first + 1
-                yield f"{self._origin(block, first)}: {held} entries in its lines, {due} were in it"
-            last[source] = (number, end)
+        """Yield every fault found, with its place; nothing if the journal is as it was written."""
+        yield from find_faults(self.rows, self.period_closer.closed_through)
--- a/sablewheel/usage_metering/period_closing.py
+++ b/sablewheel/usage_metering/period_closing.py
@@ -48,9 +48,11 @@
         return not self.jumped and period.end + lag <= self.now
 
     def closed(self, period: Period) -> None:
+        """Note that a period was closed."""
         self.closed_through = max(self.closed_through, period.end)
 
     def is_closed(self, period: Period) -> bool:
+        """Whether a period was closed."""
         return period.end <= self.closed_through
 
     def place(self, start: int, end: int) -> tuple[Period, str | None]:
--- a/sablewheel/usage_metering/periods.py
+++ b/sablewheel/usage_metering/periods.py
@@ -41,6 +41,7 @@
 
 
 def zone_of(name: str) -> ZoneInfo:
+    """Return the time zone of a name; raises `PeriodError` if there is none."""
     try:
         return ZoneInfo(name)
     except (ZoneInfoNotFoundError, ValueError, OSError):
@@ -66,6 +67,7 @@
         return last
 
     def next(self, period: Period) -> Period:
+        """Return the period that follows."""
         return self.of(period.end)
 
     def named(self, name: str) -> Period:
--- a/sablewheel/usage_metering/plan.py
+++ b/sablewheel/usage_metering/plan.py
@@ -1,6 +1,4 @@
-"""What the ledger is set to, as plain values. The reader of the features file makes them; all spans
-are seconds.
-"""
+"""Settings of usage metering as plain values, made by the reader of the features file; spans in seconds."""
 
 from __future__ import annotations
 
@@ -53,7 +51,7 @@
 
 @dataclass(frozen=True)
 class LedgerPlan:
-    """One server's ledger."""
+    """Settings of usage metering in one server."""
 
     depth: Depth = Depth.MEMORY
     folder: Path | None = None
--- a/sablewheel/usage_metering/positions.py
+++ b/sablewheel/usage_metering/positions.py
@@ -1,6 +1,4 @@
-"""Where in the log a block is: a sparse index, and the place from which a collector must be offered
-blocks. Pure.
-"""
+"""A sparse index of the log: where a collector must be offered blocks from. Pure."""
 
 from __future__ import annotations
 
--- a/sablewheel/usage_metering/reconcile.py
+++ b/sablewheel/usage_metering/reconcile.py
@@ -25,7 +25,7 @@
 
 @dataclass
 class ReconciliationReport:
-    """What reconciliation found. Lists name things; counts are of tickets."""
+    """What reconciliation found. Lists name things; counts are of requests."""
 
     same: int = 0  # blocks that agree
     pending: int = 0  # blocks that the journal has not reached yet
@@ -36,10 +36,11 @@
     unmatched: list[str] = field(default_factory=list)  # incarnations in the journal without files
     billed: dict[tuple[str, str], tuple[int, int]] = field(
         default_factory=dict
-    )  # server, customer: own, journal
+    )  # server, tenant: own, journal
 
     @property
     def clean(self) -> bool:
+        """Whether nothing is missing, doubled or different."""
         wrong = [one for one in self.billed.values() if one[0] != one[1]]
         return not (self.gaps or self.doubles or self.changed or wrong)
 
@@ -100,8 +101,9 @@
 
 
 def differing(block: pb.Block, lines: dict[int, tuple[str, str, int, bool, int]]) -> list[str]:
-    """Entries of a block that the journal has otherwise: by sequence, their customer, track, outcome,
-    billed, run.
+    """Return the entries of a block that the journal has otherwise.
+
+    `lines` has tenant, request class, outcome, billed and run time by sequence number.
     """
     found = []
     for entry in block.entries:
--- a/sablewheel/usage_metering/recorder.py
+++ b/sablewheel/usage_metering/recorder.py
@@ -1,9 +1,9 @@
-"""The ledger in the server: it sees each ticket's outcome, makes the entry, and lets completed answers go.
+"""Usage metering in the server: an entry for each final outcome, and answers that wait for it.
 
 With the durable depth and `after-entry`, a completed answer leaves when its entry is on disk, so that
-whatever a client holds is in the ledger, also after a kill. It waits for a bounded time, and not at all
-while the disk is known to be full or failing: then the answer goes ahead, counted, and the entry is kept in
-memory until it can be written, folded to totals if it must be. A ticket is never lost to the ledger.
+whatever a client holds is metered, also after a kill. It waits for a bounded time, and not at all while the
+disk is known to be full or failing: then the answer goes ahead, counted, and the entry is kept in memory
+until it can be written, folded into totals if necessary. No request is lost for the sake of metering.
 """
 
 from __future__ import annotations
@@ -49,6 +49,7 @@
         self.positions = BlockIndex()
 
     def note_block(self, _: int, payload: bytes, place: durable.Place) -> None:
+        """Note one block of the log that is recovered."""
         block = pb.Block.FromString(payload)
         self.positions.note(place, block.incarnation, block.number)
         one = block.incarnation
@@ -57,8 +58,10 @@
         self.flagged.update(flag.incarnation for flag in block.unsure)
 
     def unsure(self) -> list[tuple[bytes, int, int]]:
-        """Incarnation, sequences after and through: those that no block says were answered, not
-        flagged yet.
+        """Return ranges of entries whose answers may never have left their server.
+
+        Each is an incarnation with the sequence numbers after and through: those that no block says were
+        answered, and that are not flagged yet.
         """
         return [
             (one, self.answered[one], last)
@@ -68,7 +71,7 @@
 
 
 class UsageRecorder:
-    """The observer of one server's tickets. `names` gives customers their names."""
+    """The observer of one server's requests. `names` gives tenants their names."""
 
     def __init__(
         self,
@@ -140,6 +143,7 @@
     # -- what the seam tells
 
     def completed(self, exchange: Exchange, result: bytes, caller: Caller) -> None:
+        """Record a completed request; its answer may wait until the entry is durable."""
         first = exchange.first if exchange.place is Place.JOINED else None  # whose result it gets
         run = first if first is not None else exchange
         billed, run.billed = not run.billed, True
@@ -154,12 +158,15 @@
             self._scheduler.after(wait, lambda: None)  # a round to commit in
 
     def rejected(self, exchange: Exchange) -> None:
+        """Record a rejected request."""
         self._note(exchange, pb.DENIED)
 
     def failed(self, exchange: Exchange) -> None:
+        """Record a failed request."""
         self._note(exchange, pb.TERMINATED)
 
     def gone(self, exchange: Exchange) -> None:
+        """Record a request that its caller has cancelled."""
         self._note(exchange, pb.GONE)
 
     def _note(
@@ -244,7 +251,7 @@
         return self._entries_buffer.cut(self._scheduler.clock.to_unix(now), answered, entries_most)
 
     def _schedule(self) -> None:
-        """Rounds come with tickets; without any, what lies in the entry buffer still has its time."""
+        """Rounds come with requests; without any, what lies in the entry buffer still has its time."""
         if self._sender is not None and self._sender.is_streaming:
             self._sender.schedule_send()
         self._scheduler.after(self._plan.block_every, self._schedule)
@@ -283,7 +290,7 @@
         return self._sender is None or not self._sender.exporter.unsettled
 
     def close(self, most: float) -> None:
-        """The last instant: write what can be written; what can't is told in the log, by customer."""
+        """The last instant: write what can be written; what can't is told in the log, by tenant."""
         self._held.let_all_go()
         if self._store is not None and self._bridge is not None:
             self._seal_durably(self._store)
@@ -314,6 +321,7 @@
             log.error("entries left behind", extra={"pairs": pairs})
 
     def gauges(self) -> dict[str, object]:
+        """Return the values printed beside the counters."""
         told: dict[str, object] = {
             "ledger_entries": self._entries_buffer.last,
             "ledger_waiting": self._entries_buffer.waiting,
--- a/sablewheel/usage_metering/reports.py
+++ b/sablewheel/usage_metering/reports.py
@@ -1,6 +1,4 @@
-"""What the journal's tools read: statements, entries and the facts for reconciliation. Queries only, no
-decisions.
-"""
+"""Queries of the journal's tools: statements, entries and the facts for reconciliation."""
 
 from __future__ import annotations
 
@@ -14,8 +12,9 @@
 
 
 def statements(journal: Journal, period: str, customer: str | None = None) -> list[Statement]:
-    """All customers' statements of a period, or one's. Raises `JournalError` for what is not in the
-    journal.
+    """Return all tenants' statements of a period, or one tenant's.
+
+    Raises `JournalError` for what is not in the journal.
     """
     try:
         named = journal.periods.named(period)
--- a/sablewheel/usage_metering/sender.py
+++ b/sablewheel/usage_metering/sender.py
@@ -43,6 +43,7 @@
 
     @property
     def is_streaming(self) -> bool:
+        """Whether blocks can be sent now."""
         return self.exporter.link is Link.STREAMING
 
     def send_next(self) -> bool:
@@ -57,6 +58,7 @@
             self._step(export.TimerFired())
 
     def close(self) -> None:
+        """Close the connection, if there is one."""
         if self._stream is not None:
             self._stream.close()
 
--- a/sablewheel/usage_metering/sources.py
+++ b/sablewheel/usage_metering/sources.py
@@ -1,5 +1,6 @@
-"""Where the exporter's blocks come from: the entry buffer in memory, or the log on disk. Both give the same
-bytes again.
+"""Where the blocks to export come from: the entry buffer in memory, or the log on disk.
+
+Both give the same bytes again after a rewind.
 """
 
 from __future__ import annotations
@@ -47,6 +48,7 @@
         self._lost: list[TellLost] = []
 
     def rewind(self, have: Mapping[bytes, tuple[int, bytes]]) -> None:
+        """See `BlockSource.rewind`."""
         number = have.get(self._incarnation, (0, b""))[0]
         first = self.kept[0].number if self.kept else self._entries_buffer.number + 1
         self._lost = []
@@ -56,6 +58,7 @@
         self._place = sum(one.number <= number for one in self.kept)
 
     def pull(self, most: int, deliver: Deliver) -> bool:
+        """See `BlockSource.pull`."""
         if self._place >= len(self.kept):
             block = self._cut()
             if block is None:
@@ -68,6 +71,7 @@
         return True
 
     def settled(self, block: SealedBlock) -> None:
+        """See `BlockSource.settled`."""
         while self.kept and self.kept[0].number <= block.number:
             self.kept.popleft()
             self._place -= 1
@@ -87,12 +91,14 @@
         self._released = 0
 
     def rewind(self, have: Mapping[bytes, tuple[int, bytes]]) -> None:
+        """See `BlockSource.rewind`."""
         self._turn += 1
         self._have = {incarnation: number for incarnation, (number, _) in have.items()}
         self._place = self._positions.start(self._have)
         self._places.clear()
 
     def pull(self, most: int, deliver: Deliver) -> bool:
+        """See `BlockSource.pull`."""
         if self._reading:
             return False
         turn = self._turn
@@ -133,6 +139,7 @@
         return lost, blocks
 
     def settled(self, block: SealedBlock) -> None:
+        """See `BlockSource.settled`."""
         place: Place | None = None
         while self._places:
             incarnation, number, here = self._places[0]
--- a/sablewheel/usage_metering/statement.py
+++ b/sablewheel/usage_metering/statement.py
@@ -1,10 +1,4 @@
-"""Statements: what a customer used in a period, with what came late and what was corrected listed apart.
-Pure.
-
-A statement of a closed period is made of its lines alone, so it prints the same for ever. Corrections that
-were made in the period are among its lines; later ones that refer to it are those of the periods they were
-made in.
-"""
+"""Statements: what a tenant used in a period, with late entries and corrections listed apart. Pure."""
 
 from __future__ import annotations
 
@@ -15,8 +9,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from .journal_schema import TOTAL
+
 OUTCOMES = {1: "completed", 2: "denied", 3: "terminated", 4: "gone"}
-ENTRY, TOTAL, CORRECTION = 0, 1, 2
 
 
 @dataclass(frozen=True)
@@ -53,7 +48,7 @@
 
 @dataclass
 class ClassUsage:
-    """One customer's use by track."""
+    """One tenant's use by request class."""
 
     track: str
     completed: int = 0
@@ -72,7 +67,7 @@
 
 @dataclass
 class Statement:
-    """One customer in one period."""
+    """One tenant in one period."""
 
     customer: str
     period: str
@@ -82,7 +77,7 @@
     use: dict[str, ClassUsage] = field(default_factory=dict)
     late: dict[str, dict[str, ClassUsage]] = field(default_factory=dict)  # by the period it belongs to
     corrections: list[CorrectionLine] = field(default_factory=list)
-    known: bool = True  # whether it is a customer that the collector was told of
+    known: bool = True  # whether it is a tenant that the collector was told of
     unsure: int = 0  # completed entries whose answer may never have left its server
 
     @property
@@ -92,6 +87,7 @@
 
     @property
     def run_us(self) -> int:
+        """Billed run time in microseconds, corrections included."""
         return sum(one.run_us for one in self._all()) + sum(one.run_us for one in self.corrections)
 
     def _all(self) -> list[ClassUsage]:
@@ -99,6 +95,7 @@
 
 
 def add(use: dict[str, ClassUsage], row: Row) -> None:
+    """Add a row to the usage of its request class."""
     one = use.setdefault(row.track, ClassUsage(row.track))
     name = OUTCOMES[row.outcome]
     setattr(one, name, getattr(one, name) + row.entries)
@@ -122,7 +119,7 @@
     corrections: Iterable[CorrectionLine],
     unsure: dict[str, int],
 ) -> list[Statement]:
-    """Statements of all customers in a period, by name."""
+    """Statements of all tenants in a period, by name."""
     found: dict[str, Statement] = {}
 
     def of(customer: str) -> Statement:
@@ -142,6 +139,8 @@
 
 
 def as_json(statements: list[Statement]) -> str:
+    """Return the statements as JSON."""
+
     def use(told: dict[str, ClassUsage]) -> list[dict[str, Any]]:
         return [vars(told[name]) for name in sorted(told)]
 
@@ -193,6 +192,7 @@
 
 
 def as_csv(statements: list[Statement]) -> str:
+    """Return the statements as CSV, a line for each request class and correction."""
     out = io.StringIO()
     writer = csv.DictWriter(out, COLUMNS, restval="", lineterminator="\n")
     writer.writeheader()
@@ -219,6 +219,7 @@
 
 
 def as_text(statements: list[Statement]) -> str:
+    """Return the statements as text for people."""
     lines: list[str] = []
     for one in statements:
         state = "closed" if one.closed else "open, may still grow"
--- a/tests/test_usage_metering.py
+++ b/tests/test_usage_metering.py
@@ -1,5 +1,5 @@
-"""The ledger with its I/O: recorder, collector, journal and tools, against full disks, tampering, floods and
-forgers.
+"""Usage metering with its I/O: recorder, collector, journal and tools, against full disks, tampering, floods
+and forgers.
 """
 
 from __future__ import annotations
--- a/tests/test_usage_metering_decisions.py
+++ b/tests/test_usage_metering_decisions.py
@@ -1,4 +1,4 @@
-"""The ledger's decisions, without I/O: periods, folding, the export between two machines, closing,
+"""Usage metering's decisions, without I/O: periods, folding, the export between two machines, closing,
 corrections.
 """
 
@@ -130,7 +130,7 @@
             block = blocks.read(sealed.data)
             assert blocks.follows(block, known.number, known.digest, known.last_sequence) is None
             known = LastBlock(block.number, sealed.digest, block.last_sequence)
-            assert len(block.totals) <= 4 + 12  # the rows of one span are bounded by customers and outcomes
+            assert len(block.totals) <= 4 + 12  # the rows of one span are bounded by tenants and outcomes
             for entry in block.entries:
                 assert entry == self.model[entry.sequence - 1]
                 billed[0] += entry.billed
