--- a/sablewheel/experiments/policy.py
+++ b/sablewheel/experiments/policy.py
@@ -46,7 +46,7 @@
     {"name": "bulk", "on-time-s": 1.0, "deadline-s": 2.0, "repeat": "safe"},
 ]
 WORTH = {"pay": 10, "read": 2, "bulk": 1}
-KEPT = 4  # what a read is worth more where results are kept
+MAX_BUNDLES = 4  # what a read is worth more where results are kept
 POLICY = """\
 version: 1
 policy: {number}
@@ -381,7 +381,9 @@
     )
     by_epoch: dict[str, set[tuple[str, str]]] = {}
     for line in holds:
-        by_epoch.setdefault(line.pairs["epoch"], set()).add((line.pairs["policy"], line.pairs["rungs"]))
+        by_epoch.setdefault(line.pairs["epoch"], set()).add(
+            (line.pairs["policy"], line.pairs["fallback_levels"])
+        )
     double = {epoch: those for epoch, those in by_epoch.items() if len(those) > 1}
     verdict.check("no epoch with two active translations", not double, double or len(by_epoch))
     numbers = {one.pairs["policy"].split(".")[0] for one in holds}
@@ -397,8 +399,8 @@
     changes = _changes(act, holds)
     for what, many in changes.items():
         verdict.check(f"changes of what holds, {what}: at most {CHANGES_MOST}", many <= CHANGES_MOST, many)
-    ladder = [many for what, many in changes.items() if what.startswith("capable")]
-    verdict.check("flows did step down and up", sum(ladder) >= 2, ladder)
+    fallbacks = [many for what, many in changes.items() if what.startswith("capable")]
+    verdict.check("flows did step down and up", sum(fallbacks) >= 2, fallbacks)
     since, until = act.spans["no capable member left"]
     rejected = [one for one in tries[ours.kind] if one["track"] == "pay" and since <= one["sent"] < until]
     quick = [one["until"] - one["from"] for one in rejected if one["how"] == "denied"]
@@ -462,13 +464,15 @@
         if one["track"] != "pay" or kind == "disk":
             total += WORTH[one["track"]]
         if one["track"] == "read" and kind != "small" and stage.kind != "weakest":
-            total += KEPT
+            total += MAX_BUNDLES
     return total
 
 
 def _changes(act: Act, holds: list[Said]) -> dict[str, int]:
     """Changes of what holds in the whole fleet, by fault; repeats of one fault in a row are judged as one."""
-    order = sorted({(int(one.pairs["epoch"]), one.pairs["policy"], one.pairs["rungs"]) for one in holds})
+    order = sorted(
+        {(int(one.pairs["epoch"]), one.pairs["policy"], one.pairs["fallback_levels"]) for one in holds}
+    )
     first: dict[int, float] = {}
     for one in holds:
         first.setdefault(int(one.pairs["epoch"]), one.when)  # they are in the order of time
--- a/sablewheel/experiments/policy_fleet.py
+++ b/sablewheel/experiments/policy_fleet.py
@@ -14,12 +14,22 @@
 from typing import Any
 
 from ..feature_policy.document import FaultyPolicyError, read
-from ..feature_policy.host_capabilities import TRAITS, Ability
+from ..feature_policy.host_capabilities import TRAITS, HostCapabilities
 from ..feature_policy.plan import Rules
-from ..feature_policy.policy_bundle import Bundle
-from ..feature_policy.rollout import Apply, Judge, Note, Rollout, Route, Send, Translate, Translated, Viewed
-from ..feature_policy.rollout import Got as Heard
-from ..feature_policy.rollout import Tick as Ring
+from ..feature_policy.policy_bundle import PolicyBundle
+from ..feature_policy.rollout import (
+    ApplyPlan,
+    LogEntry,
+    ProposeFact,
+    Rollout,
+    Route,
+    Send,
+    StartTranslation,
+    TranslationFinished,
+    ViewChanged,
+)
+from ..feature_policy.rollout import MessageReceived as Heard
+from ..feature_policy.rollout import TimerFired as Ring
 from ..feature_policy.translate import InfeasibleError, translate
 from ..membership import events
 from ..membership.node import Node
@@ -42,10 +52,10 @@
 RULES = Rules(dwell_down=2.0, dwell_up=10.0, rest=5.0, settle=1.0, stagger=2.0)
 EVERY = (1 << 12) - 1  # the codes of all features but rank-order
 CLASSES = {
-    "rich": Ability(8, 1000, 1 << 18, 1024, (1 << len(TRAITS)) - 1, EVERY),
-    "diskless": Ability(8, 1000, 1 << 18, 1024, ((1 << len(TRAITS)) - 1) & ~2, EVERY),
-    "small": Ability(2, 1000, 1 << 14, 64, (1 << len(TRAITS)) - 1, EVERY),
-    "old": Ability(8, 1000, 1 << 18, 1024, (1 << len(TRAITS)) - 1, 0),
+    "rich": HostCapabilities(8, 1000, 1 << 18, 1024, (1 << len(TRAITS)) - 1, EVERY),
+    "diskless": HostCapabilities(8, 1000, 1 << 18, 1024, ((1 << len(TRAITS)) - 1) & ~2, EVERY),
+    "small": HostCapabilities(2, 1000, 1 << 14, 64, (1 << len(TRAITS)) - 1, EVERY),
+    "old": HostCapabilities(8, 1000, 1 << 18, 1024, (1 << len(TRAITS)) - 1, 0),
 }
 
 
@@ -64,16 +74,16 @@
         self,
         name: str,
         zone: str,
-        ability: Ability,
+        host_capabilities: HostCapabilities,
         seeds: tuple[str, ...],
         now: float,
         seed: int,
         broken: str,
     ) -> None:
         incarnation = int(now * 1000) + 1
-        me = Member(name, name, zone, "r1", incarnation, (("class", ability.said),))
+        me = Member(name, name, zone, "r1", incarnation, (("class", host_capabilities.said),))
         self.node = Node(me, seeds, SETTINGS, random.Random(f"{seed}-{name}-{incarnation}"), now)
-        self.rollout = Rollout(name, ability, RULES, broken)
+        self.rollout = Rollout(name, host_capabilities, RULES, broken)
 
     @property
     def wake_at(self) -> float:
@@ -97,7 +107,7 @@
                 case events.Send(address, message):
                     found.append(Carried(address, ("node", message)))
                 case events.Viewed(view):
-                    found += self._rollout(now, Viewed(view))
+                    found += self._rollout(now, ViewChanged(view))
         return found
 
     def _rollout(self, now: float, event: Any) -> list[Any]:
@@ -106,7 +116,7 @@
             match effect:
                 case Send(to, message):
                     found.append(Carried(to, ("policy", message)))
-                case Judge(fact):
+                case ProposeFact(fact):
                     found += self._node(now, events.Judge(fact))
                 case _:
                     found.append(effect)
@@ -119,8 +129,8 @@
 
     broken: str = ""
     seed: int = 1
-    notes: list[tuple[float, str, Note]] = field(default_factory=list)
-    applied: list[tuple[float, str, Apply]] = field(default_factory=list)
+    notes: list[tuple[float, str, LogEntry]] = field(default_factory=list)
+    applied: list[tuple[float, str, ApplyPlan]] = field(default_factory=list)
     asked: list[tuple[float, str]] = field(default_factory=list)  # who translated
     seeds: tuple[str, ...] = ()
     tamper: bool = False  # translations say more than classes can run
@@ -164,54 +174,58 @@
     def route(self, name: str, request_class: str) -> Route:
         return self.member(name).rollout.route(request_class, "any", self.zones[name])
 
-    def rung(self, name: str, flow: str) -> int:
+    def fallback_level(self, name: str, flow: str) -> int:
         rollout = self.member(name).rollout
         assert rollout.active is not None
         flows = [one.name for one in rollout.active.policy.flows]
-        return rollout.rungs[flows.index(flow)]
+        return rollout.fallback_levels[flows.index(flow)]
 
     def changes(self, since: float = 0.0) -> int:
-        """How often what holds became another, rungs and all, in the fleet as a whole."""
+        """How often what holds became another, fallback_levels and all, in the fleet as a whole."""
         told = sorted(
-            (int(str(note.fields["epoch"])), when, (note.fields["policy"], note.fields["rungs"]))
+            (int(str(note.fields["epoch"])), when, (note.fields["policy"], note.fields["fallback_levels"]))
             for when, _, note in self.notes
             if note.what == "policy active"
         )
         return sum(was[2] != now[2] for was, now in pairwise(told) if now[1] >= since)
 
-    def actives(self, rungs: bool = False) -> dict[str, set[str]]:
-        """By epoch, all policies that some member held to be active at it, with their rungs if wanted."""
+    def actives(self, fallback_levels: bool = False) -> dict[str, set[str]]:
+        """By epoch, all policies that some member held to be active at it, with their fallback_levels
+        if wanted.
+        """
         found: dict[str, set[str]] = {}
         for _, _, note in self.notes:
             if note.what == "policy active":
-                told = f"{note.fields['policy']}" + (f" {note.fields['rungs']}" if rungs else "")
+                told = f"{note.fields['policy']}" + (
+                    f" {note.fields['fallback_levels']}" if fallback_levels else ""
+                )
                 found.setdefault(str(note.fields["epoch"]), set()).add(told)
         return found
 
-    def said(self, what: str) -> list[Note]:
+    def said(self, what: str) -> list[LogEntry]:
         return [note for _, _, note in self.notes if note.what == what]
 
     # -- what the cores ask of the world
 
     def _heard(self, now: float, name: str, effect: Any) -> None:
         match effect:
-            case Note():
+            case LogEntry():
                 self.notes.append((now, name, effect))
-            case Apply():
+            case ApplyPlan():
                 self.applied.append((now, name, effect))
-            case Translate():
+            case StartTranslation():
                 self.asked.append((now, name))
                 done = self._translate(effect)
                 self.made.later(TRANSLATES_FOR, lambda: self.made.tell(name, done))
 
-    def _translate(self, told: Translate) -> Translated:
+    def _translate(self, told: StartTranslation) -> TranslationFinished:
         try:
             policy = told.base.policy if told.base is not None else read(told.text, told.file)
             base = told.base.translation if told.base is not None else None
             made = translate(policy, told.classes, base=base)
         except (FaultyPolicyError, InfeasibleError) as trouble:
-            return Translated(None, tuple(str(trouble).splitlines()))
+            return TranslationFinished(None, tuple(str(trouble).splitlines()))
         if self.tamper:
             best = next(plan for one, plan in made.classes.items() if one == CLASSES["rich"])
             made = type(made)(made.number, made.revision, made.policy, dict.fromkeys(made.classes, best))
-        return Translated(Bundle(policy, made))
+        return TranslationFinished(PolicyBundle(policy, made))
--- a/sablewheel/experiments/policy_member.py
+++ b/sablewheel/experiments/policy_member.py
@@ -19,29 +19,29 @@
 
 from ..feature_policy import service as shell
 from ..feature_policy.plan import PolicyPlan
-from ..feature_policy.policy_bundle import Bundle
-from ..feature_policy.rollout import BROKEN, Translated
+from ..feature_policy.policy_bundle import PolicyBundle
+from ..feature_policy.rollout import BROKEN, TranslationFinished
 from ..serving.dispatcher import Dispatch
 from ..serving.exchange import Exchange
 
 TAMPERED = 9
 
 
-class Odd(shell.Policies):
-    """Policies with a part broken, and one translation in the way of a faulty solver."""
+class Odd(shell.PolicyService):
+    """PolicyService with a part broken, and one translation in the way of a faulty solver."""
 
     def __init__(self, scheduler: Any, plan: PolicyPlan, *rest: Any) -> None:
         kind = sys.argv[1]
         super().__init__(scheduler, replace(plan, broken=kind if kind in BROKEN else ""), *rest)
 
-    def _answer(self, data: bytes) -> Translated:
+    def _answer(self, data: bytes) -> TranslationFinished:
         told = super()._answer(data)
         if told.made is None or told.made.policy.number != TAMPERED:
             return told
         made = told.made.translation
         best = max(made.classes.values(), key=lambda plan: len(plan.features))
         wrong = replace(made, classes=dict.fromkeys(made.classes, best))
-        return Translated(Bundle(told.made.policy, wrong))
+        return TranslationFinished(PolicyBundle(told.made.policy, wrong))
 
 
 def weakest(request_class: bytes) -> None:
--- a/sablewheel/feature_policy/applying.py
+++ b/sablewheel/feature_policy/applying.py
@@ -16,7 +16,12 @@
 
 def governed(policy: Policy, catalogue: Catalogue = CATALOGUE) -> frozenset[str]:
     """The features that a policy has a say in."""
-    named = {name for flow in policy.flows for rung in range(flow.bottom + 1) for name in flow.wants(rung)}
+    named = {
+        name
+        for flow in policy.flows
+        for fallback_level in range(flow.no_fallback_level + 1)
+        for name in flow.wants(fallback_level)
+    }
     named |= {name for flow in policy.flows for name in flow.forbid}
     needed = {other for name in named if name in catalogue for other in catalogue[name].needs}
     return frozenset(named | needed)
--- a/sablewheel/feature_policy/codec.py
+++ b/sablewheel/feature_policy/codec.py
@@ -5,11 +5,11 @@
 from google.protobuf.message import DecodeError
 
 from . import feature_policy_pb2 as pb
-from . import policy_bundle as bundle
-from .messages import PIECE_MOST, Fetch, Message, Offer, Piece, Refused
+from . import policy_bundle
+from .messages import MAX_CHUNK_BYTES, BundleChunk, BundleRejected, Fetch, Message, Offer
 
 VERSION = 1
-WHY_MOST = 400  # characters
+MAX_REASON_CHARACTERS = 400  # characters
 
 
 class BadMessageError(ValueError):
@@ -24,11 +24,11 @@
         case Fetch(_, at):
             told.fetch.SetInParent()
             told.fetch.at = at
-        case Piece(_, at, total, data):
+        case BundleChunk(_, at, total, data):
             told.piece.at, told.piece.total, told.piece.data = at, total, data
             told.piece.SetInParent()
-        case Refused(_, why):
-            told.refused.why = why[:WHY_MOST]
+        case BundleRejected(_, why):
+            told.refused.why = why[:MAX_REASON_CHARACTERS]
             told.refused.SetInParent()
     return told.SerializeToString()
 
@@ -42,15 +42,17 @@
         raise BadMessageError("not a message of policies") from None
     if told.version != VERSION:
         raise BadMessageError(f"version {told.version}, {VERSION} is spoken here")
-    if bundle.order(told.name) == bundle.NONE:
+    if policy_bundle.order(told.name) == policy_bundle.NONE:
         raise BadMessageError(f"name: {told.name!r:.60}")
     match told.WhichOneof("body"):
         case "offer":
             return Offer(told.name)
-        case "fetch" if told.fetch.at <= bundle.BUNDLE_MOST:
+        case "fetch" if told.fetch.at <= policy_bundle.MAX_BUNDLE_BYTES:
             return Fetch(told.name, told.fetch.at)
-        case "piece" if len(told.piece.data) <= PIECE_MOST and told.piece.total <= bundle.BUNDLE_MOST:
-            return Piece(told.name, told.piece.at, told.piece.total, told.piece.data)
-        case "refused" if len(told.refused.why) <= WHY_MOST:
-            return Refused(told.name, told.refused.why)
+        case "piece" if (
+            len(told.piece.data) <= MAX_CHUNK_BYTES and told.piece.total <= policy_bundle.MAX_BUNDLE_BYTES
+        ):
+            return BundleChunk(told.name, told.piece.at, told.piece.total, told.piece.data)
+        case "refused" if len(told.refused.why) <= MAX_REASON_CHARACTERS:
+            return BundleRejected(told.name, told.refused.why)
     raise BadMessageError("body: none, or past its bounds")
--- a/sablewheel/feature_policy/document.py
+++ b/sablewheel/feature_policy/document.py
@@ -17,10 +17,19 @@
 from ruamel.yaml.error import MarkedYAMLError, YAMLError
 
 from .host_capabilities import CATALOGUE, Catalogue
-from .policy import FLOWS_MOST, LADDERS_MOST, RUNGS_MOST, WORTH_MOST, Flow, Policy, Rung, Wants
+from .policy import (
+    MAX_FALLBACK_LEVELS,
+    MAX_FLOWS,
+    MAX_FLOWS_WITH_FALLBACK,
+    MAX_PRIORITY_WEIGHT,
+    FallbackLevel,
+    Flow,
+    Policy,
+    Wants,
+)
 
-TEXT_MOST = 256 << 10  # bytes of a document
-FEATURES_MOST = 32  # of one line of wants
+MAX_DOCUMENT_BYTES = 256 << 10  # bytes of a document
+MAX_FEATURES = 32  # of one line of wants
 
 
 @dataclass(frozen=True)
@@ -51,9 +60,9 @@
 WantsIn = Annotated[
     dict[str, dict[str, Annotated[int, Field(ge=0, le=1 << 40)]]],
     BeforeValidator(_mapping),
-    Field(max_length=FEATURES_MOST),
+    Field(max_length=MAX_FEATURES),
 ]
-Worth = Annotated[int, Field(ge=0, le=WORTH_MOST)]
+Worth = Annotated[int, Field(ge=0, le=MAX_PRIORITY_WEIGHT)]
 Names = Annotated[list[Name], Field(max_length=1000)]
 
 
@@ -61,7 +70,7 @@
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True)
 
 
-class _Rung(_Part):
+class _FallbackLevel(_Part):
     worth: Worth
     features: WantsIn
 
@@ -73,20 +82,22 @@
     cores: Annotated[float, Field(ge=0, le=1_000_000, allow_inf_nan=False)] = 0.0
     worth: Worth = 1
     require: WantsIn = {}
-    prefer: Annotated[list[_Rung], Field(max_length=RUNGS_MOST)] = []
-    forbid: Annotated[list[str], Field(max_length=FEATURES_MOST)] = []
+    prefer: Annotated[list[_FallbackLevel], Field(max_length=MAX_FALLBACK_LEVELS)] = []
+    forbid: Annotated[list[str], Field(max_length=MAX_FEATURES)] = []
 
 
 class _Document(_Part):
     version: Literal[1]
     policy: Annotated[int, Field(ge=1, le=1 << 40)]
-    flows: Annotated[dict[Name, _Flow], Field(min_length=1, max_length=FLOWS_MOST)]
+    flows: Annotated[dict[Name, _Flow], Field(min_length=1, max_length=MAX_FLOWS)]
 
 
 def read(text: str, file: str = "policy", catalogue: Catalogue = CATALOGUE) -> Policy:
     """The policy of a text; raises `FaultyPolicyError` with all its faults. `file`: its name in messages."""
-    if len(text.encode()) > TEXT_MOST:
-        raise FaultyPolicyError(file, [Fault(0, "file", f"over {TEXT_MOST} bytes; fewer flows are wanted")])
+    if len(text.encode()) > MAX_DOCUMENT_BYTES:
+        raise FaultyPolicyError(
+            file, [Fault(0, "file", f"over {MAX_DOCUMENT_BYTES} bytes; fewer flows are wanted")]
+        )
     try:
         told = YAML(typ="rt").load(text)
     except MarkedYAMLError as trouble:
@@ -114,9 +125,9 @@
     at = ("flows", name)
     lines = {f"require.{each}": _line(told, (*at, "require", each)) for each in one.require}
     lines |= {f"forbid.{each}": _line(told, (*at, "forbid", n)) for n, each in enumerate(one.forbid)}
-    ladder = tuple(
-        Rung(rung.features, rung.worth, _line(told, (*at, "prefer", place)))
-        for place, rung in enumerate(one.prefer)
+    fallbacks = tuple(
+        FallbackLevel(fallback_level.features, fallback_level.worth, _line(told, (*at, "prefer", place)))
+        for place, fallback_level in enumerate(one.prefer)
     )
     return Flow(
         name=name,
@@ -126,7 +137,7 @@
         cores=one.cores,
         worth=one.worth,
         require=one.require,
-        ladder=ladder,
+        fallbacks=fallbacks,
         forbid=tuple(one.forbid),
         lines=lines,
     )
@@ -141,7 +152,10 @@
     for name, flow in document.flows.items():
         at = ("flows", name)
         lines: list[tuple[tuple[Any, ...], Wants]] = [((*at, "require"), flow.require)]
-        lines += [((*at, "prefer", n, "features"), rung.features) for n, rung in enumerate(flow.prefer)]
+        lines += [
+            ((*at, "prefer", n, "features"), fallback_level.features)
+            for n, fallback_level in enumerate(flow.prefer)
+        ]
         for path, wants in lines:
             for feature, values in wants.items():
                 if feature not in catalogue:
@@ -171,8 +185,8 @@
             if worse.worth >= better.worth:
                 says = f"less than the {better.worth} of the rung above is wanted, got {worse.worth}"
                 yield fault((*at, "prefer", place + 1, "worth"), says)
-    if sum(bool(flow.prefer) for flow in document.flows.values()) > LADDERS_MOST:
-        yield fault(("flows",), f"over {LADDERS_MOST} flows with prefer; join some")
+    if sum(bool(flow.prefer) for flow in document.flows.values()) > MAX_FLOWS_WITH_FALLBACK:
+        yield fault(("flows",), f"over {MAX_FLOWS_WITH_FALLBACK} flows with prefer; join some")
 
 
 def _near(name: str, known: Mapping[str, Any]) -> str:
@@ -196,7 +210,7 @@
     key = ".".join(str(one) for one in path) or "file"
     line = _line(told, path)
     if error["type"] == "extra_forbidden":
-        model = _Document if len(path) == 1 else _Rung if "prefer" in path[:-1] else _Flow
+        model = _Document if len(path) == 1 else _FallbackLevel if "prefer" in path[:-1] else _Flow
         return Fault(line, key, f"no such key; {_near(str(path[-1]), model.model_fields)}")
     if error["type"] == "missing":
         return Fault(line, key, "missing")
--- a/sablewheel/feature_policy/host_capabilities.py
+++ b/sablewheel/feature_policy/host_capabilities.py
@@ -1,9 +1,9 @@
 """What servers have or have not: the features that a policy may name, and what one server can run of them.
 
 Pure. A feature's needs, conflicts and costs stand here once; the translation, its check and the document's
-reader all go by them. `Ability` is one server's part: from its settings and its start-up checks, told to the
-others with membership as canonical JSON. Figures are rounded down to steps, so that servers of one kind are
-one class and none claims more than it has.
+reader all go by them. `HostCapabilities` is one server's part: from its settings and its start-up checks,
+told to the others with membership as canonical JSON. Figures are rounded down to steps, so that servers of
+one kind are one class and none claims more than it has.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 
 from ..overload.interface import Cancellation, ServerSettings
 
-SAID_MOST = 200  # bytes: the bound of a value in `Member.says`
-MEMORY_PART = 2  # features may take one part in so many of the program's memory
-CORES_PART = 4  # and of its cores
-DESCRIPTORS_PART = 4
+MAX_METADATA_VALUE_BYTES = 200  # bytes: the bound of a value in `Member.says`
+MEMORY_DIVISOR = 2  # features may take one part in so many of the program's memory
+CORES_DIVISOR = 4  # and of its cores
+DESCRIPTORS_DIVISOR = 4
 LINKS, DISK, DROPS, PAUSES, GONE, WAITS, CUSTOMERS, LABELS = (
     "links",
     "disk",
@@ -36,8 +36,8 @@
 TRAITS = (LINKS, DISK, DROPS, PAUSES, GONE, WAITS, CUSTOMERS, LABELS)  # bits, in this order: append only
 
 
-class AbilityError(ValueError):
-    """No ability; the text names the field."""
+class HostCapabilitiesError(ValueError):
+    """No host capabilities; the text names the field."""
 
 
 @dataclass(frozen=True)
@@ -197,7 +197,7 @@
 
 
 @dataclass(frozen=True, order=True)
-class Ability:
+class HostCapabilities:
     """What one server can do. `speed`: thousandths of the reference core; memory in kB; `codes`, `traits`:
     bits by `Feature.code` and place in TRAITS; warm-up in seconds. All rounded: equal ones are one class.
     """
@@ -213,18 +213,20 @@
     def __post_init__(self) -> None:
         for name, value in asdict(self).items():
             if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value < 1 << 50:
-                raise AbilityError(f"{name}: a whole number from 0 is wanted, got {value!r:.40}")
+                raise HostCapabilitiesError(f"{name}: a whole number from 0 is wanted, got {value!r:.40}")
 
     @cached_property
     def said(self) -> str:
-        """Canonical JSON, at most SAID_MOST bytes; what the view carries, and the class's name."""
+        """Canonical JSON, at most MAX_METADATA_VALUE_BYTES bytes; what the view carries, and the
+        class's name.
+        """
         text = json.dumps(
             {key: value for key, value in asdict(self).items() if value},
             sort_keys=True,
             separators=(",", ":"),
         )
-        if len(text) > SAID_MOST:
-            raise AbilityError(f"an ability of {len(text)} bytes, over {SAID_MOST}")
+        if len(text) > MAX_METADATA_VALUE_BYTES:
+            raise HostCapabilitiesError(f"an ability of {len(text)} bytes, over {MAX_METADATA_VALUE_BYTES}")
         return text
 
     @cached_property
@@ -241,9 +243,9 @@
     def room(self) -> tuple[int, int, int]:
         """Bytes, millicores and descriptors that features may take."""
         return (
-            self.memory * 1024 // MEMORY_PART,
-            int(self.capacity * 1000) // CORES_PART,
-            self.descriptors // DESCRIPTORS_PART,
+            self.memory * 1024 // MEMORY_DIVISOR,
+            int(self.capacity * 1000) // CORES_DIVISOR,
+            self.descriptors // DESCRIPTORS_DIVISOR,
         )
 
     def has(self, trait: str) -> bool:
@@ -257,20 +259,22 @@
         return f"it has no {', '.join(missing)}" if missing else ""
 
 
-def read(text: str) -> Ability:
-    """What a member says; raises `AbilityError`. Keys of newer builds are no part of what we compare."""
-    if len(text) > SAID_MOST:
-        raise AbilityError(f"an ability of {len(text)} bytes, over {SAID_MOST}")
+def read(text: str) -> HostCapabilities:
+    """What a member says; raises `HostCapabilitiesError`. Keys of newer builds are no part of what we
+    compare.
+    """
+    if len(text) > MAX_METADATA_VALUE_BYTES:
+        raise HostCapabilitiesError(f"an ability of {len(text)} bytes, over {MAX_METADATA_VALUE_BYTES}")
     try:
         told = json.loads(text)
     except ValueError:
-        raise AbilityError(f"not JSON: {text!r:.40}") from None
+        raise HostCapabilitiesError(f"not JSON: {text!r:.40}") from None
     if not isinstance(told, dict):
-        raise AbilityError(f"an object is wanted, got {text!r:.40}")
-    known = {key: value for key, value in told.items() if key in Ability.__dataclass_fields__}
+        raise HostCapabilitiesError(f"an object is wanted, got {text!r:.40}")
+    known = {key: value for key, value in told.items() if key in HostCapabilities.__dataclass_fields__}
     if "cores" not in known:
-        raise AbilityError("cores: missing")
-    return Ability(**known)
+        raise HostCapabilitiesError("cores: missing")
+    return HostCapabilities(**known)
 
 
 @dataclass(frozen=True)
@@ -295,8 +299,8 @@
     return os.access(folder, os.W_OK)
 
 
-def of(machine: ServerSettings, start: StartUp, catalogue: Catalogue = CATALOGUE) -> Ability:
-    """The ability of a server with these settings."""
+def of(machine: ServerSettings, start: StartUp, catalogue: Catalogue = CATALOGUE) -> HostCapabilities:
+    """The host capabilities of a server with these settings."""
     without = set(start.without)
     if not machine.coalesce_reads_for_s:
         without.add("kept-results")
@@ -312,7 +316,7 @@
         CUSTOMERS: any(one.quota_per_s > 0 for one in machine.tenants),
         LABELS: any(one.idempotency_window_s > 0 for one in machine.request_classes),
     }
-    return Ability(
+    return HostCapabilities(
         cores=machine.cores,
         speed=down(start.speed * 1000),
         memory=down(start.memory_bytes / 1024),
--- a/sablewheel/feature_policy/messages.py
+++ b/sablewheel/feature_policy/messages.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-PIECE_MOST = 12 << 10  # bytes of a bundle in one message
+MAX_CHUNK_BYTES = 12 << 10  # bytes of a bundle in one message
 
 
 @dataclass(frozen=True)
@@ -16,14 +16,14 @@
 
 @dataclass(frozen=True)
 class Fetch:
-    """Let me have it from this byte on."""
+    """Let node name have it from this byte on."""
 
     name: str
     at: int
 
 
 @dataclass(frozen=True)
-class Piece:
+class BundleChunk:
     """Some of it; `total` 0: I hold none of that name."""
 
     name: str
@@ -33,11 +33,11 @@
 
 
 @dataclass(frozen=True)
-class Refused:
+class BundleRejected:
     """I hold it for wrong, and so do not stage it."""
 
     name: str
     why: str
 
 
-Message = Offer | Fetch | Piece | Refused
+Message = Offer | Fetch | BundleChunk | BundleRejected
--- a/sablewheel/feature_policy/policy.py
+++ b/sablewheel/feature_policy/policy.py
@@ -12,11 +12,11 @@
 from functools import cached_property
 from typing import Any
 
-FLOWS_MOST = 200
-LADDERS_MOST = 90  # flows with a ladder: each has a digit in a fact of 128 characters
-RUNGS_MOST = 8
-WORTH_MOST = 1_000_000
-POLICY_MOST = 1 << 20  # bytes of its canonical text
+MAX_FLOWS = 200
+MAX_FLOWS_WITH_FALLBACK = 90  # flows with a fallbacks: each has a digit in a fact of 128 characters
+MAX_FALLBACK_LEVELS = 8
+MAX_PRIORITY_WEIGHT = 1_000_000
+MAX_POLICY_BYTES = 1 << 20  # bytes of its canonical text
 
 Values = Mapping[str, int]
 Wants = Mapping[str, Values]  # feature -> its parameters, each at least so much
@@ -27,8 +27,8 @@
 
 
 @dataclass(frozen=True)
-class Rung:
-    """One step of a ladder: what it takes, and what a request served with it is worth more."""
+class FallbackLevel:
+    """One step of a fallbacks: what it takes, and what a request served with it is worth more."""
 
     wants: Wants
     worth: int
@@ -40,7 +40,8 @@
     """Requests that are of one kind to the policy. Empty tuples: any. `cores`: its load over the fleet, in
     reference cores; `worth`: of a request served with no more than is required.
 
-    Rung numbers: 0 is the best; `len(ladder)` is the bottom, with what is required and nothing else.
+    FallbackLevel numbers: 0 is the best; `len(fallbacks)` is the no_fallback_level, with what is required and
+    nothing else.
     """
 
     name: str
@@ -50,28 +51,30 @@
     cores: float = 0.0
     worth: int = 1
     require: Wants = field(default_factory=dict)
-    ladder: tuple[Rung, ...] = ()
+    fallbacks: tuple[FallbackLevel, ...] = ()
     forbid: tuple[str, ...] = ()
     lines: Mapping[str, int] = field(default_factory=dict)  # of `require.NAME`, `forbid.NAME`
 
     @property
-    def bottom(self) -> int:
-        return len(self.ladder)
+    def no_fallback_level(self) -> int:
+        return len(self.fallbacks)
 
-    def wants(self, rung: int) -> Wants:
-        """Everything that a class must run to serve it on this rung."""
-        if rung >= self.bottom:
+    def wants(self, fallback_level: int) -> Wants:
+        """Everything that a class must run to serve it on this fallback level."""
+        if fallback_level >= self.no_fallback_level:
             return self.require
         both: dict[str, Values] = dict(self.require)
-        for name, values in self.ladder[rung].wants.items():
+        for name, values in self.fallbacks[fallback_level].wants.items():
             mine = dict(both.get(name, {}))
             for parameter, value in values.items():
                 mine[parameter] = max(value, mine.get(parameter, value))
             both[name] = mine
         return both
 
-    def earns(self, rung: int) -> int:
-        return self.worth + (self.ladder[rung].worth if rung < self.bottom else 0)
+    def earns(self, fallback_level: int) -> int:
+        return self.worth + (
+            self.fallbacks[fallback_level].worth if fallback_level < self.no_fallback_level else 0
+        )
 
     def takes(self, request_class: str, tenant: str, zone: str) -> bool:
         return all(
@@ -86,7 +89,9 @@
 
 @dataclass(frozen=True)
 class Policy:
-    """`number` is the document's own version, which only grows; a request is of the first flow taking it."""
+    """`number` is the document's own_capabilities version, which only grows; a request is of the first
+    flow taking it.
+    """
 
     number: int
     flows: tuple[Flow, ...]
@@ -95,7 +100,11 @@
     @cached_property
     def text(self) -> str:
         """Canonical JSON: equal policies have equal texts."""
-        told = {"number": self.number, "file": self.file, "flows": [_told(one) for one in self.flows]}
+        told = {
+            "number": self.number,
+            "file": self.file,
+            "flows": [_announced_to_listeners(one) for one in self.flows],
+        }
         return json.dumps(told, sort_keys=True, separators=(",", ":"))
 
     @cached_property
@@ -109,7 +118,7 @@
         return next(one for one in self.flows if one.name == name)
 
 
-def _told(flow: Flow) -> dict[str, object]:
+def _announced_to_listeners(flow: Flow) -> dict[str, object]:
     return {
         "name": flow.name,
         "tracks": flow.request_classes,
@@ -118,7 +127,7 @@
         "cores": flow.cores,
         "worth": flow.worth,
         "require": flow.require,
-        "ladder": [{"wants": one.wants, "worth": one.worth, "line": one.line} for one in flow.ladder],
+        "ladder": [{"wants": one.wants, "worth": one.worth, "line": one.line} for one in flow.fallbacks],
         "forbid": flow.forbid,
         "lines": flow.lines,
     }
@@ -126,17 +135,17 @@
 
 def load(text: str) -> Policy:
     """The policy of a canonical text; raises `PolicyError`."""
-    if len(text) > POLICY_MOST:
-        raise PolicyError(f"over {POLICY_MOST} bytes")
+    if len(text) > MAX_POLICY_BYTES:
+        raise PolicyError(f"over {MAX_POLICY_BYTES} bytes")
     try:
         told = json.loads(text)
         flows = tuple(_flow(one) for one in told["flows"])
         made = Policy(int(told["number"]), flows, str(told["file"]))
     except (KeyError, TypeError, AttributeError, ValueError) as trouble:
         raise PolicyError(f"{type(trouble).__name__}: {trouble!s:.120}") from None
-    if len(flows) > FLOWS_MOST or sum(bool(one.ladder) for one in flows) > LADDERS_MOST:
+    if len(flows) > MAX_FLOWS or sum(bool(one.fallbacks) for one in flows) > MAX_FLOWS_WITH_FALLBACK:
         raise PolicyError("too many flows")
-    if any(len(one.ladder) > RUNGS_MOST for one in flows) or made.text != text:
+    if any(len(one.fallbacks) > MAX_FALLBACK_LEVELS for one in flows) or made.text != text:
         raise PolicyError("not canonical")
     return made
 
@@ -150,8 +159,8 @@
         cores=float(told["cores"]),
         worth=int(told["worth"]),
         require=_wants(told["require"]),
-        ladder=tuple(
-            Rung(_wants(one["wants"]), int(one["worth"]), int(one["line"])) for one in told["ladder"]
+        fallbacks=tuple(
+            FallbackLevel(_wants(one["wants"]), int(one["worth"]), int(one["line"])) for one in told["ladder"]
         ),
         forbid=_names(told["forbid"]),
         lines={str(key): int(line) for key, line in told["lines"].items()},
--- a/sablewheel/feature_policy/policy_bundle.py
+++ b/sablewheel/feature_policy/policy_bundle.py
@@ -10,10 +10,10 @@
 
 from . import policy as policies
 from . import translation as translations
-from .policy import POLICY_MOST, Policy, PolicyError
-from .translation import TRANSLATION_MOST, Translation, TranslationError
+from .policy import MAX_POLICY_BYTES, Policy, PolicyError
+from .translation import MAX_TRANSLATION_BYTES, Translation, TranslationError
 
-BUNDLE_MOST = 2 * (POLICY_MOST + TRANSLATION_MOST)  # bytes: quoted text within text
+MAX_BUNDLE_BYTES = 2 * (MAX_POLICY_BYTES + MAX_TRANSLATION_BYTES)  # bytes: quoted text within text
 DIGITS = "0123456789"
 NAME = re.compile(r"(\d{1,15})\.(\d{1,9}):([0-9a-f]{12})")
 
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True)
-class Bundle:
+class PolicyBundle:
     policy: Policy
     translation: Translation
 
@@ -38,29 +38,33 @@
     def text(self) -> str:
         return json.dumps({"policy": self.policy.text, "translation": self.translation.text})
 
-    def rungs(self, told: str) -> tuple[int, ...]:
-        """Each flow's rung in the whole fleet, of the digits in a fact."""
+    def fallback_levels(self, told: str) -> tuple[int, ...]:
+        """Each flow's fallback level in the whole fleet, of the digits in a fact."""
         digits = iter(told)
         return tuple(
-            min(DIGITS.find(next(digits, "0")), flow.bottom) if flow.ladder else flow.bottom
+            min(DIGITS.find(next(digits, "0")), flow.no_fallback_level)
+            if flow.fallbacks
+            else flow.no_fallback_level
             for flow in self.policy.flows
         )
 
-    def digits(self, rungs: Sequence[int]) -> str:
-        """The same back, for a fact: a digit for each flow with a ladder, without the zeros at the end."""
+    def digits(self, fallback_levels: Sequence[int]) -> str:
+        """The same back, for a fact: a digit for each flow with a fallbacks, without the zeros at the end."""
         told = "".join(
-            DIGITS[rung] for flow, rung in zip(self.policy.flows, rungs, strict=True) if flow.ladder
+            DIGITS[fallback_level]
+            for flow, fallback_level in zip(self.policy.flows, fallback_levels, strict=True)
+            if flow.fallbacks
         )
         return told.rstrip("0")
 
 
-def load(text: str) -> Bundle:
+def load(text: str) -> PolicyBundle:
     """Raises `BundleError`; whether the translation is right is `verify`'s matter."""
-    if len(text) > BUNDLE_MOST:
-        raise BundleError(f"over {BUNDLE_MOST} bytes")
+    if len(text) > MAX_BUNDLE_BYTES:
+        raise BundleError(f"over {MAX_BUNDLE_BYTES} bytes")
     try:
         told = json.loads(text)
-        made = Bundle(policies.load(told["policy"]), translations.read(told["translation"]))
+        made = PolicyBundle(policies.load(told["policy"]), translations.read(told["translation"]))
     except (KeyError, TypeError, ValueError, PolicyError, TranslationError) as trouble:
         raise BundleError(str(trouble)[:200]) from None
     if made.translation.text != told["translation"]:
--- a/sablewheel/feature_policy/service.py
+++ b/sablewheel/feature_policy/service.py
@@ -1,8 +1,8 @@
-"""Policies in the server: views, frames and timers become the rollout's events, and its effects go out.
+"""PolicyService in the server: views, frames and timers become the rollout's events, and its effects go out.
 
 Decides nothing. Its gate stands right before the dispatch, where what peers pass on comes by as well: a
 request is served here, or passed to a member that may, or rejected at once with the cause counted and logged.
-A translation is done by a process of its own, which is looked after and never waited for.
+A translation is done by a process of its own_capabilities, which is looked after and never waited for.
 """
 
 from __future__ import annotations
@@ -23,35 +23,34 @@
 from ..serving.listener import RequestHandler
 from ..transport.scheduler import Scheduler
 from ..transport.wakeup import Wake
-from . import codec
-from . import policy_bundle as bundle
+from . import codec, policy_bundle
 from .applying import settings
-from .host_capabilities import Ability
+from .host_capabilities import HostCapabilities
 from .plan import PolicyPlan
-from .policy import POLICY_MOST
+from .policy import MAX_POLICY_BYTES
 from .policy_bundle import BundleError
 from .rollout import (
-    Apply,
+    ApplyPlan,
+    DocumentProposed,
     Effect,
     Event,
-    Got,
-    Judge,
-    Note,
+    LogEntry,
+    MessageReceived,
+    ProposeFact,
     Rollout,
     Route,
     Send,
-    Tick,
-    Translate,
-    Translated,
-    Viewed,
-    Wish,
+    StartTranslation,
+    TimerFired,
+    TranslationFinished,
+    ViewChanged,
 )
 
 KIND = "policy"
-SEND_WITHIN = 2.0  # a message is worth nothing later: what it asks for is asked again
-LOOK_EVERY = 0.05  # at the process that translates
-SHUN = 3.0  # seconds that a member is passed over after its link broke, while there are others
-ROUTES_MOST = 4096  # of request classes and tenants, remembered until something changes
+MESSAGE_EXPIRES_IN_S = 2.0  # a message is worth nothing later: what it asks for is asked again
+PROCESS_POLL_INTERVAL_S = 0.05  # at the process that translates
+AVOID_MEMBER_S = 3.0  # seconds that a member is passed over after its link broke, while there are others
+MAX_CACHED_ROUTES = 4096  # of request classes and tenants, remembered until something changes
 
 log = logging.getLogger(__name__)
 changes = logging.getLogger(f"{__name__}.changes")  # bounded apart: rejections must not hide what holds
@@ -74,7 +73,7 @@
     def on_broken(self, callback: Callable[[str], None]) -> None: ...
 
 
-class Policies:
+class PolicyService:
     """This server's part in the fleet's policy. `changed` is called when `machine` gives another one."""
 
     def __init__(
@@ -83,60 +82,61 @@
         plan: PolicyPlan,
         fleet: Fleet,
         links: Links,
-        own: Ability,
+        own_capabilities: HostCapabilities,
         tenants: dict[bytes, Tenant],
         changed: Callable[[], None],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._scheduler, self._plan, self._fleet, self._links = scheduler, plan, fleet, links
-        self._tenants, self._changed, self._clock = tenants, changed, clock
-        self.rollout = Rollout(fleet.me, own, plan.rules, plan.broken)
+        self._tenants, self._settings_changed, self._clock = tenants, changed, clock
+        self.rollout = Rollout(fleet.me, own_capabilities, plan.rules, plan.broken)
         self._view: View | None = None
-        self._applied: Apply | None = None
+        self._applied: ApplyPlan | None = None
         self._names: dict[Tenant | None, str] = {}
         self._routes: dict[tuple[bytes, Tenant | None, str], Route] = {}
-        self._causes: dict[str, str] = {}  # by flow, the last cause of a rejection that was logged
+        self._logged_reasons: dict[str, str] = {}  # by flow, the last cause of a rejection that was logged
         self._listeners: list[Callable[[int, dict[str, frozenset[str]]], None]] = []
-        self._told: tuple[int, dict[str, frozenset[str]]] = (0, {})
+        self._announced_to_listeners: tuple[int, dict[str, frozenset[str]]] = (0, {})
         self._broken: dict[str, float] = {}  # when the last link to each broke
-        self._turn = 0
-        self._wake = Wake(scheduler, clock, self._ring, 0.005)
-        self._job: subprocess.Popen[bytes] | None = None
-        self._job_out: IO[bytes] | None = None
-        self._job_until = 0.0
+        self._next_peer_index = 0
+        self._wake = Wake(scheduler, clock, self._timer_fired, 0.005)
+        self._process: subprocess.Popen[bytes] | None = None
+        self._process_output: IO[bytes] | None = None
+        self._process_deadline_s = 0.0
         self._open = True
         self.counts: dict[str, int] = {}
-        links.on(KIND, self._heard)
+        links.on(KIND, self._frame_received)
         links.on_broken(lambda peer: self._broken.update({peer: clock()}))
-        fleet.on_view(self._viewed)
+        fleet.on_view(self._view_changed)
         if plan.file is not None:
-            self._wish(only_first=True)
+            self._proposed_document(only_first=True)
 
     # -- what the program asks
 
     def server_settings(self, server_settings: ServerSettings) -> ServerSettings:
         """The settings as the policy that holds would have them."""
         applied = self._applied
-        if applied is None or applied.bundle is None:
+        if applied is None or applied.policy_bundle is None:
             return server_settings
-        return settings(server_settings, applied.bundle.policy, applied.plan)
+        return settings(server_settings, applied.policy_bundle.policy, applied.plan)
 
-    def hangup(self) -> None:
+    def reload(self) -> None:
         """SIGHUP: the operators' document is read anew."""
         if self._plan.file is not None:
-            self._wish(only_first=False)
+            self._proposed_document(only_first=False)
 
     def close(self) -> None:
         self._open = False
         self._wake.cancel()
-        self._end_job()
+        self._end_process()
 
     def gauges(self) -> dict[str, object]:
         held = self.rollout.active
         told: dict[str, object] = {
             "policy": held.name if held is not None else "-",
-            "policy_rungs": "".join(str(rung) for rung in self.rollout.rungs) or "-",
-            "policy_class": self.rollout.own.key,
+            "policy_rungs": "".join(str(fallback_level) for fallback_level in self.rollout.fallback_levels)
+            or "-",
+            "policy_class": self.rollout.own_capabilities.key,
         }
         counts = {**self.rollout.counts, **self.counts}
         return told | {f"policy_{name}": count for name, count in sorted(counts.items())}
@@ -145,7 +145,7 @@
         """What holds and who can serve it, at once and whenever that changes: the document's number (0:
         nothing holds, or it is not here) and `Rollout.able`."""
         self._listeners.append(callback)
-        callback(*self._told)
+        callback(*self._announced_to_listeners)
 
     # -- the gate, and where else a request may go
 
@@ -160,7 +160,7 @@
         if found is None:
             tenant = self._name(exchange.request.tenant)
             found = self.rollout.route(exchange.request_class.decode("utf-8", "replace"), tenant, zone)
-            if len(self._routes) >= ROUTES_MOST:
+            if len(self._routes) >= MAX_CACHED_ROUTES:
                 self._routes.clear()
             self._routes[key] = found
         return found
@@ -171,18 +171,20 @@
         if route.here or not route.others:
             return None
         now = self._clock()
-        well = [one for one in route.others if now >= self._broken.get(one, -inf) + SHUN] or route.others
+        well = [
+            one for one in route.others if now >= self._broken.get(one, -inf) + AVOID_MEMBER_S
+        ] or route.others
         near = [one for one in well if self._zone(one) == self._zone(self._fleet.me)]
         those = near or well
-        self._turn += 1
-        return those[self._turn % len(those)]
+        self._next_peer_index += 1
+        return those[self._next_peer_index % len(those)]
 
     def reject(self, exchange: Exchange, route: Route) -> None:
         """At once, before it costs anything; where others may serve it the caller is free to go to them."""
         what = "elsewhere" if route.others else "nobody" if route.flow else "unknown"
         self._count(f"denied_{what}")
-        if self._causes.get(route.flow) != route.why:
-            self._causes[route.flow] = route.why
+        if self._logged_reasons.get(route.flow) != route.why:
+            self._logged_reasons[route.flow] = route.why
             pairs = {"flow": route.flow or "-", "reason": route.why, "others": len(route.others)}
             log.warning("flow denied", extra={"pairs": pairs})
         no_retry_elsewhere = bool(route.flow) and not route.others
@@ -191,8 +193,8 @@
     def served(self, route: Route) -> None:
         if not route.here:
             self._count("served_below")  # with less than it prefers, as the others were not reached
-        if route.flow in self._causes:
-            del self._causes[route.flow]
+        if route.flow in self._logged_reasons:
+            del self._logged_reasons[route.flow]
             log.info("flow served again", extra={"pairs": {"flow": route.flow}})
 
     def _zone(self, name: str) -> str:
@@ -207,30 +209,30 @@
 
     # -- events in
 
-    def _viewed(self, view: View) -> None:
+    def _view_changed(self, view: View) -> None:
         self._view = view
         self._broken = {name: when for name, when in self._broken.items() if name in view}
-        self._step(Viewed(view))
+        self._step(ViewChanged(view))
 
-    def _heard(self, sender: str, payload: bytes) -> None:
+    def _frame_received(self, sender: str, payload: bytes) -> None:
         try:
             message = codec.decode(payload)
         except codec.BadMessageError as trouble:
             self._count("messages_bad")
             log.warning("message dropped", extra={"pairs": {"from": sender, "reason": trouble}})
             return
-        self._step(Got(sender, message))
+        self._step(MessageReceived(sender, message))
 
-    def _wish(self, only_first: bool) -> None:
+    def _proposed_document(self, only_first: bool) -> None:
         assert self._plan.file is not None
         try:
             with open(self._plan.file, encoding="utf-8") as file:
-                text = file.read(POLICY_MOST)
+                text = file.read(MAX_POLICY_BYTES)
         except (OSError, UnicodeDecodeError) as trouble:
             self._count("unread")
             log.error("policy not read", extra={"pairs": {"file": self._plan.file, "reason": trouble}})
             return
-        self._step(Wish(text, self._plan.file, only_first))
+        self._step(DocumentProposed(text, self._plan.file, only_first))
 
     def _step(self, event: Event) -> None:
         if not self._open:
@@ -248,34 +250,36 @@
         self._wake.set(self.rollout.wake_at)
         held = self.rollout.active
         told = (held.policy.number if held is not None else 0, self.rollout.able())
-        if told != self._told:
-            self._told = told
+        if told != self._announced_to_listeners:
+            self._announced_to_listeners = told
             for callback in self._listeners:
                 callback(*told)
 
-    def _ring(self) -> None:
-        self._step(Tick())
+    def _timer_fired(self) -> None:
+        self._step(TimerFired())
 
     # -- effects out
 
     def _carry_out(self, effect: Effect) -> None:
         match effect:
             case Send(to, message):
-                sent = self._links.send(to, KIND, codec.encode(message), SEND_WITHIN)
+                sent = self._links.send(to, KIND, codec.encode(message), MESSAGE_EXPIRES_IN_S)
                 self._count("sent" if sent else "unsent")
-            case Judge(fact):
+            case ProposeFact(fact):
                 self._fleet.judge(fact)
-            case Apply():
+            case ApplyPlan():
                 self._applied = effect
-                self._changed()
-            case Translate():
+                self._settings_changed()
+            case StartTranslation():
                 self._start(effect)
-            case Note(what, fields):
+            case LogEntry(what, fields):
                 (changes if what == "policy active" else log).info(what, extra={"pairs": fields})
 
-    def _start(self, what: Translate) -> None:
-        """A process of its own; its input and output are files, so that nobody waits for a pipe."""
-        self._end_job()
+    def _start(self, what: StartTranslation) -> None:
+        """A process of its own_capabilities; its input and output are files, so that nobody waits for a
+        pipe.
+        """
+        self._end_process()
         job = {
             "text": what.text,
             "file": what.file,
@@ -287,43 +291,43 @@
             with tempfile.TemporaryFile() as told:
                 told.write(json.dumps(job).encode())
                 told.seek(0)
-                self._job_out = tempfile.TemporaryFile()  # noqa: SIM115  kept until the job is over
-                self._job = subprocess.Popen(
-                    words, stdin=told, stdout=self._job_out, stderr=subprocess.DEVNULL
+                self._process_output = tempfile.TemporaryFile()  # noqa: SIM115  kept until the job is over
+                self._process = subprocess.Popen(
+                    words, stdin=told, stdout=self._process_output, stderr=subprocess.DEVNULL
                 )
         except OSError as trouble:
-            self._end_job()
-            self._scheduler.spawn(self._step, Translated(None, (f"no process for it: {trouble}",)))
+            self._end_process()
+            self._scheduler.spawn(self._step, TranslationFinished(None, (f"no process for it: {trouble}",)))
             return
-        self._job_until = self._clock() + self._plan.rules.translate_within
-        self._scheduler.after(LOOK_EVERY, self._look)
+        self._process_deadline_s = self._clock() + self._plan.rules.translate_within
+        self._scheduler.after(PROCESS_POLL_INTERVAL_S, self._check_process)
 
-    def _look(self) -> None:
-        job, out = self._job, self._job_out
+    def _check_process(self) -> None:
+        job, out = self._process, self._process_output
         if job is None or out is None:
             return
         if job.poll() is None:
-            if self._clock() < self._job_until:
-                self._scheduler.after(LOOK_EVERY, self._look)
+            if self._clock() < self._process_deadline_s:
+                self._scheduler.after(PROCESS_POLL_INTERVAL_S, self._check_process)
                 return
-            self._end_job()
-            return self._step(Translated(None, ("the translation took too long",)))
+            self._end_process()
+            return self._step(TranslationFinished(None, ("the translation took too long",)))
         out.seek(0)
-        data = out.read(bundle.BUNDLE_MOST)
-        self._end_job()
+        data = out.read(policy_bundle.MAX_BUNDLE_BYTES)
+        self._end_process()
         self._step(self._answer(data))
 
-    def _answer(self, data: bytes) -> Translated:
+    def _answer(self, data: bytes) -> TranslationFinished:
         try:
             told = json.loads(data)
             if "faults" in told:
-                return Translated(None, tuple(str(one) for one in told["faults"]))
-            return Translated(bundle.load(told["bundle"]))
+                return TranslationFinished(None, tuple(str(one) for one in told["faults"]))
+            return TranslationFinished(policy_bundle.load(told["bundle"]))
         except (ValueError, KeyError, TypeError, BundleError) as trouble:
-            return Translated(None, (f"the translation's process failed: {trouble}",))
+            return TranslationFinished(None, (f"the translation's process failed: {trouble}",))
 
-    def _end_job(self) -> None:
-        job, out, self._job, self._job_out = self._job, self._job_out, None, None
+    def _end_process(self) -> None:
+        job, out, self._process, self._process_output = self._process, self._process_output, None, None
         if job is not None and job.poll() is None:
             job.kill()
             job.wait()
@@ -339,7 +343,7 @@
 
     __slots__ = ("_inner", "_policies")
 
-    def __init__(self, policies: Policies, inner: RequestHandler) -> None:
+    def __init__(self, policies: PolicyService, inner: RequestHandler) -> None:
         self._policies, self._inner = policies, inner
 
     def arrived(self, exchange: Exchange) -> None:
--- a/sablewheel/feature_policy/translate.py
+++ b/sablewheel/feature_policy/translate.py
@@ -3,8 +3,8 @@
 The one place that imports OR-tools (CP-SAT), one thread and a fixed seed; it takes seconds, so never in a
 process that serves. What is worth most is a sum over classes, and classes only touch where a flow would have
 none: so each class is solved by itself first, and all together only if that leaves a flow without one. What
-the solver chooses is a rung for each flow and class; features and parameters follow as the least that these
-take. `verify` checks the result without the solver.
+the solver chooses is a fallback level for each flow and class; features and parameters follow as the least
+that these take. `verify` checks the result without the solver.
 
 When nothing holds, the error names a smallest set of lines that can't hold together: the solver's sufficient
 assumptions, thinned line by line (deletion) until each that is left is needed.
@@ -18,15 +18,19 @@
 
 from ortools.sat.python import cp_model
 
-from .host_capabilities import CATALOGUE, Ability, Catalogue
+from .host_capabilities import CATALOGUE, Catalogue, HostCapabilities
 from .policy import Flow, Policy, Wants
-from .translation import CLASSES_MOST, NOT_PLACED, ClassPlan, Translation
-
-TIME_MOST = 60.0  # of the solver's own deterministic units, about seconds, for all classes together
-TIME_LEAST = 0.25  # for one of them; past its time the best that was found is taken
-JOINT_MOST = 2000  # classes times flows that are solved all together
-CANDIDATES = 4  # classes tried for a flow that has none, in larger fleets
-SMALLEST_TRIED = 3  # lines up to which a smallest set is looked for by size; larger ones are only minimal
+from .translation import MAX_CLASSES, NOT_PLACED, ClassPlan, Translation
+
+MAX_TOTAL_SOLVER_UNITS = (
+    60.0  # of the solver's own deterministic units, about seconds, for all classes together
+)
+MIN_SOLVER_UNITS = 0.25  # for one of them; past its time the best that was found is taken
+MAX_JOINT_PROBLEM_SIZE = 2000  # classes times flows that are solved all together
+MAX_CANDIDATE_CLASSES = 4  # classes tried for a flow that has none, in larger fleets
+MAX_EXACT_CORE_SIZE = (
+    3  # lines up to which a smallest set is looked for by size; larger ones are only minimal
+)
 
 FOUND = (cp_model.OPTIMAL, cp_model.FEASIBLE)
 
@@ -64,7 +68,7 @@
 
 def translate(
     policy: Policy,
-    abilities: Iterable[Ability],
+    abilities: Iterable[HostCapabilities],
     catalogue: Catalogue = CATALOGUE,
     base: Translation | None = None,
 ) -> Translation:
@@ -73,80 +77,84 @@
     kept = dict(base.classes) if base is not None else {}
     asked = sorted(set(abilities))
     classes = [one for one in asked if one not in kept]
-    if len(classes) + len(kept) > CLASSES_MOST:
+    if len(classes) + len(kept) > MAX_CLASSES:
         kept = {one: plan for one, plan in kept.items() if one in asked}
-    if not asked or len(classes) + len(kept) > CLASSES_MOST:
-        raise ValueError(f"{len(classes) + len(kept)} classes; 1 to {CLASSES_MOST} are wanted")
-    rungs = {one: plan.rungs for one, plan in kept.items()}
-    most = max(TIME_MOST / max(len(classes), 1), TIME_LEAST)
-    rungs |= {one: _solve(policy, [one], catalogue, most=most)[one] for one in classes}
-    if bare := _bare(policy, rungs):
+    if not asked or len(classes) + len(kept) > MAX_CLASSES:
+        raise ValueError(f"{len(classes) + len(kept)} classes; 1 to {MAX_CLASSES} are wanted")
+    fallback_levels = {one: plan.fallback_levels for one, plan in kept.items()}
+    most = max(MAX_TOTAL_SOLVER_UNITS / max(len(classes), 1), MIN_SOLVER_UNITS)
+    fallback_levels |= {one: _solve(policy, [one], catalogue, most=most)[one] for one in classes}
+    if bare := _bare(policy, fallback_levels):
         alone = [flow for flow in bare if not _anywhere(flow, asked, catalogue)]
         if alone:
             raise InfeasibleError(_why_alone(policy, alone, asked, catalogue))
-        large = len(asked) * len(policy.flows) > JOINT_MOST
-        mended = _mend(policy, {one: rungs[one] for one in asked}, catalogue) if large else None
+        large = len(asked) * len(policy.flows) > MAX_JOINT_PROBLEM_SIZE
+        mended = _mend(policy, {one: fallback_levels[one] for one in asked}, catalogue) if large else None
         try:
-            rungs = mended or _solve(policy, asked, catalogue, covered=range(len(policy.flows)))
+            fallback_levels = mended or _solve(policy, asked, catalogue, covered=range(len(policy.flows)))
         except InfeasibleError:
             raise InfeasibleError(_why_together(policy, asked, catalogue)) from None
-    plans = {one: plan_of(policy, those, catalogue) for one, those in rungs.items()}
+    plans = {one: plan_of(policy, those, catalogue) for one, those in fallback_levels.items()}
     revision = base.revision + 1 if base is not None else 0
     return Translation(policy.number, revision, policy.digest, plans)
 
 
-Rungs = dict[Ability, tuple[int, ...]]
+Rungs = dict[HostCapabilities, tuple[int, ...]]
 
 
-def _bare(policy: Policy, rungs: Rungs) -> list[Flow]:
+def _bare(policy: Policy, fallback_levels: Rungs) -> list[Flow]:
     """Flows that no class serves."""
     return [
         flow
         for place, flow in enumerate(policy.flows)
-        if all(those[place] == NOT_PLACED for those in rungs.values())
+        if all(those[place] == NOT_PLACED for those in fallback_levels.values())
     ]
 
 
-def _mend(policy: Policy, rungs: Rungs, catalogue: Catalogue) -> Rungs | None:
+def _mend(policy: Policy, fallback_levels: Rungs, catalogue: Catalogue) -> Rungs | None:
     """Large fleets: each bare flow is put on the class where that costs least, one after another; None if
     that comes to nothing. What stays is the best for each class with what was put on it, and no proof that
     another choice of classes would not be worth a little more: all together would take minutes.
     """
-    rungs, forced = dict(rungs), dict[Ability, set[int]]()
+    fallback_levels, forced = dict(fallback_levels), dict[HostCapabilities, set[int]]()
     for _ in range(2 * len(policy.flows)):
-        bare = _bare(policy, rungs)
+        bare = _bare(policy, fallback_levels)
         if not bare:
-            return rungs
+            return fallback_levels
         flow, place = bare[0], policy.flows.index(bare[0])
-        fit = [one for one in rungs if not _fits(one, flow, _lines(flow), catalogue)]
-        found: list[tuple[int, int, Ability, tuple[int, ...]]] = []
-        for one in sorted(fit, key=lambda one: (len(forced.get(one, ())), one))[:CANDIDATES]:
+        fit = [one for one in fallback_levels if not _fits(one, flow, _lines(flow), catalogue)]
+        found: list[tuple[int, int, HostCapabilities, tuple[int, ...]]] = []
+        for one in sorted(fit, key=lambda one: (len(forced.get(one, ())), one))[:MAX_CANDIDATE_CLASSES]:
             try:
-                then = _solve(policy, [one], catalogue, {*forced.get(one, ()), place}, most=TIME_LEAST)[one]
+                then = _solve(policy, [one], catalogue, {*forced.get(one, ()), place}, most=MIN_SOLVER_UNITS)[
+                    one
+                ]
             except (InfeasibleError, UndecidedError):
                 continue
-            left = len(_bare(policy, rungs | {one: then}))
-            found.append((left, _worth(policy, rungs[one]) - _worth(policy, then), one, then))
+            left = len(_bare(policy, fallback_levels | {one: then}))
+            found.append((left, _worth(policy, fallback_levels[one]) - _worth(policy, then), one, then))
         if not found or min(found)[0] >= len(bare):
             return None
-        _, _, one, rungs[one] = min(found)
+        _, _, one, fallback_levels[one] = min(found)
         forced.setdefault(one, set()).add(place)
     return None
 
 
-def _worth(policy: Policy, rungs: Sequence[int]) -> int:
+def _worth(policy: Policy, fallback_levels: Sequence[int]) -> int:
     return sum(
-        _weight(flow, rung) for flow, rung in zip(policy.flows, rungs, strict=True) if rung != NOT_PLACED
+        _weight(flow, fallback_level)
+        for flow, fallback_level in zip(policy.flows, fallback_levels, strict=True)
+        if fallback_level != NOT_PLACED
     )
 
 
-def plan_of(policy: Policy, rungs: Sequence[int], catalogue: Catalogue) -> ClassPlan:
-    """The least features and parameters that serve these flows on these rungs."""
+def plan_of(policy: Policy, fallback_levels: Sequence[int], catalogue: Catalogue) -> ClassPlan:
+    """The least features and parameters that serve these flows on these fallback levels."""
     features: dict[str, dict[str, int]] = {}
-    for flow, rung in zip(policy.flows, rungs, strict=True):
-        if rung != NOT_PLACED:
-            _join(features, flow.wants(rung), catalogue)
-    return ClassPlan({name: features[name] for name in sorted(features)}, tuple(rungs))
+    for flow, fallback_level in zip(policy.flows, fallback_levels, strict=True):
+        if fallback_level != NOT_PLACED:
+            _join(features, flow.wants(fallback_level), catalogue)
+    return ClassPlan({name: features[name] for name in sorted(features)}, tuple(fallback_levels))
 
 
 def _join(features: dict[str, dict[str, int]], wants: Wants, catalogue: Catalogue) -> None:
@@ -157,9 +165,9 @@
         _join(features, {other: {} for other in catalogue[name].needs if other not in features}, catalogue)
 
 
-def _weight(flow: Flow, rung: int) -> int:
+def _weight(flow: Flow, fallback_level: int) -> int:
     """What it earns there, by its load: who brings much goes first. Never 0, or it might go unserved."""
-    return flow.earns(rung) * max(1, round(flow.cores * 1000)) + 1
+    return flow.earns(fallback_level) * max(1, round(flow.cores * 1000)) + 1
 
 
 # -- the model
@@ -167,12 +175,13 @@
 
 class _Class:
     """One class's part of a model, all of it literals: a feature, a parameter past each value that is
-    wanted, a flow on a rung. So but for the rooms it is a closure, whose linear relaxation is tight."""
+    wanted, a flow on a fallback level. So but for the rooms it is a closure, whose linear relaxation is
+    tight."""
 
     def __init__(
         self,
         model: cp_model.CpModel,
-        one: Ability,
+        one: HostCapabilities,
         catalogue: Catalogue,
         flows: Sequence[Flow],
         lines: Mapping[Line, cp_model.IntVar] | None = None,
@@ -208,13 +217,16 @@
         for total, room in zip(costs, one.room, strict=True):
             if total:
                 model.add(sum(total) <= room)
-        self.rungs = [self._flow(flow) for flow in flows]
+        self.fallback_levels = [self._flow(flow) for flow in flows]
 
     def _flow(self, flow: Flow) -> list[cp_model.IntVar]:
-        served = [self.model.new_bool_var(f"{flow.name}/{rung}") for rung in range(flow.bottom + 1)]
+        served = [
+            self.model.new_bool_var(f"{flow.name}/{fallback_level}")
+            for fallback_level in range(flow.no_fallback_level + 1)
+        ]
         self.model.add_at_most_one(served)
-        for rung, here in enumerate(served):
-            for name, values in flow.wants(rung).items():
+        for fallback_level, here in enumerate(served):
+            for name, values in flow.wants(fallback_level).items():
                 unless = self._unless(here, (flow.name, f"require.{name}"))
                 self.model.add_bool_or([*unless, self.on[name]])
                 for key, value in values.items():
@@ -235,7 +247,9 @@
 def _used(flows: Sequence[Flow], catalogue: Catalogue) -> dict[str, dict[str, set[int]]]:
     """The features that flows want and those need, and of each parameter the values above the least."""
     used: dict[str, dict[str, set[int]]] = {}
-    for wants in (flow.wants(rung) for flow in flows for rung in range(flow.bottom + 1)):
+    for wants in (
+        flow.wants(fallback_level) for flow in flows for fallback_level in range(flow.no_fallback_level + 1)
+    ):
         closure: dict[str, dict[str, int]] = {}
         _join(closure, wants, catalogue)
         for name, values in closure.items():
@@ -247,7 +261,7 @@
     return used
 
 
-def _solver(most: float = TIME_MOST) -> cp_model.CpSolver:
+def _solver(most: float = MAX_TOTAL_SOLVER_UNITS) -> cp_model.CpSolver:
     solver = cp_model.CpSolver()
     solver.parameters.num_workers = 1
     solver.parameters.random_seed = 1
@@ -258,27 +272,27 @@
 
 def _solve(
     policy: Policy,
-    classes: Sequence[Ability],
+    classes: Sequence[HostCapabilities],
     catalogue: Catalogue,
     forced: Iterable[int] = (),
     covered: Iterable[int] = (),
-    most: float = TIME_MOST,
+    most: float = MAX_TOTAL_SOLVER_UNITS,
 ) -> Rungs:
-    """Rungs by class; each class serves the flows `forced`, and at least one those `covered`. Raises
-    `InfeasibleError` without conflicts."""
+    """Fallback levels by class; each class serves the flows `forced`, and at least one those `covered`.
+    Raises `InfeasibleError` without conflicts."""
     model = cp_model.CpModel()
     parts = [_Class(model, one, catalogue, policy.flows) for one in classes]
     for place in forced:
         for part in parts:
-            model.add_bool_or(part.rungs[place])
+            model.add_bool_or(part.fallback_levels[place])
     for place in covered:
-        model.add_bool_or([literal for part in parts for literal in part.rungs[place]])
+        model.add_bool_or([literal for part in parts for literal in part.fallback_levels[place]])
     model.maximize(
         sum(
-            _weight(flow, rung) * literal
+            _weight(flow, fallback_level) * literal
             for part in parts
-            for flow, literals in zip(policy.flows, part.rungs, strict=True)
-            for rung, literal in enumerate(literals)
+            for flow, literals in zip(policy.flows, part.fallback_levels, strict=True)
+            for fallback_level, literal in enumerate(literals)
         )
     )
     solver = _solver(most)
@@ -289,8 +303,11 @@
         raise UndecidedError(f"nothing found within {most:g} of the solver's units")
     return {
         part.one: tuple(
-            next((rung for rung, literal in enumerate(literals) if solver.value(literal)), NOT_PLACED)
-            for literals in part.rungs
+            next(
+                (fallback_level for fallback_level, literal in enumerate(literals) if solver.value(literal)),
+                NOT_PLACED,
+            )
+            for literals in part.fallback_levels
         )
         for part in parts
     }
@@ -304,7 +321,7 @@
     return [*wants, *((flow.name, f"forbid.{name}") for name in flow.forbid)]
 
 
-def _fits(one: Ability, flow: Flow, lines: Iterable[Line], catalogue: Catalogue) -> str:
+def _fits(one: HostCapabilities, flow: Flow, lines: Iterable[Line], catalogue: Catalogue) -> str:
     """Why a class can't serve a flow with these of its lines; empty if it can."""
     keys = {key for _, key in lines}
     wants: Wants = {name: values for name, values in flow.require.items() if f"require.{name}" in keys}
@@ -327,19 +344,19 @@
     return ""
 
 
-def _anywhere(flow: Flow, classes: Iterable[Ability], catalogue: Catalogue) -> bool:
+def _anywhere(flow: Flow, classes: Iterable[HostCapabilities], catalogue: Catalogue) -> bool:
     return any(not _fits(one, flow, _lines(flow), catalogue) for one in classes)
 
 
 def _why_alone(
-    policy: Policy, flows: Sequence[Flow], classes: Sequence[Ability], catalogue: Catalogue
+    policy: Policy, flows: Sequence[Flow], classes: Sequence[HostCapabilities], catalogue: Catalogue
 ) -> list[Conflict]:
     """For flows that no class can serve, of each class the smallest set of the flow's own lines."""
     found = []
     for flow in flows:
         for one in classes:
 
-            def bad(lines: Sequence[Line], one: Ability = one, flow: Flow = flow) -> bool:
+            def bad(lines: Sequence[Line], one: HostCapabilities = one, flow: Flow = flow) -> bool:
                 return bool(_fits(one, flow, lines, catalogue))
 
             those = _smallest(_lines(flow), bad)
@@ -348,7 +365,9 @@
     return found
 
 
-def _why_together(policy: Policy, classes: Sequence[Ability], catalogue: Catalogue) -> list[Conflict]:
+def _why_together(
+    policy: Policy, classes: Sequence[HostCapabilities], catalogue: Catalogue
+) -> list[Conflict]:
     """Each flow has a class by itself, and all of them have not."""
     every = [line for flow in policy.flows for line in _lines(flow)]
 
@@ -364,7 +383,7 @@
         ]
         parts = [_Class(model, one, catalogue, flows, guards) for one in classes]
         for place in range(len(flows)):
-            model.add_bool_or([literal for part in parts for literal in part.rungs[place]])
+            model.add_bool_or([literal for part in parts for literal in part.fallback_levels[place]])
         chosen = set(lines)
         model.add_assumptions([guards[line] for line in lines])
         for line in every:
@@ -375,7 +394,7 @@
         if status in FOUND:
             return None
         if status != cp_model.INFEASIBLE:
-            raise UndecidedError(f"no smallest set within {TIME_MOST:g} of the solver's units")
+            raise UndecidedError(f"no smallest set within {MAX_TOTAL_SOLVER_UNITS:g} of the solver's units")
         numbers = {guards[line].index: line for line in lines}
         sufficient = [numbers[n] for n in solver.sufficient_assumptions_for_infeasibility() if n in numbers]
         return sufficient or list(lines)
@@ -388,14 +407,16 @@
 
 
 def _smallest(lines: Sequence[Line], bad: Callable[[Sequence[Line]], bool]) -> list[Line]:
-    """A smallest set of lines that is bad, up to SMALLEST_TRIED lines; past that one with none to spare."""
+    """A smallest set of lines that is bad, up to MAX_EXACT_CORE_SIZE lines; past that one with none to
+    spare.
+    """
     left = list(lines)
     for line in list(left):
         fewer = [one for one in left if one != line]
         if fewer and bad(fewer):
             left = fewer
     if len(lines) <= 12:
-        for size in range(1, min(SMALLEST_TRIED + 1, len(left))):
+        for size in range(1, min(MAX_EXACT_CORE_SIZE + 1, len(left))):
             for some in combinations(lines, size):
                 if bad(some):
                     return list(some)
--- a/sablewheel/feature_policy/translating.py
+++ b/sablewheel/feature_policy/translating.py
@@ -1,4 +1,5 @@
-"""A translation in a process of its own, since it takes seconds and a library that servers don't load.
+"""A translation in a process of its own_capabilities, since it takes seconds and a library that servers don't
+load.
 
     python -m sablewheel.feature_policy.translating
     python -m sablewheel.feature_policy.translating FILE MEMBER
@@ -7,7 +8,7 @@
 the fleet of a running member (ADDRESS:PORT).
 
 A job is JSON: `text` and `file` of a document, or `base`, a bundle whose policy is to be translated for more
-classes; `classes`, as members say them. The answer is JSON on standard output: `bundle`, or `faults`.
+classes; `classes`, as members say them. The answer is JSON on standard output: `policy_bundle`, or `faults`.
 """
 
 from __future__ import annotations
@@ -17,25 +18,24 @@
 from pathlib import Path
 from typing import Any
 
-from . import host_capabilities as ability
-from . import policy_bundle as bundle
+from . import host_capabilities, policy_bundle
 from .document import FaultyPolicyError, read
-from .host_capabilities import Ability, AbilityError
-from .policy_bundle import Bundle, BundleError
+from .host_capabilities import HostCapabilities, HostCapabilitiesError
+from .policy_bundle import BundleError, PolicyBundle
 from .translate import InfeasibleError, UndecidedError, translate
 
 
 def done(job: dict[str, Any]) -> dict[str, Any]:
     """The answer to a job; whatever is wrong with it is in `faults`."""
     try:
-        classes = [ability.read(str(one)) for one in job["classes"]]
-        base = bundle.load(job["base"]) if job.get("base") else None
+        classes = [host_capabilities.read(str(one)) for one in job["classes"]]
+        base = policy_bundle.load(job["base"]) if job.get("base") else None
         policy = base.policy if base is not None else read(str(job["text"]), str(job.get("file", "policy")))
         made = translate(policy, classes, base=base.translation if base is not None else None)
-        return {"bundle": Bundle(policy, made).text}
+        return {"bundle": PolicyBundle(policy, made).text}
     except (FaultyPolicyError, InfeasibleError) as trouble:
         return {"faults": str(trouble).splitlines()}
-    except (AbilityError, BundleError, UndecidedError, KeyError, ValueError) as trouble:
+    except (HostCapabilitiesError, BundleError, UndecidedError, KeyError, ValueError) as trouble:
         return {"faults": [f"{type(trouble).__name__}: {trouble}"]}
 
 
@@ -61,18 +61,19 @@
     if "faults" in answer:
         print("\n".join(answer["faults"]), file=sys.stderr)
         return 1
-    made = bundle.load(answer["bundle"])
+    made = policy_bundle.load(answer["bundle"])
     for one, plan in sorted(made.translation.classes.items()):
         print(f"class {one.key}: {one.said}, {_many(said, one)} members")
         for name, values in plan.features.items():
             print(f"  runs {name} {' '.join(f'{key}={value}' for key, value in values.items())}".rstrip())
-        for flow, rung in zip(made.policy.flows, plan.rungs, strict=True):
-            print(f"  flow {flow.name}: {'not served' if rung < 0 else f'rung {rung} of {flow.bottom}'}")
+        for flow, level in zip(made.policy.flows, plan.fallback_levels, strict=True):
+            served = f"fallback level {level} of {flow.no_fallback_level}" if level >= 0 else "not served"
+            print(f"  flow {flow.name}: {served}")
     return 0
 
 
-def _many(said: list[str], one: Ability) -> int:
-    return sum(ability.read(each) == one for each in said)
+def _many(said: list[str], one: HostCapabilities) -> int:
+    return sum(host_capabilities.read(each) == one for each in said)
 
 
 if __name__ == "__main__":
--- a/sablewheel/feature_policy/translation.py
+++ b/sablewheel/feature_policy/translation.py
@@ -8,12 +8,12 @@
 from dataclasses import dataclass
 from functools import cached_property
 
-from . import host_capabilities as ability
-from .host_capabilities import Ability, AbilityError
+from . import host_capabilities
+from .host_capabilities import HostCapabilities, HostCapabilitiesError
 from .policy import Values
 
-TRANSLATION_MOST = 2 << 20  # bytes of its text
-CLASSES_MOST = 256
+MAX_TRANSLATION_BYTES = 2 << 20  # bytes of its text
+MAX_CLASSES = 256
 NOT_PLACED = -1
 
 
@@ -24,10 +24,10 @@
 @dataclass(frozen=True)
 class ClassPlan:
     """What one class runs: features with their parameters, and for each of the policy's flows, by number, the
-    rung it is served on there or NOT_PLACED."""
+    fallback level it is served on there or NOT_PLACED."""
 
     features: Mapping[str, Values]
-    rungs: tuple[int, ...]
+    fallback_levels: tuple[int, ...]
 
 
 @dataclass(frozen=True)
@@ -37,7 +37,7 @@
     number: int
     revision: int
     policy: str
-    classes: Mapping[Ability, ClassPlan]
+    classes: Mapping[HostCapabilities, ClassPlan]
 
     @cached_property
     def text(self) -> str:
@@ -46,7 +46,7 @@
             {
                 "class": one.said,
                 "features": {name: dict(values) for name, values in plan.features.items()},
-                "rungs": list(plan.rungs),
+                "rungs": list(plan.fallback_levels),
             }
             for one, plan in sorted(self.classes.items())
         ]
@@ -70,22 +70,22 @@
 
 def read(text: str) -> Translation:
     """Raises `TranslationError`; what it says is not checked against any policy."""
-    if len(text) > TRANSLATION_MOST:
-        raise TranslationError(f"over {TRANSLATION_MOST} bytes")
+    if len(text) > MAX_TRANSLATION_BYTES:
+        raise TranslationError(f"over {MAX_TRANSLATION_BYTES} bytes")
     try:
         told = json.loads(text)
-        if len(told["classes"]) > CLASSES_MOST:
-            raise TranslationError(f"over {CLASSES_MOST} classes")
-        classes: dict[Ability, ClassPlan] = {}
+        if len(told["classes"]) > MAX_CLASSES:
+            raise TranslationError(f"over {MAX_CLASSES} classes")
+        classes: dict[HostCapabilities, ClassPlan] = {}
         for one in told["classes"]:
             features = {
                 str(name): {str(key): _whole(value) for key, value in values.items()}
                 for name, values in one["features"].items()
             }
-            plan = ClassPlan(features, tuple(_whole(rung) for rung in one["rungs"]))
-            classes[ability.read(one["class"])] = plan
+            plan = ClassPlan(features, tuple(_whole(fallback_level) for fallback_level in one["rungs"]))
+            classes[host_capabilities.read(one["class"])] = plan
         return Translation(_whole(told["number"]), _whole(told["revision"]), str(told["policy"]), classes)
-    except (KeyError, TypeError, AttributeError, ValueError, AbilityError) as trouble:
+    except (KeyError, TypeError, AttributeError, ValueError, HostCapabilitiesError) as trouble:
         raise TranslationError(f"{type(trouble).__name__}: {trouble!s:.120}") from None
 
 
--- a/sablewheel/feature_policy/verify.py
+++ b/sablewheel/feature_policy/verify.py
@@ -1,35 +1,43 @@
 """A small checker of translations that knows nothing of the solver: what it passes, a class can run. Pure.
 
-Each member holds a translation against its own ability before it stages it, and refuses what it can't run.
+Each member holds a translation against its own_capabilities host capabilities before it stages it, and
+rejects what it can't run.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 
-from .host_capabilities import CATALOGUE, Ability, Catalogue
+from .host_capabilities import CATALOGUE, Catalogue, HostCapabilities
 from .policy import Flow, Policy
 from .translation import NOT_PLACED, ClassPlan, Translation
 
 
 def verify(
-    translation: Translation, policy: Policy, own: Ability | None = None, catalogue: Catalogue = CATALOGUE
+    translation: Translation,
+    policy: Policy,
+    own_capabilities: HostCapabilities | None = None,
+    catalogue: Catalogue = CATALOGUE,
 ) -> list[str]:
-    """All that is wrong with it: for the class `own` alone, or for every class if that is None."""
+    """All that is wrong with it: for the class `own_capabilities` alone, or for every class if that is
+    None.
+    """
     faults: list[str] = []
     if translation.number != policy.number or translation.policy != policy.digest:
         faults.append(f"it is of policy {translation.number}, {translation.policy}, not of {policy.number}")
     for one, plan in translation.classes.items():
-        if own is None or one == own:
+        if own_capabilities is None or one == own_capabilities:
             faults += [f"class {one.key}: {says}" for says in _class(one, plan, policy, catalogue)]
     for place, flow in enumerate(policy.flows):
         plans = translation.classes.values()
-        if not any(len(plan.rungs) > place and plan.rungs[place] != NOT_PLACED for plan in plans):
+        if not any(
+            len(plan.fallback_levels) > place and plan.fallback_levels[place] != NOT_PLACED for plan in plans
+        ):
             faults.append(f"flow {flow.name}: no class may serve it")
     return faults
 
 
-def _class(one: Ability, plan: ClassPlan, policy: Policy, catalogue: Catalogue) -> Iterator[str]:
+def _class(one: HostCapabilities, plan: ClassPlan, policy: Policy, catalogue: Catalogue) -> Iterator[str]:
     used = [0, 0, 0]
     for name, values in plan.features.items():
         feature = catalogue.get(name)
@@ -48,19 +56,19 @@
     for what, took, room in zip(("bytes", "millicores", "descriptors"), used, one.room, strict=True):
         if took > room:
             yield f"features take {took} {what} of {room}"
-    if len(plan.rungs) != len(policy.flows):
-        yield f"it has rungs for {len(plan.rungs)} flows of {len(policy.flows)}"
+    if len(plan.fallback_levels) != len(policy.flows):
+        yield f"it has rungs for {len(plan.fallback_levels)} flows of {len(policy.flows)}"
         return
-    for flow, rung in zip(policy.flows, plan.rungs, strict=True):
-        if rung != NOT_PLACED:
-            yield from (f"flow {flow.name}: {says}" for says in _flow(flow, rung, plan, catalogue))
+    for flow, fallback_level in zip(policy.flows, plan.fallback_levels, strict=True):
+        if fallback_level != NOT_PLACED:
+            yield from (f"flow {flow.name}: {says}" for says in _flow(flow, fallback_level, plan, catalogue))
 
 
-def _flow(flow: Flow, rung: int, plan: ClassPlan, catalogue: Catalogue) -> Iterator[str]:
-    if not 0 <= rung <= flow.bottom:
-        yield f"there is no rung {rung}"
+def _flow(flow: Flow, fallback_level: int, plan: ClassPlan, catalogue: Catalogue) -> Iterator[str]:
+    if not 0 <= fallback_level <= flow.no_fallback_level:
+        yield f"there is no rung {fallback_level}"
         return
-    for name, values in flow.wants(rung).items():
+    for name, values in flow.wants(fallback_level).items():
         if name not in plan.features:
             yield f"{name} is wanted and off"
             continue
--- a/sablewheel/program/feature_registry.py
+++ b/sablewheel/program/feature_registry.py
@@ -35,8 +35,8 @@
 from .feature_file import Features
 
 if TYPE_CHECKING:
-    from ..feature_policy.host_capabilities import Ability
-    from ..feature_policy.service import Policies
+    from ..feature_policy.host_capabilities import HostCapabilities
+    from ..feature_policy.service import PolicyService
     from ..forwarding.peer_connections import Links
     from ..forwarding.service import Forward
     from ..membership.service import Fleet
@@ -67,7 +67,7 @@
     fleet: Fleet | None = None  # by membership
     links: Links | None = None  # by forwarding
     forward: Forward | None = None  # by forwarding; who places requests sets its placer
-    policies: Policies | None = None  # by policy: who may serve what, `on_active`, and the placer above
+    policies: PolicyService | None = None  # by policy: who may serve what, `on_active`, and the placer above
     replication: Keeper | None = None  # by replication; bindings and documents go through it
     leave: Callable[[], None] | None = None  # by membership; None where another tells the fleet in its time
 
@@ -225,7 +225,9 @@
     )
 
 
-def _ability(plan: PolicyPlan, placement_settings: PlacementSettings, features: Features) -> Ability:
+def _host_capabilities(
+    plan: PolicyPlan, placement_settings: PlacementSettings, features: Features
+) -> HostCapabilities:
     """What this server can do: by its settings, the features that are on beside it, and its disk."""
     from ..feature_policy import host_capabilities as ability
 
@@ -245,12 +247,12 @@
 
 
 def _policy(feature_context: FeatureContext, plan: PolicyPlan) -> Part:
-    from ..feature_policy.service import Policies
+    from ..feature_policy.service import PolicyService
 
     fleet, links, forward = feature_context.fleet, feature_context.links, feature_context.forward
     assert fleet is not None and links is not None and forward is not None  # the section needs theirs
-    own = _ability(plan, feature_context.placement_settings, feature_context.features)
-    made = Policies(
+    own = _host_capabilities(plan, feature_context.placement_settings, feature_context.features)
+    made = PolicyService(
         feature_context.scheduler,
         plan,
         fleet,
@@ -264,7 +266,7 @@
     return Part(
         gate=made.gate,
         server_settings=made.server_settings,
-        hangup=made.hangup,
+        hangup=made.reload,
         close=lambda _: made.close(),
         gauges=made.gauges,
     )
@@ -375,7 +377,7 @@
         "policy",
         _policy,
         tells=lambda plan, placement_settings, features: (
-            ("class", _ability(plan, placement_settings, features).said),
+            ("class", _host_capabilities(plan, placement_settings, features).said),
         ),
     ),
     Declared("replication", _replication),
--- a/tests/stories/capability.feature
+++ b/tests/stories/capability.feature
@@ -18,7 +18,7 @@
 
   Scenario: A flow goes to the servers that run what it prefers while they are enough
     Given the policy "pay" number 1 holds
-    Then pay is on rung 0 everywhere
+    Then pay is on fallback level 0 everywhere
     And diskless-0 does not serve pay but names others, as "others run more of what it prefers"
 
   Scenario: A document with faults changes nothing and all of them are told
@@ -74,7 +74,7 @@
   Scenario: Capable servers lost, the flow steps down everywhere at once
     Given the policy "pay" number 1 holds
     When rich-1 and rich-2 are down
-    Then pay is on rung 1 everywhere within 15 s
+    Then pay is on fallback level 1 everywhere within 15 s
     And diskless-0 serves pay
     And there was 1 change of what holds
 
@@ -93,11 +93,11 @@
   Scenario: With the servers back the flow steps up again, slowly
     Given the policy "pay" number 1 holds
     When rich-1 and rich-2 are down
-    And pay came to rung 1
+    And pay came to fallback level 1
     And rich-1 and rich-2 are up again
     And 6 s pass
-    Then pay is on rung 1 everywhere
-    And pay is on rung 0 everywhere within 20 s
+    Then pay is on fallback level 1 everywhere
+    And pay is on fallback level 0 everywhere within 20 s
     And there was 2 changes of what holds
 
   Scenario: Servers that come and go cause one step down, not one each time
@@ -105,7 +105,7 @@
     When rich-1 and rich-2 go down and come back 4 times, 7 s each
     And 25 s pass
     Then there was at most 2 changes of what holds
-    And pay is on rung 0 everywhere
+    And pay is on fallback level 0 everywhere
 
   Scenario: What is required is never stepped down
     Given the policy "disk" number 1 holds
@@ -155,7 +155,7 @@
     Given the policy "pay" number 1 holds
     When diskless-0 and old-0 are cut off
     And 20 s pass
-    Then pay is on rung 0 on diskless-0 and old-0
+    Then pay is on fallback level 0 on diskless-0 and old-0
 
   Scenario: A server that starts anew denies until it has the policy that holds
     Given the policy "pay" number 1 holds
--- a/tests/stories/test_capability_stories.py
+++ b/tests/stories/test_capability_stories.py
@@ -18,7 +18,7 @@
 
 from sablewheel.experiments.policy_fleet import CLASSES, PolicyFleet
 from sablewheel.feature_policy.host_capabilities import CATALOGUE
-from sablewheel.feature_policy.rollout import KEPT, Wish
+from sablewheel.feature_policy.rollout import MAX_BUNDLES, DocumentProposed
 
 scenarios("capability.feature")
 
@@ -100,7 +100,7 @@
 
 @when(parsers.parse('the policy "{what}" number {number:d} is given to {name}'))
 def give(told: Told, what: str, number: int, name: str) -> None:
-    told.fleet.made.tell(name, Wish(POLICIES[what].format(number=number), "p.yaml"))
+    told.fleet.made.tell(name, DocumentProposed(POLICIES[what].format(number=number), "p.yaml"))
 
 
 @when(parsers.parse("a document with two faults is given to {name}"))
@@ -180,9 +180,9 @@
     told.fleet.made.heal()
 
 
-@when(parsers.parse("{flow} came to rung {rung:d}"))
-def _(told: Told, flow: str, rung: int) -> None:
-    assert told.wait(lambda: told.fleet.rung("rich-0", flow) == rung, 20)
+@when(parsers.parse("{flow} came to fallback level {fallback_level:d}"))
+def _(told: Told, flow: str, fallback_level: int) -> None:
+    assert told.wait(lambda: told.fleet.fallback_level("rich-0", flow) == fallback_level, 20)
 
 
 @when(parsers.parse("{name} starts anew and nobody answers it"))
@@ -201,7 +201,7 @@
     told.muted = fleet._event  # type: ignore[attr-defined]
     fleet.made.got = lambda sender, message: (
         ("policy-lost", sender, message[1])
-        if message[0] == "policy" and type(message[1]).__name__ == "Piece"
+        if message[0] == "policy" and type(message[1]).__name__ == "BundleChunk"
         else told.muted(sender, message)  # type: ignore[attr-defined]
     )
 
@@ -303,17 +303,20 @@
 
 @then(
     parsers.re(
-        r"(?P<flow>\w+) is on rung (?P<rung>\d) (everywhere|on (?P<names>.*?))( within (?P<span>\d+) s)?$"
+        r"(?P<flow>\w+) is on fallback level (?P<fallback_level>\d) (everywhere|on (?P<names>.*?))"
+        r"( within (?P<span>\d+) s)?$"
     )
 )
-def _(told: Told, flow: str, rung: str, names: str | None, span: str | None) -> None:
+def _(told: Told, flow: str, fallback_level: str, names: str | None, span: str | None) -> None:
     fleet = told.fleet
     among = told.names(names) if names else fleet.names
 
     def so() -> bool:
-        return {fleet.rung(one, flow) for one in among} == {int(rung)}
+        return {fleet.fallback_level(one, flow) for one in among} == {int(fallback_level)}
 
-    assert told.wait(so, float(span)) if span else so(), {one: fleet.rung(one, flow) for one in among}
+    assert told.wait(so, float(span)) if span else so(), {
+        one: fleet.fallback_level(one, flow) for one in among
+    }
 
 
 @then(parsers.re(r"there was (?P<most>at most )?(?P<many>\d) changes? of what holds"))
@@ -358,8 +361,8 @@
 
 @then(parsers.parse("no member holds more than {many:d} bundles"))
 def _(told: Told, many: int) -> None:
-    assert many == KEPT and all(
-        len(told.fleet.member(one).rollout.bundles) <= KEPT for one in told.fleet.names
+    assert many == MAX_BUNDLES and all(
+        len(told.fleet.member(one).rollout.bundles) <= MAX_BUNDLES for one in told.fleet.names
     )
 
 
@@ -414,7 +417,7 @@
                 number += 1
                 text = POLICIES[chance.choice(["pay", "light", "disk"])].format(number=number)
                 if name in fleet.made.cores:
-                    fleet.made.tell(name, Wish(text, "p.yaml"))
+                    fleet.made.tell(name, DocumentProposed(text, "p.yaml"))
             case 2:
                 fleet.made.heal()
                 few = chance.sample(sorted(kinds), 2)
@@ -429,7 +432,9 @@
         for _ in range(4):
             fleet.made.run(chance.uniform(0.2, 1.5))
             look()
-    return {epoch: those for epoch, those in fleet.actives(rungs=True).items() if len(those) > 1}, unfit
+    return {
+        epoch: those for epoch, those in fleet.actives(fallback_levels=True).items() if len(those) > 1
+    }, unfit
 
 
 @pytest.mark.skipif("SABLEWHEEL_BROKEN" in os.environ, reason="stories run with a part broken")
--- a/tests/test_feature_policy.py
+++ b/tests/test_feature_policy.py
@@ -13,28 +13,26 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sablewheel.feature_policy import applying, codec, translation
-from sablewheel.feature_policy import host_capabilities as ability
-from sablewheel.feature_policy import policy_bundle as bundle
+from sablewheel.feature_policy import applying, codec, host_capabilities, policy_bundle, translation
 from sablewheel.feature_policy.document import FaultyPolicyError, read
 from sablewheel.feature_policy.host_capabilities import (
     TRAITS,
-    Ability,
-    AbilityError,
     Feature,
+    HostCapabilities,
+    HostCapabilitiesError,
     Parameter,
     StartUp,
 )
-from sablewheel.feature_policy.messages import PIECE_MOST, Fetch, Offer, Piece, Refused
-from sablewheel.feature_policy.policy import Flow, Policy, Rung, load
-from sablewheel.feature_policy.policy_bundle import Bundle
+from sablewheel.feature_policy.messages import MAX_CHUNK_BYTES, BundleChunk, BundleRejected, Fetch, Offer
+from sablewheel.feature_policy.policy import FallbackLevel, Flow, Policy, load
+from sablewheel.feature_policy.policy_bundle import PolicyBundle
 from sablewheel.feature_policy.translate import InfeasibleError, plan_of, translate
 from sablewheel.feature_policy.translation import NOT_PLACED, ClassPlan, Translation
 from sablewheel.feature_policy.verify import verify
 from sablewheel.overload.interface import Cancellation, Idempotency, RequestClass, ServerSettings, Tenant
 
-EVERY = sum(1 << one.code for one in ability.CATALOGUE.values())
-RICH = Ability(cores=8, memory=1 << 18, descriptors=1024, traits=(1 << len(TRAITS)) - 1, codes=EVERY)
+EVERY = sum(1 << one.code for one in host_capabilities.CATALOGUE.values())
+RICH = HostCapabilities(cores=8, memory=1 << 18, descriptors=1024, traits=(1 << len(TRAITS)) - 1, codes=EVERY)
 NO_DISK = replace(RICH, traits=RICH.traits & ~(1 << TRAITS.index("disk")))
 SMALL = replace(RICH, cores=1, memory=16 << 10, descriptors=64)
 
@@ -115,24 +113,32 @@
         (Tenant(3.0),),
         cancellation=Cancellation.DISCARDS_WORK,
     )
-    one = ability.of(server_settings, StartUp(200_000_000, 1012, disk=True, links=True))
-    assert ability.read(one.said) == one and len(one.said) <= ability.SAID_MOST
-    assert not one.lacks(ability.CATALOGUE["durable-recall"])
-    assert "no pauses" in one.lacks(ability.CATALOGUE["pause-runs"])
-    assert "does not know" in one.lacks(ability.CATALOGUE["rank-order"])
-    near = ability.of(server_settings, StartUp(199_000_000, 1010, disk=True, links=True))
-    assert near == one and near != ability.of(server_settings, StartUp(200_000_000, 1012, links=True))
-    assert ability.read(one.said[:-1] + ',"turbo":9}') == one  # of a newer build
+    one = host_capabilities.of(server_settings, StartUp(200_000_000, 1012, disk=True, links=True))
+    assert (
+        host_capabilities.read(one.said) == one
+        and len(one.said) <= host_capabilities.MAX_METADATA_VALUE_BYTES
+    )
+    assert not one.lacks(host_capabilities.CATALOGUE["durable-recall"])
+    assert "no pauses" in one.lacks(host_capabilities.CATALOGUE["pause-runs"])
+    assert "does not know" in one.lacks(host_capabilities.CATALOGUE["rank-order"])
+    near = host_capabilities.of(server_settings, StartUp(199_000_000, 1010, disk=True, links=True))
+    assert near == one and near != host_capabilities.of(
+        server_settings, StartUp(200_000_000, 1012, links=True)
+    )
+    assert host_capabilities.read(one.said[:-1] + ',"turbo":9}') == one  # of a newer build
     for text in ("", "[]", "{}", '{"cores":-1}', '{"cores":true}', '{"cores":' + "9" * 300 + "}"):
-        with pytest.raises(AbilityError):
-            ability.read(text)
+        with pytest.raises(HostCapabilitiesError):
+            host_capabilities.read(text)
 
 
 def test_each_class_gets_the_best_that_it_can_run() -> None:
     made = translate(read(TEXT), [RICH, NO_DISK, SMALL])
-    assert made.classes[RICH].rungs == (0, 0)
-    assert made.classes[NO_DISK].rungs == (2, 0) and "durable-recall" not in made.classes[NO_DISK].features
-    assert made.classes[SMALL].rungs != made.classes[RICH].rungs
+    assert made.classes[RICH].fallback_levels == (0, 0)
+    assert (
+        made.classes[NO_DISK].fallback_levels == (2, 0)
+        and "durable-recall" not in made.classes[NO_DISK].features
+    )
+    assert made.classes[SMALL].fallback_levels != made.classes[RICH].fallback_levels
     assert verify(made, read(TEXT)) == []
     assert (
         translation.read(made.text) == made
@@ -199,13 +205,15 @@
         made = draw(WANTS)
         return {one: {"n": draw(N)} if one == "q" else values for one, values in made.items()}
 
-    ladder = [Rung(wants(), worth) for worth in sorted(draw(st.sets(st.integers(1, 9), max_size=2)))[::-1]]
+    fallbacks = [
+        FallbackLevel(wants(), worth) for worth in sorted(draw(st.sets(st.integers(1, 9), max_size=2)))[::-1]
+    ]
     forbid = tuple(draw(st.sets(st.sampled_from("pqrs"), max_size=1)))
     return Flow(
         name,
         worth=draw(st.integers(0, 9)),
         require=wants(),
-        ladder=tuple(ladder),
+        fallbacks=tuple(fallbacks),
         forbid=forbid,
         lines={f"{kind}.{one}": 1 for kind in ("require", "forbid") for one in "pqrs"},
     )
@@ -213,7 +221,7 @@
 
 POLICIES = st.tuples(flows("f0"), flows("f1"), flows("f2")).map(lambda those: Policy(1, those, "f"))
 ABILITIES = st.builds(
-    Ability,
+    HostCapabilities,
     cores=st.sampled_from([0, 1]),
     memory=st.sampled_from([0, 4 << 10, 8 << 10, 16 << 10]),
     descriptors=st.sampled_from([0, 16]),
@@ -222,13 +230,15 @@
 )
 
 
-def every(policy: Policy, classes: list[Ability]) -> list[Translation]:
+def every(policy: Policy, classes: list[HostCapabilities]) -> list[Translation]:
     """All translations that the checker's rules for single classes pass."""
     by_class = []
     for one in classes:
         options = []
-        for rungs in itertools.product(*(range(NOT_PLACED, flow.bottom + 1) for flow in policy.flows)):
-            plan = plan_of(policy, rungs, FEW)
+        for fallback_levels in itertools.product(
+            *(range(NOT_PLACED, flow.no_fallback_level + 1) for flow in policy.flows)
+        ):
+            plan = plan_of(policy, fallback_levels, FEW)
             alone = verify(Translation(1, 0, policy.digest, {one: plan}), policy, one, FEW)
             if not [says for says in alone if says.startswith("class")]:
                 options.append(plan)
@@ -241,16 +251,18 @@
 
 def worth(made: Translation, policy: Policy) -> int:
     return sum(
-        flow.earns(rung) + 1
+        flow.earns(fallback_level) + 1
         for plan in made.classes.values()
-        for flow, rung in zip(policy.flows, plan.rungs, strict=True)
-        if rung != NOT_PLACED
+        for flow, fallback_level in zip(policy.flows, plan.fallback_levels, strict=True)
+        if fallback_level != NOT_PLACED
     )
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(POLICIES, st.lists(ABILITIES, min_size=1, max_size=2, unique=True))
-def test_a_translation_is_worth_as_much_as_the_best_of_all(policy: Policy, classes: list[Ability]) -> None:
+def test_a_translation_is_worth_as_much_as_the_best_of_all(
+    policy: Policy, classes: list[HostCapabilities]
+) -> None:
     good = [one for one in every(policy, sorted(classes)) if not verify(one, policy, None, FEW)]
     try:
         made = translate(policy, classes, FEW)
@@ -263,13 +275,15 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(POLICIES, ABILITIES, st.data())
-def test_the_checker_catches_every_mutation(policy: Policy, one: Ability, data: st.DataObject) -> None:
+def test_the_checker_catches_every_mutation(
+    policy: Policy, one: HostCapabilities, data: st.DataObject
+) -> None:
     try:
         made = translate(policy, [one], FEW)
     except InfeasibleError:
         return
     plan = made.classes[one]
-    rungs = list(plan.rungs)
+    fallback_levels = list(plan.fallback_levels)
     bad: list[ClassPlan] = [
         *(
             replace(plan, features={k: v for k, v in plan.features.items() if k != gone})
@@ -281,10 +295,20 @@
             if one.lacks(what) or any(other in plan.features for other in what.conflicts)
         ),
         replace(plan, features={**plan.features, "unheard-of": {}}),
-        replace(plan, rungs=plan.rungs[:-1]),
-        *(replace(plan, rungs=tuple([*rungs[:n], NOT_PLACED, *rungs[n + 1 :]])) for n in range(3)),
+        replace(plan, fallback_levels=plan.fallback_levels[:-1]),
+        *(
+            replace(
+                plan, fallback_levels=tuple([*fallback_levels[:n], NOT_PLACED, *fallback_levels[n + 1 :]])
+            )
+            for n in range(3)
+        ),
         *(
-            replace(plan, rungs=tuple([*rungs[:n], flow.bottom + 1, *rungs[n + 1 :]]))
+            replace(
+                plan,
+                fallback_levels=tuple(
+                    [*fallback_levels[:n], flow.no_fallback_level + 1, *fallback_levels[n + 1 :]]
+                ),
+            )
             for n, flow in enumerate(policy.flows)
         ),
         *(replace(plan, features={**plan.features, "q": {"n": n}}) for n in (0, 5) if "q" in plan.features),
@@ -326,7 +350,7 @@
     without = applying.settings(server_settings, policy, None)
     assert (without.over_quota_weight, without.coalesce_reads_for_s) == (1.0, 0.0)
     assert without.tenants is server_settings.tenants
-    hints = Policy(1, (Flow("f", ladder=(Rung({"cost-hints": {}, "told-waits": {}}, 1),)),))
+    hints = Policy(1, (Flow("f", fallbacks=(FallbackLevel({"cost-hints": {}, "told-waits": {}}, 1),)),))
     low = applying.settings(server_settings, hints, ClassPlan({}, (1,)))
     assert (
         not low.deadline_propagated
@@ -337,7 +361,7 @@
 
 def test_messages_come_back_as_they_went_and_others_are_no_messages() -> None:
     name = translate(read(TEXT), [RICH]).name
-    for message in (Offer(name), Fetch(name, 7), Piece(name, 7, 9, b"ab"), Refused(name, "why")):
+    for message in (Offer(name), Fetch(name, 7), BundleChunk(name, 7, 9, b"ab"), BundleRejected(name, "why")):
         data = codec.encode(message)
         assert codec.decode(data) == message
         for bad in (data[:-1], data + b"\xff", data.replace(b"\x08\x01", b"\x08\x07", 1), b""):
@@ -345,8 +369,8 @@
                 codec.decode(bad)
     for bad in (
         codec.encode(Offer("x")),
-        codec.encode(Piece(name, 0, 1 << 40, b"")),
-        codec.encode(Piece(name, 0, 1 << 20, bytes(PIECE_MOST + 1))),
+        codec.encode(BundleChunk(name, 0, 1 << 40, b"")),
+        codec.encode(BundleChunk(name, 0, 1 << 20, bytes(MAX_CHUNK_BYTES + 1))),
     ):
         with pytest.raises(codec.BadMessageError):
             codec.decode(bad)
@@ -354,15 +378,18 @@
 
 def test_a_bundle_is_whole_or_none() -> None:
     policy = read(TEXT)
-    made = Bundle(policy, translate(policy, [RICH, NO_DISK]))
-    assert bundle.load(made.text) == made
-    assert made.rungs(made.digits((1, 1))) == (1, 1) and made.digits((0, 0)) == ""
-    assert bundle.active(f"{made.name}:01") == (made.name, "01") and bundle.active("x:y") == ("", "")
+    made = PolicyBundle(policy, translate(policy, [RICH, NO_DISK]))
+    assert policy_bundle.load(made.text) == made
+    assert made.fallback_levels(made.digits((1, 1))) == (1, 1) and made.digits((0, 0)) == ""
+    assert policy_bundle.active(f"{made.name}:01") == (made.name, "01") and policy_bundle.active("x:y") == (
+        "",
+        "",
+    )
     for bad in ("", "{}", made.text[:-9], made.text.replace("copies", "kopies", 1), "[1]"):
-        with pytest.raises(bundle.BundleError):
-            other = bundle.load(bad)
+        with pytest.raises(policy_bundle.BundleError):
+            other = policy_bundle.load(bad)
             if other.translation.policy != other.policy.digest:  # what verify would find
-                raise bundle.BundleError(verify(other.translation, other.policy)[0])
+                raise policy_bundle.BundleError(verify(other.translation, other.policy)[0])
 
 
 def test_a_job_is_translated_in_a_process_of_its_own() -> None:
@@ -378,7 +405,7 @@
         return dict(json.loads(done.stdout))
 
     first = asked(text=TEXT, file="p.yaml", classes=[RICH.said])
-    then = bundle.load(str(asked(base=first["bundle"], classes=[RICH.said, NO_DISK.said])["bundle"]))
+    then = policy_bundle.load(str(asked(base=first["bundle"], classes=[RICH.said, NO_DISK.said])["bundle"]))
     assert then.translation.revision == 1 and set(then.translation.classes) == {RICH, NO_DISK}
     faulty = asked(text="version: 1\npolicy: x", file="p.yaml", classes=[RICH.said])
     assert "p.yaml:2" in str(faulty["faults"])
@@ -388,4 +415,8 @@
 def test_the_example_is_a_policy_and_each_class_gets_its_part() -> None:
     text = (Path(__file__).parent.parent / "deploy" / "policy.yaml").read_text()
     made = translate(read(text), [RICH, NO_DISK])
-    assert made.classes[RICH].rungs == (0, 0, 0) and made.classes[NO_DISK].rungs == (NOT_PLACED, 0, 0)
+    assert made.classes[RICH].fallback_levels == (0, 0, 0) and made.classes[NO_DISK].fallback_levels == (
+        NOT_PLACED,
+        0,
+        0,
+    )
--- a/tests/test_feature_policy_service.py
+++ b/tests/test_feature_policy_service.py
@@ -13,9 +13,9 @@
 from sablewheel.feature_policy import codec
 from sablewheel.feature_policy.messages import Fetch, Offer
 from sablewheel.feature_policy.plan import PolicyPlan, Rules
-from sablewheel.feature_policy.policy_bundle import Bundle
+from sablewheel.feature_policy.policy_bundle import PolicyBundle
 from sablewheel.feature_policy.rollout import ACTIVE, STAGED
-from sablewheel.feature_policy.service import Policies
+from sablewheel.feature_policy.service import PolicyService
 from sablewheel.feature_policy.translating import shown
 from sablewheel.membership.view import Fact, Member, View
 from sablewheel.overload.interface import (
@@ -132,17 +132,17 @@
     def gone(self, exchange: Exchange) -> None: ...
 
 
-def policies(world: World, kind: str, file: Path | None) -> tuple[Policies, list[int]]:
+def policies(world: World, kind: str, file: Path | None) -> tuple[PolicyService, list[int]]:
     changed: list[int] = []
     rules = Rules(settle=0.5, stagger=1.0, retry_after_s=3.0)
     plan = PolicyPlan(str(file) if file is not None else None, rules=rules)
-    made: Any = Policies  # its scheduler is a small part of the real one
+    made: Any = PolicyService  # its scheduler is a small part of the real one
     return made(
         world, plan, world, world, CLASSES[kind], {}, lambda: changed.append(1), lambda: world.now
     ), changed
 
 
-def ask(made: Policies, request_class: bytes) -> tuple[list[bytes], list[Any]]:
+def ask(made: PolicyService, request_class: bytes) -> tuple[list[bytes], list[Any]]:
     handler, caller = RequestHandler(), Caller()
     tenant: Tenant | None = None
     request = Request(REQUEST_CLASS, Client(), tenant, 0.0, 1.0)
@@ -170,11 +170,11 @@
     assert ask(made, b"pay") == ([b"pay"], []) and ask(made, b"other") == ([b"other"], [])
     assert made.gauges()["policy"] == name
     file.write_text(POLICY.replace("policy: 4", "polciy: 5"))
-    made.hangup()
+    made.reload()
     world.until(lambda: made.gauges().get("policy_untranslated") == 1)
     assert made.gauges()["policy"] == name
     file.unlink()
-    made.hangup()
+    made.reload()
     assert made.gauges()["policy_unread"] == 1
     made.close()
 
@@ -185,26 +185,26 @@
     given, _ = policies(giver, "rich", file)
     fleet = {"m0": "diskless", "m1": "rich", "m2": "rich"}
     giver.me = "m1"
-    given.rollout.me = "m1"
+    given.rollout.node_name = "m1"
     giver.install(1, fleet)
     giver.until(lambda: STAGED in giver.judged)
-    bundle = next(iter(given.rollout.bundles.values()))
-    assert isinstance(bundle, Bundle)
+    policy_bundle = next(iter(given.rollout.bundles.values()))
+    assert isinstance(policy_bundle, PolicyBundle)
 
     world = World()
     made, _ = policies(world, "diskless", None)
-    held = f"{bundle.name}:"
-    world.install(1, fleet, active=held, staged=bundle.name)
+    held = f"{policy_bundle.name}:"
+    world.install(1, fleet, active=held, staged=policy_bundle.name)
     assert ask(made, b"pay") == ([], [(0.0, False)])  # the document is not here yet: nobody guesses
     asked = [(to, message) for to, message in world.sent if isinstance(message, Fetch)]
     assert asked
-    for sender, payload in (("m1", b"\xff\xff"), ("stranger", codec.encode(Offer(bundle.name)))):
+    for sender, payload in (("m1", b"\xff\xff"), ("stranger", codec.encode(Offer(policy_bundle.name)))):
         world.handler(sender, payload)
     assert made.gauges()["policy_messages_bad"] == 1
     giver.sent.clear()
     giver.handler("m0", codec.encode(asked[-1][1]))
     world.handler(asked[-1][0], codec.encode(giver.sent[-1][1]))
-    assert made.gauges()["policy"] == bundle.name
+    assert made.gauges()["policy"] == policy_bundle.name
     exchange = Exchange(
         b"n", b"pay", b"", 1, None, Request(REQUEST_CLASS, Client(), None, 0.0, 1.0), Caller()
     )
@@ -212,7 +212,7 @@
     world.broken("m2")
     assert {made.place(exchange) for _ in range(4)} == {"m1"}
     assert ask(made, b"pay") == ([], [(0.0, False)])  # it could not be passed on: others may be tried
-    world.install(2, {"m0": "diskless"}, active=held, staged=bundle.name)
+    world.install(2, {"m0": "diskless"}, active=held, staged=policy_bundle.name)
     assert made.place(exchange) is None and ask(made, b"pay") == ([], [(3.0, True)])
     assert made.gauges()["policy_denied_nobody"] == 1 and made.gauges()["policy_denied_elsewhere"] == 1
 
