--- a/sablewheel/experiments/policy_fleet.py
+++ b/sablewheel/experiments/policy_fleet.py
@@ -17,19 +17,19 @@
 from ..feature_policy.host_capabilities import TRAITS, HostCapabilities
 from ..feature_policy.plan import Rules
 from ..feature_policy.policy_bundle import PolicyBundle
-from ..feature_policy.rollout import (
+from ..feature_policy.rollout import Rollout
+from ..feature_policy.rollout_events import (
     ApplyPlan,
     LogEntry,
     ProposeFact,
-    Rollout,
     Route,
     Send,
     StartTranslation,
     TranslationFinished,
     ViewChanged,
 )
-from ..feature_policy.rollout import MessageReceived as Heard
-from ..feature_policy.rollout import TimerFired as Ring
+from ..feature_policy.rollout_events import MessageReceived as Heard
+from ..feature_policy.rollout_events import TimerFired as Ring
 from ..feature_policy.translate import InfeasibleError, translate
 from ..membership import events
 from ..membership.node import Node
--- a/sablewheel/experiments/policy_member.py
+++ b/sablewheel/experiments/policy_member.py
@@ -20,7 +20,8 @@
 from ..feature_policy import service as shell
 from ..feature_policy.plan import PolicyPlan
 from ..feature_policy.policy_bundle import PolicyBundle
-from ..feature_policy.rollout import BROKEN, TranslationFinished
+from ..feature_policy.rollout import BROKEN
+from ..feature_policy.rollout_events import TranslationFinished
 from ..serving.dispatcher import Dispatch
 from ..serving.exchange import Exchange
 
--- a/sablewheel/feature_policy/__init__.py
+++ b/sablewheel/feature_policy/__init__.py
@@ -1,1 +1,1 @@
-"""A routing policy, translated to what each hardware class of the fleet can run."""
+"""Feature policies: what each traffic class requires or prefers, in force on the whole fleet at one epoch."""
--- a/sablewheel/feature_policy/applying.py
+++ b/sablewheel/feature_policy/applying.py
@@ -28,8 +28,10 @@
 
 
 def settings(server_settings: ServerSettings, policy: Policy, plan: ClassPlan | None) -> ServerSettings:
-    """The machine that the controller is to go by under this policy; `plan` None: the class has none, and
-    runs none of what the policy has a say in."""
+    """Return the settings that the controller is to go by under this policy.
+
+    `plan` None: the class of this host has none, and runs none of what the policy has a say in.
+    """
     named, on = governed(policy), plan.features if plan is not None else {}
     off = named - set(on)
     if "stop-runs" in off and server_settings.cancellation is Cancellation.DISCARDS_WORK:
--- a/sablewheel/feature_policy/codec.py
+++ b/sablewheel/feature_policy/codec.py
@@ -17,6 +17,7 @@
 
 
 def encode(message: Message) -> bytes:
+    """Return the bytes of a message."""
     told = pb.PolicyMessage(version=VERSION, name=message.name)
     match message:
         case Offer():
--- a/sablewheel/feature_policy/document.py
+++ b/sablewheel/feature_policy/document.py
@@ -143,50 +143,72 @@
     )
 
 
-def _meant(told: CommentedMap, document: _Document, catalogue: Catalogue) -> Iterator[Fault]:
-    """Faults that the schema can't see: names, ranges, and lines of one flow that contradict each other."""
+Path = tuple[Any, ...]  # keys and places from the top of the document
+
 
-    def fault(path: tuple[Any, ...], says: str) -> Fault:
-        return Fault(_line(told, path), ".".join(str(one) for one in path), says)
+def _meant(told: CommentedMap, document: _Document, catalogue: Catalogue) -> Iterator[Fault]:
+    """Yield faults that the schema can't see.
 
+    Names, ranges, and lines of one flow that contradict each other.
+    """
     for name, flow in document.flows.items():
-        at = ("flows", name)
-        lines: list[tuple[tuple[Any, ...], Wants]] = [((*at, "require"), flow.require)]
-        lines += [
-            ((*at, "prefer", n, "features"), fallback_level.features)
-            for n, fallback_level in enumerate(flow.prefer)
+        path: Path = ("flows", name)
+        wants = [((*path, "require"), flow.require)]
+        wants += [
+            ((*path, "prefer", place, "features"), one.features) for place, one in enumerate(flow.prefer)
         ]
-        for path, wants in lines:
-            for feature, values in wants.items():
-                if feature not in catalogue:
-                    yield fault((*path, feature), f"no such feature; {_near(feature, catalogue)}")
-                    continue
-                if feature in flow.forbid:
-                    yield fault((*path, feature), "also under forbid; one of the two must go")
-                for other in catalogue[feature].conflicts:
-                    if other in wants or other in flow.require:
-                        yield fault((*path, feature), f"can't run beside {other}; one of the two must go")
-                for key, value in values.items():
-                    parameter = catalogue[feature].parameter(key)
-                    if parameter is None:
-                        known = {one.name: one for one in catalogue[feature].parameters}
-                        yield fault((*path, feature, key), f"no such parameter; {_near(key, known)}")
-                    elif not parameter.least <= value <= parameter.most:
-                        says = f"{parameter.least} to {parameter.most} is wanted, got {value}"
-                        yield fault((*path, feature, key), says)
-        for place, feature in enumerate(flow.forbid):
-            if feature not in catalogue:
-                yield fault((*at, "forbid", place), f"no such feature; {_near(feature, catalogue)}")
-            for needed in flow.require:
-                if needed in catalogue and feature in catalogue[needed].needs:
-                    says = f"{feature} is needed by {needed}, which is required; one of the two must go"
-                    yield fault((*at, "forbid", place), says)
-        for place, (better, worse) in enumerate(zip(flow.prefer, flow.prefer[1:], strict=False)):
-            if worse.worth >= better.worth:
-                says = f"less than the {better.worth} of the rung above is wanted, got {worse.worth}"
-                yield fault((*at, "prefer", place + 1, "worth"), says)
+        faults: list[tuple[Path, str]] = []
+        for place, features in wants:
+            for feature, values in features.items():
+                faults += _feature_faults((*place, feature), feature, values, features, flow, catalogue)
+        faults += _forbid_faults((*path, "forbid"), flow, catalogue)
+        faults += _order_faults((*path, "prefer"), flow)
+        for where, says in faults:
+            yield _fault_at(told, where, says)
     if sum(bool(flow.prefer) for flow in document.flows.values()) > MAX_FLOWS_WITH_FALLBACK:
-        yield fault(("flows",), f"over {MAX_FLOWS_WITH_FALLBACK} flows with prefer; join some")
+        yield _fault_at(told, ("flows",), f"over {MAX_FLOWS_WITH_FALLBACK} flows with prefer; join some")
+
+
+def _fault_at(told: CommentedMap, path: Path, says: str) -> Fault:
+    return Fault(_line(told, path), ".".join(str(part) for part in path), says)
+
+
+def _feature_faults(
+    path: Path, feature: str, values: Mapping[str, int], beside: Wants, flow: _Flow, catalogue: Catalogue
+) -> Iterator[tuple[Path, str]]:
+    """Yield what is wrong with one feature among those that a line wants."""
+    if feature not in catalogue:
+        yield path, f"no such feature; {_near(feature, catalogue)}"
+        return
+    if feature in flow.forbid:
+        yield path, "also under forbid; one of the two must go"
+    for other in catalogue[feature].conflicts:
+        if other in beside or other in flow.require:
+            yield path, f"can't run beside {other}; one of the two must go"
+    for key, value in values.items():
+        parameter = catalogue[feature].parameter(key)
+        if parameter is None:
+            known = {one.name: one for one in catalogue[feature].parameters}
+            yield (*path, key), f"no such parameter; {_near(key, known)}"
+        elif not parameter.least <= value <= parameter.most:
+            yield (*path, key), f"{parameter.least} to {parameter.most} is wanted, got {value}"
+
+
+def _forbid_faults(path: Path, flow: _Flow, catalogue: Catalogue) -> Iterator[tuple[Path, str]]:
+    for place, feature in enumerate(flow.forbid):
+        if feature not in catalogue:
+            yield (*path, place), f"no such feature; {_near(feature, catalogue)}"
+        for needed in flow.require:
+            if needed in catalogue and feature in catalogue[needed].needs:
+                says = f"{feature} is needed by {needed}, which is required; one of the two must go"
+                yield (*path, place), says
+
+
+def _order_faults(path: Path, flow: _Flow) -> Iterator[tuple[Path, str]]:
+    for place, (better, worse) in enumerate(zip(flow.prefer, flow.prefer[1:], strict=False)):
+        if worse.worth >= better.worth:
+            says = f"less than the {better.worth} of the rung above is wanted, got {worse.worth}"
+            yield (*path, place + 1, "worth"), says
 
 
 def _near(name: str, known: Mapping[str, Any]) -> str:
--- a/sablewheel/feature_policy/host_capabilities.py
+++ b/sablewheel/feature_policy/host_capabilities.py
@@ -68,6 +68,7 @@
     parameters: tuple[Parameter, ...] = ()
 
     def parameter(self, name: str) -> Parameter | None:
+        """Return the parameter of a name; None if there is none."""
         return next((one for one in self.parameters if one.name == name), None)
 
     def cost(self, values: Mapping[str, int]) -> tuple[int, int, int]:
@@ -198,8 +199,11 @@
 
 @dataclass(frozen=True, order=True)
 class HostCapabilities:
-    """What one server can do. `speed`: thousandths of the reference core; memory in kB; `codes`, `traits`:
-    bits by `Feature.code` and place in TRAITS; warm-up in seconds. All rounded: equal ones are one class.
+    """What one server can do; equal ones are one class of hosts.
+
+    `speed` is in thousandths of the reference core, `memory` in kB, `warm` (the warm-up) in seconds;
+    `codes` and `traits` are bits by `Feature.code` and by the place in TRAITS. All figures are rounded down
+    to steps.
     """
 
     cores: int
@@ -217,8 +221,9 @@
 
     @cached_property
     def said(self) -> str:
-        """Canonical JSON, at most MAX_METADATA_VALUE_BYTES bytes; what the view carries, and the
-        class's name.
+        """Canonical JSON: what the view carries, and the name of the class.
+
+        At most MAX_METADATA_VALUE_BYTES bytes; raises `HostCapabilitiesError` for more.
         """
         text = json.dumps(
             {key: value for key, value in asdict(self).items() if value},
@@ -249,6 +254,7 @@
         )
 
     def has(self, trait: str) -> bool:
+        """Whether the host has a trait."""
         return bool(self.traits >> TRAITS.index(trait) & 1)
 
     def lacks(self, feature: Feature) -> str:
@@ -260,8 +266,9 @@
 
 
 def read(text: str) -> HostCapabilities:
-    """What a member says; raises `HostCapabilitiesError`. Keys of newer builds are no part of what we
-    compare.
+    """Return the capabilities that a member has in its metadata; raises `HostCapabilitiesError`.
+
+    Keys of newer builds are passed over.
     """
     if len(text) > MAX_METADATA_VALUE_BYTES:
         raise HostCapabilitiesError(f"an ability of {len(text)} bytes, over {MAX_METADATA_VALUE_BYTES}")
@@ -279,9 +286,11 @@
 
 @dataclass(frozen=True)
 class StartUp:
-    """What the start-up checks and the rest of the program say: bytes of the program's memory, descriptors
-    for routers' connections, whether there is a lasting disk and links to peers, speed against the reference
-    core, and features that this server does not run."""
+    """What the start-up checks and the rest of the program found.
+
+    Bytes of the program's memory, descriptors for clients' connections, whether there is a lasting disk and
+    links to peers, speed against the reference core, and features that this server does not run.
+    """
 
     memory_bytes: int
     descriptors: int
--- a/sablewheel/feature_policy/plan.py
+++ b/sablewheel/feature_policy/plan.py
@@ -31,8 +31,11 @@
 
 @dataclass(frozen=True)
 class PolicyPlan:
-    """`file`: the operators' document, read at SIGHUP, and at the start of a fleet that has none; None: this
-    member takes what others are given. `speed`: of one core against the reference core."""
+    """Settings of feature policies in one server.
+
+    `file`: the operators' document, read at SIGHUP, and at the start of a fleet that has none; None: this
+    member takes what others are given. `speed`: of one core against the reference core.
+    """
 
     file: str | None = None
     speed: float = 1.0
--- a/sablewheel/feature_policy/policy.py
+++ b/sablewheel/feature_policy/policy.py
@@ -37,11 +37,10 @@
 
 @dataclass(frozen=True)
 class Flow:
-    """Requests that are of one kind to the policy. Empty tuples: any. `cores`: its load over the fleet, in
-    reference cores; `worth`: of a request served with no more than is required.
+    """Requests that are one traffic class to the policy.
 
-    FallbackLevel numbers: 0 is the best; `len(fallbacks)` is the no_fallback_level, with what is required and
-    nothing else.
+    Empty tuples match any. `cores`: its load over the fleet, in reference cores. `lines`: where its parts
+    stand in the document.
     """
 
     name: str
@@ -57,6 +56,7 @@
 
     @property
     def no_fallback_level(self) -> int:
+        """The last fallback level, on which nothing is preferred."""
         return len(self.fallbacks)
 
     def wants(self, fallback_level: int) -> Wants:
@@ -72,11 +72,13 @@
         return both
 
     def earns(self, fallback_level: int) -> int:
+        """Return the priority weight of the flow on a fallback level."""
         return self.worth + (
             self.fallbacks[fallback_level].worth if fallback_level < self.no_fallback_level else 0
         )
 
     def takes(self, request_class: str, tenant: str, zone: str) -> bool:
+        """Whether a request is of this flow."""
         return all(
             not those or one in those
             for one, those in (
@@ -89,8 +91,9 @@
 
 @dataclass(frozen=True)
 class Policy:
-    """`number` is the document's own_capabilities version, which only grows; a request is of the first
-    flow taking it.
+    """A document that was read.
+
+    `number` is the document's own version, which only grows; a request is of the first flow that takes it.
     """
 
     number: int
@@ -109,12 +112,15 @@
 
     @cached_property
     def digest(self) -> str:
+        """A short digest of the canonical text."""
         return hashlib.blake2b(self.text.encode(), digest_size=6).hexdigest()
 
     def flow(self, request_class: str, tenant: str, zone: str) -> Flow | None:
+        """Return the flow of a request; None if no flow takes it."""
         return next((one for one in self.flows if one.takes(request_class, tenant, zone)), None)
 
     def named(self, name: str) -> Flow:
+        """Return the flow of a name; raises `StopIteration` if there is none."""
         return next(one for one in self.flows if one.name == name)
 
 
--- a/sablewheel/feature_policy/policy_bundle.py
+++ b/sablewheel/feature_policy/policy_bundle.py
@@ -27,15 +27,19 @@
 
 @dataclass(frozen=True)
 class PolicyBundle:
+    """A policy with its translation for each class of hosts."""
+
     policy: Policy
     translation: Translation
 
     @property
     def name(self) -> str:
+        """The name under which facts and messages know it."""
         return self.translation.name
 
     @cached_property
     def text(self) -> str:
+        """The text that goes between members."""
         return json.dumps({"policy": self.policy.text, "translation": self.translation.text})
 
     def fallback_levels(self, told: str) -> tuple[int, ...]:
--- a/sablewheel/feature_policy/service.py
+++ b/sablewheel/feature_policy/service.py
@@ -2,7 +2,7 @@
 
 Decides nothing. Its gate stands right before the dispatch, where what peers pass on comes by as well: a
 request is served here, or passed to a member that may, or rejected at once with the cause counted and logged.
-A translation is done by a process of its own_capabilities, which is looked after and never waited for.
+A translation is done by a process of its own, which is looked after and never waited for.
 """
 
 from __future__ import annotations
@@ -29,7 +29,8 @@
 from .plan import PolicyPlan
 from .policy import MAX_POLICY_BYTES
 from .policy_bundle import BundleError
-from .rollout import (
+from .rollout import Rollout
+from .rollout_events import (
     ApplyPlan,
     DocumentProposed,
     Effect,
@@ -37,7 +38,6 @@
     LogEntry,
     MessageReceived,
     ProposeFact,
-    Rollout,
     Route,
     Send,
     StartTranslation,
@@ -60,17 +60,27 @@
     """Membership, as it is needed here."""
 
     @property
-    def me(self) -> str: ...
-    def on_view(self, callback: Callable[[View], None]) -> None: ...
-    def judge(self, fact: Fact) -> None: ...
+    def me(self) -> str:
+        """The name of this member."""
+
+    def on_view(self, callback: Callable[[View], None]) -> None:
+        """Call back with each view."""
+
+    def judge(self, fact: Fact) -> None:
+        """Propose a fact."""
 
 
 class Links(Protocol):
     """The forward path's links, as they are needed here."""
 
-    def send(self, to: str, kind: str, payload: bytes, within: float) -> bool: ...
-    def on(self, kind: str, handler: Callable[[str, bytes], None]) -> None: ...
-    def on_broken(self, callback: Callable[[str], None]) -> None: ...
+    def send(self, to: str, kind: str, payload: bytes, within: float) -> bool:
+        """Queue a frame for a peer; False if it can't be queued."""
+
+    def on(self, kind: str, handler: Callable[[str, bytes], None]) -> None:
+        """Call a handler with the frames of a kind."""
+
+    def on_broken(self, callback: Callable[[str], None]) -> None:
+        """Call back with the name of a peer whose connection broke."""
 
 
 class PolicyService:
@@ -116,9 +126,9 @@
     def server_settings(self, server_settings: ServerSettings) -> ServerSettings:
         """The settings as the policy that holds would have them."""
         applied = self._applied
-        if applied is None or applied.policy_bundle is None:
+        if applied is None or applied.bundle is None:
             return server_settings
-        return settings(server_settings, applied.policy_bundle.policy, applied.plan)
+        return settings(server_settings, applied.bundle.policy, applied.plan)
 
     def reload(self) -> None:
         """SIGHUP: the operators' document is read anew."""
@@ -126,30 +136,35 @@
             self._proposed_document(only_first=False)
 
     def close(self) -> None:
+        """End the process that translates; nothing is done from now on."""
         self._open = False
         self._wake.cancel()
         self._end_process()
 
     def gauges(self) -> dict[str, object]:
+        """Return the values printed beside the counters."""
         held = self.rollout.active
         told: dict[str, object] = {
             "policy": held.name if held is not None else "-",
             "policy_rungs": "".join(str(fallback_level) for fallback_level in self.rollout.fallback_levels)
             or "-",
-            "policy_class": self.rollout.own_capabilities.key,
+            "policy_class": self.rollout.fleet.own_capabilities.key,
         }
         counts = {**self.rollout.counts, **self.counts}
         return told | {f"policy_{name}": count for name, count in sorted(counts.items())}
 
     def on_active(self, callback: Callable[[int, dict[str, frozenset[str]]], None]) -> None:
-        """What holds and who can serve it, at once and whenever that changes: the document's number (0:
-        nothing holds, or it is not here) and `Rollout.able`."""
+        """Call back with the policy in force, at once and whenever it changes.
+
+        The arguments are the document's number (0: none in force, or not here) and `Rollout.able`.
+        """
         self._listeners.append(callback)
         callback(*self._announced_to_listeners)
 
     # -- the gate, and where else a request may go
 
     def gate(self, inner: RequestHandler) -> RequestHandler:
+        """Return a handler in front of another, which lets in what may be served here."""
         return Gate(self, inner)
 
     def route(self, exchange: Exchange) -> Route:
@@ -183,14 +198,15 @@
         """At once, before it costs anything; where others may serve it the caller is free to go to them."""
         what = "elsewhere" if route.others else "nobody" if route.flow else "unknown"
         self._count(f"denied_{what}")
-        if self._logged_reasons.get(route.flow) != route.why:
-            self._logged_reasons[route.flow] = route.why
-            pairs = {"flow": route.flow or "-", "reason": route.why, "others": len(route.others)}
+        if self._logged_reasons.get(route.flow) != route.reason:
+            self._logged_reasons[route.flow] = route.reason
+            pairs = {"flow": route.flow or "-", "reason": route.reason, "others": len(route.others)}
             log.warning("flow denied", extra={"pairs": pairs})
         no_retry_elsewhere = bool(route.flow) and not route.others
         exchange.reject(self._plan.rules.retry_after_s if no_retry_elsewhere else 0.0, no_retry_elsewhere)
 
     def served(self, route: Route) -> None:
+        """Note that a request is served here."""
         if not route.here:
             self._count("served_below")  # with less than it prefers, as the others were not reached
         if route.flow in self._logged_reasons:
@@ -276,8 +292,9 @@
                 (changes if what == "policy active" else log).info(what, extra={"pairs": fields})
 
     def _start(self, what: StartTranslation) -> None:
-        """A process of its own_capabilities; its input and output are files, so that nobody waits for a
-        pipe.
+        """Start a translation in a process of its own.
+
+        Its input and output are files, so that nobody waits for a pipe.
         """
         self._end_process()
         job = {
@@ -347,6 +364,7 @@
         self._policies, self._inner = policies, inner
 
     def arrived(self, exchange: Exchange) -> None:
+        """Serve, or reject at once with the cause counted and logged."""
         route = self._policies.route(exchange)
         if route.here or route.able:
             self._policies.served(route)
@@ -355,4 +373,5 @@
             self._policies.reject(exchange, route)
 
     def gone(self, exchange: Exchange) -> None:
+        """Pass on that nobody waits for the answer any more."""
         self._inner.gone(exchange)
--- a/sablewheel/feature_policy/translate.py
+++ b/sablewheel/feature_policy/translate.py
@@ -18,7 +18,7 @@
 
 from ortools.sat.python import cp_model
 
-from .host_capabilities import CATALOGUE, Catalogue, HostCapabilities
+from .host_capabilities import CATALOGUE, Catalogue, Feature, HostCapabilities
 from .policy import Flow, Policy, Wants
 from .translation import MAX_CLASSES, NOT_PLACED, ClassPlan, Translation
 
@@ -72,8 +72,11 @@
     catalogue: Catalogue = CATALOGUE,
     base: Translation | None = None,
 ) -> Translation:
-    """The translation for these classes; raises `InfeasibleError`, `UndecidedError`, or `ValueError` for too
-    many classes. With `base`, of the same policy, its classes stay as they are and new ones join."""
+    """Return the translation for these classes.
+
+    With `base`, of the same policy, its classes stay as they are and new ones join. Raises
+    `InfeasibleError`, `UndecidedError`, or `ValueError` for too many classes.
+    """
     kept = dict(base.classes) if base is not None else {}
     asked = sorted(set(abilities))
     classes = [one for one in asked if one not in kept]
@@ -112,9 +115,11 @@
 
 
 def _mend(policy: Policy, fallback_levels: Rungs, catalogue: Catalogue) -> Rungs | None:
-    """Large fleets: each bare flow is put on the class where that costs least, one after another; None if
-    that comes to nothing. What stays is the best for each class with what was put on it, and no proof that
-    another choice of classes would not be worth a little more: all together would take minutes.
+    """Put each flow that nobody serves on the class where that costs least, one after another.
+
+    For large fleets; None if that comes to nothing. What stays is the best for each class with what was put
+    on it, and no proof that another choice of classes would not be worth a little more: all together would
+    take minutes.
     """
     fallback_levels, forced = dict(fallback_levels), dict[HostCapabilities, set[int]]()
     for _ in range(2 * len(policy.flows)):
@@ -174,9 +179,11 @@
 
 
 class _Class:
-    """One class's part of a model, all of it literals: a feature, a parameter past each value that is
-    wanted, a flow on a fallback level. So but for the rooms it is a closure, whose linear relaxation is
-    tight."""
+    """One class's part of a model, all of it literals.
+
+    A feature, a parameter past each value that is wanted, a flow on a fallback level. But for the
+    capacities it is a closure, whose linear relaxation is tight.
+    """
 
     def __init__(
         self,
@@ -190,35 +197,38 @@
         self.one = one
         self.on: dict[str, cp_model.IntVar] = {}
         self.past: dict[tuple[str, str], dict[int, cp_model.IntVar]] = {}
-        costs: list[list[cp_model.LinearExprT]] = [[], [], []]
+        self._costs: list[list[cp_model.LinearExprT]] = [[], [], []]
         for name, values in sorted(_used(flows, catalogue).items()):
-            feature = catalogue[name]
-            on = self.on[name] = model.new_bool_var(name)
-            if one.lacks(feature):
-                model.add(on == 0)
-            for total, cost in zip(costs, feature.cost({}), strict=True):
-                total.append(cost * on)
-            for parameter in feature.parameters:
-                below, below_at = on, parameter.least
-                past = self.past[name, parameter.name] = {parameter.least: on}
-                for value in sorted(values[parameter.name]):
-                    literal = past[value] = model.new_bool_var(f"{name}.{parameter.name}>={value}")
-                    model.add_implication(literal, below)
-                    each = (parameter.memory, parameter.millicores, parameter.descriptors)
-                    for total, cost in zip(costs, each, strict=True):
-                        total.append(cost * (value - below_at) * literal)
-                    below, below_at = literal, value
+            self._add_feature(catalogue[name], values)
         for name, on in self.on.items():
             for other in catalogue[name].needs:
                 model.add_implication(on, self.on[other])
             for other in catalogue[name].conflicts:
                 if other in self.on:
                     model.add_bool_or([on.negated(), self.on[other].negated()])
-        for total, room in zip(costs, one.room, strict=True):
+        for total, room in zip(self._costs, one.room, strict=True):
             if total:
                 model.add(sum(total) <= room)
         self.fallback_levels = [self._flow(flow) for flow in flows]
 
+    def _add_feature(self, feature: Feature, values: Mapping[str, Iterable[int]]) -> None:
+        """Add a feature's literals and what it costs, a literal for each value that is wanted."""
+        on = self.on[feature.name] = self.model.new_bool_var(feature.name)
+        if self.one.lacks(feature):
+            self.model.add(on == 0)
+        for total, cost in zip(self._costs, feature.cost({}), strict=True):
+            total.append(cost * on)
+        for parameter in feature.parameters:
+            below, below_at = on, parameter.least
+            past = self.past[feature.name, parameter.name] = {parameter.least: on}
+            for value in sorted(values[parameter.name]):
+                literal = past[value] = self.model.new_bool_var(f"{feature.name}.{parameter.name}>={value}")
+                self.model.add_implication(literal, below)
+                each = (parameter.memory, parameter.millicores, parameter.descriptors)
+                for total, cost in zip(self._costs, each, strict=True):
+                    total.append(cost * (value - below_at) * literal)
+                below, below_at = literal, value
+
     def _flow(self, flow: Flow) -> list[cp_model.IntVar]:
         served = [
             self.model.new_bool_var(f"{flow.name}/{fallback_level}")
@@ -278,8 +288,11 @@
     covered: Iterable[int] = (),
     most: float = MAX_TOTAL_SOLVER_UNITS,
 ) -> Rungs:
-    """Fallback levels by class; each class serves the flows `forced`, and at least one those `covered`.
-    Raises `InfeasibleError` without conflicts."""
+    """Return fallback levels by class.
+
+    Each class serves the flows `forced`, and at least one those `covered`. Raises `InfeasibleError` without
+    conflicts.
+    """
     model = cp_model.CpModel()
     parts = [_Class(model, one, catalogue, policy.flows) for one in classes]
     for place in forced:
@@ -407,8 +420,9 @@
 
 
 def _smallest(lines: Sequence[Line], bad: Callable[[Sequence[Line]], bool]) -> list[Line]:
-    """A smallest set of lines that is bad, up to MAX_EXACT_CORE_SIZE lines; past that one with none to
-    spare.
+    """Return a smallest set of lines that is bad, up to MAX_EXACT_CORE_SIZE lines.
+
+    Past that one with none to spare.
     """
     left = list(lines)
     for line in list(left):
--- a/sablewheel/feature_policy/translating.py
+++ b/sablewheel/feature_policy/translating.py
@@ -1,14 +1,7 @@
-"""A translation in a process of its own_capabilities, since it takes seconds and a library that servers don't
-load.
+"""A translation in a process of its own: it takes seconds, and a library that servers don't load.
 
-    python -m sablewheel.feature_policy.translating
-    python -m sablewheel.feature_policy.translating FILE MEMBER
-
-The first reads a job from standard input, as servers give it; the second prints what FILE would come to for
-the fleet of a running member (ADDRESS:PORT).
-
-A job is JSON: `text` and `file` of a document, or `base`, a bundle whose policy is to be translated for more
-classes; `classes`, as members say them. The answer is JSON on standard output: `policy_bundle`, or `faults`.
+Without arguments it reads a job from standard input, as servers give it; with FILE and MEMBER it prints
+what FILE would come to for the fleet of a running member (ADDRESS:PORT).
 """
 
 from __future__ import annotations
--- a/sablewheel/feature_policy/translation.py
+++ b/sablewheel/feature_policy/translation.py
@@ -23,8 +23,11 @@
 
 @dataclass(frozen=True)
 class ClassPlan:
-    """What one class runs: features with their parameters, and for each of the policy's flows, by number, the
-    fallback level it is served on there or NOT_PLACED."""
+    """What one class of hosts runs.
+
+    Features with their parameters, and for each of the policy's flows, by place, the fallback level on
+    which it is served there, or NOT_PLACED.
+    """
 
     features: Mapping[str, Values]
     fallback_levels: tuple[int, ...]
@@ -55,6 +58,7 @@
 
     @cached_property
     def digest(self) -> str:
+        """A short digest of the canonical text."""
         return hashlib.blake2b(self.text.encode(), digest_size=6).hexdigest()
 
     @property
--- a/sablewheel/feature_policy/verify.py
+++ b/sablewheel/feature_policy/verify.py
@@ -1,6 +1,6 @@
 """A small checker of translations that knows nothing of the solver: what it passes, a class can run. Pure.
 
-Each member holds a translation against its own_capabilities host capabilities before it stages it, and
+Each member holds a translation against its own host capabilities before it stages it, and
 rejects what it can't run.
 """
 
@@ -8,7 +8,7 @@
 
 from collections.abc import Iterator
 
-from .host_capabilities import CATALOGUE, Catalogue, HostCapabilities
+from .host_capabilities import CATALOGUE, Catalogue, Feature, HostCapabilities
 from .policy import Flow, Policy
 from .translation import NOT_PLACED, ClassPlan, Translation
 
@@ -19,8 +19,9 @@
     own_capabilities: HostCapabilities | None = None,
     catalogue: Catalogue = CATALOGUE,
 ) -> list[str]:
-    """All that is wrong with it: for the class `own_capabilities` alone, or for every class if that is
-    None.
+    """Return all that is wrong with a translation.
+
+    For the class `own_capabilities` alone, or for every class if that is None.
     """
     faults: list[str] = []
     if translation.number != policy.number or translation.policy != policy.digest:
@@ -38,30 +39,36 @@
 
 
 def _class(one: HostCapabilities, plan: ClassPlan, policy: Policy, catalogue: Catalogue) -> Iterator[str]:
+    """Yield what is wrong with the plan of one class."""
     used = [0, 0, 0]
     for name, values in plan.features.items():
         feature = catalogue.get(name)
         if feature is None:
             yield f"{name} is unknown here"
             continue
-        if why := one.lacks(feature):
-            yield f"{name} is on, and {why}"
-        yield from (f"{name} needs {other}" for other in feature.needs if other not in plan.features)
-        yield from (f"{name} beside {other}" for other in feature.conflicts if other in plan.features)
-        for key, value in values.items():
-            parameter = feature.parameter(key)
-            if parameter is None or not parameter.least <= value <= parameter.most:
-                yield f"{name}.{key} is {value}"
-        used = [a + b for a, b in zip(used, feature.cost(values), strict=True)]
-    for what, took, room in zip(("bytes", "millicores", "descriptors"), used, one.room, strict=True):
-        if took > room:
-            yield f"features take {took} {what} of {room}"
+        yield from _feature(one, plan, feature)
+        used = [total + cost for total, cost in zip(used, feature.cost(values), strict=True)]
+    for what, took, capacity in zip(("bytes", "millicores", "descriptors"), used, one.room, strict=True):
+        if took > capacity:
+            yield f"features take {took} {what} of {capacity}"
     if len(plan.fallback_levels) != len(policy.flows):
         yield f"it has rungs for {len(plan.fallback_levels)} flows of {len(policy.flows)}"
         return
-    for flow, fallback_level in zip(policy.flows, plan.fallback_levels, strict=True):
-        if fallback_level != NOT_PLACED:
-            yield from (f"flow {flow.name}: {says}" for says in _flow(flow, fallback_level, plan, catalogue))
+    for flow, level in zip(policy.flows, plan.fallback_levels, strict=True):
+        if level != NOT_PLACED:
+            yield from (f"flow {flow.name}: {says}" for says in _flow(flow, level, plan, catalogue))
+
+
+def _feature(one: HostCapabilities, plan: ClassPlan, feature: Feature) -> Iterator[str]:
+    """Yield why a feature that is on can't run in this class, beside the others."""
+    if why := one.lacks(feature):
+        yield f"{feature.name} is on, and {why}"
+    yield from (f"{feature.name} needs {other}" for other in feature.needs if other not in plan.features)
+    yield from (f"{feature.name} beside {other}" for other in feature.conflicts if other in plan.features)
+    for key, value in plan.features[feature.name].items():
+        parameter = feature.parameter(key)
+        if parameter is None or not parameter.least <= value <= parameter.most:
+            yield f"{feature.name}.{key} is {value}"
 
 
 def _flow(flow: Flow, fallback_level: int, plan: ClassPlan, catalogue: Catalogue) -> Iterator[str]:
--- a/tests/stories/test_capability_stories.py
+++ b/tests/stories/test_capability_stories.py
@@ -17,8 +17,9 @@
 from pytest_bdd import given, parsers, scenarios, then, when
 
 from sablewheel.experiments.policy_fleet import CLASSES, PolicyFleet
+from sablewheel.feature_policy.bundle_transfer import MAX_BUNDLES
 from sablewheel.feature_policy.host_capabilities import CATALOGUE
-from sablewheel.feature_policy.rollout import MAX_BUNDLES, DocumentProposed
+from sablewheel.feature_policy.rollout_events import DocumentProposed
 
 scenarios("capability.feature")
 
@@ -291,14 +292,14 @@
 @then(parsers.parse('{name} does not serve {flow} but names others, as "{why}"'))
 def _(told: Told, name: str, flow: str, why: str) -> None:
     route = told.fleet.route(name, flow)
-    assert not route.here and route.why == why and name not in route.others
+    assert not route.here and route.reason == why and name not in route.others
     assert route.others and all(told.fleet.route(one, flow).here for one in route.others)
 
 
 @then(parsers.parse('{name} denies {flow}, as "{why}"'))
 def _(told: Told, name: str, flow: str, why: str) -> None:
     route = told.fleet.route(name, flow)
-    assert not route.here and not route.others and route.why == why, route
+    assert not route.here and not route.others and route.reason == why, route
 
 
 @then(
--- a/tests/test_feature_policy_service.py
+++ b/tests/test_feature_policy_service.py
@@ -11,10 +11,10 @@
 
 from sablewheel.experiments.policy_fleet import CLASSES
 from sablewheel.feature_policy import codec
+from sablewheel.feature_policy.fleet_state import ACTIVE, STAGED
 from sablewheel.feature_policy.messages import Fetch, Offer
 from sablewheel.feature_policy.plan import PolicyPlan, Rules
 from sablewheel.feature_policy.policy_bundle import PolicyBundle
-from sablewheel.feature_policy.rollout import ACTIVE, STAGED
 from sablewheel.feature_policy.service import PolicyService
 from sablewheel.feature_policy.translating import shown
 from sablewheel.membership.view import Fact, Member, View
@@ -185,7 +185,7 @@
     given, _ = policies(giver, "rich", file)
     fleet = {"m0": "diskless", "m1": "rich", "m2": "rich"}
     giver.me = "m1"
-    given.rollout.node_name = "m1"
+    given.rollout.fleet.node_name = "m1"
     giver.install(1, fleet)
     giver.until(lambda: STAGED in giver.judged)
     policy_bundle = next(iter(given.rollout.bundles.values()))
