--- /dev/null
+++ b/sablewheel/overload/interface/__init__.py
@@ -0,0 +1,93 @@
+"""The interface of the overload controller: events in, actions out, plain types only.
+
+A `Request` points to its request class, tenant and client; identifiers of the wire stay with the caller. All
+times are in seconds.
+"""
+
+from .actions import (
+    Action,
+    AdvertiseCapacity,
+    AttachToOriginal,
+    CallDependency,
+    Cancel,
+    CloseIdle,
+    Fail,
+    Log,
+    PresumeLost,
+    Reject,
+    RejectionReason,
+    ReleaseKey,
+    ReserveKey,
+    Run,
+    SetHealth,
+    SetTimer,
+    SkipDependencyCall,
+)
+from .events import (
+    CallerGone,
+    DependencyCallEnded,
+    DependencyCallNeeded,
+    Event,
+    KeyRecovered,
+    RequestArrived,
+    RunEnded,
+    ShutdownNotice,
+    StartUnconfirmed,
+    TimerFired,
+)
+from .requests import (
+    Client,
+    Outcome,
+    Request,
+    Stage,
+)
+from .settings import (
+    AdvertisementKind,
+    Cancellation,
+    Dependency,
+    Idempotency,
+    RequestClass,
+    ServerSettings,
+    Tenant,
+)
+
+__all__ = [
+    "Action",
+    "AdvertiseCapacity",
+    "AdvertisementKind",
+    "AttachToOriginal",
+    "CallDependency",
+    "CallerGone",
+    "Cancel",
+    "Cancellation",
+    "Client",
+    "CloseIdle",
+    "Dependency",
+    "DependencyCallEnded",
+    "DependencyCallNeeded",
+    "Event",
+    "Fail",
+    "Idempotency",
+    "KeyRecovered",
+    "Log",
+    "Outcome",
+    "PresumeLost",
+    "Reject",
+    "RejectionReason",
+    "ReleaseKey",
+    "Request",
+    "RequestArrived",
+    "RequestClass",
+    "ReserveKey",
+    "Run",
+    "RunEnded",
+    "ServerSettings",
+    "SetHealth",
+    "SetTimer",
+    "ShutdownNotice",
+    "SkipDependencyCall",
+    "Stage",
+    "StartUnconfirmed",
+    "Tenant",
+    "TimerFired",
+]
