--- a/sablewheel/bench_adapter/host.py
+++ b/sablewheel/bench_adapter/host.py
@@ -158,5 +158,5 @@
         return [
             instance.line(action)
             for instance, events in told.items()
-            for action in instance.controller.decide(now, events)
+            for action in instance.controller.handle_events(now, events)
         ]
--- a/sablewheel/overload/__init__.py
+++ b/sablewheel/overload/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about what is let in and what becomes of it: pure, with clock and chance handed in."""
+"""Overload control: which requests run, wait or are rejected. Free of I/O; the clock is handed in."""
--- /dev/null
+++ b/sablewheel/overload/request_endings.py
@@ -0,0 +1,100 @@
+"""Handlers of the events that end requests: the run ended, the client left, the time is up."""
+
+from __future__ import annotations
+
+from .client_activity import ClientActivity
+from .completion import RequestCompletion
+from .context import DecisionContext
+from .credit_pool import CreditPool
+from .dependency_calls import DependencyCalls
+from .idempotency import IdempotencyKeys
+from .interface import Outcome, RejectionReason, Request, Stage
+from .service_times import ServiceTimes
+from .tenant_quotas import TenantQuotas
+
+
+class RequestEndings:
+    """What is learned from the end of a request, and what is done about it.
+
+    Invariant: holds no state; each handler ignores requests that are finished already.
+    """
+
+    def __init__(
+        self,
+        context: DecisionContext,
+        completion: RequestCompletion,
+        dependency_calls: DependencyCalls,
+        service_times: ServiceTimes,
+        clients: ClientActivity,
+        credit_pool: CreditPool,
+        tenant_quotas: TenantQuotas,
+        keys: IdempotencyKeys,
+    ) -> None:
+        self._context = context
+        self._completion = completion
+        self._dependency_calls = dependency_calls
+        self._service_times = service_times
+        self._clients = clients
+        self._credit_pool = credit_pool
+        self._tenant_quotas = tenant_quotas
+        self._keys = keys
+
+    def run_ended(self, request: Request, took_s: float, outcome: Outcome) -> None:
+        """Learn from a run, or from an attached result, and finish the request."""
+        if request.stage is Stage.FINISHED:
+            return
+        was_run = request.stage is not Stage.COALESCED
+        request.outcome = outcome
+        if outcome is Outcome.SUCCEEDED and was_run:
+            self._service_times.by_class[request.request_class].record_run(request.cost_hint, took_s)
+        if outcome in (Outcome.SUCCEEDED, Outcome.ERROR):
+            self._record_result(request, was_run)
+        elif outcome is Outcome.NEVER_STARTED and was_run:
+            self._undo_start(request)
+        if not request.answered:
+            self._completion.fail(request)  # it was cancelled; nothing needs it to run again
+        self._completion.finish(request)
+
+    def caller_gone(self, request: Request) -> None:
+        """Finish a queued request that nobody waits for, or cancel its run if that wastes no result."""
+        if request.stage is Stage.FINISHED:
+            return
+        if not request.answered:
+            self._clients.record_timeout(request.client, self._context.now - request.arrived_at)
+        self._completion.mark_answered(request)
+        if request.stage in (Stage.QUEUED, Stage.COALESCED):
+            if request.stage is Stage.QUEUED and not request.started:
+                self._keys.release(request)
+            self._completion.finish(request)
+        else:
+            self._completion.cancel(request)
+
+    def time_is_up(self, request: Request) -> None:
+        """Answer a request that has waited too long, whatever it is doing."""
+        if request.answered or request.stage is Stage.FINISHED:
+            return
+        now = self._context.now
+        if request.stage is Stage.QUEUED and not request.started:
+            self._completion.reject(request, RejectionReason.QUEUE_TIMEOUT)
+        elif now >= request.deadline:
+            self._completion.drop_started(request)
+        elif request.stage is Stage.WAITING_TO_CALL and now >= request.stage_since + request.wait_budget_s:
+            self._dependency_calls.skip_or_drop(request)
+
+    def _record_result(self, request: Request, was_run: bool) -> None:
+        if not request.answered:
+            self._service_times.response_s.add(self._context.now - request.read_at)
+            self._clients.record_timeout(request.client, request.request_class.timeout_s)
+        if was_run:
+            self._credit_pool.completed += 1
+        self._completion.mark_answered(request)
+
+    def _undo_start(self, request: Request) -> None:
+        """Take a request that never ran out of the pool, its tenant's starts and the idempotency table.
+
+        Otherwise clients that invent requests would shrink the pool, and the keys they reserve would fail
+        genuine requests.
+        """
+        self._credit_pool.undo_start()
+        self._keys.release(request)
+        self._tenant_quotas.undo_start(request)
--- a/sablewheel/serving/dispatcher.py
+++ b/sablewheel/serving/dispatcher.py
@@ -98,7 +98,7 @@
             server_settings = replace(self._server_settings, starts_cold=cold)
             self._controller = Controller(server_settings, self._seed)
             since = self._clock.now - age
-            self._carry_out(self._controller.decide(since, []), since)
+            self._carry_out(self._controller.handle_events(since, []), since)
             self._born = since
             self.remembered(at_greeting=True)
             self._opened()
@@ -264,7 +264,7 @@
                 exchange.request.remaining_s = max((exchange.until or now) - now, 0.0)
             self._told.clear()
             self.batches += 1
-            self._carry_out(self._controller.decide(now, events), now)
+            self._carry_out(self._controller.handle_events(now, events), now)
 
     def _carry_out(self, actions: list[Action], decided: float) -> None:
         for action in actions:
--- a/tests/simulated_server.py
+++ b/tests/simulated_server.py
@@ -165,7 +165,7 @@
 
     def batch(self, more: list[interface.Event]) -> list[interface.Action]:
         events, self.later = self.later + more, []
-        actions = self.controller.decide(self.now, events)
+        actions = self.controller.handle_events(self.now, events)
         for action in actions:
             self._apply(action)
         self._check()
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -114,7 +114,7 @@
         sender.told, sender.told_at = self.said, self.now
 
     def decide(self, events: list[interface.Event]) -> None:
-        actions = self.controller.decide(self.now, events)
+        actions = self.controller.handle_events(self.now, events)
         for action in actions:
             match action:
                 case interface.AdvertiseCapacity(amount):
@@ -251,7 +251,7 @@
 
     def decide(self, events: list[interface.Event]) -> None:
         ended = [one.request for one in events if isinstance(one, interface.RunEnded)]
-        for action in self.controller.decide(self.now, events):
+        for action in self.controller.handle_events(self.now, events):
             match action:
                 case interface.Run(request):
                     self.left[request] = self.work * self.draws.uniform(0.5, 1.5)
--- a/tests/test_dependency_calls.py
+++ b/tests/test_dependency_calls.py
@@ -54,10 +54,14 @@
     one = town.call(b"lookup")
     town.settle()
     stand_at_call(town, one)
-    assert controller.on_cores == 0
+    assert controller.resources.on_cores == 0
     town.end(one.name, b"interrupted")
     town.settle()
-    assert controller.kb == 0 and not controller.running and town.dispatch.open_count == 0
+    assert (
+        controller.resources.memory_kb == 0
+        and not controller.resources.running
+        and town.dispatch.open_count == 0
+    )
 
 
 def test_a_keyed_run_at_a_call_is_neither_rejected_nor_run_again(town: Town) -> None:
--- a/tests/test_duplicate_races.py
+++ b/tests/test_duplicate_races.py
@@ -252,8 +252,8 @@
     town.settle()
     town.end(first.name)
     town.settle()
-    for row in controller.table.values():
-        row.service.add(100.0)
+    for row in controller.service_times.by_class.values():
+        row.service_s.add(100.0)
     late = town.write(b"record", b"a")
     town.scheduler.clock.now += SERVER_SETTINGS.request_classes[1].timeout_s + 1.0
     town.settle()  # a round that brings other things, or the accepting of its connection
@@ -314,7 +314,7 @@
     kept = town.idempotency_keys._bytes
     town.wait(5.0)
     assert len(town.idempotency_keys._entries) == 1 and town.idempotency_keys._bytes < kept / 10
-    assert controller.kb == pytest.approx(SERVER_SETTINGS.idempotency_key_kb)
+    assert controller.resources.memory_kb == pytest.approx(SERVER_SETTINGS.idempotency_key_kb)
     again = town.call(b"record", b"long")
     town.settle()
     assert words(again) == [b"OK"]
@@ -423,11 +423,11 @@
     town.wait(SERVER_SETTINGS.drain_grace_s + 0.5)
     controller = town.dispatch._controller
     assert controller is not None
-    controller.kb += SERVER_SETTINGS.memory_kb  # no room for anything
+    controller.resources.memory_kb += SERVER_SETTINGS.memory_kb  # no room for anything
     late = [town.call(b"record", idempotency_key) for idempotency_key in (b"a", b"b", b"c")]
     town.settle()
     assert words(*late) == [b"", b"", b"BUSY"]
-    controller.kb -= SERVER_SETTINGS.memory_kb
+    controller.resources.memory_kb -= SERVER_SETTINGS.memory_kb
     town.end(second.name, b"failure")
     town.wait(0.1)
     assert words(*late) == [b"OK", b"FAILED", b"BUSY"]
--- a/tests/test_internal_errors.py
+++ b/tests/test_internal_errors.py
@@ -36,7 +36,7 @@
     controller = town.dispatch._controller
     assert controller is not None
     town.settle()
-    assert controller.on_cores == 0 and not controller.running
+    assert controller.resources.on_cores == 0 and not controller.resources.running
 
 
 def test_a_fault_in_a_decision_still_lets_out_what_was_decided_before() -> None:
@@ -47,15 +47,15 @@
     town.scheduler.run_ready()  # its answer is queued
     controller = town.dispatch._controller
     assert controller is not None
-    real = controller.decide
+    real = controller.handle_events
 
     def fault(*_: object) -> None:
         raise RuntimeError("a fault of ours")
 
-    controller.decide = fault  # type: ignore[method-assign, assignment]
+    controller.handle_events = fault  # type: ignore[method-assign, assignment]
     with pytest.raises(RuntimeError):
         town.dispatch.end_round()
-    controller.decide = real  # type: ignore[method-assign]
+    controller.handle_events = real  # type: ignore[method-assign]
     said = town.answers.feed(town.router.taken())
     assert [words[1] for words in said if words[0] == b"1"] == [b"OK"]
 
--- a/tests/test_service_rules.py
+++ b/tests/test_service_rules.py
@@ -12,7 +12,8 @@
 from simulated_server import CALLING, HELD, JOINED, OVER, RUNNING, STANDING, Fact, World
 
 from sablewheel.overload import interface
-from sablewheel.overload.controller import BUSY_MOST, Controller, Samples
+from sablewheel.overload.controller import Controller
+from sablewheel.overload.core_usage import MAX_BUSY_RATIO
 from sablewheel.overload.interface import (
     AdvertisementKind,
     Cancellation,
@@ -25,6 +26,7 @@
     ServerSettings,
     Tenant,
 )
+from sablewheel.overload.service_times import Samples
 
 PLAIN = ServerSettings(
     request_classes=(
@@ -295,7 +297,7 @@
     """A request comes and is completed at once; the gauges are told."""
     request = Request(PLAIN.request_classes[1], router, None, now, 1.0)
     events: list[interface.Event] = [interface.RequestArrived(request), interface.TimerFired(0.5, open_ones)]
-    return controller.decide(now, events) + controller.decide(
+    return controller.handle_events(now, events) + controller.handle_events(
         now + 0.05, [interface.RunEnded(request, 0.05, Outcome.SUCCEEDED)]
     )
 
@@ -384,7 +386,7 @@
     samples = Samples()
     for value in range(200):
         samples.add(float(value))
-    assert (samples.at(0.0), samples.at(0.99)) == (100.0, 199.0)
+    assert (samples.quantile(0.0), samples.quantile(0.99)) == (100.0, 199.0)
 
 
 def test_a_bad_spell_in_the_samples_leaves_room_in_the_hold() -> None:
@@ -436,7 +438,7 @@
     fact = taken(world, 0)
     world.need(fact)
     actions(world)
-    world.controller.call_times.add(0.3)
+    world.controller.dependency_capacity.durations_s.add(0.3)
     others = [world.arrive(0), world.arrive(0)]
     actions(world)
     assert [one.place for one in others] == ([RUNNING, HELD] if skip else [RUNNING, OVER])
@@ -492,7 +494,7 @@
         return count
 
     sys.settrace(count)
-    world.controller.decide(
+    world.controller.handle_events(
         world.now, [interface.RequestArrived(replace(request, stage=interface.Stage.QUEUED))]
     )
     sys.settrace(None)
@@ -567,7 +569,7 @@
     for _ in range(50):  # of its start, when runs did fill the cores
         world.arrive(0)
         world.batch([interface.TimerFired(1.0, 3.0)])
-    assert burst(0.15) >= 0.7 * BUSY_MOST * cores / 0.15
+    assert burst(0.15) >= 0.7 * MAX_BUSY_RATIO * cores / 0.15
     burst(1.0)
     assert burst(1.0) <= cores + 1
 
@@ -602,7 +604,7 @@
         actions(world)
     world.wait(1.1)
     running = [taken(world, request_class) for request_class in (0, 1)]
-    assert not any(world.controller._lags(row) for row in world.controller.rank)
+    assert not any(map(world.controller.queues.lags, world.controller.queues.ranking))
     long, short = taken(world, 0), taken(world, 1)
     world.finish(running[0], Outcome.SUCCEEDED)
     actions(world)
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from simulated_server import MadeStream, Town, call, frame
 
-from sablewheel.overload.controller import ROUTERS_KNOWN
+from sablewheel.overload.client_activity import MAX_CLIENTS
 from sablewheel.overload.interface import Cancellation, Idempotency, RequestClass, ServerSettings, Tenant
 
 SERVER_SETTINGS = ServerSettings(
@@ -516,8 +516,14 @@
     town.link.feed(b"ERROR APPLY %b\r\n" % made_up.name)
     town.settle()
     assert made_up.answers[0][1] == b"FAILED"
-    assert controller.taken == controller.put == controller.on_cores == 0 and not controller.trips.raw
-    assert not any(controller.tenants.values()) and not town.idempotency_keys._entries
+    assert (
+        controller.credit_pool.started
+        == controller.credit_pool.completed
+        == controller.resources.on_cores
+        == 0
+        and not controller.service_times.response_s.values
+    )
+    assert not any(controller.tenant_quotas.starts.values()) and not town.idempotency_keys._entries
     true = town.call(b"record", b"a")
     town.settle()
     assert true.name in town.interpreter.running
@@ -595,8 +601,8 @@
         tracemalloc.stop()
     controller = town.dispatch._controller
     assert sizes[1] < sizes[0] + 75_000 and controller is not None, sizes
-    assert not any(controller.tenants.values())  # no shares, so no counts
-    assert len(controller.patience) == ROUTERS_KNOWN == 1024
+    assert not any(controller.tenant_quotas.starts.values())  # no shares, so no counts
+    assert len(controller.clients.timeouts) == MAX_CLIENTS == 1024
 
 
 def test_a_link_that_is_open_but_silent_is_made_anew() -> None:
