--- a/sablewheel/command/demo.py
+++ b/sablewheel/command/demo.py
@@ -1,4 +1,4 @@
-"""`sablewheel demo`: a short day on loopback, live, for somebody who has no routers and no interpreter."""
+"""`sablewheel demo`: a short day on loopback, live, for somebody who has no clients and no interpreter."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from ..experiments.demo import BURSTING, Day, Moment, Outcome
 
 ROWS = (
-    ("tickets_in", "tickets read"),
+    ("tickets_in", "requests read"),
     ("tickets_completed", "completed"),
-    ("tickets_denied", "denied"),
-    ("tickets_terminated", "terminated"),
-    ("tickets_gone", "given up by their callers"),
+    ("tickets_denied", "rejected"),
+    ("tickets_terminated", "failed"),
+    ("tickets_gone", "cancelled by their clients"),
     ("open_tickets", "open now"),
-    ("said", "credit said to routers"),
-    ("ledger_entries", "entries in the ledger"),
-    ("ledger_disk_bytes", "ledger on disk, bytes"),
+    ("said", "credit advertised to clients"),
+    ("ledger_entries", "usage entries"),
+    ("ledger_disk_bytes", "usage entries on disk, bytes"),
 )
-TELLS = {
-    "calm": "calm: fewer tickets than the cores can do",
+PHASES = {
+    "calm": "calm: fewer requests than the cores can do",
     "overload": "overload: about half as many again as they can do",
     "burst": f"burst: {BURSTING} sends three times its usual",
 }
@@ -47,13 +47,15 @@
     sablewheel demo --seconds 60 --into my-first-server
     """
     console = Console(soft_wrap=True)
-    console.print("One server, one interpreter, routers and a collector, all on loopback.\n")
+    console.print("One server, one interpreter, clients and a collector, all on loopback.\n")
     with Day(seconds, seed, into) as day:
         with Live(console=console, refresh_per_second=4) as live:
             for moment in day.play():
                 live.update(_table(moment, seconds))
-        console.print("\nThe server is told to leave: it answers what is open, and its ledger is exported.")
-        _tell(console, day.finish())
+        console.print(
+            "\nThe server is told to leave: it answers what is open, and its usage entries are exported."
+        )
+        _print_summary(console, day.finish())
     console.print(
         f"\nThe configuration of this server is in {into}/: n1.json and features.yaml. Start from it with"
     )
@@ -61,7 +63,7 @@
 
 
 def _table(moment: Moment, seconds: float) -> Table:
-    table = Table(title=f"{moment.at:4.1f} of {seconds:g} s, {TELLS[moment.phase]}")
+    table = Table(title=f"{moment.at:4.1f} of {seconds:g} s, {PHASES[moment.phase]}")
     table.add_column("the server's counters", width=32)
     table.add_column("", justify="right", width=14)
     for key, name in ROWS:
@@ -69,10 +71,10 @@
     return table
 
 
-def _tell(console: Console, found: Outcome) -> None:
+def _print_summary(console: Console, found: Outcome) -> None:
     words = ("completed", "denied", "terminated", "withdrawn", "lost")
-    for title, rows in (("by phase", found.by_phase), ("by customer", found.by_tenant)):
-        table = Table(title=f"What routers were answered, {title}")
+    for title, rows in (("by phase", found.by_phase), ("by tenant", found.by_tenant)):
+        table = Table(title=f"What clients were answered, {title}")
         table.add_column("")
         for word in words:
             table.add_column(word, justify="right")
@@ -80,11 +82,11 @@
             table.add_row(name, *(str(counts[word]) for word in words))
         console.print(table)
     console.print(
-        "Why tickets were denied: the wait in front of the cores would have left too little of their"
+        "Why requests were rejected: the wait in front of the cores would have left too little of their"
     )
     console.print(
-        f"time. {found.rejected_within} were within their customer's share, {found.rejected_beyond} beyond."
+        f"time. {found.rejected_within} were within their tenant's quota, {found.rejected_beyond} beyond."
     )
-    console.print("Denied ones were answered at once, with when to come back.")
+    console.print("Rejected ones were answered at once, with when to come back.")
     order = "in order" if found.verified else "NOT in order"
-    console.print(f"The ledger bills {found.billed} runs; its book was verified and is {order}.")
+    console.print(f"Usage metering bills {found.billed} runs; the journal was verified and is {order}.")
--- a/sablewheel/command/ledger.py
+++ b/sablewheel/command/ledger.py
@@ -43,8 +43,8 @@
 
     \b
     sablewheel ledger collect --features deploy/sablewheel.yaml
-    sablewheel ledger statement --journal journal.sqlite --period 2026-12-01
-    sablewheel ledger reconcile --journal journal.sqlite /var/lib/sablewheel/n1 /var/lib/sablewheel/n2
+    sablewheel ledger statement --book book.sqlite --period 2026-12-01
+    sablewheel ledger reconcile --book book.sqlite /var/lib/sablewheel/n1 /var/lib/sablewheel/n2
     """
 
 
@@ -79,8 +79,8 @@
     """What customers used in a period; the same for ever once it is closed.
 
     \b
-    sablewheel ledger statement --journal journal.sqlite --period 2026-12-01 --customer regina-intl
-    sablewheel ledger statement --journal journal.sqlite --period 2026-12 --format csv > december.csv
+    sablewheel ledger statement --book book.sqlite --period 2026-12-01 --customer regina-intl
+    sablewheel ledger statement --book book.sqlite --period 2026-12 --format csv > december.csv
     """
     found = reports.statements(Journal(book_path, read_only=True), period, customer)
     forms = {"text": statement.as_text, "csv": statement.as_csv, "json": statement.as_json}
@@ -110,7 +110,7 @@
     """Add a correction to the open period. What it refers to stays as it is.
 
     \b
-    sablewheel ledger correct --journal journal.sqlite --customer regina-intl --track record \\
+    sablewheel ledger correct --book book.sqlite --customer regina-intl --track record \\
         --target n1/0192a7c3b1e2f00d/4711 --tickets -1 --reason "ran twice by hand, ticket 17"
     """
     if abs(run_s) > 1e9:
@@ -130,7 +130,7 @@
     """Check every line, seal and block of a journal; each fault with its place. Exit 1 if there is any.
 
     \b
-    sablewheel ledger verify --journal journal.sqlite --against 5f0c...
+    sablewheel ledger verify --book book.sqlite --against 5f0c...
     """
     journal = Journal(book_path, read_only=True)
     faults = 0
@@ -157,7 +157,7 @@
     """Lines one by one, as JSON.
 
     \b
-    sablewheel ledger show --journal journal.sqlite --customer regina-intl --period 2026-12-01 --most 20
+    sablewheel ledger show --book book.sqlite --customer regina-intl --period 2026-12-01 --most 20
     """
     for row in reports.entries(Journal(book_path, read_only=True), customer, period, most):
         print_json(row)
@@ -169,11 +169,12 @@
 @click.option("--json", "as_json", is_flag=True, help="One line of JSON.")
 @print_known_errors
 def reconcile(book_path: Path, folders: tuple[Path, ...], as_json: bool) -> None:
-    """Servers' own ledger folders against the journal: gaps, doubles, changed entries. Exit 1 if there is
-    any.
+    """Compare servers' own folders with the journal: gaps, doubles, changed entries.
+
+    Exit 1 if there is any.
 
     \b
-    sablewheel ledger reconcile --journal journal.sqlite /var/lib/sablewheel/n1 /var/lib/sablewheel/n2
+    sablewheel ledger reconcile --book book.sqlite /var/lib/sablewheel/n1 /var/lib/sablewheel/n2
     """
     from ..usage_metering.auditing import reconcile_folders
 
--- a/sablewheel/command/main.py
+++ b/sablewheel/command/main.py
@@ -27,9 +27,11 @@
     """Imports a group only when it is called, so that `serve` starts as fast as without the others."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
+        """Return the names of all commands."""
         return sorted({*super().list_commands(ctx), *GROUPS})
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
+        """Return a command, importing its module; None if there is none."""
         if cmd_name in GROUPS:
             module = importlib.import_module(f".{GROUPS[cmd_name][0]}", __package__)
             command = getattr(module, GROUPS[cmd_name][0])
