--- a/sablewheel/experiments/ledger_size.py
+++ b/sablewheel/experiments/ledger_size.py
@@ -115,7 +115,7 @@
             group = []
     if group:
         records.commit(group)
-    return records.last == -(-entries // BLOCK)
+    return records.last_number == -(-entries // BLOCK)
 
 
 def sqlite(folder: Path, entries: int) -> bool:
--- a/sablewheel/experiments/recall_cost.py
+++ b/sablewheel/experiments/recall_cost.py
@@ -90,7 +90,7 @@
     log = Log(DiskFiles(folder), KIND, b"12345678", 1 << 40, 40 * live)  # some nine segments a window
     group = 100
     for turn in range(windows, -1, -1):
-        released = log.last
+        released = log.last_number
         until = now.unix + 0.5 * window - turn * window
         for first in range(0, live, group):
             record = pb.Record(moment=moment(now))
--- a/sablewheel/result_store/codec.py
+++ b/sablewheel/result_store/codec.py
@@ -70,7 +70,7 @@
         loaded = Loaded(Memory(1 << 40, 1 << 50), longest)
         log.recover(lambda number, payload, _: loaded.take(number, pb.Record.FromString(payload)))
         loaded.finish(now)
-        before, last = log.bytes, log.last
+        before, last = log.size_bytes, log.last_number
         entries = sorted(loaded.memory.entries.values(), key=lambda one: one.until)
         for first in range(0, max(len(entries), 1), GROUP):
             some = entries[first : first + GROUP]
@@ -81,6 +81,6 @@
                 record.outcomes.append(pb.Outcome(how=pb.FAILED, notice=loaded.notice))
             log.commit([record.SerializeToString()])
         log.release_through(last)
-        return before, log.bytes, len(entries)
+        return before, log.size_bytes, len(entries)
     finally:
         files.close()
--- a/sablewheel/result_store/recorder.py
+++ b/sablewheel/result_store/recorder.py
@@ -21,8 +21,8 @@
 from ..serving.idempotency_keys import IdempotencyTable
 from ..storage import log as durable
 from ..storage.files import DiskFiles
-from ..storage.health import Disk
-from ..storage.store import Store
+from ..storage.group_commit import GroupCommitLog
+from ..storage.health import DiskState
 from ..transport.background import Background
 from ..transport.clock import Clock
 from ..transport.scheduler import Scheduler
@@ -97,7 +97,7 @@
         self.started = scheduler.clock.now
         self._memory = Memory(plan.entries_most, plan.bytes_most)
         self._carrier = Carrier(plan.segment_bytes)
-        self._store: Store | None = None
+        self._store: GroupCommitLog | None = None
         self._log: durable.Log | None = None
         self._intents: list[Entry] = []
         self._outcomes: list[pb.Outcome] = []
@@ -133,12 +133,12 @@
         records = durable.Log(DiskFiles(folder), KIND, incarnation, plan.disk_bytes_most, plan.segment_bytes)
         loaded = Loaded(self._memory, self._longest)
 
-        def job() -> durable.Recovery:
+        def job() -> durable.RecoveryReport:
             return records.recover(
                 lambda number, payload, _: loaded.take(number, pb.Record.FromString(payload))
             )
 
-        def done(found: durable.Recovery | None, trouble: BaseException | None) -> None:
+        def done(found: durable.RecoveryReport | None, trouble: BaseException | None) -> None:
             damage = found.damage if found is not None else [f"{trouble}"]
             if damage and plan.unreadable is Unreadable.REFUSE:
                 return self._fail(f"recall: {folder}: {damage[0]}")
@@ -146,11 +146,13 @@
             for one in damage[:20]:
                 self._count("recall_damage")
                 log.error("recall damaged", extra={"pairs": {"where": one}})
-            self._loaded(records, loaded, found or durable.Recovery(), time.perf_counter() - begun)
+            self._loaded(records, loaded, found or durable.RecoveryReport(), time.perf_counter() - begun)
 
         self._bridge.submit(job, done)
 
-    def _loaded(self, records: durable.Log, loaded: Loaded, found: durable.Recovery, took: float) -> None:
+    def _loaded(
+        self, records: durable.Log, loaded: Loaded, found: durable.RecoveryReport, took: float
+    ) -> None:
         assert self._bridge is not None
         loaded.finish(self._read_moment())
         self._written = loaded.written
@@ -159,7 +161,7 @@
             size = ENTRY_ON_DISK + len(self._memory.entries[idempotency_key].result)
             self._carrier.wrote(idempotency_key, loaded.numbers[idempotency_key], size)
         self._log = records
-        self._store = Store(
+        self._store = GroupCommitLog(
             self._scheduler, self._bridge, records, SLOW_AFTER, self._fenced, self._disk_changed
         )
         pairs = {
@@ -255,7 +257,7 @@
         now, request = self._scheduler.clock.now, exchange.request
         self._expire(now)
         request.extra_wait_s = self._commit_wait(now)
-        if self._store.disk in (Disk.FULL, Disk.FAILING):
+        if self._store.disk_state in (DiskState.FULL, DiskState.FAILING):
             request.key_capacity_in_s = 1.0
         else:
             request.key_capacity_in_s = self._memory.room_in(now, self._prepared)
@@ -314,7 +316,7 @@
     def before_run(self, exchange: Exchange, run: Run) -> None:
         """Send the run when its intent is durable; at once if that is so, or if it needs none."""
         entry = self._entry(exchange)
-        if entry is None or self._store is None or 0 < entry.record <= self._store.fence:
+        if entry is None or self._store is None or 0 < entry.record <= self._store.durable_through:
             return run(exchange)
         waiting = self._waiting
         for number, _, runs in self._marks:
@@ -358,7 +360,7 @@
         )
         if self._store is None or not keyed or self._durable_mark >= self._mark:
             return self._inner.completed(exchange, result, caller)
-        if self._store.disk in (Disk.FULL, Disk.FAILING):
+        if self._store.disk_state in (DiskState.FULL, DiskState.FAILING):
             self._count("recall_answers_ahead")
             return self._inner.completed(exchange, result, caller)
         self._holding.hold(self._mark, exchange, result, caller)
@@ -391,7 +393,7 @@
                 self._scheduler.after(self._commit_at + self._plan.commit_every - now, lambda: None)
         store.flush()
 
-    def _write(self, store: Store, now: float) -> None:
+    def _write(self, store: GroupCommitLog, now: float) -> None:
         record = pb.Record(moment=self._moment(), anew=self._anew)
         self._anew = False
         record.intents.extend(written.intent(entry) for entry in self._intents)
@@ -437,9 +439,9 @@
         else:
             one.run(exchange)
 
-    def _disk_changed(self, disk: Disk) -> None:
+    def _disk_changed(self, disk: DiskState) -> None:
         self._count(f"recall_disk_{disk.value}")
-        if disk in (Disk.FULL, Disk.FAILING):
+        if disk in (DiskState.FULL, DiskState.FAILING):
             self._holding.let_all_go()
 
     # -- ageing
@@ -453,8 +455,8 @@
         if self.ready:
             self._expire(now)
         if self._store is not None and self._log is not None:
-            self._store.release_through(self._carrier.oldest(self._store.fence) - 1)
-            if self._carrier.look(self._store.size, self._store.last):
+            self._store.release_through(self._carrier.oldest(self._store.durable_through) - 1)
+            if self._carrier.look(self._store.size_bytes, self._store.last_number):
                 self._background.want(self._carry)
         self._scheduler.after(SWEEP, self._sweep)
 
@@ -463,7 +465,9 @@
         store = self._store
         if store is None or not store.idle or self._intents or self._outcomes:
             return False  # the sweep asks again
-        idempotency_keys = [one for one in self._carrier.step(store.size) if one in self._memory.entries]
+        idempotency_keys = [
+            one for one in self._carrier.step(store.size_bytes) if one in self._memory.entries
+        ]
         if not idempotency_keys:
             return False
         record = pb.Record(moment=self._moment(), snapshot=True)
@@ -495,7 +499,7 @@
     def settled(self) -> bool:
         if self._store is None:
             return True
-        return not self._intents and not self._outcomes and not self._holding and self._store.settled
+        return not self._intents and not self._outcomes and not self._holding and self._store.all_durable
 
     def close(self) -> None:
         """The last instant: what is pending is written, answers that wait leave."""
@@ -514,5 +518,5 @@
             "recall_held": len(self._holding),
         }
         if self._store is not None:
-            told |= {"recall_disk": self._store.disk.value, "recall_disk_bytes": self._store.size}
+            told |= {"recall_disk": self._store.disk_state.value, "recall_disk_bytes": self._store.size_bytes}
         return told
--- a/sablewheel/storage/__init__.py
+++ b/sablewheel/storage/__init__.py
@@ -1,3 +1,1 @@
-"""What is durable: records in segments, group commit on a worker thread, recovery, and disk faults by
-name.
-"""
+"""The durable log: records in segments, recovery, group commit on a worker thread, and the disk's state."""
--- a/sablewheel/storage/files.py
+++ b/sablewheel/storage/files.py
@@ -1,4 +1,4 @@
-"""The few file operations that a log needs, behind a protocol: the disk itself, or a made one in tests."""
+"""The file operations that a log needs, behind a protocol that tests implement in memory."""
 
 from __future__ import annotations
 
@@ -9,30 +9,46 @@
 from typing import Protocol
 
 
-class Files(Protocol):
-    """One folder. Every method may raise OSError; `append` may have written a part of its data then."""
+class SegmentFiles(Protocol):
+    """The segment files of one folder.
+
+    Every method may raise `OSError`; `append` may have written a part of its data by then.
+    """
+
+    def names(self) -> list[str]:
+        """The names of all segment files, sorted."""
+
+    def size(self, name: str) -> int:
+        """The size of a file in bytes."""
+
+    def read(self, name: str, offset: int, max_bytes: int) -> bytes:
+        """At most `max_bytes` bytes of a file from an offset on."""
 
-    def names(self) -> list[str]: ...
-    def size(self, name: str) -> int: ...
-    def read(self, name: str, offset: int, most: int) -> bytes: ...
     def create(self, name: str) -> None:
-        """An empty file that outlives a power failure once this returns."""
+        """Create an empty file, which survives a power failure once this returns."""
+
+    def append(self, name: str, data: bytes) -> None:
+        """Write at the end of a file; durable only after `sync`."""
 
-    def append(self, name: str, data: bytes) -> None: ...
     def sync(self, name: str) -> None:
-        """What was appended outlives a power failure once this returns."""
+        """Make durable what was appended: it survives a power failure once this returns."""
+
+    def truncate(self, name: str, size: int) -> None:
+        """Cut a file to a size in bytes."""
 
-    def truncate(self, name: str, size: int) -> None: ...
-    def remove(self, name: str) -> None: ...
-    def close(self) -> None: ...
+    def remove(self, name: str) -> None:
+        """Delete a file."""
+
+    def close(self) -> None:
+        """Release the folder."""
 
 
 class InUseError(OSError):
-    """Another process has the folder."""
+    """Another process has locked the folder."""
 
 
 class DiskFiles:
-    """The disk. Holds a lock on the folder, so that two servers of one name can't share it."""
+    """Segment files on disk. Holds a lock on the folder, so that two servers can't share it."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
@@ -43,22 +59,27 @@
         except OSError:
             os.close(self._lock)
             raise InUseError(f"{folder} is in use by another process") from None
-        self._open: tuple[str, int] | None = None  # the file appended to last
+        self._open_file: tuple[str, int] | None = None  # name and descriptor of the file last appended to
 
     def names(self) -> list[str]:
-        return sorted(one.name for one in self._folder.iterdir() if one.suffix == ".seg")
+        """The names of all segment files, sorted."""
+        return sorted(path.name for path in self._folder.iterdir() if path.suffix == ".seg")
 
     def size(self, name: str) -> int:
+        """The size of a file in bytes."""
         return (self._folder / name).stat().st_size
 
-    def read(self, name: str, offset: int, most: int) -> bytes:
-        with open(self._folder / name, "rb") as file:
+    def read(self, name: str, offset: int, max_bytes: int) -> bytes:
+        """At most `max_bytes` bytes of a file from an offset on."""
+        with (self._folder / name).open("rb") as file:
             file.seek(offset)
-            return file.read(most)
+            return file.read(max_bytes)
 
     def create(self, name: str) -> None:
-        self._close_open()
-        self._open = (name, os.open(self._folder / name, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC))
+        """Create an empty file and sync the folder's entry of it."""
+        self._close_open_file()
+        flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC
+        self._open_file = (name, os.open(self._folder / name, flags))
         folder = os.open(self._folder, os.O_RDONLY)
         try:
             os.fsync(folder)
@@ -66,33 +87,38 @@
             os.close(folder)
 
     def append(self, name: str, data: bytes) -> None:
-        descriptor, left = self._descriptor(name), memoryview(data)
-        while left:
-            left = left[os.write(descriptor, left) :]  # a short write goes on, or fails with its reason
+        """Write all of `data`; a short write is continued, or fails with its reason."""
+        descriptor, remaining = self._descriptor(name), memoryview(data)
+        while remaining:
+            remaining = remaining[os.write(descriptor, remaining) :]
 
     def sync(self, name: str) -> None:
+        """Make durable what was appended."""
         os.fdatasync(self._descriptor(name))
 
     def truncate(self, name: str, size: int) -> None:
+        """Cut a file to a size in bytes."""
         os.truncate(self._folder / name, size)
 
     def remove(self, name: str) -> None:
+        """Delete a file; one that does not exist is no error."""
         (self._folder / name).unlink(missing_ok=True)
 
     def close(self) -> None:
-        self._close_open()
+        """Close the open file and release the lock."""
+        self._close_open_file()
         os.close(self._lock)
 
     def _descriptor(self, name: str) -> int:
-        if self._open is None or self._open[0] != name:
-            self._close_open()
+        if self._open_file is None or self._open_file[0] != name:
+            self._close_open_file()
             path = self._folder / name
-            self._open = (name, os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC))
-        return self._open[1]
+            self._open_file = (name, os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC))
+        return self._open_file[1]
 
-    def _close_open(self) -> None:
-        held, self._open = self._open, None
-        if held is not None:
-            # The descriptor is free whatever close(2) says, and what counts as durable was synced.
+    def _close_open_file(self) -> None:
+        open_file, self._open_file = self._open_file, None
+        if open_file is not None:
+            # Linux frees the descriptor even where close(2) fails, and all that counts as durable was synced.
             with contextlib.suppress(OSError):
-                os.close(held[1])
+                os.close(open_file[1])
--- /dev/null
+++ b/sablewheel/storage/group_commit.py
@@ -0,0 +1,163 @@
+"""Group commit: records are gathered while a commit is in flight, and go out together with the next one.
+
+It runs in the event loop; the log itself runs on a worker thread.
+"""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+from typing import Any
+
+from ..transport.scheduler import Scheduler
+from ..transport.worker_thread import Bridge
+from .health import DiskHealth, DiskState
+from .log import CommitError, Log, LogPosition
+
+MAX_PENDING_BYTES = 1 << 20  # gathered and not yet durable
+
+log = logging.getLogger(__name__)
+
+OnRead = Callable[[list[tuple[bytes, LogPosition]], LogPosition], None]
+
+
+class GroupCommitLog:
+    """A log whose appends return at once and become durable in groups.
+
+    Invariant: all records up to `durable_through` are durable; those after it, up to `last_number`, are in
+    flight or pending, in this order.
+
+    Args:
+        scheduler: The event loop.
+        bridge: Runs jobs on the worker thread, in order.
+        records: The log, recovered.
+        slow_after_s: A commit that takes longer makes the disk count as slow.
+        on_durable: Called with `durable_through` each time it moves.
+        on_disk_state: Called when the disk's state changes.
+    """
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        bridge: Bridge,
+        records: Log,
+        slow_after_s: float,
+        on_durable: Callable[[int], None],
+        on_disk_state: Callable[[DiskState], None],
+    ) -> None:
+        self._scheduler, self._bridge, self._log = scheduler, bridge, records
+        self._on_durable, self._on_disk_state = on_durable, on_disk_state
+        self._health = DiskHealth(slow_after_s)
+        self._disk_state = DiskState.WORKING
+        self._pending: list[bytes] = []
+        self._in_flight: list[bytes] = []
+        self._undurable_bytes = 0
+        self.durable_through = self.last_number = records.last_number
+        self._released_through = 0
+
+    @property
+    def idle(self) -> bool:
+        """Whether what is appended now would be committed at once."""
+        return self.all_durable and self._health.may_commit(self._scheduler.clock.now)
+
+    @property
+    def all_durable(self) -> bool:
+        """Whether nothing is pending or in flight."""
+        return not self._in_flight and not self._pending
+
+    @property
+    def disk_state(self) -> DiskState:
+        """The state of the disk as last reported."""
+        return self._disk_state
+
+    @property
+    def first_segment(self) -> int:
+        """The first segment that is not released, as positions count them."""
+        return self._log.first_segment
+
+    @property
+    def size_bytes(self) -> int:
+        """Bytes on disk."""
+        return self._log.size_bytes
+
+    def append(self, payload: bytes) -> int | None:
+        """Gather a record for the next commit.
+
+        Returns:
+            Its number, durable once `durable_through` reaches it; None if too much is pending.
+        """
+        if self._undurable_bytes + len(payload) > MAX_PENDING_BYTES and self._undurable_bytes:
+            return None
+        self._pending.append(payload)
+        self._undurable_bytes += len(payload)
+        self.last_number += 1
+        return self.last_number
+
+    def flush(self) -> None:
+        """At the end of an event-loop round: start a commit of what is pending, if none is in flight."""
+        now = self._scheduler.clock.now
+        self._report_state(self._health.check(now))
+        if not self._health.may_commit(now) or self.all_durable:
+            return
+        if not self._in_flight:
+            self._in_flight, self._pending = self._pending, []
+        batch = self._in_flight
+        if self._bridge.submit(lambda: self._log.commit(batch), self._on_committed):
+            self._health.commit_started(now)
+
+    def read(self, position: LogPosition, max_bytes: int, on_read: OnRead) -> bool:
+        """Read durable records from a position on, on the worker thread.
+
+        Returns:
+            Whether reading has begun; `on_read` is called only then, with no records if reading failed.
+        """
+
+        def done(result: Any, error: BaseException | None) -> None:
+            if error is not None:
+                log.error("reading the log failed", extra={"pairs": {"reason": error}})
+            on_read(*(result if error is None else ([], position)))
+
+        return self._bridge.submit(lambda: self._log.read(position, max_bytes), done)
+
+    def release(self, position: LogPosition, keep_bytes: int) -> None:
+        """Delete segments wholly before a position while more than `keep_bytes` remain."""
+        self._bridge.submit(lambda: self._log.release(position, keep_bytes), _log_release_error)
+
+    def release_through(self, number: int) -> None:
+        """Delete segments whose records all have numbers up to this one."""
+        if number > self._released_through and self._bridge.submit(
+            lambda: self._log.release_through(number), _log_release_error
+        ):
+            self._released_through = number
+
+    def close(self) -> None:
+        """Close the log on the worker thread, after all jobs submitted before."""
+        self._bridge.submit(self._log.close, lambda _, __: None)
+
+    def _on_committed(self, last_number: Any, error: BaseException | None) -> None:
+        now = self._scheduler.clock.now
+        if error is None:
+            self._health.commit_succeeded()
+            self._undurable_bytes -= sum(map(len, self._in_flight))
+            self._in_flight = []
+            self.durable_through = last_number
+        else:
+            self._health.commit_failed(now, isinstance(error, CommitError) and error.is_disk_full)
+            if self._disk_state in (DiskState.WORKING, DiskState.SLOW):
+                log.error("log commit failed", extra={"pairs": {"reason": error}})
+            self._scheduler.after(self._health.retry_at - now, lambda: None)  # a round in which to retry
+        self._report_state(self._health.state)
+        if error is None:
+            self._on_durable(self.durable_through)
+
+    def _report_state(self, state: DiskState) -> None:
+        if state is not self._disk_state:
+            pairs = {"was": self._disk_state.value, "now": state.value}
+            log.warning("disk state changed", extra={"pairs": pairs})
+            self._disk_state = state
+            self._on_disk_state(state)
+
+
+def _log_release_error(_: Any, error: BaseException | None) -> None:
+    if error is not None:
+        log.error("releasing log segments failed", extra={"pairs": {"reason": error}})
--- a/sablewheel/storage/health.py
+++ b/sablewheel/storage/health.py
@@ -1,53 +1,57 @@
-"""What a disk is, by what became of its commits: states with names, and when to try again. Pure."""
+"""The state of a disk, derived from the results of its commits, and the backoff between attempts. Pure."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import Enum
 
-FIRST_REST, LAST_REST = 0.05, 2.0  # between tries after a fault, doubling
+INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.05, 2.0  # between attempts after a fault; it doubles each time
 
 
-class Disk(Enum):
-    """WORKING: commits pass. SLOW: one takes long. FULL, FAILING: the last was refused, it is tried again."""
+class DiskState(Enum):
+    """The state of a disk. After a failed commit (FULL, FAILING) the same records are tried again."""
 
     WORKING = "working"
-    SLOW = "slow"
+    SLOW = "slow"  # a commit takes longer than the threshold
     FULL = "full"
     FAILING = "failing"
 
 
 @dataclass
 class DiskHealth:
-    """Takes what happened, tells the state; `retry_at` is when the next commit may go. Times in seconds."""
+    """Tracks the results of commits, one at a time, and when the next may start. Times are in seconds."""
 
-    slow_after: float
-    state: Disk = Disk.WORKING
+    slow_after_s: float
+    state: DiskState = DiskState.WORKING
     retry_at: float = 0.0
-    since: float = 0.0  # when the commit under way was given; 0: none is
-    rest: float = FIRST_REST
+    commit_started_at: float = 0.0  # 0: no commit is in flight
+    backoff_s: float = INITIAL_BACKOFF_S
     faults: int = 0
 
-    def given(self, now: float) -> None:
-        self.since = now
+    def commit_started(self, now: float) -> None:
+        """Record that a commit was handed to the disk."""
+        self.commit_started_at = now
 
-    def passed(self) -> None:
-        self.since, self.rest = 0.0, FIRST_REST
-        self.state = Disk.WORKING
+    def commit_succeeded(self) -> None:
+        """Record that the commit in flight is durable."""
+        self.commit_started_at, self.backoff_s = 0.0, INITIAL_BACKOFF_S
+        self.state = DiskState.WORKING
 
-    def refused(self, now: float, full: bool) -> None:
-        """The same records go again after a rest; a full disk may get room, a failing one may come back."""
-        self.since = 0.0
+    def commit_failed(self, now: float, is_disk_full: bool) -> None:
+        """Record that the commit in flight failed; the same records may be tried again after the backoff."""
+        self.commit_started_at = 0.0
         self.faults += 1
-        self.state = Disk.FULL if full else Disk.FAILING
-        self.retry_at = now + self.rest
-        self.rest = min(2 * self.rest, LAST_REST)
-
-    def look(self, now: float) -> Disk:
-        """The state as of now: a commit that is long under way makes a working disk a slow one."""
-        if self.since and now - self.since > self.slow_after and self.state is Disk.WORKING:
-            self.state = Disk.SLOW
+        self.state = DiskState.FULL if is_disk_full else DiskState.FAILING
+        self.retry_at = now + self.backoff_s
+        self.backoff_s = min(2 * self.backoff_s, MAX_BACKOFF_S)
+
+    def check(self, now: float) -> DiskState:
+        """The state as of now: a commit in flight for too long makes a working disk a slow one."""
+        took_s = now - self.commit_started_at if self.commit_started_at else 0.0
+        if took_s > self.slow_after_s and self.state is DiskState.WORKING:
+            self.state = DiskState.SLOW
         return self.state
 
     def may_commit(self, now: float) -> bool:
-        return not self.since and now >= self.retry_at
+        """Whether a commit may start: none is in flight, and the backoff after a fault has passed."""
+        return not self.commit_started_at and now >= self.retry_at
--- a/sablewheel/storage/records.py
+++ b/sablewheel/storage/records.py
@@ -1,8 +1,8 @@
 """The bytes of a segment: a header, then numbered records, each with its length and checksum.
 
-Pure: bytes in, records and findings out. The format is told in docs/state-format.md. A record ends where its
-length says and counts only if its checksum is right and its number follows; what does not is skipped up to
-the next record that can be told by its number, and the finding says where and how much.
+Pure; the format is described in docs/state-format.md. A record ends where its length says, and counts only if
+its checksum is right and its number is above that of the record before it. Bytes that are no record are
+skipped up to the next valid record, which is found by its number, and reported as damage.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 HEADER = struct.Struct(">5sB8s8sQ")  # magic, version, kind, the writer's incarnation, first record's number
 HEADER_SIZE = HEADER.size + 4
 RECORD = struct.Struct(">IIQ")  # payload's length, checksum of number and payload, number
-PAYLOAD_MOST = 1 << 24
-LOOK_AHEAD = 256  # numbers that are looked for behind a damaged record
+MAX_PAYLOAD_BYTES = 1 << 24
+MAX_NUMBERS_SEARCHED = 256  # numbers that are searched for behind a damaged record
 
 
 class SegmentError(ValueError):
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class Header:
-    """Who wrote a segment: `kind` names the log, `first` is the number of its first record."""
+    """A segment's header: `kind` names the log, `first` is the number of its first record."""
 
     kind: bytes
     incarnation: bytes
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class Record:
-    """A whole record; `offset` is where it begins in its segment, `end` where it ends."""
+    """A valid record, with the offsets of its begin and end in its segment."""
 
     number: int
     payload: bytes
@@ -46,22 +46,26 @@
 
 @dataclass(frozen=True)
 class Damage:
-    """Bytes between two places of a segment that are no record; `torn`: nothing whole comes after them."""
+    """A range of bytes that holds no valid record; `torn`: no valid record comes after it."""
 
     offset: int
     end: int
     torn: bool
 
 
-def header(told: Header) -> bytes:
-    data = HEADER.pack(
-        MAGIC, VERSION, told.kind.ljust(8, b"\0"), told.incarnation.ljust(8, b"\0"), told.first
-    )
+def encode_header(header: Header) -> bytes:
+    """The bytes of a segment's header."""
+    kind, incarnation = header.kind.ljust(8, b"\0"), header.incarnation.ljust(8, b"\0")
+    data = HEADER.pack(MAGIC, VERSION, kind, incarnation, header.first)
     return data + crc32(data).to_bytes(4, "big")
 
 
-def read_header(data: bytes) -> Header:
-    """Raises `SegmentError` that says what is wrong with it."""
+def decode_header(data: bytes) -> Header:
+    """The header of a segment.
+
+    Raises:
+        SegmentError: The data is too short, damaged, of another version or no segment.
+    """
     if len(data) < HEADER_SIZE:
         raise SegmentError(f"a header of {len(data)} bytes, {HEADER_SIZE} wanted")
     magic, version, kind, incarnation, first = HEADER.unpack_from(data)
@@ -74,53 +78,57 @@
     return Header(kind.rstrip(b"\0"), incarnation, first)
 
 
-def record(number: int, payload: bytes) -> bytes:
-    numbered = number.to_bytes(8, "big")
-    return RECORD.pack(len(payload), crc32(payload, crc32(numbered)), number) + payload
+def encode_record(number: int, payload: bytes) -> bytes:
+    """The bytes of one record."""
+    number_bytes = number.to_bytes(8, "big")
+    return RECORD.pack(len(payload), crc32(payload, crc32(number_bytes)), number) + payload
 
 
-def read_one(data: bytes, at: int, last: int) -> Record | None:
-    """The whole record at a place, if there is one there whose number is above `last`."""
-    if len(data) - at < RECORD.size:
+def decode_record(data: bytes, offset: int, last_number: int) -> Record | None:
+    """The valid record at an offset, or None if there is none whose number is above `last_number`."""
+    if len(data) - offset < RECORD.size:
         return None
-    size, checksum, number = RECORD.unpack_from(data, at)
-    start, end = at + RECORD.size, at + RECORD.size + size
-    if not size or size > PAYLOAD_MOST or end > len(data) or number <= last:
+    size, checksum, number = RECORD.unpack_from(data, offset)
+    start, end = offset + RECORD.size, offset + RECORD.size + size
+    if not size or size > MAX_PAYLOAD_BYTES or end > len(data) or number <= last_number:
         return None
     payload = data[start:end]
-    if crc32(payload, crc32(data[at + 8 : start])) != checksum:
+    if crc32(payload, crc32(data[offset + 8 : start])) != checksum:
         return None
-    return Record(number, payload, at, end)
+    return Record(number, payload, offset, end)
 
 
 def scan(data: bytes, first: int) -> Iterator[Record | Damage]:
-    """All records of a segment's bytes in order, and what lies between them that is none.
+    """All records of a segment's bytes in order, and the damage between them.
+
+    Numbers may be skipped: only the reader of the whole log knows whether records are missing.
 
-    `first` is the lowest number that may come. A number that skips some is no damage here: whoever reads the
-    log knows whether numbers may be missing.
+    Args:
+        data: The bytes of the segment from its header on.
+        first: The lowest number that a record may have.
     """
-    at, last = HEADER_SIZE, first - 1
-    while at < len(data):
-        found = read_one(data, at, last)
-        if found is None:
-            found = _next_whole(data, at + 1, last)
-            yield Damage(at, found.offset if found else len(data), torn=found is None)
-            if found is None:
+    offset, last_number = HEADER_SIZE, first - 1
+    while offset < len(data):
+        record = decode_record(data, offset, last_number)
+        if record is None:
+            record = find_next_record(data, offset + 1, last_number)
+            yield Damage(offset, record.offset if record else len(data), torn=record is None)
+            if record is None:
                 return
-        yield found
-        at, last = found.end, found.number
-
-
-def _next_whole(data: bytes, at: int, last: int) -> Record | None:
-    """The first whole record from a place on, told by the numbers that may come next."""
-    best: Record | None = None
-    for number in range(last + 1, last + 1 + LOOK_AHEAD):
-        place, mark = at + 8, number.to_bytes(8, "big")
-        limit = best.offset + 8 if best else len(data)
-        while 0 <= (place := data.find(mark, place)) < limit:
-            found = read_one(data, place - 8, last)
-            if found is not None and found.number == number:
-                best = found
+        yield record
+        offset, last_number = record.end, record.number
+
+
+def find_next_record(data: bytes, offset: int, last_number: int) -> Record | None:
+    """The first valid record at or behind an offset, found by the numbers that may follow `last_number`."""
+    first_found: Record | None = None
+    for number in range(last_number + 1, last_number + 1 + MAX_NUMBERS_SEARCHED):
+        position, number_bytes = offset + 8, number.to_bytes(8, "big")
+        limit = first_found.offset + 8 if first_found else len(data)
+        while 0 <= (position := data.find(number_bytes, position)) < limit:
+            record = decode_record(data, position - 8, last_number)
+            if record is not None and record.number == number:
+                first_found = record
                 break
-            place += 1
-    return best
+            position += 1
+    return first_found
--- a/sablewheel/usage_metering/positions.py
+++ b/sablewheel/usage_metering/positions.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from ..storage.log import START, Place
+from ..storage.log import LOG_START, LogPosition
 
 EVERY = 1 << 18  # bytes of a segment between two notes
 
@@ -17,10 +17,10 @@
 class Positions:
     """Notes of blocks in the log's order, one for each segment and each `EVERY` bytes of it."""
 
-    notes: list[tuple[Place, bytes, int]] = field(default_factory=list)
+    notes: list[tuple[LogPosition, bytes, int]] = field(default_factory=list)
     last: dict[bytes, int] = field(default_factory=dict)  # by incarnation, its last block that is known
 
-    def note(self, place: Place, incarnation: bytes, number: int) -> None:
+    def note(self, place: LogPosition, incarnation: bytes, number: int) -> None:
         """A block seen at a place; places come in order, those before the last note are known already."""
         self.last[incarnation] = max(self.last.get(incarnation, 0), number)
         if self.notes:
@@ -32,7 +32,7 @@
                 return
         self.notes.append((place, incarnation, number))
 
-    def start(self, have: Mapping[bytes, int]) -> Place:
+    def start(self, have: Mapping[bytes, int]) -> LogPosition:
         """A place at or before the first block that a collector with these lacks."""
         for turn, (place, incarnation, _) in enumerate(self.notes):
             after = self.notes[turn + 1] if turn + 1 < len(self.notes) else None
@@ -42,7 +42,7 @@
                 through = self.last.get(incarnation, 0)
             if have.get(incarnation, 0) < through or after is None:
                 return place
-        return START
+        return LOG_START
 
     def forget_before(self, segment: int) -> None:
         """Segments before this one are gone."""
--- a/sablewheel/usage_metering/recorder.py
+++ b/sablewheel/usage_metering/recorder.py
@@ -18,8 +18,8 @@
 from ..serving.exchange import Caller, Exchange, Place
 from ..storage import log as durable
 from ..storage.files import DiskFiles
-from ..storage.health import Disk
-from ..storage.store import Store
+from ..storage.group_commit import GroupCommitLog
+from ..storage.health import DiskState
 from ..transport.background import Background
 from ..transport.scheduler import Scheduler
 from ..transport.worker_thread import Bridge
@@ -48,7 +48,7 @@
         self.flagged: set[bytes] = set()
         self.positions = Positions()
 
-    def saw(self, _: int, payload: bytes, place: durable.Place) -> None:
+    def saw(self, _: int, payload: bytes, place: durable.LogPosition) -> None:
         block = pb.Block.FromString(payload)
         self.positions.note(place, block.incarnation, block.number)
         one = block.incarnation
@@ -89,12 +89,12 @@
         self._durable_sequence = self._marked = 0
         self._cut_at = scheduler.clock.now
         self._leaving = False
-        self._store: Store | None = None
+        self._store: GroupCommitLog | None = None
         self._bridge: Bridge | None = None
         self._shared = bridge is not None  # then its owner closes it, behind all who use it
         self._sender: Sender | None = None
         self._tracks: dict[bytes, str] = {}
-        self.recovery = durable.Recovery()
+        self.recovery = durable.RecoveryReport()
         self._waits = plan.depth is Depth.DURABLE and plan.answers is Answers.AFTER_ENTRY
         predecessors = Predecessors()
         if plan.depth is Depth.DURABLE:
@@ -103,7 +103,7 @@
             self.recovery = records.recover(predecessors.saw)
             self._tell_recovery(predecessors)
             self._bridge = bridge or Bridge(scheduler)
-            self._store = Store(
+            self._store = GroupCommitLog(
                 scheduler, self._bridge, records, SLOW_AFTER, self._fenced, self._disk_changed
             )
         if plan.export is not None:
@@ -142,7 +142,11 @@
         run = first if first is not None else exchange
         billed, run.billed = not run.billed, True
         sequence = self._note(exchange, pb.COMPLETED, run if billed else None, len(result), first)
-        if not self._waits or self._store is None or self._store.disk in (Disk.FULL, Disk.FAILING):
+        if (
+            not self._waits
+            or self._store is None
+            or self._store.disk_state in (DiskState.FULL, DiskState.FAILING)
+        ):
             if self._waits:
                 self._count("ledger_answers_ahead")
             return caller.completed(exchange, result)
@@ -208,7 +212,7 @@
         aged = self._scheduler.clock.now - self._cut_at >= self._plan.block_every
         return aged or self._leaving or self._pool.kept >= FULL_BLOCK
 
-    def _seal_durably(self, store: Store) -> None:
+    def _seal_durably(self, store: GroupCommitLog) -> None:
         now = self._scheduler.clock.now
         if store.idle and (now >= self._cut_at + self._plan.commit_every or self._leaving):
             quiet = now - self._cut_at >= self._plan.block_every or self._leaving
@@ -259,9 +263,9 @@
             self._count("ledger_answers_ahead")
         one.caller.completed(one.exchange, one.result)
 
-    def _disk_changed(self, disk: Disk) -> None:
+    def _disk_changed(self, disk: DiskState) -> None:
         self._count(f"ledger_disk_{disk.value}")
-        if disk in (Disk.FULL, Disk.FAILING):
+        if disk in (DiskState.FULL, DiskState.FAILING):
             self._held.let_all_go()
 
     # -- the end
@@ -277,7 +281,7 @@
         if self._held or not self._pool.empty:
             return False
         if self._store is not None:
-            return self._store.settled and self._answered() <= self._marked
+            return self._store.all_durable and self._answered() <= self._marked
         return self._sender is None or not self._sender.exporter.unsettled
 
     def close(self, most: float) -> None:
@@ -319,7 +323,7 @@
             "ledger_held": len(self._held),
         }
         if self._store is not None:
-            told |= {"ledger_disk": self._store.disk.value, "ledger_disk_bytes": self._store.size}
+            told |= {"ledger_disk": self._store.disk_state.value, "ledger_disk_bytes": self._store.size_bytes}
         if self._sender is not None:
             told |= {
                 "ledger_link": self._sender.exporter.link.value,
--- a/sablewheel/usage_metering/sources.py
+++ b/sablewheel/usage_metering/sources.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable, Mapping
 from typing import Protocol
 
-from ..storage.log import START, Place
-from ..storage.store import Store
+from ..storage.group_commit import GroupCommitLog
+from ..storage.log import LOG_START, LogPosition
 from . import usage_metering_pb2 as pb
 from .aggregation import Pool
 from .blocks import Sealed, digest
@@ -75,13 +75,15 @@
 class DurableSource:
     """Reads the log, on the worker; what is in the book may leave the disk."""
 
-    def __init__(self, store: Store, positions: Positions, keep_bytes: int) -> None:
+    def __init__(self, store: GroupCommitLog, positions: Positions, keep_bytes: int) -> None:
         self._store, self._positions, self._keep_bytes = store, positions, keep_bytes
-        self._place: Place = START
+        self._place: LogPosition = LOG_START
         self._have: dict[bytes, int] = {}
         self._reading = False
         self._turn = 0
-        self._places: deque[tuple[bytes, int, Place]] = deque()  # of what was offered and is not settled
+        self._places: deque[tuple[bytes, int, LogPosition]] = (
+            deque()
+        )  # of what was offered and is not settled
         self._released = 0
 
     def rewind(self, have: Mapping[bytes, tuple[int, bytes]]) -> None:
@@ -95,7 +97,7 @@
             return False
         turn = self._turn
 
-        def read(found: list[tuple[bytes, Place]], place: Place) -> None:
+        def read(found: list[tuple[bytes, LogPosition]], place: LogPosition) -> None:
             self._reading = False
             if turn != self._turn:
                 return deliver([], [])  # rewound meanwhile
@@ -107,7 +109,7 @@
         self._reading = self._store.read(self._place, min(most, READ_MOST), read)
         return False  # what it finds is delivered, and asks for more then
 
-    def _sort_out(self, found: list[tuple[bytes, Place]]) -> tuple[list[TellLost], list[Sealed]]:
+    def _sort_out(self, found: list[tuple[bytes, LogPosition]]) -> tuple[list[TellLost], list[Sealed]]:
         lost: list[TellLost] = []
         blocks: list[Sealed] = []
         for data, place in found:
@@ -129,14 +131,16 @@
         return lost, blocks
 
     def settled(self, block: Sealed) -> None:
-        place: Place | None = None
+        place: LogPosition | None = None
         while self._places:
             incarnation, number, here = self._places[0]
             place = here
             self._places.popleft()
             if (incarnation, number) == (block.incarnation, block.number):
                 break
-        self._positions.forget_before(self._store.front)  # or the index would grow with all that ever was
+        self._positions.forget_before(
+            self._store.first_segment
+        )  # or the index would grow with all that ever was
         if place is not None and place.segment > self._released:
             self._released = place.segment
             self._store.release(place, self._keep_bytes)
--- a/tests/fake_disk.py
+++ b/tests/fake_disk.py
@@ -1,6 +1,4 @@
-"""A disk made for tests: knows what was synced, fails on request, and loses what was not synced in any way
-allowed.
-"""
+"""A disk in memory: knows what was synced, fails on request, and loses unsynced writes in any allowed way."""
 
 from __future__ import annotations
 
@@ -8,15 +6,15 @@
 import random
 
 
-class MadeFiles:
-    """Files in memory. `fail` maps a method's name to the errors that its next calls raise."""
+class FakeFiles:
+    """Segment files in memory. `fail` maps a method's name to the errors that its next calls raise."""
 
     def __init__(self) -> None:
         self.data: dict[str, bytearray] = {}
         self.durable: dict[str, bytes] = {}
-        self.pieces: dict[str, list[tuple[int, bytes]]] = {}  # written since the last sync: place and bytes
+        self.unsynced: dict[str, list[tuple[int, bytes]]] = {}  # writes since the last sync: offset and bytes
         self.fail: dict[str, list[OSError | None]] = {}
-        self.room = 1 << 60
+        self.capacity_bytes = 1 << 60
         self.syncs = 0
 
     def _maybe_fail(self, method: str) -> None:
@@ -30,30 +28,30 @@
     def size(self, name: str) -> int:
         return len(self.data[name])
 
-    def read(self, name: str, offset: int, most: int) -> bytes:
-        return bytes(self.data[name][offset : offset + most])
+    def read(self, name: str, offset: int, max_bytes: int) -> bytes:
+        return bytes(self.data[name][offset : offset + max_bytes])
 
     def create(self, name: str) -> None:
         self._maybe_fail("create")
         assert name not in self.data
-        self.data[name], self.durable[name], self.pieces[name] = bytearray(), b"", []
+        self.data[name], self.durable[name], self.unsynced[name] = bytearray(), b"", []
 
     def append(self, name: str, data: bytes) -> None:
         used = sum(map(len, self.data.values()))
-        some = data[: max(self.room - used, 0)]
+        written = data[: max(self.capacity_bytes - used, 0)]
         if self.fail.get("append") and self.fail["append"][0] is not None:
-            some = data[: len(data) // 2]  # a short write, then the error
-        self.pieces[name].append((len(self.data[name]), some))
-        self.data[name] += some
+            written = data[: len(data) // 2]  # a short write, then the error
+        self.unsynced[name].append((len(self.data[name]), written))
+        self.data[name] += written
         self._maybe_fail("append")
-        if len(some) < len(data):
+        if len(written) < len(data):
             raise OSError(errno.ENOSPC, "no space left on device")
 
     def sync(self, name: str) -> None:
         self._maybe_fail("sync")
         self.syncs += 1
         self.durable[name] = bytes(self.data[name])
-        self.pieces[name] = []
+        self.unsynced[name] = []
 
     def truncate(self, name: str, size: int) -> None:
         self._maybe_fail("truncate")
@@ -61,25 +59,23 @@
 
     def remove(self, name: str) -> None:
         self._maybe_fail("remove")
-        for kept in (self.data, self.durable, self.pieces):
-            kept.pop(name, None)
+        for contents in (self.data, self.durable, self.unsynced):
+            contents.pop(name, None)
 
     def close(self) -> None:
         pass
 
-    def crash(self, chance: random.Random) -> MadeFiles:
-        """The disk after a power failure: of what was not synced, pieces may be there, torn or not, in any
-        order.
-        """
-        after = MadeFiles()
+    def crash(self, rng: random.Random) -> FakeFiles:
+        """The disk after a power failure: any of the unsynced writes may be there, complete or torn."""
+        after = FakeFiles()
         for name, durable in self.durable.items():
             data = bytearray(durable)
-            for place, piece in self.pieces[name]:
-                kept = piece[: chance.randint(0, len(piece))] if chance.random() < 0.5 else piece
-                if chance.random() < 0.4:
+            for offset, piece in self.unsynced[name]:
+                remaining = piece[: rng.randint(0, len(piece))] if rng.random() < 0.5 else piece
+                if rng.random() < 0.4:
                     continue
-                data.extend(b"\0" * (place - len(data)))
-                data[place : place + len(kept)] = kept
+                data.extend(b"\0" * (offset - len(data)))
+                data[offset : offset + len(remaining)] = remaining
             after.data[name] = data
-            after.durable[name], after.pieces[name] = bytes(data), []
+            after.durable[name], after.unsynced[name] = bytes(data), []
         return after
--- a/tests/test_result_store.py
+++ b/tests/test_result_store.py
@@ -11,7 +11,7 @@
 
 import pytest
 from click.testing import CliRunner
-from fake_disk import MadeFiles
+from fake_disk import FakeFiles
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
@@ -282,7 +282,7 @@
 class Disk:
     """What outlives the server: its files, the clocks, and the interpreter if it is to."""
 
-    files: MadeFiles
+    files: FakeFiles
     boot: float = 50_000.0
 
 
@@ -384,7 +384,7 @@
 def test_a_run_is_sent_when_its_intent_is_durable_and_answered_when_its_outcome_is(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    town = RecallTown(monkeypatch, Disk(MadeFiles()))
+    town = RecallTown(monkeypatch, Disk(FakeFiles()))
     town.bridge.open = False
     one = town.call(b"record", b"label")
     other = town.call(b"lookup")
@@ -407,7 +407,7 @@
 def test_after_a_kill_a_repeat_gets_the_original_bytes_and_never_runs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    town = RecallTown(monkeypatch, Disk(MadeFiles()))
+    town = RecallTown(monkeypatch, Disk(FakeFiles()))
     first = run_one(town)
     runs = len(town.interpreter.applied)
     for turn in range(3):
@@ -425,7 +425,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     for outlives in (True, False):
-        town = RecallTown(monkeypatch, Disk(MadeFiles()), interpreter_outlives=outlives)
+        town = RecallTown(monkeypatch, Disk(FakeFiles()), interpreter_outlives=outlives)
         first = town.call(b"record", b"label")
         town.settle()
         town = town.restart(random.Random(1))
@@ -444,7 +444,7 @@
 def test_an_end_that_came_while_the_server_was_down_is_told_by_its_notice(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    town = RecallTown(monkeypatch, Disk(MadeFiles()), interpreter_outlives=True)
+    town = RecallTown(monkeypatch, Disk(FakeFiles()), interpreter_outlives=True)
     run_one(town, b"other")
     first = town.call(b"record", b"label")
     town.settle()
@@ -458,7 +458,7 @@
 def test_a_idempotency_key_with_another_body_is_failed_after_a_restart_too(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    town = RecallTown(monkeypatch, Disk(MadeFiles()))
+    town = RecallTown(monkeypatch, Disk(FakeFiles()))
     run_one(town)
     town = town.restart()
     copy = Try(len(town.tries) + 1, b"%016x" % 99, b"record", b"", town.now)
@@ -472,7 +472,7 @@
 
 
 def test_a_failing_disk_denies_new_keyed_requests_before_they_run(monkeypatch: pytest.MonkeyPatch) -> None:
-    disk = Disk(MadeFiles())
+    disk = Disk(FakeFiles())
     town = RecallTown(monkeypatch, disk)
     first = run_one(town)
     disk.files.fail = {"append": [OSError(errno.ENOSPC, "no space left on device")] * 10_000}
@@ -495,7 +495,7 @@
 
 
 def test_a_slow_disk_denies_early_instead_of_answering_late(monkeypatch: pytest.MonkeyPatch) -> None:
-    town = RecallTown(monkeypatch, Disk(MadeFiles()))
+    town = RecallTown(monkeypatch, Disk(FakeFiles()))
     town.recorder._commits.extend([3.9] * 20)  # the last commits took nearly all that a caller waits
     running = [town.call(b"lookup") for _ in range(12)]
     town.settle()
@@ -509,7 +509,7 @@
 
 
 def test_no_room_for_idempotency_keys_denies_and_tells_when_there_is(monkeypatch: pytest.MonkeyPatch) -> None:
-    town = RecallTown(monkeypatch, Disk(MadeFiles()), entries_most=3)
+    town = RecallTown(monkeypatch, Disk(FakeFiles()), entries_most=3)
     for number in range(3):
         run_one(town, b"%d" % number)
     rejected = town.call(b"record", b"one too many")
@@ -528,7 +528,7 @@
     for seed in range(14):
         chance = random.Random(seed)
         town = RecallTown(
-            monkeypatch, Disk(MadeFiles()), interpreter_outlives=seed % 2 == 0, segment_bytes=600
+            monkeypatch, Disk(FakeFiles()), interpreter_outlives=seed % 2 == 0, segment_bytes=600
         )
         kills = 0
         held: dict[bytes, bytes] = {}
@@ -555,7 +555,7 @@
 
 
 def test_the_log_stays_near_what_is_alive(monkeypatch: pytest.MonkeyPatch) -> None:
-    disk = Disk(MadeFiles())
+    disk = Disk(FakeFiles())
     town = RecallTown(monkeypatch, disk, segment_bytes=500)
     old = town.recorder._memory
     run_one(town, b"lives long")
@@ -574,7 +574,7 @@
 
 
 def test_a_folder_that_can_not_be_read_is_a_reason_not_to_start(monkeypatch: pytest.MonkeyPatch) -> None:
-    disk = Disk(MadeFiles())
+    disk = Disk(FakeFiles())
     town = RecallTown(monkeypatch, disk)
     for number in range(3):
         run_one(town, b"%d" % number)
@@ -595,7 +595,7 @@
 
 def test_every_record_counts_at_every_crash_point() -> None:
     """The log of a short day cut at each byte: what is loaded is just what its whole records say."""
-    files, records = MadeFiles(), []
+    files, records = FakeFiles(), []
     log = Log(files, KIND, b"incarn01", 1 << 20)
     for number in range(6):
         some = [intent(b"%d" % number, 1_000_010, b"run%d" % number)]
@@ -607,7 +607,7 @@
     (name,) = files.names()
     whole = bytes(files.data[name])
     for cut in range(len(whole) + 1):
-        after = MadeFiles()
+        after = FakeFiles()
         after.create(name)
         after.append(name, whole[:cut])
         loaded = Loaded(Memory(100, 1 << 20), 13.5)
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,4 +1,4 @@
-"""The durable log at every crash point and with every disk fault, and the store's group commit over it."""
+"""The durable log at every crash point and with every disk fault, and group commit over it."""
 
 from __future__ import annotations
 
@@ -10,221 +10,223 @@
 from pathlib import Path
 
 import pytest
-from fake_disk import MadeFiles
+from fake_disk import FakeFiles
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from sablewheel.storage import records
 from sablewheel.storage.files import DiskFiles, InUseError
-from sablewheel.storage.health import Disk, DiskHealth
-from sablewheel.storage.log import START, DiskFault, Log
-from sablewheel.storage.store import Store
+from sablewheel.storage.group_commit import GroupCommitLog
+from sablewheel.storage.health import DiskHealth, DiskState
+from sablewheel.storage.log import LOG_START, CommitError, Log
 from sablewheel.transport.scheduler import Clock, Scheduler
 from sablewheel.transport.worker_thread import Bridge
 
 KIND = b"test"
 
 
-def a_log(files: MadeFiles, incarnation: bytes = b"incarn01", most: int = 1 << 30, segment: int = 200) -> Log:
-    return Log(files, KIND, incarnation, most, segment)
+def open_log(
+    files: FakeFiles, incarnation: bytes = b"incarn01", max_bytes: int = 1 << 30, segment_bytes: int = 200
+) -> Log:
+    return Log(files, KIND, incarnation, max_bytes, segment_bytes)
 
 
-def recovered(files: MadeFiles, **more: int) -> tuple[list[bytes], Log, list[str]]:
-    log, found = a_log(files, b"incarn99", **more), []
+def recover(files: FakeFiles, **bounds: int) -> tuple[list[bytes], Log, list[str]]:
+    log, found = open_log(files, b"incarn99", **bounds), []
     report = log.recover(lambda _, payload, __: found.append(payload))
     return found, log, report.damage
 
 
 def read_all(log: Log) -> list[bytes]:
-    seen: list[bytes] = []
-    log.recover(lambda _, payload, __: seen.append(payload))
-    return seen
+    recovered: list[bytes] = []
+    log.recover(lambda _, payload, __: recovered.append(payload))
+    return recovered
 
 
 def payloads(count: int, start: int = 0) -> list[bytes]:
     return [b"payload %d " % place * (place % 4 + 1) for place in range(start, start + count)]
 
 
-def test_what_was_committed_is_recovered_in_order_over_many_segments_and_incarnations() -> None:
-    files = MadeFiles()
+def test_committed_records_are_recovered_in_order_over_many_segments_and_incarnations() -> None:
+    files = FakeFiles()
     want: list[bytes] = []
     for turn in range(4):
-        log = a_log(files, b"incarn%02d" % turn)
+        log = open_log(files, b"incarn%02d" % turn)
         assert read_all(log) == want
         for group in range(5):
-            some = payloads(3, 100 * turn + 10 * group)
-            log.commit(some)
-            want += some
-    assert recovered(files)[0] == want and len(files.names()) > 4
+            group_payloads = payloads(3, 100 * turn + 10 * group)
+            log.commit(group_payloads)
+            want += group_payloads
+    assert recover(files)[0] == want and len(files.names()) > 4
 
 
-def test_cut_at_every_byte_recovery_stops_at_the_last_whole_record() -> None:
-    files = MadeFiles()
-    log = a_log(files, segment=1 << 20)
+def test_recovery_of_a_log_cut_at_any_byte_stops_at_the_last_valid_record() -> None:
+    files = FakeFiles()
+    log = open_log(files, segment_bytes=1 << 20)
     log.commit(payloads(6))
     (name,) = files.names()
-    whole = bytes(files.data[name])
-    ends = [one.end for one in records.scan(whole, 1) if isinstance(one, records.Record)]
-    for cut in range(len(whole) + 1):
-        files = MadeFiles()
+    complete = bytes(files.data[name])
+    ends = [record.end for record in records.scan(complete, 1) if isinstance(record, records.Record)]
+    for cut in range(len(complete) + 1):
+        files = FakeFiles()
         files.create(name)
-        files.append(name, whole[:cut])
-        found, after, damage = recovered(files)
+        files.append(name, complete[:cut])
+        found, after, damage = recover(files)
         assert found == payloads(sum(end <= cut for end in ends)) and not damage
-        after.commit([b"next"])  # goes on behind what is whole, and is found again
-        assert recovered(files)[0] == [*found, b"next"]
+        after.commit([b"next"])  # continues behind the last valid record, and is recovered
+        assert recover(files)[0] == [*found, b"next"]
 
 
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(seed=st.integers(0, 10**9))
-def test_power_fails_between_any_two_writes_what_was_fenced_stays(seed: int) -> None:
-    """Writes after the last sync may be there, torn, or missing, in any order; records counted stay, in
-    order.
-    """
-    chance, files = random.Random(seed), MadeFiles()
-    fenced: list[bytes] = []
-    given_: list[bytes] = []
-    for turn in range(chance.randint(1, 4)):
-        log = a_log(files, b"incarn%02d" % turn, segment=chance.choice((100, 400)))
-        seen = read_all(log)
-        assert seen[: len(fenced)] == fenced
-        fenced = list(seen)  # what was recovered once counts from then on
-        for _ in range(chance.randint(0, 5)):
-            group = [b"%d.%d" % (turn, chance.getrandbits(40)) for _ in range(chance.randint(1, 4))]
+def test_durable_records_survive_a_power_failure_between_any_two_writes(seed: int) -> None:
+    """What was written after the last sync may be there, torn or missing, in any order."""
+    rng, files = random.Random(seed), FakeFiles()
+    durable: list[bytes] = []
+    attempted: list[bytes] = []
+    for turn in range(rng.randint(1, 4)):
+        log = open_log(files, b"incarn%02d" % turn, segment_bytes=rng.choice((100, 400)))
+        recovered = read_all(log)
+        assert recovered[: len(durable)] == durable
+        durable = list(recovered)  # what was recovered once counts from then on
+        for _ in range(rng.randint(0, 5)):
+            group = [b"%d.%d" % (turn, rng.getrandbits(40)) for _ in range(rng.randint(1, 4))]
             faults: list[OSError | None] = [None, OSError(errno.EIO, "input/output error")]
-            files.fail = {chance.choice(("append", "sync", "create")): [chance.choice(faults)]}
+            files.fail = {rng.choice(("append", "sync", "create")): [rng.choice(faults)]}
             try:
                 log.commit(group)
-            except DiskFault:
-                given_ += group
+            except CommitError:
+                attempted += group
                 continue
-            fenced += group
+            durable += group
         files.fail = {}
-        if chance.random() < 0.3:  # killed in the middle of a commit
+        if rng.random() < 0.3:  # killed in the middle of a commit
             files.fail = {
                 "sync": [OSError(errno.EIO, "killed here")],
                 "truncate": [OSError(errno.EIO, "too")],
             }
-            group = [b"lost %d" % chance.getrandbits(30)]
-            given_ += group
-            with pytest.raises(DiskFault):
+            group = [b"lost %d" % rng.getrandbits(30)]
+            attempted += group
+            with pytest.raises(CommitError):
                 log.commit(group)
             files.fail = {}
-        files = files.crash(chance)
-    found, _, damage = recovered(files)
+        files = files.crash(rng)
+    found, _, damage = recover(files)
     assert not damage
-    assert [one for one in found if one in fenced] == fenced
-    assert all(one in fenced or one in given_ for one in found)
+    assert [payload for payload in found if payload in durable] == durable
+    assert all(payload in durable or payload in attempted for payload in found)
 
 
 @settings(derandomize=True, max_examples=100, deadline=None)
 @given(place=st.integers(0, 5), offset=st.integers(0, 400), bit=st.integers(0, 7))
-def test_a_flipped_bit_costs_its_record_and_no_other(place: int, offset: int, bit: int) -> None:
-    files = MadeFiles()
-    log = a_log(files, segment=1 << 20)
+def test_a_flipped_bit_loses_its_record_and_no_other(place: int, offset: int, bit: int) -> None:
+    files = FakeFiles()
+    log = open_log(files, segment_bytes=1 << 20)
     want = payloads(6)
     log.commit(want)
     (name,) = files.names()
-    kept = [one for one in records.scan(bytes(files.data[name]), 1) if isinstance(one, records.Record)]
-    hit = kept[place]
+    valid = [
+        record for record in records.scan(bytes(files.data[name]), 1) if isinstance(record, records.Record)
+    ]
+    hit = valid[place]
     at = hit.offset + offset % (hit.end - hit.offset)
     files.data[name][at] ^= 1 << bit
-    found, _, damage = recovered(files)
+    found, _, damage = recover(files)
     if place < 5:
         assert found == want[:place] + want[place + 1 :] and damage and name in damage[0]
     else:
         assert found == want[:5]  # at the very end it can't be told from a torn write
 
 
-def test_a_full_disk_refuses_whole_groups_and_takes_them_once_there_is_room() -> None:
-    files = MadeFiles()
-    log = a_log(files)
+def test_a_full_disk_refuses_complete_groups_and_accepts_them_once_there_is_space() -> None:
+    files = FakeFiles()
+    log = open_log(files)
     log.commit(payloads(2))
-    files.room = sum(map(len, files.data.values())) + 20
+    files.capacity_bytes = sum(map(len, files.data.values())) + 20
     for _ in range(3):
-        with pytest.raises(DiskFault) as fault:
+        with pytest.raises(CommitError) as fault:
             log.commit(payloads(3, 10))
-        assert fault.value.full
-    files.room = 1 << 60
+        assert fault.value.is_disk_full
+    files.capacity_bytes = 1 << 60
     assert log.commit(payloads(3, 10)) == 5
-    found, _, damage = recovered(files)
+    found, _, damage = recover(files)
     assert found == payloads(2) + payloads(3, 10) and not damage
 
 
 def test_after_a_failed_sync_the_same_records_go_to_a_new_segment() -> None:
     """What a failed fsync leaves in the page cache can't be trusted, even where the next one passes."""
-    files = MadeFiles()
-    log = a_log(files, segment=1 << 20)
+    files = FakeFiles()
+    log = open_log(files, segment_bytes=1 << 20)
     log.commit(payloads(2))
     files.fail = {"sync": [OSError(errno.EIO, "input/output error")], "truncate": [OSError(errno.EIO, "too")]}
-    with pytest.raises(DiskFault) as fault:
+    with pytest.raises(CommitError) as fault:
         log.commit([b"again"])
-    assert not fault.value.full
+    assert not fault.value.is_disk_full
     log.commit([b"again"])
     assert len(files.names()) == 2
-    assert recovered(files)[0] == [*payloads(2), b"again"]  # there twice, counted once
+    assert recover(files)[0] == [*payloads(2), b"again"]  # written twice, recovered once
 
 
-def test_the_logs_own_bound_is_a_full_disk_and_release_makes_room() -> None:
-    files = MadeFiles()
-    log = a_log(files, most=1000, segment=150)
+def test_the_logs_own_bound_acts_as_a_full_disk_and_release_frees_space() -> None:
+    files = FakeFiles()
+    log = open_log(files, max_bytes=1000, segment_bytes=150)
     committed = 0
-    with pytest.raises(DiskFault) as fault:
+    with pytest.raises(CommitError) as fault:
         while True:
             log.commit([b"x" * 60])
             committed += 1
-    assert fault.value.full and committed > 5
-    _, end = log.read(START, 1 << 20)
+    assert fault.value.is_disk_full and committed > 5
+    _, end = log.read(LOG_START, 1 << 20)
     assert log.release(end, keep_bytes=0) > 0
     log.commit([b"x" * 60])
 
 
-def test_reading_goes_on_from_any_place_and_jumps_what_was_released() -> None:
-    files = MadeFiles()
-    log = a_log(files)
+def test_reading_continues_from_any_position_and_skips_released_segments() -> None:
+    files = FakeFiles()
+    log = open_log(files)
     want = payloads(40)
-    for one in want:
-        log.commit([one])
+    for payload in want:
+        log.commit([payload])
     found: list[bytes] = []
-    place, places = START, []
+    position, positions = LOG_START, []
     while True:
-        some, after = log.read(place, 50)
-        found += [payload for payload, _ in some]
-        places += [where for _, where in some]
-        if after == place:
+        batch, after = log.read(position, 50)
+        found += [payload for payload, _ in batch]
+        positions += [record_position for _, record_position in batch]
+        if after == position:
             break
-        place = after
+        position = after
     assert found == want
     for number in (0, 7, 39):
-        assert log.read(places[number], 1)[0][0][0] == want[number]
-    log.release(places[20], keep_bytes=0)
-    rest, _ = log.read(START, 1 << 20)
+        assert log.read(positions[number], 1)[0][0][0] == want[number]
+    log.release(positions[20], keep_bytes=0)
+    rest, _ = log.read(LOG_START, 1 << 20)
     assert [payload for payload, _ in rest] == want[want.index(rest[0][0]) :] and len(rest) <= 25
     log.commit([b"new"])
-    assert log.read(place, 1 << 20)[0][-1][0] == b"new"
+    assert log.read(position, 1 << 20)[0][-1][0] == b"new"
 
 
 @pytest.mark.parametrize(
-    ("change", "says"),
+    ("change", "reason"),
     [
         (lambda data: b"other" + data[5:], "not a segment"),
         (lambda data: data[:5] + b"\x09" + data[6:], "checksum"),
         (lambda data: data[:20], ""),
     ],
 )
-def test_a_header_that_is_not_ours_is_named_and_left_alone(
-    change: Callable[[bytes], bytes], says: str
+def test_an_unreadable_header_is_reported_and_its_segment_left_unchanged(
+    change: Callable[[bytes], bytes], reason: str
 ) -> None:
-    files = MadeFiles()
-    a_log(files).commit(payloads(2))
+    files = FakeFiles()
+    open_log(files).commit(payloads(2))
     (name,) = files.names()
     files.data[name][:] = change(bytes(files.data[name]))
-    found, _, damage = recovered(files)
+    found, _, damage = recover(files)
     assert not found
-    assert (says in damage[0]) if says else not damage
+    assert (reason in damage[0]) if reason else not damage
 
 
-def test_a_folder_has_one_writer_and_a_lock_that_ends_with_it(tmp_path: Path) -> None:
+def test_a_folder_has_one_writer_whose_lock_ends_with_it(tmp_path: Path) -> None:
     first = DiskFiles(tmp_path)
     with pytest.raises(InUseError, match="in use"):
         DiskFiles(tmp_path)
@@ -232,16 +234,14 @@
     log.commit(payloads(3))
     log.close()
     second = Log(DiskFiles(tmp_path), KIND, b"incarn02", 1 << 20)
-    seen: list[bytes] = []
-    second.recover(lambda _, payload, __: seen.append(payload))
-    assert seen == payloads(3)
+    recovered: list[bytes] = []
+    second.recover(lambda _, payload, __: recovered.append(payload))
+    assert recovered == payloads(3)
     third = Log(second._files, b"other", b"incarn03", 1 << 20)
     assert "a log of kind test" in third.recover(lambda *_: None).damage[0]
 
 
-def test_a_close_that_fails_closes_no_other_descriptor(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_a_failed_close_closes_no_other_descriptor(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     files, real = DiskFiles(tmp_path), os.close
     closed: list[int] = []
 
@@ -254,64 +254,69 @@
     files.append("1.seg", b"one")
     files.sync("1.seg")
     monkeypatch.setattr(os, "close", failing)
-    files._close_open()
-    files._close_open()
+    files._close_open_file()
+    files._close_open_file()
     monkeypatch.undo()
     assert len(closed) == 1 and files.read("1.seg", 0, 9) == b"one"
     files.close()
 
 
-def test_health_names_its_states_and_waits_longer_after_each_fault() -> None:
-    health = DiskHealth(slow_after=0.1)
-    assert health.look(0.0) is Disk.WORKING and health.may_commit(0.0)
-    health.given(1.0)
-    assert not health.may_commit(1.0) and health.look(1.05) is Disk.WORKING
-    assert health.look(1.2) is Disk.SLOW
-    rests = []
+def test_health_reports_its_states_and_backs_off_longer_after_each_fault() -> None:
+    health = DiskHealth(slow_after_s=0.1)
+    assert health.check(0.0) is DiskState.WORKING and health.may_commit(0.0)
+    health.commit_started(1.0)
+    assert not health.may_commit(1.0) and health.check(1.05) is DiskState.WORKING
+    assert health.check(1.2) is DiskState.SLOW
+    backoffs = []
     for turn in range(8):
         now = 10.0 * (turn + 1)
-        health.refused(now, full=turn % 2 == 0)
-        assert health.look(now) is (Disk.FULL if turn % 2 == 0 else Disk.FAILING)
+        health.commit_failed(now, is_disk_full=turn % 2 == 0)
+        assert health.check(now) is (DiskState.FULL if turn % 2 == 0 else DiskState.FAILING)
         assert not health.may_commit(now)
-        rests.append(health.retry_at - now)
+        backoffs.append(health.retry_at - now)
         assert health.may_commit(health.retry_at)
-    assert rests == sorted(rests) and rests[-1] == 2.0
-    health.passed()
-    assert health.look(100.0) is Disk.WORKING
-
-
-def test_the_store_gathers_while_a_commit_is_under_way_and_moves_its_fence() -> None:
-    scheduler, files, fences, states = Scheduler(Clock()), MadeFiles(), list[int](), list[Disk]()
-    store = Store(scheduler, Bridge(scheduler), a_log(files), 0.1, fences.append, states.append)
+    assert backoffs == sorted(backoffs) and backoffs[-1] == 2.0
+    health.commit_succeeded()
+    assert health.check(100.0) is DiskState.WORKING
+
+
+def test_records_are_gathered_while_a_commit_is_in_flight() -> None:
+    scheduler, files = Scheduler(Clock()), FakeFiles()
+    durable_numbers: list[int] = []
+    states: list[DiskState] = []
+    store = GroupCommitLog(
+        scheduler, Bridge(scheduler), open_log(files), 0.1, durable_numbers.append, states.append
+    )
     scheduler.after_round.append(store.flush)
     numbers: list[int | None] = []
 
-    def fill(left: int = 50) -> None:
+    def append_next(remaining: int = 50) -> None:
         numbers.append(store.append(b"one of fifty"))
-        if left > 1:
-            scheduler.after(0.0005, lambda: fill(left - 1))
-        if left == 30:
+        if remaining > 1:
+            scheduler.after(0.0005, lambda: append_next(remaining - 1))
+        if remaining == 30:
             files.fail = {"sync": [OSError(errno.EIO, "input/output error")] * 2}
 
-    fill()
-    begun = time.monotonic()
+    append_next()
+    started_at = time.monotonic()
 
-    def look() -> None:
-        if store.fence == 50 or time.monotonic() > begun + 10:
+    def stop_when_durable() -> None:
+        if store.durable_through == 50 or time.monotonic() > started_at + 10:
             return scheduler.stop()
-        scheduler.after(0.01, look)
+        scheduler.after(0.01, stop_when_durable)
 
-    look()
+    stop_when_durable()
     scheduler.run()
-    assert numbers == list(range(1, 51)) and store.fence == 50 and store.settled
-    assert fences == sorted(set(fences)) and len(fences) < 50  # groups, and the fence only grows
-    assert states == [Disk.FAILING, Disk.WORKING]
-    assert recovered(files)[0] == [b"one of fifty"] * 50
+    assert numbers == list(range(1, 51)) and store.durable_through == 50 and store.all_durable
+    # Fewer reports than records: they went out in groups. The reported number only grows.
+    assert durable_numbers == sorted(set(durable_numbers)) and len(durable_numbers) < 50
+    assert states == [DiskState.FAILING, DiskState.WORKING]
+    assert recover(files)[0] == [b"one of fifty"] * 50
 
 
-def test_the_store_says_when_it_has_no_room() -> None:
-    scheduler, files = Scheduler(Clock()), MadeFiles()
-    store = Store(scheduler, Bridge(scheduler), a_log(files), 0.1, lambda _: None, lambda _: None)
+def test_append_returns_none_when_too_much_is_pending() -> None:
+    scheduler, files = Scheduler(Clock()), FakeFiles()
+    store = GroupCommitLog(scheduler, Bridge(scheduler), open_log(files), 0.1, lambda _: None, lambda _: None)
     big = b"x" * (1 << 19)
     assert store.append(big) == 1 and store.append(big) == 2
     assert store.append(big) is None
--- a/tests/test_usage_metering.py
+++ b/tests/test_usage_metering.py
@@ -20,7 +20,7 @@
 
 import pytest
 from click.testing import CliRunner
-from fake_disk import MadeFiles
+from fake_disk import FakeFiles
 from simulated_server import Town
 
 from sablewheel.command.main import main
@@ -83,7 +83,7 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, answers: Answers = Answers.AFTER_ENTRY) -> None:
         super().__init__(SERVER_SETTINGS)
-        self.files = MadeFiles()
+        self.files = FakeFiles()
         monkeypatch.setattr(keeper, "DiskFiles", lambda _: self.files)
         monkeypatch.setattr(keeper, "Bridge", SlowBridge)
         plan = LedgerPlan(Depth.DURABLE, Path("made"), answers, commit_every=0.0, entries_most=50)
--- a/tests/test_usage_metering_decisions.py
+++ b/tests/test_usage_metering_decisions.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from sablewheel.storage.log import START, Place
+from sablewheel.storage.log import LOG_START, LogPosition
 from sablewheel.usage_metering import blocks, collecting, corrections, export
 from sablewheel.usage_metering import usage_metering_pb2 as pb
 from sablewheel.usage_metering.aggregation import Pool
@@ -595,10 +595,10 @@
     lengths: list[int], have: list[int], size: int
 ) -> None:
     positions = Positions()
-    order: list[tuple[Place, bytes, int]] = []
+    order: list[tuple[LogPosition, bytes, int]] = []
     for turn, length in enumerate(lengths):
         for number in range(1, length + 1):
-            place = Place(len(order) // size, (len(order) % size) * 100_000)
+            place = LogPosition(len(order) // size, (len(order) % size) * 100_000)
             order.append((place, b"%d" % turn, number))
             positions.note(*order[-1])
     had = {b"%d" % turn: number for turn, number in enumerate(have)}
@@ -608,7 +608,7 @@
         assert (start.segment, start.offset) <= (lacking[0][0].segment, lacking[0][0].offset)
     positions.forget_before(1)
     assert all(place.segment >= 1 for place, _, _ in positions.notes)
-    assert Positions().start({}) == START
+    assert Positions().start({}) == LOG_START
 
 
 def test_moments_far_off_are_taken_as_the_calendars_ends() -> None:
