--- a/sablewheel/experiments/affinity_replicas.py
+++ b/sablewheel/experiments/affinity_replicas.py
@@ -12,11 +12,12 @@
 
 from ..membership.view import View
 from ..replication import messages as wire
-from ..replication.entries import Entry
+from ..replication.context import SESSIONS
+from ..replication.entries import Entry, OutcomeStatus
 from ..replication.placement import Site
 from ..replication.plan import Settings as ReplicaSettings
-from ..replication.replica import SESSIONS, Replica
-from ..replication.service import GONE
+from ..replication.replica import Replica
+from ..replication.service import REMOVED_FACT_PREFIX
 from ..session_affinity.binding import Binding
 from ..session_affinity.codec import pack, unpack
 from ..session_affinity.events import Answered, Event, Got, Over, Read, Tick, Verdict, Viewed, Write
@@ -24,7 +25,7 @@
 from .affinity_fleet import Ask, Begin, Claim, Claimed, Free, Server, World
 
 LIFE = 6.0  # seconds that idempotency keys count
-REPLICAS = ReplicaSettings(longest=8.0, slots=64, cold_waits=False, repair_every=0.5)
+REPLICAS = ReplicaSettings(max_lifetime_s=8.0, slots=64, waits_after_cold_start=False, repair_interval_s=0.5)
 
 
 @dataclass(frozen=True)
@@ -52,7 +53,7 @@
 
     def __init__(self, name: str, incarnation: int, settings: Settings, seed: int, now: float) -> None:
         super().__init__(name, incarnation, settings, now)
-        replicas = ReplicaSettings(**{**REPLICAS.__dict__, "binding_life": settings.life})
+        replicas = ReplicaSettings(**{**REPLICAS.__dict__, "max_binding_lifetime_s": settings.life})
         chance = random.Random(f"{seed}-{name}-{incarnation}")
         self.replica = Replica(name, incarnation, replicas, chance, now)
         self._refs = 0
@@ -68,10 +69,12 @@
         out: list[Any] = []
         match event:
             case Got(sender, Said(message)):
-                return self._replied(now, self.replica.step(now, wire.Got(sender, message)))
+                return self._replied(now, self.replica.step(now, wire.MessageReceived(sender, message)))
             case Viewed(view):
-                gone = tuple((one.key.removeprefix(GONE), int(one.value)) for one in view.facts)
-                viewed = wire.Viewed(view.epoch, _sites(view), gone)
+                gone = tuple(
+                    (one.key.removeprefix(REMOVED_FACT_PREFIX), int(one.value)) for one in view.facts
+                )
+                viewed = wire.ViewInstalled(view.epoch, _sites(view), gone)
                 out += self._replied(now, self.replica.step(now, viewed))
             case Tick():
                 out += self._replied(now, self.replica.step(now, wire.Tick()))
@@ -79,7 +82,10 @@
                 idempotency_key = f"{key}-{ref}".encode()
                 if self._won.pop(idempotency_key, None) is not None:
                     out += self._replied(
-                        now, self.replica.step(now, wire.Finish(idempotency_key, "worked", b""))
+                        now,
+                        self.replica.step(
+                            now, wire.CompleteClaim(idempotency_key, OutcomeStatus.SUCCEEDED, b"")
+                        ),
                     )
         return out + self._asked(now, super().step(now, event))
 
@@ -107,7 +113,7 @@
                 case Free(_, claim):
                     self._won.pop(claim.idempotency_key.encode(), None)
                     out += self._replied(
-                        now, self.replica.step(now, wire.Free(claim.idempotency_key.encode()))
+                        now, self.replica.step(now, wire.ReleaseClaim(claim.idempotency_key.encode()))
                     )
                 case Begin(came, Claim(idempotency_key)):
                     self._won[idempotency_key.encode()] = came.ref
@@ -134,7 +140,7 @@
             claimed = Claimed(ask.came, ask.claim, means, ask.claim.number + 1, asked)
             return self._asked(now, super().step(now, claimed))
         question = self._questions.pop(ref)
-        stands = unpack(entry.value, entry.number) if entry.value else None
+        stands = unpack(entry.value, entry.version) if entry.value else None
         out: list[Any] = [Seen(stands)] if stands is not None and verdict in ("won", "stale", "read") else []
         verdicts = {"won": Verdict.WON, "read": Verdict.WON, "stale": Verdict.LOST}
         said = Answered(question.ref, verdicts.get(verdict, Verdict.UNREACHABLE), stands)
--- a/sablewheel/experiments/replication_model.py
+++ b/sablewheel/experiments/replication_model.py
@@ -17,7 +17,17 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from ..replication.messages import Answer, Claim, Free, Got, Message, Send, Tick, Viewed
+from ..replication.entries import Verdict as ClaimVerdict
+from ..replication.messages import (
+    Answer,
+    Claim,
+    Message,
+    MessageReceived,
+    ReleaseClaim,
+    Send,
+    Tick,
+    ViewInstalled,
+)
 from ..replication.placement import Site
 from ..replication.plan import Settings
 from ..replication.replica import Replica
@@ -27,14 +37,14 @@
 __all__ = ["BROKEN", "run"]
 
 SETTINGS = Settings(
-    longest=1e6,
+    max_lifetime_s=1e6,
     slots=1,
-    patience=50.0,
-    retry=5.0,
-    retry_most=5.0,
-    sync_every=20.0,
-    repair_every=1e5,
-    cold_waits=False,
+    claim_timeout_s=50.0,
+    initial_retry_s=5.0,
+    max_retry_s=5.0,
+    sync_interval_s=20.0,
+    repair_interval_s=1e5,
+    waits_after_cold_start=False,
 )
 IDEMPOTENCY_KEY, GROUP = b"label", b"group"
 SAYS = {
@@ -78,26 +88,28 @@
             one.change,
             one.ballot,
             sorted(one.promises.items()),
-            sorted(one.accepted),
+            sorted(one.accepted_by),
             one.proposed,
-            one.tries < 0,
-            sorted(one.refused.items()),
+            one.needs_new_ballot,
+            sorted(one.refusals.items()),
         )
-        for one in node._rounds.values()
+        for one in node.proposer.proposals.values()
+    ]
+    spreads = [
+        (one.ref, one.pushed_entry, sorted(one.answered_by)) for one in node.quorum_requests.requests.values()
     ]
-    spreads = [(one.ref, one.entry, sorted(one.heard)) for one in node._spreads.values()]
     ranges = [
-        (slot, one.ready, one.start, sorted(one.told.items()))
-        for table in (node.ranges.mine, node.ranges.kept)
+        (slot, one.ready_epoch, one.start_epoch, sorted(one.merged_from.items()))
+        for table in (node.ranges.assigned, node.ranges.retained)
         for slot, one in sorted(table.items())
     ]
-    talks = [(name, one.asked, one.queue) for name, one in sorted(node._talks.items())]
+    talks = [(name, one.compared, one.queue) for name, one in sorted(node.anti_entropy.transfers.items())]
     return repr(
         (
             node.name,
-            node.birth,
+            node.incarnation,
             node.epoch,
-            node._frozen,
+            node.decides_nothing_before,
             node.ranges.epoch,
             sorted(node.ranges.views),
             store,
@@ -105,13 +117,13 @@
             spreads,
             ranges,
             talks,
-            sorted(node._known.items()),
-            sorted(node.ranges.past_told),
-            sorted(node.ranges.past_from.items()),
-            node._round,
-            sorted((key, own.state) for key, own in node.owns.items()),
-            node._sync_at < 1e4,
-            len(node._timers),
+            sorted(node.proposer.promised.items()),
+            sorted(node.ranges.history_received),
+            sorted(node.ranges._oldest_view_from.items()),
+            node.proposer.last_round,
+            sorted((key, own.state.value) for key, own in node.claims.own_claims.items()),
+            node.anti_entropy.sync_at < 1e4,
+            len(node.timers),
         )
     )
 
@@ -121,7 +133,7 @@
     """The members' states, each once, and what each event makes of one."""
 
     kind: type[Replica]
-    views: dict[int, Viewed]
+    views: dict[int, ViewInstalled]
     births: dict[str, int]  # of those that come (back) with a later view
     packed: list[bytes] = field(default_factory=list)
     waits: list[float] = field(default_factory=list)  # until its next timer, of each
@@ -135,7 +147,7 @@
         if mark not in self.numbers:
             self.numbers[mark] = len(self.packed)
             self.packed.append(pickle.dumps(node))
-            self.waits.append(node.wake_at - node._now)
+            self.waits.append(node.wake_at - node.now)
         return self.numbers[mark]
 
     def born(self, name: str, birth: int) -> Replica:
@@ -152,12 +164,12 @@
         found = self.made.get((number, mark))
         if found is None:
             node: Replica = pickle.loads(self.packed[number])
-            now = node._now
+            now = node.now
             if isinstance(event, Tick):
                 now = max(now, node.wake_at)
             effects = node.step(now, event)
             sends = tuple((one.to, self.message(one.message)) for one in effects if isinstance(one, Send))
-            won = any(isinstance(one, Answer) and one.verdict == "won" for one in effects)
+            won = any(isinstance(one, Answer) and one.verdict is ClaimVerdict.WON for one in effects)
             found = self.made[number, mark] = (self.node(node), sends, won)
         return found
 
@@ -186,7 +198,7 @@
         mark: Any = None
         if what == "deliver":
             sender, name, number = way.pop(int(action[1]))
-            event, mark = Got(sender, self.messages[number]), (sender, number)
+            event, mark = MessageReceived(sender, self.messages[number]), (sender, number)
         else:
             name = action[1]
             if what == "ring":
@@ -203,7 +215,7 @@
             elif what == "claim":
                 event, mark = Claim(len(won) + 1, IDEMPOTENCY_KEY, GROUP, 1e5, b"same"), ("claim", len(won))
             elif what == "free":
-                event, mark = Free(IDEMPOTENCY_KEY), "free"
+                event, mark = ReleaseClaim(IDEMPOTENCY_KEY), "free"
                 won = tuple(one for one in won if one != name)  # it did not run
             elif what == "crash":
                 nodes.pop(name, None)
@@ -395,7 +407,7 @@
 def begin(start: Start, kind: type[Replica]) -> tuple[Space, World]:
     """The members under their first view, ready, and then what is calm."""
     views = {
-        epoch: Viewed(epoch, tuple(Site(name, number, name) for name, number in members))
+        epoch: ViewInstalled(epoch, tuple(Site(name, number, name) for name, number in members))
         for epoch, members in enumerate(start.epochs, 1)
     }
     births = {name: number for members in start.epochs for name, number in members}
--- a/sablewheel/experiments/replication_server.py
+++ b/sablewheel/experiments/replication_server.py
@@ -9,11 +9,11 @@
 import runpy
 import sys
 
-from ..replication import service as keeper
+from ..replication import service
 from .replication_stage import KINDS
 
 if __name__ == "__main__":
-    broken = functools.partial(keeper.Keeper, kind=KINDS[sys.argv[1]])
-    setattr(keeper, "Keeper", broken)  # noqa: B010  the program imports it from there when it is switched on
+    broken = functools.partial(service.ReplicationService, replica_type=KINDS[sys.argv[1]])
+    setattr(service, "ReplicationService", broken)  # noqa: B010  the program imports it from there when it is switched on
     sys.argv = sys.argv[:1]
     runpy.run_module("sablewheel", run_name="__main__")
--- a/sablewheel/experiments/replication_size.py
+++ b/sablewheel/experiments/replication_size.py
@@ -53,7 +53,7 @@
 def _place(verdict: Verdict, many: int, ranges: int) -> None:
     begun = time.perf_counter()
     before = Placement(sites(many), COPIES, ranges)
-    load = Counter(name for slot in range(ranges) for name in before.names(slot))
+    load = Counter(name for slot in range(ranges) for name in before.replica_names(slot))
     took = time.perf_counter() - begun
     mean = COPIES * ranges / many
     most = max(load.values()) / mean
@@ -61,7 +61,9 @@
     come = Placement((*before.sites, Site("new", 1, "z0")), COPIES, ranges)
     share = ranges * COPIES / many
     for what, after in (("leaves", gone), ("comes", come)):
-        moved = sum(len(set(after.names(slot)) - set(before.names(slot))) for slot in range(ranges))
+        moved = sum(
+            len(set(after.replica_names(slot)) - set(before.replica_names(slot))) for slot in range(ranges)
+        )
         says = f"{moved} of {COPIES * ranges} copies, R/N is {share:.0f}"
         promise = f"{many} members, one {what}: no more than 1.5 of R/N is moved"
         verdict.check(promise, 0 < moved <= 1.5 * share, says)
@@ -71,7 +73,9 @@
 
 def _fleet(verdict: Verdict, seed: int, many: int, idempotency_keys: int) -> None:
     names = [one.name for one in sites(many)]
-    settings = Settings(longest=30.0, slots=RANGES[MEMBERS], cold_waits=False, repair_every=5.0)
+    settings = Settings(
+        max_lifetime_s=30.0, slots=RANGES[MEMBERS], waits_after_cold_start=False, repair_interval_s=5.0
+    )
     stage = Stage({one.name: one.zone for one in sites(many)}, seed, replace(settings), Weighed)
     chance = random.Random(seed)
     Weighed.spent.clear()
@@ -95,7 +99,7 @@
     verdict.figures["entries of the fullest over the mean"] = round(max(held) / (sum(held) / many), 2)
     before, begun = Counter(Weighed.spent), stage.fleet.now
     gone = chance.choice(names)
-    moving = sum(len(stage.core(name).ranges.mine) for name in [gone])
+    moving = sum(len(stage.core(name).ranges.assigned) for name in [gone])
     stage.fleet.crash(gone)
     stage.view(set(names) - {gone})
     ready = stage.settle(20.0)
--- a/sablewheel/experiments/replication_stage.py
+++ b/sablewheel/experiments/replication_stage.py
@@ -13,28 +13,27 @@
 from functools import partial
 from typing import Any
 
-from ..replication.entries import Entry, Outcome, State, merge
+from ..replication.entries import Entry, Outcome, OutcomeStatus, State, Verdict, merge
 from ..replication.messages import (
     Accept,
+    AcceptorRequest,
     Answer,
     Claim,
-    Fetch,
-    Finish,
-    Free,
-    Got,
-    Note,
-    Prepare,
+    CompleteClaim,
+    Log,
+    MessageReceived,
+    OutcomeStored,
     Push,
     Read,
-    Stored,
+    ReleaseClaim,
     Tick,
-    Viewed,
+    ViewInstalled,
     Write,
 )
 from ..replication.placement import Site
 from ..replication.plan import Settings
 from ..replication.replica import Replica
-from ..replication.store import Store
+from ..replication.store import EntryStore
 from .made_fleet import MadeFleet
 
 POLL = 0.1
@@ -44,17 +43,17 @@
 class OneCopy(Replica):
     """Broken on purpose: one holder's word is enough."""
 
-    def needed(self, holders: int) -> int:
-        return min(holders, 1)
+    def quorum_size(self, replica_count: int) -> int:
+        return min(replica_count, 1)
 
 
 class NoFence(Replica):
     """Broken on purpose: answers, and counts answers, whatever the epoch."""
 
-    def foreign(self, epoch: int) -> bool:
+    def is_foreign_epoch(self, epoch: int) -> bool:
         return False
 
-    def listens(self, sender: str) -> bool:
+    def is_member(self, name: str) -> bool:
         return True
 
 
@@ -62,47 +61,48 @@
     """Broken on purpose: counts for a majority before it is caught up."""
 
     def is_ready(self, slot: int) -> bool:
-        return slot in self.ranges.mine
+        return slot in self.ranges.assigned
 
 
 class ClockWins(Replica):
     """Broken on purpose: of two copies the one that came last stays, as with the later time stamp."""
 
-    def make_store(self) -> Store:
-        return LastStays(self._set.entries_most, self._set.bytes_most)
+    def make_store(self) -> EntryStore:
+        return LastStays(self.settings.max_entries, self.settings.max_bytes)
 
 
-class LastStays(Store):
-    def merged(self, held: Entry, came: Entry) -> Entry:
-        return came
+class LastStays(EntryStore):
+    def merged(self, stored: Entry, received: Entry) -> Entry:
+        return received
 
 
 class DropOnView(Replica):
     """Broken on purpose: lets go of a range as soon as it is another's, and takes it for known."""
 
-    def _viewed(self, viewed: Viewed) -> None:
-        super()._viewed(viewed)
-        for slot in list(self.ranges.kept):
-            del self.ranges.kept[slot]
+    def _on_view(self, view: ViewInstalled) -> None:
+        super()._on_view(view)
+        for slot in list(self.ranges.retained):
+            del self.ranges.retained[slot]
             self.store.drop(slot)
         for slot in list(self.ranges.unready):
-            self.ranges.mine[slot].ready = self.epoch
+            self.ranges.assigned[slot].ready_epoch = self.epoch
         self.ranges.unready.clear()
 
 
 class AsyncBackup(EarlyVote):
     """The baseline: the first holder decides alone and copies what it decided to the others, later."""
 
-    def _holders(self, slot: int) -> tuple[str, ...]:
-        return super()._holders(slot)[:1]
+    def replicas_of(self, slot: int) -> tuple[str, ...]:
+        return super().replicas_of(slot)[:1]
 
-    def _asked_as_holder(self, sender: str, ask: Prepare | Accept | Push | Fetch) -> None:
-        super()._asked_as_holder(sender, ask)
-        if isinstance(ask, Accept | Push) and ask.epoch == self.epoch:
-            names = super()._holders(ask.slot)
+    def _on_acceptor_request(self, sender: str, request: AcceptorRequest) -> None:
+        super()._on_acceptor_request(sender, request)
+        if isinstance(request, Accept | Push) and request.epoch == self.epoch:
+            names = super().replicas_of(request.slot)
             if names[0] == self.name:
+                copy = Push(self.epoch, 0, request.key, request.slot, request.entry, request.remaining_s)
                 for name in names[1:]:
-                    self._send(name, Push(self.epoch, 0, ask.key, ask.slot, ask.entry, ask.left))
+                    self.send(name, copy)
 
 
 KINDS: dict[str, type[Replica]] = {
@@ -137,13 +137,15 @@
     zones: dict[str, str]
     seed: int = 1
     settings: Settings = field(
-        default_factory=lambda: Settings(longest=8.0, slots=8, cold_waits=False, repair_every=0.5)
+        default_factory=lambda: Settings(
+            max_lifetime_s=8.0, slots=8, waits_after_cold_start=False, repair_interval_s=0.5
+        )
     )
     kind: type[Replica] = Replica
     group: Callable[[str], bytes] = lambda idempotency_key: idempotency_key.encode()
 
     def __post_init__(self) -> None:
-        self.fleet = MadeFleet(Got, Tick(), self.seed, self._heard)
+        self.fleet = MadeFleet(MessageReceived, Tick(), self.seed, self._heard)
         self.births: Counter[str] = Counter()
         self.epoch = 0
         self.members: tuple[str, ...] = ()
@@ -152,7 +154,7 @@
         self.ran_by: dict[str, list[str]] = {}
         self.results: dict[str, bytes] = {}
         self.stored: set[tuple[str, str]] = set()
-        self.notes: list[tuple[float, str, Note]] = []
+        self.notes: list[tuple[float, str, Log]] = []
         self.answers: dict[int, Answer] = {}
         self._refs = 0
         self._born_at: dict[str, int] = {}
@@ -169,12 +171,12 @@
     def _made(self, name: str, birth: int, chance: random.Random, now: float) -> Replica:
         return self.kind(name, birth, self.settings, chance, now)
 
-    def view(self, names: Iterable[str], to: Iterable[str] | None = None) -> Viewed:
+    def view(self, names: Iterable[str], to: Iterable[str] | None = None) -> ViewInstalled:
         """The next view, with these members; told to those of them that are `to`, if named."""
         self.epoch += 1
         self.members = tuple(sorted(names))
         sites = tuple(Site(name, self.births[name], self.zones[name]) for name in self.members)
-        self.viewed = Viewed(self.epoch, sites)
+        self.viewed = ViewInstalled(self.epoch, sites)
         self.tell_view(self.members if to is None else to)
         return self.viewed
 
@@ -204,7 +206,7 @@
         some = next(one for one in self.members if one in self.fleet.cores)
         core = self.core(some)
         view = core.ranges.views.get(self.epoch) or core.ranges.views[core.ranges.epoch]
-        return view.names(core.slot(self.group(idempotency_key)))
+        return view.replica_names(core.slot_of(self.group(idempotency_key)))
 
     def unready(self) -> int:
         """Ranges that do not count yet, over all members that are there."""
@@ -216,7 +218,7 @@
 
     def held(self, name: str, idempotency_key: str) -> Entry | None:
         core = self.core(name)
-        held = core.store.get(core.slot(self.group(idempotency_key)), ("labels", idempotency_key.encode()))
+        held = core.store.get(core.slot_of(self.group(idempotency_key)), ("labels", idempotency_key.encode()))
         return held.entry if held is not None else None
 
     # -- requests
@@ -239,7 +241,7 @@
     def _ask(self, one: Try, under: int = 0) -> None:
         self._refs += 1
         self.tries[self._refs] = one
-        life = max(self.settings.longest - (self.fleet.now - one.came), 0.1)
+        life = max(self.settings.max_lifetime_s - (self.fleet.now - one.came), 0.1)
         idempotency_key = one.idempotency_key.encode()
         self.fleet.tell(
             one.server,
@@ -256,7 +258,7 @@
 
     def write(self, server: str, collection: str, key: str, expect: int, value: bytes) -> int:
         self._refs += 1
-        life = self.settings.longest
+        life = self.settings.max_lifetime_s
         self.fleet.tell(server, Write(self._refs, collection, key.encode(), expect, value, life))
         return self._refs
 
@@ -277,28 +279,28 @@
                     self.answers[ref] = effect
                 else:
                     self._answered(one, verdict, entry)
-            case Stored(key):
+            case OutcomeStored(key):
                 self.stored.add((name, key.decode()))
-            case Note():
+            case Log():
                 self.notes.append((now, name, effect))
 
-    def _answered(self, one: Try, verdict: str, entry: Entry) -> None:
+    def _answered(self, one: Try, verdict: Verdict, entry: Entry) -> None:
         fleet = self.fleet
-        if verdict == "won":
+        if verdict is Verdict.WON:
             if one.verdict:  # nobody waits for it any more: it is not begun
-                fleet.later(0.0, lambda: fleet.tell(one.server, Free(one.idempotency_key.encode())))
+                fleet.later(0.0, lambda: fleet.tell(one.server, ReleaseClaim(one.idempotency_key.encode())))
                 return
             self._run(one)
         elif one.verdict:
             return
-        elif verdict == "known":
+        elif verdict is Verdict.KNOWN:
             outcome = entry.outcomes[0]
-            one.verdict = "completed" if outcome.how == "worked" else "terminated"
+            one.verdict = "completed" if outcome.status is OutcomeStatus.SUCCEEDED else "terminated"
             one.result = outcome.result
-        elif verdict in ("running", "read", "busy"):
-            free = verdict == "read" and entry.state in (State.FREE, State.FREED)
+        elif verdict in (Verdict.RUNNING, Verdict.READ, Verdict.BUSY):
+            free = verdict is Verdict.READ and entry.state in (State.UNCLAIMED, State.RELEASED)
             fleet.later(POLL, lambda: self._again(one, free))
-        elif verdict == "unreachable" and one in self._read_only:
+        elif verdict is Verdict.UNREACHABLE and one in self._read_only:
             fleet.later(POLL, lambda: self._again(one, False))  # it may have run: it is not rejected
         else:
             one.verdict = "denied"
@@ -335,7 +337,9 @@
                 return
             if not one.verdict:
                 one.verdict, one.result = "completed", result
-            self.fleet.tell(one.server, Finish(one.idempotency_key.encode(), "worked", result))
+            self.fleet.tell(
+                one.server, CompleteClaim(one.idempotency_key.encode(), OutcomeStatus.SUCCEEDED, result)
+            )
 
         self.fleet.later(one.takes, end)
 
@@ -393,4 +397,6 @@
 
 def drifted(one: Entry, by: str) -> Entry:
     """A copy that differs by an outcome nobody knows of, as after a fault of memory."""
-    return merge(one, replace(one, outcomes=(Outcome(one.number, (by, 0, 0), "worked", b"other"),)))
+    return merge(
+        one, replace(one, outcomes=(Outcome(one.version, (by, 0, 0), OutcomeStatus.SUCCEEDED, b"other"),))
+    )
--- a/sablewheel/program/feature_file.py
+++ b/sablewheel/program/feature_file.py
@@ -465,13 +465,13 @@
         settings = ReplicaSettings(
             copies=self.copies,
             slots=self.ranges,
-            entries_most=self.entries_most,
-            bytes_most=self.memory_mb << 20,
-            result_most=self.result_most_kb << 10,
-            patience=self.claim_within_s,
-            retry=self.repeat_after_s,
-            repair_every=self.repair_every_s,
-            cold_waits=self.cold == "wait",
+            max_entries=self.entries_most,
+            max_bytes=self.memory_mb << 20,
+            max_result_bytes=self.result_most_kb << 10,
+            claim_timeout_s=self.claim_within_s,
+            initial_retry_s=self.repeat_after_s,
+            repair_interval_s=self.repair_every_s,
+            waits_after_cold_start=self.cold == "wait",
         )
         return ReplicationPlan(settings, self.hold_most_s, self.deny_after_s)
 
--- a/sablewheel/program/feature_registry.py
+++ b/sablewheel/program/feature_registry.py
@@ -40,7 +40,7 @@
     from ..forwarding.peer_connections import Links
     from ..forwarding.service import Forward
     from ..membership.service import Fleet
-    from ..replication.service import Keeper
+    from ..replication.service import ReplicationService
 
 
 @dataclass
@@ -68,7 +68,7 @@
     links: Links | None = None  # by forwarding
     forward: Forward | None = None  # by forwarding; who places requests sets its placer
     policies: Policies | None = None  # by policy: who may serve what, `on_active`, and the placer above
-    replication: Keeper | None = None  # by replication; bindings and documents go through it
+    replication: ReplicationService | None = None  # by replication; bindings and documents go through it
     leave: Callable[[], None] | None = None  # by membership; None where another tells the fleet in its time
 
 
@@ -271,7 +271,7 @@
 
 
 def _replication(feature_context: FeatureContext, plan: ReplicationPlan) -> Part:
-    from ..replication.service import Keeper, longest
+    from ..replication.service import ReplicationService, max_key_lifetime_s
 
     fleet, links, placement_settings = (
         feature_context.fleet,
@@ -282,8 +282,9 @@
         fleet is not None and links is not None and feature_context.forward is not None
     )  # the section needs them
     slack = placement_settings.server_settings.answer_slack_s
-    settings = replace(plan.settings, longest=longest(placement_settings.request_classes, slack))
-    keeper = feature_context.replication = Keeper(
+    lifetime_s = max_key_lifetime_s(placement_settings.request_classes, slack)
+    settings = replace(plan.settings, max_lifetime_s=lifetime_s)
+    keeper = feature_context.replication = ReplicationService(
         feature_context.scheduler,
         links,
         replace(plan, settings=settings),
--- a/sablewheel/replication/__init__.py
+++ b/sablewheel/replication/__init__.py
@@ -1,1 +1,1 @@
-"""What several servers know together: keyed runs, session bindings, policies, each on some members."""
+"""Replicated claims, outcomes and session bindings, each key a CASPaxos register on a few members."""
--- a/sablewheel/replication/codec.py
+++ b/sablewheel/replication/codec.py
@@ -1,201 +1,211 @@
-"""Replication's packets: bytes to messages and back. Whatever does not fit its bounds is no message. Pure."""
+"""The packets of replication: messages to bytes and back. Data outside its bounds is no message. Pure.
+
+Field names of the protobuf messages stay as docs/replication-format.md gives them; here they are translated.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from math import isfinite
+from typing import Any
 
 from google.protobuf.message import DecodeError
 
 from . import replication_pb2 as pb
-from .entries import OUTCOMES_MOST, Ballot, Entry, Outcome, Owner
+from .entries import MAX_OUTCOMES, Ballot, Entry, Key, Outcome, OutcomeStatus, Owner
 from .messages import (
     Accept,
     Accepted,
-    Ask,
-    AskPast,
+    CompareRanges,
     Fetch,
     Fetched,
-    Key,
+    FetchRange,
     Message,
-    Past,
-    Piece,
+    PastViews,
     Prepare,
     Promise,
-    Pull,
     Push,
     Pushed,
+    RangeChunk,
+    RangeStates,
+    RefusalReason,
     Refuse,
-    Told,
+    RequestViews,
 )
-from .placement import WEIGHT_MOST, Site
+from .placement import MAX_WEIGHT, Site
 
 VERSION = 1
-NAME_MOST = 200  # characters
-KEY_MOST = 1024  # bytes of a key or a group
-VALUE_MOST = 1 << 20
-LIFE_MOST = 86400.0 * 31
-RANGES_MOST = ENTRIES_MOST = 1024  # a packet
-VIEWS_MOST = 16
-SITES_MOST = 10_000
-HOWS = ("worked", "failed", "unkept")
-WHYS = ("ballot", "unready", "full", "fenced", "epoch")
+MAX_NAME_LENGTH = 200  # characters
+MAX_KEY_BYTES = 1024  # of a key or a group
+MAX_VALUE_BYTES = 1 << 20
+MAX_LIFETIME_S = 86400.0 * 31
+MAX_RANGES = MAX_ENTRIES = 1024  # a packet
+MAX_VIEWS = 16
+MAX_SITES = 10_000
 
 
 class BadPacketError(ValueError):
-    """Not a packet of ours, or one past its bounds; the text says which field."""
+    """Not a packet of ours, or one outside its bounds; the text says which field."""
 
 
 def encode(message: Message, ranges: int = 0, copies: int = 0) -> bytes:
-    """The packet of a sender that divides into so many ranges, of so many copies each."""
+    """The packet of a message.
+
+    Args:
+        message: To encode.
+        ranges: Into how many ranges the sender divides.
+        copies: How many copies of each it has.
+    """
     ref = getattr(message, "ref", 0)
-    told = pb.Packet(version=VERSION, epoch=message.epoch, ref=ref, ranges=ranges, copies=copies)
-    match message:
-        case Prepare(_, _, key, slot, ballot, left, group, under):
-            told.prepare.CopyFrom(_change(key, slot, left, group, under, ballot=_ballot(ballot)))
-        case Accept(_, _, key, slot, entry, left, group, under):
-            told.accept.CopyFrom(_change(key, slot, left, group, under, entry=_entry(entry)))
-        case Push(_, _, key, slot, entry, left):
-            told.push.CopyFrom(_change(key, slot, left, entry=_entry(entry)))
-        case Fetch(_, _, key, slot):
-            told.fetch.CopyFrom(_change(key, slot))
-        case Promise(_, _, ballot, entry):
-            told.promise.CopyFrom(pb.Reply(ballot=_ballot(ballot), entry=_entry(entry)))
-        case Accepted(_, _, ballot):
-            told.accepted.CopyFrom(pb.Reply(ballot=_ballot(ballot)))
-        case Refuse(_, _, why, ballot, asked, entry):
-            told.refuse.CopyFrom(
-                pb.Reply(ballot=_ballot(ballot), why=why, asked=_ballot(asked), entry=_entry(entry))
-            )
-        case Pushed():
-            told.pushed.SetInParent()
-        case Fetched(_, _, entry):
-            told.fetched.CopyFrom(pb.Reply(entry=_entry(entry)))
-        case AskPast(_, before):
-            told.ask_past.before = before
-            told.ask_past.SetInParent()
-        case Past(_, birth, before, views):
-            some = [
-                pb.View(
-                    epoch=epoch,
-                    sites=[
-                        pb.Site(name=one.name, incarnation=one.incarnation, zone=one.zone, weight=one.weight)
-                        for one in sites
-                    ],
-                )
-                for epoch, sites in views
-            ]
-            told.past.CopyFrom(pb.Past(birth=birth, before=before, views=some))
-        case Ask(_, asked):
-            told.ask.CopyFrom(pb.Ranges(ranges=[pb.Range(slot=slot, digest=mark) for slot, mark in asked]))
-        case Told(_, birth, answers):
-            said = [pb.Range(slot=slot, ready=ready, same=same) for slot, ready, same in answers]
-            told.told.CopyFrom(pb.Ranges(birth=birth, ranges=said))
-        case Pull(_, slot, after):
-            told.pull.CopyFrom(pb.Pull(slot=slot, after=_key(after)))
-        case Piece(_, birth, slot, ready, entries, last):
-            held = [pb.Held(key=_key(key), entry=_entry(entry), left=left) for key, entry, left in entries]
-            told.piece.CopyFrom(pb.Piece(birth=birth, slot=slot, ready=ready, entries=held, last=last))
-    return told.SerializeToString()
+    packet = pb.Packet(version=VERSION, epoch=message.epoch, ref=ref, ranges=ranges, copies=copies)
+    _ENCODERS[type(message)](packet, message)
+    return packet.SerializeToString()
 
 
 def decode(data: bytes, ranges: int = 0, copies: int = 0) -> Message:
-    """The message of a payload; raises `BadPacketError` and nothing else.
+    """The message of a packet.
 
-    Who divides into other ranges would mean other holders by the same words: guards against servers whose
-    sections differ.
+    A sender that divides into other ranges would mean other replicas by the same slots, so its packets are
+    refused: the sections of two servers differ.
+
+    Raises:
+        BadPacketError: The data is no packet, of another version, kind or division, or outside its bounds.
     """
     try:
-        told = pb.Packet.FromString(data)
+        packet = pb.Packet.FromString(data)
     except DecodeError:
         raise BadPacketError("not a packet") from None
-    if told.version != VERSION:
-        raise BadPacketError(f"version {told.version}, {VERSION} is known here")
-    if (told.ranges, told.copies) != (ranges, copies):
+    if packet.version != VERSION:
+        raise BadPacketError(f"version {packet.version}, {VERSION} is known here")
+    if (packet.ranges, packet.copies) != (ranges, copies):
         raise BadPacketError(
-            f"of {told.ranges} ranges and {told.copies} copies, {ranges} and {copies} are set here"
+            f"of {packet.ranges} ranges and {packet.copies} copies, {ranges} and {copies} are set here"
+        )
+    decoder = _DECODERS.get(packet.WhichOneof("body") or "")
+    if decoder is None:
+        raise BadPacketError("a packet of no kind that this version knows")
+    return decoder(packet)
+
+
+# -- encoding, one function a kind
+
+
+def _encode_prepare(packet: pb.Packet, message: Prepare) -> None:
+    change = _change(message, message.remaining_s, message.group, message.binding_version)
+    change.ballot.CopyFrom(_ballot(message.ballot))
+    packet.prepare.CopyFrom(change)
+
+
+def _encode_accept(packet: pb.Packet, message: Accept) -> None:
+    change = _change(message, message.remaining_s, message.group, message.binding_version)
+    change.entry.CopyFrom(_entry(message.entry))
+    packet.accept.CopyFrom(change)
+
+
+def _encode_push(packet: pb.Packet, message: Push) -> None:
+    change = _change(message, message.remaining_s)
+    change.entry.CopyFrom(_entry(message.entry))
+    packet.push.CopyFrom(change)
+
+
+def _encode_fetch(packet: pb.Packet, message: Fetch) -> None:
+    packet.fetch.CopyFrom(_change(message))
+
+
+def _encode_promise(packet: pb.Packet, message: Promise) -> None:
+    packet.promise.CopyFrom(pb.Reply(ballot=_ballot(message.ballot), entry=_entry(message.entry)))
+
+
+def _encode_accepted(packet: pb.Packet, message: Accepted) -> None:
+    packet.accepted.CopyFrom(pb.Reply(ballot=_ballot(message.ballot)))
+
+
+def _encode_refuse(packet: pb.Packet, message: Refuse) -> None:
+    packet.refuse.CopyFrom(
+        pb.Reply(
+            ballot=_ballot(message.ballot),
+            why=message.reason.value,
+            asked=_ballot(message.refused),
+            entry=_entry(message.entry),
         )
-    epoch, ref = told.epoch, told.ref
-    match told.WhichOneof("body"):
-        case "prepare":
-            one = told.prepare
-            return Prepare(
-                epoch,
-                ref,
-                _key_in(one.key),
-                one.slot,
-                _ballot_in(one.ballot),
-                _left(one.left),
-                _short(one.group),
-                one.under,
-            )
-        case "accept":
-            one = told.accept
-            return Accept(
-                epoch,
-                ref,
-                _key_in(one.key),
-                one.slot,
-                _entry_in(one.entry),
-                _left(one.left),
-                _short(one.group),
-                one.under,
-            )
-        case "push":
-            one = told.push
-            return Push(epoch, ref, _key_in(one.key), one.slot, _entry_in(one.entry), _left(one.left))
-        case "fetch":
-            return Fetch(epoch, ref, _key_in(told.fetch.key), told.fetch.slot)
-        case "promise":
-            return Promise(epoch, ref, _ballot_in(told.promise.ballot), _entry_in(told.promise.entry))
-        case "accepted":
-            return Accepted(epoch, ref, _ballot_in(told.accepted.ballot))
-        case "refuse":
-            no = told.refuse
-            if no.why not in WHYS:
-                raise BadPacketError(f"why: no such reason: {no.why[:40]!r}")
-            ballots = _ballot_in(no.ballot), _ballot_in(no.asked)
-            return Refuse(epoch, ref, no.why, *ballots, _entry_in(no.entry))
-        case "pushed":
-            return Pushed(epoch, ref)
-        case "fetched":
-            return Fetched(epoch, ref, _entry_in(told.fetched.entry))
-        case "ask_past":
-            return AskPast(epoch, told.ask_past.before)
-        case "past":
-            views = told.past.views
-            _few(len(views), VIEWS_MOST, "views")
-            some = tuple((view.epoch, tuple(_site(one) for one in view.sites)) for view in views)
-            for _, sites in some:
-                _few(len(sites), SITES_MOST, "sites")
-            return Past(epoch, told.past.birth, told.past.before, some)
-        case "ask":
-            _few(len(told.ask.ranges), RANGES_MOST, "ranges")
-            return Ask(epoch, tuple((one.slot, one.digest) for one in told.ask.ranges))
-        case "told":
-            _few(len(told.told.ranges), RANGES_MOST, "ranges")
-            said = tuple((one.slot, one.ready, one.same) for one in told.told.ranges)
-            return Told(epoch, told.told.birth, said)
-        case "pull":
-            return Pull(epoch, told.pull.slot, _key_in(told.pull.after))
-        case "piece":
-            piece = told.piece
-            _few(len(piece.entries), ENTRIES_MOST, "entries")
-            held = tuple((_key_in(one.key), _entry_in(one.entry), _left(one.left)) for one in piece.entries)
-            return Piece(epoch, piece.birth, piece.slot, piece.ready, held, piece.last)
-    raise BadPacketError("a packet of no kind that this version knows")
+    )
+
+
+def _encode_pushed(packet: pb.Packet, message: Pushed) -> None:
+    packet.pushed.SetInParent()
+
+
+def _encode_fetched(packet: pb.Packet, message: Fetched) -> None:
+    packet.fetched.CopyFrom(pb.Reply(entry=_entry(message.entry)))
+
+
+def _encode_request_views(packet: pb.Packet, message: RequestViews) -> None:
+    packet.ask_past.before = message.before
+    packet.ask_past.SetInParent()
+
+
+def _encode_past_views(packet: pb.Packet, message: PastViews) -> None:
+    views = [pb.View(epoch=epoch, sites=[_site(site) for site in sites]) for epoch, sites in message.views]
+    packet.past.CopyFrom(pb.Past(birth=message.incarnation, before=message.before, views=views))
+
+
+def _encode_compare_ranges(packet: pb.Packet, message: CompareRanges) -> None:
+    ranges = [pb.Range(slot=slot, digest=digest) for slot, digest in message.ranges]
+    packet.ask.CopyFrom(pb.Ranges(ranges=ranges))
+
+
+def _encode_range_states(packet: pb.Packet, message: RangeStates) -> None:
+    ranges = [pb.Range(slot=slot, ready=ready, same=same) for slot, ready, same in message.ranges]
+    packet.told.CopyFrom(pb.Ranges(birth=message.incarnation, ranges=ranges))
+
+
+def _encode_fetch_range(packet: pb.Packet, message: FetchRange) -> None:
+    packet.pull.CopyFrom(pb.Pull(slot=message.slot, after=_key(message.after)))
+
+
+def _encode_range_chunk(packet: pb.Packet, message: RangeChunk) -> None:
+    entries = [
+        pb.Held(key=_key(key), entry=_entry(entry), left=remaining_s)
+        for key, entry, remaining_s in message.entries
+    ]
+    packet.piece.CopyFrom(
+        pb.Piece(
+            birth=message.incarnation,
+            slot=message.slot,
+            ready=message.ready_epoch,
+            entries=entries,
+            last=message.is_last,
+        )
+    )
+
+
+_ENCODERS: dict[type[Message], Callable[[pb.Packet, Any], None]] = {
+    Prepare: _encode_prepare,
+    Accept: _encode_accept,
+    Push: _encode_push,
+    Fetch: _encode_fetch,
+    Promise: _encode_promise,
+    Accepted: _encode_accepted,
+    Refuse: _encode_refuse,
+    Pushed: _encode_pushed,
+    Fetched: _encode_fetched,
+    RequestViews: _encode_request_views,
+    PastViews: _encode_past_views,
+    CompareRanges: _encode_compare_ranges,
+    RangeStates: _encode_range_states,
+    FetchRange: _encode_fetch_range,
+    RangeChunk: _encode_range_chunk,
+}
 
 
 def _change(
-    key: Key,
-    slot: int,
-    left: float = 0.0,
+    message: Prepare | Accept | Push | Fetch,
+    remaining_s: float = 0.0,
     group: bytes = b"",
-    under: int = 0,
-    ballot: pb.Ballot | None = None,
-    entry: pb.Entry | None = None,
+    binding_version: int = 0,
 ) -> pb.Change:
     return pb.Change(
-        key=_key(key), slot=slot, left=left, group=group, under=under, ballot=ballot, entry=entry
+        key=_key(message.key), slot=message.slot, left=remaining_s, group=group, under=binding_version
     )
 
 
@@ -213,74 +223,210 @@
 
 def _entry(entry: Entry) -> pb.Entry:
     outcomes = [
-        pb.Outcome(number=one.number, owner=_owner(one.owner), how=one.how, result=one.result)
-        for one in entry.outcomes
+        pb.Outcome(
+            number=outcome.version,
+            owner=_owner(outcome.owner),
+            how=outcome.status.value,
+            result=outcome.result,
+        )
+        for outcome in entry.outcomes
     ]
     return pb.Entry(
         ballot=_ballot(entry.ballot),
-        number=entry.number,
+        number=entry.version,
         owner=_owner(entry.owner),
         value=entry.value,
         digest=entry.digest,
-        freed=entry.freed,
+        freed=entry.released,
         outcomes=outcomes,
     )
 
 
-def _few(many: int, most: int, field: str) -> None:
-    if many > most:
-        raise BadPacketError(f"{field}: {many}, {most} are taken")
+def _site(site: Site) -> pb.Site:
+    return pb.Site(name=site.name, incarnation=site.incarnation, zone=site.zone, weight=site.weight)
+
+
+# -- decoding, one function a kind
+
+
+def _decode_prepare(packet: pb.Packet) -> Prepare:
+    change = packet.prepare
+    return Prepare(
+        packet.epoch,
+        packet.ref,
+        _decode_key(change.key),
+        change.slot,
+        _decode_ballot(change.ballot),
+        _check_lifetime(change.left),
+        _check_key(change.group),
+        change.under,
+    )
+
+
+def _decode_accept(packet: pb.Packet) -> Accept:
+    change = packet.accept
+    return Accept(
+        packet.epoch,
+        packet.ref,
+        _decode_key(change.key),
+        change.slot,
+        _decode_entry(change.entry),
+        _check_lifetime(change.left),
+        _check_key(change.group),
+        change.under,
+    )
+
+
+def _decode_push(packet: pb.Packet) -> Push:
+    change = packet.push
+    key, entry = _decode_key(change.key), _decode_entry(change.entry)
+    return Push(packet.epoch, packet.ref, key, change.slot, entry, _check_lifetime(change.left))
+
+
+def _decode_fetch(packet: pb.Packet) -> Fetch:
+    return Fetch(packet.epoch, packet.ref, _decode_key(packet.fetch.key), packet.fetch.slot)
+
+
+def _decode_promise(packet: pb.Packet) -> Promise:
+    reply = packet.promise
+    return Promise(packet.epoch, packet.ref, _decode_ballot(reply.ballot), _decode_entry(reply.entry))
+
+
+def _decode_accepted(packet: pb.Packet) -> Accepted:
+    return Accepted(packet.epoch, packet.ref, _decode_ballot(packet.accepted.ballot))
+
+
+def _decode_refuse(packet: pb.Packet) -> Refuse:
+    reply = packet.refuse
+    try:
+        reason = RefusalReason(reply.why)
+    except ValueError:
+        raise BadPacketError(f"why: no such reason: {reply.why[:40]!r}") from None
+    ballots = _decode_ballot(reply.ballot), _decode_ballot(reply.asked)
+    return Refuse(packet.epoch, packet.ref, reason, *ballots, _decode_entry(reply.entry))
+
+
+def _decode_pushed(packet: pb.Packet) -> Pushed:
+    return Pushed(packet.epoch, packet.ref)
+
+
+def _decode_fetched(packet: pb.Packet) -> Fetched:
+    return Fetched(packet.epoch, packet.ref, _decode_entry(packet.fetched.entry))
+
+
+def _decode_request_views(packet: pb.Packet) -> RequestViews:
+    return RequestViews(packet.epoch, packet.ask_past.before)
+
+
+def _decode_past_views(packet: pb.Packet) -> PastViews:
+    past = packet.past
+    _check_count(len(past.views), MAX_VIEWS, "views")
+    views = tuple((view.epoch, tuple(_decode_site(site) for site in view.sites)) for view in past.views)
+    for _, sites in views:
+        _check_count(len(sites), MAX_SITES, "sites")
+    return PastViews(packet.epoch, past.birth, past.before, views)
 
 
-def _short(data: bytes) -> bytes:
-    _few(len(data), KEY_MOST, "key")
+def _decode_compare_ranges(packet: pb.Packet) -> CompareRanges:
+    _check_count(len(packet.ask.ranges), MAX_RANGES, "ranges")
+    return CompareRanges(packet.epoch, tuple((one.slot, one.digest) for one in packet.ask.ranges))
+
+
+def _decode_range_states(packet: pb.Packet) -> RangeStates:
+    _check_count(len(packet.told.ranges), MAX_RANGES, "ranges")
+    states = tuple((one.slot, one.ready, one.same) for one in packet.told.ranges)
+    return RangeStates(packet.epoch, packet.told.birth, states)
+
+
+def _decode_fetch_range(packet: pb.Packet) -> FetchRange:
+    return FetchRange(packet.epoch, packet.pull.slot, _decode_key(packet.pull.after))
+
+
+def _decode_range_chunk(packet: pb.Packet) -> RangeChunk:
+    piece = packet.piece
+    _check_count(len(piece.entries), MAX_ENTRIES, "entries")
+    entries = tuple(
+        (_decode_key(one.key), _decode_entry(one.entry), _check_lifetime(one.left)) for one in piece.entries
+    )
+    return RangeChunk(packet.epoch, piece.birth, piece.slot, piece.ready, entries, piece.last)
+
+
+_DECODERS: dict[str, Callable[[pb.Packet], Message]] = {
+    "prepare": _decode_prepare,
+    "accept": _decode_accept,
+    "push": _decode_push,
+    "fetch": _decode_fetch,
+    "promise": _decode_promise,
+    "accepted": _decode_accepted,
+    "refuse": _decode_refuse,
+    "pushed": _decode_pushed,
+    "fetched": _decode_fetched,
+    "ask_past": _decode_request_views,
+    "past": _decode_past_views,
+    "ask": _decode_compare_ranges,
+    "told": _decode_range_states,
+    "pull": _decode_fetch_range,
+    "piece": _decode_range_chunk,
+}
+
+
+def _check_count(count: int, max_count: int, field: str) -> None:
+    if count > max_count:
+        raise BadPacketError(f"{field}: {count}, {max_count} are taken")
+
+
+def _check_key(data: bytes) -> bytes:
+    _check_count(len(data), MAX_KEY_BYTES, "key")
     return data
 
 
-def _name(name: str) -> str:
-    _few(len(name), NAME_MOST, "name")
+def _check_name(name: str) -> str:
+    _check_count(len(name), MAX_NAME_LENGTH, "name")
     return name
 
 
-def _left(left: float) -> float:
-    if not (isfinite(left) and left <= LIFE_MOST):
-        raise BadPacketError(f"left: at most {LIFE_MOST:g} is wanted, got {left:g}")
-    return left
+def _check_lifetime(remaining_s: float) -> float:
+    if not (isfinite(remaining_s) and remaining_s <= MAX_LIFETIME_S):
+        raise BadPacketError(f"left: at most {MAX_LIFETIME_S:g} is wanted, got {remaining_s:g}")
+    return remaining_s
 
 
-def _key_in(told: pb.Key) -> Key:
-    return _name(told.collection), _short(told.key)
+def _decode_key(key: pb.Key) -> Key:
+    return _check_name(key.collection), _check_key(key.key)
 
 
-def _ballot_in(told: pb.Ballot) -> Ballot:
-    return told.epoch, told.round, _name(told.name), told.birth
+def _decode_ballot(ballot: pb.Ballot) -> Ballot:
+    return ballot.epoch, ballot.round, _check_name(ballot.name), ballot.birth
 
 
-def _owner_in(told: pb.Owner) -> Owner:
-    return _name(told.name), told.birth, told.turn
+def _decode_owner(owner: pb.Owner) -> Owner:
+    return _check_name(owner.name), owner.birth, owner.turn
 
 
-def _entry_in(told: pb.Entry) -> Entry:
-    _few(len(told.value), VALUE_MOST, "value")
-    _few(len(told.outcomes), OUTCOMES_MOST, "outcomes")
-    outcomes = []
-    for one in told.outcomes:
-        _few(len(one.result), VALUE_MOST, "result")
-        if one.how not in HOWS:
-            raise BadPacketError(f"how: no such outcome: {one.how[:40]!r}")
-        outcomes.append(Outcome(one.number, _owner_in(one.owner), one.how, one.result))
+def _decode_entry(entry: pb.Entry) -> Entry:
+    _check_count(len(entry.value), MAX_VALUE_BYTES, "value")
+    _check_count(len(entry.outcomes), MAX_OUTCOMES, "outcomes")
     return Entry(
-        _ballot_in(told.ballot),
-        told.number,
-        _owner_in(told.owner),
-        told.value,
-        _short(told.digest),
-        told.freed,
-        tuple(sorted(outcomes)),
+        _decode_ballot(entry.ballot),
+        entry.number,
+        _decode_owner(entry.owner),
+        entry.value,
+        _check_key(entry.digest),
+        entry.freed,
+        tuple(sorted(_decode_outcome(outcome) for outcome in entry.outcomes)),
     )
 
 
-def _site(told: pb.Site) -> Site:
-    if not 0 <= told.weight <= WEIGHT_MOST:  # also not a number
-        raise BadPacketError(f"weight: 0 to {WEIGHT_MOST:g} is wanted, got {told.weight:g}")
-    return Site(_name(told.name), told.incarnation, _name(told.zone), told.weight)
+def _decode_outcome(outcome: pb.Outcome) -> Outcome:
+    _check_count(len(outcome.result), MAX_VALUE_BYTES, "result")
+    try:
+        status = OutcomeStatus(outcome.how)
+    except ValueError:
+        raise BadPacketError(f"how: no such outcome: {outcome.how[:40]!r}") from None
+    return Outcome(outcome.number, _decode_owner(outcome.owner), status, outcome.result)
+
+
+def _decode_site(site: pb.Site) -> Site:
+    if not 0 <= site.weight <= MAX_WEIGHT:  # also not a number
+        raise BadPacketError(f"weight: 0 to {MAX_WEIGHT:g} is wanted, got {site.weight:g}")
+    return Site(_check_name(site.name), site.incarnation, _check_name(site.zone), site.weight)
--- a/sablewheel/replication/entries.py
+++ b/sablewheel/replication/entries.py
@@ -1,132 +1,203 @@
-"""One entry as a member holds it, and how two differing copies become one. Pure.
+"""The entry of a key as a replica stores it, and how two differing copies are merged. Pure.
 
-An entry has two parts, each of which only rises: what the register last took, by its ballot, and what claims
-became. The merge takes the higher of the one and both of the other, so it is commutative, associative and
-idempotent. From a claim back to free leads nothing but its owner's own word, under a higher ballot.
+An entry has two parts, each of which only rises: what the register last accepted, by its ballot, and the
+outcomes of claims. The merge takes the higher of the one and both of the other, so it is commutative,
+associative and idempotent. A claimed entry becomes unclaimed only by its owner's own release, under a higher
+ballot.
 """
 
 from __future__ import annotations
 
 import hashlib
 from dataclasses import dataclass, replace
-from enum import Enum
+from enum import Enum, StrEnum
 
-OUTCOMES_MOST = 2  # of one idempotency key: a second one is evidence of a fault, a third would add nothing
+MAX_OUTCOMES = 2  # of one idempotency key: a second one is evidence of a fault, a third would add nothing
+ENTRY_OVERHEAD_BYTES = 200  # about, of an entry beside its value and results
 
-Ballot = tuple[int, int, str, int]  # epoch, round, proposer's name, its birth
-Owner = tuple[str, int, int]  # name, birth, its own count of claims
+Key = tuple[str, bytes]  # collection, key
+Ballot = tuple[int, int, str, int]  # epoch, round, proposer's name, its incarnation
+Owner = tuple[str, int, int]  # name, incarnation, its own count of claims
 NO_BALLOT: Ballot = (0, 0, "", 0)
-NOBODY: Owner = ("", 0, 0)
+NO_OWNER: Owner = ("", 0, 0)
 
 
 class State(Enum):
-    FREE = "free"
+    """The state of an idempotency key's entry."""
+
+    UNCLAIMED = "unclaimed"
     CLAIMED = "claimed"  # it may have run
-    FREED = "freed"  # the claim's owner knows that it did not run
-    DONE = "done"
+    RELEASED = "released"  # the claim's owner knows that it did not run
+    COMPLETED = "completed"
+
+
+class OutcomeStatus(StrEnum):
+    """The result of a run; the values stand in packets."""
+
+    SUCCEEDED = "worked"
+    FAILED = "failed"
+    RESULT_DROPPED = "unkept"  # it succeeded, but the result was too large to store
+
+
+class Verdict(StrEnum):
+    """What a claim, write or read came to. The values are parts of counters' names."""
+
+    WON = "won"  # the claim or write is accepted by a majority
+    KNOWN = "known"  # the outcome is known
+    RUNNING = "running"  # another owner has the claim: it may have run
+    UNREACHABLE = "unreachable"  # no majority answered in time
+    FULL = "full"  # replicas have no capacity for another key
+    FENCED = "fenced"  # the session's binding has a later version
+    STALE = "stale"  # the written entry has another version than expected
+    BUSY = "busy"  # another change of this key is in progress here
+    READ = "read"
+    RELEASED = "freed"
 
 
 @dataclass(frozen=True, order=True, slots=True)
 class Outcome:
-    """What the run of one claim became; `how` is worked, failed or unkept (worked, result too large)."""
+    """The outcome of the claim that made `version` of the entry."""
 
-    number: int
+    version: int
     owner: Owner
-    how: str
+    status: OutcomeStatus
     result: bytes = b""
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """A key's value. Of an idempotency key `number` counts its claims and `owner` made the last one; of a
-    binding or a document `number` counts its changes and `value` is the last one. `digest` tells what an
-    idempotency key asks for.
+    """The value of a key.
+
+    Attributes:
+        ballot: Under which it was accepted.
+        version: Of an idempotency key the number of its claims, else the number of its changes.
+        owner: Who made the last claim or change.
+        value: Of a session binding or a document, its last value.
+        digest: Of an idempotency key, identifies the request that it stands for.
+        released: The owner of the claim states that it did not run and never will.
+        outcomes: The outcomes of its claims, sorted.
     """
 
     ballot: Ballot = NO_BALLOT
-    number: int = 0
-    owner: Owner = NOBODY
+    version: int = 0
+    owner: Owner = NO_OWNER
     value: bytes = b""
     digest: bytes = b""
-    freed: bool = False  # the owner says that it did not run and never will
+    released: bool = False
     outcomes: tuple[Outcome, ...] = ()
 
     @property
     def state(self) -> State:
+        """The state of an idempotency key's entry."""
         if self.outcomes:
-            return State.DONE
-        if self.freed:
-            return State.FREED
-        return State.CLAIMED if self.number else State.FREE
+            return State.COMPLETED
+        if self.released:
+            return State.RELEASED
+        return State.CLAIMED if self.version else State.UNCLAIMED
 
     @property
     def size(self) -> int:
-        """Bytes, about, as it counts against a holder's bound."""
-        return ENTRY_BYTES + len(self.value) + sum(len(one.result) for one in self.outcomes)
-
-    def mark(self, key: tuple[str, bytes]) -> int:
-        """Of the whole entry under its key, 64 bits: a range's digest is the exclusive or of its marks."""
-        said = repr((key, self.ballot, self.number, self.owner, self.value, self.digest, self.freed))
-        hashed = hashlib.blake2b(said.encode(), digest_size=8)
-        for one in self.outcomes:
-            hashed.update(repr((one.number, one.owner, one.how)).encode() + one.result)
+        """Bytes, about, as it counts against a replica's capacity."""
+        results = sum(len(outcome.result) for outcome in self.outcomes)
+        return ENTRY_OVERHEAD_BYTES + len(self.value) + results
+
+    def fingerprint(self, key: Key) -> int:
+        """64 bits of the entry under its key: a range's digest is the exclusive or of its fingerprints.
+
+        It is compared between servers, so what is hashed is part of the format.
+        """
+        register = (key, self.ballot, self.version, self.owner, self.value, self.digest, self.released)
+        hashed = hashlib.blake2b(repr(register).encode(), digest_size=8)
+        for outcome in self.outcomes:
+            described = repr((outcome.version, outcome.owner, str(outcome.status)))
+            hashed.update(described.encode() + outcome.result)
         return int.from_bytes(hashed.digest(), "big")
 
 
-ENTRY_BYTES = 200  # about, of an entry beside its value and results
 EMPTY = Entry()
 
 
-def merge(one: Entry, other: Entry) -> Entry:
+def merge(first: Entry, second: Entry) -> Entry:
     """The one entry of two copies.
 
-    The register's part by its ballot, whole: under one ballot there is one value, unless something is wrong,
-    and then the order of the values decides, the same everywhere. `freed` is part of it: a set apart would
-    free a claim of another branch, that won without having seen it. Outcomes together, the least two.
+    The register's part is taken as one by its ballot: under one ballot there is one value, unless there is a
+    fault, and then the order of the values decides, the same everywhere. `released` is a part of it: a set
+    apart would release a claim of another proposer that was won without having seen it. Of the outcomes the
+    lowest `MAX_OUTCOMES` are kept.
     """
-    if one == other:
-        return one
-    later = max(one, other, key=_rank)
-    outcomes = one.outcomes
-    if other.outcomes != outcomes:
-        outcomes = tuple(sorted({*one.outcomes, *other.outcomes})[:OUTCOMES_MOST])
+    if first == second:
+        return first
+    later = max(first, second, key=_rank)
+    outcomes = first.outcomes
+    if second.outcomes != outcomes:
+        outcomes = tuple(sorted({*first.outcomes, *second.outcomes})[:MAX_OUTCOMES])
     return replace(later, outcomes=outcomes)
 
 
-def _rank(one: Entry) -> tuple[bool, Ballot, int, Owner, bool, bytes, bytes]:
-    # Nothing is below something whatever its ballot: no fault may turn a claim into nothing.
-    return one.number > 0, one.ballot, one.number, one.owner, one.freed, one.value, one.digest
+def _rank(entry: Entry) -> tuple[bool, Ballot, int, Owner, bool, bytes, bytes]:
+    # An empty entry is below any other whatever its ballot: no fault may turn a claim into nothing.
+    return (
+        entry.version > 0,
+        entry.ballot,
+        entry.version,
+        entry.owner,
+        entry.released,
+        entry.value,
+        entry.digest,
+    )
+
 
+class ChangeKind(StrEnum):
+    """What a change does to the value that was read."""
 
-# -- changes of a register, each a function of the value that was read
+    CLAIM = "claim"  # makes it this owner's unless it is somebody's
+    RELEASE = "free"  # the owner states that its claim did not run and won't
+    WRITE = "write"  # sets the value where the version is as expected
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """`claim`: make it this owner's unless it is somebody's; `free`: the owner's word that its claim did not
-    run and won't; `write`: a value where the number is `expect`."""
+    """A change of a register, as a function of the value that was read."""
 
-    what: str
+    kind: ChangeKind
     owner: Owner
     digest: bytes = b""
     value: bytes = b""
-    number: int = 0  # what a write expects
-    floor: int = 0  # the number that a write makes at least, above all of an entry that lapsed
-
-
-def changed(change: Change, held: Entry) -> tuple[Entry, str]:
-    """The value to propose, and what it means if that is accepted."""
-    if change.what == "write":
-        if held.number != change.number:
-            return held, "stale"
-        number = max(held.number + 1, change.floor)
-        return replace(held, number=number, owner=change.owner, value=change.value), "won"
-    if change.what == "free":
-        if held.state is State.DONE or (held.state is State.CLAIMED and held.owner != change.owner):
-            return held, "freed"  # put back as it was read, so that what is elsewhere of ours is older
-        return replace(held, number=max(held.number, 1), owner=change.owner, freed=True), "freed"
-    if held.state is State.DONE:
-        return held, "known"
-    if held.state is State.CLAIMED:
-        return held, "won" if held.owner == change.owner else "running"
-    return replace(held, number=held.number + 1, owner=change.owner, digest=change.digest, freed=False), "won"
+    expected_version: int = 0  # of a write
+    min_version: int = 0  # a write's new version is that at least, above all of an entry that expired
+
+
+def apply_change(change: Change, entry: Entry) -> tuple[Entry, Verdict]:
+    """The value to propose, and the verdict if it is accepted."""
+    match change.kind:
+        case ChangeKind.WRITE:
+            return _apply_write(change, entry)
+        case ChangeKind.RELEASE:
+            return _apply_release(change, entry), Verdict.RELEASED
+        case ChangeKind.CLAIM:
+            return _apply_claim(change, entry)
+
+
+def _apply_write(change: Change, entry: Entry) -> tuple[Entry, Verdict]:
+    if entry.version != change.expected_version:
+        return entry, Verdict.STALE
+    version = max(entry.version + 1, change.min_version)
+    return replace(entry, version=version, owner=change.owner, value=change.value), Verdict.WON
+
+
+def _apply_release(change: Change, entry: Entry) -> Entry:
+    of_another = entry.state is State.CLAIMED and entry.owner != change.owner
+    if entry.state is State.COMPLETED or of_another:
+        return entry  # written back as it was read, so that older copies of our claim lose against it
+    return replace(entry, version=max(entry.version, 1), owner=change.owner, released=True)
+
+
+def _apply_claim(change: Change, entry: Entry) -> tuple[Entry, Verdict]:
+    if entry.state is State.COMPLETED:
+        return entry, Verdict.KNOWN
+    if entry.state is State.CLAIMED:
+        return entry, Verdict.WON if entry.owner == change.owner else Verdict.RUNNING
+    version = entry.version + 1
+    return replace(
+        entry, version=version, owner=change.owner, digest=change.digest, released=False
+    ), Verdict.WON
--- a/sablewheel/replication/placement.py
+++ b/sablewheel/replication/placement.py
@@ -1,8 +1,9 @@
-"""Which members hold what: weighted rendezvous hashing of a key's group, copies in different zones.
+"""Which members are replicas of a range: weighted rendezvous hashing, with replicas in different zones.
 
-A group falls into one of `SLOTS` ranges; all keys of a range are held, caught up and let go together. Of
-each range the members are ranked by a keyed hash (Thaler and Ravishankar 1998; weights as Schindelhauer and
-Schomaker 2005): one that goes moves only what it held, one that comes takes only what it now ranks first for.
+A key's group falls into one of `SLOTS` ranges; all keys of a range are stored, transferred and dropped
+together. Members are ranked for each range by a keyed hash (Thaler and Ravishankar 1998; weights as
+Schindelhauer and Schomaker 2005): a member that leaves moves only what it held, one that joins takes only the
+ranges for which it now ranks first.
 """
 
 from __future__ import annotations
@@ -15,9 +16,9 @@
 
 from .plan import SLOTS
 
-WEIGHT_MOST = 100.0
+MAX_WEIGHT = 100.0
 
-Seat = tuple[str, int]  # a member's name and its incarnation in the view
+MemberIncarnation = tuple[str, int]  # a member's name and its incarnation in the view
 
 
 @dataclass(frozen=True, order=True, slots=True)
@@ -34,73 +35,82 @@
 
 
 def slot_of(group: bytes, slots: int = SLOTS) -> int:
+    """The range of a group."""
     return int.from_bytes(hashlib.blake2b(group, digest_size=8).digest(), "big") % slots
 
 
 @lru_cache(maxsize=4096)
-def _draws(name: str, slots: int) -> array[int]:
-    """One number of 64 bits a range, from one hash of the name."""
-    drawn = array("Q")
-    drawn.frombytes(hashlib.shake_128(b"sablewheel placement " + name.encode()).digest(8 * slots))
-    return drawn
+def _random_numbers(name: str, slots: int) -> array[int]:
+    """A 64-bit number for each range, from one hash of the member's name."""
+    numbers = array("Q")
+    numbers.frombytes(hashlib.shake_128(b"sablewheel placement " + name.encode()).digest(8 * slots))
+    return numbers
 
 
 class Placement:
-    """The holders under one view. `copies` of them, or all members where there are fewer."""
+    """The replicas of all ranges under one view: `copies` of each, or all members where there are fewer."""
 
     def __init__(self, sites: Sites, copies: int, slots: int = SLOTS) -> None:
         self.sites, self._copies, self._slots = sites, copies, slots
-        self._placed = [one for one in sites if one.weight > 0]
-        self._drawn = [_draws(one.name, slots) for one in self._placed]
-        self._weighted = len({one.weight for one in self._placed}) > 1
-        self._found: dict[int, tuple[Seat, ...]] = {}
-        self._names: dict[int, tuple[str, ...]] = {}
-        self._of: dict[str, list[int]] = {}
-
-    def holders(self, slot: int) -> tuple[Seat, ...]:
-        """In order of rank; the first ones of different zones, as far as there are as many."""
-        found = self._found.get(slot)
-        if found is None:
-            row: list[float] = [drawn[slot] for drawn in self._drawn]
-            if self._weighted:
-                both = zip(self._placed, row, strict=True)
-                row = [one.weight / -log((drawn + 0.5) / 2**64) for one, drawn in both]
-            zones: set[str] = set()
-            first: list[Site] = []
-            rest: list[Site] = []
-            for place in sorted(range(len(row)), key=row.__getitem__, reverse=True):
-                one = self._placed[place]
-                if one.zone not in zones:
-                    zones.add(one.zone)
-                    first.append(one)
-                    if len(first) == self._copies:
-                        break
-                elif len(rest) < self._copies:
-                    rest.append(one)
-            first += rest[: self._copies - len(first)]
-            found = self._found[slot] = tuple((one.name, one.incarnation) for one in first)
-        return found
-
-    def names(self, slot: int) -> tuple[str, ...]:
-        found = self._names.get(slot)
-        if found is None:
-            found = self._names[slot] = tuple(name for name, _ in self.holders(slot))
-        return found
-
-    def of(self, name: str) -> list[int]:
-        """The ranges that a member holds."""
-        if not self._of:
+        self._candidates = [site for site in sites if site.weight > 0]
+        self._numbers = [_random_numbers(site.name, slots) for site in self._candidates]
+        self._is_weighted = len({site.weight for site in self._candidates}) > 1
+        self._replicas: dict[int, tuple[MemberIncarnation, ...]] = {}
+        self._replica_names: dict[int, tuple[str, ...]] = {}
+        self._slots_of: dict[str, list[int]] = {}
+
+    def replicas(self, slot: int) -> tuple[MemberIncarnation, ...]:
+        """The replicas of a range in order of rank; the first ones in different zones, as far as possible."""
+        replicas = self._replicas.get(slot)
+        if replicas is None:
+            chosen = self._choose(self._scores(slot))
+            replicas = self._replicas[slot] = tuple((site.name, site.incarnation) for site in chosen)
+        return replicas
+
+    def _scores(self, slot: int) -> list[float]:
+        scores: list[float] = [numbers[slot] for numbers in self._numbers]
+        if self._is_weighted:
+            pairs = zip(self._candidates, scores, strict=True)
+            scores = [site.weight / -log((number + 0.5) / 2**64) for site, number in pairs]
+        return scores
+
+    def _choose(self, scores: list[float]) -> list[Site]:
+        zones: set[str] = set()
+        chosen: list[Site] = []
+        same_zone: list[Site] = []
+        for index in sorted(range(len(scores)), key=scores.__getitem__, reverse=True):
+            site = self._candidates[index]
+            if site.zone not in zones:
+                zones.add(site.zone)
+                chosen.append(site)
+                if len(chosen) == self._copies:
+                    break
+            elif len(same_zone) < self._copies:
+                same_zone.append(site)
+        return chosen + same_zone[: self._copies - len(chosen)]
+
+    def replica_names(self, slot: int) -> tuple[str, ...]:
+        """The names of a range's replicas, in order of rank."""
+        names = self._replica_names.get(slot)
+        if names is None:
+            names = self._replica_names[slot] = tuple(name for name, _ in self.replicas(slot))
+        return names
+
+    def slots_of(self, name: str) -> list[int]:
+        """The ranges of which a member is a replica."""
+        if not self._slots_of:
             for slot in range(self._slots):
-                for one in self.names(slot):
-                    self._of.setdefault(one, []).append(slot)
-        return self._of.get(name, [])
+                for replica_name in self.replica_names(slot):
+                    self._slots_of.setdefault(replica_name, []).append(slot)
+        return self._slots_of.get(name, [])
 
 
 @lru_cache(maxsize=64)
 def placement(sites: Sites, copies: int, slots: int) -> Placement:
-    """The same for all who hold this view, in one process: it follows from the view alone."""
+    """The placement under a view; it follows from the view alone, so one process shares it."""
     return Placement(sites, copies, slots)
 
 
-def majority(many: int) -> int:
-    return many // 2 + 1
+def majority(count: int) -> int:
+    """The size of a majority of so many replicas."""
+    return count // 2 + 1
--- /dev/null
+++ b/sablewheel/replication/proposer.py
@@ -0,0 +1,212 @@
+"""The proposer: takes changes of registers to a majority of their replicas. Pure."""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from .context import ReplicaContext
+from .entries import EMPTY, NO_BALLOT, Ballot, Change, ChangeKind, Entry, Key, State, Verdict
+from .messages import Accepted, Promise, RefusalReason, Refuse
+from .paxos_register import Proposal, next_ballot
+from .reachability import Reachability
+
+MAX_PROMISED_KEYS = 4096  # keys whose next ballot is promised to this member
+READ_VERDICTS = (Verdict.KNOWN, Verdict.RUNNING, Verdict.STALE)  # there is nothing to propose
+FINAL_REFUSALS = {RefusalReason.FENCED: Verdict.FENCED, RefusalReason.FULL: Verdict.FULL}
+
+
+class ProposalObserver(Protocol):
+    """Is notified of the verdicts of claims and releases."""
+
+    def on_decided(self, proposal: Proposal, verdict: Verdict, entry: Entry) -> None:
+        """A proposal is over."""
+
+
+class Proposer:
+    """Proposals in progress.
+
+    Invariant: there is one proposal a key at most, and each ballot of this member is above all that it used
+    or was refused for under this epoch, so no two of its proposals share one.
+    """
+
+    def __init__(self, context: ReplicaContext, reachability: Reachability) -> None:
+        self._context, self._reachability = context, reachability
+        self.observer: ProposalObserver | None = None
+        self.proposals: dict[int, Proposal] = {}  # by ref
+        self._by_key: dict[Key, int] = {}
+        self.promised: dict[Key, tuple[Ballot, Entry]] = {}  # the next ballot, and the entry accepted last
+        self.last_round = 0
+
+    def propose(
+        self,
+        key: Key,
+        group: bytes,
+        change: Change,
+        expires_at: float,
+        caller_ref: int | None,
+        binding_version: int = 0,
+    ) -> Verdict | None:
+        """Begin a change.
+
+        Returns:
+            None if it has begun, else BUSY or FULL.
+        """
+        context = self._context
+        current_ref = self._by_key.get(key)
+        if current_ref is not None:
+            current = self.proposals[current_ref]
+            if change.kind is ChangeKind.WRITE or current.caller_ref is not None:
+                return Verdict.BUSY
+            self._close(current)  # our own release, in place of which this one goes on
+        if len(self.proposals) >= 2 * context.settings.max_claims:
+            return Verdict.FULL
+        proposal = Proposal(
+            context.next_ref(),
+            key,
+            context.slot_of(group),
+            group,
+            change,
+            expires_at,
+            binding_version,
+            caller_ref,
+        )
+        self.proposals[proposal.ref] = proposal
+        self._by_key[key] = proposal.ref
+        if caller_ref is not None:
+            context.set_timer(context.now + context.settings.claim_timeout_s, -proposal.ref)
+        self._begin(proposal)
+        return None
+
+    def view_installed(self) -> None:
+        """Begin all proposals again under the new view; what was promised under the old one is void."""
+        self.promised.clear()
+        for proposal in list(self.proposals.values()):
+            self._begin(proposal)
+
+    def _begin(self, proposal: Proposal) -> None:
+        """Under the present view, with a ballot above all that are known here."""
+        context = self._context
+        promised = self.promised.pop(proposal.key, None)
+        replicas = context.replicas_of(proposal.slot)
+        quorum = context.quorum_size(len(replicas))
+        if promised is not None and promised[0][0] == context.epoch:
+            proposal.begin(context.epoch, replicas, quorum, *promised)
+            if proposal.verdict in READ_VERDICTS:
+                promised = None  # that was the entry then; two round trips tell whether it still is
+        if promised is None or promised[0][0] != context.epoch:
+            self.last_round += 2
+            ballot = (context.epoch, self.last_round, context.name, context.incarnation)
+            proposal.begin(context.epoch, replicas, quorum, ballot)
+        self._schedule(proposal, context.now)
+
+    def _schedule(self, proposal: Proposal, at: float) -> None:
+        proposal.next_send_at = at  # a timer set for another time is outdated
+        self._context.set_timer(at, proposal.ref)
+
+    # -- timers
+
+    def on_timer(self, proposal: Proposal) -> None:
+        """Send the messages of a proposal that are without an answer."""
+        context = self._context
+        if proposal.expires_at <= context.now:
+            return self._decide(proposal, Verdict.UNREACHABLE)
+        if not context.epoch:
+            return self._schedule(proposal, context.now + context.settings.max_retry_s)
+        if proposal.epoch != context.epoch or proposal.needs_new_ballot:
+            proposal.needs_new_ballot = False
+            return self._begin(proposal)
+        proposal.was_sent = proposal.was_sent or proposal.proposed is not None
+        for name, message in proposal.pending_messages(context.now):
+            self._reachability.message_resent(name, proposal.attempts)
+            context.send(name, message)
+        proposal.attempts += 1
+        self._schedule(proposal, context.next_retry(proposal.attempts - 1))
+
+    def on_timeout(self, ref: int) -> None:
+        """The time of a claim or write is up: it is answered if it is still open."""
+        proposal = self.proposals.get(ref)
+        if proposal is not None and proposal.caller_ref is not None:
+            is_full = RefusalReason.FULL in proposal.refusals.values()
+            self._decide(proposal, Verdict.FULL if is_full else Verdict.UNREACHABLE)
+
+    # -- messages
+
+    def on_promise(self, sender: str, message: Promise) -> None:
+        """Count a promise; with a majority ask for acceptance at once."""
+        proposal = self._proposal_of(message.epoch, message.ref)
+        if proposal is None or not proposal.add_promise(sender, message.ballot, message.entry):
+            return
+        if proposal.verdict in READ_VERDICTS:
+            return self._decide(proposal, proposal.verdict)
+        proposal.attempts = 0
+        self.on_timer(proposal)
+
+    def on_accepted(self, sender: str, message: Accepted) -> None:
+        """Count an acceptance; with a majority the proposal is decided."""
+        proposal = self._proposal_of(message.epoch, message.ref)
+        if proposal is not None and proposal.add_acceptance(sender, message.ballot):
+            assert proposal.verdict is not None
+            self._decide(proposal, proposal.verdict)
+
+    def on_refuse(self, sender: str, refuse: Refuse) -> None:
+        """Begin again, give up, or answer from what the replica has stored."""
+        self._context.counts[f"refused_{refuse.reason}"] += 1
+        if refuse.reason is RefusalReason.EPOCH:
+            return  # our view comes from membership, or our removal does
+        proposal = self._proposal_of(refuse.epoch, refuse.ref)
+        if proposal is None:
+            return
+        self.last_round = max(self.last_round, refuse.ballot[1])
+        if self._answered_by(proposal, refuse):
+            return
+        reason = proposal.add_refusal(sender, refuse.reason, refuse.refused)
+        if reason is RefusalReason.BALLOT:
+            self._back_off(proposal)
+        elif reason is not None:
+            self._decide(proposal, FINAL_REFUSALS[reason])
+
+    def _answered_by(self, proposal: Proposal, refuse: Refuse) -> bool:
+        """Whether the refusal shows that another has the claim, so that nothing need be proposed."""
+        is_waiting_for_promises = refuse.refused == proposal.ballot and proposal.proposed is None
+        if proposal.change.kind is not ChangeKind.CLAIM or not is_waiting_for_promises:
+            return False
+        state = refuse.entry.state
+        is_of_another = state is State.CLAIMED and refuse.entry.owner != proposal.change.owner
+        if state is not State.COMPLETED and not is_of_another:
+            return False
+        proposal.proposed = refuse.entry  # to answer with; it is not sent
+        self._decide(proposal, Verdict.KNOWN if state is State.COMPLETED else Verdict.RUNNING)
+        return True
+
+    def _back_off(self, proposal: Proposal) -> None:
+        """Give another proposer of this key time to end, or two could refuse each other for ever."""
+        context = self._context
+        proposal.ballot, proposal.attempts = NO_BALLOT, max(proposal.attempts, 1)
+        proposal.needs_new_ballot = True
+        max_wait_s = context.settings.initial_retry_s * min(2**proposal.attempts, 8)
+        self._schedule(proposal, context.now + context.rng.uniform(0.0, max_wait_s))
+
+    def _proposal_of(self, epoch: int, ref: int) -> Proposal | None:
+        proposal = self.proposals.get(ref)
+        if proposal is None or epoch != proposal.epoch or self._context.is_foreign_epoch(epoch):
+            return None
+        return proposal
+
+    # -- the end
+
+    def _close(self, proposal: Proposal) -> None:
+        del self.proposals[proposal.ref]
+        self._by_key.pop(proposal.key, None)
+
+    def _decide(self, proposal: Proposal, verdict: Verdict) -> None:
+        self._close(proposal)
+        entry = proposal.proposed or EMPTY
+        if verdict in (Verdict.WON, Verdict.RELEASED) and proposal.proposed is not None:
+            if len(self.promised) >= MAX_PROMISED_KEYS:
+                self.promised.pop(next(iter(self.promised)))
+            self.promised[proposal.key] = (next_ballot(proposal.ballot), proposal.proposed)
+        if proposal.change.kind is not ChangeKind.WRITE:
+            assert self.observer is not None
+            self.observer.on_decided(proposal, verdict, entry)
+        elif proposal.caller_ref is not None:
+            self._context.answer(proposal.caller_ref, verdict, entry)
--- a/sablewheel/replication/range_transfer.py
+++ b/sablewheel/replication/range_transfer.py
@@ -1,11 +1,11 @@
-"""When a member's copy of a range counts: what it must have heard, and from whom. Pure.
-
-A *configuration* of a range is a run of epochs with the same holders (names and incarnations). A member is
-ready in one when its copy covers all that was decided in those before. It is, once it merged the copy of a
-member that was ready at some epoch k, and those of a majority of the holders of each configuration from k up
-to the present one, each told when the teller held the present epoch or a later one: from then on it decides
-nothing for an older epoch, so nothing is decided behind our back. A teller that started anew tells nothing of
-its earlier self: its birth is later than that self's incarnation.
+"""When a member's copy of a range counts: what it must have received, and from whom. Pure.
+
+A *configuration* of a range is a run of epochs with the same replicas (names and incarnations). A member is
+ready in one when its copy covers all that was decided in those before. It does once it has merged the copy of
+a member that was ready at some epoch k, and those of a majority of the replicas of each configuration from k
+up to the present one, each sent when its sender had the present epoch or a later one: from then on the sender
+decides nothing for an older epoch, so nothing is decided unseen. A restarted sender has nothing of its
+earlier incarnation.
 """
 
 from __future__ import annotations
@@ -14,112 +14,138 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from .messages import Viewed
-from .placement import Placement, Seat, Sites, majority, placement
+from .messages import ViewInstalled
+from .placement import MemberIncarnation, Placement, Sites, majority, placement
 
-PARTED_FOR = 3.0  # seconds: as long as links to one that left the view linger
-HISTORY_MOST = 256  # views; a range that was not ready for longer waits for its lives to pass
+DEPARTED_LINGER_S = 3.0  # as long as connections to a member that left the view linger
+MAX_VIEWS = 256  # a range that was not ready for longer waits until all lifetimes have passed
 
 
-class Standing(Enum):
+class Readiness(Enum):
+    """Whether a copy of a range counts, and if not, whether it can become so."""
+
     READY = "ready"
-    WAITING = "waiting"  # for an answer of someone who may still give it
-    LOST = "lost"  # what may be missing was decided by some that are gone; nobody can add to it
-    CUT = "cut"  # enough to decide are out of the view, and may be alive
+    WAITING = "waiting"  # for an answer of a member that may still give it
+    LOST = "lost"  # what may be missing was decided by members that are gone; nobody can add to it
+    PARTITIONED = "partitioned"  # enough members to decide are out of the view, and may be alive
 
 
 @dataclass(slots=True)
 class Range:
-    """One range here. `ready`: the last epoch at which its copy counted; `told`: by whom, and theirs."""
-
-    ready: int = 0
-    start: int = 0  # of the present configuration
-    told: dict[str, tuple[int, int]] = field(default_factory=dict)  # name -> birth, ready
+    """One range here.
+
+    Attributes:
+        ready_epoch: The last epoch at which its copy counted; 0: never.
+        start_epoch: The first epoch of the present configuration.
+        merged_from: Whose copies were merged: name -> incarnation, ready epoch.
+        lost_since: Since when what may be missing counts as lost.
+    """
+
+    ready_epoch: int = 0
+    start_epoch: int = 0
+    merged_from: dict[str, tuple[int, int]] = field(default_factory=dict)
     lost_since: float | None = None
 
 
 class Ranges:
-    """All ranges that this member holds, or held and still keeps."""
+    """All ranges of which this member is or was a replica, and the views that it knows.
 
-    def __init__(self, name: str, birth: int, copies: int, slots: int) -> None:
-        self.name, self.birth = name, birth
+    Invariant: a range of `assigned` is in `unready` if and only if its ready epoch is before its start epoch.
+    """
+
+    def __init__(self, name: str, incarnation: int, copies: int, slots: int) -> None:
+        self.name, self.incarnation = name, incarnation
         self._copies, self._slots = copies, slots
         self.views: dict[int, Placement] = {}
         self._epochs: list[int] = []  # of the views known, in order
         self.epoch = 0
-        self.mine: dict[int, Range] = {}  # held under the present view
-        self.kept: dict[int, Range] = {}  # no longer; kept until the new holders have theirs
+        self.assigned: dict[int, Range] = {}  # under the present view
+        self.retained: dict[int, Range] = {}  # no longer assigned; kept until the new replicas have theirs
         self.unready: set[int] = set()
-        self.past_told: set[str] = set()
-        self.past_from: dict[str, int] = {}  # the oldest view that each has told of
-        self.births: dict[str, int] = {name: birth}
-        self.gone: set[Seat] = set()
-        self.parted: dict[str, float] = {}  # who left the view lately, and until when it may still tell
+        self.history_received: set[str] = set()  # members that sent all views they know
+        self._oldest_view_from: dict[str, int] = {}
+        self.incarnations: dict[str, int] = {name: incarnation}
+        self.removed: set[MemberIncarnation] = set()
+        self.departed_until: dict[str, float] = {}  # who left the view lately may still answer until then
         self.names: tuple[str, ...] = ()
-        self.places: frozenset[str] = frozenset()
+        self.members: frozenset[str] = frozenset()
 
     # -- views
 
-    def view(self, viewed: Viewed, now: float) -> None:
-        self.gone |= set(viewed.gone)
-        for name in self.places - {one.name for one in viewed.sites}:
-            self.parted[name] = now + PARTED_FOR
-        for name in [name for name, until in self.parted.items() if until <= now]:
-            del self.parted[name]
-        placed = placement(viewed.sites, self._copies, self._slots)
-        self.views[viewed.epoch] = placed
-        self.epoch, self.names = viewed.epoch, tuple(one.name for one in viewed.sites)
-        self.places = frozenset(self.names)
-        self.past_told.clear()
-        self.past_from.clear()
-        mine = set(placed.of(self.name))
-        for slot in [one for one in self.mine if one not in mine]:
-            self.kept[slot] = self.mine.pop(slot)
-        for one in self.kept.values():
-            one.told = {}
-        for slot in mine:
-            one = self.mine.get(slot) or self.kept.pop(slot, None) or Range()
-            self.mine[slot] = one
-            start = self._start(slot)
-            if start != one.start and one.ready < start:
-                one.start, one.told, one.lost_since = start, {}, None
-            else:
-                one.start = start
-                one.ready = self.epoch if one.ready >= start else one.ready
-        self.unready = {slot for slot, one in self.mine.items() if one.ready < one.start}
+    def install_view(self, view: ViewInstalled, now: float) -> None:
+        """Take a new view: which ranges are assigned, which are retained, which are not ready."""
+        self._note_departures(view, now)
+        placed = placement(view.sites, self._copies, self._slots)
+        self.views[view.epoch] = placed
+        self.epoch, self.names = view.epoch, tuple(site.name for site in view.sites)
+        self.members = frozenset(self.names)
+        self.history_received.clear()
+        self._oldest_view_from.clear()
+        assigned = set(placed.slots_of(self.name))
+        for slot in [slot for slot in self.assigned if slot not in assigned]:
+            self.retained[slot] = self.assigned.pop(slot)
+        for retained in self.retained.values():
+            retained.merged_from = {}
+        for slot in assigned:
+            self._assign(slot)
+        self.unready = {slot for slot, one in self.assigned.items() if one.ready_epoch < one.start_epoch}
         self._epochs = sorted(self.views)
-        for old in self._epochs[:-HISTORY_MOST]:
+        for old in self._epochs[:-MAX_VIEWS]:
             del self.views[old]
-        del self._epochs[:-HISTORY_MOST]
-
-    def _start(self, slot: int) -> int:
-        """The first epoch known of those without a gap whose holders are the present ones."""
-        present, epoch = self.views[self.epoch].holders(slot), self.epoch
-        while epoch - 1 in self.views and self.views[epoch - 1].holders(slot) == present:
+        del self._epochs[:-MAX_VIEWS]
+
+    def _note_departures(self, view: ViewInstalled, now: float) -> None:
+        self.removed |= set(view.removed)
+        for name in self.members - {site.name for site in view.sites}:
+            self.departed_until[name] = now + DEPARTED_LINGER_S
+        for name in [name for name, until in self.departed_until.items() if until <= now]:
+            del self.departed_until[name]
+
+    def _assign(self, slot: int) -> None:
+        assigned = self.assigned.get(slot) or self.retained.pop(slot, None) or Range()
+        self.assigned[slot] = assigned
+        start_epoch = self._start_epoch(slot)
+        if start_epoch != assigned.start_epoch and assigned.ready_epoch < start_epoch:
+            assigned.start_epoch, assigned.merged_from, assigned.lost_since = start_epoch, {}, None
+            return
+        assigned.start_epoch = start_epoch
+        if assigned.ready_epoch >= start_epoch:
+            assigned.ready_epoch = self.epoch
+
+    def _start_epoch(self, slot: int) -> int:
+        """The first epoch of the known ones without a gap that have the present replicas."""
+        present, epoch = self.views[self.epoch].replicas(slot), self.epoch
+        while epoch - 1 in self.views and self.views[epoch - 1].replicas(slot) == present:
             epoch -= 1
         return epoch
 
-    def past(self, name: str, before: int, views: tuple[tuple[int, Sites], ...], more: bool) -> None:
-        """What a member told of views before that one; `more`: it may have others."""
-        asked = before == self.past_before(name)  # else it is late, and what has come up since is not in it
+    def add_past_views(
+        self, name: str, before: int, views: tuple[tuple[int, Sites], ...], has_more: bool
+    ) -> None:
+        """Take the views before an epoch that a member sent; `has_more`: it may know others."""
+        # A late answer lacks the views that were installed since it was asked for.
+        is_current = before == self.request_views_before(name)
         for epoch, sites in views:
-            if 0 < epoch < self.epoch and epoch not in self.views and len(self.views) < HISTORY_MOST:
+            if 0 < epoch < self.epoch and epoch not in self.views and len(self.views) < MAX_VIEWS:
                 self.views[epoch] = placement(sites, self._copies, self._slots)
         self._epochs = sorted(self.views)
-        if views and asked:
-            self.past_from[name] = min(self.past_from.get(name, self.epoch), *(epoch for epoch, _ in views))
-        if asked and not more:
-            self.past_told.add(name)
-
-    def past_before(self, name: str) -> int:
-        """Before which view to ask that member for more. Not before the gap only: of a view that nobody was
-        in, or of a fleet founded anew, nobody can tell, and the same ones would be told for ever.
+        if views and is_current:
+            oldest = self._oldest_view_from.get(name, self.epoch)
+            self._oldest_view_from[name] = min(oldest, *(epoch for epoch, _ in views))
+        if is_current and not has_more:
+            self.history_received.add(name)
+
+    def request_views_before(self, name: str) -> int:
+        """Before which epoch to ask a member for more views.
+
+        Not only before the gap: of a view in which nobody was, or of a fleet founded anew, nobody has any,
+        and the same views would be sent for ever.
         """
-        return min(self.gap, self.past_from.get(name, self.gap))
+        return min(self.gap, self._oldest_view_from.get(name, self.gap))
 
-    def older(self, before: int, most: int) -> tuple[tuple[int, Sites], ...]:
-        """Of the views known here the latest before that one."""
-        epochs = self._epochs[: bisect.bisect_left(self._epochs, before)][-most:]
+    def views_before(self, before: int, max_views: int) -> tuple[tuple[int, Sites], ...]:
+        """The latest views known here before an epoch, the latest first."""
+        epochs = self._epochs[: bisect.bisect_left(self._epochs, before)][-max_views:]
         return tuple((epoch, self.views[epoch].sites) for epoch in reversed(epochs))
 
     @property
@@ -130,94 +156,117 @@
             epoch -= 1
         return epoch
 
-    # -- what counts
+    # -- readiness
 
     def is_ready(self, slot: int) -> bool:
-        one = self.mine.get(slot)
-        return one is not None and one.ready >= one.start
-
-    def ready_at(self, slot: int) -> int:
-        """The last epoch at which its copy here counted; 0: never."""
-        one = self.mine.get(slot) or self.kept.get(slot)
-        return one.ready if one is not None else 0
-
-    def born(self, name: str, birth: int) -> None:
-        self.births[name] = max(birth, self.births.get(name, 0))
-
-    def told(self, slot: int, name: str, epoch: int, birth: int, ready: int) -> None:
-        """Its whole copy of the range, as it was at `epoch` or later, is merged into ours."""
-        self.born(name, birth)
-        one = self.mine.get(slot) or self.kept.get(slot)
-        if one is not None and epoch >= (one.start if slot in self.mine else self.epoch):
-            one.told[name] = (birth, ready)
-
-    def wanted(self, slot: int) -> set[str]:
-        """Who in the present view may have something to tell of it, and has not."""
-        return self._untold(slot) & self.places
-
-    def hoped(self, slot: int, now: float) -> set[str]:
-        """Who left the view lately and may be alive, as one that leaves in order is; not waited for."""
-        return {name for name in self._untold(slot) - self.places if self.parted.get(name, 0.0) > now}
-
-    def _untold(self, slot: int) -> set[str]:
-        one = self.mine[slot]
-        found: set[str] = set()
-        source = max([one.ready, *(ready for _, ready in one.told.values())])
-        for epoch in self._epochs[bisect.bisect_left(self._epochs, source) :]:
-            found.update(self.views[epoch].names(slot))
-        return found - set(one.told) - {self.name}
-
-    def standing(self, slot: int) -> Standing:
-        one = self.mine[slot]
-        told = {**one.told, self.name: (self.birth, one.ready)}
-        source = max(ready for _, ready in told.values())
-        if source >= one.start:
-            return Standing.READY
-        waits = bool(self.wanted(slot)) or not self.past_told >= set(self.names) - {self.name}
-        if source == 0:
-            return Standing.WAITING if waits else Standing.LOST
-        worst = Standing.READY
-        for epoch in range(source, one.start):
-            placed = self.views.get(epoch)
-            if placed is None:
-                return Standing.WAITING if waits else Standing.LOST  # a fleet founded anew has such gaps
-            seats = placed.holders(slot)
-            needed = majority(len(seats))
-            silent = [one for one in seats if one[0] not in told or told[one[0]][0] > one[1]]
-            if len(seats) - len(silent) >= needed:
+        """Whether the copy here of a range counts."""
+        assigned = self.assigned.get(slot)
+        return assigned is not None and assigned.ready_epoch >= assigned.start_epoch
+
+    def ready_epoch(self, slot: int) -> int:
+        """The last epoch at which the copy here of a range counted; 0: never."""
+        known = self.assigned.get(slot) or self.retained.get(slot)
+        return known.ready_epoch if known is not None else 0
+
+    def note_incarnation(self, name: str, incarnation: int) -> None:
+        """Record that a member has this incarnation, or a later one."""
+        self.incarnations[name] = max(incarnation, self.incarnations.get(name, 0))
+
+    def copy_merged(self, slot: int, name: str, epoch: int, incarnation: int, ready_epoch: int) -> None:
+        """Record that a member's complete copy, as it was at `epoch` or later, is merged into ours."""
+        self.note_incarnation(name, incarnation)
+        known = self.assigned.get(slot) or self.retained.get(slot)
+        if known is not None and epoch >= (known.start_epoch if slot in self.assigned else self.epoch):
+            known.merged_from[name] = (incarnation, ready_epoch)
+
+    def required_sources(self, slot: int) -> set[str]:
+        """Members of the present view that may have a copy of it which is not merged yet."""
+        return self._unmerged(slot) & self.members
+
+    def optional_sources(self, slot: int, now: float) -> set[str]:
+        """Members that left the view lately and may still answer, as on a graceful shutdown."""
+        departed = self._unmerged(slot) - self.members
+        return {name for name in departed if self.departed_until.get(name, 0.0) > now}
+
+    def _unmerged(self, slot: int) -> set[str]:
+        assigned = self.assigned[slot]
+        names: set[str] = set()
+        source_epoch = max([assigned.ready_epoch, *(ready for _, ready in assigned.merged_from.values())])
+        for epoch in self._epochs[bisect.bisect_left(self._epochs, source_epoch) :]:
+            names.update(self.views[epoch].replica_names(slot))
+        return names - set(assigned.merged_from) - {self.name}
+
+    def readiness(self, slot: int) -> Readiness:
+        """Whether the copies merged so far cover all that was decided before the present configuration."""
+        assigned = self.assigned[slot]
+        merged = {**assigned.merged_from, self.name: (self.incarnation, assigned.ready_epoch)}
+        source_epoch = max(ready for _, ready in merged.values())
+        if source_epoch >= assigned.start_epoch:
+            return Readiness.READY
+        may_wait = bool(self.required_sources(slot)) or not self.history_received >= set(self.names) - {
+            self.name
+        }
+        unknown = Readiness.WAITING if may_wait else Readiness.LOST
+        if source_epoch == 0:
+            return unknown
+        worst = Readiness.READY
+        for epoch in range(source_epoch, assigned.start_epoch):
+            if epoch not in self.views:
+                return unknown  # a fleet founded anew has such gaps
+            replicas = self.views[epoch].replicas(slot)
+            covered = self._coverage(replicas, merged)
+            if covered is Readiness.READY:
                 continue
-            if waits:
-                return Standing.WAITING
-            if sum(not self._dead(one) for one in silent) >= needed:
-                return Standing.CUT  # these may be alive, and decide by themselves
-            worst = Standing.LOST
+            if may_wait:
+                return Readiness.WAITING
+            if covered is Readiness.PARTITIONED:
+                return covered
+            worst = covered
         return worst
 
-    def _dead(self, seat: Seat) -> bool:
-        """That incarnation is gone for good: its name was born anew, or the fleet agreed so."""
-        return self.births.get(seat[0], 0) > seat[1] or seat in self.gone
-
-    def settle(self, slot: int, now: float, longest: float, cold_waits: bool) -> Standing:
-        """Look at it again; whether it counts from now on. What nobody can know any more is over once the
-        longest life has passed.
+    def _coverage(
+        self, replicas: tuple[MemberIncarnation, ...], merged: dict[str, tuple[int, int]]
+    ) -> Readiness:
+        """Whether a majority of the replicas of one epoch is merged, and if not, whether the rest is gone."""
+        quorum = majority(len(replicas))
+        silent = [
+            replica for replica in replicas if replica[0] not in merged or merged[replica[0]][0] > replica[1]
+        ]
+        if len(replicas) - len(silent) >= quorum:
+            return Readiness.READY
+        if sum(not self._is_dead(replica) for replica in silent) >= quorum:
+            return Readiness.PARTITIONED  # these may be alive, and decide by themselves
+        return Readiness.LOST
+
+    def _is_dead(self, replica: MemberIncarnation) -> bool:
+        """Whether that incarnation never comes back: its name has a later one, or the fleet agreed so."""
+        return self.incarnations.get(replica[0], 0) > replica[1] or replica in self.removed
+
+    def settle(self, slot: int, now: float, max_lifetime_s: float, waits_after_cold_start: bool) -> Readiness:
+        """Check a range again, and mark it ready if it is.
+
+        What nobody can know any more does not matter once the longest lifetime has passed.
         """
-        one = self.mine[slot]
-        found = self.standing(slot)
-        if found is Standing.LOST:
-            if one.lost_since is None:
-                one.lost_since = now
-            fresh = not cold_waits and one.ready == 0 and all(not ready for _, ready in one.told.values())
-            if fresh or now >= one.lost_since + longest:
-                found = Standing.READY
+        assigned = self.assigned[slot]
+        readiness = self.readiness(slot)
+        if readiness is Readiness.LOST:
+            if assigned.lost_since is None:
+                assigned.lost_since = now
+            never_ready = assigned.ready_epoch == 0 and all(
+                not ready for _, ready in assigned.merged_from.values()
+            )
+            is_first_start = not waits_after_cold_start and never_ready
+            if is_first_start or now >= assigned.lost_since + max_lifetime_s:
+                readiness = Readiness.READY
         else:
-            one.lost_since = None
-        if found is Standing.READY:
-            one.ready, one.lost_since = self.epoch, None
+            assigned.lost_since = None
+        if readiness is Readiness.READY:
+            assigned.ready_epoch, assigned.lost_since = self.epoch, None
             self.unready.discard(slot)
-        return found
+        return readiness
 
-    def let_go(self, slot: int) -> bool:
-        """Of a range that is no longer ours: whether every present holder said that it is ready."""
-        one = self.kept[slot]
-        names, start = self.views[self.epoch].names(slot), self._start(slot)
-        return all(name in one.told and one.told[name][1] >= start for name in names)
+    def may_drop(self, slot: int) -> bool:
+        """Whether all present replicas of a retained range have told that they are ready."""
+        merged_from = self.retained[slot].merged_from
+        names, start_epoch = self.views[self.epoch].replica_names(slot), self._start_epoch(slot)
+        return all(name in merged_from and merged_from[name][1] >= start_epoch for name in names)
--- a/sablewheel/replication/service.py
+++ b/sablewheel/replication/service.py
@@ -1,12 +1,11 @@
 """Replication in the server: a claim on a majority before each keyed run, its outcome there after it.
 
-Decides nothing about copies. A run is held until its claim is won. Where another server has the idempotency
-key, the try leaves this server's table and cores at once; its answer is given from here, from the outcome's
-bytes, when there is one, and in an error when its time is up: it may have run, so it is not rejected. Where
-no majority is to be had, it never begins and is rejected; the next ones are at the door, before they are
-held.
+It decides nothing about copies. A run waits until its claim is won. Where another server has the idempotency
+key, the request leaves this server's table and cores at once; it is answered from here, with the outcome's
+bytes, or with an error when its time is up: it may have run, so it is not rejected. Where no majority is
+reachable, the run never starts and the request is rejected; the next ones are rejected on arrival.
 
-Peers are spoken with over links that may lose anything; the replica repeats.
+Messages go over connections that may lose any of them; the replica repeats them.
 """
 
 from __future__ import annotations
@@ -16,11 +15,12 @@
 import time
 from collections import deque
 from collections.abc import Callable
+from dataclasses import dataclass
 from math import inf
 from typing import Protocol
 
 from ..membership.view import View
-from ..overload.interface import Client, Idempotency, Outcome, Request, RequestClass
+from ..overload.interface import Idempotency, Outcome, Request, RequestClass
 from ..serving.delayed_answers import DUE_SPARE
 from ..serving.exchange import Caller, Exchange, Place, RequestObserver, digest
 from ..serving.hooks import Memory
@@ -28,507 +28,447 @@
 from ..transport.scheduler import Scheduler
 from ..transport.wakeup import Wake
 from . import codec
-from .entries import Entry, State
+from .context import IDEMPOTENCY_KEYS
+from .entries import Entry, OutcomeStatus, Verdict
+from .held_answers import HeldAnswers
 from .messages import (
     Answer,
     Claim,
+    CompleteClaim,
     Effect,
     Event,
-    Finish,
-    Free,
-    Got,
+    Log,
+    LogEvent,
     Message,
-    Note,
-    Piece,
+    MessageReceived,
+    OutcomeStored,
+    RangeChunk,
     Read,
+    ReleaseClaim,
     Send,
-    Stored,
     Tick,
-    Viewed,
+    ViewInstalled,
     Write,
 )
-from .placement import WEIGHT_MOST, Site
+from .placement import MAX_WEIGHT, Site
 from .plan import ReplicationPlan
-from .replica import LABELS, UNPLACED, Replica
-
-KIND = "replica"
-WITHIN = 1.0  # seconds after which a frame is worth nothing: what matters is sent again
-PIECE_WITHIN = 3.0
-COME_BACK = 0.5  # what a rejected request is told, where no majority is to be had
-POLL_FIRST, POLL_LAST = 0.02, 0.25  # between looks for another's outcome, doubling
-GONE = "gone/"  # the facts of the view by which the fleet says that a member never comes back
-HAND_OVER = 0.5  # seconds that one which leaves stays, for others to take what it holds
-TIMES_KEPT = 50
-DOUBTS_MOST = 4096  # keyed requests that may have run on a peer, remembered while they come back
-LOUD = ("view", "caught up", "two outcomes")
+from .remote_outcomes import RemoteOutcomes
+from .replica import Replica
+
+FRAME_KIND = "replica"
+MESSAGE_LIFETIME_S = 1.0  # of a frame: what matters is sent again
+CHUNK_LIFETIME_S = 3.0
+RETRY_AFTER_S = 0.5  # of a request that is rejected because no majority is reachable
+REMOVED_FACT_PREFIX = "gone/"  # of the view's facts by which the fleet agrees that a member never comes back
+SHUTDOWN_LINGER_S = 0.5  # for which a leaving member stays, so that others can fetch what it has
+MAX_CLAIM_TIMES = 50
+MAX_UNCERTAIN_REQUESTS = 4096  # keyed requests that may have run on a peer, known while they are retried
+CLAIM_TIME_QUANTILE = 0.9
+LOG_LEVELS = {
+    LogEvent.VIEW_INSTALLED: logging.INFO,
+    LogEvent.CAUGHT_UP: logging.INFO,
+    LogEvent.CONFLICTING_OUTCOMES: logging.ERROR,
+    LogEvent.OUTCOME_NOT_STORED: logging.WARNING,
+}
 
 log = logging.getLogger(__name__)
 Run = Callable[[Exchange], None]
 
 
-class Wires(Protocol):
-    """Where frames go (forwarding's links)."""
+class PeerConnections(Protocol):
+    """Sends and receives frames."""
 
-    def send(self, to: str, kind: str, payload: bytes, within: float) -> bool: ...
-    def on(self, kind: str, handler: Callable[[str, bytes], None], parted: bool = False) -> None: ...
+    def send(self, to: str, kind: str, payload: bytes, within: float) -> bool:
+        """Queue a frame that is worthless after `within` seconds; whether it was queued."""
 
-
-class Asked:
-    """A keyed run that waits for its claim."""
-
-    __slots__ = ("began", "exchange", "run")
-
-    def __init__(self, exchange: Exchange, run: Run, began: float) -> None:
-        self.exchange, self.run, self.began = exchange, run, began
-
-
-class Waiting:
-    """A try, and those that joined it here, that wait for the outcome of another server's run."""
-
-    __slots__ = ("free", "group", "key", "rest", "those")
-
-    def __init__(self, key: bytes, group: bytes, those: list[tuple[Exchange, Caller]]) -> None:
-        self.key, self.group, self.those, self.rest = key, group, those, POLL_FIRST
-        self.free = 0  # times that nobody was seen to have it
+    def on(self, kind: str, handler: Callable[[str, bytes], None], parted: bool = False) -> None:
+        """Set the handler of frames of a kind; `parted`: also those of members that left the view."""
 
 
-class Held:
-    """An answer that waits for its outcome to be on a majority."""
+@dataclass(eq=False, slots=True)
+class PendingClaim:
+    """A keyed run that waits for its claim."""
 
-    __slots__ = ("caller", "exchange", "result")
+    exchange: Exchange
+    run: Run
+    started_at: float
 
-    def __init__(self, exchange: Exchange, result: bytes, caller: Caller) -> None:
-        self.exchange, self.result, self.caller = exchange, result, caller
 
+class ReplicationService:
+    """Result store and observer of one server's keyed runs, in front of those that are given.
 
-class Keeper:
-    """Memory and observer of one server's keyed runs, in front of those given as `inner`."""
+    Attributes:
+        replica: Decides about copies.
+        group_of: The group of a request, and the version of its session's binding; set by session affinity.
+        may_begin: Whether a run whose claim was asked for at that time may begin; set by session affinity.
+        fenced: Called when a claim is refused as its session has moved; set by session affinity.
+    """
 
     def __init__(
         self,
         scheduler: Scheduler,
-        links: Wires,
+        connections: PeerConnections,
         plan: ReplicationPlan,
         name: str,
-        birth: int,
-        memory: Memory,
+        incarnation: int,
+        result_store: Memory,
         observer: RequestObserver,
-        never_begun: Run,
+        never_started: Run,
         count: Callable[[str], None],
         seed: int = 0,
         slack: float = 0.0,
         clock: Callable[[], float] = time.monotonic,
-        kind: type[Replica] = Replica,
+        replica_type: type[Replica] = Replica,
     ) -> None:
-        self._scheduler, self._links, self._plan, self._clock = scheduler, links, plan, clock
-        self._memory, self._observer, self._never_begun = memory, observer, never_begun
-        self._count, self._slack = count, slack
-        chance = random.Random(f"{seed}-{name}-{birth}")
-        self.replica = kind(name, birth, plan.settings, chance, clock())
-        self._shape = plan.settings.slots, plan.settings.copies
-        # Set by who binds sessions. `may_begin`: whether a claim asked for then may, now that it is won.
-        self.group_of: Callable[[Exchange], tuple[bytes, int]] = _by_idempotency_key
-        self.may_begin: Callable[[Exchange, float], bool] = _any_time
-        self.fenced: Callable[[Exchange], None] = _nobody
-        self._refs = 0
-        self._asked: dict[int, Asked] = {}
-        self._claims: dict[bytes, Exchange] = {}  # won here, by idempotency key, until their ends
-        self._waits: dict[int, Waiting] = {}
-        self._waiting = 0
-        self._unstored: dict[bytes, list[Held]] = {}  # outcomes on their way, and the answers that wait
-        self._others: dict[int, Callable[[Answer], None]] = {}  # who asked for a read or a write
-        self._doubted: dict[bytes, None] = {}
-        self._times: deque[float] = deque(maxlen=TIMES_KEPT)
-        self._wake = Wake(scheduler, clock, self._ring)
-        self._open = True
-        self._left_at = -inf
-        links.on(KIND, self._heard, parted=True)  # one that leaves still says what its runs became
-
-    # -- what the dispatch asks and tells
+        self._scheduler, self._connections, self._plan, self._clock = scheduler, connections, plan, clock
+        self._result_store, self._observer, self._never_started = result_store, observer, never_started
+        self._count, self._slack_s = count, slack
+        rng = random.Random(f"{seed}-{name}-{incarnation}")
+        self.replica = replica_type(name, incarnation, plan.settings, rng, clock())
+        self._division = plan.settings.slots, plan.settings.copies
+        self.group_of: Callable[[Exchange], tuple[bytes, int]] = _group_by_key
+        self.may_begin: Callable[[Exchange, float], bool] = _always_may_begin
+        self.fenced: Callable[[Exchange], None] = _ignore_fenced
+        self.held_answers = HeldAnswers(scheduler, observer, count, plan.max_hold_s)
+        self._remote_outcomes = RemoteOutcomes(scheduler, count, self._read_outcome)
+        self._last_ref = 0
+        self._pending_claims: dict[int, PendingClaim] = {}
+        self._on_answer: dict[int, Callable[[Answer], None]] = {}  # of reads and writes
+        self._won: dict[bytes, Exchange] = {}  # runs by their idempotency keys, until they end
+        self._uncertain: dict[bytes, None] = {}
+        self._claim_times: deque[float] = deque(maxlen=MAX_CLAIM_TIMES)
+        self._wake = Wake(scheduler, clock, self._on_timer)
+        self._is_open = True
+        self._leaving_since = -inf
+        # A member that leaves still pushes the outcomes of its runs.
+        connections.on(FRAME_KIND, self._on_frame, parted=True)
+
+    # -- result store
 
     @property
     def ready(self) -> bool:
-        return self._memory.ready
+        """Whether the result store is."""
+        return self._result_store.ready
 
     def recalled(self, born: float, idempotency_keys: IdempotencyTable) -> list[tuple[Request, float]]:
-        return self._memory.recalled(born, idempotency_keys)
+        """What the result store recovered."""
+        return self._result_store.recalled(born, idempotency_keys)
 
     def adopted(self) -> tuple[list[Exchange], int]:
-        return self._memory.adopted()
+        """What the result store adopted."""
+        return self._result_store.adopted()
 
     def may_not_run(self, exchange: Exchange) -> bool:
-        return self._memory.may_not_run(exchange)
+        """Whether the result store forbids the run."""
+        return self._result_store.may_not_run(exchange)
 
     def prepare(self, exchange: Exchange) -> None:
-        """What a claim will take, and whether there may be one: the controller's to weigh."""
-        self._memory.prepare(exchange)
-        idempotency_key, request = exchange.idempotency_key, exchange.request
-        if idempotency_key is None or exchange.first is not None:
+        """Tell the controller what a claim will take, and when there can be none."""
+        self._result_store.prepare(exchange)
+        key, request = exchange.idempotency_key, exchange.request
+        if key is None or exchange.first is not None:
             return
         group, _ = self.group_of(exchange)
         if not self.reachable(group):
-            if exchange.name not in self._doubted and not self.replica.may_have_run(idempotency_key, group):
-                request.key_capacity_in_s = max(request.key_capacity_in_s, COME_BACK)
+            if exchange.name not in self._uncertain and not self.replica.may_have_run(key, group):
+                request.key_capacity_in_s = max(request.key_capacity_in_s, RETRY_AFTER_S)
                 self._count("replication_denied")
-        elif self._times:
-            ranked = sorted(self._times)
-            request.extra_wait_s += ranked[int(0.9 * len(ranked))]
+        elif self._claim_times:
+            ranked = sorted(self._claim_times)
+            request.extra_wait_s += ranked[int(CLAIM_TIME_QUANTILE * len(ranked))]
 
     def reachable(self, group: bytes) -> bool:
-        return self.replica.reachable(group, self._clock(), self._plan.reject_after)
+        """Whether a majority of a group's replicas may answer."""
+        return self.replica.is_reachable(group, self._clock(), self._plan.reject_after_s)
 
     def remember(self, exchange: Exchange) -> None:
-        self._memory.remember(exchange)
+        """Pass on to the result store."""
+        self._result_store.remember(exchange)
 
     def release(self, exchange: Exchange) -> None:
-        self._memory.release(exchange)
+        """Pass on to the result store."""
+        self._result_store.release(exchange)
 
     def before_run(self, exchange: Exchange, run: Run) -> None:
-        """Hold the run until its claim is won."""
-        idempotency_key, request = exchange.idempotency_key, exchange.request
-        life = (
-            request.arrived_at
-            + request.request_class.idempotency_window_s
-            + self._slack
-            - self._scheduler.clock.now
-        )
-        if idempotency_key is None or request.request_class.idempotency is not Idempotency.KEYED or life <= 0:
-            return self._memory.before_run(exchange, run)
-        self._refs += 1
-        self._asked[self._refs] = Asked(exchange, run, self._clock())
-        same = digest(exchange.request_class, exchange.body)
-        group, under = self.group_of(exchange)
-        self._step(Claim(self._refs, idempotency_key, group, life, same, under))
+        """Claim the idempotency key of a run, which starts when the claim is won."""
+        key, request = exchange.idempotency_key, exchange.request
+        lifetime_s = _window_ends_at(request) + self._slack_s - self._scheduler.clock.now
+        is_keyed = request.request_class.idempotency is Idempotency.KEYED
+        if key is None or not is_keyed or lifetime_s <= 0:
+            return self._result_store.before_run(exchange, run)
+        ref = self._next_ref()
+        self._pending_claims[ref] = PendingClaim(exchange, run, self._clock())
+        request_digest = digest(exchange.request_class, exchange.body)
+        group, binding_version = self.group_of(exchange)
+        self._step(Claim(ref, key, group, lifetime_s, request_digest, binding_version))
 
     def ended(self, exchange: Exchange, outcome: Outcome, result: bytes) -> None:
-        """A run is over, or never began."""
-        idempotency_key = exchange.idempotency_key
-        if idempotency_key is not None and self._claims.get(idempotency_key) is exchange:
-            del self._claims[idempotency_key]
+        """Store the outcome of a run, or release its claim if it never started."""
+        key = exchange.idempotency_key
+        if key is not None and self._won.get(key) is exchange:
+            del self._won[key]
             if outcome is Outcome.NEVER_STARTED:
-                self._step(Free(idempotency_key))
+                self._step(ReleaseClaim(key))
             else:
-                if idempotency_key in self.replica.owns:  # else its life is over, and nobody else keeps it
-                    self._unstored[idempotency_key] = []
-                worked = outcome is Outcome.SUCCEEDED
-                self._step(
-                    Finish(idempotency_key, "worked" if worked else "failed", result if worked else b"")
-                )
-        self._memory.ended(exchange, outcome, result)
+                if self.replica.has_open_claim(key):  # else its lifetime has passed, and nobody stores it
+                    self.held_answers.outcome_sent(key)
+                if outcome is Outcome.SUCCEEDED:
+                    self._step(CompleteClaim(key, OutcomeStatus.SUCCEEDED, result))
+                else:
+                    self._step(CompleteClaim(key, OutcomeStatus.FAILED, b""))
+        self._result_store.ended(exchange, outcome, result)
 
-    # -- the observer: answers wait for outcomes
+    # -- observer
 
     def completed(self, exchange: Exchange, result: bytes, caller: Caller) -> None:
-        held = self._unstored.get(exchange.idempotency_key) if exchange.idempotency_key is not None else None
-        if held is None:
-            return self._observer.completed(exchange, result, caller)
-        one, now = Held(exchange, result, caller), self._scheduler.clock.now
-        held.append(one)
-        wait = min(self._plan.hold_most, max(exchange.request.deadline - DUE_SPARE - now, 0.0))
-        self._scheduler.after(wait, lambda: self._let_go(held, one))
-
-    def _let_go(self, held: list[Held], one: Held) -> None:
-        """Its bound has passed: rule 1 comes before any feature."""
-        if one in held:
-            held.remove(one)
-            self._count("replication_answers_ahead")
-            self._observer.completed(one.exchange, one.result, one.caller)
+        """Pass the answer on once its outcome is stored."""
+        self.held_answers.completed(exchange, result, caller)
 
     def rejected(self, exchange: Exchange) -> None:
+        """Pass on to the observer."""
         self._observer.rejected(exchange)
 
     def failed(self, exchange: Exchange) -> None:
+        """Pass on to the observer."""
         self._observer.failed(exchange)
 
     def gone(self, exchange: Exchange) -> None:
+        """Pass on to the observer."""
         self._observer.gone(exchange)
 
-    # -- what a claim came to
-
-    def _answered(self, answer: Answer) -> None:
-        other = self._others.pop(answer.ref, None)
-        if other is not None:
-            return other(answer)
-        waiting = self._waits.pop(answer.ref, None)
-        if waiting is not None:
-            return self._looked(waiting, answer)
-        asked = self._asked.pop(answer.ref, None)
-        if asked is None:
+    # -- answers of the replica
+
+    def _on_replica_answer(self, answer: Answer) -> None:
+        on_answer = self._on_answer.pop(answer.ref, None)
+        if on_answer is not None:
+            return on_answer(answer)
+        pending = self._pending_claims.pop(answer.ref, None)
+        if pending is None:
             return
-        exchange, entry = asked.exchange, answer.entry
         self._count(f"replication_{answer.verdict}")
-        idempotency_key = exchange.idempotency_key
-        assert idempotency_key is not None
-        if answer.verdict == "won":
-            self._times.append(self._clock() - asked.began)
-            if exchange.place is not Place.RUNNING or (exchange.closed and not exchange.joined):
-                self._step(Free(idempotency_key))  # nobody waits for it any more
-                return self._never_ran(exchange)
-            if not self.may_begin(exchange, asked.began):
-                self._count("replication_late")
-                self._step(Free(idempotency_key))
-                return self._end(exchange, lambda one: one.reject(COME_BACK, False))
-            self._claims[idempotency_key] = exchange
-            return self._memory.before_run(exchange, asked.run)
-        if answer.verdict in ("known", "running"):
-            if entry.digest and entry.digest != digest(exchange.request_class, exchange.body):
-                self._count("replication_differs")
-                return self._end(exchange, lambda one: one.fail())
-            return self._elsewhere(exchange, idempotency_key, entry)
-        if answer.verdict == "fenced":
+        key = pending.exchange.idempotency_key
+        assert key is not None
+        if answer.verdict is Verdict.WON:
+            self._on_claim_won(key, pending)
+        elif answer.verdict in (Verdict.KNOWN, Verdict.RUNNING):
+            self._on_claimed_elsewhere(key, pending.exchange, answer.entry)
+        else:
+            self._on_claim_failed(pending.exchange, answer.verdict)
+
+    def _on_claim_won(self, key: bytes, pending: PendingClaim) -> None:
+        exchange = pending.exchange
+        self._claim_times.append(self._clock() - pending.started_at)
+        if exchange.place is not Place.RUNNING or (exchange.closed and not exchange.joined):
+            self._step(ReleaseClaim(key))  # nobody waits for it any more
+            return self._end_unstarted(exchange)
+        if not self.may_begin(exchange, pending.started_at):
+            self._count("replication_late")
+            self._step(ReleaseClaim(key))
+            return self._reject(exchange)
+        self._won[key] = exchange
+        self._result_store.before_run(exchange, pending.run)
+
+    def _on_claimed_elsewhere(self, key: bytes, exchange: Exchange, entry: Entry) -> None:
+        if entry.digest and entry.digest != digest(exchange.request_class, exchange.body):
+            self._count("replication_differs")
+            return self._fail(exchange)
+        deadline = exchange.request.deadline - DUE_SPARE
+        waiting = self._remote_outcomes.detach(exchange, key, self.group_of(exchange)[0])
+        self._end_unstarted(exchange)
+        self._remote_outcomes.wait_for(waiting, entry, deadline)
+
+    def _on_claim_failed(self, exchange: Exchange, verdict: Verdict) -> None:
+        if verdict is Verdict.FENCED:
             self.fenced(exchange)
-        if exchange.name in self._doubted:
-            return self._end(exchange, lambda one: one.fail())
+        if exchange.name in self._uncertain:
+            return self._fail(exchange)
         self._count("replication_denied_late")
-        self._end(exchange, lambda one: one.reject(COME_BACK, False))
+        self._reject(exchange)
 
-    def _end(self, exchange: Exchange, how: Callable[[Exchange], None]) -> None:
-        """It never runs here: it and those that joined it get their answers, and it leaves the table."""
-        for one in [exchange, *exchange.joined]:
-            how(one)
-        self._never_ran(exchange)
+    def _reject(self, exchange: Exchange) -> None:
+        """Reject a request that never runs here, and those coalesced with it."""
+        for waiting in [exchange, *exchange.joined]:
+            waiting.reject(RETRY_AFTER_S, False)
+        self._end_unstarted(exchange)
 
-    def _never_ran(self, exchange: Exchange) -> None:
-        if exchange.place is Place.RUNNING:
-            self._never_begun(exchange)
+    def _fail(self, exchange: Exchange) -> None:
+        """Answer a request that never runs here, and those coalesced with it, with an error."""
+        for waiting in [exchange, *exchange.joined]:
+            waiting.fail()
+        self._end_unstarted(exchange)
 
-    def _elsewhere(self, exchange: Exchange, idempotency_key: bytes, entry: Entry) -> None:
-        """Another server has its idempotency key. The try is no longer the controller's: waiting takes
-        no core.
-        """
-        due = exchange.request.deadline - DUE_SPARE
-        those = []
-        for one in [exchange, *exchange.joined]:
-            caller = one.detach()
-            if caller is not None:
-                those.append((one, caller))
-        waiting = Waiting(idempotency_key, self.group_of(exchange)[0], those)
-        self._waiting += len(those)
-        self._never_ran(exchange)
-        if entry.state is State.DONE:
-            return self._tell(waiting, entry)
-        left = max(due - self._scheduler.clock.now, 0.0)
-        self._scheduler.after(left, lambda: self._tell(waiting, None))
-        self._scheduler.after(min(POLL_FIRST, left), lambda: self._look(waiting))
-
-    def _look(self, waiting: Waiting) -> None:
-        """Whether there is an outcome by now."""
-        if not waiting.those or not self._open:
-            return
-        self._refs += 1
-        self._waits[self._refs] = waiting
-        self._step(Read(self._refs, LABELS, waiting.key, waiting.group))
-
-    def _looked(self, waiting: Waiting, answer: Answer) -> None:
-        if answer.verdict == "known":
-            return self._tell(waiting, answer.entry)
-        if answer.verdict == "read" and answer.entry.state in (State.FREE, State.FREED):
-            waiting.free += 1
-            if waiting.free > 1 or answer.entry.state is State.FREED:
-                return self._tell_free(waiting)
-        waiting.rest = min(2 * waiting.rest, POLL_LAST)
-        self._scheduler.after(waiting.rest, lambda: self._look(waiting))
-
-    def _tell_free(self, waiting: Waiting) -> None:
-        """Whoever had it let it go unrun: it may come again, and then it runs."""
-        those, waiting.those = waiting.those, []
-        self._waiting -= len(those)
-        for exchange, caller in those:
-            self._count("replication_let_go")
-            exchange.observer.rejected(exchange)
-            caller.rejected(exchange, POLL_LAST, False)
-
-    def _tell(self, waiting: Waiting, entry: Entry | None) -> None:
-        """Their answers: the outcome's very bytes, or, without one when their time is up, an error."""
-        those, waiting.those = waiting.those, []
-        self._waiting -= len(those)
-        outcome = entry.outcomes[0] if entry is not None else None
-        if outcome is None and those:
-            self._count("replication_unknown")
-        for exchange, caller in those:
-            if outcome is not None and outcome.how == "worked":
-                first = self._stand_in(exchange)
-                exchange.place, exchange.first = Place.JOINED, first
-                exchange.observer.completed(exchange, outcome.result, caller)
-                exchange.place, exchange.first = Place.OVER, None
-                self._count("replication_answered_from_outcome")
-            else:
-                exchange.observer.failed(exchange)
-                caller.failed(exchange)
-
-    def _stand_in(self, exchange: Exchange) -> Exchange:
-        """For the run elsewhere, which is billed there."""
-        request = Request(exchange.request.request_class, Client(), None, exchange.request.arrived_at, 0.0)
-        first = Exchange(
-            exchange.idempotency_key or b"",
-            exchange.request_class,
-            b"",
-            0,
-            exchange.idempotency_key,
-            request,
-            None,
-        )
-        first.billed = True
-        return first
+    def _end_unstarted(self, exchange: Exchange) -> None:
+        if exchange.place is Place.RUNNING:
+            self._never_started(exchange)
 
-    # -- forwarding asks: a keyed request may have run on a peer
+    # -- forwarding
 
     def may_run_again(self, exchange: Exchange, peer: str, told: Callable[[bool], None]) -> None:
-        """Its claim says, here or wherever it comes to: it is run once, or answered from the outcome. Without
-        a majority nothing can say it, and it ends in an error.
+        """Whether a keyed request that may have run on a peer may be tried again.
+
+        Its claim decides, here or wherever it is sent: it runs once, or is answered from the outcome. Without
+        a majority nothing can decide it, and it ends in an error.
         """
-        idempotency_key, request = exchange.idempotency_key, exchange.request
-        left = request.arrived_at + request.request_class.idempotency_window_s - self._scheduler.clock.now
-        keyed = request.request_class.idempotency is Idempotency.KEYED
-        if (
-            idempotency_key is None
-            or not keyed
-            or left <= 0
-            or not self.reachable(self.group_of(exchange)[0])
-        ):
+        key, request = exchange.idempotency_key, exchange.request
+        is_keyed = request.request_class.idempotency is Idempotency.KEYED
+        remaining_s = _window_ends_at(request) - self._scheduler.clock.now
+        if key is None or not is_keyed or remaining_s <= 0 or not self.reachable(self.group_of(exchange)[0]):
             return told(False)
-        if len(self._doubted) >= DOUBTS_MOST:
-            del self._doubted[next(iter(self._doubted))]
-        self._doubted[exchange.name] = None
+        if len(self._uncertain) >= MAX_UNCERTAIN_REQUESTS:
+            del self._uncertain[next(iter(self._uncertain))]
+        self._uncertain[exchange.name] = None
         told(True)
 
-    # -- other collections
+    # -- reads and writes of other collections
 
     def write(
         self,
         collection: str,
         key: bytes,
-        expect: int,
+        expected_version: int,
         value: bytes,
-        life: float,
-        told: Callable[[Answer], None],
-        floor: int = 0,
+        lifetime_s: float,
+        on_answer: Callable[[Answer], None],
+        min_version: int = 0,
     ) -> None:
-        """Set a binding or a document where its number is `expect`; `told` hears won, stale, or why not. The
-        new number is above that, and `floor` at least.
+        """Set a binding or a document if its version is as expected.
+
+        The new version is above that, and `min_version` at least. The answer is WON, STALE, or why not.
         """
-        self._refs += 1
-        self._others[self._refs] = told
-        self._step(Write(self._refs, collection, key, expect, value, life, floor))
+        ref = self._next_ref()
+        self._on_answer[ref] = on_answer
+        self._step(Write(ref, collection, key, expected_version, value, lifetime_s, min_version))
+
+    def read(self, collection: str, key: bytes, on_answer: Callable[[Answer], None]) -> None:
+        """Read what a majority of the replicas has."""
+        ref = self._next_ref()
+        self._on_answer[ref] = on_answer
+        self._step(Read(ref, collection, key))
+
+    def _read_outcome(self, key: bytes, group: bytes, on_answer: Callable[[Answer], None]) -> None:
+        if not self._is_open:
+            return
+        ref = self._next_ref()
+        self._on_answer[ref] = on_answer
+        self._step(Read(ref, IDEMPOTENCY_KEYS, key, group))
 
-    def read(self, collection: str, key: bytes, told: Callable[[Answer], None]) -> None:
-        """What a majority of the holders has."""
-        self._refs += 1
-        self._others[self._refs] = told
-        self._step(Read(self._refs, collection, key))
+    def _next_ref(self) -> int:
+        self._last_ref += 1
+        return self._last_ref
 
-    # -- events in, effects out
+    # -- events and effects of the replica
 
     def view(self, view: View) -> None:
+        """Install a view of the membership."""
         sites = tuple(
-            Site(one.name, one.incarnation, one.zone, _weight(one.said("weight"))) for one in view.members
+            Site(member.name, member.incarnation, member.zone, _parse_weight(member.said("weight")))
+            for member in view.members
         )
-        gone = tuple(
-            (fact.key.removeprefix(GONE), int(fact.value))
+        removed = tuple(
+            (fact.key.removeprefix(REMOVED_FACT_PREFIX), int(fact.value))
             for fact in view.facts
-            if fact.key.startswith(GONE) and fact.value.isdigit()
+            if fact.key.startswith(REMOVED_FACT_PREFIX) and fact.value.isdigit()
         )
-        self._step(Viewed(view.epoch, sites, gone))
+        self._step(ViewInstalled(view.epoch, sites, removed))
 
-    def _heard(self, sender: str, payload: bytes) -> None:
+    def _on_frame(self, sender: str, payload: bytes) -> None:
         try:
-            message = codec.decode(payload, *self._shape)
-        except codec.BadPacketError as trouble:
+            message = codec.decode(payload, *self._division)
+        except codec.BadPacketError as error:
             self._count("replication_bad")
-            log.warning("packet dropped", extra={"pairs": {"from": sender, "reason": trouble}})
+            log.warning("replication packet dropped", extra={"pairs": {"from": sender, "reason": error}})
             return
-        self._step(Got(sender, message))
+        self._step(MessageReceived(sender, message))
+
+    def _on_timer(self) -> None:
+        self._step(Tick())
 
     def _step(self, event: Event) -> None:
-        if not self._open:
+        if not self._is_open:
             return
         for effect in self.replica.step(self._clock(), event):
             self._carry_out(effect)
         self._wake.set(self.replica.wake_at)
 
-    def _ring(self) -> None:
-        self._step(Tick())
-
     def _carry_out(self, effect: Effect) -> None:
         match effect:
             case Send(to, message):
                 self._send(to, message)
             case Answer():
-                self._answered(effect)
-            case Stored(key):
-                held = self._unstored.pop(key, [])
-                those, held[:] = held[:], []  # their bounds find nothing more to let go
-                for one in those:
-                    self._observer.completed(one.exchange, one.result, one.caller)
-            case Note(what, fields):
-                if what == UNPLACED:
-                    self._unstored.pop(bytes.fromhex(str(fields["key"])), None)
-                level = logging.ERROR if what == "two outcomes" else logging.INFO
-                log.log(level if what in LOUD else logging.WARNING, what, extra={"pairs": fields})
+                self._on_replica_answer(effect)
+            case OutcomeStored(key):
+                self.held_answers.outcome_stored(key)
+            case Log(event, fields):
+                if event is LogEvent.OUTCOME_NOT_STORED:
+                    self.held_answers.outcome_expired(bytes.fromhex(str(fields["key"])))
+                log.log(LOG_LEVELS[event], event.value, extra={"pairs": fields})
 
     def _send(self, to: str, message: Message) -> None:
-        within = PIECE_WITHIN if isinstance(message, Piece) else WITHIN
-        data = codec.encode(message, *self._shape)
+        lifetime_s = CHUNK_LIFETIME_S if isinstance(message, RangeChunk) else MESSAGE_LIFETIME_S
+        data = codec.encode(message, *self._division)
         self._count("replication_bytes_out_k" if len(data) > 1024 else "replication_frames_out")
-        if not self._links.send(to, KIND, data, within):
+        if not self._connections.send(to, FRAME_KIND, data, lifetime_s):
             self._count("replication_unsent")
 
-    # -- the end
+    # -- shutdown
 
     def leaving(self) -> None:
-        """The fleet is told: those who come after it take what it holds before it ends."""
-        self._left_at = self._clock()
+        """The fleet is told that this member leaves: its successors fetch what it has before it ends."""
+        self._leaving_since = self._clock()
 
     def settled(self) -> bool:
-        if self._clock() < self._left_at + HAND_OVER:
+        """Whether nothing waits any more, and the successors had time to fetch."""
+        if self._clock() < self._leaving_since + SHUTDOWN_LINGER_S:
             return False
-        return not self._unstored and not self._waiting and not self._asked
+        is_waiting = self._remote_outcomes.waiting_count or self._pending_claims
+        return self.held_answers.is_empty and not is_waiting
 
     def close(self) -> None:
-        """The last instant: answers that wait leave."""
-        for held in self._unstored.values():
-            those, held[:] = held[:], []
-            for one in those:
-                self._observer.completed(one.exchange, one.result, one.caller)
-        self._unstored.clear()
-        self._open = False
+        """Pass on all answers that are held, and stop."""
+        self.held_answers.close()
+        self._is_open = False
 
     def gauges(self) -> dict[str, object]:
-        told = self.replica.gauges()
-        if self._times:
-            ranked = sorted(self._times)
-            told["replication_claim_ms"] = round(1000 * ranked[len(ranked) // 2], 2)
-        told["replication_waiting"] = self._waiting
-        told["replication_held"] = sum(len(held) for held in self._unstored.values())
-        return told
-
-
-def _by_idempotency_key(exchange: Exchange) -> tuple[bytes, int]:
-    """An idempotency key's group, and the number of its session's binding: without sessions, itself and
-    none.
-    """
+        """The gauges and counters of replication, by name."""
+        gauges = self.replica.gauges()
+        if self._claim_times:
+            ranked = sorted(self._claim_times)
+            gauges["replication_claim_ms"] = round(1000 * ranked[len(ranked) // 2], 2)
+        gauges["replication_waiting"] = self._remote_outcomes.waiting_count
+        gauges["replication_held"] = self.held_answers.count
+        return gauges
+
+
+def _window_ends_at(request: Request) -> float:
+    return request.arrived_at + request.request_class.idempotency_window_s
+
+
+def _group_by_key(exchange: Exchange) -> tuple[bytes, int]:
+    """Without sessions an idempotency key is its own group, and there is no binding."""
     return exchange.idempotency_key or b"", 0
 
 
-def _any_time(exchange: Exchange, asked: float) -> bool:
+def _always_may_begin(exchange: Exchange, claimed_at: float) -> bool:
     return True
 
 
-def _nobody(exchange: Exchange) -> None: ...
+def _ignore_fenced(exchange: Exchange) -> None: ...
 
 
-def _weight(text: str) -> float:
-    """A member says how much of the keys it takes; 1 if it says nothing that can be read."""
+def _parse_weight(text: str) -> float:
+    """The weight of a member in placement; 1 if it is missing or can't be read."""
     try:
         weight = float(text)
     except ValueError:
         return 1.0
-    return min(weight, WEIGHT_MOST) if weight >= 0 else 1.0
+    return min(weight, MAX_WEIGHT) if weight >= 0 else 1.0
 
 
-def longest(request_classes: dict[bytes, RequestClass], slack: float) -> float:
-    """The longest life of an idempotency key here, and what a wake may add."""
-    windows = [
-        one.idempotency_window_s for one in request_classes.values() if one.idempotency is Idempotency.KEYED
+def max_key_lifetime_s(request_classes: dict[bytes, RequestClass], slack_s: float) -> float:
+    """The longest lifetime of an idempotency key here, and a second for late timers."""
+    windows_s = [
+        request_class.idempotency_window_s
+        for request_class in request_classes.values()
+        if request_class.idempotency is Idempotency.KEYED
     ]
-    return max(windows, default=1.0) + slack + 1.0
+    return max(windows_s, default=1.0) + slack_s + 1.0
--- a/sablewheel/replication/store.py
+++ b/sablewheel/replication/store.py
@@ -1,7 +1,7 @@
-"""What a holder holds: entries by range, their promises, their ends, and each range's digest. Pure.
+"""What a replica stores: entries by range, promised ballots, expiry times and each range's digest. Pure.
 
-Bounded in entries and bytes; what is full takes no new key, and says so. An entry that ended is forgotten
-with its promise: nothing that is still on its way may be older than an entry's life (frames live shorter).
+Bounded in entries and bytes; without capacity it takes no new key. An expired entry is forgotten with its
+promise: no message in flight may be older than an entry's lifetime (frames live shorter).
 """
 
 from __future__ import annotations
@@ -10,114 +10,140 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from .entries import EMPTY, NO_BALLOT, Ballot, Entry, merge
-from .messages import Key
+from .entries import EMPTY, NO_BALLOT, Ballot, Entry, Key, merge
+
+EXPIRY_TOLERANCE_S = 0.05  # each hop reads the remaining lifetime a little later
 
 
 @dataclass(slots=True)
-class Held:
-    """One key: what was accepted or merged, the ballot promised, when it ends by this member's clock."""
+class StoredEntry:
+    """The state of one key: what was accepted or merged, the ballot promised, and when it expires here."""
 
     entry: Entry = EMPTY
     promised: Ballot = NO_BALLOT
-    until: float = 0.0
-    mark: int = 0
+    expires_at: float = 0.0
+    fingerprint: int = 0
 
     @property
-    def floor(self) -> Ballot:
+    def min_ballot(self) -> Ballot:
         """Below this nothing is accepted."""
         return max(self.promised, self.entry.ballot)
 
 
-class Store:
-    def __init__(self, entries_most: int, bytes_most: int) -> None:
-        self._entries_most, self._bytes_most = entries_most, bytes_most
-        self._slots: dict[int, dict[Key, Held]] = {}
+class EntryStore:
+    """Entries by range and key.
+
+    Invariant: a range's digest is the exclusive or of its entries' fingerprints; `entries` and `bytes` count
+    all of them, promises without an entry included.
+    """
+
+    def __init__(self, max_entries: int, max_bytes: int) -> None:
+        self._max_entries, self._max_bytes = max_entries, max_bytes
+        self._slots: dict[int, dict[Key, StoredEntry]] = {}
         self._digests: dict[int, int] = {}
-        self._ends: list[tuple[float, int, Key]] = []
+        self._expiries: list[tuple[float, int, Key]] = []
         self.entries = self.bytes = 0
 
-    def get(self, slot: int, key: Key) -> Held | None:
+    def get(self, slot: int, key: Key) -> StoredEntry | None:
+        """The state of a key, or None."""
         return self._slots.get(slot, {}).get(key)
 
-    def room(self, slot: int, key: Key, more: int) -> bool:
+    def entry(self, slot: int, key: Key) -> Entry:
+        """The entry of a key, or the empty one."""
+        stored = self.get(slot, key)
+        return stored.entry if stored is not None else EMPTY
+
+    def has_capacity(self, slot: int, key: Key, extra_bytes: int) -> bool:
         """Whether this key may take so many bytes more."""
-        new = key not in self._slots.get(slot, {})
-        return self.bytes + more <= self._bytes_most and self.entries + new <= self._entries_most
-
-    def promise(self, slot: int, key: Key, ballot: Ballot, until: float) -> Held:
-        held = self._open(slot, key, until)
-        held.promised = max(held.promised, ballot)
-        return held
-
-    def accept(self, slot: int, key: Key, entry: Entry, until: float) -> Held:
-        """Merged into what is there: its outcomes stay, whatever the register says."""
-        held = self._open(slot, key, until)
-        merged = self.merged(held.entry, entry)
-        if merged != held.entry:
-            self.bytes += merged.size - held.entry.size
-            mark = merged.mark(key)
-            self._digests[slot] = self._digests.get(slot, 0) ^ held.mark ^ mark
-            held.entry, held.mark = merged, mark
-        return held
-
-    def merged(self, held: Entry, came: Entry) -> Entry:
-        return merge(held, came)
-
-    def _open(self, slot: int, key: Key, until: float) -> Held:
+        is_new = key not in self._slots.get(slot, {})
+        return self.bytes + extra_bytes <= self._max_bytes and self.entries + is_new <= self._max_entries
+
+    def promise(self, slot: int, key: Key, ballot: Ballot, expires_at: float) -> StoredEntry:
+        """Promise to accept nothing below a ballot."""
+        stored = self._get_or_create(slot, key, expires_at)
+        stored.promised = max(stored.promised, ballot)
+        return stored
+
+    def accept(self, slot: int, key: Key, entry: Entry, expires_at: float) -> StoredEntry:
+        """Merge an entry into the stored one, whose outcomes stay."""
+        stored = self._get_or_create(slot, key, expires_at)
+        merged = self.merged(stored.entry, entry)
+        if merged != stored.entry:
+            self.bytes += merged.size - stored.entry.size
+            fingerprint = merged.fingerprint(key)
+            self._digests[slot] = self._digests.get(slot, 0) ^ stored.fingerprint ^ fingerprint
+            stored.entry, stored.fingerprint = merged, fingerprint
+        return stored
+
+    def merged(self, stored: Entry, received: Entry) -> Entry:
+        """The entry to store; overridden by a faulty variant in experiments."""
+        return merge(stored, received)
+
+    def _get_or_create(self, slot: int, key: Key, expires_at: float) -> StoredEntry:
         keys = self._slots.setdefault(slot, {})
-        held = keys.get(key)
-        if held is None:
-            held = keys[key] = Held()
+        stored = keys.get(key)
+        if stored is None:
+            stored = keys[key] = StoredEntry()
             self.entries += 1
             self.bytes += EMPTY.size
-        if until > held.until + 0.05:  # each hop reads a little later: that much is no news
-            held.until = until
-            heapq.heappush(self._ends, (until, slot, key))
-        return held
+        if expires_at > stored.expires_at + EXPIRY_TOLERANCE_S:
+            stored.expires_at = expires_at
+            heapq.heappush(self._expiries, (expires_at, slot, key))
+        return stored
 
     def expire(self, now: float) -> int:
-        """Forget what ended; how many."""
-        gone = 0
-        while self._ends and self._ends[0][0] <= now:
-            _, slot, key = heapq.heappop(self._ends)
-            held = self.get(slot, key)
-            if held is not None and held.until <= now:
-                self._forget(slot, key, held)
-                gone += 1
-        return gone
+        """Forget what has expired.
+
+        Returns:
+            The number of entries forgotten.
+        """
+        expired = 0
+        while self._expiries and self._expiries[0][0] <= now:
+            _, slot, key = heapq.heappop(self._expiries)
+            stored = self.get(slot, key)
+            if stored is not None and stored.expires_at <= now:
+                self._forget(slot, key, stored)
+                expired += 1
+        return expired
 
     @property
-    def next_end(self) -> float:
-        return self._ends[0][0] if self._ends else float("inf")
+    def next_expiry(self) -> float:
+        """When the next entry may expire."""
+        return self._expiries[0][0] if self._expiries else float("inf")
 
-    def _forget(self, slot: int, key: Key, held: Held) -> None:
+    def _forget(self, slot: int, key: Key, stored: StoredEntry) -> None:
         keys = self._slots[slot]
         del keys[key]
         self.entries -= 1
-        self.bytes -= held.entry.size
-        self._digests[slot] = self._digests.get(slot, 0) ^ held.mark
+        self.bytes -= stored.entry.size
+        self._digests[slot] = self._digests.get(slot, 0) ^ stored.fingerprint
         if not keys:
             del self._slots[slot]
             self._digests.pop(slot, None)
 
     def drop(self, slot: int) -> int:
-        """Let go of a range; how many entries."""
+        """Forget a range.
+
+        Returns:
+            The number of its entries.
+        """
         keys = list(self._slots.get(slot, {}).items())
-        for key, held in keys:
-            self._forget(slot, key, held)
+        for key, stored in keys:
+            self._forget(slot, key, stored)
         return len(keys)
 
     def digest(self, slot: int) -> int:
+        """The digest of a range: equal on two replicas that store the same entries."""
         return self._digests.get(slot, 0)
 
     @property
     def slots(self) -> list[int]:
+        """The ranges of which anything is stored."""
         return list(self._slots)
 
-    def after(self, slot: int, key: Key) -> Iterator[tuple[Key, Held]]:
-        """A range's entries in the order of keys; promises alone are not among them."""
+    def entries_after(self, slot: int, after: Key) -> Iterator[tuple[Key, StoredEntry]]:
+        """A range's entries behind a key, in the order of keys; without promises that have no entry."""
         keys = self._slots.get(slot, {})
-        for one in sorted(keys):
-            if one > key and keys[one].entry != EMPTY:
-                yield one, keys[one]
+        for key in sorted(keys):
+            if key > after and keys[key].entry != EMPTY:
+                yield key, keys[key]
--- a/sablewheel/session_affinity/session_router.py
+++ b/sablewheel/session_affinity/session_router.py
@@ -17,9 +17,9 @@
 from ..membership.service import Fleet
 from ..membership.view import View
 from ..overload.interface import Idempotency, Outcome, Request, Tenant
+from ..replication.context import SESSIONS
 from ..replication.messages import Answer
-from ..replication.replica import SESSIONS
-from ..replication.service import Keeper
+from ..replication.service import ReplicationService
 from ..serving.exchange import Caller, Exchange, RequestObserver
 from ..serving.hooks import Memory
 from ..serving.idempotency_keys import IdempotencyTable
@@ -91,7 +91,7 @@
         fleet: Fleet,
         links: Links,
         forward: Forward,
-        keeper: Keeper,
+        keeper: ReplicationService,
         memory: Memory,
         observer: RequestObserver,
         tenants: dict[bytes, Tenant],
@@ -121,7 +121,8 @@
         self._closed = False
         self.counts: Counter[str] = Counter()
         keeper.group_of, keeper.may_begin, keeper.fenced = self._group_of, self._may_begin, self._fenced
-        keeper.replica.binding_life = max(keeper.replica.binding_life, plan.settings.life)
+        replica = keeper.replica
+        replica.max_binding_lifetime_s = max(replica.max_binding_lifetime_s, plan.settings.life)
         forward.guests, forward.home = self, self._home
         links.on(KIND, self._heard)
         fleet.on_view(self._viewed)
@@ -363,7 +364,7 @@
         entry, stands = answer.entry, None
         if entry.value:
             try:
-                stands = codec.unpack(entry.value, entry.number)
+                stands = codec.unpack(entry.value, entry.version)
             except codec.BadPacketError as trouble:
                 self.counts["bindings_bad"] += 1
                 log.warning("binding dropped", extra={"pairs": {"reason": trouble}})
--- a/tests/stories/test_replication_stories.py
+++ b/tests/stories/test_replication_stories.py
@@ -8,7 +8,7 @@
 from pytest_bdd import given, parsers, scenarios, then, when
 
 from sablewheel.experiments.replication_stage import Stage, Try, drifted
-from sablewheel.replication.messages import Viewed
+from sablewheel.replication.messages import LogEvent, ViewInstalled
 
 scenarios("replication.feature")
 NAMES = "abcde"
@@ -71,7 +71,7 @@
 @given("holders that take 3 entries only")
 def _small(story: Story) -> None:
     for name in NAMES:
-        story.stage.core(name).store._entries_most = 3
+        story.stage.core(name).store._max_entries = 3
 
 
 # -- requests
@@ -252,7 +252,7 @@
 @when("the first holder comes back with nothing, and is cut off in the middle of its catch-up")
 def _cut_catching_up(story: Story) -> None:
     name = story.holders[0]
-    story.stage.settings = replace(story.stage.settings, batch=4)
+    story.stage.settings = replace(story.stage.settings, batch_size=4)
     story.back_with_nothing(name)
     core = story.stage.core(name)
     assert story.stage.fleet.run_until(lambda: core.counts["entries_in"] > 8, 2.0)
@@ -263,7 +263,7 @@
 @when("one holder loses the record's entry")
 def _loses(story: Story) -> None:
     core = story.stage.core(story.holders[1])
-    core.store.drop(core.slot(b"record"))
+    core.store.drop(core.slot_of(b"record"))
 
 
 @when("one holder has an outcome that nobody else knows")
@@ -272,7 +272,7 @@
     held = story.stage.held(core.name, "record")
     assert held is not None
     until = story.stage.fleet.now + 8
-    core.store.accept(core.slot(b"record"), ("labels", b"record"), drifted(held, "z"), until)
+    core.store.accept(core.slot_of(b"record"), ("labels", b"record"), drifted(held, "z"), until)
 
 
 # -- sessions
@@ -381,7 +381,7 @@
 def _both(story: Story) -> None:
     held = {story.stage.held(name, "record") for name in story.holders}
     assert {len(one.outcomes) for one in held if one is not None} == {2}
-    told = [note for _, _, note in story.stage.notes if note.what == "two outcomes"]
+    told = [note for _, _, note in story.stage.notes if note.event is LogEvent.CONFLICTING_OUTCOMES]
     assert told and all("worked" in str(note.fields["outcomes"]) for note in told)
 
 
@@ -407,4 +407,4 @@
 
 
 def test_the_stories_see_a_view() -> None:
-    assert isinstance(Stage({"a": "z"}).view("a", to=[]), Viewed)
+    assert isinstance(Stage({"a": "z"}).view("a", to=[]), ViewInstalled)
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -12,27 +12,53 @@
 
 from sablewheel.experiments import replication_model
 from sablewheel.experiments.replication_stage import KINDS, AsyncBackup, Stage, drawn
-from sablewheel.replication.entries import EMPTY, Change, Entry, Outcome, State, changed, merge
-from sablewheel.replication.messages import Accept, Ask, Claim, Got, Refuse, Send, Told, Viewed
+from sablewheel.replication.anti_entropy import MAX_VIEWS_SENT
+from sablewheel.replication.entries import (
+    EMPTY,
+    Change,
+    ChangeKind,
+    Entry,
+    Outcome,
+    OutcomeStatus,
+    State,
+    Verdict,
+    apply_change,
+    merge,
+)
+from sablewheel.replication.messages import (
+    Accept,
+    Claim,
+    CompareRanges,
+    MessageReceived,
+    RangeStates,
+    RefusalReason,
+    Refuse,
+    Send,
+    ViewInstalled,
+)
 from sablewheel.replication.placement import Placement, Site, slot_of
 from sablewheel.replication.plan import Settings
 from sablewheel.replication.range_transfer import Ranges
-from sablewheel.replication.replica import PAST_MOST, Replica
+from sablewheel.replication.replica import Replica
 
 OWNERS = [("a", 1, 1), ("b", 1, 1), ("b", 2, 1)]
 owners = st.sampled_from(OWNERS)
 outcomes = st.builds(
-    Outcome, st.integers(1, 2), owners, st.sampled_from(["worked", "failed"]), st.sampled_from([b"x", b"y"])
+    Outcome,
+    st.integers(1, 2),
+    owners,
+    st.sampled_from([OutcomeStatus.SUCCEEDED, OutcomeStatus.FAILED]),
+    st.sampled_from([b"x", b"y"]),
 )
 entries = st.builds(
     Entry,
     ballot=st.tuples(st.integers(0, 2), st.integers(0, 2), st.sampled_from("ab"), st.just(1)),
-    number=st.integers(0, 2),
+    version=st.integers(0, 2),
     owner=owners,
-    freed=st.booleans(),
+    released=st.booleans(),
     outcomes=st.lists(outcomes, max_size=2, unique=True).map(lambda some: tuple(sorted(some))),
 )
-MAY_HAVE_RUN = (State.CLAIMED, State.DONE)
+MAY_HAVE_RUN = (State.CLAIMED, State.COMPLETED)
 
 
 @given(entries, entries, entries)
@@ -46,39 +72,39 @@
 def test_no_merge_leads_from_may_have_run_to_free_but_by_the_owners_word(a: Entry, b: Entry) -> None:
     both = merge(a, b)
     for one, other in ((a, b), (b, a)):
-        if one.state is State.DONE:
-            assert both.state is State.DONE
+        if one.state is State.COMPLETED:
+            assert both.state is State.COMPLETED
         if one.state is State.CLAIMED and both.state not in MAY_HAVE_RUN:
-            assert other.state is State.FREED and other.ballot >= one.ballot
+            assert other.state is State.RELEASED and other.ballot >= one.ballot
     assert len(both.outcomes) <= 2 and set(both.outcomes) <= {*a.outcomes, *b.outcomes}
 
 
 def entry(state: State, ballot: int, owner: int = 0) -> Entry:
     """One of each state, under a ballot of that round."""
-    if state is State.FREE:
+    if state is State.UNCLAIMED:
         return EMPTY
-    done = (Outcome(1, OWNERS[owner], "worked", b"x"),) if state is State.DONE else ()
-    return Entry((1, ballot, "a", 1), 1, OWNERS[owner], freed=state is State.FREED, outcomes=done)
+    done = (Outcome(1, OWNERS[owner], OutcomeStatus.SUCCEEDED, b"x"),) if state is State.COMPLETED else ()
+    return Entry((1, ballot, "a", 1), 1, OWNERS[owner], released=state is State.RELEASED, outcomes=done)
 
 
 # The table of docs/replication-format.md: of each pair, where the second has the higher ballot, what stays.
 TABLE = {
-    (State.FREE, State.FREE): State.FREE,
-    (State.FREE, State.CLAIMED): State.CLAIMED,
-    (State.FREE, State.FREED): State.FREED,
-    (State.FREE, State.DONE): State.DONE,
-    (State.CLAIMED, State.FREE): State.CLAIMED,
+    (State.UNCLAIMED, State.UNCLAIMED): State.UNCLAIMED,
+    (State.UNCLAIMED, State.CLAIMED): State.CLAIMED,
+    (State.UNCLAIMED, State.RELEASED): State.RELEASED,
+    (State.UNCLAIMED, State.COMPLETED): State.COMPLETED,
+    (State.CLAIMED, State.UNCLAIMED): State.CLAIMED,
     (State.CLAIMED, State.CLAIMED): State.CLAIMED,
-    (State.CLAIMED, State.FREED): State.FREED,
-    (State.CLAIMED, State.DONE): State.DONE,
-    (State.FREED, State.FREE): State.FREED,
-    (State.FREED, State.CLAIMED): State.CLAIMED,
-    (State.FREED, State.FREED): State.FREED,
-    (State.FREED, State.DONE): State.DONE,
-    (State.DONE, State.FREE): State.DONE,
-    (State.DONE, State.CLAIMED): State.DONE,
-    (State.DONE, State.FREED): State.DONE,
-    (State.DONE, State.DONE): State.DONE,
+    (State.CLAIMED, State.RELEASED): State.RELEASED,
+    (State.CLAIMED, State.COMPLETED): State.COMPLETED,
+    (State.RELEASED, State.UNCLAIMED): State.RELEASED,
+    (State.RELEASED, State.CLAIMED): State.CLAIMED,
+    (State.RELEASED, State.RELEASED): State.RELEASED,
+    (State.RELEASED, State.COMPLETED): State.COMPLETED,
+    (State.COMPLETED, State.UNCLAIMED): State.COMPLETED,
+    (State.COMPLETED, State.CLAIMED): State.COMPLETED,
+    (State.COMPLETED, State.RELEASED): State.COMPLETED,
+    (State.COMPLETED, State.COMPLETED): State.COMPLETED,
 }
 
 
@@ -90,14 +116,18 @@
 
 def test_a_claim_is_never_taken_over() -> None:
     held = entry(State.CLAIMED, 1, 0)
-    assert changed(Change("claim", OWNERS[1]), held) == (held, "running")
-    assert changed(Change("free", OWNERS[1]), held) == (held, "freed")
-    assert changed(Change("claim", OWNERS[0]), held)[1] == "won"
-    freed, _ = changed(Change("free", OWNERS[0]), held)
-    again, says = changed(Change("claim", OWNERS[1]), freed)
-    assert says == "won" and again.owner == OWNERS[1] and again.number == 2
-    done = entry(State.DONE, 1, 0)
-    assert all(changed(Change(what, one), done)[0] == done for what in ("claim", "free") for one in OWNERS)
+    assert apply_change(Change(ChangeKind.CLAIM, OWNERS[1]), held) == (held, Verdict.RUNNING)
+    assert apply_change(Change(ChangeKind.RELEASE, OWNERS[1]), held) == (held, Verdict.RELEASED)
+    assert apply_change(Change(ChangeKind.CLAIM, OWNERS[0]), held)[1] is Verdict.WON
+    freed, _ = apply_change(Change(ChangeKind.RELEASE, OWNERS[0]), held)
+    again, verdict = apply_change(Change(ChangeKind.CLAIM, OWNERS[1]), freed)
+    assert verdict is Verdict.WON and again.owner == OWNERS[1] and again.version == 2
+    done = entry(State.COMPLETED, 1, 0)
+    assert all(
+        apply_change(Change(kind, owner), done)[0] == done
+        for kind in (ChangeKind.CLAIM, ChangeKind.RELEASE)
+        for owner in OWNERS
+    )
 
 
 # -- placement
@@ -112,23 +142,23 @@
         placed = Placement(sites(15, zones), 3)
         where = {one.name: one.zone for one in placed.sites}
         for slot in range(0, 1024, 7):
-            names = placed.names(slot)
+            names = placed.replica_names(slot)
             assert len(set(names)) == 3 and len({where[name] for name in names}) == min(zones, 3)
-    assert len(Placement(sites(2), 3).holders(1)) == 2
+    assert len(Placement(sites(2), 3).replicas(1)) == 2
 
 
 @pytest.mark.parametrize("zones", [1, 3])
 def test_a_member_more_or_less_moves_no_more_than_its_share(zones: int) -> None:
     before, more = Placement(sites(12, zones), 3), Placement(sites(13, zones), 3)
-    moved = sum(len(set(more.names(slot)) - set(before.names(slot))) for slot in range(1024))
+    moved = sum(len(set(more.replica_names(slot)) - set(before.replica_names(slot))) for slot in range(1024))
     share = 3 * 1024 / 13
-    assert moved == sum("m012" in more.names(slot) for slot in range(1024)) or zones > 1
+    assert moved == sum("m012" in more.replica_names(slot) for slot in range(1024)) or zones > 1
     assert 0.5 * share < moved < 1.6 * share
 
 
 def test_who_weighs_double_holds_about_double() -> None:
     some = (*sites(9), Site("big", 1, "z0", 2.0))
-    many = Counter(name for slot in range(1024) for name in Placement(some, 3).names(slot))
+    many = Counter(name for slot in range(1024) for name in Placement(some, 3).replica_names(slot))
     rest = sum(many[one.name] for one in some[:-1]) / 9
     assert 1.6 < many["big"] / rest < 2.2
 
@@ -155,7 +185,9 @@
     assert sum(stage.runs.values()) > 1
     for link in stage.fleet.links.values():
         link.drop, link.double, link.most = 0.0, 0.0, 0.003
-    stage.fleet.run(stage.settings.longest + 1.0)  # ranges of which two fell at once wait their lives out
+    stage.fleet.run(
+        stage.settings.max_lifetime_s + 1.0
+    )  # ranges of which two fell at once wait their lives out
     after = [stage.come(name, f"after {name}") for name in stage.members if name in stage.fleet.cores]
     stage.fleet.run(1.0)
     assert {one.verdict for one in after} == {"completed"} and not stage.wrong()
@@ -163,15 +195,19 @@
 
 def test_one_that_answered_for_a_view_before_it_heard_of_it_is_in_it() -> None:
     """It was out, and is let in again at 3; a member that knows that asks it for ranges first."""
-    one = Replica("a", 1, Settings(slots=8, cold_waits=False), random.Random(1), 0.0)
+    one = Replica("a", 1, Settings(slots=8, waits_after_cold_start=False), random.Random(1), 0.0)
     first = tuple(Site(name, 1) for name in "abc")
-    one.step(0.0, Viewed(1, first))
-    one.step(0.1, Viewed(2, first[1:]))
-    told = [effect.message for effect in one.step(0.2, Got("b", Ask(4, ()))) if isinstance(effect, Send)]
-    assert told == [Told(4, 1, ())] and one.epoch == 0
-    one.step(0.3, Viewed(3, (Site("a", 2), *first[1:])))
+    one.step(0.0, ViewInstalled(1, first))
+    one.step(0.1, ViewInstalled(2, first[1:]))
+    told = [
+        effect.message
+        for effect in one.step(0.2, MessageReceived("b", CompareRanges(4, ())))
+        if isinstance(effect, Send)
+    ]
+    assert told == [RangeStates(4, 1, ())] and one.epoch == 0
+    one.step(0.3, ViewInstalled(3, (Site("a", 2), *first[1:])))
     assert one.epoch == 0, "it said that it decides for no view before 4"
-    one.step(0.3, Viewed(4, (Site("a", 2), *first[1:])))
+    one.step(0.3, ViewInstalled(4, (Site("a", 2), *first[1:])))
     assert one.epoch == 4 and one.ranges.unready == set(range(8))
 
 
@@ -185,45 +221,49 @@
     some = Ranges("a", 1, 3, 1), Ranges("b", 1, 3, 1)
     for epoch in [*range(1, 10), 11]:
         for one in some:
-            one.view(Viewed(epoch, (Site("a", 1), Site("b", 1))), 0.0)
+            one.install_view(ViewInstalled(epoch, (Site("a", 1), Site("b", 1))), 0.0)
     asks, tells = some
     for _ in range(3):
-        before = asks.past_before("b")
-        told = tells.older(before, PAST_MOST)
-        asks.past("b", before, told, len(told) >= PAST_MOST)
-    assert asks.past_told == {"b"}
+        before = asks.request_views_before("b")
+        told = tells.views_before(before, MAX_VIEWS_SENT)
+        asks.add_past_views("b", before, told, len(told) >= MAX_VIEWS_SENT)
+    assert asks.history_received == {"b"}
 
 
 # -- bounds, and what comes from elsewhere
 
 
 def alone(now: float = 0.0, **keys: int) -> Replica:
-    made = Replica("a", 1, Settings(slots=8, cold_waits=False, **keys), random.Random(1), now)
-    made.step(now, Viewed(1, (Site("a", 1),)))
-    made.step(now + 0.2, Viewed(2, (Site("a", 1),)))
+    made = Replica("a", 1, Settings(slots=8, waits_after_cold_start=False, **keys), random.Random(1), now)
+    made.step(now, ViewInstalled(1, (Site("a", 1),)))
+    made.step(now + 0.2, ViewInstalled(2, (Site("a", 1),)))
     return made
 
 
 def test_a_full_holder_takes_no_new_key_and_says_so() -> None:
-    one = alone(entries_most=2)
+    one = alone(max_entries=2)
     said = [one.step(0.3, Claim(ref, b"%d" % ref, b"g", 5.0, b"")) for ref in range(1, 5)]
     verdicts = [effect.verdict for effects in said for effect in effects if hasattr(effect, "verdict")]
-    refuse = Refuse(2, 0, "x", EMPTY.ballot, EMPTY.ballot)
-    late = [effect.verdict for effect in one.step(1.0, Got("a", refuse)) if hasattr(effect, "verdict")]
+    refuse = Refuse(2, 0, RefusalReason.NOT_READY, EMPTY.ballot, EMPTY.ballot)
+    late = [
+        effect.verdict for effect in one.step(1.0, MessageReceived("a", refuse)) if hasattr(effect, "verdict")
+    ]
     assert verdicts + late == ["won", "won", "full", "full"]
 
 
 def test_ranges_out_of_bounds_and_strangers_are_counted() -> None:
     one = alone()
     push = Accept(2, 1, ("labels", b"x"), 99, entry(State.CLAIMED, 1), 5.0)
-    one.step(1.0, Got("a", push))
-    one.step(1.0, Got("stranger", push))
+    one.step(1.0, MessageReceived("a", push))
+    one.step(1.0, MessageReceived("stranger", push))
     assert one.counts["slots_bad"] == 1 and one.counts["outside"] == 1 and one.store.entries == 0
 
 
 def test_an_older_epoch_is_told_that_it_is_old() -> None:
     one = alone()
-    said = one.step(1.0, Got("a", Accept(1, 7, ("labels", b"x"), 0, entry(State.CLAIMED, 1), 5.0)))
+    said = one.step(
+        1.0, MessageReceived("a", Accept(1, 7, ("labels", b"x"), 0, entry(State.CLAIMED, 1), 5.0))
+    )
     assert not [effect for effect in said if isinstance(effect, Send)]  # to itself, it stays inside
     assert one.counts["refused_epoch"] == 1 and one.store.entries == 0
 
--- a/tests/test_replication_service.py
+++ b/tests/test_replication_service.py
@@ -27,10 +27,10 @@
 from sablewheel.program.feature_file import FaultyFeaturesError, read
 from sablewheel.protocol.resp import Parser
 from sablewheel.replication import codec, messages
-from sablewheel.replication.entries import EMPTY, Entry, Outcome
+from sablewheel.replication.entries import EMPTY, Entry, Outcome, OutcomeStatus
 from sablewheel.replication.placement import Site
 from sablewheel.replication.plan import ReplicationPlan, Settings
-from sablewheel.replication.service import Keeper
+from sablewheel.replication.service import ReplicationService
 from sablewheel.serving.exchange import Caller, Exchange, Place
 from sablewheel.serving.hooks import NO_RESULT_STORE
 from sablewheel.transport.scheduler import Scheduler
@@ -41,7 +41,7 @@
 
 @dataclass
 class Time:
-    """The scheduler's part that the keeper uses, with a made clock."""
+    """The scheduler's part that the service uses, with a made clock."""
 
     now: float = 100.0
     queue: list[tuple[float, int, Callable[[], None]]] = field(default_factory=list)
@@ -105,12 +105,12 @@
 
     def __init__(self, **keys: Any) -> None:
         self.time, self.wires, self.counts = Time(), {}, Counter[str]()  # type: ignore[var-annotated]
-        self.keepers: dict[str, Keeper] = {}
+        self.services: dict[str, ReplicationService] = {}
         self.runs: list[tuple[str, Exchange]] = []
         self.billed: list[bool] = []
-        replica = Settings(longest=9.0, cold_waits=False, slots=8)
+        replica = Settings(max_lifetime_s=9.0, waits_after_cold_start=False, slots=8)
         for name in NAMES:
-            self.keepers[name] = Keeper(
+            self.services[name] = ReplicationService(
                 cast(Scheduler, self.time),
                 Wires(self.time, name, self.wires),
                 ReplicationPlan(replica, **keys),
@@ -123,8 +123,8 @@
                 clock=lambda: self.time.now,
             )
         self.view = View(1, tuple(Member(name, "", f"z{name}", "", 1) for name in NAMES))
-        for keeper in self.keepers.values():
-            keeper.view(self.view)
+        for service in self.services.values():
+            service.view(self.view)
         self.time.run(1.0)
 
     def count(self, name: str) -> None:
@@ -141,7 +141,7 @@
     def never_begun(self, name: str) -> Callable[[Exchange], None]:
         def moot(exchange: Exchange) -> None:
             exchange.place = Place.OVER
-            self.keepers[name].ended(exchange, Ended.NEVER_STARTED, b"")
+            self.services[name].ended(exchange, Ended.NEVER_STARTED, b"")
 
         return moot
 
@@ -152,20 +152,20 @@
         request = Request(RECORD, Client(), None, now, 0.0)
         request.deadline = now + 2.0
         exchange = Exchange(
-            b"%d" % id(told), b"record", body, 0, idempotency_key, request, told, self.keepers[name]
+            b"%d" % id(told), b"record", body, 0, idempotency_key, request, told, self.services[name]
         )
-        self.keepers[name].prepare(exchange)
+        self.services[name].prepare(exchange)
         if request.key_capacity_in_s:
             exchange.reject(request.key_capacity_in_s, False)
             return exchange, told
         exchange.place = Place.RUNNING
-        self.keepers[name].before_run(exchange, lambda one: self.runs.append((name, one)))
+        self.services[name].before_run(exchange, lambda one: self.runs.append((name, one)))
         return exchange, told
 
     def end(self, result: bytes = b"result", outcome: Ended = Ended.SUCCEEDED) -> None:
         """The last run that began is over, as the dispatch has it."""
         name, exchange = self.runs[-1]
-        self.keepers[name].ended(exchange, outcome, result)
+        self.services[name].ended(exchange, outcome, result)
         if outcome is Ended.SUCCEEDED:
             exchange.complete(result)
         else:
@@ -194,7 +194,7 @@
 
 
 def test_an_answer_leaves_once_when_its_bound_has_passed_and_the_majority_comes_later() -> None:
-    fleet = Servers(hold_most=0.2)
+    fleet = Servers(max_hold_s=0.2)
     _, first = fleet.come("a")
     fleet.time.run(0.1)
     fleet.cut("a")
@@ -205,7 +205,7 @@
     assert len(first.answers) == 1 and fleet.counts["replication_answers_ahead"] == 1
     fleet.cut("a", False)
     fleet.time.run(1.5)
-    assert len(first.answers) == 1 and not fleet.keepers["a"]._unstored
+    assert len(first.answers) == 1 and fleet.services["a"].held_answers.is_empty
 
 
 def test_without_a_majority_it_is_rejected_before_it_runs_and_the_next_at_the_door() -> None:
@@ -275,8 +275,8 @@
 def test_a_view_may_say_that_a_member_never_comes_back() -> None:
     fleet = Servers()
     view = View(2, fleet.view.members[:2], (Fact("gone/c", "1"),))
-    fleet.keepers["a"].view(view)
-    assert fleet.keepers["a"].replica.ranges.gone == {("c", 1)}
+    fleet.services["a"].view(view)
+    assert fleet.services["a"].replica.ranges.removed == {("c", 1)}
 
 
 # -- real servers
@@ -335,7 +335,7 @@
 
 # -- packets
 
-done = Outcome(1, ("a", 1, 1), "worked", b"r")
+done = Outcome(1, ("a", 1, 1), OutcomeStatus.SUCCEEDED, b"r")
 entry = Entry((1, 2, "a", 3), 4, ("b", 5, 6), b"value", b"d" * 16, True, (done,))
 key = ("labels", b"k")
 SOME: list[messages.Message] = [
@@ -343,17 +343,17 @@
     messages.Promise(1, 2, (1, 2, "a", 3), entry),
     messages.Accept(1, 2, key, 3, entry, 4.5, b"group", 6),
     messages.Accepted(1, 2, (1, 2, "a", 3)),
-    messages.Refuse(1, 2, "full", (1, 2, "a", 3), (1, 1, "b", 3), entry),
+    messages.Refuse(1, 2, messages.RefusalReason.FULL, (1, 2, "a", 3), (1, 1, "b", 3), entry),
     messages.Push(1, 2, key, 3, entry, 4.5),
     messages.Pushed(1, 2),
     messages.Fetch(1, 2, key, 3),
     messages.Fetched(1, 2, EMPTY),
-    messages.AskPast(1, 0),
-    messages.Past(1, 2, 3, ((1, (Site("a", 1, "z", 1.5),)),)),
-    messages.Ask(1, ((2, (1 << 64) - 1),)),
-    messages.Told(1, 2, ((3, 4, True),)),
-    messages.Pull(1, 2, ("", b"")),
-    messages.Piece(1, 2, 3, 4, ((key, entry, 5.5),), True),
+    messages.RequestViews(1, 0),
+    messages.PastViews(1, 2, 3, ((1, (Site("a", 1, "z", 1.5),)),)),
+    messages.CompareRanges(1, ((2, (1 << 64) - 1),)),
+    messages.RangeStates(1, 2, ((3, 4, True),)),
+    messages.FetchRange(1, 2, ("", b"")),
+    messages.RangeChunk(1, 2, 3, 4, ((key, entry, 5.5),), True),
 ]
 
 
@@ -379,8 +379,8 @@
 def test_packets_past_their_bounds_are_none() -> None:
     with pytest.raises(codec.BadPacketError, match="1024 ranges and 3 copies"):
         codec.decode(codec.encode(SOME[0], 1024, 3), 2048, 3)
-    long = messages.Fetch(1, 2, ("labels", b"k" * (codec.KEY_MOST + 1)), 3)
-    many = messages.Ask(1, ((2, 3),) * (codec.RANGES_MOST + 1))
+    long = messages.Fetch(1, 2, ("labels", b"k" * (codec.MAX_KEY_BYTES + 1)), 3)
+    many = messages.CompareRanges(1, ((2, 3),) * (codec.MAX_RANGES + 1))
     never = messages.Push(1, 2, key, 3, entry, float("nan"))
     past: list[messages.Message] = [long, many, never]
     for one in past:
--- a/tests/test_session_router.py
+++ b/tests/test_session_router.py
@@ -16,7 +16,7 @@
 from sablewheel.overload.interface import Client, Idempotency, Outcome, Request, RequestClass, Tenant
 from sablewheel.replication.plan import ReplicationPlan
 from sablewheel.replication.plan import Settings as ReplicaSettings
-from sablewheel.replication.service import Keeper
+from sablewheel.replication.service import ReplicationService
 from sablewheel.serving.exchange import NO_OBSERVER, Exchange, Place
 from sablewheel.serving.hooks import NO_RESULT_STORE
 from sablewheel.session_affinity.events import Active
@@ -71,8 +71,8 @@
         self.forward = Forward(
             scheduler, links, Passing(), 1000, REQUEST_CLASSES, TENANTS, lambda: self.observer, clock
         )
-        settings = ReplicaSettings(longest=9.0, cold_waits=False, slots=8)
-        self.keeper = Keeper(
+        settings = ReplicaSettings(max_lifetime_s=9.0, waits_after_cold_start=False, slots=8)
+        self.keeper = ReplicationService(
             scheduler,
             links,
             ReplicationPlan(settings),
