--- a/sablewheel/experiments/affinity_replicas.py
+++ b/sablewheel/experiments/affinity_replicas.py
@@ -17,7 +17,7 @@
 from ..replication.placement import Site
 from ..replication.plan import Settings as ReplicaSettings
 from ..replication.replica import Replica
-from ..replication.service import REMOVED_FACT_PREFIX
+from ..replication.replica_runner import REMOVED_FACT_PREFIX
 from ..session_affinity.binding import Binding
 from ..session_affinity.codec import pack, unpack
 from ..session_affinity.events import Answered, Event, Got, Over, Read, Tick, Verdict, Viewed, Write
--- a/sablewheel/experiments/replication_model.py
+++ b/sablewheel/experiments/replication_model.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from ..replication.entries import Verdict as ClaimVerdict
+from ..replication.entries import AnswerStatus
 from ..replication.messages import (
     Answer,
     Claim,
@@ -169,7 +169,7 @@
                 now = max(now, node.wake_at)
             effects = node.step(now, event)
             sends = tuple((one.to, self.message(one.message)) for one in effects if isinstance(one, Send))
-            won = any(isinstance(one, Answer) and one.verdict is ClaimVerdict.WON for one in effects)
+            won = any(isinstance(one, Answer) and one.status is AnswerStatus.WON for one in effects)
             found = self.made[number, mark] = (self.node(node), sends, won)
         return found
 
--- a/sablewheel/experiments/replication_stage.py
+++ b/sablewheel/experiments/replication_stage.py
@@ -13,7 +13,7 @@
 from functools import partial
 from typing import Any
 
-from ..replication.entries import Entry, Outcome, OutcomeStatus, State, Verdict, merge
+from ..replication.entries import AnswerStatus, Entry, Outcome, OutcomeStatus, State, merge
 from ..replication.messages import (
     Accept,
     AcceptorRequest,
@@ -284,23 +284,23 @@
             case Log():
                 self.notes.append((now, name, effect))
 
-    def _answered(self, one: Try, verdict: Verdict, entry: Entry) -> None:
+    def _answered(self, one: Try, verdict: AnswerStatus, entry: Entry) -> None:
         fleet = self.fleet
-        if verdict is Verdict.WON:
+        if verdict is AnswerStatus.WON:
             if one.verdict:  # nobody waits for it any more: it is not begun
                 fleet.later(0.0, lambda: fleet.tell(one.server, ReleaseClaim(one.idempotency_key.encode())))
                 return
             self._run(one)
         elif one.verdict:
             return
-        elif verdict is Verdict.KNOWN:
+        elif verdict is AnswerStatus.KNOWN:
             outcome = entry.outcomes[0]
             one.verdict = "completed" if outcome.status is OutcomeStatus.SUCCEEDED else "terminated"
             one.result = outcome.result
-        elif verdict in (Verdict.RUNNING, Verdict.READ, Verdict.BUSY):
-            free = verdict is Verdict.READ and entry.state in (State.UNCLAIMED, State.RELEASED)
+        elif verdict in (AnswerStatus.RUNNING, AnswerStatus.READ, AnswerStatus.BUSY):
+            free = verdict is AnswerStatus.READ and entry.state in (State.UNCLAIMED, State.RELEASED)
             fleet.later(POLL, lambda: self._again(one, free))
-        elif verdict is Verdict.UNREACHABLE and one in self._read_only:
+        elif verdict is AnswerStatus.UNREACHABLE and one in self._read_only:
             fleet.later(POLL, lambda: self._again(one, False))  # it may have run: it is not rejected
         else:
             one.verdict = "denied"
--- a/sablewheel/replication/claims.py
+++ b/sablewheel/replication/claims.py
@@ -12,6 +12,7 @@
 from .entries import (
     EMPTY,
     MAX_OUTCOMES,
+    AnswerStatus,
     Change,
     ChangeKind,
     Entry,
@@ -19,7 +20,6 @@
     OutcomeStatus,
     Owner,
     State,
-    Verdict,
     merge,
 )
 from .messages import Claim, CompleteClaim, LogEvent, OutcomeStored
@@ -82,13 +82,13 @@
         context, own_claim = self._context, self.own_claims.get(claim.key)
         slot = context.slot_of(claim.group)
         if own_claim is not None and own_claim.state is not ClaimState.RELEASING:
-            return context.answer(claim.ref, Verdict.RUNNING, own_claim.entry)  # by this member itself
+            return context.answer(claim.ref, AnswerStatus.RUNNING, own_claim.entry)  # by this member itself
         stored = context.store.entry(slot, (IDEMPOTENCY_KEYS, claim.key))
         if own_claim is None and stored.state is State.COMPLETED:
-            return context.answer(claim.ref, Verdict.KNOWN, stored)  # an outcome is a fact, ready or not
+            return context.answer(claim.ref, AnswerStatus.KNOWN, stored)  # an outcome is a fact, ready or not
         if own_claim is None:
             if len(self.own_claims) >= context.settings.max_claims:
-                return context.answer(claim.ref, Verdict.FULL)
+                return context.answer(claim.ref, AnswerStatus.FULL)
             own_claim = OwnClaim(self.new_owner(), slot, claim.group, 0.0)
             self.own_claims[claim.key] = own_claim
         # One that is being released never ran: its owner may continue with it.
@@ -106,7 +106,7 @@
             claim.ref or None,
             claim.binding_version,
         )
-        if refused is Verdict.FULL:
+        if refused is AnswerStatus.FULL:
             del self.own_claims[claim.key]
         if refused is not None:
             self._context.answer(claim.ref, refused)
@@ -148,7 +148,7 @@
 
     # -- decisions
 
-    def on_decided(self, proposal: Proposal, verdict: Verdict, entry: Entry) -> None:
+    def on_decided(self, proposal: Proposal, status: AnswerStatus, entry: Entry) -> None:
         """A claim or a release is decided, or found no majority in time."""
         key = proposal.key[1]
         own_claim = self.own_claims.get(key)
@@ -157,32 +157,34 @@
                 del self.own_claims[key]
             return
         assert own_claim is not None
-        if verdict is Verdict.UNREACHABLE:
+        if status is AnswerStatus.UNREACHABLE:
             self._reachability.range_failed(proposal.slot)
-            verdict, entry = self._best_known(proposal, entry)
+            status, entry = self._best_known(proposal, entry)
         else:
             self._reachability.range_succeeded(proposal.slot)
-        if verdict is Verdict.WON:
+        if status is AnswerStatus.WON:
             own_claim.state, own_claim.entry = ClaimState.WON, entry
             if self._context.now >= own_claim.expires_at:  # decided after its lifetime: too late to run
-                verdict = Verdict.UNREACHABLE
+                status = AnswerStatus.UNREACHABLE
                 self._begin_release(key, own_claim)
-        elif proposal.was_sent and verdict is not Verdict.KNOWN and own_claim.state is ClaimState.PROPOSED:
+        elif (
+            proposal.was_sent and status is not AnswerStatus.KNOWN and own_claim.state is ClaimState.PROPOSED
+        ):
             self._begin_release(key, own_claim)  # it may stand, and will not be run
         else:
             del self.own_claims[key]
         if proposal.caller_ref is not None:
-            self._context.answer(proposal.caller_ref, verdict, entry)
+            self._context.answer(proposal.caller_ref, status, entry)
 
-    def _best_known(self, proposal: Proposal, entry: Entry) -> tuple[Verdict, Entry]:
+    def _best_known(self, proposal: Proposal, entry: Entry) -> tuple[AnswerStatus, Entry]:
         """Too few answered a claim; but what one replica has claimed may have run, so it is not rejected."""
         known = merge_all(proposal.promises.values())
         known = merge(known, self._context.store.entry(proposal.slot, proposal.key))
         if known.state is State.COMPLETED:
-            return Verdict.KNOWN, known
+            return AnswerStatus.KNOWN, known
         if known.state is State.CLAIMED and known.owner != proposal.change.owner:
-            return Verdict.RUNNING, known
-        return Verdict.UNREACHABLE, entry
+            return AnswerStatus.RUNNING, known
+        return AnswerStatus.UNREACHABLE, entry
 
     def on_outcome_stored(self, key: bytes) -> None:
         """A majority has stored the outcome."""
--- a/sablewheel/replication/codec.py
+++ b/sablewheel/replication/codec.py
@@ -6,13 +6,11 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from math import isfinite
 from typing import Any
 
 from google.protobuf.message import DecodeError
 
 from . import replication_pb2 as pb
-from .entries import MAX_OUTCOMES, Ballot, Entry, Key, Outcome, OutcomeStatus, Owner
 from .messages import (
     Accept,
     Accepted,
@@ -32,22 +30,27 @@
     Refuse,
     RequestViews,
 )
-from .placement import MAX_WEIGHT, Site
+from .packet_fields import (
+    BadPacketError,
+    check_count,
+    check_key,
+    check_lifetime,
+    decode_ballot,
+    decode_entry,
+    decode_key,
+    decode_site,
+    encode_ballot,
+    encode_entry,
+    encode_key,
+    encode_site,
+)
 
 VERSION = 1
-MAX_NAME_LENGTH = 200  # characters
-MAX_KEY_BYTES = 1024  # of a key or a group
-MAX_VALUE_BYTES = 1 << 20
-MAX_LIFETIME_S = 86400.0 * 31
 MAX_RANGES = MAX_ENTRIES = 1024  # a packet
 MAX_VIEWS = 16
 MAX_SITES = 10_000
 
 
-class BadPacketError(ValueError):
-    """Not a packet of ours, or one outside its bounds; the text says which field."""
-
-
 def encode(message: Message, ranges: int = 0, copies: int = 0) -> bytes:
     """The packet of a message.
 
@@ -92,19 +95,19 @@
 
 def _encode_prepare(packet: pb.Packet, message: Prepare) -> None:
     change = _change(message, message.remaining_s, message.group, message.binding_version)
-    change.ballot.CopyFrom(_ballot(message.ballot))
+    change.ballot.CopyFrom(encode_ballot(message.ballot))
     packet.prepare.CopyFrom(change)
 
 
 def _encode_accept(packet: pb.Packet, message: Accept) -> None:
     change = _change(message, message.remaining_s, message.group, message.binding_version)
-    change.entry.CopyFrom(_entry(message.entry))
+    change.entry.CopyFrom(encode_entry(message.entry))
     packet.accept.CopyFrom(change)
 
 
 def _encode_push(packet: pb.Packet, message: Push) -> None:
     change = _change(message, message.remaining_s)
-    change.entry.CopyFrom(_entry(message.entry))
+    change.entry.CopyFrom(encode_entry(message.entry))
     packet.push.CopyFrom(change)
 
 
@@ -113,20 +116,20 @@
 
 
 def _encode_promise(packet: pb.Packet, message: Promise) -> None:
-    packet.promise.CopyFrom(pb.Reply(ballot=_ballot(message.ballot), entry=_entry(message.entry)))
+    packet.promise.CopyFrom(pb.Reply(ballot=encode_ballot(message.ballot), entry=encode_entry(message.entry)))
 
 
 def _encode_accepted(packet: pb.Packet, message: Accepted) -> None:
-    packet.accepted.CopyFrom(pb.Reply(ballot=_ballot(message.ballot)))
+    packet.accepted.CopyFrom(pb.Reply(ballot=encode_ballot(message.ballot)))
 
 
 def _encode_refuse(packet: pb.Packet, message: Refuse) -> None:
     packet.refuse.CopyFrom(
         pb.Reply(
-            ballot=_ballot(message.ballot),
+            ballot=encode_ballot(message.ballot),
             why=message.reason.value,
-            asked=_ballot(message.refused),
-            entry=_entry(message.entry),
+            asked=encode_ballot(message.refused),
+            entry=encode_entry(message.entry),
         )
     )
 
@@ -136,7 +139,7 @@
 
 
 def _encode_fetched(packet: pb.Packet, message: Fetched) -> None:
-    packet.fetched.CopyFrom(pb.Reply(entry=_entry(message.entry)))
+    packet.fetched.CopyFrom(pb.Reply(entry=encode_entry(message.entry)))
 
 
 def _encode_request_views(packet: pb.Packet, message: RequestViews) -> None:
@@ -145,7 +148,9 @@
 
 
 def _encode_past_views(packet: pb.Packet, message: PastViews) -> None:
-    views = [pb.View(epoch=epoch, sites=[_site(site) for site in sites]) for epoch, sites in message.views]
+    views = [
+        pb.View(epoch=epoch, sites=[encode_site(site) for site in sites]) for epoch, sites in message.views
+    ]
     packet.past.CopyFrom(pb.Past(birth=message.incarnation, before=message.before, views=views))
 
 
@@ -160,12 +165,12 @@
 
 
 def _encode_fetch_range(packet: pb.Packet, message: FetchRange) -> None:
-    packet.pull.CopyFrom(pb.Pull(slot=message.slot, after=_key(message.after)))
+    packet.pull.CopyFrom(pb.Pull(slot=message.slot, after=encode_key(message.after)))
 
 
 def _encode_range_chunk(packet: pb.Packet, message: RangeChunk) -> None:
     entries = [
-        pb.Held(key=_key(key), entry=_entry(entry), left=remaining_s)
+        pb.Held(key=encode_key(key), entry=encode_entry(entry), left=remaining_s)
         for key, entry, remaining_s in message.entries
     ]
     packet.piece.CopyFrom(
@@ -205,47 +210,10 @@
     binding_version: int = 0,
 ) -> pb.Change:
     return pb.Change(
-        key=_key(message.key), slot=message.slot, left=remaining_s, group=group, under=binding_version
-    )
-
-
-def _key(key: Key) -> pb.Key:
-    return pb.Key(collection=key[0], key=key[1])
-
-
-def _ballot(ballot: Ballot) -> pb.Ballot:
-    return pb.Ballot(epoch=ballot[0], round=ballot[1], name=ballot[2], birth=ballot[3])
-
-
-def _owner(owner: Owner) -> pb.Owner:
-    return pb.Owner(name=owner[0], birth=owner[1], turn=owner[2])
-
-
-def _entry(entry: Entry) -> pb.Entry:
-    outcomes = [
-        pb.Outcome(
-            number=outcome.version,
-            owner=_owner(outcome.owner),
-            how=outcome.status.value,
-            result=outcome.result,
-        )
-        for outcome in entry.outcomes
-    ]
-    return pb.Entry(
-        ballot=_ballot(entry.ballot),
-        number=entry.version,
-        owner=_owner(entry.owner),
-        value=entry.value,
-        digest=entry.digest,
-        freed=entry.released,
-        outcomes=outcomes,
+        key=encode_key(message.key), slot=message.slot, left=remaining_s, group=group, under=binding_version
     )
 
 
-def _site(site: Site) -> pb.Site:
-    return pb.Site(name=site.name, incarnation=site.incarnation, zone=site.zone, weight=site.weight)
-
-
 # -- decoding, one function a kind
 
 
@@ -254,11 +222,11 @@
     return Prepare(
         packet.epoch,
         packet.ref,
-        _decode_key(change.key),
+        decode_key(change.key),
         change.slot,
-        _decode_ballot(change.ballot),
-        _check_lifetime(change.left),
-        _check_key(change.group),
+        decode_ballot(change.ballot),
+        check_lifetime(change.left),
+        check_key(change.group),
         change.under,
     )
 
@@ -268,32 +236,32 @@
     return Accept(
         packet.epoch,
         packet.ref,
-        _decode_key(change.key),
+        decode_key(change.key),
         change.slot,
-        _decode_entry(change.entry),
-        _check_lifetime(change.left),
-        _check_key(change.group),
+        decode_entry(change.entry),
+        check_lifetime(change.left),
+        check_key(change.group),
         change.under,
     )
 
 
 def _decode_push(packet: pb.Packet) -> Push:
     change = packet.push
-    key, entry = _decode_key(change.key), _decode_entry(change.entry)
-    return Push(packet.epoch, packet.ref, key, change.slot, entry, _check_lifetime(change.left))
+    key, entry = decode_key(change.key), decode_entry(change.entry)
+    return Push(packet.epoch, packet.ref, key, change.slot, entry, check_lifetime(change.left))
 
 
 def _decode_fetch(packet: pb.Packet) -> Fetch:
-    return Fetch(packet.epoch, packet.ref, _decode_key(packet.fetch.key), packet.fetch.slot)
+    return Fetch(packet.epoch, packet.ref, decode_key(packet.fetch.key), packet.fetch.slot)
 
 
 def _decode_promise(packet: pb.Packet) -> Promise:
     reply = packet.promise
-    return Promise(packet.epoch, packet.ref, _decode_ballot(reply.ballot), _decode_entry(reply.entry))
+    return Promise(packet.epoch, packet.ref, decode_ballot(reply.ballot), decode_entry(reply.entry))
 
 
 def _decode_accepted(packet: pb.Packet) -> Accepted:
-    return Accepted(packet.epoch, packet.ref, _decode_ballot(packet.accepted.ballot))
+    return Accepted(packet.epoch, packet.ref, decode_ballot(packet.accepted.ballot))
 
 
 def _decode_refuse(packet: pb.Packet) -> Refuse:
@@ -302,8 +270,8 @@
         reason = RefusalReason(reply.why)
     except ValueError:
         raise BadPacketError(f"why: no such reason: {reply.why[:40]!r}") from None
-    ballots = _decode_ballot(reply.ballot), _decode_ballot(reply.asked)
-    return Refuse(packet.epoch, packet.ref, reason, *ballots, _decode_entry(reply.entry))
+    ballots = decode_ballot(reply.ballot), decode_ballot(reply.asked)
+    return Refuse(packet.epoch, packet.ref, reason, *ballots, decode_entry(reply.entry))
 
 
 def _decode_pushed(packet: pb.Packet) -> Pushed:
@@ -311,7 +279,7 @@
 
 
 def _decode_fetched(packet: pb.Packet) -> Fetched:
-    return Fetched(packet.epoch, packet.ref, _decode_entry(packet.fetched.entry))
+    return Fetched(packet.epoch, packet.ref, decode_entry(packet.fetched.entry))
 
 
 def _decode_request_views(packet: pb.Packet) -> RequestViews:
@@ -320,33 +288,33 @@
 
 def _decode_past_views(packet: pb.Packet) -> PastViews:
     past = packet.past
-    _check_count(len(past.views), MAX_VIEWS, "views")
-    views = tuple((view.epoch, tuple(_decode_site(site) for site in view.sites)) for view in past.views)
+    check_count(len(past.views), MAX_VIEWS, "views")
+    views = tuple((view.epoch, tuple(decode_site(site) for site in view.sites)) for view in past.views)
     for _, sites in views:
-        _check_count(len(sites), MAX_SITES, "sites")
+        check_count(len(sites), MAX_SITES, "sites")
     return PastViews(packet.epoch, past.birth, past.before, views)
 
 
 def _decode_compare_ranges(packet: pb.Packet) -> CompareRanges:
-    _check_count(len(packet.ask.ranges), MAX_RANGES, "ranges")
+    check_count(len(packet.ask.ranges), MAX_RANGES, "ranges")
     return CompareRanges(packet.epoch, tuple((one.slot, one.digest) for one in packet.ask.ranges))
 
 
 def _decode_range_states(packet: pb.Packet) -> RangeStates:
-    _check_count(len(packet.told.ranges), MAX_RANGES, "ranges")
+    check_count(len(packet.told.ranges), MAX_RANGES, "ranges")
     states = tuple((one.slot, one.ready, one.same) for one in packet.told.ranges)
     return RangeStates(packet.epoch, packet.told.birth, states)
 
 
 def _decode_fetch_range(packet: pb.Packet) -> FetchRange:
-    return FetchRange(packet.epoch, packet.pull.slot, _decode_key(packet.pull.after))
+    return FetchRange(packet.epoch, packet.pull.slot, decode_key(packet.pull.after))
 
 
 def _decode_range_chunk(packet: pb.Packet) -> RangeChunk:
     piece = packet.piece
-    _check_count(len(piece.entries), MAX_ENTRIES, "entries")
+    check_count(len(piece.entries), MAX_ENTRIES, "entries")
     entries = tuple(
-        (_decode_key(one.key), _decode_entry(one.entry), _check_lifetime(one.left)) for one in piece.entries
+        (decode_key(one.key), decode_entry(one.entry), check_lifetime(one.left)) for one in piece.entries
     )
     return RangeChunk(packet.epoch, piece.birth, piece.slot, piece.ready, entries, piece.last)
 
@@ -368,65 +336,3 @@
     "pull": _decode_fetch_range,
     "piece": _decode_range_chunk,
 }
-
-
-def _check_count(count: int, max_count: int, field: str) -> None:
-    if count > max_count:
-        raise BadPacketError(f"{field}: {count}, {max_count} are taken")
-
-
-def _check_key(data: bytes) -> bytes:
-    _check_count(len(data), MAX_KEY_BYTES, "key")
-    return data
-
-
-def _check_name(name: str) -> str:
-    _check_count(len(name), MAX_NAME_LENGTH, "name")
-    return name
-
-
-def _check_lifetime(remaining_s: float) -> float:
-    if not (isfinite(remaining_s) and remaining_s <= MAX_LIFETIME_S):
-        raise BadPacketError(f"left: at most {MAX_LIFETIME_S:g} is wanted, got {remaining_s:g}")
-    return remaining_s
-
-
-def _decode_key(key: pb.Key) -> Key:
-    return _check_name(key.collection), _check_key(key.key)
-
-
-def _decode_ballot(ballot: pb.Ballot) -> Ballot:
-    return ballot.epoch, ballot.round, _check_name(ballot.name), ballot.birth
-
-
-def _decode_owner(owner: pb.Owner) -> Owner:
-    return _check_name(owner.name), owner.birth, owner.turn
-
-
-def _decode_entry(entry: pb.Entry) -> Entry:
-    _check_count(len(entry.value), MAX_VALUE_BYTES, "value")
-    _check_count(len(entry.outcomes), MAX_OUTCOMES, "outcomes")
-    return Entry(
-        _decode_ballot(entry.ballot),
-        entry.number,
-        _decode_owner(entry.owner),
-        entry.value,
-        _check_key(entry.digest),
-        entry.freed,
-        tuple(sorted(_decode_outcome(outcome) for outcome in entry.outcomes)),
-    )
-
-
-def _decode_outcome(outcome: pb.Outcome) -> Outcome:
-    _check_count(len(outcome.result), MAX_VALUE_BYTES, "result")
-    try:
-        status = OutcomeStatus(outcome.how)
-    except ValueError:
-        raise BadPacketError(f"how: no such outcome: {outcome.how[:40]!r}") from None
-    return Outcome(outcome.number, _decode_owner(outcome.owner), status, outcome.result)
-
-
-def _decode_site(site: pb.Site) -> Site:
-    if not 0 <= site.weight <= MAX_WEIGHT:  # also not a number
-        raise BadPacketError(f"weight: 0 to {MAX_WEIGHT:g} is wanted, got {site.weight:g}")
-    return Site(_check_name(site.name), site.incarnation, _check_name(site.zone), site.weight)
--- a/sablewheel/replication/context.py
+++ b/sablewheel/replication/context.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from math import inf
 
-from .entries import EMPTY, Entry, Verdict
+from .entries import EMPTY, AnswerStatus, Entry
 from .messages import COUNTER_NAMES, Answer, Effect, Log, LogEvent, Message, Send
 from .placement import majority, slot_of
 from .plan import Settings
@@ -100,10 +100,10 @@
             self.counts[f"out_{COUNTER_NAMES[type(message)]}"] += 1
             self._effects.append(Send(to, message))
 
-    def answer(self, ref: int, verdict: Verdict, entry: Entry = EMPTY) -> None:
+    def answer(self, ref: int, status: AnswerStatus, entry: Entry = EMPTY) -> None:
         """Answer a claim, write or read."""
-        self.counts[f"answered_{verdict}"] += 1
-        self._effects.append(Answer(ref, verdict, entry))
+        self.counts[f"answered_{status}"] += 1
+        self._effects.append(Answer(ref, status, entry))
 
     def emit(self, effect: Effect) -> None:
         """Add an effect of this step."""
--- a/sablewheel/replication/entries.py
+++ b/sablewheel/replication/entries.py
@@ -39,7 +39,7 @@
     RESULT_DROPPED = "unkept"  # it succeeded, but the result was too large to store
 
 
-class Verdict(StrEnum):
+class AnswerStatus(StrEnum):
     """What a claim, write or read came to. The values are parts of counters' names."""
 
     WON = "won"  # the claim or write is accepted by a majority
@@ -167,22 +167,22 @@
     min_version: int = 0  # a write's new version is that at least, above all of an entry that expired
 
 
-def apply_change(change: Change, entry: Entry) -> tuple[Entry, Verdict]:
-    """The value to propose, and the verdict if it is accepted."""
+def apply_change(change: Change, entry: Entry) -> tuple[Entry, AnswerStatus]:
+    """The value to propose, and the status if it is accepted."""
     match change.kind:
         case ChangeKind.WRITE:
             return _apply_write(change, entry)
         case ChangeKind.RELEASE:
-            return _apply_release(change, entry), Verdict.RELEASED
+            return _apply_release(change, entry), AnswerStatus.RELEASED
         case ChangeKind.CLAIM:
             return _apply_claim(change, entry)
 
 
-def _apply_write(change: Change, entry: Entry) -> tuple[Entry, Verdict]:
+def _apply_write(change: Change, entry: Entry) -> tuple[Entry, AnswerStatus]:
     if entry.version != change.expected_version:
-        return entry, Verdict.STALE
+        return entry, AnswerStatus.STALE
     version = max(entry.version + 1, change.min_version)
-    return replace(entry, version=version, owner=change.owner, value=change.value), Verdict.WON
+    return replace(entry, version=version, owner=change.owner, value=change.value), AnswerStatus.WON
 
 
 def _apply_release(change: Change, entry: Entry) -> Entry:
@@ -192,12 +192,12 @@
     return replace(entry, version=max(entry.version, 1), owner=change.owner, released=True)
 
 
-def _apply_claim(change: Change, entry: Entry) -> tuple[Entry, Verdict]:
+def _apply_claim(change: Change, entry: Entry) -> tuple[Entry, AnswerStatus]:
     if entry.state is State.COMPLETED:
-        return entry, Verdict.KNOWN
+        return entry, AnswerStatus.KNOWN
     if entry.state is State.CLAIMED:
-        return entry, Verdict.WON if entry.owner == change.owner else Verdict.RUNNING
+        return entry, AnswerStatus.WON if entry.owner == change.owner else AnswerStatus.RUNNING
     version = entry.version + 1
     return replace(
         entry, version=version, owner=change.owner, digest=change.digest, released=False
-    ), Verdict.WON
+    ), AnswerStatus.WON
--- a/sablewheel/replication/messages.py
+++ b/sablewheel/replication/messages.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from .entries import EMPTY, Ballot, Entry, Key, OutcomeStatus, Verdict
+from .entries import EMPTY, AnswerStatus, Ballot, Entry, Key, OutcomeStatus
 from .placement import Sites
 
 
@@ -328,7 +328,7 @@
     """The answer to a claim, write or read."""
 
     ref: int
-    verdict: Verdict
+    status: AnswerStatus
     entry: Entry
 
 
--- /dev/null
+++ b/sablewheel/replication/packet_fields.py
@@ -0,0 +1,128 @@
+"""The values in the packets of replication: keys, ballots, entries and members, with their bounds. Pure."""
+
+from __future__ import annotations
+
+from math import isfinite
+
+from . import replication_pb2 as pb
+from .entries import MAX_OUTCOMES, Ballot, Entry, Key, Outcome, OutcomeStatus, Owner
+from .placement import MAX_WEIGHT, Site
+
+MAX_NAME_LENGTH = 200  # characters
+MAX_KEY_BYTES = 1024  # of a key or a group
+MAX_VALUE_BYTES = 1 << 20
+MAX_LIFETIME_S = 86400.0 * 31
+
+
+class BadPacketError(ValueError):
+    """Not a packet of ours, or one outside its bounds; the text says which field."""
+
+
+def encode_key(key: Key) -> pb.Key:
+    """A key as it stands in a packet."""
+    return pb.Key(collection=key[0], key=key[1])
+
+
+def encode_ballot(ballot: Ballot) -> pb.Ballot:
+    """A ballot as it stands in a packet."""
+    return pb.Ballot(epoch=ballot[0], round=ballot[1], name=ballot[2], birth=ballot[3])
+
+
+def _encode_owner(owner: Owner) -> pb.Owner:
+    return pb.Owner(name=owner[0], birth=owner[1], turn=owner[2])
+
+
+def encode_entry(entry: Entry) -> pb.Entry:
+    """An entry as it stands in a packet."""
+    outcomes = [
+        pb.Outcome(
+            number=outcome.version,
+            owner=_encode_owner(outcome.owner),
+            how=outcome.status.value,
+            result=outcome.result,
+        )
+        for outcome in entry.outcomes
+    ]
+    return pb.Entry(
+        ballot=encode_ballot(entry.ballot),
+        number=entry.version,
+        owner=_encode_owner(entry.owner),
+        value=entry.value,
+        digest=entry.digest,
+        freed=entry.released,
+        outcomes=outcomes,
+    )
+
+
+def encode_site(site: Site) -> pb.Site:
+    """A member as it stands in a packet."""
+    return pb.Site(name=site.name, incarnation=site.incarnation, zone=site.zone, weight=site.weight)
+
+
+def check_count(count: int, max_count: int, field: str) -> None:
+    """Raise `BadPacketError` if there are more than a field may have."""
+    if count > max_count:
+        raise BadPacketError(f"{field}: {count}, {max_count} are taken")
+
+
+def check_key(data: bytes) -> bytes:
+    """The key or group, if it is within its bound."""
+    check_count(len(data), MAX_KEY_BYTES, "key")
+    return data
+
+
+def _check_name(name: str) -> str:
+    check_count(len(name), MAX_NAME_LENGTH, "name")
+    return name
+
+
+def check_lifetime(remaining_s: float) -> float:
+    """The remaining lifetime, if it is a number within its bound."""
+    if not (isfinite(remaining_s) and remaining_s <= MAX_LIFETIME_S):
+        raise BadPacketError(f"left: at most {MAX_LIFETIME_S:g} is wanted, got {remaining_s:g}")
+    return remaining_s
+
+
+def decode_key(key: pb.Key) -> Key:
+    """The key of a packet."""
+    return _check_name(key.collection), check_key(key.key)
+
+
+def decode_ballot(ballot: pb.Ballot) -> Ballot:
+    """The ballot of a packet."""
+    return ballot.epoch, ballot.round, _check_name(ballot.name), ballot.birth
+
+
+def _decode_owner(owner: pb.Owner) -> Owner:
+    return _check_name(owner.name), owner.birth, owner.turn
+
+
+def decode_entry(entry: pb.Entry) -> Entry:
+    """The entry of a packet."""
+    check_count(len(entry.value), MAX_VALUE_BYTES, "value")
+    check_count(len(entry.outcomes), MAX_OUTCOMES, "outcomes")
+    return Entry(
+        decode_ballot(entry.ballot),
+        entry.number,
+        _decode_owner(entry.owner),
+        entry.value,
+        check_key(entry.digest),
+        entry.freed,
+        tuple(sorted(_decode_outcome(outcome) for outcome in entry.outcomes)),
+    )
+
+
+def _decode_outcome(outcome: pb.Outcome) -> Outcome:
+    check_count(len(outcome.result), MAX_VALUE_BYTES, "result")
+    try:
+        status = OutcomeStatus(outcome.how)
+    except ValueError:
+        raise BadPacketError(f"how: no such outcome: {outcome.how[:40]!r}") from None
+    return Outcome(outcome.number, _decode_owner(outcome.owner), status, outcome.result)
+
+
+def decode_site(site: pb.Site) -> Site:
+    """The member of a packet."""
+    if not 0 <= site.weight <= MAX_WEIGHT:  # also not a number
+        raise BadPacketError(f"weight: 0 to {MAX_WEIGHT:g} is wanted, got {site.weight:g}")
+    return Site(_check_name(site.name), site.incarnation, _check_name(site.zone), site.weight)
--- a/sablewheel/replication/paxos_register.py
+++ b/sablewheel/replication/paxos_register.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field, replace
 
-from .entries import EMPTY, NO_BALLOT, Ballot, Change, Entry, Key, Verdict, apply_change, merge
+from .entries import EMPTY, NO_BALLOT, AnswerStatus, Ballot, Change, Entry, Key, apply_change, merge
 from .messages import Accept, Message, Prepare, RefusalReason
 
 
@@ -47,7 +47,7 @@
         ballot: Under which it is proposed.
         promises: What the replicas that promised have stored.
         proposed: The entry to be accepted, once a majority has promised.
-        verdict: What acceptance of that entry means.
+        status_if_accepted: What acceptance of that entry means.
         accepted_by: Replicas that accepted.
         refusals: The last reason of each replica that refused.
         was_sent: Whether an entry of ours went out, and may stand.
@@ -70,7 +70,7 @@
     ballot: Ballot = NO_BALLOT
     promises: dict[str, Entry] = field(default_factory=dict)
     proposed: Entry | None = None
-    verdict: Verdict | None = None
+    status_if_accepted: AnswerStatus | None = None
     accepted_by: set[str] = field(default_factory=set)
     refusals: dict[str, RefusalReason] = field(default_factory=dict)
     was_sent: bool = False
@@ -89,12 +89,12 @@
         """Begin with asking for promises, or with acceptance if the ballot is promised already."""
         self.epoch, self.replicas, self.quorum, self.ballot = epoch, replicas, quorum, ballot
         self.promises, self.accepted_by, self.refusals = {}, set(), {}
-        self.proposed, self.verdict = None, None
+        self.proposed, self.status_if_accepted = None, None
         if promised_entry is not None:
             self._propose(promised_entry)
 
     def _propose(self, current: Entry) -> None:
-        entry, self.verdict = apply_change(self.change, current)
+        entry, self.status_if_accepted = apply_change(self.change, current)
         self.proposed = replace(entry, ballot=self.ballot)
 
     def pending_messages(self, now: float) -> list[tuple[str, Message]]:
--- a/sablewheel/replication/proposer.py
+++ b/sablewheel/replication/proposer.py
@@ -5,20 +5,20 @@
 from typing import Protocol
 
 from .context import ReplicaContext
-from .entries import EMPTY, NO_BALLOT, Ballot, Change, ChangeKind, Entry, Key, State, Verdict
+from .entries import EMPTY, NO_BALLOT, AnswerStatus, Ballot, Change, ChangeKind, Entry, Key, State
 from .messages import Accepted, Promise, RefusalReason, Refuse
 from .paxos_register import Proposal, next_ballot
 from .reachability import Reachability
 
 MAX_PROMISED_KEYS = 4096  # keys whose next ballot is promised to this member
-READ_VERDICTS = (Verdict.KNOWN, Verdict.RUNNING, Verdict.STALE)  # there is nothing to propose
-FINAL_REFUSALS = {RefusalReason.FENCED: Verdict.FENCED, RefusalReason.FULL: Verdict.FULL}
+READ_STATUSES = (AnswerStatus.KNOWN, AnswerStatus.RUNNING, AnswerStatus.STALE)  # there is nothing to propose
+FINAL_REFUSALS = {RefusalReason.FENCED: AnswerStatus.FENCED, RefusalReason.FULL: AnswerStatus.FULL}
 
 
 class ProposalObserver(Protocol):
-    """Is notified of the verdicts of claims and releases."""
+    """Is notified of the statuses of claims and releases."""
 
-    def on_decided(self, proposal: Proposal, verdict: Verdict, entry: Entry) -> None:
+    def on_decided(self, proposal: Proposal, status: AnswerStatus, entry: Entry) -> None:
         """A proposal is over."""
 
 
@@ -45,7 +45,7 @@
         expires_at: float,
         caller_ref: int | None,
         binding_version: int = 0,
-    ) -> Verdict | None:
+    ) -> AnswerStatus | None:
         """Begin a change.
 
         Returns:
@@ -56,10 +56,10 @@
         if current_ref is not None:
             current = self.proposals[current_ref]
             if change.kind is ChangeKind.WRITE or current.caller_ref is not None:
-                return Verdict.BUSY
+                return AnswerStatus.BUSY
             self._close(current)  # our own release, in place of which this one goes on
         if len(self.proposals) >= 2 * context.settings.max_claims:
-            return Verdict.FULL
+            return AnswerStatus.FULL
         proposal = Proposal(
             context.next_ref(),
             key,
@@ -91,7 +91,7 @@
         quorum = context.quorum_size(len(replicas))
         if promised is not None and promised[0][0] == context.epoch:
             proposal.begin(context.epoch, replicas, quorum, *promised)
-            if proposal.verdict in READ_VERDICTS:
+            if proposal.status_if_accepted in READ_STATUSES:
                 promised = None  # that was the entry then; two round trips tell whether it still is
         if promised is None or promised[0][0] != context.epoch:
             self.last_round += 2
@@ -109,7 +109,7 @@
         """Send the messages of a proposal that are without an answer."""
         context = self._context
         if proposal.expires_at <= context.now:
-            return self._decide(proposal, Verdict.UNREACHABLE)
+            return self._decide(proposal, AnswerStatus.UNREACHABLE)
         if not context.epoch:
             return self._schedule(proposal, context.now + context.settings.max_retry_s)
         if proposal.epoch != context.epoch or proposal.needs_new_ballot:
@@ -127,7 +127,7 @@
         proposal = self.proposals.get(ref)
         if proposal is not None and proposal.caller_ref is not None:
             is_full = RefusalReason.FULL in proposal.refusals.values()
-            self._decide(proposal, Verdict.FULL if is_full else Verdict.UNREACHABLE)
+            self._decide(proposal, AnswerStatus.FULL if is_full else AnswerStatus.UNREACHABLE)
 
     # -- messages
 
@@ -136,8 +136,8 @@
         proposal = self._proposal_of(message.epoch, message.ref)
         if proposal is None or not proposal.add_promise(sender, message.ballot, message.entry):
             return
-        if proposal.verdict in READ_VERDICTS:
-            return self._decide(proposal, proposal.verdict)
+        if proposal.status_if_accepted in READ_STATUSES:
+            return self._decide(proposal, proposal.status_if_accepted)
         proposal.attempts = 0
         self.on_timer(proposal)
 
@@ -145,8 +145,8 @@
         """Count an acceptance; with a majority the proposal is decided."""
         proposal = self._proposal_of(message.epoch, message.ref)
         if proposal is not None and proposal.add_acceptance(sender, message.ballot):
-            assert proposal.verdict is not None
-            self._decide(proposal, proposal.verdict)
+            assert proposal.status_if_accepted is not None
+            self._decide(proposal, proposal.status_if_accepted)
 
     def on_refuse(self, sender: str, refuse: Refuse) -> None:
         """Begin again, give up, or answer from what the replica has stored."""
@@ -175,7 +175,7 @@
         if state is not State.COMPLETED and not is_of_another:
             return False
         proposal.proposed = refuse.entry  # to answer with; it is not sent
-        self._decide(proposal, Verdict.KNOWN if state is State.COMPLETED else Verdict.RUNNING)
+        self._decide(proposal, AnswerStatus.KNOWN if state is State.COMPLETED else AnswerStatus.RUNNING)
         return True
 
     def _back_off(self, proposal: Proposal) -> None:
@@ -198,15 +198,15 @@
         del self.proposals[proposal.ref]
         self._by_key.pop(proposal.key, None)
 
-    def _decide(self, proposal: Proposal, verdict: Verdict) -> None:
+    def _decide(self, proposal: Proposal, status: AnswerStatus) -> None:
         self._close(proposal)
         entry = proposal.proposed or EMPTY
-        if verdict in (Verdict.WON, Verdict.RELEASED) and proposal.proposed is not None:
+        if status in (AnswerStatus.WON, AnswerStatus.RELEASED) and proposal.proposed is not None:
             if len(self.promised) >= MAX_PROMISED_KEYS:
                 self.promised.pop(next(iter(self.promised)))
             self.promised[proposal.key] = (next_ballot(proposal.ballot), proposal.proposed)
         if proposal.change.kind is not ChangeKind.WRITE:
             assert self.observer is not None
-            self.observer.on_decided(proposal, verdict, entry)
+            self.observer.on_decided(proposal, status, entry)
         elif proposal.caller_ref is not None:
-            self._context.answer(proposal.caller_ref, verdict, entry)
+            self._context.answer(proposal.caller_ref, status, entry)
--- a/sablewheel/replication/quorum_requests.py
+++ b/sablewheel/replication/quorum_requests.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from .context import ReplicaContext
-from .entries import EMPTY, Entry, Key, State, Verdict, merge
+from .entries import EMPTY, AnswerStatus, Entry, Key, State, merge
 from .messages import Fetch, Fetched, Message, Push, Pushed
 from .reachability import Reachability
 
@@ -117,7 +117,7 @@
     def _expire(self, request: QuorumRequest) -> None:
         del self.requests[request.ref]
         if request.caller_ref is not None:
-            self._context.answer(request.caller_ref, Verdict.UNREACHABLE, request.merged)
+            self._context.answer(request.caller_ref, AnswerStatus.UNREACHABLE, request.merged)
         else:
             assert self.observer is not None
             self.observer.on_outcome_expired(request.key[1])
@@ -138,8 +138,8 @@
             return
         del self.requests[request.ref]
         if request.caller_ref is not None:
-            verdict = Verdict.KNOWN if is_known else Verdict.READ
-            self._context.answer(request.caller_ref, verdict, request.merged)
+            status = AnswerStatus.KNOWN if is_known else AnswerStatus.READ
+            self._context.answer(request.caller_ref, status, request.merged)
         else:
             assert self.observer is not None
             self.observer.on_outcome_stored(request.key[1])
--- a/sablewheel/replication/remote_outcomes.py
+++ b/sablewheel/replication/remote_outcomes.py
@@ -8,7 +8,7 @@
 from ..overload.interface import Client, Request
 from ..serving.exchange import Caller, Exchange, Place
 from ..transport.scheduler import Scheduler
-from .entries import Entry, OutcomeStatus, State, Verdict
+from .entries import AnswerStatus, Entry, OutcomeStatus, State
 from .messages import Answer
 
 INITIAL_POLL_S, MAX_POLL_S = 0.02, 0.25  # between reads of the outcome, doubling
@@ -61,10 +61,10 @@
             self._read_outcome(waiting.key, waiting.group, lambda answer: self._on_read(waiting, answer))
 
     def _on_read(self, waiting: WaitingRequests, answer: Answer) -> None:
-        if answer.verdict is Verdict.KNOWN:
+        if answer.status is AnswerStatus.KNOWN:
             return self._answer(waiting, answer.entry)
         state = answer.entry.state
-        if answer.verdict is Verdict.READ and state in (State.UNCLAIMED, State.RELEASED):
+        if answer.status is AnswerStatus.READ and state in (State.UNCLAIMED, State.RELEASED):
             waiting.unclaimed_reads += 1
             if waiting.unclaimed_reads > 1 or state is State.RELEASED:
                 return self._reject_released(waiting)
--- /dev/null
+++ b/sablewheel/replication/replica_runner.py
@@ -0,0 +1,204 @@
+"""Runs the replica of a server: events in, effects out, over connections that may lose any message."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+from typing import Protocol
+
+from ..membership.view import View
+from ..transport.scheduler import Scheduler
+from ..transport.wakeup import Wake
+from . import codec
+from .messages import (
+    Answer,
+    Claim,
+    Effect,
+    Event,
+    Log,
+    LogEvent,
+    Message,
+    MessageReceived,
+    OutcomeStored,
+    RangeChunk,
+    Read,
+    Send,
+    Tick,
+    ViewInstalled,
+    Write,
+)
+from .packet_fields import BadPacketError
+from .placement import MAX_WEIGHT, Site
+from .replica import Replica
+
+FRAME_KIND = "replica"
+MESSAGE_LIFETIME_S = 1.0  # of a frame: what matters is sent again
+CHUNK_LIFETIME_S = 3.0
+REMOVED_FACT_PREFIX = "gone/"  # of the view's facts by which the fleet agrees that a member never comes back
+LOG_LEVELS = {
+    LogEvent.VIEW_INSTALLED: logging.INFO,
+    LogEvent.CAUGHT_UP: logging.INFO,
+    LogEvent.CONFLICTING_OUTCOMES: logging.ERROR,
+    LogEvent.OUTCOME_NOT_STORED: logging.WARNING,
+}
+
+log = logging.getLogger(__name__)
+OnAnswer = Callable[[Answer], None]
+
+
+class PeerConnections(Protocol):
+    """Sends and receives frames."""
+
+    def send(self, to: str, kind: str, payload: bytes, within: float) -> bool:
+        """Queue a frame that is worthless after `within` seconds; whether it was queued."""
+
+    def on(self, kind: str, handler: Callable[[str, bytes], None], parted: bool = False) -> None:
+        """Set the handler of frames of a kind; `parted`: also those of members that left the view."""
+
+
+class OutcomeObserver(Protocol):
+    """Is notified of what became of outcomes."""
+
+    def outcome_stored(self, key: bytes) -> None:
+        """A majority has the outcome."""
+
+    def outcome_expired(self, key: bytes) -> None:
+        """The entry expired before a majority had the outcome."""
+
+
+class ReplicaRunner:
+    """One replica with its connections, its timer and those who wait for its answers.
+
+    Args:
+        scheduler: The event loop.
+        connections: To the other members.
+        replica: Decides; it sees time as `clock` gives it.
+        division: The number of ranges and of copies, which packets carry.
+        clock: In seconds, never goes back.
+        count: Adds one to a counter.
+        outcomes: Is notified of stored and expired outcomes.
+    """
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        connections: PeerConnections,
+        replica: Replica,
+        division: tuple[int, int],
+        clock: Callable[[], float],
+        count: Callable[[str], None],
+        outcomes: OutcomeObserver,
+    ) -> None:
+        self._connections, self._replica, self._division = connections, replica, division
+        self._clock, self._count, self._outcomes = clock, count, outcomes
+        self._last_ref = 0
+        self._on_answer: dict[int, OnAnswer] = {}
+        self._wake = Wake(scheduler, clock, self._on_timer)
+        self._is_open = True
+        # A member that leaves still pushes the outcomes of its runs.
+        connections.on(FRAME_KIND, self._on_frame, parted=True)
+
+    def claim(
+        self,
+        key: bytes,
+        group: bytes,
+        lifetime_s: float,
+        digest: bytes,
+        binding_version: int,
+        on_answer: OnAnswer,
+    ) -> None:
+        """Claim an idempotency key."""
+        ref = self._expect_answer(on_answer)
+        self.step(Claim(ref, key, group, lifetime_s, digest, binding_version))
+
+    def write(
+        self,
+        collection: str,
+        key: bytes,
+        expected_version: int,
+        value: bytes,
+        lifetime_s: float,
+        min_version: int,
+        on_answer: OnAnswer,
+    ) -> None:
+        """Set a value if its version is as expected."""
+        ref = self._expect_answer(on_answer)
+        self.step(Write(ref, collection, key, expected_version, value, lifetime_s, min_version))
+
+    def read(self, collection: str, key: bytes, group: bytes, on_answer: OnAnswer) -> None:
+        """Read what a majority has."""
+        ref = self._expect_answer(on_answer)
+        self.step(Read(ref, collection, key, group))
+
+    def _expect_answer(self, on_answer: OnAnswer) -> int:
+        self._last_ref += 1
+        self._on_answer[self._last_ref] = on_answer
+        return self._last_ref
+
+    def install_view(self, view: View) -> None:
+        """Install a view of the membership."""
+        sites = tuple(
+            Site(member.name, member.incarnation, member.zone, _parse_weight(member.said("weight")))
+            for member in view.members
+        )
+        removed = tuple(
+            (fact.key.removeprefix(REMOVED_FACT_PREFIX), int(fact.value))
+            for fact in view.facts
+            if fact.key.startswith(REMOVED_FACT_PREFIX) and fact.value.isdigit()
+        )
+        self.step(ViewInstalled(view.epoch, sites, removed))
+
+    def step(self, event: Event) -> None:
+        """Give the replica an event, and carry out its effects; nothing once closed."""
+        if not self._is_open:
+            return
+        for effect in self._replica.step(self._clock(), event):
+            self._carry_out(effect)
+        self._wake.set(self._replica.wake_at)
+
+    def close(self) -> None:
+        """Take no more events."""
+        self._is_open = False
+
+    def _on_timer(self) -> None:
+        self.step(Tick())
+
+    def _on_frame(self, sender: str, payload: bytes) -> None:
+        try:
+            message = codec.decode(payload, *self._division)
+        except BadPacketError as error:
+            self._count("replication_bad")
+            log.warning("replication packet dropped", extra={"pairs": {"from": sender, "reason": error}})
+            return
+        self.step(MessageReceived(sender, message))
+
+    def _carry_out(self, effect: Effect) -> None:
+        match effect:
+            case Send(to, message):
+                self._send(to, message)
+            case Answer(ref):
+                on_answer = self._on_answer.pop(ref, None)
+                if on_answer is not None:
+                    on_answer(effect)
+            case OutcomeStored(key):
+                self._outcomes.outcome_stored(key)
+            case Log(event, fields):
+                if event is LogEvent.OUTCOME_NOT_STORED:
+                    self._outcomes.outcome_expired(bytes.fromhex(str(fields["key"])))
+                log.log(LOG_LEVELS[event], event.value, extra={"pairs": fields})
+
+    def _send(self, to: str, message: Message) -> None:
+        lifetime_s = CHUNK_LIFETIME_S if isinstance(message, RangeChunk) else MESSAGE_LIFETIME_S
+        data = codec.encode(message, *self._division)
+        self._count("replication_bytes_out_k" if len(data) > 1024 else "replication_frames_out")
+        if not self._connections.send(to, FRAME_KIND, data, lifetime_s):
+            self._count("replication_unsent")
+
+
+def _parse_weight(text: str) -> float:
+    """The weight of a member in placement; 1 if it is missing or can't be read."""
+    try:
+        weight = float(text)
+    except ValueError:
+        return 1.0
+    return min(weight, MAX_WEIGHT) if weight >= 0 else 1.0
--- a/sablewheel/replication/service.py
+++ b/sablewheel/replication/service.py
@@ -4,20 +4,16 @@
 key, the request leaves this server's table and cores at once; it is answered from here, with the outcome's
 bytes, or with an error when its time is up: it may have run, so it is not rejected. Where no majority is
 reachable, the run never starts and the request is rejected; the next ones are rejected on arrival.
-
-Messages go over connections that may lose any of them; the replica repeats them.
 """
 
 from __future__ import annotations
 
-import logging
 import random
 import time
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass
 from math import inf
-from typing import Protocol
 
 from ..membership.view import View
 from ..overload.interface import Idempotency, Outcome, Request, RequestClass
@@ -26,65 +22,23 @@
 from ..serving.hooks import Memory
 from ..serving.idempotency_keys import IdempotencyTable
 from ..transport.scheduler import Scheduler
-from ..transport.wakeup import Wake
-from . import codec
 from .context import IDEMPOTENCY_KEYS
-from .entries import Entry, OutcomeStatus, Verdict
+from .entries import AnswerStatus, Entry, OutcomeStatus
 from .held_answers import HeldAnswers
-from .messages import (
-    Answer,
-    Claim,
-    CompleteClaim,
-    Effect,
-    Event,
-    Log,
-    LogEvent,
-    Message,
-    MessageReceived,
-    OutcomeStored,
-    RangeChunk,
-    Read,
-    ReleaseClaim,
-    Send,
-    Tick,
-    ViewInstalled,
-    Write,
-)
-from .placement import MAX_WEIGHT, Site
+from .messages import Answer, CompleteClaim, ReleaseClaim
 from .plan import ReplicationPlan
 from .remote_outcomes import RemoteOutcomes
 from .replica import Replica
+from .replica_runner import OnAnswer, PeerConnections, ReplicaRunner
 
-FRAME_KIND = "replica"
-MESSAGE_LIFETIME_S = 1.0  # of a frame: what matters is sent again
-CHUNK_LIFETIME_S = 3.0
 RETRY_AFTER_S = 0.5  # of a request that is rejected because no majority is reachable
-REMOVED_FACT_PREFIX = "gone/"  # of the view's facts by which the fleet agrees that a member never comes back
 SHUTDOWN_LINGER_S = 0.5  # for which a leaving member stays, so that others can fetch what it has
 MAX_CLAIM_TIMES = 50
 MAX_UNCERTAIN_REQUESTS = 4096  # keyed requests that may have run on a peer, known while they are retried
 CLAIM_TIME_QUANTILE = 0.9
-LOG_LEVELS = {
-    LogEvent.VIEW_INSTALLED: logging.INFO,
-    LogEvent.CAUGHT_UP: logging.INFO,
-    LogEvent.CONFLICTING_OUTCOMES: logging.ERROR,
-    LogEvent.OUTCOME_NOT_STORED: logging.WARNING,
-}
-
-log = logging.getLogger(__name__)
 Run = Callable[[Exchange], None]
 
 
-class PeerConnections(Protocol):
-    """Sends and receives frames."""
-
-    def send(self, to: str, kind: str, payload: bytes, within: float) -> bool:
-        """Queue a frame that is worthless after `within` seconds; whether it was queued."""
-
-    def on(self, kind: str, handler: Callable[[str, bytes], None], parted: bool = False) -> None:
-        """Set the handler of frames of a kind; `parted`: also those of members that left the view."""
-
-
 @dataclass(eq=False, slots=True)
 class PendingClaim:
     """A keyed run that waits for its claim."""
@@ -120,28 +74,25 @@
         clock: Callable[[], float] = time.monotonic,
         replica_type: type[Replica] = Replica,
     ) -> None:
-        self._scheduler, self._connections, self._plan, self._clock = scheduler, connections, plan, clock
+        self._scheduler, self._plan, self._clock = scheduler, plan, clock
         self._result_store, self._observer, self._never_started = result_store, observer, never_started
         self._count, self._slack_s = count, slack
         rng = random.Random(f"{seed}-{name}-{incarnation}")
         self.replica = replica_type(name, incarnation, plan.settings, rng, clock())
-        self._division = plan.settings.slots, plan.settings.copies
         self.group_of: Callable[[Exchange], tuple[bytes, int]] = _group_by_key
         self.may_begin: Callable[[Exchange, float], bool] = _always_may_begin
         self.fenced: Callable[[Exchange], None] = _ignore_fenced
         self.held_answers = HeldAnswers(scheduler, observer, count, plan.max_hold_s)
         self._remote_outcomes = RemoteOutcomes(scheduler, count, self._read_outcome)
-        self._last_ref = 0
-        self._pending_claims: dict[int, PendingClaim] = {}
-        self._on_answer: dict[int, Callable[[Answer], None]] = {}  # of reads and writes
+        division = plan.settings.slots, plan.settings.copies
+        self._runner = ReplicaRunner(
+            scheduler, connections, self.replica, division, clock, count, self.held_answers
+        )
+        self._pending_claims: set[PendingClaim] = set()
         self._won: dict[bytes, Exchange] = {}  # runs by their idempotency keys, until they end
         self._uncertain: dict[bytes, None] = {}
         self._claim_times: deque[float] = deque(maxlen=MAX_CLAIM_TIMES)
-        self._wake = Wake(scheduler, clock, self._on_timer)
-        self._is_open = True
         self._leaving_since = -inf
-        # A member that leaves still pushes the outcomes of its runs.
-        connections.on(FRAME_KIND, self._on_frame, parted=True)
 
     # -- result store
 
@@ -196,11 +147,18 @@
         is_keyed = request.request_class.idempotency is Idempotency.KEYED
         if key is None or not is_keyed or lifetime_s <= 0:
             return self._result_store.before_run(exchange, run)
-        ref = self._next_ref()
-        self._pending_claims[ref] = PendingClaim(exchange, run, self._clock())
+        pending = PendingClaim(exchange, run, self._clock())
+        self._pending_claims.add(pending)
         request_digest = digest(exchange.request_class, exchange.body)
         group, binding_version = self.group_of(exchange)
-        self._step(Claim(ref, key, group, lifetime_s, request_digest, binding_version))
+        self._runner.claim(
+            key,
+            group,
+            lifetime_s,
+            request_digest,
+            binding_version,
+            lambda answer: self._on_claim_answer(pending, answer),
+        )
 
     def ended(self, exchange: Exchange, outcome: Outcome, result: bytes) -> None:
         """Store the outcome of a run, or release its claim if it never started."""
@@ -208,14 +166,14 @@
         if key is not None and self._won.get(key) is exchange:
             del self._won[key]
             if outcome is Outcome.NEVER_STARTED:
-                self._step(ReleaseClaim(key))
+                self._runner.step(ReleaseClaim(key))
             else:
                 if self.replica.has_open_claim(key):  # else its lifetime has passed, and nobody stores it
                     self.held_answers.outcome_sent(key)
                 if outcome is Outcome.SUCCEEDED:
-                    self._step(CompleteClaim(key, OutcomeStatus.SUCCEEDED, result))
+                    self._runner.step(CompleteClaim(key, OutcomeStatus.SUCCEEDED, result))
                 else:
-                    self._step(CompleteClaim(key, OutcomeStatus.FAILED, b""))
+                    self._runner.step(CompleteClaim(key, OutcomeStatus.FAILED, b""))
         self._result_store.ended(exchange, outcome, result)
 
     # -- observer
@@ -236,34 +194,29 @@
         """Pass on to the observer."""
         self._observer.gone(exchange)
 
-    # -- answers of the replica
+    # -- answers to claims
 
-    def _on_replica_answer(self, answer: Answer) -> None:
-        on_answer = self._on_answer.pop(answer.ref, None)
-        if on_answer is not None:
-            return on_answer(answer)
-        pending = self._pending_claims.pop(answer.ref, None)
-        if pending is None:
-            return
-        self._count(f"replication_{answer.verdict}")
+    def _on_claim_answer(self, pending: PendingClaim, answer: Answer) -> None:
+        self._pending_claims.discard(pending)
+        self._count(f"replication_{answer.status}")
         key = pending.exchange.idempotency_key
         assert key is not None
-        if answer.verdict is Verdict.WON:
+        if answer.status is AnswerStatus.WON:
             self._on_claim_won(key, pending)
-        elif answer.verdict in (Verdict.KNOWN, Verdict.RUNNING):
+        elif answer.status in (AnswerStatus.KNOWN, AnswerStatus.RUNNING):
             self._on_claimed_elsewhere(key, pending.exchange, answer.entry)
         else:
-            self._on_claim_failed(pending.exchange, answer.verdict)
+            self._on_claim_failed(pending.exchange, answer.status)
 
     def _on_claim_won(self, key: bytes, pending: PendingClaim) -> None:
         exchange = pending.exchange
         self._claim_times.append(self._clock() - pending.started_at)
         if exchange.place is not Place.RUNNING or (exchange.closed and not exchange.joined):
-            self._step(ReleaseClaim(key))  # nobody waits for it any more
+            self._runner.step(ReleaseClaim(key))  # nobody waits for it any more
             return self._end_unstarted(exchange)
         if not self.may_begin(exchange, pending.started_at):
             self._count("replication_late")
-            self._step(ReleaseClaim(key))
+            self._runner.step(ReleaseClaim(key))
             return self._reject(exchange)
         self._won[key] = exchange
         self._result_store.before_run(exchange, pending.run)
@@ -277,8 +230,8 @@
         self._end_unstarted(exchange)
         self._remote_outcomes.wait_for(waiting, entry, deadline)
 
-    def _on_claim_failed(self, exchange: Exchange, verdict: Verdict) -> None:
-        if verdict is Verdict.FENCED:
+    def _on_claim_failed(self, exchange: Exchange, status: AnswerStatus) -> None:
+        if status is AnswerStatus.FENCED:
             self.fenced(exchange)
         if exchange.name in self._uncertain:
             return self._fail(exchange)
@@ -328,87 +281,25 @@
         expected_version: int,
         value: bytes,
         lifetime_s: float,
-        on_answer: Callable[[Answer], None],
+        on_answer: OnAnswer,
         min_version: int = 0,
     ) -> None:
         """Set a binding or a document if its version is as expected.
 
         The new version is above that, and `min_version` at least. The answer is WON, STALE, or why not.
         """
-        ref = self._next_ref()
-        self._on_answer[ref] = on_answer
-        self._step(Write(ref, collection, key, expected_version, value, lifetime_s, min_version))
+        self._runner.write(collection, key, expected_version, value, lifetime_s, min_version, on_answer)
 
-    def read(self, collection: str, key: bytes, on_answer: Callable[[Answer], None]) -> None:
+    def read(self, collection: str, key: bytes, on_answer: OnAnswer) -> None:
         """Read what a majority of the replicas has."""
-        ref = self._next_ref()
-        self._on_answer[ref] = on_answer
-        self._step(Read(ref, collection, key))
-
-    def _read_outcome(self, key: bytes, group: bytes, on_answer: Callable[[Answer], None]) -> None:
-        if not self._is_open:
-            return
-        ref = self._next_ref()
-        self._on_answer[ref] = on_answer
-        self._step(Read(ref, IDEMPOTENCY_KEYS, key, group))
+        self._runner.read(collection, key, b"", on_answer)
 
-    def _next_ref(self) -> int:
-        self._last_ref += 1
-        return self._last_ref
-
-    # -- events and effects of the replica
+    def _read_outcome(self, key: bytes, group: bytes, on_answer: OnAnswer) -> None:
+        self._runner.read(IDEMPOTENCY_KEYS, key, group, on_answer)
 
     def view(self, view: View) -> None:
         """Install a view of the membership."""
-        sites = tuple(
-            Site(member.name, member.incarnation, member.zone, _parse_weight(member.said("weight")))
-            for member in view.members
-        )
-        removed = tuple(
-            (fact.key.removeprefix(REMOVED_FACT_PREFIX), int(fact.value))
-            for fact in view.facts
-            if fact.key.startswith(REMOVED_FACT_PREFIX) and fact.value.isdigit()
-        )
-        self._step(ViewInstalled(view.epoch, sites, removed))
-
-    def _on_frame(self, sender: str, payload: bytes) -> None:
-        try:
-            message = codec.decode(payload, *self._division)
-        except codec.BadPacketError as error:
-            self._count("replication_bad")
-            log.warning("replication packet dropped", extra={"pairs": {"from": sender, "reason": error}})
-            return
-        self._step(MessageReceived(sender, message))
-
-    def _on_timer(self) -> None:
-        self._step(Tick())
-
-    def _step(self, event: Event) -> None:
-        if not self._is_open:
-            return
-        for effect in self.replica.step(self._clock(), event):
-            self._carry_out(effect)
-        self._wake.set(self.replica.wake_at)
-
-    def _carry_out(self, effect: Effect) -> None:
-        match effect:
-            case Send(to, message):
-                self._send(to, message)
-            case Answer():
-                self._on_replica_answer(effect)
-            case OutcomeStored(key):
-                self.held_answers.outcome_stored(key)
-            case Log(event, fields):
-                if event is LogEvent.OUTCOME_NOT_STORED:
-                    self.held_answers.outcome_expired(bytes.fromhex(str(fields["key"])))
-                log.log(LOG_LEVELS[event], event.value, extra={"pairs": fields})
-
-    def _send(self, to: str, message: Message) -> None:
-        lifetime_s = CHUNK_LIFETIME_S if isinstance(message, RangeChunk) else MESSAGE_LIFETIME_S
-        data = codec.encode(message, *self._division)
-        self._count("replication_bytes_out_k" if len(data) > 1024 else "replication_frames_out")
-        if not self._connections.send(to, FRAME_KIND, data, lifetime_s):
-            self._count("replication_unsent")
+        self._runner.install_view(view)
 
     # -- shutdown
 
@@ -426,7 +317,7 @@
     def close(self) -> None:
         """Pass on all answers that are held, and stop."""
         self.held_answers.close()
-        self._is_open = False
+        self._runner.close()
 
     def gauges(self) -> dict[str, object]:
         """The gauges and counters of replication, by name."""
@@ -455,15 +346,6 @@
 def _ignore_fenced(exchange: Exchange) -> None: ...
 
 
-def _parse_weight(text: str) -> float:
-    """The weight of a member in placement; 1 if it is missing or can't be read."""
-    try:
-        weight = float(text)
-    except ValueError:
-        return 1.0
-    return min(weight, MAX_WEIGHT) if weight >= 0 else 1.0
-
-
 def max_key_lifetime_s(request_classes: dict[bytes, RequestClass], slack_s: float) -> float:
     """The longest lifetime of an idempotency key here, and a second for late timers."""
     windows_s = [
--- a/sablewheel/session_affinity/session_router.py
+++ b/sablewheel/session_affinity/session_router.py
@@ -369,7 +369,7 @@
                 self.counts["bindings_bad"] += 1
                 log.warning("binding dropped", extra={"pairs": {"reason": trouble}})
                 return self._step(Answered(ref, Verdict.UNREACHABLE))
-        self._step(Answered(ref, VERDICTS.get(answer.verdict, Verdict.UNREACHABLE), stands))
+        self._step(Answered(ref, VERDICTS.get(answer.status, Verdict.UNREACHABLE), stands))
 
     def _serve(self, ref: int, number: int) -> None:
         exchange = self._held.pop(ref)
--- a/tests/stories/test_replication_stories.py
+++ b/tests/stories/test_replication_stories.py
@@ -398,7 +398,7 @@
 
 @then("the moves were won, won and stale")
 def _told(story: Story) -> None:
-    assert [story.stage.answers[ref].verdict for ref in story.moves] == ["won", "won", "stale"]
+    assert [story.stage.answers[ref].status for ref in story.moves] == ["won", "won", "stale"]
 
 
 @then("that record was denied, and never ran")
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -1,4 +1,4 @@
-"""Replication: the merge of copies, placement, a claim's life in every order, bounds, catch-up."""
+"""Replication: the merge of copies, placement, claims in every order of events, bounds, catching up."""
 
 from __future__ import annotations
 
@@ -15,18 +15,19 @@
 from sablewheel.replication.anti_entropy import MAX_VIEWS_SENT
 from sablewheel.replication.entries import (
     EMPTY,
+    AnswerStatus,
     Change,
     ChangeKind,
     Entry,
     Outcome,
     OutcomeStatus,
     State,
-    Verdict,
     apply_change,
     merge,
 )
 from sablewheel.replication.messages import (
     Accept,
+    Answer,
     Claim,
     CompareRanges,
     MessageReceived,
@@ -62,14 +63,14 @@
 
 
 @given(entries, entries, entries)
-def test_merge_does_not_ask_who_comes_first(a: Entry, b: Entry, c: Entry) -> None:
+def test_merge_is_commutative_associative_and_idempotent(a: Entry, b: Entry, c: Entry) -> None:
     assert merge(a, b) == merge(b, a)
     assert merge(a, merge(b, c)) == merge(merge(a, b), c)
     assert merge(a, a) == a and merge(a, EMPTY).outcomes == a.outcomes
 
 
 @given(entries, entries)
-def test_no_merge_leads_from_may_have_run_to_free_but_by_the_owners_word(a: Entry, b: Entry) -> None:
+def test_merge_makes_a_claim_unclaimed_only_by_its_owners_release(a: Entry, b: Entry) -> None:
     both = merge(a, b)
     for one, other in ((a, b), (b, a)):
         if one.state is State.COMPLETED:
@@ -109,19 +110,19 @@
 
 
 @pytest.mark.parametrize(("lower", "higher"), list(product(State, State)))
-def test_each_pair_of_the_table(lower: State, higher: State) -> None:
+def test_merge_of_each_pair_of_states(lower: State, higher: State) -> None:
     for one, other in product(range(2), range(2)):
         assert merge(entry(lower, 1, one), entry(higher, 2, other)).state is TABLE[lower, higher]
 
 
 def test_a_claim_is_never_taken_over() -> None:
     held = entry(State.CLAIMED, 1, 0)
-    assert apply_change(Change(ChangeKind.CLAIM, OWNERS[1]), held) == (held, Verdict.RUNNING)
-    assert apply_change(Change(ChangeKind.RELEASE, OWNERS[1]), held) == (held, Verdict.RELEASED)
-    assert apply_change(Change(ChangeKind.CLAIM, OWNERS[0]), held)[1] is Verdict.WON
-    freed, _ = apply_change(Change(ChangeKind.RELEASE, OWNERS[0]), held)
-    again, verdict = apply_change(Change(ChangeKind.CLAIM, OWNERS[1]), freed)
-    assert verdict is Verdict.WON and again.owner == OWNERS[1] and again.version == 2
+    assert apply_change(Change(ChangeKind.CLAIM, OWNERS[1]), held) == (held, AnswerStatus.RUNNING)
+    assert apply_change(Change(ChangeKind.RELEASE, OWNERS[1]), held) == (held, AnswerStatus.RELEASED)
+    assert apply_change(Change(ChangeKind.CLAIM, OWNERS[0]), held)[1] is AnswerStatus.WON
+    released, _ = apply_change(Change(ChangeKind.RELEASE, OWNERS[0]), held)
+    claimed_again, status = apply_change(Change(ChangeKind.CLAIM, OWNERS[1]), released)
+    assert status is AnswerStatus.WON and claimed_again.owner == OWNERS[1] and claimed_again.version == 2
     done = entry(State.COMPLETED, 1, 0)
     assert all(
         apply_change(Change(kind, owner), done)[0] == done
@@ -137,7 +138,7 @@
     return tuple(Site(f"m{n:03}", 1, f"z{n % zones}", weight) for n in range(many))
 
 
-def test_copies_are_in_different_zones_as_far_as_there_are() -> None:
+def test_replicas_are_in_different_zones_as_far_as_possible() -> None:
     for zones in (1, 2, 3, 5):
         placed = Placement(sites(15, zones), 3)
         where = {one.name: one.zone for one in placed.sites}
@@ -148,7 +149,7 @@
 
 
 @pytest.mark.parametrize("zones", [1, 3])
-def test_a_member_more_or_less_moves_no_more_than_its_share(zones: int) -> None:
+def test_adding_a_member_moves_no_more_than_its_share(zones: int) -> None:
     before, more = Placement(sites(12, zones), 3), Placement(sites(13, zones), 3)
     moved = sum(len(set(more.replica_names(slot)) - set(before.replica_names(slot))) for slot in range(1024))
     share = 3 * 1024 / 13
@@ -156,7 +157,7 @@
     assert 0.5 * share < moved < 1.6 * share
 
 
-def test_who_weighs_double_holds_about_double() -> None:
+def test_a_member_of_double_weight_has_about_double_the_ranges() -> None:
     some = (*sites(9), Site("big", 1, "z0", 2.0))
     many = Counter(name for slot in range(1024) for name in Placement(some, 3).replica_names(slot))
     rest = sum(many[one.name] for one in some[:-1]) / 9
@@ -166,20 +167,20 @@
 # -- an idempotency key's life
 
 
-def test_won_once_in_every_order() -> None:
+def test_a_claim_is_won_once_in_every_order_of_events() -> None:
     verdict = replication_model.run(1, True)
     assert verdict.holds, verdict.table()
 
 
 @pytest.mark.parametrize("broken", replication_model.BROKEN)
-def test_every_order_finds_what_is_broken_on_purpose(broken: str) -> None:
+def test_the_model_finds_each_faulty_variant(broken: str) -> None:
     verdict = replication_model.run(1, True, broken)
     traces = [name for name in verdict.figures if name.startswith("trace")]
     assert not verdict.holds and traces
 
 
 @pytest.mark.parametrize("seed", [*range(24), 1706])  # 1706: links so slow that nearly all is rejected
-def test_faults_drawn_from_a_seed_break_no_promise(seed: int) -> None:
+def test_random_faults_break_no_guarantee(seed: int) -> None:
     stage = drawn(seed)
     assert not stage.wrong(), stage.wrong()
     assert sum(stage.runs.values()) > 1
@@ -193,98 +194,103 @@
     assert {one.verdict for one in after} == {"completed"} and not stage.wrong()
 
 
-def test_one_that_answered_for_a_view_before_it_heard_of_it_is_in_it() -> None:
+def test_a_removed_member_decides_for_no_view_before_the_one_it_answered_for() -> None:
     """It was out, and is let in again at 3; a member that knows that asks it for ranges first."""
-    one = Replica("a", 1, Settings(slots=8, waits_after_cold_start=False), random.Random(1), 0.0)
+    replica = Replica("a", 1, Settings(slots=8, waits_after_cold_start=False), random.Random(1), 0.0)
     first = tuple(Site(name, 1) for name in "abc")
-    one.step(0.0, ViewInstalled(1, first))
-    one.step(0.1, ViewInstalled(2, first[1:]))
-    told = [
+    replica.step(0.0, ViewInstalled(1, first))
+    replica.step(0.1, ViewInstalled(2, first[1:]))
+    answers = [
         effect.message
-        for effect in one.step(0.2, MessageReceived("b", CompareRanges(4, ())))
+        for effect in replica.step(0.2, MessageReceived("b", CompareRanges(4, ())))
         if isinstance(effect, Send)
     ]
-    assert told == [RangeStates(4, 1, ())] and one.epoch == 0
-    one.step(0.3, ViewInstalled(3, (Site("a", 2), *first[1:])))
-    assert one.epoch == 0, "it said that it decides for no view before 4"
-    one.step(0.3, ViewInstalled(4, (Site("a", 2), *first[1:])))
-    assert one.epoch == 4 and one.ranges.unready == set(range(8))
+    assert answers == [RangeStates(4, 1, ())] and replica.epoch == 0
+    replica.step(0.3, ViewInstalled(3, (Site("a", 2), *first[1:])))
+    assert replica.epoch == 0, "it promised to decide for no view before 4"
+    replica.step(0.3, ViewInstalled(4, (Site("a", 2), *first[1:])))
+    assert replica.epoch == 4 and replica.ranges.unready == set(range(8))
 
 
 @pytest.mark.parametrize("kind", [AsyncBackup, KINDS["one-copy"]])
-def test_the_same_faults_break_what_is_weaker(kind: type[Replica]) -> None:
+def test_the_same_faults_break_weaker_variants(kind: type[Replica]) -> None:
     assert any(drawn(seed, kind).wrong() for seed in range(20))
 
 
-def test_a_view_that_nobody_was_in_is_not_waited_for() -> None:
+def test_a_view_in_which_nobody_was_is_not_waited_for() -> None:
     """Of view 10 nobody can tell, and before it there are more views than one answer holds."""
-    some = Ranges("a", 1, 3, 1), Ranges("b", 1, 3, 1)
+    members = Ranges("a", 1, 3, 1), Ranges("b", 1, 3, 1)
     for epoch in [*range(1, 10), 11]:
-        for one in some:
-            one.install_view(ViewInstalled(epoch, (Site("a", 1), Site("b", 1))), 0.0)
-    asks, tells = some
+        for ranges in members:
+            ranges.install_view(ViewInstalled(epoch, (Site("a", 1), Site("b", 1))), 0.0)
+    asking, answering = members
     for _ in range(3):
-        before = asks.request_views_before("b")
-        told = tells.views_before(before, MAX_VIEWS_SENT)
-        asks.add_past_views("b", before, told, len(told) >= MAX_VIEWS_SENT)
-    assert asks.history_received == {"b"}
+        before = asking.request_views_before("b")
+        views = answering.views_before(before, MAX_VIEWS_SENT)
+        asking.add_past_views("b", before, views, len(views) >= MAX_VIEWS_SENT)
+    assert asking.history_received == {"b"}
 
 
 # -- bounds, and what comes from elsewhere
 
 
-def alone(now: float = 0.0, **keys: int) -> Replica:
-    made = Replica("a", 1, Settings(slots=8, waits_after_cold_start=False, **keys), random.Random(1), now)
-    made.step(now, ViewInstalled(1, (Site("a", 1),)))
-    made.step(now + 0.2, ViewInstalled(2, (Site("a", 1),)))
-    return made
+def single_member(now: float = 0.0, **keys: int) -> Replica:
+    replica = Replica("a", 1, Settings(slots=8, waits_after_cold_start=False, **keys), random.Random(1), now)
+    replica.step(now, ViewInstalled(1, (Site("a", 1),)))
+    replica.step(now + 0.2, ViewInstalled(2, (Site("a", 1),)))
+    return replica
 
 
-def test_a_full_holder_takes_no_new_key_and_says_so() -> None:
-    one = alone(max_entries=2)
-    said = [one.step(0.3, Claim(ref, b"%d" % ref, b"g", 5.0, b"")) for ref in range(1, 5)]
-    verdicts = [effect.verdict for effects in said for effect in effects if hasattr(effect, "verdict")]
+def test_a_full_replica_refuses_new_keys() -> None:
+    replica = single_member(max_entries=2)
+    effects_of_each = [replica.step(0.3, Claim(ref, b"%d" % ref, b"g", 5.0, b"")) for ref in range(1, 5)]
+    statuses = [
+        effect.status for effects in effects_of_each for effect in effects if isinstance(effect, Answer)
+    ]
     refuse = Refuse(2, 0, RefusalReason.NOT_READY, EMPTY.ballot, EMPTY.ballot)
     late = [
-        effect.verdict for effect in one.step(1.0, MessageReceived("a", refuse)) if hasattr(effect, "verdict")
+        effect.status
+        for effect in replica.step(1.0, MessageReceived("a", refuse))
+        if isinstance(effect, Answer)
     ]
-    assert verdicts + late == ["won", "won", "full", "full"]
+    assert statuses + late == ["won", "won", "full", "full"]
 
 
-def test_ranges_out_of_bounds_and_strangers_are_counted() -> None:
-    one = alone()
+def test_slots_out_of_bounds_and_messages_of_non_members_are_counted() -> None:
+    replica = single_member()
     push = Accept(2, 1, ("labels", b"x"), 99, entry(State.CLAIMED, 1), 5.0)
-    one.step(1.0, MessageReceived("a", push))
-    one.step(1.0, MessageReceived("stranger", push))
-    assert one.counts["slots_bad"] == 1 and one.counts["outside"] == 1 and one.store.entries == 0
+    replica.step(1.0, MessageReceived("a", push))
+    replica.step(1.0, MessageReceived("stranger", push))
+    assert replica.counts["slots_bad"] == 1 and replica.counts["outside"] == 1 and replica.store.entries == 0
 
 
-def test_an_older_epoch_is_told_that_it_is_old() -> None:
-    one = alone()
-    said = one.step(
+def test_a_message_of_an_older_epoch_is_refused() -> None:
+    replica = single_member()
+    effects = replica.step(
         1.0, MessageReceived("a", Accept(1, 7, ("labels", b"x"), 0, entry(State.CLAIMED, 1), 5.0))
     )
-    assert not [effect for effect in said if isinstance(effect, Send)]  # to itself, it stays inside
-    assert one.counts["refused_epoch"] == 1 and one.store.entries == 0
+    # A refusal to itself is no effect: it is handled in the same step.
+    assert not [effect for effect in effects if isinstance(effect, Send)]
+    assert replica.counts["refused_epoch"] == 1 and replica.store.entries == 0
 
 
-def test_a_idempotency_key_is_forgotten_with_its_window() -> None:
-    one = alone()
-    one.step(0.3, Claim(1, b"x", b"g", 2.0, b""))
-    assert one.store.entries == 1
-    one.step(3.0, Claim(2, b"y", b"g", 2.0, b""))
-    assert one.store.get(slot_of(b"g", 8), ("labels", b"x")) is None
+def test_an_idempotency_key_is_forgotten_with_its_window() -> None:
+    replica = single_member()
+    replica.step(0.3, Claim(1, b"x", b"g", 2.0, b""))
+    assert replica.store.entries == 1
+    replica.step(3.0, Claim(2, b"y", b"g", 2.0, b""))
+    assert replica.store.get(slot_of(b"g", 8), ("labels", b"x")) is None
 
 
-def test_one_trip_for_the_proposer_that_comes_again() -> None:
+def test_a_second_change_of_the_same_proposer_takes_one_round_trip() -> None:
     stage = Stage({name: name for name in "abc"})
     stage.found(*"abc")
     first = stage.write("a", "sessions", "s", 0, b"one")
-    assert stage.answer(first).verdict == "won"
+    assert stage.answer(first).status == "won"
     prepares = stage.core("a").counts["out_prepare"]
     second = stage.write("a", "sessions", "s", 1, b"two")
-    assert stage.answer(second).verdict == "won" and stage.core("a").counts["out_prepare"] == prepares
+    assert stage.answer(second).status == "won" and stage.core("a").counts["out_prepare"] == prepares
 
 
-def test_stage_takes_each_broken_kind() -> None:
+def test_the_scenario_has_each_faulty_variant() -> None:
     assert set(KINDS) == {"", "async-backup", *replication_model.BROKEN}
--- a/tests/test_replication_service.py
+++ b/tests/test_replication_service.py
@@ -1,4 +1,4 @@
-"""Replication's shell on made links: what a try is told, and when; packets that are none."""
+"""The replication service on fake connections: answers and their times; invalid packets."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from sablewheel.overload.interface import Outcome as Ended
 from sablewheel.program.feature_file import FaultyFeaturesError, read
 from sablewheel.protocol.resp import Parser
-from sablewheel.replication import codec, messages
+from sablewheel.replication import codec, messages, packet_fields
 from sablewheel.replication.entries import EMPTY, Entry, Outcome, OutcomeStatus
 from sablewheel.replication.placement import Site
 from sablewheel.replication.plan import ReplicationPlan, Settings
@@ -41,7 +41,7 @@
 
 @dataclass
 class Time:
-    """The scheduler's part that the service uses, with a made clock."""
+    """The part of the scheduler that the service uses, with a fake clock."""
 
     now: float = 100.0
     queue: list[tuple[float, int, Callable[[], None]]] = field(default_factory=list)
@@ -67,7 +67,7 @@
 
 
 class Wires:
-    """Links that lose nothing but where they are cut."""
+    """Connections that lose nothing unless they are cut."""
 
     def __init__(self, time: Time, name: str, all_of_them: dict[str, Wires]) -> None:
         self.time, self.name, self.others, self.cut = time, name, all_of_them, False
@@ -85,7 +85,7 @@
 
 
 class Told:
-    """Whoever waits for an answer."""
+    """A caller that records its answers."""
 
     def __init__(self) -> None:
         self.answers: list[tuple[str, bytes, float]] = []
@@ -139,11 +139,11 @@
     def gone(self, exchange: Exchange) -> None: ...
 
     def never_begun(self, name: str) -> Callable[[Exchange], None]:
-        def moot(exchange: Exchange) -> None:
+        def end_unstarted(exchange: Exchange) -> None:
             exchange.place = Place.OVER
             self.services[name].ended(exchange, Ended.NEVER_STARTED, b"")
 
-        return moot
+        return end_unstarted
 
     def come(
         self, name: str, idempotency_key: bytes = b"label", body: bytes = b"body"
@@ -176,7 +176,7 @@
         self.wires[name].cut = cut
 
 
-def test_the_answer_waits_for_a_majority_and_repeats_elsewhere_get_its_bytes() -> None:
+def test_the_answer_waits_for_a_majority_and_retries_elsewhere_get_its_bytes() -> None:
     fleet = Servers()
     _, first = fleet.come("a")
     assert not fleet.runs
@@ -193,7 +193,7 @@
     assert late.answers == first.answers and len(fleet.runs) == 1
 
 
-def test_an_answer_leaves_once_when_its_bound_has_passed_and_the_majority_comes_later() -> None:
+def test_a_held_answer_is_sent_once_when_the_majority_comes_after_its_bound() -> None:
     fleet = Servers(max_hold_s=0.2)
     _, first = fleet.come("a")
     fleet.time.run(0.1)
@@ -208,7 +208,7 @@
     assert len(first.answers) == 1 and fleet.services["a"].held_answers.is_empty
 
 
-def test_without_a_majority_it_is_rejected_before_it_runs_and_the_next_at_the_door() -> None:
+def test_without_a_majority_a_request_never_runs_and_the_next_is_rejected_on_arrival() -> None:
     fleet = Servers()
     fleet.cut("a")
     _, first = fleet.come("a")
@@ -223,7 +223,7 @@
     assert len(fleet.runs) == 1 and third.answers == []
 
 
-def test_what_may_run_elsewhere_ends_in_an_error_and_is_not_rejected() -> None:
+def test_a_request_that_may_run_elsewhere_fails_and_is_not_rejected() -> None:
     fleet = Servers()
     fleet.come("a")
     fleet.time.run(0.1)
@@ -240,7 +240,7 @@
     assert [kind for kind, _, _ in third.answers] == ["terminated"] and len(fleet.runs) == 1
 
 
-def test_a_failed_run_is_an_error_everywhere() -> None:
+def test_a_failed_run_is_an_error_on_all_servers() -> None:
     fleet = Servers()
     fleet.come("a")
     fleet.time.run(0.1)
@@ -251,7 +251,7 @@
     assert [kind for kind, _, _ in again.answers] == ["terminated"] and len(fleet.runs) == 1
 
 
-def test_a_idempotency_key_with_another_body_ends_in_an_error_at_once() -> None:
+def test_an_idempotency_key_with_another_body_fails_at_once() -> None:
     fleet = Servers()
     fleet.come("a")
     fleet.time.run(0.1)
@@ -261,7 +261,7 @@
     assert fleet.counts["replication_differs"] == 1
 
 
-def test_who_left_before_its_claim_was_won_leaves_the_idempotency_key_free() -> None:
+def test_a_request_discarded_before_its_claim_is_won_releases_the_key() -> None:
     fleet = Servers()
     exchange, _ = fleet.come("a")
     exchange.discard()
@@ -272,7 +272,7 @@
     assert [name for name, _ in fleet.runs] == ["b"]
 
 
-def test_a_view_may_say_that_a_member_never_comes_back() -> None:
+def test_a_view_names_members_that_never_come_back() -> None:
     fleet = Servers()
     view = View(2, fleet.view.members[:2], (Fact("gone/c", "1"),))
     fleet.services["a"].view(view)
@@ -295,7 +295,7 @@
     return []
 
 
-def test_three_servers_answer_one_idempotency_key_alike_also_when_the_first_is_killed() -> None:
+def test_three_servers_answer_one_key_alike_after_the_first_is_killed() -> None:
     with Rig(1) as rig, closing(Block()) as block:
         stage = Replicas(rig, block.second, "ours", 0, 3, 1, zones=3, keys=KEYS)
         stage.cold = "run"
@@ -326,7 +326,7 @@
         ("cold: maybe", "cold"),
     ],
 )
-def test_faults_of_the_section_are_told_by_key(tmp_path: Path, text: str, says: str) -> None:
+def test_faults_of_the_section_are_reported_by_key(tmp_path: Path, text: str, says: str) -> None:
     file = tmp_path / "features.yaml"
     file.write_text(f"version: 1\n\nreplication:\n  {text}\n")
     with pytest.raises(FaultyFeaturesError, match=says):
@@ -338,7 +338,7 @@
 done = Outcome(1, ("a", 1, 1), OutcomeStatus.SUCCEEDED, b"r")
 entry = Entry((1, 2, "a", 3), 4, ("b", 5, 6), b"value", b"d" * 16, True, (done,))
 key = ("labels", b"k")
-SOME: list[messages.Message] = [
+MESSAGES: list[messages.Message] = [
     messages.Prepare(1, 2, key, 3, (1, 2, "a", 3), 4.5, b"group", 6),
     messages.Promise(1, 2, (1, 2, "a", 3), entry),
     messages.Accept(1, 2, key, 3, entry, 4.5, b"group", 6),
@@ -357,32 +357,32 @@
 ]
 
 
-@pytest.mark.parametrize("message", SOME, ids=lambda one: type(one).__name__)
-def test_each_packet_comes_back_as_it_was(message: messages.Message) -> None:
+@pytest.mark.parametrize("message", MESSAGES, ids=lambda one: type(one).__name__)
+def test_each_message_survives_encoding_and_decoding(message: messages.Message) -> None:
     data = codec.encode(message)
     assert codec.decode(data) == message
     for place in range(len(data)):
         try:
             codec.decode(data[:place] + bytes([data[place] ^ 0x55]) + data[place + 1 :])
-        except codec.BadPacketError:
+        except packet_fields.BadPacketError:
             continue
 
 
 @settings(max_examples=100)
 @given(st.binary(max_size=60))
-def test_what_is_no_packet_is_counted_and_dropped(data: bytes) -> None:
+def test_invalid_data_is_counted_and_dropped(data: bytes) -> None:
     fleet = Servers()
     fleet.wires["a"].handler("b", data)
     assert fleet.counts["replication_bad"] == 1
 
 
-def test_packets_past_their_bounds_are_none() -> None:
-    with pytest.raises(codec.BadPacketError, match="1024 ranges and 3 copies"):
-        codec.decode(codec.encode(SOME[0], 1024, 3), 2048, 3)
-    long = messages.Fetch(1, 2, ("labels", b"k" * (codec.MAX_KEY_BYTES + 1)), 3)
+def test_packets_outside_their_bounds_are_refused() -> None:
+    with pytest.raises(packet_fields.BadPacketError, match="1024 ranges and 3 copies"):
+        codec.decode(codec.encode(MESSAGES[0], 1024, 3), 2048, 3)
+    long = messages.Fetch(1, 2, ("labels", b"k" * (packet_fields.MAX_KEY_BYTES + 1)), 3)
     many = messages.CompareRanges(1, ((2, 3),) * (codec.MAX_RANGES + 1))
     never = messages.Push(1, 2, key, 3, entry, float("nan"))
     past: list[messages.Message] = [long, many, never]
     for one in past:
-        with pytest.raises(codec.BadPacketError):
+        with pytest.raises(packet_fields.BadPacketError):
             codec.decode(codec.encode(one))
