--- a/sablewheel/replication/entries.py
+++ b/sablewheel/replication/entries.py
@@ -123,7 +123,7 @@
     The register's part is taken as one by its ballot: under one ballot there is one value, unless there is a
     fault, and then the order of the values decides, the same everywhere. `released` is a part of it: a set
     apart would release a claim of another proposer that was won without having seen it. Of the outcomes the
-    lowest `MAX_OUTCOMES` are kept.
+    lowest `MAX_OUTCOMES` are retained.
     """
     if first == second:
         return first
--- a/sablewheel/replication/messages.py
+++ b/sablewheel/replication/messages.py
@@ -340,7 +340,7 @@
 
 
 class LogEvent(StrEnum):
-    """What is worth a log line."""
+    """The messages of log lines."""
 
     VIEW_INSTALLED = "replication view installed"
     CAUGHT_UP = "replicated ranges caught up"
--- a/sablewheel/replication/held_answers.py
+++ b/sablewheel/replication/pending_answers.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class HeldAnswer:
+class PendingAnswer:
     """An answer that waits."""
 
     exchange: Exchange
@@ -19,7 +19,7 @@
     caller: Caller
 
 
-class HeldAnswers:
+class PendingAnswers:
     """Answers by the idempotency keys of outcomes that are not stored on a majority yet.
 
     Invariant: an answer is passed on once: when its outcome is stored, when it has waited for the longest
@@ -31,11 +31,11 @@
         scheduler: Scheduler,
         observer: RequestObserver,
         count: Callable[[str], None],
-        max_hold_s: float,
+        max_answer_wait_s: float,
     ) -> None:
         self._scheduler, self._observer, self._count = scheduler, observer, count
-        self._max_hold_s = max_hold_s
-        self._by_key: dict[bytes, list[HeldAnswer]] = {}
+        self._max_answer_wait_s = max_answer_wait_s
+        self._by_key: dict[bytes, list[PendingAnswer]] = {}
 
     @property
     def is_empty(self) -> bool:
@@ -52,18 +52,18 @@
         self._by_key[key] = []
 
     def completed(self, exchange: Exchange, result: bytes, caller: Caller) -> None:
-        """Pass an answer on, or hold it while its outcome is on its way."""
+        """Pass an answer on, or delay it while its outcome is on its way."""
         key = exchange.idempotency_key
         answers = self._by_key.get(key) if key is not None else None
         if answers is None:
             return self._observer.completed(exchange, result, caller)
-        answer, now = HeldAnswer(exchange, result, caller), self._scheduler.clock.now
+        answer, now = PendingAnswer(exchange, result, caller), self._scheduler.clock.now
         answers.append(answer)
         remaining_s = max(exchange.request.deadline - DUE_SPARE - now, 0.0)
-        wait_s = min(self._max_hold_s, remaining_s)
+        wait_s = min(self._max_answer_wait_s, remaining_s)
         self._scheduler.after(wait_s, lambda: self._on_timeout(answers, answer))
 
-    def _on_timeout(self, answers: list[HeldAnswer], answer: HeldAnswer) -> None:
+    def _on_timeout(self, answers: list[PendingAnswer], answer: PendingAnswer) -> None:
         """Answering in time comes before replication."""
         if answer in answers:
             answers.remove(answer)
@@ -84,7 +84,7 @@
             self._pass_on(answers)
         self._by_key.clear()
 
-    def _pass_on(self, answers: list[HeldAnswer]) -> None:
+    def _pass_on(self, answers: list[PendingAnswer]) -> None:
         waiting, answers[:] = answers[:], []  # so that their timeouts find nothing
         for answer in waiting:
             self._observer.completed(answer.exchange, answer.result, answer.caller)
--- a/sablewheel/replication/plan.py
+++ b/sablewheel/replication/plan.py
@@ -54,10 +54,10 @@
 
     Attributes:
         settings: The replica's.
-        max_hold_s: An answer waits for its outcome to be on a majority, no longer.
+        max_answer_wait_s: An answer waits for its outcome to be on a majority, no longer.
         reject_after_s: No majority for so long: requests of that range are rejected on arrival.
     """
 
     settings: Settings = field(default_factory=Settings)
-    max_hold_s: float = 0.25
+    max_answer_wait_s: float = 0.25
     reject_after_s: float = 0.3
--- a/sablewheel/replication/proposer.py
+++ b/sablewheel/replication/proposer.py
@@ -92,7 +92,7 @@
         if promised is not None and promised[0][0] == context.epoch:
             proposal.begin(context.epoch, replicas, quorum, *promised)
             if proposal.status_if_accepted in READ_STATUSES:
-                promised = None  # that was the entry then; two round trips tell whether it still is
+                promised = None  # that was the entry then; whether it still is takes two round trips
         if promised is None or promised[0][0] != context.epoch:
             self.last_round += 2
             ballot = (context.epoch, self.last_round, context.name, context.incarnation)
--- a/sablewheel/replication/range_transfer.py
+++ b/sablewheel/replication/range_transfer.py
@@ -26,7 +26,7 @@
 
     READY = "ready"
     WAITING = "waiting"  # for an answer of a member that may still give it
-    LOST = "lost"  # what may be missing was decided by members that are gone; nobody can add to it
+    LOST = "lost"  # what may be missing was decided by members that never come back
     PARTITIONED = "partitioned"  # enough members to decide are out of the view, and may be alive
 
 
@@ -60,7 +60,7 @@
         self._epochs: list[int] = []  # of the views known, in order
         self.epoch = 0
         self.assigned: dict[int, Range] = {}  # under the present view
-        self.retained: dict[int, Range] = {}  # no longer assigned; kept until the new replicas have theirs
+        self.retained: dict[int, Range] = {}  # no longer assigned, until the new replicas have theirs
         self.unready: set[int] = set()
         self.history_received: set[str] = set()  # members that sent all views they know
         self._oldest_view_from: dict[str, int] = {}
@@ -227,7 +227,7 @@
     def _coverage(
         self, replicas: tuple[MemberIncarnation, ...], merged: dict[str, tuple[int, int]]
     ) -> Readiness:
-        """Whether a majority of the replicas of one epoch is merged, and if not, whether the rest is gone."""
+        """Whether a majority of one epoch's replicas is merged, and if not, whether the rest may be alive."""
         quorum = majority(len(replicas))
         silent = [
             replica for replica in replicas if replica[0] not in merged or merged[replica[0]][0] > replica[1]
@@ -266,7 +266,7 @@
         return readiness
 
     def may_drop(self, slot: int) -> bool:
-        """Whether all present replicas of a retained range have told that they are ready."""
+        """Whether all present replicas of a retained range have reported that they are ready."""
         merged_from = self.retained[slot].merged_from
         names, start_epoch = self.views[self.epoch].replica_names(slot), self._start_epoch(slot)
         return all(name in merged_from and merged_from[name][1] >= start_epoch for name in names)
--- a/sablewheel/replication/service.py
+++ b/sablewheel/replication/service.py
@@ -24,8 +24,8 @@
 from ..transport.scheduler import Scheduler
 from .context import IDEMPOTENCY_KEYS
 from .entries import AnswerStatus, Entry, OutcomeStatus
-from .held_answers import HeldAnswers
 from .messages import Answer, CompleteClaim, ReleaseClaim
+from .pending_answers import PendingAnswers
 from .plan import ReplicationPlan
 from .remote_outcomes import RemoteOutcomes
 from .replica import Replica
@@ -82,11 +82,11 @@
         self.group_of: Callable[[Exchange], tuple[bytes, int]] = _group_by_key
         self.may_begin: Callable[[Exchange, float], bool] = _always_may_begin
         self.fenced: Callable[[Exchange], None] = _ignore_fenced
-        self.held_answers = HeldAnswers(scheduler, observer, count, plan.max_hold_s)
+        self.pending_answers = PendingAnswers(scheduler, observer, count, plan.max_answer_wait_s)
         self._remote_outcomes = RemoteOutcomes(scheduler, count, self._read_outcome)
         division = plan.settings.slots, plan.settings.copies
         self._runner = ReplicaRunner(
-            scheduler, connections, self.replica, division, clock, count, self.held_answers
+            scheduler, connections, self.replica, division, clock, count, self.pending_answers
         )
         self._pending_claims: set[PendingClaim] = set()
         self._won: dict[bytes, Exchange] = {}  # runs by their idempotency keys, until they end
@@ -114,7 +114,7 @@
         return self._result_store.may_not_run(exchange)
 
     def prepare(self, exchange: Exchange) -> None:
-        """Tell the controller what a claim will take, and when there can be none."""
+        """Set for the controller how long a claim will take, or when to retry if there can be none."""
         self._result_store.prepare(exchange)
         key, request = exchange.idempotency_key, exchange.request
         if key is None or exchange.first is not None:
@@ -169,7 +169,7 @@
                 self._runner.step(ReleaseClaim(key))
             else:
                 if self.replica.has_open_claim(key):  # else its lifetime has passed, and nobody stores it
-                    self.held_answers.outcome_sent(key)
+                    self.pending_answers.outcome_sent(key)
                 if outcome is Outcome.SUCCEEDED:
                     self._runner.step(CompleteClaim(key, OutcomeStatus.SUCCEEDED, result))
                 else:
@@ -180,7 +180,7 @@
 
     def completed(self, exchange: Exchange, result: bytes, caller: Caller) -> None:
         """Pass the answer on once its outcome is stored."""
-        self.held_answers.completed(exchange, result, caller)
+        self.pending_answers.completed(exchange, result, caller)
 
     def rejected(self, exchange: Exchange) -> None:
         """Pass on to the observer."""
@@ -304,7 +304,7 @@
     # -- shutdown
 
     def leaving(self) -> None:
-        """The fleet is told that this member leaves: its successors fetch what it has before it ends."""
+        """The fleet is notified that this member leaves: its successors fetch what it has before it ends."""
         self._leaving_since = self._clock()
 
     def settled(self) -> bool:
@@ -312,11 +312,11 @@
         if self._clock() < self._leaving_since + SHUTDOWN_LINGER_S:
             return False
         is_waiting = self._remote_outcomes.waiting_count or self._pending_claims
-        return self.held_answers.is_empty and not is_waiting
+        return self.pending_answers.is_empty and not is_waiting
 
     def close(self) -> None:
-        """Pass on all answers that are held, and stop."""
-        self.held_answers.close()
+        """Pass on all pending answers, and stop."""
+        self.pending_answers.close()
         self._runner.close()
 
     def gauges(self) -> dict[str, object]:
@@ -326,7 +326,7 @@
             ranked = sorted(self._claim_times)
             gauges["replication_claim_ms"] = round(1000 * ranked[len(ranked) // 2], 2)
         gauges["replication_waiting"] = self._remote_outcomes.waiting_count
-        gauges["replication_held"] = self.held_answers.count
+        gauges["replication_held"] = self.pending_answers.count
         return gauges
 
 
--- a/tests/stories/test_replication_stories.py
+++ b/tests/stories/test_replication_stories.py
@@ -1,4 +1,4 @@
-"""The stories of `replication.feature`, on a fleet in memory with a made clock."""
+"""The stories of `replication.feature`, on a fleet in memory with a simulated clock."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
         self.stage.found(*NAMES)
         self.holders = self.stage.holders("record")
         self.others = [name for name in NAMES if name not in self.holders]
-        self.tries: list[Try] = []
-        self.more: list[Try] = []
-        self.moves: list[int] = []
+        self.requests: list[Try] = []
+        self.later_requests: list[Try] = []
+        self.writes: list[int] = []
 
-    def who(self, words: str) -> str:
+    def server_named(self, words: str) -> str:
         if words in NAMES:
             return words
         if words.endswith(" holder"):
             return self.holders[ORDER[words.removeprefix("the ").removesuffix(" holder")]]
         return self.others[words == "yet another server"]
 
-    def come(self, at: str, takes: float = 0.05, stays: bool = True, wait: float = 0.4) -> None:
-        self.tries.append(self.stage.come(self.who(at), "record", takes=takes, stays=stays))
+    def send_record(self, at: str, takes: float = 0.05, stays: bool = True, wait: float = 0.4) -> None:
+        self.requests.append(self.stage.come(self.server_named(at), "record", takes=takes, stays=stays))
         self.stage.fleet.run(wait)
 
-    def back_with_nothing(self, *names: str) -> None:
+    def restart_empty(self, *names: str) -> None:
         for name in names:
             self.stage.fleet.crash(name)
         self.stage.view(set(NAMES) - set(names))
@@ -44,10 +44,10 @@
         self.stage.start(*names)
         self.stage.view(NAMES)
 
-    def some(self, many: int, tag: str) -> list[Try]:
-        made = [self.stage.come(NAMES[one % 5], f"{tag}{one}") for one in range(many)]
+    def send_records(self, count: int, tag: str) -> list[Try]:
+        requests = [self.stage.come(NAMES[one % 5], f"{tag}{one}") for one in range(count)]
         self.stage.fleet.run(1.0)
-        return made
+        return requests
 
 
 SETTINGS = Stage({}).settings
@@ -65,7 +65,7 @@
 
 @given("200 other records have run")
 def _others(story: Story) -> None:
-    assert all(one.verdict == "completed" for one in story.some(200, "other"))
+    assert all(one.verdict == "completed" for one in story.send_records(200, "other"))
 
 
 @given("holders that take 3 entries only")
@@ -81,24 +81,24 @@
 @when(parsers.re(r"it comes again at (?P<who>.+)$"))
 def _comes(story: Story, who: str, takes: str | None = None) -> None:
     if who.endswith(" and never ends there"):
-        return story.come(who.removesuffix(" and never ends there"), stays=False)
-    story.come(who, float(takes or 0.05))
+        return story.send_record(who.removesuffix(" and never ends there"), stays=False)
+    story.send_record(who, float(takes or 0.05))
 
 
 @when("the record comes to all servers at one moment")
 def _to_all(story: Story) -> None:
-    story.tries += [story.stage.come(name, "record") for name in NAMES]
+    story.requests += [story.stage.come(name, "record") for name in NAMES]
     story.stage.fleet.run(1.0)
 
 
 @when(parsers.re(r"(?P<many>\d+) more records come to all servers"))
 def _more(story: Story, many: str) -> None:
-    story.more = story.some(int(many), "more")
+    story.later_requests = story.send_records(int(many), "more")
 
 
 @when("a ticket of another label comes to b")
 def _another(story: Story) -> None:
-    story.more = [story.stage.come("b", "another")]
+    story.later_requests = [story.stage.come("b", "another")]
     story.stage.fleet.run(1.0)
 
 
@@ -112,7 +112,7 @@
 
 @when(parsers.re(r"(?P<who>.+) is paused for (?P<span>\d+) seconds"))
 def _paused(story: Story, who: str, span: str) -> None:
-    story.stage.fleet.pause(story.who(who), float(span))
+    story.stage.fleet.pause(story.server_named(who), float(span))
 
 
 @when(parsers.re(r"(?P<who>.) is killed$"))
@@ -146,13 +146,13 @@
 
 @when(parsers.re(r"(?P<who>the .+ holder) is killed and comes back with nothing"))
 def _cold(story: Story, who: str) -> None:
-    story.back_with_nothing(story.who(who))
+    story.restart_empty(story.server_named(who))
     assert story.stage.settle()
 
 
 @when("the first and the second holder come back with nothing at one moment")
 def _two_cold(story: Story) -> None:
-    story.back_with_nothing(*story.holders[:2])
+    story.restart_empty(*story.holders[:2])
 
 
 @when("the first and the second holder leave in order at one moment")
@@ -185,7 +185,7 @@
 @when("one after another leaves and comes back with nothing")
 def _one_by_one(story: Story) -> None:
     for name in NAMES:
-        story.back_with_nothing(name)
+        story.restart_empty(name)
         assert story.stage.settle()
 
 
@@ -253,7 +253,7 @@
 def _cut_catching_up(story: Story) -> None:
     name = story.holders[0]
     story.stage.settings = replace(story.stage.settings, batch_size=4)
-    story.back_with_nothing(name)
+    story.restart_empty(name)
     core = story.stage.core(name)
     assert story.stage.fleet.run_until(lambda: core.counts["entries_in"] > 8, 2.0)
     assert core.ranges.unready
@@ -280,14 +280,14 @@
 
 @when(parsers.re(r"server (?P<who>.) (?:binds the session|moves it) at number (?P<number>\d)"))
 def _moves(story: Story, who: str, number: str) -> None:
-    story.moves.append(story.stage.write(who, "sessions", "session", int(number), who.encode()))
-    story.stage.answer(story.moves[-1])
+    story.writes.append(story.stage.write(who, "sessions", "session", int(number), who.encode()))
+    story.stage.answer(story.writes[-1])
 
 
 @when(parsers.re(r"a record of that session comes to (?P<who>.) under number (?P<number>\d)"))
 def _under(story: Story, who: str, number: str) -> None:
     story.stage.group = lambda idempotency_key: b"session"
-    story.more = [story.stage.come(who, "of the session", under=int(number))]
+    story.later_requests = [story.stage.come(who, "of the session", under=int(number))]
     story.stage.fleet.run(1.0)
 
 
@@ -297,16 +297,19 @@
 @then("the record ran once, and all who waited got its answer")
 def _same(story: Story) -> None:
     assert story.stage.runs["record"] == 1 and not story.stage.wrong()
-    assert [one.verdict for one in story.tries if one.verdict != "denied"], story.tries
-    for one in story.tries:
+    assert [one.verdict for one in story.requests if one.verdict != "denied"], story.requests
+    for one in story.requests:
         assert one.verdict == "denied" or one.result == story.stage.results["record"], one
-    assert story.tries[-1].verdict == "completed"
+    assert story.requests[-1].verdict == "completed"
 
 
 @then("the record ran once, and who came last got its answer")
 def _last(story: Story) -> None:
     assert story.stage.runs["record"] == 1
-    assert (story.tries[-1].verdict, story.tries[-1].result) == ("completed", story.stage.results["record"])
+    assert (story.requests[-1].verdict, story.requests[-1].result) == (
+        "completed",
+        story.stage.results["record"],
+    )
 
 
 @then("the record ran once")
@@ -317,7 +320,7 @@
 @then("the record ran at most once")
 def _at_most_once(story: Story) -> None:
     assert not story.stage.wrong(), story.stage.wrong()
-    assert all(one.result in (b"", story.stage.results.get("record")) for one in story.tries)
+    assert all(one.result in (b"", story.stage.results.get("record")) for one in story.requests)
 
 
 @then("the record never ran")
@@ -332,18 +335,18 @@
 
 @then("who came last was given an error, and not a denial")
 def _error(story: Story) -> None:
-    assert story.tries[-1].verdict == "terminated"
+    assert story.requests[-1].verdict == "terminated"
 
 
 @then("who came last was denied, or got the answer")
 def _rejected(story: Story) -> None:
-    one = story.tries[-1]
+    one = story.requests[-1]
     assert one.verdict == "denied" or one.result == story.stage.results["record"], one
 
 
 @then("that other one was completed")
 def _other(story: Story) -> None:
-    assert [one.verdict for one in story.more] == ["completed"]
+    assert [one.verdict for one in story.later_requests] == ["completed"]
 
 
 @then("every server counts again for all that it holds")
@@ -359,15 +362,17 @@
 
 @then("each of these ran once")
 def _each_once(story: Story) -> None:
-    assert [one for one in story.more if one.verdict == "completed"] == story.more
-    assert all(story.stage.runs[one.idempotency_key] == 1 for one in story.more)
+    assert [one for one in story.later_requests if one.verdict == "completed"] == story.later_requests
+    assert all(story.stage.runs[one.idempotency_key] == 1 for one in story.later_requests)
 
 
 @then("each of these ran at most once, and some were denied")
 def _some_rejected(story: Story) -> None:
-    verdicts = {one.verdict for one in story.more}
+    verdicts = {one.verdict for one in story.later_requests}
     assert "denied" in verdicts and not story.stage.wrong()
-    assert all(story.stage.runs[one.idempotency_key] == (one.verdict == "completed") for one in story.more)
+    assert all(
+        story.stage.runs[one.idempotency_key] == (one.verdict == "completed") for one in story.later_requests
+    )
 
 
 @then("every holder has the record's outcome")
@@ -387,8 +392,8 @@
 
 @then("it comes again, and is not run")
 def _again(story: Story) -> None:
-    story.come("another server")
-    assert story.stage.runs["record"] == 1 and story.tries[-1].verdict == "completed"
+    story.send_record("another server")
+    assert story.stage.runs["record"] == 1 and story.requests[-1].verdict == "completed"
 
 
 @then("it took no entry")
@@ -398,12 +403,12 @@
 
 @then("the moves were won, won and stale")
 def _told(story: Story) -> None:
-    assert [story.stage.answers[ref].status for ref in story.moves] == ["won", "won", "stale"]
+    assert [story.stage.answers[ref].status for ref in story.writes] == ["won", "won", "stale"]
 
 
 @then("that record was denied, and never ran")
 def _fenced(story: Story) -> None:
-    assert story.more[0].verdict == "denied" and not story.stage.runs["of the session"]
+    assert story.later_requests[0].verdict == "denied" and not story.stage.runs["of the session"]
 
 
 def test_the_stories_see_a_view() -> None:
--- a/tests/test_replication_service.py
+++ b/tests/test_replication_service.py
@@ -40,7 +40,7 @@
 
 
 @dataclass
-class Time:
+class FakeScheduler:
     """The part of the scheduler that the service uses, with a fake clock."""
 
     now: float = 100.0
@@ -48,7 +48,7 @@
     turn: int = 0
 
     @property
-    def clock(self) -> Time:
+    def clock(self) -> FakeScheduler:
         return self
 
     def after(self, span: float, do: Callable[[], None]) -> Any:
@@ -66,25 +66,25 @@
         self.now = end
 
 
-class Wires:
+class FakeConnections:
     """Connections that lose nothing unless they are cut."""
 
-    def __init__(self, time: Time, name: str, all_of_them: dict[str, Wires]) -> None:
-        self.time, self.name, self.others, self.cut = time, name, all_of_them, False
+    def __init__(self, time: FakeScheduler, name: str, all_connections: dict[str, FakeConnections]) -> None:
+        self.time, self.name, self.others, self.is_cut = time, name, all_connections, False
         self.handler: Callable[[str, bytes], None] = lambda sender, payload: None
-        all_of_them[name] = self
+        all_connections[name] = self
 
     def on(self, kind: str, handler: Callable[[str, bytes], None], parted: bool = False) -> None:
         self.handler = handler
 
     def send(self, to: str, kind: str, payload: bytes, within: float) -> bool:
         peer = self.others[to]
-        if not self.cut and not peer.cut:
-            self.time.after(0.001, lambda: None if peer.cut else peer.handler(self.name, payload))
-        return not self.cut
+        if not self.is_cut and not peer.is_cut:
+            self.time.after(0.001, lambda: None if peer.is_cut else peer.handler(self.name, payload))
+        return not self.is_cut
 
 
-class Told:
+class RecordingCaller:
     """A caller that records its answers."""
 
     def __init__(self) -> None:
@@ -94,17 +94,17 @@
         self.answers.append(("completed", result, 0.0))
 
     def rejected(self, exchange: Exchange, retry_after_s: float, no_retry_elsewhere: bool) -> None:
-        self.answers.append(("denied", b"", retry_after_s))
+        self.answers.append(("rejected", b"", retry_after_s))
 
     def failed(self, exchange: Exchange) -> None:
-        self.answers.append(("terminated", b"", 0.0))
+        self.answers.append(("failed", b"", 0.0))
 
 
 class Servers:
-    """Three keepers; the dispatch is what is written here."""
+    """Three replication services, with a dispatcher of their own."""
 
-    def __init__(self, **keys: Any) -> None:
-        self.time, self.wires, self.counts = Time(), {}, Counter[str]()  # type: ignore[var-annotated]
+    def __init__(self, **plan: Any) -> None:
+        self.time, self.connections, self.counts = FakeScheduler(), {}, Counter[str]()  # type: ignore[var-annotated]
         self.services: dict[str, ReplicationService] = {}
         self.runs: list[tuple[str, Exchange]] = []
         self.billed: list[bool] = []
@@ -112,13 +112,13 @@
         for name in NAMES:
             self.services[name] = ReplicationService(
                 cast(Scheduler, self.time),
-                Wires(self.time, name, self.wires),
-                ReplicationPlan(replica, **keys),
+                FakeConnections(self.time, name, self.connections),
+                ReplicationPlan(replica, **plan),
                 name,
                 1,
                 NO_RESULT_STORE,
                 self,
-                self.never_begun(name),
+                self.never_started(name),
                 self.count,
                 clock=lambda: self.time.now,
             )
@@ -138,32 +138,32 @@
     def failed(self, exchange: Exchange) -> None: ...
     def gone(self, exchange: Exchange) -> None: ...
 
-    def never_begun(self, name: str) -> Callable[[Exchange], None]:
+    def never_started(self, name: str) -> Callable[[Exchange], None]:
         def end_unstarted(exchange: Exchange) -> None:
             exchange.place = Place.OVER
             self.services[name].ended(exchange, Ended.NEVER_STARTED, b"")
 
         return end_unstarted
 
-    def come(
+    def send_request(
         self, name: str, idempotency_key: bytes = b"label", body: bytes = b"body"
-    ) -> tuple[Exchange, Told]:
-        told, now = Told(), self.time.now
+    ) -> tuple[Exchange, RecordingCaller]:
+        caller, now = RecordingCaller(), self.time.now
         request = Request(RECORD, Client(), None, now, 0.0)
         request.deadline = now + 2.0
         exchange = Exchange(
-            b"%d" % id(told), b"record", body, 0, idempotency_key, request, told, self.services[name]
+            b"%d" % id(caller), b"record", body, 0, idempotency_key, request, caller, self.services[name]
         )
         self.services[name].prepare(exchange)
         if request.key_capacity_in_s:
             exchange.reject(request.key_capacity_in_s, False)
-            return exchange, told
+            return exchange, caller
         exchange.place = Place.RUNNING
         self.services[name].before_run(exchange, lambda one: self.runs.append((name, one)))
-        return exchange, told
+        return exchange, caller
 
-    def end(self, result: bytes = b"result", outcome: Ended = Ended.SUCCEEDED) -> None:
-        """The last run that began is over, as the dispatch has it."""
+    def end_run(self, result: bytes = b"result", outcome: Ended = Ended.SUCCEEDED) -> None:
+        """End the run that began last, as the dispatcher does."""
         name, exchange = self.runs[-1]
         self.services[name].ended(exchange, outcome, result)
         if outcome is Ended.SUCCEEDED:
@@ -172,102 +172,102 @@
             exchange.fail()
         exchange.place = Place.OVER
 
-    def cut(self, name: str, cut: bool = True) -> None:
-        self.wires[name].cut = cut
+    def disconnect(self, name: str, is_cut: bool = True) -> None:
+        self.connections[name].is_cut = is_cut
 
 
 def test_the_answer_waits_for_a_majority_and_retries_elsewhere_get_its_bytes() -> None:
     fleet = Servers()
-    _, first = fleet.come("a")
+    _, first = fleet.send_request("a")
     assert not fleet.runs
     fleet.time.run(0.1)
     assert len(fleet.runs) == 1
-    _, again = fleet.come("b")
-    fleet.end()
+    _, again = fleet.send_request("b")
+    fleet.end_run()
     assert first.answers == []
     fleet.time.run(0.5)
     assert first.answers == again.answers == [("completed", b"result", 0.0)]
     assert len(fleet.runs) == 1 and fleet.billed == [True, False]
-    _, late = fleet.come("c")
+    _, late = fleet.send_request("c")
     fleet.time.run(0.1)
     assert late.answers == first.answers and len(fleet.runs) == 1
 
 
 def test_a_held_answer_is_sent_once_when_the_majority_comes_after_its_bound() -> None:
-    fleet = Servers(max_hold_s=0.2)
-    _, first = fleet.come("a")
+    fleet = Servers(max_answer_wait_s=0.2)
+    _, first = fleet.send_request("a")
     fleet.time.run(0.1)
-    fleet.cut("a")
-    fleet.end()
+    fleet.disconnect("a")
+    fleet.end_run()
     fleet.time.run(0.19)
     assert first.answers == []
     fleet.time.run(0.02)
     assert len(first.answers) == 1 and fleet.counts["replication_answers_ahead"] == 1
-    fleet.cut("a", False)
+    fleet.disconnect("a", False)
     fleet.time.run(1.5)
-    assert len(first.answers) == 1 and fleet.services["a"].held_answers.is_empty
+    assert len(first.answers) == 1 and fleet.services["a"].pending_answers.is_empty
 
 
 def test_without_a_majority_a_request_never_runs_and_the_next_is_rejected_on_arrival() -> None:
     fleet = Servers()
-    fleet.cut("a")
-    _, first = fleet.come("a")
+    fleet.disconnect("a")
+    _, first = fleet.send_request("a")
     fleet.time.run(0.5)
-    assert [kind for kind, _, _ in first.answers] == ["denied"] and first.answers[0][2] > 0
-    _, second = fleet.come("a", b"other")
-    assert [kind for kind, _, _ in second.answers] == ["denied"] and not fleet.runs
-    fleet.cut("a", False)
+    assert [kind for kind, _, _ in first.answers] == ["rejected"] and first.answers[0][2] > 0
+    _, second = fleet.send_request("a", b"other")
+    assert [kind for kind, _, _ in second.answers] == ["rejected"] and not fleet.runs
+    fleet.disconnect("a", False)
     fleet.time.run(1.0)
-    _, third = fleet.come("a", b"third")
+    _, third = fleet.send_request("a", b"third")
     fleet.time.run(0.1)
     assert len(fleet.runs) == 1 and third.answers == []
 
 
 def test_a_request_that_may_run_elsewhere_fails_and_is_not_rejected() -> None:
     fleet = Servers()
-    fleet.come("a")
+    fleet.send_request("a")
     fleet.time.run(0.1)
-    fleet.cut("a")
-    _, again = fleet.come("b")
+    fleet.disconnect("a")
+    _, again = fleet.send_request("b")
     fleet.time.run(1.9)
     assert again.answers == []
     fleet.time.run(0.2)
-    assert [kind for kind, _, _ in again.answers] == ["terminated"]
-    fleet.cut("c")  # b alone: a copy says that it may have run
+    assert [kind for kind, _, _ in again.answers] == ["failed"]
+    fleet.disconnect("c")  # b alone: a copy message that it may have run
     fleet.time.run(0.2)
-    _, third = fleet.come("b")
+    _, third = fleet.send_request("b")
     fleet.time.run(2.1)
-    assert [kind for kind, _, _ in third.answers] == ["terminated"] and len(fleet.runs) == 1
+    assert [kind for kind, _, _ in third.answers] == ["failed"] and len(fleet.runs) == 1
 
 
 def test_a_failed_run_is_an_error_on_all_servers() -> None:
     fleet = Servers()
-    fleet.come("a")
+    fleet.send_request("a")
     fleet.time.run(0.1)
-    fleet.end(b"", Ended.ERROR)
+    fleet.end_run(b"", Ended.ERROR)
     fleet.time.run(0.2)
-    _, again = fleet.come("b")
+    _, again = fleet.send_request("b")
     fleet.time.run(0.1)
-    assert [kind for kind, _, _ in again.answers] == ["terminated"] and len(fleet.runs) == 1
+    assert [kind for kind, _, _ in again.answers] == ["failed"] and len(fleet.runs) == 1
 
 
 def test_an_idempotency_key_with_another_body_fails_at_once() -> None:
     fleet = Servers()
-    fleet.come("a")
+    fleet.send_request("a")
     fleet.time.run(0.1)
-    _, other = fleet.come("b", body=b"another body")
+    _, other = fleet.send_request("b", body=b"another body")
     fleet.time.run(0.1)
-    assert [kind for kind, _, _ in other.answers] == ["terminated"]
+    assert [kind for kind, _, _ in other.answers] == ["failed"]
     assert fleet.counts["replication_differs"] == 1
 
 
 def test_a_request_discarded_before_its_claim_is_won_releases_the_key() -> None:
     fleet = Servers()
-    exchange, _ = fleet.come("a")
+    exchange, _ = fleet.send_request("a")
     exchange.discard()
     fleet.time.run(0.3)
     assert not fleet.runs
-    fleet.come("b")
+    fleet.send_request("b")
     fleet.time.run(0.3)
     assert [name for name, _ in fleet.runs] == ["b"]
 
@@ -282,8 +282,8 @@
 # -- real servers
 
 
-def ask(stage: Replicas, name: str, request: bytes, idempotency_key: bytes) -> list[bytes]:
-    """The words of the answer to one try of a record, at one server."""
+def send_record(stage: Replicas, name: str, request: bytes, idempotency_key: bytes) -> list[bytes]:
+    """The words of the answer to one request of a record, at one server."""
     with socket.create_connection((stage.host(name), LISTEN), 5.0) as peer:
         peer.settimeout(5.0)
         peer.sendall(wire.call(7, request, b"record", clock.time(), b"body", b"regina", idempotency_key))
@@ -306,10 +306,12 @@
         assert stage.wait_agreed(stage.names, 20.0) is not None, stage.processes["m0"].tail()
         idempotency_key, until, answers = b"%032x" % 7, clock.monotonic() + 20.0, list[list[bytes]]()
         while clock.monotonic() < until and [one[1] for one in answers] != [b"OK"]:
-            answers = [ask(stage, "m0", b"%016x" % (clock.monotonic_ns() % (1 << 60)), idempotency_key)]
-        answers.append(ask(stage, "m1", b"%016x" % 2, idempotency_key))
+            answers = [
+                send_record(stage, "m0", b"%016x" % (clock.monotonic_ns() % (1 << 60)), idempotency_key)
+            ]
+        answers.append(send_record(stage, "m1", b"%016x" % 2, idempotency_key))
         stage.processes["m0"].kill()
-        answers.append(ask(stage, "m2", b"%016x" % 3, idempotency_key))
+        answers.append(send_record(stage, "m2", b"%016x" % 3, idempotency_key))
         assert [one[1] for one in answers] == [b"OK"] * 3 and len({one[3] for one in answers}) == 1, answers
         begun = sum(word == "begin" for name in stage.names for word, _, _ in rig.runs(name))
         assert begun == 1
@@ -318,7 +320,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         ("copies: 4", "odd is wanted"),
         ("claim-within-s: 0.1", "at least twice repeat-after-s"),
@@ -326,10 +328,10 @@
         ("cold: maybe", "cold"),
     ],
 )
-def test_faults_of_the_section_are_reported_by_key(tmp_path: Path, text: str, says: str) -> None:
+def test_faults_of_the_section_are_reported_by_key(tmp_path: Path, text: str, message: str) -> None:
     file = tmp_path / "features.yaml"
     file.write_text(f"version: 1\n\nreplication:\n  {text}\n")
-    with pytest.raises(FaultyFeaturesError, match=says):
+    with pytest.raises(FaultyFeaturesError, match=message):
         read(file)
 
 
@@ -372,7 +374,7 @@
 @given(st.binary(max_size=60))
 def test_invalid_data_is_counted_and_dropped(data: bytes) -> None:
     fleet = Servers()
-    fleet.wires["a"].handler("b", data)
+    fleet.connections["a"].handler("b", data)
     assert fleet.counts["replication_bad"] == 1
 
 
--- a/tests/test_session_router.py
+++ b/tests/test_session_router.py
@@ -8,7 +8,7 @@
 from typing import Any, cast
 
 import pytest
-from test_replication_service import Time, Told
+from test_replication_service import FakeScheduler, RecordingCaller
 
 from sablewheel.forwarding.forwarding_state import Passing
 from sablewheel.forwarding.service import Forward
@@ -31,7 +31,7 @@
 TENANTS = {b"regina": Tenant(10.0)}
 
 
-class Clock(Time):
+class Clock(FakeScheduler):
     def read(self) -> float:
         return self.now
 
@@ -41,7 +41,7 @@
 
     hop = 0.001
 
-    def __init__(self, time: Time, name: str, all_of_them: dict[str, Wires]) -> None:
+    def __init__(self, time: FakeScheduler, name: str, all_of_them: dict[str, Wires]) -> None:
         self.time, self.name, self.others, self.cut = time, name, all_of_them, set[str]()
         self.handlers: dict[str, Callable[[str, bytes], None]] = {}
         all_of_them[name] = self
@@ -63,7 +63,9 @@
 class Server:
     """One server: the dispatch is `arrived` here, which runs all at once and ends when told."""
 
-    def __init__(self, time: Time, name: str, wires: dict[str, Wires], view: View, **keys: Any) -> None:
+    def __init__(
+        self, time: FakeScheduler, name: str, wires: dict[str, Wires], view: View, **keys: Any
+    ) -> None:
         self.time, self.name, self.links = time, name, Wires(time, name, wires)
         self.counts, self.running, self.left = Counter[str](), list[Exchange](), 0
         scheduler, clock = cast(Any, time), lambda: time.now
@@ -148,8 +150,8 @@
 
     def bring(
         self, at: str, request_class: bytes = b"record", subject: str = "kiosk-1"
-    ) -> tuple[Exchange, Told]:
-        told, server, self.names = Told(), self.servers[at], self.names + 1
+    ) -> tuple[Exchange, RecordingCaller]:
+        told, server, self.names = RecordingCaller(), self.servers[at], self.names + 1
         idempotency_key = b"%032x" % self.names if request_class == b"record" else None
         request = Request(
             REQUEST_CLASSES[request_class],
@@ -239,7 +241,7 @@
     _, rejected = three.bring(other)
     three.bring(other, b"lookup")
     three.time.run(0.5)
-    assert rejected.answers == [("denied", b"", 0.2)]
+    assert rejected.answers == [("rejected", b"", 0.2)]
     assert three.running() == {owner: 2, other: 1}
 
 
