--- a/tests/stories/test_replication_stories.py
+++ b/tests/stories/test_replication_stories.py
@@ -28,8 +28,8 @@
     def server_named(self, words: str) -> str:
         if words in NAMES:
             return words
-        if words.endswith(" holder"):
-            return self.holders[ORDER[words.removeprefix("the ").removesuffix(" holder")]]
+        if words.endswith(" replica"):
+            return self.holders[ORDER[words.removeprefix("the ").removesuffix(" replica")]]
         return self.others[words == "yet another server"]
 
     def send_record(self, at: str, takes: float = 0.05, stays: bool = True, wait: float = 0.4) -> None:
@@ -68,7 +68,7 @@
     assert all(one.verdict == "completed" for one in story.send_records(200, "other"))
 
 
-@given("holders that take 3 entries only")
+@given("replicas that take 3 entries only")
 def _small(story: Story) -> None:
     for name in NAMES:
         story.stage.core(name).store._max_entries = 3
@@ -77,26 +77,26 @@
 # -- requests
 
 
-@when(parsers.re(r"the record comes to (?P<who>(?!all).+?)(?: and takes (?P<takes>\d+) seconds?)?$"))
-@when(parsers.re(r"it comes again at (?P<who>.+)$"))
+@when(parsers.re(r"the record is sent to (?P<who>(?!all).+?)(?: and takes (?P<takes>\d+) seconds?)?$"))
+@when(parsers.re(r"it is retried at (?P<who>.+)$"))
 def _comes(story: Story, who: str, takes: str | None = None) -> None:
     if who.endswith(" and never ends there"):
         return story.send_record(who.removesuffix(" and never ends there"), stays=False)
     story.send_record(who, float(takes or 0.05))
 
 
-@when("the record comes to all servers at one moment")
+@when("the record is sent to all servers at one moment")
 def _to_all(story: Story) -> None:
     story.requests += [story.stage.come(name, "record") for name in NAMES]
     story.stage.fleet.run(1.0)
 
 
-@when(parsers.re(r"(?P<many>\d+) more records come to all servers"))
+@when(parsers.re(r"(?P<many>\d+) more records are sent to all servers"))
 def _more(story: Story, many: str) -> None:
     story.later_requests = story.send_records(int(many), "more")
 
 
-@when("a ticket of another label comes to b")
+@when("a request with another key is sent to b")
 def _another(story: Story) -> None:
     story.later_requests = [story.stage.come("b", "another")]
     story.stage.fleet.run(1.0)
@@ -120,18 +120,18 @@
     story.stage.fleet.crash(who)
 
 
-@when(parsers.re(r"(?P<who>.) starts again with nothing"))
+@when(parsers.re(r"(?P<who>.) starts again with an empty store"))
 def _starts(story: Story, who: str) -> None:
     story.stage.start(who)
 
 
-@when(parsers.re(r"the fleet knows (?P<who>.) anew"))
+@when(parsers.re(r"the fleet admits (?P<who>.) again"))
 def _anew(story: Story, who: str) -> None:
     story.stage.view(NAMES)
     story.stage.fleet.run(0.5)
 
 
-@when(parsers.re(r"the fleet takes (?P<who>.) out"))
+@when(parsers.re(r"the fleet removes (?P<who>.)"))
 def _out(story: Story, who: str) -> None:
     story.stage.view(set(NAMES) - {who})
     story.stage.fleet.run(0.3)
@@ -144,23 +144,23 @@
     story.stage.fleet.run(1.0)
 
 
-@when(parsers.re(r"(?P<who>the .+ holder) is killed and comes back with nothing"))
+@when(parsers.re(r"(?P<who>the .+ replica) is killed and comes back with an empty store"))
 def _cold(story: Story, who: str) -> None:
     story.restart_empty(story.server_named(who))
     assert story.stage.settle()
 
 
-@when("the first and the second holder come back with nothing at one moment")
+@when("the first and the second replica come back with an empty store at one moment")
 def _two_cold(story: Story) -> None:
     story.restart_empty(*story.holders[:2])
 
 
-@when("the first and the second holder leave in order at one moment")
+@when("the first and the second replica leave in order at one moment")
 def _two_leave(story: Story) -> None:
     story.stage.view(set(NAMES) - set(story.holders[:2]), to=NAMES)
 
 
-@when("the first and the second holder are gone at one moment")
+@when("the first and the second replica are gone at one moment")
 def _two_gone(story: Story) -> None:
     for name in story.holders[:2]:
         story.stage.fleet.crash(name)
@@ -174,7 +174,7 @@
     story.stage.view(set(NAMES) - {story.holders[1]})
 
 
-@when("all servers come back with nothing")
+@when("all servers come back with an empty store")
 def _all_cold(story: Story) -> None:
     for name in NAMES:
         story.stage.fleet.crash(name)
@@ -182,14 +182,14 @@
     story.stage.view(NAMES)
 
 
-@when("one after another leaves and comes back with nothing")
+@when("one after another leaves and comes back with an empty store")
 def _one_by_one(story: Story) -> None:
     for name in NAMES:
         story.restart_empty(name)
         assert story.stage.settle()
 
 
-@when("the zone of the first holder is lost")
+@when("the zone of the first replica is lost")
 def _zone(story: Story) -> None:
     name = story.holders[0]
     story.stage.fleet.crash(name)
@@ -240,7 +240,7 @@
             link.drop, link.double = 0.33, 0.2
 
 
-@when("the first holder leaves, and only the second holder hears of it for 1 second")
+@when("the first replica leaves, and only the second replica hears of it for 1 second")
 def _late_view(story: Story) -> None:
     gone, hears = story.holders[:2]
     rest = set(NAMES) - {gone}
@@ -249,7 +249,7 @@
     story.stage.fleet.later(1.0, lambda: story.stage.tell_view(rest - {hears}))
 
 
-@when("the first holder comes back with nothing, and is cut off in the middle of its catch-up")
+@when("the first replica comes back with an empty store, and is cut off in the middle of its catch-up")
 def _cut_catching_up(story: Story) -> None:
     name = story.holders[0]
     story.stage.settings = replace(story.stage.settings, batch_size=4)
@@ -260,13 +260,13 @@
     story.stage.fleet.cut([name], set(NAMES) - {name})
 
 
-@when("one holder loses the record's entry")
+@when("one replica loses the record's entry")
 def _loses(story: Story) -> None:
     core = story.stage.core(story.holders[1])
     core.store.drop(core.slot_of(b"record"))
 
 
-@when("one holder has an outcome that nobody else knows")
+@when("one replica has an outcome that nobody else knows")
 def _drifts(story: Story) -> None:
     core = story.stage.core(story.holders[1])
     held = story.stage.held(core.name, "record")
@@ -284,7 +284,7 @@
     story.stage.answer(story.writes[-1])
 
 
-@when(parsers.re(r"a record of that session comes to (?P<who>.) under number (?P<number>\d)"))
+@when(parsers.re(r"a record of that session is sent to (?P<who>.) under number (?P<number>\d)"))
 def _under(story: Story, who: str, number: str) -> None:
     story.stage.group = lambda idempotency_key: b"session"
     story.later_requests = [story.stage.come(who, "of the session", under=int(number))]
@@ -294,7 +294,7 @@
 # -- what must be so
 
 
-@then("the record ran once, and all who waited got its answer")
+@then("the record ran once, and all waiting requests got its answer")
 def _same(story: Story) -> None:
     assert story.stage.runs["record"] == 1 and not story.stage.wrong()
     assert [one.verdict for one in story.requests if one.verdict != "denied"], story.requests
@@ -303,7 +303,7 @@
     assert story.requests[-1].verdict == "completed"
 
 
-@then("the record ran once, and who came last got its answer")
+@then("the record ran once, and the last request got its answer")
 def _last(story: Story) -> None:
     assert story.stage.runs["record"] == 1
     assert (story.requests[-1].verdict, story.requests[-1].result) == (
@@ -333,12 +333,12 @@
     assert story.stage.runs["record"] == 2 and len(story.stage.ran_by["record"]) == 2
 
 
-@then("who came last was given an error, and not a denial")
+@then("the last request failed, and was not rejected")
 def _error(story: Story) -> None:
     assert story.requests[-1].verdict == "terminated"
 
 
-@then("who came last was denied, or got the answer")
+@then("the last request was rejected, or got the answer")
 def _rejected(story: Story) -> None:
     one = story.requests[-1]
     assert one.verdict == "denied" or one.result == story.stage.results["record"], one
@@ -349,12 +349,12 @@
     assert [one.verdict for one in story.later_requests] == ["completed"]
 
 
-@then("every server counts again for all that it holds")
+@then("every server is ready again for all its ranges")
 def _ready(story: Story) -> None:
     assert story.stage.settle(3.0), story.stage.unready()
 
 
-@then("the cut-off one counts for nothing yet")
+@then("the cut-off one is not ready yet")
 def _not_yet(story: Story) -> None:
     core = story.stage.core(story.holders[0])
     assert core.ranges.unready and not core.is_ready(max(core.ranges.unready))
@@ -366,7 +366,7 @@
     assert all(story.stage.runs[one.idempotency_key] == 1 for one in story.later_requests)
 
 
-@then("each of these ran at most once, and some were denied")
+@then("each of these ran at most once, and some were rejected")
 def _some_rejected(story: Story) -> None:
     verdicts = {one.verdict for one in story.later_requests}
     assert "denied" in verdicts and not story.stage.wrong()
@@ -375,14 +375,14 @@
     )
 
 
-@then("every holder has the record's outcome")
+@then("every replica has the record's outcome")
 def _repaired(story: Story) -> None:
     for name in story.holders:
         held = story.stage.held(name, "record")
         assert held is not None and held.outcomes[0].result == story.stage.results["record"]
 
 
-@then("both outcomes are on every holder, and were told with their evidence")
+@then("both outcomes are on every replica, and were logged with their evidence")
 def _both(story: Story) -> None:
     held = {story.stage.held(name, "record") for name in story.holders}
     assert {len(one.outcomes) for one in held if one is not None} == {2}
@@ -390,7 +390,7 @@
     assert told and all("worked" in str(note.fields["outcomes"]) for note in told)
 
 
-@then("it comes again, and is not run")
+@then("a retry is not run")
 def _again(story: Story) -> None:
     story.send_record("another server")
     assert story.stage.runs["record"] == 1 and story.requests[-1].verdict == "completed"
@@ -406,7 +406,7 @@
     assert [story.stage.answers[ref].status for ref in story.writes] == ["won", "won", "stale"]
 
 
-@then("that record was denied, and never ran")
+@then("that record was rejected, and never ran")
 def _fenced(story: Story) -> None:
     assert story.later_requests[0].verdict == "denied" and not story.stage.runs["of the session"]
 
