--- a/sablewheel/usage_metering/recorder.py
+++ b/sablewheel/usage_metering/recorder.py
@@ -18,8 +18,8 @@
 from ..serving.exchange import Caller, Exchange, Place
 from ..storage import log as durable
 from ..storage.files import DiskFiles
-from ..storage.health import Disk
-from ..storage.store import Store
+from ..storage.group_commit import GroupCommitLog
+from ..storage.health import DiskState
 from ..transport.background import Background
 from ..transport.scheduler import Scheduler
 from ..transport.worker_thread import Bridge
@@ -48,7 +48,7 @@
         self.flagged: set[bytes] = set()
         self.positions = BlockIndex()
 
-    def note_block(self, _: int, payload: bytes, place: durable.Place) -> None:
+    def note_block(self, _: int, payload: bytes, place: durable.LogPosition) -> None:
         """Note one block of the log that is recovered."""
         block = pb.Block.FromString(payload)
         self.positions.note(place, block.incarnation, block.number)
@@ -94,12 +94,12 @@
         self._durable_sequence = self._marked = 0
         self._cut_at = scheduler.clock.now
         self._leaving = False
-        self._store: Store | None = None
+        self._store: GroupCommitLog | None = None
         self._bridge: Bridge | None = None
         self._shared = bridge is not None  # then its owner closes it, behind all who use it
         self._sender: ExportSender | None = None
         self._tracks: dict[bytes, str] = {}
-        self.recovery = durable.Recovery()
+        self.recovery = durable.RecoveryReport()
         self._waits = plan.depth is Depth.DURABLE and plan.answers is Answers.AFTER_ENTRY
         predecessors = EarlierIncarnations()
         if plan.depth is Depth.DURABLE:
@@ -108,7 +108,7 @@
             self.recovery = records.recover(predecessors.note_block)
             self._log_recovery(predecessors)
             self._bridge = bridge or Bridge(scheduler)
-            self._store = Store(
+            self._store = GroupCommitLog(
                 scheduler, self._bridge, records, SLOW_COMMIT_S, self._fenced, self._disk_changed
             )
         if plan.export is not None:
@@ -148,7 +148,11 @@
         run = first if first is not None else exchange
         billed, run.billed = not run.billed, True
         sequence = self._note(exchange, pb.COMPLETED, run if billed else None, len(result), first)
-        if not self._waits or self._store is None or self._store.disk in (Disk.FULL, Disk.FAILING):
+        if (
+            not self._waits
+            or self._store is None
+            or self._store.disk_state in (DiskState.FULL, DiskState.FAILING)
+        ):
             if self._waits:
                 self._count("ledger_answers_ahead")
             return caller.completed(exchange, result)
@@ -217,7 +221,7 @@
         aged = self._scheduler.clock.now - self._cut_at >= self._plan.block_every
         return aged or self._leaving or self._entries_buffer.kept >= FULL_BLOCK_ENTRIES
 
-    def _seal_durably(self, store: Store) -> None:
+    def _seal_durably(self, store: GroupCommitLog) -> None:
         now = self._scheduler.clock.now
         if store.idle and (now >= self._cut_at + self._plan.commit_every or self._leaving):
             quiet = now - self._cut_at >= self._plan.block_every or self._leaving
@@ -268,9 +272,9 @@
             self._count("ledger_answers_ahead")
         one.caller.completed(one.exchange, one.result)
 
-    def _disk_changed(self, disk: Disk) -> None:
+    def _disk_changed(self, disk: DiskState) -> None:
         self._count(f"ledger_disk_{disk.value}")
-        if disk in (Disk.FULL, Disk.FAILING):
+        if disk in (DiskState.FULL, DiskState.FAILING):
             self._held.let_all_go()
 
     # -- the end
@@ -286,7 +290,7 @@
         if self._held or not self._entries_buffer.empty:
             return False
         if self._store is not None:
-            return self._store.settled and self._answered() <= self._marked
+            return self._store.all_durable and self._answered() <= self._marked
         return self._sender is None or not self._sender.exporter.unsettled
 
     def close(self, most: float) -> None:
@@ -329,7 +333,7 @@
             "ledger_held": len(self._held),
         }
         if self._store is not None:
-            told |= {"ledger_disk": self._store.disk.value, "ledger_disk_bytes": self._store.size}
+            told |= {"ledger_disk": self._store.disk_state.value, "ledger_disk_bytes": self._store.size_bytes}
         if self._sender is not None:
             told |= {
                 "ledger_link": self._sender.exporter.link.value,
--- a/sablewheel/usage_metering/sources.py
+++ b/sablewheel/usage_metering/sources.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable, Mapping
 from typing import Protocol
 
-from ..storage.log import START, Place
-from ..storage.store import Store
+from ..storage.group_commit import GroupCommitLog
+from ..storage.log import LOG_START, LogPosition
 from . import usage_metering_pb2 as pb
 from .aggregation import EntryBuffer
 from .blocks import SealedBlock, digest
@@ -81,13 +81,15 @@
 class DurableSource:
     """Reads the log, on the worker; what is in the journal may leave the disk."""
 
-    def __init__(self, store: Store, positions: BlockIndex, keep_bytes: int) -> None:
+    def __init__(self, store: GroupCommitLog, positions: BlockIndex, keep_bytes: int) -> None:
         self._store, self._positions, self._keep_bytes = store, positions, keep_bytes
-        self._place: Place = START
+        self._place: LogPosition = LOG_START
         self._have: dict[bytes, int] = {}
         self._reading = False
         self._turn = 0
-        self._places: deque[tuple[bytes, int, Place]] = deque()  # of what was offered and is not settled
+        self._places: deque[tuple[bytes, int, LogPosition]] = (
+            deque()
+        )  # of what was offered and is not settled
         self._released = 0
 
     def rewind(self, have: Mapping[bytes, tuple[int, bytes]]) -> None:
@@ -103,7 +105,7 @@
             return False
         turn = self._turn
 
-        def read(found: list[tuple[bytes, Place]], place: Place) -> None:
+        def read(found: list[tuple[bytes, LogPosition]], place: LogPosition) -> None:
             self._reading = False
             if turn != self._turn:
                 return deliver([], [])  # rewound meanwhile
@@ -115,7 +117,9 @@
         self._reading = self._store.read(self._place, min(most, MAX_READ_BYTES), read)
         return False  # what it finds is delivered, and asks for more then
 
-    def _select_blocks(self, found: list[tuple[bytes, Place]]) -> tuple[list[TellLost], list[SealedBlock]]:
+    def _select_blocks(
+        self, found: list[tuple[bytes, LogPosition]]
+    ) -> tuple[list[TellLost], list[SealedBlock]]:
         lost: list[TellLost] = []
         blocks: list[SealedBlock] = []
         for data, place in found:
@@ -140,14 +144,16 @@
 
     def settled(self, block: SealedBlock) -> None:
         """See `BlockSource.settled`."""
-        place: Place | None = None
+        place: LogPosition | None = None
         while self._places:
             incarnation, number, here = self._places[0]
             place = here
             self._places.popleft()
             if (incarnation, number) == (block.incarnation, block.number):
                 break
-        self._positions.forget_before(self._store.front)  # or the index would grow with all that ever was
+        self._positions.forget_before(
+            self._store.first_segment
+        )  # or the index would grow with all that ever was
         if place is not None and place.segment > self._released:
             self._released = place.segment
             self._store.release(place, self._keep_bytes)
--- a/tests/test_replication_service.py
+++ b/tests/test_replication_service.py
@@ -1,4 +1,4 @@
-"""Replication's shell on made links: what a try is told, and when; packets that are none."""
+"""The replication service on fake connections: answers and their times; invalid packets."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 from sablewheel.overload.interface import Outcome as Ended
 from sablewheel.program.feature_file import FaultyFeaturesError, read
 from sablewheel.protocol.resp import Parser
-from sablewheel.replication import codec, messages
-from sablewheel.replication.entries import EMPTY, Entry, Outcome
+from sablewheel.replication import codec, messages, packet_fields
+from sablewheel.replication.entries import EMPTY, Entry, Outcome, OutcomeStatus
 from sablewheel.replication.placement import Site
 from sablewheel.replication.plan import ReplicationPlan, Settings
-from sablewheel.replication.service import Keeper
+from sablewheel.replication.service import ReplicationService
 from sablewheel.serving.exchange import Caller, Exchange, Place
 from sablewheel.serving.hooks import NO_RESULT_STORE
 from sablewheel.transport.scheduler import Scheduler
@@ -40,15 +40,15 @@
 
 
 @dataclass
-class Time:
-    """The scheduler's part that the keeper uses, with a made clock."""
+class FakeScheduler:
+    """The part of the scheduler that the service uses, with a fake clock."""
 
     now: float = 100.0
     queue: list[tuple[float, int, Callable[[], None]]] = field(default_factory=list)
     turn: int = 0
 
     @property
-    def clock(self) -> Time:
+    def clock(self) -> FakeScheduler:
         return self
 
     def after(self, span: float, do: Callable[[], None]) -> Any:
@@ -66,26 +66,26 @@
         self.now = end
 
 
-class Wires:
-    """Links that lose nothing but where they are cut."""
+class FakeConnections:
+    """Connections that lose nothing unless they are cut."""
 
-    def __init__(self, time: Time, name: str, all_of_them: dict[str, Wires]) -> None:
-        self.time, self.name, self.others, self.cut = time, name, all_of_them, False
+    def __init__(self, time: FakeScheduler, name: str, all_connections: dict[str, FakeConnections]) -> None:
+        self.time, self.name, self.others, self.is_cut = time, name, all_connections, False
         self.handler: Callable[[str, bytes], None] = lambda sender, payload: None
-        all_of_them[name] = self
+        all_connections[name] = self
 
     def on(self, kind: str, handler: Callable[[str, bytes], None], parted: bool = False) -> None:
         self.handler = handler
 
     def send(self, to: str, kind: str, payload: bytes, within: float) -> bool:
         peer = self.others[to]
-        if not self.cut and not peer.cut:
-            self.time.after(0.001, lambda: None if peer.cut else peer.handler(self.name, payload))
-        return not self.cut
+        if not self.is_cut and not peer.is_cut:
+            self.time.after(0.001, lambda: None if peer.is_cut else peer.handler(self.name, payload))
+        return not self.is_cut
 
 
-class Told:
-    """Whoever waits for an answer."""
+class RecordingCaller:
+    """A caller that records its answers."""
 
     def __init__(self) -> None:
         self.answers: list[tuple[str, bytes, float]] = []
@@ -94,37 +94,37 @@
         self.answers.append(("completed", result, 0.0))
 
     def rejected(self, exchange: Exchange, retry_after_s: float, no_retry_elsewhere: bool) -> None:
-        self.answers.append(("denied", b"", retry_after_s))
+        self.answers.append(("rejected", b"", retry_after_s))
 
     def failed(self, exchange: Exchange) -> None:
-        self.answers.append(("terminated", b"", 0.0))
+        self.answers.append(("failed", b"", 0.0))
 
 
 class Servers:
-    """Three keepers; the dispatch is what is written here."""
+    """Three replication services, with a dispatcher of their own."""
 
-    def __init__(self, **keys: Any) -> None:
-        self.time, self.wires, self.counts = Time(), {}, Counter[str]()  # type: ignore[var-annotated]
-        self.keepers: dict[str, Keeper] = {}
+    def __init__(self, **plan: Any) -> None:
+        self.time, self.connections, self.counts = FakeScheduler(), {}, Counter[str]()  # type: ignore[var-annotated]
+        self.services: dict[str, ReplicationService] = {}
         self.runs: list[tuple[str, Exchange]] = []
         self.billed: list[bool] = []
-        replica = Settings(longest=9.0, cold_waits=False, slots=8)
+        replica = Settings(max_lifetime_s=9.0, waits_after_cold_start=False, slots=8)
         for name in NAMES:
-            self.keepers[name] = Keeper(
+            self.services[name] = ReplicationService(
                 cast(Scheduler, self.time),
-                Wires(self.time, name, self.wires),
-                ReplicationPlan(replica, **keys),
+                FakeConnections(self.time, name, self.connections),
+                ReplicationPlan(replica, **plan),
                 name,
                 1,
                 NO_RESULT_STORE,
                 self,
-                self.never_begun(name),
+                self.never_started(name),
                 self.count,
                 clock=lambda: self.time.now,
             )
         self.view = View(1, tuple(Member(name, "", f"z{name}", "", 1) for name in NAMES))
-        for keeper in self.keepers.values():
-            keeper.view(self.view)
+        for service in self.services.values():
+            service.view(self.view)
         self.time.run(1.0)
 
     def count(self, name: str) -> None:
@@ -138,152 +138,152 @@
     def failed(self, exchange: Exchange) -> None: ...
     def gone(self, exchange: Exchange) -> None: ...
 
-    def never_begun(self, name: str) -> Callable[[Exchange], None]:
-        def moot(exchange: Exchange) -> None:
+    def never_started(self, name: str) -> Callable[[Exchange], None]:
+        def end_unstarted(exchange: Exchange) -> None:
             exchange.place = Place.OVER
-            self.keepers[name].ended(exchange, Ended.NEVER_STARTED, b"")
+            self.services[name].ended(exchange, Ended.NEVER_STARTED, b"")
 
-        return moot
+        return end_unstarted
 
-    def come(
+    def send_request(
         self, name: str, idempotency_key: bytes = b"label", body: bytes = b"body"
-    ) -> tuple[Exchange, Told]:
-        told, now = Told(), self.time.now
+    ) -> tuple[Exchange, RecordingCaller]:
+        caller, now = RecordingCaller(), self.time.now
         request = Request(RECORD, Client(), None, now, 0.0)
         request.deadline = now + 2.0
         exchange = Exchange(
-            b"%d" % id(told), b"record", body, 0, idempotency_key, request, told, self.keepers[name]
+            b"%d" % id(caller), b"record", body, 0, idempotency_key, request, caller, self.services[name]
         )
-        self.keepers[name].prepare(exchange)
+        self.services[name].prepare(exchange)
         if request.key_capacity_in_s:
             exchange.reject(request.key_capacity_in_s, False)
-            return exchange, told
+            return exchange, caller
         exchange.place = Place.RUNNING
-        self.keepers[name].before_run(exchange, lambda one: self.runs.append((name, one)))
-        return exchange, told
+        self.services[name].before_run(exchange, lambda one: self.runs.append((name, one)))
+        return exchange, caller
 
-    def end(self, result: bytes = b"result", outcome: Ended = Ended.SUCCEEDED) -> None:
-        """The last run that began is over, as the dispatch has it."""
+    def end_run(self, result: bytes = b"result", outcome: Ended = Ended.SUCCEEDED) -> None:
+        """End the run that began last, as the dispatcher does."""
         name, exchange = self.runs[-1]
-        self.keepers[name].ended(exchange, outcome, result)
+        self.services[name].ended(exchange, outcome, result)
         if outcome is Ended.SUCCEEDED:
             exchange.complete(result)
         else:
             exchange.fail()
         exchange.place = Place.OVER
 
-    def cut(self, name: str, cut: bool = True) -> None:
-        self.wires[name].cut = cut
+    def disconnect(self, name: str, is_cut: bool = True) -> None:
+        self.connections[name].is_cut = is_cut
 
 
-def test_the_answer_waits_for_a_majority_and_repeats_elsewhere_get_its_bytes() -> None:
+def test_the_answer_waits_for_a_majority_and_retries_elsewhere_get_its_bytes() -> None:
     fleet = Servers()
-    _, first = fleet.come("a")
+    _, first = fleet.send_request("a")
     assert not fleet.runs
     fleet.time.run(0.1)
     assert len(fleet.runs) == 1
-    _, again = fleet.come("b")
-    fleet.end()
+    _, again = fleet.send_request("b")
+    fleet.end_run()
     assert first.answers == []
     fleet.time.run(0.5)
     assert first.answers == again.answers == [("completed", b"result", 0.0)]
     assert len(fleet.runs) == 1 and fleet.billed == [True, False]
-    _, late = fleet.come("c")
+    _, late = fleet.send_request("c")
     fleet.time.run(0.1)
     assert late.answers == first.answers and len(fleet.runs) == 1
 
 
-def test_an_answer_leaves_once_when_its_bound_has_passed_and_the_majority_comes_later() -> None:
-    fleet = Servers(hold_most=0.2)
-    _, first = fleet.come("a")
+def test_a_held_answer_is_sent_once_when_the_majority_comes_after_its_bound() -> None:
+    fleet = Servers(max_answer_wait_s=0.2)
+    _, first = fleet.send_request("a")
     fleet.time.run(0.1)
-    fleet.cut("a")
-    fleet.end()
+    fleet.disconnect("a")
+    fleet.end_run()
     fleet.time.run(0.19)
     assert first.answers == []
     fleet.time.run(0.02)
     assert len(first.answers) == 1 and fleet.counts["replication_answers_ahead"] == 1
-    fleet.cut("a", False)
+    fleet.disconnect("a", False)
     fleet.time.run(1.5)
-    assert len(first.answers) == 1 and not fleet.keepers["a"]._unstored
+    assert len(first.answers) == 1 and fleet.services["a"].pending_answers.is_empty
 
 
-def test_without_a_majority_it_is_rejected_before_it_runs_and_the_next_at_the_door() -> None:
+def test_without_a_majority_a_request_never_runs_and_the_next_is_rejected_on_arrival() -> None:
     fleet = Servers()
-    fleet.cut("a")
-    _, first = fleet.come("a")
+    fleet.disconnect("a")
+    _, first = fleet.send_request("a")
     fleet.time.run(0.5)
-    assert [kind for kind, _, _ in first.answers] == ["denied"] and first.answers[0][2] > 0
-    _, second = fleet.come("a", b"other")
-    assert [kind for kind, _, _ in second.answers] == ["denied"] and not fleet.runs
-    fleet.cut("a", False)
+    assert [kind for kind, _, _ in first.answers] == ["rejected"] and first.answers[0][2] > 0
+    _, second = fleet.send_request("a", b"other")
+    assert [kind for kind, _, _ in second.answers] == ["rejected"] and not fleet.runs
+    fleet.disconnect("a", False)
     fleet.time.run(1.0)
-    _, third = fleet.come("a", b"third")
+    _, third = fleet.send_request("a", b"third")
     fleet.time.run(0.1)
     assert len(fleet.runs) == 1 and third.answers == []
 
 
-def test_what_may_run_elsewhere_ends_in_an_error_and_is_not_rejected() -> None:
+def test_a_request_that_may_run_elsewhere_fails_and_is_not_rejected() -> None:
     fleet = Servers()
-    fleet.come("a")
+    fleet.send_request("a")
     fleet.time.run(0.1)
-    fleet.cut("a")
-    _, again = fleet.come("b")
+    fleet.disconnect("a")
+    _, again = fleet.send_request("b")
     fleet.time.run(1.9)
     assert again.answers == []
     fleet.time.run(0.2)
-    assert [kind for kind, _, _ in again.answers] == ["terminated"]
-    fleet.cut("c")  # b alone: a copy says that it may have run
+    assert [kind for kind, _, _ in again.answers] == ["failed"]
+    fleet.disconnect("c")  # b alone: a copy message that it may have run
     fleet.time.run(0.2)
-    _, third = fleet.come("b")
+    _, third = fleet.send_request("b")
     fleet.time.run(2.1)
-    assert [kind for kind, _, _ in third.answers] == ["terminated"] and len(fleet.runs) == 1
+    assert [kind for kind, _, _ in third.answers] == ["failed"] and len(fleet.runs) == 1
 
 
-def test_a_failed_run_is_an_error_everywhere() -> None:
+def test_a_failed_run_is_an_error_on_all_servers() -> None:
     fleet = Servers()
-    fleet.come("a")
+    fleet.send_request("a")
     fleet.time.run(0.1)
-    fleet.end(b"", Ended.ERROR)
+    fleet.end_run(b"", Ended.ERROR)
     fleet.time.run(0.2)
-    _, again = fleet.come("b")
+    _, again = fleet.send_request("b")
     fleet.time.run(0.1)
-    assert [kind for kind, _, _ in again.answers] == ["terminated"] and len(fleet.runs) == 1
+    assert [kind for kind, _, _ in again.answers] == ["failed"] and len(fleet.runs) == 1
 
 
-def test_a_idempotency_key_with_another_body_ends_in_an_error_at_once() -> None:
+def test_an_idempotency_key_with_another_body_fails_at_once() -> None:
     fleet = Servers()
-    fleet.come("a")
+    fleet.send_request("a")
     fleet.time.run(0.1)
-    _, other = fleet.come("b", body=b"another body")
+    _, other = fleet.send_request("b", body=b"another body")
     fleet.time.run(0.1)
-    assert [kind for kind, _, _ in other.answers] == ["terminated"]
+    assert [kind for kind, _, _ in other.answers] == ["failed"]
     assert fleet.counts["replication_differs"] == 1
 
 
-def test_who_left_before_its_claim_was_won_leaves_the_idempotency_key_free() -> None:
+def test_a_request_discarded_before_its_claim_is_won_releases_the_key() -> None:
     fleet = Servers()
-    exchange, _ = fleet.come("a")
+    exchange, _ = fleet.send_request("a")
     exchange.discard()
     fleet.time.run(0.3)
     assert not fleet.runs
-    fleet.come("b")
+    fleet.send_request("b")
     fleet.time.run(0.3)
     assert [name for name, _ in fleet.runs] == ["b"]
 
 
-def test_a_view_may_say_that_a_member_never_comes_back() -> None:
+def test_a_view_names_members_that_never_come_back() -> None:
     fleet = Servers()
     view = View(2, fleet.view.members[:2], (Fact("gone/c", "1"),))
-    fleet.keepers["a"].view(view)
-    assert fleet.keepers["a"].replica.ranges.gone == {("c", 1)}
+    fleet.services["a"].view(view)
+    assert fleet.services["a"].replica.ranges.removed == {("c", 1)}
 
 
 # -- real servers
 
 
-def ask(stage: Replicas, name: str, request: bytes, idempotency_key: bytes) -> list[bytes]:
-    """The words of the answer to one try of a record, at one server."""
+def send_record(stage: Replicas, name: str, request: bytes, idempotency_key: bytes) -> list[bytes]:
+    """The words of the answer to one request of a record, at one server."""
     with socket.create_connection((stage.host(name), LISTEN), 5.0) as peer:
         peer.settimeout(5.0)
         peer.sendall(wire.call(7, request, b"record", clock.time(), b"body", b"regina", idempotency_key))
@@ -295,7 +295,7 @@
     return []
 
 
-def test_three_servers_answer_one_idempotency_key_alike_also_when_the_first_is_killed() -> None:
+def test_three_servers_answer_one_key_alike_after_the_first_is_killed() -> None:
     with Rig(1) as rig, closing(Block()) as block:
         stage = Replicas(rig, block.second, "ours", 0, 3, 1, zones=3, keys=KEYS)
         stage.cold = "run"
@@ -306,10 +306,12 @@
         assert stage.wait_agreed(stage.names, 20.0) is not None, stage.processes["m0"].tail()
         idempotency_key, until, answers = b"%032x" % 7, clock.monotonic() + 20.0, list[list[bytes]]()
         while clock.monotonic() < until and [one[1] for one in answers] != [b"OK"]:
-            answers = [ask(stage, "m0", b"%016x" % (clock.monotonic_ns() % (1 << 60)), idempotency_key)]
-        answers.append(ask(stage, "m1", b"%016x" % 2, idempotency_key))
+            answers = [
+                send_record(stage, "m0", b"%016x" % (clock.monotonic_ns() % (1 << 60)), idempotency_key)
+            ]
+        answers.append(send_record(stage, "m1", b"%016x" % 2, idempotency_key))
         stage.processes["m0"].kill()
-        answers.append(ask(stage, "m2", b"%016x" % 3, idempotency_key))
+        answers.append(send_record(stage, "m2", b"%016x" % 3, idempotency_key))
         assert [one[1] for one in answers] == [b"OK"] * 3 and len({one[3] for one in answers}) == 1, answers
         begun = sum(word == "begin" for name in stage.names for word, _, _ in rig.runs(name))
         assert begun == 1
@@ -318,7 +320,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         ("copies: 4", "odd is wanted"),
         ("claim-within-s: 0.1", "at least twice repeat-after-s"),
@@ -326,63 +328,63 @@
         ("cold: maybe", "cold"),
     ],
 )
-def test_faults_of_the_section_are_told_by_key(tmp_path: Path, text: str, says: str) -> None:
+def test_faults_of_the_section_are_reported_by_key(tmp_path: Path, text: str, message: str) -> None:
     file = tmp_path / "features.yaml"
     file.write_text(f"version: 1\n\nreplication:\n  {text}\n")
-    with pytest.raises(FaultyFeaturesError, match=says):
+    with pytest.raises(FaultyFeaturesError, match=message):
         read(file)
 
 
 # -- packets
 
-done = Outcome(1, ("a", 1, 1), "worked", b"r")
+done = Outcome(1, ("a", 1, 1), OutcomeStatus.SUCCEEDED, b"r")
 entry = Entry((1, 2, "a", 3), 4, ("b", 5, 6), b"value", b"d" * 16, True, (done,))
 key = ("labels", b"k")
-SOME: list[messages.Message] = [
+MESSAGES: list[messages.Message] = [
     messages.Prepare(1, 2, key, 3, (1, 2, "a", 3), 4.5, b"group", 6),
     messages.Promise(1, 2, (1, 2, "a", 3), entry),
     messages.Accept(1, 2, key, 3, entry, 4.5, b"group", 6),
     messages.Accepted(1, 2, (1, 2, "a", 3)),
-    messages.Refuse(1, 2, "full", (1, 2, "a", 3), (1, 1, "b", 3), entry),
+    messages.Refuse(1, 2, messages.RefusalReason.FULL, (1, 2, "a", 3), (1, 1, "b", 3), entry),
     messages.Push(1, 2, key, 3, entry, 4.5),
     messages.Pushed(1, 2),
     messages.Fetch(1, 2, key, 3),
     messages.Fetched(1, 2, EMPTY),
-    messages.AskPast(1, 0),
-    messages.Past(1, 2, 3, ((1, (Site("a", 1, "z", 1.5),)),)),
-    messages.Ask(1, ((2, (1 << 64) - 1),)),
-    messages.Told(1, 2, ((3, 4, True),)),
-    messages.Pull(1, 2, ("", b"")),
-    messages.Piece(1, 2, 3, 4, ((key, entry, 5.5),), True),
+    messages.RequestViews(1, 0),
+    messages.PastViews(1, 2, 3, ((1, (Site("a", 1, "z", 1.5),)),)),
+    messages.CompareRanges(1, ((2, (1 << 64) - 1),)),
+    messages.RangeStates(1, 2, ((3, 4, True),)),
+    messages.FetchRange(1, 2, ("", b"")),
+    messages.RangeChunk(1, 2, 3, 4, ((key, entry, 5.5),), True),
 ]
 
 
-@pytest.mark.parametrize("message", SOME, ids=lambda one: type(one).__name__)
-def test_each_packet_comes_back_as_it_was(message: messages.Message) -> None:
+@pytest.mark.parametrize("message", MESSAGES, ids=lambda one: type(one).__name__)
+def test_each_message_survives_encoding_and_decoding(message: messages.Message) -> None:
     data = codec.encode(message)
     assert codec.decode(data) == message
     for place in range(len(data)):
         try:
             codec.decode(data[:place] + bytes([data[place] ^ 0x55]) + data[place + 1 :])
-        except codec.BadPacketError:
+        except packet_fields.BadPacketError:
             continue
 
 
 @settings(max_examples=100)
 @given(st.binary(max_size=60))
-def test_what_is_no_packet_is_counted_and_dropped(data: bytes) -> None:
+def test_invalid_data_is_counted_and_dropped(data: bytes) -> None:
     fleet = Servers()
-    fleet.wires["a"].handler("b", data)
+    fleet.connections["a"].handler("b", data)
     assert fleet.counts["replication_bad"] == 1
 
 
-def test_packets_past_their_bounds_are_none() -> None:
-    with pytest.raises(codec.BadPacketError, match="1024 ranges and 3 copies"):
-        codec.decode(codec.encode(SOME[0], 1024, 3), 2048, 3)
-    long = messages.Fetch(1, 2, ("labels", b"k" * (codec.KEY_MOST + 1)), 3)
-    many = messages.Ask(1, ((2, 3),) * (codec.RANGES_MOST + 1))
+def test_packets_outside_their_bounds_are_refused() -> None:
+    with pytest.raises(packet_fields.BadPacketError, match="1024 ranges and 3 copies"):
+        codec.decode(codec.encode(MESSAGES[0], 1024, 3), 2048, 3)
+    long = messages.Fetch(1, 2, ("labels", b"k" * (packet_fields.MAX_KEY_BYTES + 1)), 3)
+    many = messages.CompareRanges(1, ((2, 3),) * (codec.MAX_RANGES + 1))
     never = messages.Push(1, 2, key, 3, entry, float("nan"))
     past: list[messages.Message] = [long, many, never]
     for one in past:
-        with pytest.raises(codec.BadPacketError):
+        with pytest.raises(packet_fields.BadPacketError):
             codec.decode(codec.encode(one))
