--- a/sablewheel/experiments/affinity_fleet.py
+++ b/sablewheel/experiments/affinity_fleet.py
@@ -17,34 +17,34 @@
 
 from ..membership.view import Fact, Member, View
 from ..overload.interface import Idempotency
-from ..session_affinity.binding import Binding, State
+from ..session_affinity.binding import Binding, BindingState
 from ..session_affinity.events import (
-    Active,
-    Answered,
-    Back,
-    Came,
-    Drain,
+    ClaimRefused,
+    DecisionReason,
+    DrainStarted,
     Event,
-    Got,
-    Here,
-    Loads,
-    Note,
-    Over,
-    Pass,
-    Read,
-    Refused,
-    Reject,
-    Returned,
-    Tick,
-    Unreached,
-    Verdict,
-    Viewed,
-    Why,
-    Write,
+    ForwardToOwner,
+    LoadsReported,
+    LogEvent,
+    MessageReceived,
+    OwnerUnreachable,
+    PolicyActivated,
+    ReadBinding,
+    RegisterAnswered,
+    RegisterVerdict,
+    RejectRequest,
+    RequestArrived,
+    RequestFinished,
+    RequestReturned,
+    ReturnToForwarder,
+    ServeLocally,
+    TimerFired,
+    ViewChanged,
+    WriteBinding,
 )
-from ..session_affinity.placement import Load
-from ..session_affinity.plan import Settings
-from ..session_affinity.sessions import Phase, Sessions
+from ..session_affinity.placement import ServerLoad
+from ..session_affinity.plan import AffinitySettings
+from ..session_affinity.sessions import OwnershipPhase, Sessions
 from .made_fleet import MadeFleet
 
 Key = str
@@ -70,19 +70,21 @@
     history: list[tuple[float, Binding]] = field(default_factory=list)
     fenced: bool = True  # claims below the binding's number are refused
 
-    def write(self, now: float, key: Key, expect: int, value: Binding) -> tuple[Verdict, Binding | None]:
+    def write(
+        self, now: float, key: Key, expect: int, value: Binding
+    ) -> tuple[RegisterVerdict, Binding | None]:
         held = self.bindings.get(key)
-        if (held.number if held is not None else 0) != expect:
-            return Verdict.LOST, held
+        if (held.fencing_number if held is not None else 0) != expect:
+            return RegisterVerdict.LOST, held
         self.bindings[key] = value
         self.history.append((now, value))
-        return Verdict.WON, value
+        return RegisterVerdict.WON, value
 
     def claim(self, key: Key, claim: Claim) -> tuple[str, int]:
         """`won`, `refused` with the number that stands there, or `running` if another has it."""
         held = self.bindings.get(key)
-        if self.fenced and held is not None and claim.number < held.number:
-            return "refused", held.number
+        if self.fenced and held is not None and claim.number < held.fencing_number:
+            return "refused", held.fencing_number
         if claim.idempotency_key in self.claims:
             return "known", 0
         self.claims[claim.idempotency_key] = claim
@@ -152,7 +154,7 @@
 class Claimed:
     """The register's answer to a claim that was asked for at `asked`."""
 
-    came: Came
+    came: RequestArrived
     claim: Claim
     verdict: str
     number: int
@@ -163,7 +165,7 @@
 class Begin:
     """Run it now; `claim` None: an idempotent one."""
 
-    came: Came
+    came: RequestArrived
     claim: Claim | None
 
 
@@ -171,7 +173,7 @@
 class Ask:
     """Claim its idempotency key."""
 
-    came: Came
+    came: RequestArrived
     claim: Claim
 
 
@@ -179,20 +181,20 @@
 class Free:
     """It was won, and will not run."""
 
-    came: Came
+    came: RequestArrived
     claim: Claim
 
 
-def idempotency_key_of(came: Came) -> str:
+def idempotency_key_of(came: RequestArrived) -> str:
     return f"{came.key}-{came.ref}"
 
 
 class Server:
     """Sessions and, beside them, the little that a server does with what they say."""
 
-    def __init__(self, name: str, incarnation: int, settings: Settings, now: float) -> None:
+    def __init__(self, name: str, incarnation: int, settings: AffinitySettings, now: float) -> None:
         self.sessions = Sessions(name, incarnation, settings, now)
-        self.requests: dict[int, Came] = {}
+        self.requests: dict[int, RequestArrived] = {}
 
     @property
     def wake_at(self) -> float:
@@ -201,27 +203,30 @@
     def step(self, now: float, event: Event | Claimed) -> list[Any]:
         if isinstance(event, Claimed):
             return self._claimed(now, event)
-        if isinstance(event, Came):
+        if isinstance(event, RequestArrived):
             self.requests[event.ref] = event
-        if isinstance(event, Unreached | Returned):
-            self.requests[event.came.ref] = event.came
-        if isinstance(event, Over):
+        if isinstance(event, OwnerUnreachable | RequestReturned):
+            self.requests[event.request.ref] = event.request
+        if isinstance(event, RequestFinished):
             self.requests.pop(event.ref, None)
-        return self._carry(now, self.sessions.step(now, event))
+        return self._carry(now, self.sessions.handle_event(now, event))
 
     def _carry(self, now: float, effects: list[Any]) -> list[Any]:
         out: list[Any] = []
         for effect in effects:
-            came = self.requests.get(effect.ref) if isinstance(effect, Here) else None
+            came = self.requests.get(effect.ref) if isinstance(effect, ServeLocally) else None
             if came is None:
-                if isinstance(effect, Reject | Back):
+                if isinstance(effect, RejectRequest | ReturnToForwarder):
                     self.requests.pop(effect.ref, None)
                 out.append(effect)
-            elif came.strict:
+            elif came.requires_owner:
                 me = self.sessions
                 out += [
                     effect,
-                    Ask(came, Claim(idempotency_key_of(came), me.me, me.incarnation, effect.number)),
+                    Ask(
+                        came,
+                        Claim(idempotency_key_of(came), me.node_name, me.incarnation, effect.fencing_number),
+                    ),
                 ]
             else:
                 out += [effect, Begin(came, None)]
@@ -232,17 +237,17 @@
         if came.ref not in self.requests:
             return [Free(came, said.claim)] if said.verdict == "won" else []
         if said.verdict == "refused":
-            return self._carry(now, self.sessions.step(now, Refused(came, said.number)))
+            return self._carry(now, self.sessions.handle_event(now, ClaimRefused(came, said.number)))
         if said.verdict == "won":
             if self.sessions.may_begin(now, came.key, said.claim.number, said.asked):
                 return [Begin(came, said.claim)]
             out: list[Any] = [Free(came, said.claim)]
         else:
             out = []
-        why = Why.NO_MAJORITY if said.verdict == "unreachable" else Why.STALE
+        why = DecisionReason.NO_MAJORITY if said.verdict == "unreachable" else DecisionReason.STALE
         del self.requests[came.ref]
-        rest = self.sessions.step(now, Over(came.ref, came.key))
-        return [*out, Reject(came.ref, 0.2, why), *self._carry(now, rest)]
+        rest = self.sessions.handle_event(now, RequestFinished(came.ref, came.key))
+        return [*out, RejectRequest(came.ref, 0.2, why), *self._carry(now, rest)]
 
 
 # -- the fleet
@@ -257,7 +262,7 @@
 class Request:
     """One as its tenant sees it."""
 
-    came: Came
+    came: RequestArrived
     at: str  # the server that its router brought it to
     outcome: str = ""  # completed, rejected or failed
     why: str = ""
@@ -271,15 +276,17 @@
 class World:
     """A fleet of servers under one agreed view, with requests, a register, and faults by name."""
 
-    def __init__(self, names: list[str], settings: Settings, seed: int = 1, warm_up: float = 10.0) -> None:
+    def __init__(
+        self, names: list[str], settings: AffinitySettings, seed: int = 1, warm_up: float = 10.0
+    ) -> None:
         self.settings, self.warm_up = settings, warm_up
-        self.fleet = MadeFleet(Got, Tick(), seed, self._heard)
-        self.register = Register(fenced=settings.broken != "two-owners")
+        self.fleet = MadeFleet(MessageReceived, TimerFired(), seed, self._heard)
+        self.register = Register(fenced=settings.faulty_variant != "two-owners")
         self.watch = Watch()
         self.chance = random.Random(f"{seed}-world")
         self.requests: list[Request] = []
-        self.notes: list[tuple[float, str, Note]] = []
-        self.policy = Active(1)
+        self.notes: list[tuple[float, str, LogEvent]] = []
+        self.policy = PolicyActivated(1)
         self.warm_since: dict[str, float] = {}
         self.run_takes: Callable[[], float] = lambda: 0.05
         self.lose_answers = 0.0  # share of the register's answers that are lost after the action
@@ -371,7 +378,7 @@
         """SIGTERM: it drains for its grace, says that it leaves, and is gone."""
         self.draining.add(name)
         self._loads(again=False)
-        self.fleet.tell(name, Drain(grace))
+        self.fleet.tell(name, DrainStarted(grace))
 
         def gone() -> None:
             if name in self.fleet.cores:
@@ -438,18 +445,18 @@
         held = self.sessions(name).view
         for view in self.views:
             if held is None or view.epoch > held.epoch:
-                self.fleet.tell(name, Viewed(view))
+                self.fleet.tell(name, ViewChanged(view))
         self.fleet.tell(name, self.policy)
 
     def _loads(self, again: bool = True) -> None:
-        now, loads = self.fleet.now, dict[str, Load]()
+        now, loads = self.fleet.now, dict[str, ServerLoad]()
         for name in self.alive:
             warmth = min(1.0, 0.1 + 0.9 * (now - self.warm_since[name]) / self.warm_up)
             weight = 0.0 if name in self.draining else 1.0
-            loads[name] = Load(len(self.sessions(name).owned), warmth, weight)
+            loads[name] = ServerLoad(len(self.sessions(name).owned), warmth, weight)
         for name in self.alive:
             if self._speaks(name):
-                self.fleet.tell(name, Loads(loads))
+                self.fleet.tell(name, LoadsReported(loads))
                 held = self.sessions(name).view
                 if again and (held is None or held.epoch < self.view.epoch):  # as membership's sync would
                     self._tell(name)
@@ -461,7 +468,7 @@
     def bump(
         self, version: int, able: dict[str, frozenset[str]] | None = None, mandatory: bool = False
     ) -> None:
-        self.policy = Active(version, able or {}, mandatory)
+        self.policy = PolicyActivated(version, able or {}, mandatory)
         self._tell_all()
 
     # -- the register
@@ -506,19 +513,19 @@
     def _heard(self, now: float, name: str, effect: Any) -> None:
         register = self.register
         match effect:
-            case Write(ref, key, expect, value, _):
+            case WriteBinding(ref, key, expect, value, _):
                 self._ask(
                     name,
                     lambda: register.write(self.fleet.now, key, expect, value),
-                    lambda said: Answered(ref, *said),
-                    Answered(ref, Verdict.UNREACHABLE),
+                    lambda said: RegisterAnswered(ref, *said),
+                    RegisterAnswered(ref, RegisterVerdict.UNREACHABLE),
                 )
-            case Read(ref, key):
+            case ReadBinding(ref, key):
                 self._ask(
                     name,
                     lambda: register.bindings.get(key),
-                    lambda held: Answered(ref, Verdict.WON, held),
-                    Answered(ref, Verdict.UNREACHABLE),
+                    lambda held: RegisterAnswered(ref, RegisterVerdict.WON, held),
+                    RegisterAnswered(ref, RegisterVerdict.UNREACHABLE),
                 )
             case Ask(came, asked):
                 self._ask(
@@ -529,25 +536,25 @@
                 )
             case Free(_, won):
                 self.fleet.later(0.005, lambda: register.free(won))
-            case Here(ref, number, version, why):
+            case ServeLocally(ref, number, version, why):
                 request = self.requests[ref]
                 request.where, request.why, request.version, request.number = name, why.value, version, number
-            case Pass(ref, to):
+            case ForwardToOwner(ref, to):
                 self._pass(name, ref, to)
-            case Back(ref, sender, binding):
+            case ReturnToForwarder(ref, sender, binding):
                 self._back(ref, sender, binding)
-            case Reject(ref, _, why):
+            case RejectRequest(ref, _, why):
                 self._decide(ref, "denied", why.value)
             case Begin(came, claim):
                 self._begin(now, name, came, claim)
-            case Note():
+            case LogEvent():
                 self.notes.append((now, name, effect))
         if name in self.fleet.cores:
             for passed, held in self.sessions(name).owned.items():
-                if held.phase is Phase.GIVING and held.open:
+                if held.phase is OwnershipPhase.AWAITING_SUCCESSOR and held.open_refs:
                     self.watch.pass_on(name, passed)
 
-    def _begin(self, now: float, name: str, came: Came, claim: Claim | None) -> None:
+    def _begin(self, now: float, name: str, came: RequestArrived, claim: Claim | None) -> None:
         request = self.requests[came.ref]
         request.ran_at = name
         if claim is not None:
@@ -559,14 +566,14 @@
                 self.watch.end(name, claim.idempotency_key)
             if self._lives[name] == life or name in self.fleet.cores:
                 self._decide(came.ref, "completed")
-                self.fleet.tell(name, Over(came.ref, came.key))
+                self.fleet.tell(name, RequestFinished(came.ref, came.key))
 
         self.fleet.later(self.run_takes(), end)
 
     def _back(self, ref: int, sender: str, binding: Binding) -> None:
         """Over the same way that it came; if that is cut, its sender finds its time up."""
         request = self.requests[ref]
-        said = Returned(replace(request.came, back=request.hops > 1), binding)
+        said = RequestReturned(replace(request.came, was_returned=request.hops > 1), binding)
         if sender not in self.fleet.cores:
             return self._decide(ref, "terminated", "lost")
         request.where = sender
@@ -576,11 +583,11 @@
     def _pass(self, name: str, ref: int, to: str) -> None:
         request = self.requests[ref]
         request.hops += 1
-        came = Came(ref, request.came.key, request.came.idempotency, request.came.flow, name)
+        came = RequestArrived(ref, request.came.key, request.came.idempotency, request.came.flow, name)
         broken = to not in self.fleet.cores or self.fleet.link(name, to).cut or self.fleet.link(to, name).cut
         if broken:
             request.where = name
-            self.fleet.later(0.05, lambda: self.fleet.tell(name, Unreached(request.came, to)))
+            self.fleet.later(0.05, lambda: self.fleet.tell(name, OwnerUnreachable(request.came, to)))
             return
         request.where = to
         self.fleet.later(self.chance.uniform(0.001, 0.003), lambda: self.fleet.tell(to, came))
@@ -591,7 +598,7 @@
         if request.at == name or request.at not in self.fleet.cores or ran:
             return self._decide(request.came.ref, "terminated", "lost")  # it may have run: no second run
         request.where, back = request.at, request.at
-        self.fleet.later(0.05, lambda: self.fleet.tell(back, Unreached(request.came, name)))
+        self.fleet.later(0.05, lambda: self.fleet.tell(back, OwnerUnreachable(request.came, name)))
         return None
 
     def _decide(self, ref: int, outcome: str, why: str = "") -> None:
@@ -605,7 +612,7 @@
         self, at: str, key: Key, idempotency: Idempotency = Idempotency.IDEMPOTENT, flow: str = ""
     ) -> Request:
         """A router brings a request to one server; each keyed one has an idempotency key of its own."""
-        request = Request(Came(len(self.requests), key, idempotency, flow), at, where=at)
+        request = Request(RequestArrived(len(self.requests), key, idempotency, flow), at, where=at)
         self.requests.append(request)
         if at not in self.fleet.cores:
             request.outcome, request.why = "terminated", "nobody there"
@@ -621,7 +628,7 @@
     def owner(self, key: Key) -> str:
         """As the register holds it; empty if nobody's."""
         held = self.register.bindings.get(key)
-        return held.owner if held is not None and held.state is not State.ENDED else ""
+        return held.owner if held is not None and held.state is not BindingState.ENDED else ""
 
     def moves(self, since: float = 0.0) -> list[tuple[float, Key, str, str]]:
         """Changes of owner in the register's history: when, which, from, to."""
@@ -629,7 +636,7 @@
         found = []
         for when, binding in self.register.history:
             before = owners.get(binding.key, "")
-            if binding.state is State.ENDED:
+            if binding.state is BindingState.ENDED:
                 owners[binding.key] = ""
                 continue
             if before and binding.owner != before and when >= since:
--- a/sablewheel/experiments/affinity_model.py
+++ b/sablewheel/experiments/affinity_model.py
@@ -20,28 +20,28 @@
 
 from ..membership.view import Member, View
 from ..overload.interface import Idempotency
-from ..session_affinity.binding import Binding, State
+from ..session_affinity.binding import Binding, BindingState
 from ..session_affinity.events import (
-    Active,
-    Answered,
-    Back,
-    Came,
-    Drain,
-    Got,
-    Over,
-    Pass,
-    Read,
-    Reject,
-    Returned,
-    Tick,
-    Unreached,
-    Verdict,
-    Viewed,
+    DrainStarted,
+    ForwardToOwner,
+    MessageReceived,
+    OwnerUnreachable,
+    PolicyActivated,
+    ReadBinding,
+    RegisterAnswered,
+    RegisterVerdict,
+    RejectRequest,
+    RequestArrived,
+    RequestFinished,
+    RequestReturned,
+    ReturnToForwarder,
+    TimerFired,
+    ViewChanged,
 )
-from ..session_affinity.events import Send as Say
-from ..session_affinity.events import Write as Put
-from ..session_affinity.plan import Settings
-from ..session_affinity.sessions import Phase
+from ..session_affinity.events import SendMessage as Say
+from ..session_affinity.events import WriteBinding as Put
+from ..session_affinity.plan import AffinitySettings
+from ..session_affinity.sessions import OwnershipPhase
 from .affinity_fleet import Ask, Begin, Claimed, Free, Register, Run, Server, Watch
 from .verdict import Verdict as Found
 
@@ -71,22 +71,22 @@
 
 
 def _ref(one: Way) -> int:
-    return int(one.what.ref if one.kind == "pass" else one.what.came.ref)
+    return int(one.what.ref if one.kind == "pass" else one.what.request.ref)
 
 
 def _short(what: Any) -> str:
     match what:
         case Put(_, _, expect, value, _):
             return f"write {_bound(value)} if {expect}"
-        case Answered(_, verdict, entry):
+        case RegisterAnswered(_, verdict, entry):
             return f"{verdict.value}, {_bound(entry) if entry else 'nothing stands there'}"
         case Ask(came, claim):
             return f"claim of request {came.ref} under {claim.number}"
         case Claimed(came, claim, verdict, _, _):
             return f"claim of request {came.ref} under {claim.number}: {verdict}"
-        case Came(ref):
+        case RequestArrived(ref):
             return f"request {ref}"
-        case Returned(came, one):
+        case RequestReturned(came, one):
             return f"request {came.ref} back, {_bound(one) if one else ''}"
         case View(epoch, members):
             return f"view {epoch} of {' '.join(one.name for one in members)}"
@@ -95,14 +95,16 @@
 
 
 def _bound(one: Binding) -> str:
-    return f"{one.owner}#{one.number} {one.state.value}" + (f" to {one.successor}" if one.successor else "")
+    return f"{one.owner}#{one.fencing_number} {one.state.value}" + (
+        f" to {one.successor}" if one.successor else ""
+    )
 
 
 @dataclass
 class Scene:
     """Three servers, the register, what is on its way, the clock. `left`: how often each fault may yet be."""
 
-    settings: Settings
+    settings: AffinitySettings
     servers: dict[str, Server] = field(default_factory=dict)
     register: Register = field(default_factory=Register)
     watch: Watch = field(default_factory=Watch)
@@ -122,29 +124,31 @@
             match effect:
                 case Say(to, message):
                     self.way.append(Way("say", name, to, message))
-                case Pass(ref, to):
+                case ForwardToOwner(ref, to):
                     came = server.requests.get(ref)
                     if came is None:
                         self.watch.wrong.append(f"{name} passes request {ref} on, which it has decided")
                         continue
-                    self.way.append(Way("pass", name, to, Came(ref, KEY, came.idempotency, "", name)))
+                    self.way.append(
+                        Way("pass", name, to, RequestArrived(ref, KEY, came.idempotency, "", name))
+                    )
                     self.hops[ref] = self.hops.get(ref, 0) + 1
-                case Back(ref, to, binding):
-                    came = Came(ref, KEY, Idempotency.KEYED, back=self.hops[ref] > 1)
-                    self.way.append(Way("back", name, to, Returned(came, binding)))
-                case Put() | Read() | Ask():
+                case ReturnToForwarder(ref, to, binding):
+                    came = RequestArrived(ref, KEY, Idempotency.KEYED, was_returned=self.hops[ref] > 1)
+                    self.way.append(Way("back", name, to, RequestReturned(came, binding)))
+                case Put() | ReadBinding() | Ask():
                     epoch = server.sessions.view.epoch if server.sessions.view else 0
                     self.way.append(Way("ask", name, "register", effect, self.now, epoch))
                 case Free(_, claim):
                     self.register.free(claim)
-                case Reject(ref, _, why):
+                case RejectRequest(ref, _, why):
                     self.outcomes.setdefault(ref, f"denied {why.value}")
                 case Begin(came, claim):
                     assert claim is not None
                     run = Run(name, KEY, claim.idempotency_key, claim.number, self.now)
                     self.watch.begin(self.now, run)
         held = server.sessions.owned.get(KEY)
-        if held is not None and held.phase is Phase.GIVING:
+        if held is not None and held.phase is OwnershipPhase.AWAITING_SUCCESSOR:
             self.watch.pass_on(name, KEY)  # it waited for them as long as it may
 
     def check(self) -> str:
@@ -152,8 +156,9 @@
         holding: dict[int, str] = {}
         for name, server in self.servers.items():
             held = server.sessions.owned.get(KEY)
-            if held is not None and holding.setdefault(held.binding.number, name) != name:
-                return f"{name} and {holding[held.binding.number]} both hold it at {held.binding.number}"
+            if held is not None and holding.setdefault(held.binding.fencing_number, name) != name:
+                number = held.binding.fencing_number
+                return f"{name} and {holding[number]} both hold it at {number}"
         return self.watch.wrong[0] if self.watch.wrong else ""
 
     # -- what may happen next
@@ -191,9 +196,9 @@
         if one.kind == "ask":
             self._ask(one)
         elif one.kind == "view":
-            self.tell(one.to, Viewed(one.what))
+            self.tell(one.to, ViewChanged(one.what))
         elif one.kind == "say":
-            self.tell(one.to, Got(one.sender, one.what))
+            self.tell(one.to, MessageReceived(one.sender, one.what))
         elif one.to in self.servers:
             self.tell(one.to, one.what)
         elif one.kind in ("pass", "back"):
@@ -205,10 +210,10 @@
         if one.epoch != self.view.epoch or one.sender not in self.view:
             said: Any = self._lost(one)
         elif isinstance(one.what, Put):
-            written = self.register.write(self.now, KEY, one.what.expect, one.what.value)
-            said = Answered(one.what.ref, *written)
-        elif isinstance(one.what, Read):
-            said = Answered(one.what.ref, Verdict.WON, self.register.bindings.get(KEY))
+            written = self.register.write(self.now, KEY, one.what.expected_fencing_number, one.what.binding)
+            said = RegisterAnswered(one.what.ref, *written)
+        elif isinstance(one.what, ReadBinding):
+            said = RegisterAnswered(one.what.ref, RegisterVerdict.WON, self.register.bindings.get(KEY))
         else:
             verdict, number = self.register.claim(KEY, one.what.claim)
             said = Claimed(one.what.came, one.what.claim, verdict, number, one.asked)
@@ -217,7 +222,7 @@
     def _lost(self, one: Way) -> Any:
         if isinstance(one.what, Ask):
             return Claimed(one.what.came, one.what.claim, "unreachable", 0, one.asked)
-        return Answered(one.what.ref, Verdict.UNREACHABLE)
+        return RegisterAnswered(one.what.ref, RegisterVerdict.UNREACHABLE)
 
     def _lose(self, which: str) -> str:
         """What is told of a lost question or answer is that no majority was reached."""
@@ -225,8 +230,8 @@
         one = self.way.pop(int(which))
         if one.kind == "ask":
             self.way.append(Way("answer", "register", one.sender, self._lost(one)))
-        elif one.kind == "answer" and isinstance(one.what, Answered):
-            self.tell(one.to, Answered(one.what.ref, Verdict.UNREACHABLE))
+        elif one.kind == "answer" and isinstance(one.what, RegisterAnswered):
+            self.tell(one.to, RegisterAnswered(one.what.ref, RegisterVerdict.UNREACHABLE))
         elif one.kind == "answer":
             self.tell(one.to, Claimed(one.what.came, one.what.claim, "unreachable", 0, one.what.asked))
         elif one.kind in ("pass", "back"):
@@ -235,7 +240,7 @@
 
     def _ring(self, which: str) -> str:
         self.now = max(self.now, self.servers[which].wake_at)
-        self.tell(which, Tick())
+        self.tell(which, TimerFired())
         return f"timer of {which}"
 
     def _end(self, idempotency_key: str) -> str:
@@ -243,7 +248,7 @@
         self.watch.end(run.at, idempotency_key)
         ref = int(idempotency_key.rpartition("-")[2])
         self.outcomes.setdefault(ref, f"completed at {run.at}")
-        self.tell(run.at, Over(ref, KEY))
+        self.tell(run.at, RequestFinished(ref, KEY))
         return f"the run of request {ref} at {run.at} ends"
 
     def _crash(self, name: str) -> str:
@@ -273,7 +278,7 @@
 
     def bring(self, name: str) -> int:
         ref = self.passed = self.passed + 1
-        self.tell(name, Came(ref, KEY, Idempotency.KEYED))
+        self.tell(name, RequestArrived(ref, KEY, Idempotency.KEYED))
         return ref
 
     def outcomes_asked(self) -> range:
@@ -281,13 +286,13 @@
 
     def _drain(self, name: str) -> str:
         self.left["drain"] -= 1
-        self.tell(name, Drain(10.0))
+        self.tell(name, DrainStarted(10.0))
         return f"{name} is told to leave"
 
     def _bump(self, _: str) -> str:
         self.left["bump"] -= 1
         for name in list(self.servers):
-            self.tell(name, Active(9))
+            self.tell(name, PolicyActivated(9))
         return "a new policy version is active, and the old one kept no longer"
 
     # -- to compare and to settle
@@ -296,7 +301,7 @@
         seen: list[object] = [round(self.now, 2), self.view.epoch, sorted(self.left.items())]
         for name, server in self.servers.items():
             own = server.sessions
-            held, seek = own.owned.get(KEY), own.seeks.get(KEY)
+            held, seek = own.owned.get(KEY), own.lookups.get(KEY)
             seen.append(
                 (
                     name,
@@ -311,29 +316,29 @@
                     and (
                         held.binding,
                         held.phase,
-                        sorted(held.open),
-                        [one.ref for one in held.waiting],
-                        held.asked,
-                        held.first,
-                        held.due,
-                        sorted(held.tried),
-                        held.at,
-                        held.since,
-                        held.next,
+                        sorted(held.open_refs),
+                        [one.ref for one in held.waiting_requests],
+                        held.pending_ref,
+                        held.first_fencing_number,
+                        held.queued_cause,
+                        sorted(held.declined_by),
+                        held.timer_at,
+                        held.phase_since,
+                        held.pending_binding,
                     ),
                     seek
                     and (
                         seek.stage,
-                        [one.ref for one in seek.waiting],
-                        seek.asked,
-                        seek.at,
-                        seek.asker,
-                        seek.take,
-                        seek.entry,
-                        seek.target,
-                        sorted(seek.tried),
+                        [one.ref for one in seek.waiting_requests],
+                        seek.pending_ref,
+                        seek.timer_at,
+                        seek.offered_by,
+                        seek.handover,
+                        seek.stored_binding,
+                        seek.offered_to,
+                        sorted(seek.declined_by),
                         seek.forced,
-                        seek.paid,
+                        seek.has_budget_token,
                     ),
                 )
             )
@@ -378,7 +383,7 @@
             return f"in calm, requests were not served: {bad}"
         holders = [name for name, one in self.servers.items() if KEY in one.sessions.owned]
         stands = self.register.bindings.get(KEY)
-        good = stands is not None and stands.state is State.HELD and [stands.owner] == holders
+        good = stands is not None and stands.state is BindingState.OWNED and [stands.owner] == holders
         if not good:
             return f"held by {holders}, and the register says {stands and _bound(stands)}"
         return ""
@@ -386,13 +391,13 @@
 
 def _begin(broken: str) -> Scene:
     """`a` owns the session, all know it, and one keyed run of it is under way at `a`."""
-    settings = Settings(broken=broken, keep_versions=1, idle=600.0)
+    settings = AffinitySettings(faulty_variant=broken, keep_versions=1, idle_timeout_s=600.0)
     scene = Scene(settings)
     scene.register.fenced = broken != "two-owners"
     for name in NAMES:
         scene.servers[name] = Server(name, 1, settings, scene.now)
-        scene.tell(name, Viewed(scene.view))
-        scene.tell(name, Active(1))
+        scene.tell(name, ViewChanged(scene.view))
+        scene.tell(name, PolicyActivated(1))
     scene.now += 5.0
     stands = Binding(KEY, FIRST, "a", 1, 1)
     scene.register.bindings[KEY] = stands
@@ -409,7 +414,7 @@
 def _drain(broken: str) -> Scene:
     scene = _begin(broken)
     scene.left = {"request": 1, "lose": 1}
-    scene.tell("a", Drain(10.0))
+    scene.tell("a", DrainStarted(10.0))
     return scene
 
 
@@ -451,7 +456,7 @@
     """`a` is handing over to another when one of them crashes, or `a` is taken out."""
     scene = _begin(broken)
     scene.act(f"end {scene.watch.runs[0].idempotency_key}")
-    scene.tell("a", Drain(10.0))
+    scene.tell("a", DrainStarted(10.0))
     scene.act("deliver 0")
     scene.left = {"crash": 1, "remove": 1, "request": 1, "lose": 1}
     return scene
@@ -477,7 +482,7 @@
     while scene.way and scene.way[0].kind != "pass":
         scene.act("deliver 0")
     lost = scene.way.pop(0)
-    scene.tell("b", Unreached(Came(lost.what.ref, KEY, Idempotency.KEYED), "a"))
+    scene.tell("b", OwnerUnreachable(RequestArrived(lost.what.ref, KEY, Idempotency.KEYED), "a"))
     return scene
 
 
--- a/sablewheel/experiments/affinity_replicas.py
+++ b/sablewheel/experiments/affinity_replicas.py
@@ -19,8 +19,18 @@
 from ..replication.service import GONE
 from ..session_affinity.binding import Binding
 from ..session_affinity.codec import pack, unpack
-from ..session_affinity.events import Answered, Event, Got, Over, Read, Tick, Verdict, Viewed, Write
-from ..session_affinity.plan import Settings
+from ..session_affinity.events import (
+    Event,
+    MessageReceived,
+    ReadBinding,
+    RegisterAnswered,
+    RegisterVerdict,
+    RequestFinished,
+    TimerFired,
+    ViewChanged,
+    WriteBinding,
+)
+from ..session_affinity.plan import AffinitySettings
 from .affinity_fleet import Ask, Begin, Claim, Claimed, Free, Server, World
 
 LIFE = 6.0  # seconds that idempotency keys count
@@ -50,13 +60,15 @@
 class ReplicaServer(Server):
     """A server whose register is the fleet's replicas, its own among them."""
 
-    def __init__(self, name: str, incarnation: int, settings: Settings, seed: int, now: float) -> None:
+    def __init__(
+        self, name: str, incarnation: int, settings: AffinitySettings, seed: int, now: float
+    ) -> None:
         super().__init__(name, incarnation, settings, now)
-        replicas = ReplicaSettings(**{**REPLICAS.__dict__, "binding_life": settings.life})
+        replicas = ReplicaSettings(**{**REPLICAS.__dict__, "binding_life": settings.binding_lifetime_s})
         chance = random.Random(f"{seed}-{name}-{incarnation}")
         self.replica = Replica(name, incarnation, replicas, chance, now)
         self._refs = 0
-        self._questions: dict[int, Write | Read] = {}
+        self._questions: dict[int, WriteBinding | ReadBinding] = {}
         self._claims: dict[int, tuple[Ask, float]] = {}
         self._won: dict[bytes, int] = {}  # idempotency keys whose runs are open, by their requests
 
@@ -67,15 +79,15 @@
     def step(self, now: float, event: Event | Claimed) -> list[Any]:
         out: list[Any] = []
         match event:
-            case Got(sender, Said(message)):
+            case MessageReceived(sender, Said(message)):
                 return self._replied(now, self.replica.step(now, wire.Got(sender, message)))
-            case Viewed(view):
+            case ViewChanged(view):
                 gone = tuple((one.key.removeprefix(GONE), int(one.value)) for one in view.facts)
                 viewed = wire.Viewed(view.epoch, _sites(view), gone)
                 out += self._replied(now, self.replica.step(now, viewed))
-            case Tick():
+            case TimerFired():
                 out += self._replied(now, self.replica.step(now, wire.Tick()))
-            case Over(ref, key):
+            case RequestFinished(ref, key):
                 idempotency_key = f"{key}-{ref}".encode()
                 if self._won.pop(idempotency_key, None) is not None:
                     out += self._replied(
@@ -89,13 +101,13 @@
         for effect in effects:
             self._refs += 1
             match effect:
-                case Write(_, key, expect, value, life):
+                case WriteBinding(_, key, expect, value, life):
                     self._questions[self._refs] = effect
                     asked = wire.Write(
-                        self._refs, SESSIONS, key.encode(), expect, pack(value), life, value.number
+                        self._refs, SESSIONS, key.encode(), expect, pack(value), life, value.fencing_number
                     )
                     out += self._replied(now, self.replica.step(now, asked))
-                case Read(_, key):
+                case ReadBinding(_, key):
                     self._questions[self._refs] = effect
                     read = wire.Read(self._refs, SESSIONS, key.encode())
                     out += self._replied(now, self.replica.step(now, read))
@@ -136,8 +148,8 @@
         question = self._questions.pop(ref)
         stands = unpack(entry.value, entry.number) if entry.value else None
         out: list[Any] = [Seen(stands)] if stands is not None and verdict in ("won", "stale", "read") else []
-        verdicts = {"won": Verdict.WON, "read": Verdict.WON, "stale": Verdict.LOST}
-        said = Answered(question.ref, verdicts.get(verdict, Verdict.UNREACHABLE), stands)
+        verdicts = {"won": RegisterVerdict.WON, "read": RegisterVerdict.WON, "stale": RegisterVerdict.LOST}
+        said = RegisterAnswered(question.ref, verdicts.get(verdict, RegisterVerdict.UNREACHABLE), stands)
         return out + self._asked(now, super().step(now, said))
 
 
@@ -157,7 +169,7 @@
         if not isinstance(effect, Seen):
             return super()._heard(now, name, effect)
         held = self.register.bindings.get(effect.binding.key)
-        if held is None or held.number < effect.binding.number:
+        if held is None or held.fencing_number < effect.binding.fencing_number:
             self.register.bindings[effect.binding.key] = effect.binding
             self.register.history.append((now, effect.binding))
         return None
--- a/sablewheel/experiments/affinity_server.py
+++ b/sablewheel/experiments/affinity_server.py
@@ -25,7 +25,7 @@
     """Looks at the file, and says what is there to membership."""
 
     def __init__(self, scheduler: Any, plan: Any, *rest: Any, **more: Any) -> None:
-        settings = dataclasses.replace(plan.settings, broken=VARIANT)
+        settings = dataclasses.replace(plan.settings, faulty_variant=VARIANT)
         super().__init__(scheduler, dataclasses.replace(plan, settings=settings), *rest, **more)
         if VARIANT == "two-owners":  # the numbers fence nobody either
             self._keeper.group_of = lambda exchange: (
--- a/sablewheel/experiments/affinity_size.py
+++ b/sablewheel/experiments/affinity_size.py
@@ -13,7 +13,7 @@
 from collections import Counter
 
 from ..overload.interface import Idempotency
-from ..session_affinity.plan import Settings
+from ..session_affinity.plan import AffinitySettings
 from .affinity_fleet import World
 from .verdict import Verdict
 
@@ -40,7 +40,9 @@
     """A world and its traffic: each session a request in turn, from any member."""
 
     def __init__(self, n: int, seed: int, broken: str) -> None:
-        settings = Settings(broken=broken, idle=600.0, keep_versions=4, moves_per_s=BUDGET)
+        settings = AffinitySettings(
+            faulty_variant=broken, idle_timeout_s=600.0, keep_versions=4, migrations_per_s=BUDGET
+        )
         self.chance = random.Random(f"{seed}-size")
         self.world = World([f"m{place:03}" for place in range(n)], settings, seed)
         self.world.run_takes = lambda: self.chance.choice(RUNS)
@@ -77,9 +79,9 @@
     begun, at = fleet.owners(), world.fleet.now
     verdict.check("every session has an owner", all(begun.values()), f"{len(begun)} sessions, {n} members")
     held = Counter(begun.values())
-    bound = math.ceil(world.settings.factor * len(fleet.keys) / n) + 1
+    bound = math.ceil(world.settings.load_factor * len(fleet.keys) / n) + 1
     most = max(held.values())
-    limit = max(bound, world.settings.bound_least)
+    limit = max(bound, world.settings.min_load_bound)
     good = most <= limit and not world.count("forced")
     verdict.check("no owner is above its bound", good, f"{most} of {limit}")
 
--- a/sablewheel/experiments/affinity_storm.py
+++ b/sablewheel/experiments/affinity_storm.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from ..overload.interface import Idempotency
-from ..session_affinity.plan import Settings
+from ..session_affinity.plan import AffinitySettings
 from .affinity_fleet import Request, World
 
 SPAN, CALM = 30.0, 14.0  # seconds of storm, and of calm before all is looked at
@@ -53,14 +53,14 @@
 
 def storm(seed: int, broken: str = "", kind: type[World] = World) -> Storm:
     chance = random.Random(f"{seed}-storm")
-    settings = Settings(
-        broken=broken,
-        idle=chance.choice([3.0, 30.0]),
+    settings = AffinitySettings(
+        faulty_variant=broken,
+        idle_timeout_s=chance.choice([3.0, 30.0]),
         keep_versions=2,
-        retire_after=6.0,
-        moves_per_s=chance.choice([5.0, 50.0]),
-        handover_within=chance.choice([0.5, 3.0]),
-        sessions_most=chance.choice([25, 1000]),
+        retire_after_s=6.0,
+        migrations_per_s=chance.choice([5.0, 50.0]),
+        handover_timeout_s=chance.choice([0.5, 3.0]),
+        max_sessions=chance.choice([25, 1000]),
     )
     world = kind([f"m{place}" for place in range(chance.choice([3, 5, 7]))], settings, seed)
     world.run_takes = lambda: chance.choice([0.02, 0.05, 0.5, 1.5])
@@ -89,7 +89,7 @@
         [one for one in world.requests if not one.outcome],
         bad,
         [key for key in keys if sum(key in world.sessions(name).owned for name in world.alive) > 1],
-        [name for name in world.alive if len(world.sessions(name).owned) > settings.sessions_most],
+        [name for name in world.alive if len(world.sessions(name).owned) > settings.max_sessions],
     )
 
 
--- a/sablewheel/program/feature_file.py
+++ b/sablewheel/program/feature_file.py
@@ -32,8 +32,7 @@
 from ..replication.plan import ReplicationPlan
 from ..replication.plan import Settings as ReplicaSettings
 from ..result_store.plan import RecallPlan, Start, Unreadable
-from ..session_affinity.plan import AffinityPlan
-from ..session_affinity.plan import Settings as AffinitySettings
+from ..session_affinity.plan import AffinityPlan, AffinitySettings
 from ..usage_metering.periods import PeriodError, zone_of
 from ..usage_metering.plan import Answers, Calendar, CollectorPlan, Depth, ExportPlan, LedgerPlan, Length
 
@@ -516,22 +515,22 @@
 
     def plan(self) -> AffinityPlan:
         settings = AffinitySettings(
-            idle=self.idle_s,
+            idle_timeout_s=self.idle_s,
             keep_versions=self.keep_versions,
-            retire_after=self.retire_after_s,
-            moves_per_s=self.moves_per_s,
-            factor=self.load_factor,
-            bound_least=self.bound_least,
-            sessions_most=self.sessions_most,
-            routes_most=self.routes_most,
-            seeks_most=self.seeks_most,
-            waiting_most=self.waiting_most,
+            retire_after_s=self.retire_after_s,
+            migrations_per_s=self.moves_per_s,
+            load_factor=self.load_factor,
+            min_load_bound=self.bound_least,
+            max_sessions=self.sessions_most,
+            max_cached_routes=self.routes_most,
+            max_lookups=self.seeks_most,
+            max_waiting_requests=self.waiting_most,
             retry_after_s=self.come_back_s,
-            offer_within=self.offer_within_s,
-            bind_within=self.bind_within_s,
-            handover_within=self.handover_within_s,
-            repeat=self.repeat_after_s,
-            claim_within=self.claim_within_s,
+            offer_timeout_s=self.offer_within_s,
+            binding_timeout_s=self.bind_within_s,
+            handover_timeout_s=self.handover_within_s,
+            retry_interval_s=self.repeat_after_s,
+            claim_timeout_s=self.claim_within_s,
         )
         return AffinityPlan(self.key, settings)
 
--- a/sablewheel/program/feature_registry.py
+++ b/sablewheel/program/feature_registry.py
@@ -309,7 +309,7 @@
 
 
 def _affinity(feature_context: FeatureContext, plan: AffinityPlan) -> Part:
-    from ..session_affinity.events import Active
+    from ..session_affinity.events import PolicyActivated
     from ..session_affinity.session_router import Affinity, Watching
 
     fleet, links, forward, keeper = (
@@ -354,7 +354,7 @@
     policies = feature_context.policies
     if policies is not None:
         affinity.flow_of = lambda exchange: policies.route(exchange).flow
-        policies.on_active(lambda number, able: affinity.activate(Active(max(number, 1), able)))
+        policies.on_active(lambda number, able: affinity.activate(PolicyActivated(max(number, 1), able)))
     return Part(
         observer=Watching(affinity),
         memory=affinity,
--- a/sablewheel/session_affinity/binding.py
+++ b/sablewheel/session_affinity/binding.py
@@ -10,16 +10,16 @@
 from enum import Enum
 
 
-class State(Enum):
+class BindingState(Enum):
     """HELD: its owner serves it. PASSING: its owner takes no more keyed work and hands it to the successor.
     ENDED: nobody's; the next request begins a new session above this number."""
 
-    HELD = "held"
-    PASSING = "passing"
+    OWNED = "held"
+    HANDING_OVER = "passing"
     ENDED = "ended"
 
 
-class Cause(Enum):
+class MigrationCause(Enum):
     """Why a session was moved or brought to another version; each is counted apart. There is no other."""
 
     IDLE = "idle"  # it ended, idle longer than set; the next request begins a new one
@@ -35,26 +35,28 @@
     """One entry of the collection `sessions`. `incarnation`: the owner's, so that a restart is another."""
 
     key: str
-    number: int
+    fencing_number: int
     owner: str
     incarnation: int
-    version: int
-    state: State = State.HELD
+    policy_version: int
+    state: BindingState = BindingState.OWNED
     successor: str = ""  # while it is passing
 
-    def passing(self, successor: str) -> Binding:
-        return replace(self, number=self.number + 1, state=State.PASSING, successor=successor)
+    def handing_over_to(self, successor: str) -> Binding:
+        return replace(
+            self, fencing_number=self.fencing_number + 1, state=BindingState.HANDING_OVER, successor=successor
+        )
 
-    def taken(self, owner: str, incarnation: int, version: int) -> Binding:
+    def owned_by(self, owner: str, incarnation: int, version: int) -> Binding:
         """As the next owner holds it, or the same owner under another version."""
-        return Binding(self.key, self.number + 1, owner, incarnation, version)
+        return Binding(self.key, self.fencing_number + 1, owner, incarnation, version)
 
     def ended(self) -> Binding:
-        return replace(self, number=self.number + 1, state=State.ENDED, successor="")
+        return replace(self, fencing_number=self.fencing_number + 1, state=BindingState.ENDED, successor="")
 
 
 def newer(one: Binding | None, other: Binding | None) -> Binding | None:
     """The one that holds; the first where the numbers are equal."""
     if one is None or other is None:
         return one or other
-    return other if other.number > one.number else one
+    return other if other.fencing_number > one.fencing_number else one
--- a/sablewheel/session_affinity/budget.py
+++ b/sablewheel/session_affinity/budget.py
@@ -11,13 +11,13 @@
 DEPTH = 1.0  # tokens that a bucket holds at most, unless one second brings more
 
 
-class Budget:
+class MigrationBudget:
     """`rate` in moves a second; 0 lets none through."""
 
     def __init__(self, rate: float, now: float) -> None:
         self._rate, self._left, self._at = max(rate, 0.0), DEPTH if rate > 0 else 0.0, now
 
-    def set(self, now: float, rate: float) -> None:
+    def set_rate(self, now: float, rate: float) -> None:
         """Another rate from now on; what has come in so far stays, up to the new depth."""
         self._fill(now)
         self._rate = max(rate, 0.0)
@@ -32,7 +32,7 @@
             self._left = min(self._depth, self._left + (now - self._at) * self._rate)
         self._at = max(self._at, now)
 
-    def take(self, now: float) -> bool:
+    def try_take(self, now: float) -> bool:
         """One move, if there is room for it now."""
         self._fill(now)
         if self._left < 1.0 - 1e-9:
@@ -40,11 +40,11 @@
         self._left -= 1.0
         return True
 
-    def give_back(self) -> None:
+    def refund(self) -> None:
         """A move that was not made after all."""
         self._left = min(self._depth, self._left + 1.0)
 
-    def wait(self, now: float) -> float:
+    def wait_s(self, now: float) -> float:
         """Seconds until there is room for one; inf if never."""
         self._fill(now)
         if self._left >= 1.0 - 1e-9:
--- a/sablewheel/session_affinity/codec.py
+++ b/sablewheel/session_affinity/codec.py
@@ -11,9 +11,9 @@
 from google.protobuf.message import DecodeError
 
 from . import session_affinity_pb2 as pb
-from .binding import Binding, Cause, State
-from .events import Declined, Message, Offer, Reply, Take, Told
-from .placement import Load
+from .binding import Binding, BindingState, MigrationCause
+from .events import BindingNotice, Message, OfferReply, OwnershipOffer, TakeDeclined, TakeOwnership
+from .placement import ServerLoad
 
 VERSION = 1
 NAME_MOST = 256
@@ -25,29 +25,29 @@
     """What came is no packet; the text names the field."""
 
 
-def encode(message: Message | Load) -> bytes:
+def encode(message: Message | ServerLoad) -> bytes:
     told = pb.Packet(version=VERSION)
     match message:
-        case Offer(key, turn, flows, forced):
+        case OwnershipOffer(key, turn, flows, forced):
             told.offer.CopyFrom(pb.Offer(key=key, turn=turn, flows=flows, forced=forced))
-        case Reply(key, turn, full, binding):
+        case OfferReply(key, turn, full, binding):
             out = pb.Reply(key=key, turn=turn, full=full)
             if binding is not None:
                 out.binding.CopyFrom(_out(binding))
             told.reply.CopyFrom(out)
-        case Take(binding, cause, flows, forced):
+        case TakeOwnership(binding, cause, flows, forced):
             take = pb.Take(binding=_out(binding), cause=cause.value, flows=flows, forced=forced)
             told.take.CopyFrom(take)
-        case Declined(key, number):
+        case TakeDeclined(key, number):
             told.declined.CopyFrom(pb.Declined(key=key, number=number))
-        case Told(binding):
+        case BindingNotice(binding):
             told.told.CopyFrom(_out(binding))
-        case Load(sessions, warmth, capacity):
+        case ServerLoad(sessions, warmth, capacity):
             told.load.CopyFrom(pb.Load(sessions=sessions, warmth=warmth, capacity=capacity))
     return told.SerializeToString()
 
 
-def decode(data: bytes) -> Message | Load:
+def decode(data: bytes) -> Message | ServerLoad:
     """The message of a payload; raises `BadPacketError` and nothing else."""
     try:
         told = pb.Packet.FromString(data)
@@ -58,21 +58,21 @@
     match told.WhichOneof("body"):
         case "offer":
             one = told.offer
-            return Offer(_name(one.key, "key"), one.turn, _flows(one.flows), one.forced)
+            return OwnershipOffer(_name(one.key, "key"), one.turn, _flows(one.flows), one.forced)
         case "reply":
             reply = told.reply
             binding = _in(reply.binding) if reply.HasField("binding") else None
-            return Reply(_name(reply.key, "key"), reply.turn, reply.full, binding)
+            return OfferReply(_name(reply.key, "key"), reply.turn, reply.full, binding)
         case "take":
             take = told.take
-            return Take(_in(take.binding), _cause(take.cause), _flows(take.flows), take.forced)
+            return TakeOwnership(_in(take.binding), _cause(take.cause), _flows(take.flows), take.forced)
         case "declined":
-            return Declined(_name(told.declined.key, "key"), told.declined.number)
+            return TakeDeclined(_name(told.declined.key, "key"), told.declined.number)
         case "told":
-            return Told(_in(told.told))
+            return BindingNotice(_in(told.told))
         case "load":
             load = told.load
-            return Load(
+            return ServerLoad(
                 load.sessions,
                 _span(load.warmth, 1.0, "warmth"),
                 _span(load.capacity, CAPACITY_MOST, "capacity"),
@@ -99,17 +99,17 @@
 def _out(one: Binding) -> pb.Binding:
     return pb.Binding(
         key=one.key,
-        number=one.number,
+        number=one.fencing_number,
         owner=one.owner,
         incarnation=one.incarnation,
-        version=one.version,
+        version=one.policy_version,
         state=one.state.value,
         heir=one.successor,
     )
 
 
 def _in(told: pb.Binding) -> Binding:
-    if told.state not in (one.value for one in State):
+    if told.state not in (one.value for one in BindingState):
         raise BadPacketError(f"state: no such state: {told.state[:40]!r}")
     successor = _name(told.heir, "heir") if told.heir else ""
     return Binding(
@@ -118,7 +118,7 @@
         _name(told.owner, "owner"),
         told.incarnation,
         told.version,
-        State(told.state),
+        BindingState(told.state),
         successor,
     )
 
@@ -136,10 +136,10 @@
     return found
 
 
-def _cause(text: str) -> Cause:
-    if text not in (one.value for one in Cause):
+def _cause(text: str) -> MigrationCause:
+    if text not in (one.value for one in MigrationCause):
         raise BadPacketError(f"cause: no such cause: {text[:40]!r}")
-    return Cause(text)
+    return MigrationCause(text)
 
 
 def _span(value: float, most: float, field: str) -> float:
--- a/sablewheel/session_affinity/events.py
+++ b/sablewheel/session_affinity/events.py
@@ -12,11 +12,11 @@
 
 from ..membership.view import View
 from ..overload.interface import Idempotency
-from .binding import Binding, Cause
-from .placement import Load
+from .binding import Binding, MigrationCause
+from .placement import ServerLoad
 
 
-class Verdict(Enum):
+class RegisterVerdict(Enum):
     """What the register says to a question."""
 
     WON = "won"  # written; or read, and `entry` is what stands there
@@ -24,7 +24,7 @@
     UNREACHABLE = "unreachable"  # no majority: a write may have been made or not
 
 
-class Why(Enum):
+class DecisionReason(Enum):
     """Why a request is served here or rejected; each is counted apart."""
 
     OWNER = "owner"  # this server owns its session
@@ -42,24 +42,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Came:
+class RequestArrived:
     """A request. `sender`: the member who passed it on, empty if its router brought it here."""
 
     ref: int
     key: str
     idempotency: Idempotency
     flow: str = ""
-    sender: str = ""
-    back: bool = False  # it was passed on before, and came back since its session had gone on
+    forwarded_by: str = ""
+    was_returned: bool = False  # it was passed on before, and came back since its session had gone on
 
     @property
-    def strict(self) -> bool:
+    def requires_owner(self) -> bool:
         """Whether only the session's owner may run it."""
         return self.idempotency is not Idempotency.IDEMPOTENT
 
 
 @dataclass(frozen=True, slots=True)
-class Over:
+class RequestFinished:
     """A request that was to be served here has its outcome, or never began."""
 
     ref: int
@@ -67,75 +67,75 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unreached:
+class OwnerUnreachable:
     """A request that was passed on certainly did not arrive at `to`."""
 
-    came: Came
-    to: str
+    request: RequestArrived
+    owner_name: str
 
 
 @dataclass(frozen=True, slots=True)
-class Returned:
+class RequestReturned:
     """A forwarded request came back unserved: its session is another's, by what that server knows."""
 
-    came: Came
+    request: RequestArrived
     binding: Binding | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
+class ClaimRefused:
     """A holder refused its claim: a higher number than `number` stands there."""
 
-    came: Came
-    number: int
+    request: RequestArrived
+    fencing_number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Fenced:
+class OwnerFenced:
     """As `Refused`, where the request has been rejected already: the next one looks again."""
 
     key: str
-    number: int
+    fencing_number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
+class RegisterAnswered:
     """The register's answer to a `Write` or `Read`."""
 
     ref: int
-    verdict: Verdict
-    entry: Binding | None = None
+    verdict: RegisterVerdict
+    stored_binding: Binding | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Viewed:
+class ViewChanged:
     view: View
 
 
 @dataclass(frozen=True, slots=True)
-class Active:
+class PolicyActivated:
     """The policy in force. `able`: by flow, the members that can run it under this version; a flow that is
     not named can run anywhere. Told anew when that changes."""
 
     version: int
-    able: Mapping[str, frozenset[str]] = field(default_factory=dict)
+    capable_members: Mapping[str, frozenset[str]] = field(default_factory=dict)
     mandatory: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Loads:
-    by_member: Mapping[str, Load]
+class LoadsReported:
+    by_member: Mapping[str, ServerLoad]
 
 
 @dataclass(frozen=True, slots=True)
-class Drain:
+class DrainStarted:
     """This server leaves after `grace` seconds."""
 
-    grace: float
+    grace_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class Tick:
+class TimerFired:
     pass
 
 
@@ -143,74 +143,74 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Offer:
+class OwnershipOffer:
     """Take this session, which has no owner. `turn`: the asker's number for it. `forced`: also past the
     bound, since nobody is below."""
 
     key: str
-    turn: int
+    offer_id: int
     flows: tuple[str, ...] = ()
     forced: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class OfferReply:
     """To an offer: `full`, or who owns the session now (none: that could not be found out)."""
 
     key: str
-    turn: int
-    full: bool
+    offer_id: int
+    has_no_capacity: bool
     binding: Binding | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Take:
+class TakeOwnership:
     """The owner, who runs nothing of this session any more, to the successor."""
 
     binding: Binding
-    cause: Cause
+    cause: MigrationCause
     flows: tuple[str, ...] = ()
     forced: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Declined:
+class TakeDeclined:
     """The successor has no room for it, or can't run it."""
 
     key: str
-    number: int
+    fencing_number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class BindingNotice:
     """A binding as the register holds it, or held it; to the old owner: the handover is done."""
 
     binding: Binding
 
 
-Message: TypeAlias = Offer | Reply | Take | Declined | Told
+Message: TypeAlias = OwnershipOffer | OfferReply | TakeOwnership | TakeDeclined | BindingNotice
 
 
 @dataclass(frozen=True, slots=True)
-class Got:
+class MessageReceived:
     sender: str
     message: Message
 
 
 Event: TypeAlias = (
-    Came
-    | Over
-    | Unreached
-    | Returned
-    | Refused
-    | Fenced
-    | Answered
-    | Viewed
-    | Active
-    | Loads
-    | Drain
-    | Tick
-    | Got
+    RequestArrived
+    | RequestFinished
+    | OwnerUnreachable
+    | RequestReturned
+    | ClaimRefused
+    | OwnerFenced
+    | RegisterAnswered
+    | ViewChanged
+    | PolicyActivated
+    | LoadsReported
+    | DrainStarted
+    | TimerFired
+    | MessageReceived
 )
 
 
@@ -218,72 +218,81 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Here:
+class ServeLocally:
     """Serve it on this server; a claim carries `number`, 0 if it must not be claimed under a session."""
 
     ref: int
-    number: int
-    version: int
-    why: Why = Why.OWNER
+    fencing_number: int
+    policy_version: int
+    reason: DecisionReason = DecisionReason.OWNER
 
 
 @dataclass(frozen=True, slots=True)
-class Pass:
+class ForwardToOwner:
     """Pass it on to the session's owner, one hop."""
 
     ref: int
-    to: str
+    owner_name: str
 
 
 @dataclass(frozen=True, slots=True)
-class Back:
+class ReturnToForwarder:
     """Give it back to the server that passed it on: it never ran here, and its session is another's."""
 
     ref: int
-    sender: str
+    forwarded_by: str
     binding: Binding
 
 
 @dataclass(frozen=True, slots=True)
-class Reject:
+class RejectRequest:
     """It never ran; come back after so many seconds. An idempotency key whose outcome is known may be
     answered so.
     """
 
     ref: int
     retry_after_s: float
-    why: Why
+    reason: DecisionReason
 
 
 @dataclass(frozen=True, slots=True)
-class Write:
+class WriteBinding:
     """To the register: `value` if `expect` is the number that stands there (0: none)."""
 
     ref: int
     key: str
-    expect: int
-    value: Binding
-    life: float
+    expected_fencing_number: int
+    binding: Binding
+    lifetime_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class Read:
+class ReadBinding:
     ref: int
     key: str
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class SendMessage:
     to: str
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class LogEvent:
     """Something for counters and the log."""
 
-    what: str
+    message: str
     fields: Mapping[str, object] = field(default_factory=dict)
 
 
-Effect: TypeAlias = Here | Pass | Back | Reject | Write | Read | Send | Note
+Effect: TypeAlias = (
+    ServeLocally
+    | ForwardToOwner
+    | ReturnToForwarder
+    | RejectRequest
+    | WriteBinding
+    | ReadBinding
+    | SendMessage
+    | LogEvent
+)
--- a/sablewheel/session_affinity/keys.py
+++ b/sablewheel/session_affinity/keys.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True)
-class Carried:
+class SessionKeyFields:
     """What one request carries; empty is absent."""
 
     tenant: str = ""
@@ -26,7 +26,7 @@
     idempotency_key: str = ""
 
 
-def key_of(rule: tuple[str, ...], request: Carried) -> str | None:
+def key_of(rule: tuple[str, ...], request: SessionKeyFields) -> str | None:
     """The session's key, `KEY_SIZE` characters; None if the request lacks a field that the rule wants.
 
     A request without a session is served where it is, as with affinity off.
--- a/sablewheel/session_affinity/placement.py
+++ b/sablewheel/session_affinity/placement.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True)
-class Load:
+class ServerLoad:
     """What is known of one server. `warmth`: 0 just started to 1 warm; `capacity` in any one unit."""
 
     sessions: int = 0
@@ -26,13 +26,15 @@
         return self.capacity * self.warmth
 
 
-def bounds(loads: Mapping[str, Load], able: Collection[str], factor: float, least: int) -> dict[str, int]:
+def bounds(
+    loads: Mapping[str, ServerLoad], able: Collection[str], factor: float, least: int
+) -> dict[str, int]:
     """The most sessions for each of `able`: `factor` times its fair share, one more on the way counted.
 
     `least` is the floor for a warm server with the mean weight: with few sessions a fair share is too small
     to mean something. The bounds add up to more than all sessions, so there is always room below one.
     """
-    known = {name: loads.get(name, Load()) for name in sorted(able)}
+    known = {name: loads.get(name, ServerLoad()) for name in sorted(able)}
     weights = sum(one.weight for one in known.values())
     if weights <= 0:
         return dict.fromkeys(known, 0)
@@ -56,18 +58,18 @@
     return sorted(marks, key=lambda name: (marks[name], name))
 
 
-def begin_on(key: str, loads: Mapping[str, Load], most: Mapping[str, int]) -> list[str]:
+def begin_on(key: str, loads: Mapping[str, ServerLoad], most: Mapping[str, int]) -> list[str]:
     """Where a new session goes, best first: in the key's order, who is below its bound."""
-    weights = {name: loads.get(name, Load()).weight for name in most}
-    return [one for one in _order(key, weights) if loads.get(one, Load()).sessions < most[one]]
+    weights = {name: loads.get(name, ServerLoad()).weight for name in most}
+    return [one for one in _order(key, weights) if loads.get(one, ServerLoad()).sessions < most[one]]
 
 
-def move_to(key: str, loads: Mapping[str, Load], most: Mapping[str, int]) -> list[str]:
+def move_to(key: str, loads: Mapping[str, ServerLoad], most: Mapping[str, int]) -> list[str]:
     """Where a moved session goes, best first: the weights are the room below the bounds.
 
     The least loaded get the most, in proportion: many movers that know the same loads do not bury one.
     """
-    room = {name: float(bound - loads.get(name, Load()).sessions) for name, bound in most.items()}
+    room = {name: float(bound - loads.get(name, ServerLoad()).sessions) for name, bound in most.items()}
     return _order(key, room)
 
 
--- a/sablewheel/session_affinity/session_router.py
+++ b/sablewheel/session_affinity/session_router.py
@@ -28,32 +28,32 @@
 from ..transport.wakeup import Wake
 from . import codec
 from .events import (
-    Active,
-    Answered,
-    Back,
-    Came,
-    Drain,
+    BindingNotice,
+    DrainStarted,
     Effect,
     Event,
-    Fenced,
-    Got,
-    Here,
-    Loads,
-    Note,
-    Over,
-    Pass,
-    Read,
-    Reject,
-    Send,
-    Tick,
-    Told,
-    Unreached,
-    Verdict,
-    Viewed,
-    Write,
+    ForwardToOwner,
+    LoadsReported,
+    LogEvent,
+    MessageReceived,
+    OwnerFenced,
+    OwnerUnreachable,
+    PolicyActivated,
+    ReadBinding,
+    RegisterAnswered,
+    RegisterVerdict,
+    RejectRequest,
+    RequestArrived,
+    RequestFinished,
+    ReturnToForwarder,
+    SendMessage,
+    ServeLocally,
+    TimerFired,
+    ViewChanged,
+    WriteBinding,
 )
-from .keys import Carried, key_of
-from .placement import Load
+from .keys import SessionKeyFields, key_of
+from .placement import ServerLoad
 from .plan import AffinityPlan
 from .sessions import Sessions
 
@@ -63,7 +63,7 @@
 ACTIVE = "policy/active"  # the fact of the view that names the active version, as VERSION or VERSION:...
 LEAVE_SHARE = 0.9  # of the grace, after which the fleet is told
 LOUD = ("moved", "passed as claims")
-VERDICTS = {"won": Verdict.WON, "read": Verdict.WON, "stale": Verdict.LOST}
+VERDICTS = {"won": RegisterVerdict.WON, "read": RegisterVerdict.WON, "stale": RegisterVerdict.LOST}
 
 log = logging.getLogger(__name__)
 Run = Callable[[Exchange], None]
@@ -110,18 +110,18 @@
             "utf-8", "replace"
         )
         self.sessions = Sessions(fleet.me, fleet.node.me.incarnation, plan.settings, clock())
-        self.sessions.step(clock(), Active(1))
+        self.sessions.handle_event(clock(), PolicyActivated(1))
         self._inner: RequestHandler | None = None
         self._refs = 0
         self._held: dict[int, Exchange] = {}  # requests that wait for a decision
         self._open: dict[Exchange, Open] = {}
-        self._loads: dict[str, Load] = {}
+        self._loads: dict[str, ServerLoad] = {}
         self._leaving = self._left = False
         self._wake = Wake(scheduler, clock, self._ring)
         self._closed = False
         self.counts: Counter[str] = Counter()
         keeper.group_of, keeper.may_begin, keeper.fenced = self._group_of, self._may_begin, self._fenced
-        keeper.replica.binding_life = max(keeper.replica.binding_life, plan.settings.life)
+        keeper.replica.binding_life = max(keeper.replica.binding_life, plan.settings.binding_lifetime_s)
         forward.guests, forward.home = self, self._home
         links.on(KIND, self._heard)
         fleet.on_view(self._viewed)
@@ -153,7 +153,7 @@
             self.counts["faults"] += 1
             log.exception("session not found, for a fault")
             if self._held.pop(came.ref, None) is not None:
-                if came.strict:
+                if came.requires_owner:
                     exchange.reject(self._plan.settings.retry_after_s, False)
                 else:
                     self._forward.serve(exchange)
@@ -168,17 +168,17 @@
         assert self._inner is not None
         return self._inner
 
-    def _came(self, exchange: Exchange, sender: str, back: bool = False) -> Came:
+    def _came(self, exchange: Exchange, sender: str, back: bool = False) -> RequestArrived:
         self._refs += 1
         self._held[self._refs] = exchange
         flow = self.flow_of(exchange)
-        return Came(
+        return RequestArrived(
             self._refs, exchange.session, exchange.request.request_class.idempotency, flow, sender, back
         )
 
     def _home(self, exchange: Exchange, to: str, tried: frozenset[str]) -> None:
         """One of ours is back from `to` and may run again."""
-        self._step(Unreached(self._came(exchange, "", len(tried) > 1), to))
+        self._step(OwnerUnreachable(self._came(exchange, "", len(tried) > 1), to))
 
     def _session(self, exchange: Exchange) -> str | None:
         request = exchange.request
@@ -191,7 +191,7 @@
         idempotency_key = (
             exchange.idempotency_key if request.request_class.idempotency is Idempotency.KEYED else None
         )
-        carried = Carried(
+        carried = SessionKeyFields(
             tenant,
             request.subject or "",
             request.client.name.decode("utf-8", "replace"),
@@ -256,7 +256,7 @@
 
     def _over(self, exchange: Exchange) -> None:
         if (one := self._open.pop(exchange, None)) is not None:
-            self._step(Over(one.ref, one.key))
+            self._step(RequestFinished(one.ref, one.key))
 
     # -- what replication asks
 
@@ -273,20 +273,20 @@
 
     def _fenced(self, exchange: Exchange) -> None:
         if (one := self._open.get(exchange)) is not None:
-            self._step(Fenced(one.key, one.number))
+            self._step(OwnerFenced(one.key, one.number))
 
     # -- what the fleet says
 
-    def activate(self, active: Active) -> None:
+    def activate(self, active: PolicyActivated) -> None:
         """A policy version is in force, or what servers can run under it has changed."""
         self._step(active)
 
     def _viewed(self, view: View) -> None:
-        self._step(Viewed(view))
+        self._step(ViewChanged(view))
         self._loads = {name: load for name, load in self._loads.items() if name in view}
         version = view.fact(ACTIVE).partition(":")[0]
         if version.isdigit() and int(version) > self.sessions.version:
-            self._step(Active(int(version)))
+            self._step(PolicyActivated(int(version)))
 
     def _heard(self, sender: str, payload: bytes) -> None:
         try:
@@ -295,23 +295,23 @@
             self.counts["packets_bad"] += 1
             log.warning("packet dropped", extra={"pairs": {"from": sender, "reason": trouble}})
             return
-        if isinstance(message, Load):
+        if isinstance(message, ServerLoad):
             self._loads[sender] = message
             return
-        self._step(Got(sender, message))
+        self._step(MessageReceived(sender, message))
 
     def _tell_loads(self) -> None:
         """Each to each; a lost one is made good by the next."""
         if self._closed:
             return
         capacity = 0.0 if self._leaving else self._capacity
-        mine = Load(len(self.sessions.owned), min(max(self._warmth(), 0.01), 1.0), capacity)
+        mine = ServerLoad(len(self.sessions.owned), min(max(self._warmth(), 0.01), 1.0), capacity)
         self._loads[self._fleet.me] = mine
         data = codec.encode(mine)
         for name in self._fleet.view.names if self._fleet.view is not None else ():
             if name != self._fleet.me:
                 self._links.send(name, KIND, data, LOADS_EVERY)
-        self._step(Loads(self._loads))
+        self._step(LoadsReported(self._loads))
         self._scheduler.after(LOADS_EVERY, self._tell_loads)
 
     # -- events in, effects out
@@ -319,29 +319,29 @@
     def _step(self, event: Event) -> None:
         if self._closed:
             return
-        for effect in self.sessions.step(self._clock(), event):
+        for effect in self.sessions.handle_event(self._clock(), event):
             self._carry_out(effect)
         self._wake.set(self.sessions.wake_at)
 
     def _ring(self) -> None:
-        self._step(Tick())
+        self._step(TimerFired())
 
     def _carry_out(self, effect: Effect) -> None:
         match effect:
-            case Here(ref, number):
+            case ServeLocally(ref, number):
                 self._serve(ref, number)
-            case Pass(ref, to):
+            case ForwardToOwner(ref, to):
                 self._pass(ref, to)
-            case Back(ref, sender, binding):
+            case ReturnToForwarder(ref, sender, binding):
                 exchange = self._held.pop(ref)
                 self._links.send(
-                    sender, KIND, codec.encode(Told(binding)), WITHIN
+                    sender, KIND, codec.encode(BindingNotice(binding)), WITHIN
                 )  # comes before the request
                 self._forward.decline(exchange)
-            case Reject(ref, retry_after_s, _):
+            case RejectRequest(ref, retry_after_s, _):
                 exchange = self._held.pop(ref)
                 exchange.reject(retry_after_s, False)
-            case Write(ref, key, expect, value, life):
+            case WriteBinding(ref, key, expect, value, life):
                 self._keeper.write(
                     SESSIONS,
                     key.encode(),
@@ -349,14 +349,14 @@
                     codec.pack(value),
                     life,
                     lambda answer: self._register(ref, answer),
-                    value.number,
+                    value.fencing_number,
                 )
-            case Read(ref, key):
+            case ReadBinding(ref, key):
                 self._keeper.read(SESSIONS, key.encode(), lambda answer: self._register(ref, answer))
-            case Send(to, message):
+            case SendMessage(to, message):
                 if not self._links.send(to, KIND, codec.encode(message), WITHIN):
                     self.counts["unsent"] += 1
-            case Note(what, fields):
+            case LogEvent(what, fields):
                 log.log(logging.INFO if what in LOUD else logging.WARNING, what, extra={"pairs": fields})
 
     def _register(self, ref: int, answer: Answer) -> None:
@@ -367,13 +367,13 @@
             except codec.BadPacketError as trouble:
                 self.counts["bindings_bad"] += 1
                 log.warning("binding dropped", extra={"pairs": {"reason": trouble}})
-                return self._step(Answered(ref, Verdict.UNREACHABLE))
-        self._step(Answered(ref, VERDICTS.get(answer.verdict, Verdict.UNREACHABLE), stands))
+                return self._step(RegisterAnswered(ref, RegisterVerdict.UNREACHABLE))
+        self._step(RegisterAnswered(ref, VERDICTS.get(answer.verdict, RegisterVerdict.UNREACHABLE), stands))
 
     def _serve(self, ref: int, number: int) -> None:
         exchange = self._held.pop(ref)
         if exchange.closed:  # nobody waits any more
-            return self._step(Over(ref, exchange.session))
+            return self._step(RequestFinished(ref, exchange.session))
         if number and exchange.request.request_class.idempotency is not Idempotency.IDEMPOTENT:
             self._open[exchange] = Open(ref, exchange.session, number)
         self._forward.serve(exchange)
@@ -393,11 +393,11 @@
         """
         self._leaving = True
         self._tell_loads_once()
-        self._step(Drain(self._grace))
+        self._step(DrainStarted(self._grace))
         self._scheduler.after(self._grace * LEAVE_SHARE, self._leave)
 
     def _tell_loads_once(self) -> None:
-        data = codec.encode(Load(len(self.sessions.owned), 1.0, 0.0))
+        data = codec.encode(ServerLoad(len(self.sessions.owned), 1.0, 0.0))
         for name in self._fleet.view.names if self._fleet.view is not None else ():
             if name != self._fleet.me:
                 self._links.send(name, KIND, data, WITHIN)
--- a/tests/stories/test_affinity_stories.py
+++ b/tests/stories/test_affinity_stories.py
@@ -18,9 +18,9 @@
 from sablewheel.experiments.affinity_fleet import Request, World
 from sablewheel.experiments.affinity_replicas import ReplicaWorld
 from sablewheel.overload.interface import Idempotency
-from sablewheel.session_affinity.binding import State
-from sablewheel.session_affinity.placement import Load, bounds
-from sablewheel.session_affinity.plan import Settings
+from sablewheel.session_affinity.binding import BindingState
+from sablewheel.session_affinity.placement import ServerLoad, bounds
+from sablewheel.session_affinity.plan import AffinitySettings
 
 scenarios("affinity.feature", "affinity_replicas.feature")
 
@@ -35,7 +35,11 @@
     def __init__(self) -> None:
         self.chance = random.Random(7)
         self.kiosks: list[str] = []
-        self.keys: dict[str, Any] = {"idle": 60.0, "moves_per_s": BUDGET, "handover_within": 3.0}
+        self.keys: dict[str, Any] = {
+            "idle_timeout_s": 60.0,
+            "migrations_per_s": BUDGET,
+            "handover_timeout_s": 3.0,
+        }
         self.since = 0.0  # moves and requests from then on are the story's
         self.first = 0
         self.owners: dict[str, str] = {}  # at `since`
@@ -43,7 +47,7 @@
 
     def begin(self, servers: int, kiosks: int = 0, kind: type[World] = World, **keys: Any) -> None:
         self.keys |= keys
-        self.world = kind([f"m{place}" for place in range(servers)], Settings(**self.keys))
+        self.world = kind([f"m{place}" for place in range(servers)], AffinitySettings(**self.keys))
         self.world.run_takes = lambda: self.chance.choice([0.02, 0.05, 0.4])
         self.more(kiosks)
         self.mark()
@@ -81,7 +85,7 @@
         return self.world.requests[self.first :]
 
     def causes(self) -> Counter[str]:
-        notes = [note for when, _, note in self.world.notes if when >= self.since and note.what == "moved"]
+        notes = [note for when, _, note in self.world.notes if when >= self.since and note.message == "moved"]
         return Counter(str(note.fields["cause"]) for note in notes)
 
 
@@ -93,7 +97,7 @@
     told.world.no_majority = False
     told.world.run(QUIET)
     assert [request for request in told.world.requests if not request.outcome] == []
-    if not told.keys.get("broken"):
+    if not told.keys.get("faulty_variant"):
         assert told.world.watch.wrong == []
 
 
@@ -104,25 +108,25 @@
 def fleet(story: Story, servers: str, rest: str) -> None:
     wanted = {
         r"keeps (\d+) versions": "keep_versions",
-        r"retires versions after (\d+) seconds": "retire_after",
-        r"budget of (\d+) moves": "moves_per_s",
-        r"waits (\d+) second for runs": "handover_within",
-        r"room for (\d+) sessions": "sessions_most",
-        r"sessions end after (\d+) idle": "idle",
+        r"retires versions after (\d+) seconds": "retire_after_s",
+        r"budget of (\d+) moves": "migrations_per_s",
+        r"waits (\d+) second for runs": "handover_timeout_s",
+        r"room for (\d+) sessions": "max_sessions",
+        r"sessions end after (\d+) idle": "idle_timeout_s",
     }
     told = {name: re.search(what, rest) for what, name in wanted.items()}
     keys: dict[str, Any] = {name: int(found[1]) for name, found in told.items() if found}
     if found := re.search(r'by "([a-z-]+)"', rest):
-        keys["broken"] = found[1]
-    if "broken" in keys or "whole" in rest:
-        keys["moves_per_s"] = 1.0
+        keys["faulty_variant"] = found[1]
+    if "faulty_variant" in keys or "whole" in rest:
+        keys["migrations_per_s"] = 1.0
     kiosks = re.search(r"(\d+) kiosks in service", rest)
     lossy = "loses a third" in rest
     assert keys or kiosks or lossy or not rest, rest
     kind = ReplicaWorld if "on replicas" in rest else World
     story.begin(int(servers), int(kiosks[1]) if kiosks else 0, kind, **keys)
     story.world.lose_answers = 1 / 3 if lossy else 0.0
-    if "moves_per_s" in keys and keys["moves_per_s"] == 1.0:
+    if "migrations_per_s" in keys and keys["migrations_per_s"] == 1.0:
         story.world.run_takes = lambda: 2.5  # runs so long that a second owner is sure to meet one
 
 
@@ -277,18 +281,18 @@
 
 @then(parsers.parse("every session goes on under version {version:d}"))
 def under(story: Story, version: int) -> None:
-    assert {story.world.register.bindings[kiosk].version for kiosk in story.kiosks} == {version}
+    assert {story.world.register.bindings[kiosk].policy_version for kiosk in story.kiosks} == {version}
 
 
 @then(parsers.parse("some sessions go on under version {version:d}"))
 def some_under(story: Story, version: int) -> None:
-    found = Counter(story.world.register.bindings[kiosk].version for kiosk in story.kiosks)
+    found = Counter(story.world.register.bindings[kiosk].policy_version for kiosk in story.kiosks)
     assert 0 < found[version] < len(story.kiosks)
 
 
 @then(parsers.parse("sessions under version {one:d} are {few:d} and under version {other:d} are {many:d}"))
 def mixed(story: Story, one: int, few: int, other: int, many: int) -> None:
-    found = Counter(story.world.register.bindings[kiosk].version for kiosk in story.kiosks)
+    found = Counter(story.world.register.bindings[kiosk].policy_version for kiosk in story.kiosks)
     assert found == {one: few, other: many}
 
 
@@ -318,7 +322,7 @@
 @then(parsers.parse("{count:d} run has passed on as a claim"))
 def passed_on(story: Story, count: int) -> None:
     assert story.long_run is not None
-    found = [note for _, _, note in story.world.notes if note.what == "passed as claims"]
+    found = [note for _, _, note in story.world.notes if note.message == "passed as claims"]
     assert sum(int(str(note.fields["runs"])) for note in found) == count
 
 
@@ -354,7 +358,7 @@
     for kiosk in story.kiosks:
         binding = story.world.register.bindings[kiosk]
         first = next(one for _, one in story.world.register.history if one.key == kiosk)
-        assert binding.number > first.number or binding.owner == first.owner
+        assert binding.fencing_number > first.fencing_number or binding.owner == first.owner
         assert binding.owner in story.world.alive
 
 
@@ -384,7 +388,7 @@
     for kiosk, request in zip(story.kiosks, requests, strict=True):
         binding = world.register.bindings[kiosk]
         holders = [name for name in world.alive if kiosk in world.sessions(name).owned]
-        assert binding.state is State.HELD and holders == [binding.owner] == [request.ran_at]
+        assert binding.state is BindingState.OWNED and holders == [binding.owner] == [request.ran_at]
 
 
 @then(parsers.parse("in no second more than {most:d} sessions have moved, and {more:d} more at the start"))
@@ -430,8 +434,8 @@
 @then("no server took a session above its bound")
 def in_bound(story: Story) -> None:
     world = story.world
-    loads = {name: Load(len(world.sessions(name).owned)) for name in world.alive}
-    most = bounds(loads, loads, world.settings.factor, world.settings.bound_least)
+    loads = {name: ServerLoad(len(world.sessions(name).owned)) for name in world.alive}
+    most = bounds(loads, loads, world.settings.load_factor, world.settings.min_load_bound)
     assert sum(load.sessions for load in loads.values()) == len(story.kiosks)
     assert world.count("forced") == 0
     assert all(load.sessions <= most[name] for name, load in loads.items())
@@ -454,7 +458,7 @@
         found.add("sessions moved without a cause")
     times = sorted(when for when, _, before, _ in story.moves if before == "m3")
     burst = max((sum(when < at + 1.0 for when in times[place:]) for place, at in enumerate(times)), default=0)
-    if burst > story.keys["moves_per_s"] + len(story.world.view.names):
+    if burst > story.keys["migrations_per_s"] + len(story.world.view.names):
         found.add("more moved than the budget lets")
     return found
 
--- a/tests/test_session_affinity.py
+++ b/tests/test_session_affinity.py
@@ -16,38 +16,38 @@
 from sablewheel.overload.interface import Idempotency
 from sablewheel.program.feature_file import FaultyFeaturesError, check
 from sablewheel.session_affinity import codec
-from sablewheel.session_affinity.binding import Binding, Cause, State, newer
-from sablewheel.session_affinity.budget import DEPTH, Budget
+from sablewheel.session_affinity.binding import Binding, BindingState, MigrationCause, newer
+from sablewheel.session_affinity.budget import DEPTH, MigrationBudget
 from sablewheel.session_affinity.events import (
-    Active,
-    Answered,
-    Came,
-    Drain,
-    Got,
-    Here,
-    Loads,
-    Offer,
-    Over,
-    Pass,
-    Read,
-    Refused,
-    Reject,
-    Reply,
-    Returned,
-    Send,
-    Take,
-    Tick,
-    Told,
-    Unreached,
-    Verdict,
-    Viewed,
-    Why,
-    Write,
+    BindingNotice,
+    ClaimRefused,
+    DecisionReason,
+    DrainStarted,
+    ForwardToOwner,
+    LoadsReported,
+    MessageReceived,
+    OfferReply,
+    OwnershipOffer,
+    OwnerUnreachable,
+    PolicyActivated,
+    ReadBinding,
+    RegisterAnswered,
+    RegisterVerdict,
+    RejectRequest,
+    RequestArrived,
+    RequestFinished,
+    RequestReturned,
+    SendMessage,
+    ServeLocally,
+    TakeOwnership,
+    TimerFired,
+    ViewChanged,
+    WriteBinding,
 )
-from sablewheel.session_affinity.keys import FIELD_MOST, KEY_SIZE, Carried, key_of
-from sablewheel.session_affinity.placement import Load, begin_on, bounds, move_to
-from sablewheel.session_affinity.plan import Settings
-from sablewheel.session_affinity.sessions import Phase, Sessions
+from sablewheel.session_affinity.keys import FIELD_MOST, KEY_SIZE, SessionKeyFields, key_of
+from sablewheel.session_affinity.placement import ServerLoad, begin_on, bounds, move_to
+from sablewheel.session_affinity.plan import AffinitySettings
+from sablewheel.session_affinity.sessions import OwnershipPhase, Sessions
 
 VIEW = View(1, tuple(Member(name, name, incarnation=1) for name in ("a", "b", "c")))
 NUMBER = 1 << 20 | 1  # the first of epoch 1
@@ -55,9 +55,9 @@
 
 
 def server(me: str = "a", **keys: Any) -> Sessions:
-    one = Sessions(me, 1, Settings(**keys), 0.0)
-    one.step(0.0, Viewed(VIEW))
-    one.step(0.0, Active(1))
+    one = Sessions(me, 1, AffinitySettings(**keys), 0.0)
+    one.handle_event(0.0, ViewChanged(VIEW))
+    one.handle_event(0.0, PolicyActivated(1))
     return one
 
 
@@ -73,38 +73,47 @@
 def own(
     one: Sessions, key: str, idempotency: Idempotency = Idempotency.IDEMPOTENT, now: float = 0.0, ref: int = 1
 ) -> None:
-    (read,) = [effect for effect in one.step(now, Came(ref, key, idempotency)) if isinstance(effect, Read)]
-    found = one.step(now, Answered(read.ref, Verdict.WON, Binding(key, 5, one.me, 1, 1)))
-    (write,) = [effect for effect in found if isinstance(effect, Write)]
-    one.step(now, Answered(write.ref, Verdict.WON, write.value))
-    assert one.owned[key].binding == Binding(key, NUMBER, one.me, 1, 1)
+    (read,) = [
+        effect
+        for effect in one.handle_event(now, RequestArrived(ref, key, idempotency))
+        if isinstance(effect, ReadBinding)
+    ]
+    found = one.handle_event(
+        now, RegisterAnswered(read.ref, RegisterVerdict.WON, Binding(key, 5, one.node_name, 1, 1))
+    )
+    (write,) = [effect for effect in found if isinstance(effect, WriteBinding)]
+    one.handle_event(now, RegisterAnswered(write.ref, RegisterVerdict.WON, write.binding))
+    assert one.owned[key].binding == Binding(key, NUMBER, one.node_name, 1, 1)
 
 
 @pytest.mark.parametrize("rule", RULES)
 def test_a_idempotency_key_stays_with_its_session_whatever_router_it_comes_by(rule: tuple[str, ...]) -> None:
-    keys = {key_of(rule, Carried("c1", "s1", router, "label")) for router in ("r1", "r2")}
+    keys = {key_of(rule, SessionKeyFields("c1", "s1", router, "label")) for router in ("r1", "r2")}
     assert len(keys) == 1 and None not in keys
 
 
 def test_keys_of_different_fields_differ_and_have_one_size() -> None:
     rule = ("customer", "subject")
     pairs = [("a", "bc"), ("ab", "c"), ("a|subject:1:b", "c")]
-    keys = {key_of(rule, Carried(tenant, subject)) for tenant, subject in pairs}
+    keys = {key_of(rule, SessionKeyFields(tenant, subject)) for tenant, subject in pairs}
     assert len(keys) == len(pairs) and all(len(one or "") == KEY_SIZE for one in keys)
-    assert key_of(rule, Carried("c1")) is None and key_of(rule, Carried("c", "s" * (FIELD_MOST + 1))) is None
+    assert (
+        key_of(rule, SessionKeyFields("c1")) is None
+        and key_of(rule, SessionKeyFields("c", "s" * (FIELD_MOST + 1))) is None
+    )
 
 
 @given(st.lists(st.integers(0, 40), min_size=2, max_size=8), st.floats(1.05, 3.0))
 @settings(derandomize=True, max_examples=60, deadline=None)
 def test_there_is_always_room_below_a_bound(sessions: list[int], factor: float) -> None:
-    loads = {f"m{place}": Load(much, 0.1 + place / 10) for place, much in enumerate(sessions)}
+    loads = {f"m{place}": ServerLoad(much, 0.1 + place / 10) for place, much in enumerate(sessions)}
     most = bounds(loads, loads, factor, 1)
     assert begin_on("k", loads, most) and move_to("k", loads, most)
     assert all(loads[name].sessions < most[name] for name in begin_on("k", loads, most))
 
 
 def test_a_cold_server_is_bound_to_its_warmth_and_the_least_loaded_gets_the_most() -> None:
-    loads = {"cold": Load(0, 0.1), "warm": Load(100), "idle": Load(20)}
+    loads = {"cold": ServerLoad(0, 0.1), "warm": ServerLoad(100), "idle": ServerLoad(20)}
     most = bounds(loads, loads, 1.25, 4)
     assert most["cold"] < most["warm"] / 5
     first = Counter(move_to(f"k{place}", loads, most)[0] for place in range(400))
@@ -112,7 +121,7 @@
 
 
 def test_a_server_that_goes_moves_only_its_own_keys() -> None:
-    loads = {f"m{place}": Load() for place in range(8)}
+    loads = {f"m{place}": ServerLoad() for place in range(8)}
     most = dict.fromkeys(loads, 1000)
     before = {key: begin_on(key, loads, most)[0] for key in map(str, range(300))}
     del loads["m3"], most["m3"]
@@ -123,91 +132,112 @@
 @given(st.floats(0.1, 100), st.lists(st.floats(0, 2), max_size=60))
 @settings(derandomize=True, max_examples=60, deadline=None)
 def test_no_span_sees_more_moves_than_the_budget(rate: float, waits: list[float]) -> None:
-    budget, now, taken = Budget(rate, 0.0), 0.0, 0
+    budget, now, taken = MigrationBudget(rate, 0.0), 0.0, 0
     for wait in waits:
         now += wait
-        while budget.take(now):
+        while budget.try_take(now):
             taken += 1
         assert taken <= rate * now + max(DEPTH, rate) + 1e-6
 
 
 def test_a_budget_of_nothing_moves_nothing() -> None:
-    assert not Budget(0.0, 0.0).take(1e9)
+    assert not MigrationBudget(0.0, 0.0).try_take(1e9)
 
 
 def test_the_higher_number_holds() -> None:
     old, new = Binding("k", 5, "a", 1, 1), Binding("k", 6, "b", 1, 1)
     assert newer(old, new) is new and newer(new, old) is new and newer(None, old) is old
-    assert old.passing("b").number == 6 and old.passing("b").taken("b", 1, 1).state is State.HELD
+    assert (
+        old.handing_over_to("b").fencing_number == 6
+        and old.handing_over_to("b").owned_by("b", 1, 1).state is BindingState.OWNED
+    )
 
 
 def test_a_request_goes_to_its_owner_and_is_not_passed_on_twice() -> None:
     one, there = server("b"), Binding("k", 5, "a", 1, 1)
-    one.step(0.0, Got("a", Reply("k", 0, False)))  # an answer to nothing
-    (read,) = one.step(0.0, Came(1, "k", Idempotency.KEYED))
-    assert isinstance(read, Read)
-    assert one.step(0.1, Answered(read.ref, Verdict.WON, there)) == [Pass(1, "a")]
-    assert one.step(0.2, Came(2, "k", Idempotency.IDEMPOTENT)) == [Pass(2, "a")]
-    back = Came(3, "k", Idempotency.KEYED, back=True)
-    (reject,) = one.step(0.3, Returned(back, there))
-    assert isinstance(reject, Reject) and reject.why is Why.STALE
+    one.handle_event(0.0, MessageReceived("a", OfferReply("k", 0, False)))  # an answer to nothing
+    (read,) = one.handle_event(0.0, RequestArrived(1, "k", Idempotency.KEYED))
+    assert isinstance(read, ReadBinding)
+    assert one.handle_event(0.1, RegisterAnswered(read.ref, RegisterVerdict.WON, there)) == [
+        ForwardToOwner(1, "a")
+    ]
+    assert one.handle_event(0.2, RequestArrived(2, "k", Idempotency.IDEMPOTENT)) == [ForwardToOwner(2, "a")]
+    back = RequestArrived(3, "k", Idempotency.KEYED, was_returned=True)
+    (reject,) = one.handle_event(0.3, RequestReturned(back, there))
+    assert isinstance(reject, RejectRequest) and reject.reason is DecisionReason.STALE
 
 
 @pytest.mark.parametrize("idempotency", Idempotency)
 def test_without_its_owner_only_what_may_run_twice_is_served(idempotency: Idempotency) -> None:
     one = server("b")
-    (effect,) = one.step(0.0, Unreached(Came(1, "k", idempotency), "a"))
+    (effect,) = one.handle_event(0.0, OwnerUnreachable(RequestArrived(1, "k", idempotency), "a"))
     assert (
-        isinstance(effect, Here if idempotency is Idempotency.IDEMPOTENT else Reject)
-        and effect.why is Why.UNREACHED
+        isinstance(effect, ServeLocally if idempotency is Idempotency.IDEMPOTENT else RejectRequest)
+        and effect.reason is DecisionReason.UNREACHED
     )
     assert "k" not in one.owned
 
 
 def test_no_majority_denies_keyed_requests_and_loses_none() -> None:
     one = server()
-    (read,) = one.step(0.0, Came(1, "k", Idempotency.KEYED))
-    one.step(0.0, Came(2, "k", Idempotency.IDEMPOTENT))
-    assert isinstance(read, Read)
-    effects = one.step(0.1, Answered(read.ref, Verdict.UNREACHABLE))
-    assert [type(effect) for effect in effects] == [Reject, Here] and not one.seeks
+    (read,) = one.handle_event(0.0, RequestArrived(1, "k", Idempotency.KEYED))
+    one.handle_event(0.0, RequestArrived(2, "k", Idempotency.IDEMPOTENT))
+    assert isinstance(read, ReadBinding)
+    effects = one.handle_event(0.1, RegisterAnswered(read.ref, RegisterVerdict.UNREACHABLE))
+    assert [type(effect) for effect in effects] == [RejectRequest, ServeLocally] and not one.lookups
 
 
 def test_a_new_version_moves_nobody_and_new_sessions_begin_under_it() -> None:
     one = owner(keep_versions=2)
-    assert one.step(1.0, Active(2)) == []
-    (here,) = one.step(1.0, Came(2, "k", Idempotency.IDEMPOTENT))
-    assert isinstance(here, Here) and here.version == 1
-    effects = one.step(2.0, Active(3))  # now version 1 is kept no longer
-    assert [effect.value.version for effect in effects if isinstance(effect, Write)] == [3]
+    assert one.handle_event(1.0, PolicyActivated(2)) == []
+    (here,) = one.handle_event(1.0, RequestArrived(2, "k", Idempotency.IDEMPOTENT))
+    assert isinstance(here, ServeLocally) and here.policy_version == 1
+    effects = one.handle_event(2.0, PolicyActivated(3))  # now version 1 is kept no longer
+    assert [effect.binding.policy_version for effect in effects if isinstance(effect, WriteBinding)] == [3]
 
 
 def test_a_retired_version_is_changed_where_the_session_is_and_a_mandatory_one_at_once() -> None:
-    for event, cause in ((Tick(), Cause.RETIRED), (Active(3, mandatory=True), Cause.MANDATORY)):
-        one = owner(retire_after=50.0)
-        one.step(1.0, Active(2))
-        (write,) = one.step(60.0, event)
-        assert isinstance(write, Write) and (write.expect, write.value.owner) == (NUMBER, "a")
-        one.step(60.1, Answered(write.ref, Verdict.WON, write.value))
-        assert one.counts[f"brought_{cause.value}"] == 1 and one.owned["k"].phase is Phase.SERVING
+    for event, cause in (
+        (TimerFired(), MigrationCause.RETIRED),
+        (PolicyActivated(3, mandatory=True), MigrationCause.MANDATORY),
+    ):
+        one = owner(retire_after_s=50.0)
+        one.handle_event(1.0, PolicyActivated(2))
+        (write,) = one.handle_event(60.0, event)
+        assert isinstance(write, WriteBinding) and (write.expected_fencing_number, write.binding.owner) == (
+            NUMBER,
+            "a",
+        )
+        one.handle_event(60.1, RegisterAnswered(write.ref, RegisterVerdict.WON, write.binding))
+        assert one.counts[f"brought_{cause.value}"] == 1 and one.owned["k"].phase is OwnershipPhase.SERVING
 
 
 def test_an_owner_that_can_no_longer_run_a_flow_hands_over_after_its_keyed_runs() -> None:
     one = owner(idempotency=Idempotency.KEYED)
-    one.step(0.0, Loads({"b": Load(5), "c": Load(5)}))
-    (write,) = one.step(1.0, Active(1, {"": frozenset({"b"})}))
-    assert isinstance(write, Write) and (write.value.state, write.value.successor) == (State.PASSING, "b")
-    assert one.step(1.1, Answered(write.ref, Verdict.WON, write.value)) == []  # one run is open
-    assert one.step(1.1, Came(2, "k", Idempotency.KEYED)) == []  # it waits for the successor
-    (take,) = one.step(1.2, Over(1, "k"))
-    assert isinstance(take, Send) and isinstance(take.message, Take) and take.to == "b"
+    one.handle_event(0.0, LoadsReported({"b": ServerLoad(5), "c": ServerLoad(5)}))
+    (write,) = one.handle_event(1.0, PolicyActivated(1, {"": frozenset({"b"})}))
+    assert isinstance(write, WriteBinding) and (write.binding.state, write.binding.successor) == (
+        BindingState.HANDING_OVER,
+        "b",
+    )
+    assert (
+        one.handle_event(1.1, RegisterAnswered(write.ref, RegisterVerdict.WON, write.binding)) == []
+    )  # one run is open
+    assert (
+        one.handle_event(1.1, RequestArrived(2, "k", Idempotency.KEYED)) == []
+    )  # it waits for the successor
+    (take,) = one.handle_event(1.2, RequestFinished(1, "k"))
+    assert isinstance(take, SendMessage) and isinstance(take.message, TakeOwnership) and take.to == "b"
     assert not one.may_begin(1.2, "k", NUMBER, 1.2)
     done = Binding("k", NUMBER + 2, "b", 1, 1)
-    assert one.step(1.3, Got("b", Told(done))) == [Pass(2, "b")] and "k" not in one.owned
+    assert (
+        one.handle_event(1.3, MessageReceived("b", BindingNotice(done))) == [ForwardToOwner(2, "b")]
+        and "k" not in one.owned
+    )
 
 
 def test_a_claim_that_was_won_before_a_pause_does_not_begin_after_it() -> None:
-    one = owner(idempotency=Idempotency.KEYED, claim_within=0.5)
+    one = owner(idempotency=Idempotency.KEYED, claim_timeout_s=0.5)
     assert one.may_begin(0.4, "k", NUMBER, 0.0) and not one.may_begin(0.5, "k", NUMBER, 0.0)
     assert not one.may_begin(0.4, "k", NUMBER - 1, 0.0) and not one.may_begin(0.4, "other", NUMBER, 0.0)
 
@@ -215,10 +245,15 @@
 def test_what_the_register_may_have_forgotten_is_looked_for_anew_before_a_idempotency_key_runs() -> None:
     """An owner without a majority in reach can't renew: past the binding's life another may have begun anew,
     and a claim here would meet no number that refuses it."""
-    one = owner(idempotency=Idempotency.KEYED, idle=3.0)
-    assert [type(effect) for effect in one.step(5.9, Came(2, "k", Idempotency.KEYED))] == [Here, Write]
+    one = owner(idempotency=Idempotency.KEYED, idle_timeout_s=3.0)
+    assert [type(effect) for effect in one.handle_event(5.9, RequestArrived(2, "k", Idempotency.KEYED))] == [
+        ServeLocally,
+        WriteBinding,
+    ]
     assert one.may_begin(5.9, "k", NUMBER, 5.9) and not one.may_begin(6.0, "k", NUMBER, 5.9)
-    assert [type(effect) for effect in one.step(6.1, Came(3, "k", Idempotency.KEYED))] == [Read]
+    assert [type(effect) for effect in one.handle_event(6.1, RequestArrived(3, "k", Idempotency.KEYED))] == [
+        ReadBinding
+    ]
     assert "k" not in one.owned
 
 
@@ -226,26 +261,37 @@
     """Two holders fell with number 7 and left an older copy: its next owner must not come below 7."""
     one = server("b")
     gone = View(9, tuple(one for one in VIEW.members if one.name != "a"))
-    one.step(0.0, Viewed(gone))
-    (read,) = one.step(0.0, Came(1, "k", Idempotency.KEYED, sender="c"))
-    assert isinstance(read, Read)
-    one.step(0.1, Answered(read.ref, Verdict.WON, Binding("k", 5, "a", 1, 1)))
-    (write,) = [effect for at in (0.1, 1.0) for effect in one.step(at, Tick()) if isinstance(effect, Write)]
-    assert (write.expect, write.value.number, write.value.owner) == (5, 9 << 20 | 1, "b")
+    one.handle_event(0.0, ViewChanged(gone))
+    (read,) = one.handle_event(0.0, RequestArrived(1, "k", Idempotency.KEYED, forwarded_by="c"))
+    assert isinstance(read, ReadBinding)
+    one.handle_event(0.1, RegisterAnswered(read.ref, RegisterVerdict.WON, Binding("k", 5, "a", 1, 1)))
+    (write,) = [
+        effect
+        for at in (0.1, 1.0)
+        for effect in one.handle_event(at, TimerFired())
+        if isinstance(effect, WriteBinding)
+    ]
+    assert (write.expected_fencing_number, write.binding.fencing_number, write.binding.owner) == (
+        5,
+        9 << 20 | 1,
+        "b",
+    )
 
 
 def test_a_refused_claim_makes_its_server_look_again() -> None:
     one = owner(idempotency=Idempotency.KEYED)
-    (read,) = one.step(1.0, Refused(Came(1, "k", Idempotency.KEYED), NUMBER + 1))
-    assert isinstance(read, Read) and "k" not in one.owned
+    (read,) = one.handle_event(1.0, ClaimRefused(RequestArrived(1, "k", Idempotency.KEYED), NUMBER + 1))
+    assert isinstance(read, ReadBinding) and "k" not in one.owned
     there = Binding("k", NUMBER + 1, "b", 1, 1)
-    assert one.step(1.1, Answered(read.ref, Verdict.WON, there)) == [Pass(1, "b")]
+    assert one.handle_event(1.1, RegisterAnswered(read.ref, RegisterVerdict.WON, there)) == [
+        ForwardToOwner(1, "b")
+    ]
 
 
 def test_room_is_made_by_idle_idempotent_sessions_never_by_one_with_open_idempotency_keys() -> None:
-    one = owner("open", Idempotency.KEYED, sessions_most=3)
+    one = owner("open", Idempotency.KEYED, max_sessions=3)
     own(one, "labelled", Idempotency.KEYED, 1.0, 2)
-    one.step(1.0, Over(2, "labelled"))
+    one.handle_event(1.0, RequestFinished(2, "labelled"))
     own(one, "redoable", now=2.0, ref=3)
     own(one, "next", now=3.0, ref=4)
     assert set(one.owned) == {"open", "labelled", "next"}
@@ -253,19 +299,23 @@
     assert set(one.owned) == {"open", "labelled", "another"}
     own(one, "more", Idempotency.KEYED, now=4.0, ref=6)
     assert set(one.owned) == {"open", "another", "more"}
-    (read,) = one.step(5.0, Got("b", Offer("late", 9)))
-    assert isinstance(read, Read)
-    (reply,) = one.step(5.0, Answered(read.ref, Verdict.WON))
-    assert isinstance(reply, Send) and reply.message == Reply("late", 9, True)
+    (read,) = one.handle_event(5.0, MessageReceived("b", OwnershipOffer("late", 9)))
+    assert isinstance(read, ReadBinding)
+    (reply,) = one.handle_event(5.0, RegisterAnswered(read.ref, RegisterVerdict.WON))
+    assert isinstance(reply, SendMessage) and reply.message == OfferReply("late", 9, True)
 
 
 def test_an_idle_session_ends_and_one_in_use_does_not() -> None:
-    one = owner("idle", idle=10.0)
+    one = owner("idle", idle_timeout_s=10.0)
     own(one, "open", Idempotency.KEYED, 0.0, 2)
-    one.step(2.0, Tick())  # the time that a search for its owner would have had
+    one.handle_event(2.0, TimerFired())  # the time that a search for its owner would have had
     assert one.wake_at == 10.0
-    (write,) = one.step(10.0, Tick())
-    assert isinstance(write, Write) and write.value.state is State.ENDED and set(one.owned) == {"open"}
+    (write,) = one.handle_event(10.0, TimerFired())
+    assert (
+        isinstance(write, WriteBinding)
+        and write.binding.state is BindingState.ENDED
+        and set(one.owned) == {"open"}
+    )
 
 
 @pytest.mark.parametrize("start", STARTS)
@@ -306,25 +356,29 @@
 def test_work_that_is_open_outlives_what_its_server_knows_of_the_session() -> None:
     """A renewal overtook a claim: the owner looked again, forgot what was open, and did not wait for it."""
     one = owner(idempotency=Idempotency.KEYED)
-    (read,) = one.step(1.0, Refused(Came(9, "k", Idempotency.KEYED), NUMBER + 1))
-    assert isinstance(read, Read)
-    (write,) = one.step(1.1, Answered(read.ref, Verdict.WON, Binding("k", NUMBER + 1, "a", 1, 1)))
-    assert isinstance(write, Write) and write.value.number == NUMBER + 2
-    one.step(1.1, Answered(write.ref, Verdict.WON, write.value))
-    assert one.owned["k"].open == {1, 9}
-    one.step(1.2, Over(9, "k"))
-    (write,) = [effect for effect in one.step(1.3, Drain(5.0)) if isinstance(effect, Write)]
-    assert one.step(1.4, Answered(write.ref, Verdict.WON, write.value)) == []
-    assert [type(effect) for effect in one.step(1.5, Over(1, "k"))] == [Send]
+    (read,) = one.handle_event(1.0, ClaimRefused(RequestArrived(9, "k", Idempotency.KEYED), NUMBER + 1))
+    assert isinstance(read, ReadBinding)
+    (write,) = one.handle_event(
+        1.1, RegisterAnswered(read.ref, RegisterVerdict.WON, Binding("k", NUMBER + 1, "a", 1, 1))
+    )
+    assert isinstance(write, WriteBinding) and write.binding.fencing_number == NUMBER + 2
+    one.handle_event(1.1, RegisterAnswered(write.ref, RegisterVerdict.WON, write.binding))
+    assert one.owned["k"].open_refs == {1, 9}
+    one.handle_event(1.2, RequestFinished(9, "k"))
+    (write,) = [
+        effect for effect in one.handle_event(1.3, DrainStarted(5.0)) if isinstance(effect, WriteBinding)
+    ]
+    assert one.handle_event(1.4, RegisterAnswered(write.ref, RegisterVerdict.WON, write.binding)) == []
+    assert [type(effect) for effect in one.handle_event(1.5, RequestFinished(1, "k"))] == [SendMessage]
 
 
 SAID = [
-    Offer("k", 3, ("pay",), True),
-    Reply("k", 3, False, Binding("k", 5, "a", 1, 2, State.PASSING, "b")),
-    Reply("k", 3, True),
-    Take(Binding("k", 5, "a", 1, 2), Cause.DRAIN, ("pay",)),
-    Told(Binding("k", 5, "a", 1, 2, State.ENDED)),
-    Load(7, 0.5, 4.0),
+    OwnershipOffer("k", 3, ("pay",), True),
+    OfferReply("k", 3, False, Binding("k", 5, "a", 1, 2, BindingState.HANDING_OVER, "b")),
+    OfferReply("k", 3, True),
+    TakeOwnership(Binding("k", 5, "a", 1, 2), MigrationCause.DRAIN, ("pay",)),
+    BindingNotice(Binding("k", 5, "a", 1, 2, BindingState.ENDED)),
+    ServerLoad(7, 0.5, 4.0),
 ]
 
 
@@ -356,7 +410,8 @@
     top = check("f", NEEDED + "{key: [customer, router], idle-s: 60, moves-per-s: 5}")
     plan = top.sections()["affinity"].plan()
     assert plan.fields == ("customer", "router")
-    assert (plan.settings.idle, plan.settings.moves_per_s, plan.settings.keep_versions) == (60.0, 5.0, 3)
+    settings = plan.settings
+    assert (settings.idle_timeout_s, settings.migrations_per_s, settings.keep_versions) == (60.0, 5.0, 3)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_session_router.py
+++ b/tests/test_session_router.py
@@ -19,8 +19,8 @@
 from sablewheel.replication.service import Keeper
 from sablewheel.serving.exchange import NO_OBSERVER, Exchange, Place
 from sablewheel.serving.hooks import NO_RESULT_STORE
-from sablewheel.session_affinity.events import Active
-from sablewheel.session_affinity.plan import AffinityPlan, Settings
+from sablewheel.session_affinity.events import PolicyActivated
+from sablewheel.session_affinity.plan import AffinityPlan, AffinitySettings
 from sablewheel.session_affinity.session_router import KIND, Affinity, Watching
 
 NAMES = "abc"
@@ -94,7 +94,7 @@
         self.observer: Any = NO_OBSERVER
         self.affinity = Affinity(
             scheduler,
-            AffinityPlan(settings=Settings(**keys)),
+            AffinityPlan(settings=AffinitySettings(**keys)),
             cast(Any, self.fleet),
             links,
             self.forward,
@@ -266,10 +266,10 @@
     three.time.run(0.5)
     sessions = three.servers[owner].affinity.sessions
     assert three.running() == {owner: 2} and sessions.version == 7
-    assert next(iter(sessions.owned.values())).binding.version == 1
-    three.servers[owner].affinity.activate(Active(8, mandatory=True))
+    assert next(iter(sessions.owned.values())).binding.policy_version == 1
+    three.servers[owner].affinity.activate(PolicyActivated(8, mandatory=True))
     three.time.run(0.5)
-    assert next(iter(sessions.owned.values())).binding.version == 8
+    assert next(iter(sessions.owned.values())).binding.policy_version == 8
 
 
 def test_a_bad_packet_is_counted_and_dropped() -> None:
