--- a/sablewheel/experiments/affinity_fleet.py
+++ b/sablewheel/experiments/affinity_fleet.py
@@ -42,9 +42,10 @@
     ViewChanged,
     WriteBinding,
 )
+from ..session_affinity.ownership import OwnershipPhase
 from ..session_affinity.placement import ServerLoad
 from ..session_affinity.plan import AffinitySettings
-from ..session_affinity.sessions import OwnershipPhase, Sessions
+from ..session_affinity.sessions import Sessions
 from .made_fleet import MadeFleet
 
 Key = str
--- a/sablewheel/experiments/affinity_model.py
+++ b/sablewheel/experiments/affinity_model.py
@@ -40,8 +40,8 @@
 )
 from ..session_affinity.events import SendMessage as Say
 from ..session_affinity.events import WriteBinding as Put
+from ..session_affinity.ownership import OwnershipPhase
 from ..session_affinity.plan import AffinitySettings
-from ..session_affinity.sessions import OwnershipPhase
 from .affinity_fleet import Ask, Begin, Claimed, Free, Register, Run, Server, Watch
 from .verdict import Verdict as Found
 
@@ -308,9 +308,9 @@
                     own.view.epoch if own.view else 0,
                     own.version,
                     own.routes.get(KEY),
-                    list(own._due),
-                    sorted(own._asked.items()),
-                    own._drain is None,
+                    list(own.queued_keys),
+                    sorted(own.pending_queries.items()),
+                    not own.is_draining,
                     sorted(server.requests),
                     held
                     and (
--- /dev/null
+++ b/sablewheel/session_affinity/server_selection.py
@@ -0,0 +1,124 @@
+"""Which server a session begins on or migrates to, and whether this server has capacity for one more.
+Pure.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping, Set
+from dataclasses import replace
+
+from .context import SessionContext
+from .lookup_table import LookupTable
+from .ownership import OwnedSession, Ownership
+from .placement import ServerLoad, begin_on, bounds, move_to
+from .policy_versions import PolicyVersions
+
+
+class ServerSelection:
+    """Selects servers by their last load reports, capabilities and load bounds.
+
+    Invariant: only the server that takes a session checks its own bound with exact figures; the loads of
+    others are estimates, and a wrong one costs a declined offer.
+    """
+
+    def __init__(
+        self,
+        context: SessionContext,
+        versions: PolicyVersions,
+        ownership: Ownership,
+        lookups: LookupTable,
+    ) -> None:
+        """Start without load reports."""
+        self._context, self._versions = context, versions
+        self._ownership, self._lookups = ownership, lookups
+        self._loads: dict[str, ServerLoad] = {}
+
+    # -- load reports
+
+    def update_loads(self, loads: Mapping[str, ServerLoad]) -> None:
+        """Merge load reports; a member without a new report keeps its last one."""
+        names = self._context.member_names
+        retained = {name: load for name, load in self._loads.items() if name in names}
+        self._loads = retained | dict(loads)
+
+    def load_of(self, name: str) -> ServerLoad:
+        """Return a server's last load report, a default one if it never sent any."""
+        return self._loads.get(name, ServerLoad())
+
+    def add_session(self, name: str) -> None:
+        """Count a session that a server just took, until it reports its load itself."""
+        load = self.load_of(name)
+        self._loads[name] = replace(load, sessions=load.sessions + 1)
+
+    def _current_loads(self) -> dict[str, ServerLoad]:
+        name = self._context.node_name
+        own_load = replace(self.load_of(name), sessions=self._own_session_count)
+        return {**self._loads, name: own_load}
+
+    @property
+    def _own_session_count(self) -> int:
+        return len(self._ownership.sessions) + self._lookups.writing_count
+
+    # -- candidates
+
+    def capable_members(self, flows: Iterable[str], version: int) -> set[str]:
+        """Return the members of the view that can run all of these flows and do not leave."""
+        flows = list(flows)
+        return {
+            name
+            for name in self._context.member_names
+            if self._versions.can_run(name, version, flows) and not self._is_draining(name)
+        }
+
+    def _is_draining(self, name: str) -> bool:
+        if name == self._context.node_name:
+            return self._context.is_draining
+        load = self._loads.get(name)
+        return load is not None and load.weight <= 0
+
+    def choose(self, key: str, names: Set[str], *, is_migration: bool, excluded: Set[str]) -> str:
+        """Return the best server below its load bound; empty if there is none."""
+        loads, settings = self._current_loads(), self._context.settings
+        load_bounds = bounds(loads, names, settings.load_factor, settings.min_load_bound)
+        order = (move_to if is_migration else begin_on)(key, loads, load_bounds)
+        return next((name for name in order if name not in excluded), "")
+
+    def least_loaded(self, names: Set[str]) -> str:
+        """Return the server with the fewest sessions for its weight; empty if none has any weight."""
+        loads = self._current_loads()
+        known = [(loads.get(name, ServerLoad()), name) for name in names]
+        ratios = [(load.sessions / load.weight, name) for load, name in known if load.weight > 0]
+        return min(ratios, default=(0.0, ""))[1]
+
+    def choose_successor(self, session: OwnedSession) -> str:
+        """Return the server that an owned session should go to; empty if there is none."""
+        version = self._versions.retained_or_active(session.binding.policy_version)
+        capable = self.capable_members(session.flows, version) - {self._context.node_name}
+        declined = session.declined_by
+        chosen = self.choose(session.binding.key, capable, is_migration=True, excluded=declined)
+        return chosen or self.least_loaded(capable - declined) or self.least_loaded(capable)
+
+    # -- this server
+
+    def has_capacity(self, flows: Iterable[str], version: int, *, forced: bool) -> bool:
+        """Whether this server may take one more session that needs these flows.
+
+        Args:
+            flows: What the session's requests ask for.
+            version: The policy version that it would run under.
+            forced: Whether the load bound is ignored, since no server is below its bound.
+        """
+        flows, context = list(flows), self._context
+        if context.is_draining or not context.is_member:
+            return False
+        if not self._versions.can_run(context.node_name, version, flows):
+            return False
+        count, settings = self._own_session_count, context.settings
+        if count >= settings.max_sessions and not self._ownership.has_evictable_session():
+            return False
+        if forced:
+            context.counts["forced"] += 1
+            return True
+        capable = self.capable_members(flows, version)
+        load_bounds = bounds(self._current_loads(), capable, settings.load_factor, settings.min_load_bound)
+        return count < load_bounds.get(context.node_name, 0)
--- a/tests/test_session_affinity.py
+++ b/tests/test_session_affinity.py
@@ -45,9 +45,10 @@
     WriteBinding,
 )
 from sablewheel.session_affinity.keys import FIELD_MOST, KEY_SIZE, SessionKeyFields, key_of
+from sablewheel.session_affinity.ownership import OwnershipPhase
 from sablewheel.session_affinity.placement import ServerLoad, begin_on, bounds, move_to
 from sablewheel.session_affinity.plan import AffinitySettings
-from sablewheel.session_affinity.sessions import OwnershipPhase, Sessions
+from sablewheel.session_affinity.sessions import Sessions
 
 VIEW = View(1, tuple(Member(name, name, incarnation=1) for name in ("a", "b", "c")))
 NUMBER = 1 << 20 | 1  # the first of epoch 1
