--- a/sablewheel/experiments/affinity.py
+++ b/sablewheel/experiments/affinity.py
@@ -21,13 +21,14 @@
 from itertools import pairwise
 from pathlib import Path
 
+from ..session_affinity.plan import FAULTY_VARIANTS
 from .affinity_size import modulo, rendezvous
 from .fleet import LISTEN, Block
 from .forwarding import LINK, LINK_DOOR, Stage
 from .rig import PATIENCE, SETTINGS, Rig, RigError
 from .verdict import Verdict
 
-BROKEN = ("rehash-on-bump", "no-handover", "two-owners", "no-budget")
+BROKEN = FAULTY_VARIANTS
 SIZE = 5
 KIOSKS = 30
 BUDGET = 0.8  # moves a second
--- a/sablewheel/experiments/affinity_fleet.py
+++ b/sablewheel/experiments/affinity_fleet.py
@@ -18,29 +18,31 @@
 from ..membership.view import Fact, Member, View
 from ..overload.interface import Idempotency
 from ..session_affinity.binding import Binding, BindingState
+from ..session_affinity.effects import (
+    DecisionReason,
+    ForwardToOwner,
+    LogEvent,
+    ReadBinding,
+    RejectRequest,
+    ReturnToForwarder,
+    ServeLocally,
+    WriteBinding,
+)
 from ..session_affinity.events import (
     ClaimRefused,
-    DecisionReason,
     DrainStarted,
     Event,
-    ForwardToOwner,
     LoadsReported,
-    LogEvent,
     MessageReceived,
     OwnerUnreachable,
     PolicyActivated,
-    ReadBinding,
     RegisterAnswered,
     RegisterVerdict,
-    RejectRequest,
     RequestArrived,
     RequestFinished,
     RequestReturned,
-    ReturnToForwarder,
-    ServeLocally,
     TimerFired,
     ViewChanged,
-    WriteBinding,
 )
 from ..session_affinity.ownership import OwnershipPhase
 from ..session_affinity.placement import ServerLoad
--- a/sablewheel/experiments/affinity_model.py
+++ b/sablewheel/experiments/affinity_model.py
@@ -21,25 +21,22 @@
 from ..membership.view import Member, View
 from ..overload.interface import Idempotency
 from ..session_affinity.binding import Binding, BindingState
+from ..session_affinity.effects import ForwardToOwner, ReadBinding, RejectRequest, ReturnToForwarder
+from ..session_affinity.effects import SendMessage as Say
+from ..session_affinity.effects import WriteBinding as Put
 from ..session_affinity.events import (
     DrainStarted,
-    ForwardToOwner,
     MessageReceived,
     OwnerUnreachable,
     PolicyActivated,
-    ReadBinding,
     RegisterAnswered,
     RegisterVerdict,
-    RejectRequest,
     RequestArrived,
     RequestFinished,
     RequestReturned,
-    ReturnToForwarder,
     TimerFired,
     ViewChanged,
 )
-from ..session_affinity.events import SendMessage as Say
-from ..session_affinity.events import WriteBinding as Put
 from ..session_affinity.ownership import OwnershipPhase
 from ..session_affinity.plan import AffinitySettings
 from .affinity_fleet import Ask, Begin, Claimed, Free, Register, Run, Server, Watch
--- a/sablewheel/experiments/affinity_replicas.py
+++ b/sablewheel/experiments/affinity_replicas.py
@@ -18,17 +18,16 @@
 from ..replication.replica import SESSIONS, Replica
 from ..replication.service import GONE
 from ..session_affinity.binding import Binding
-from ..session_affinity.codec import pack, unpack
+from ..session_affinity.codec import decode_binding, encode_binding
+from ..session_affinity.effects import ReadBinding, WriteBinding
 from ..session_affinity.events import (
     Event,
     MessageReceived,
-    ReadBinding,
     RegisterAnswered,
     RegisterVerdict,
     RequestFinished,
     TimerFired,
     ViewChanged,
-    WriteBinding,
 )
 from ..session_affinity.plan import AffinitySettings
 from .affinity_fleet import Ask, Begin, Claim, Claimed, Free, Server, World
@@ -104,7 +103,13 @@
                 case WriteBinding(_, key, expect, value, life):
                     self._questions[self._refs] = effect
                     asked = wire.Write(
-                        self._refs, SESSIONS, key.encode(), expect, pack(value), life, value.fencing_number
+                        self._refs,
+                        SESSIONS,
+                        key.encode(),
+                        expect,
+                        encode_binding(value),
+                        life,
+                        value.fencing_number,
                     )
                     out += self._replied(now, self.replica.step(now, asked))
                 case ReadBinding(_, key):
@@ -146,7 +151,7 @@
             claimed = Claimed(ask.came, ask.claim, means, ask.claim.number + 1, asked)
             return self._asked(now, super().step(now, claimed))
         question = self._questions.pop(ref)
-        stands = unpack(entry.value, entry.number) if entry.value else None
+        stands = decode_binding(entry.value, entry.number) if entry.value else None
         out: list[Any] = [Seen(stands)] if stands is not None and verdict in ("won", "stale", "read") else []
         verdicts = {"won": RegisterVerdict.WON, "read": RegisterVerdict.WON, "stale": RegisterVerdict.LOST}
         said = RegisterAnswered(question.ref, verdicts.get(verdict, RegisterVerdict.UNREACHABLE), stands)
--- a/sablewheel/experiments/affinity_size.py
+++ b/sablewheel/experiments/affinity_size.py
@@ -13,11 +13,11 @@
 from collections import Counter
 
 from ..overload.interface import Idempotency
-from ..session_affinity.plan import AffinitySettings
+from ..session_affinity.plan import FAULTY_VARIANTS, AffinitySettings
 from .affinity_fleet import World
 from .verdict import Verdict
 
-BROKEN = ("rehash-on-bump", "no-handover", "two-owners", "no-budget")
+BROKEN = FAULTY_VARIANTS
 EACH = 20  # sessions a member
 BUDGET = 2.0  # moves a second, of the whole fleet
 GRACE = 10.0
--- a/sablewheel/session_affinity/acquisition.py
+++ b/sablewheel/session_affinity/acquisition.py
@@ -11,11 +11,12 @@
 
 from .binding import Binding, BindingState, MigrationCause, newer
 from .context import SessionContext
-from .events import BindingNotice, DecisionReason, TakeDeclined, TakeOwnership
+from .effects import DecisionReason
 from .lookup_table import Lookup, LookupStage, LookupTable
+from .messages import MAX_FLOWS, BindingNotice, TakeDeclined, TakeOwnership
 from .migration import Migration
 from .owned_requests import OwnedRequests
-from .ownership import MAX_FLOWS, OwnedSession, Ownership
+from .ownership import OwnedSession, Ownership
 from .policy_versions import PolicyVersions
 from .rebalancing import Rebalancing
 from .responses import Responder
--- a/sablewheel/session_affinity/budget.py
+++ b/sablewheel/session_affinity/budget.py
@@ -1,52 +1,55 @@
-"""How many moves a second: a bucket of tokens. Pure.
+"""How many migrations a second are allowed: a token bucket. Pure.
 
-Of any span `t` no more than `rate * t + depth` moves come out of one bucket. A member's bucket fills with its
-share of the fleet's budget, so the fleet keeps to the budget without agreeing on each move.
+In any span `t` one bucket allows no more than `rate * t + burst` migrations. A member's bucket fills with its
+share of the fleet's budget, so the fleet keeps to the budget without agreeing on each migration.
 """
 
 from __future__ import annotations
 
 from math import inf
 
-DEPTH = 1.0  # tokens that a bucket holds at most, unless one second brings more
+MIN_BURST = 1.0  # tokens that a bucket holds at most, unless one second brings more
+ONE_TOKEN = 1.0 - 1e-9  # allows for rounding
 
 
 class MigrationBudget:
-    """`rate` in moves a second; 0 lets none through."""
+    """A bucket that fills with `rate` tokens a second; a rate of 0 allows nothing."""
 
     def __init__(self, rate: float, now: float) -> None:
-        self._rate, self._left, self._at = max(rate, 0.0), DEPTH if rate > 0 else 0.0, now
+        """Start with one token, or none if the rate is 0."""
+        self._rate, self._filled_at = max(rate, 0.0), now
+        self._tokens = MIN_BURST if rate > 0 else 0.0
 
     def set_rate(self, now: float, rate: float) -> None:
-        """Another rate from now on; what has come in so far stays, up to the new depth."""
+        """Change the rate from now on; the tokens stay, up to the new burst."""
         self._fill(now)
         self._rate = max(rate, 0.0)
-        self._left = min(self._left, self._depth)
+        self._tokens = min(self._tokens, self._burst)
 
     @property
-    def _depth(self) -> float:
-        return max(DEPTH, self._rate) if self._rate > 0 else 0.0
+    def _burst(self) -> float:
+        return max(MIN_BURST, self._rate) if self._rate > 0 else 0.0
 
     def _fill(self, now: float) -> None:
-        if now > self._at:
-            self._left = min(self._depth, self._left + (now - self._at) * self._rate)
-        self._at = max(self._at, now)
+        if now > self._filled_at:
+            self._tokens = min(self._burst, self._tokens + (now - self._filled_at) * self._rate)
+        self._filled_at = max(self._filled_at, now)
 
     def try_take(self, now: float) -> bool:
-        """One move, if there is room for it now."""
+        """Take a token; return False if there is none."""
         self._fill(now)
-        if self._left < 1.0 - 1e-9:
+        if self._tokens < ONE_TOKEN:
             return False
-        self._left -= 1.0
+        self._tokens -= 1.0
         return True
 
     def refund(self) -> None:
-        """A move that was not made after all."""
-        self._left = min(self._depth, self._left + 1.0)
+        """Return the token of a migration that was not made."""
+        self._tokens = min(self._burst, self._tokens + 1.0)
 
     def wait_s(self, now: float) -> float:
-        """Seconds until there is room for one; inf if never."""
+        """Return the seconds until there is a token; inf if never."""
         self._fill(now)
-        if self._left >= 1.0 - 1e-9:
+        if self._tokens >= ONE_TOKEN:
             return 0.0
-        return (1.0 - self._left) / self._rate if self._rate > 0 else inf
+        return (1.0 - self._tokens) / self._rate if self._rate > 0 else inf
--- a/sablewheel/session_affinity/codec.py
+++ b/sablewheel/session_affinity/codec.py
@@ -1,148 +1,175 @@
-"""The bytes of bindings and of what servers say to each other of sessions. Pure.
+"""The bytes of bindings and of the frames between servers. Pure.
 
-Every field is checked; what is not as it should be raises `BadPacketError`, which names the field, and
-nothing else. Bounds: `NAME_MOST` bytes of a name, key or flow, `FLOWS_MOST` flows.
+Every field is checked; a malformed one raises `BadPacketError`, which names the field, and nothing else.
 """
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from math import isfinite
 
 from google.protobuf.message import DecodeError
 
 from . import session_affinity_pb2 as pb
 from .binding import Binding, BindingState, MigrationCause
-from .events import BindingNotice, Message, OfferReply, OwnershipOffer, TakeDeclined, TakeOwnership
+from .messages import (
+    MAX_FLOWS,
+    BindingNotice,
+    Message,
+    OfferReply,
+    OwnershipOffer,
+    TakeDeclined,
+    TakeOwnership,
+)
 from .placement import ServerLoad
 
-VERSION = 1
-NAME_MOST = 256
-FLOWS_MOST = 16
-CAPACITY_MOST = 1e6
+PROTOCOL_VERSION = 1
+MAX_NAME_BYTES = 256  # of a name, key or flow
+MAX_CAPACITY = 1e6
 
 
 class BadPacketError(ValueError):
-    """What came is no packet; the text names the field."""
+    """Bytes that are no valid frame or binding; the text names the field."""
 
 
 def encode(message: Message | ServerLoad) -> bytes:
-    told = pb.Packet(version=VERSION)
+    """Encode a frame."""
+    packet = pb.Packet(version=PROTOCOL_VERSION)
     match message:
-        case OwnershipOffer(key, turn, flows, forced):
-            told.offer.CopyFrom(pb.Offer(key=key, turn=turn, flows=flows, forced=forced))
-        case OfferReply(key, turn, full, binding):
-            out = pb.Reply(key=key, turn=turn, full=full)
+        case OwnershipOffer(key, offer_id, flows, forced):
+            packet.offer.CopyFrom(pb.Offer(key=key, turn=offer_id, flows=flows, forced=forced))
+        case OfferReply(key, offer_id, has_no_capacity, binding):
+            reply = pb.Reply(key=key, turn=offer_id, full=has_no_capacity)
             if binding is not None:
-                out.binding.CopyFrom(_out(binding))
-            told.reply.CopyFrom(out)
+                reply.binding.CopyFrom(_to_protobuf(binding))
+            packet.reply.CopyFrom(reply)
         case TakeOwnership(binding, cause, flows, forced):
-            take = pb.Take(binding=_out(binding), cause=cause.value, flows=flows, forced=forced)
-            told.take.CopyFrom(take)
-        case TakeDeclined(key, number):
-            told.declined.CopyFrom(pb.Declined(key=key, number=number))
+            take = pb.Take(binding=_to_protobuf(binding), cause=cause.value, flows=flows, forced=forced)
+            packet.take.CopyFrom(take)
+        case TakeDeclined(key, fencing_number):
+            packet.declined.CopyFrom(pb.Declined(key=key, number=fencing_number))
         case BindingNotice(binding):
-            told.told.CopyFrom(_out(binding))
+            packet.told.CopyFrom(_to_protobuf(binding))
         case ServerLoad(sessions, warmth, capacity):
-            told.load.CopyFrom(pb.Load(sessions=sessions, warmth=warmth, capacity=capacity))
-    return told.SerializeToString()
+            packet.load.CopyFrom(pb.Load(sessions=sessions, warmth=warmth, capacity=capacity))
+    data: bytes = packet.SerializeToString()
+    return data
 
 
 def decode(data: bytes) -> Message | ServerLoad:
-    """The message of a payload; raises `BadPacketError` and nothing else."""
+    """Decode a frame.
+
+    Raises:
+        BadPacketError: The bytes are no valid frame of this protocol version.
+    """
     try:
-        told = pb.Packet.FromString(data)
+        packet = pb.Packet.FromString(data)
     except DecodeError:
         raise BadPacketError("not a packet") from None
-    if told.version != VERSION:
-        raise BadPacketError(f"version {told.version}, {VERSION} is known here")
-    match told.WhichOneof("body"):
+    if packet.version != PROTOCOL_VERSION:
+        raise BadPacketError(f"version {packet.version}, {PROTOCOL_VERSION} is known here")
+    match packet.WhichOneof("body"):
         case "offer":
-            one = told.offer
-            return OwnershipOffer(_name(one.key, "key"), one.turn, _flows(one.flows), one.forced)
+            return _decode_offer(packet.offer)
         case "reply":
-            reply = told.reply
-            binding = _in(reply.binding) if reply.HasField("binding") else None
-            return OfferReply(_name(reply.key, "key"), reply.turn, reply.full, binding)
+            return _decode_reply(packet.reply)
         case "take":
-            take = told.take
-            return TakeOwnership(_in(take.binding), _cause(take.cause), _flows(take.flows), take.forced)
+            return _decode_take(packet.take)
         case "declined":
-            return TakeDeclined(_name(told.declined.key, "key"), told.declined.number)
+            return TakeDeclined(_checked_name(packet.declined.key, "key"), packet.declined.number)
         case "told":
-            return BindingNotice(_in(told.told))
+            return BindingNotice(_from_protobuf(packet.told))
         case "load":
-            load = told.load
-            return ServerLoad(
-                load.sessions,
-                _span(load.warmth, 1.0, "warmth"),
-                _span(load.capacity, CAPACITY_MOST, "capacity"),
-            )
+            return _decode_load(packet.load)
     raise BadPacketError("a packet of no kind that this version knows")
 
 
-def pack(binding: Binding) -> bytes:
-    """As it stands in the register, whose entry has the number too."""
-    data: bytes = _out(binding).SerializeToString()
+def _decode_offer(offer: pb.Offer) -> OwnershipOffer:
+    key, flows = _checked_name(offer.key, "key"), _checked_flows(offer.flows)
+    return OwnershipOffer(key, offer.turn, flows, offer.forced)
+
+
+def _decode_reply(reply: pb.Reply) -> OfferReply:
+    binding = _from_protobuf(reply.binding) if reply.HasField("binding") else None
+    return OfferReply(_checked_name(reply.key, "key"), reply.turn, reply.full, binding)
+
+
+def _decode_take(take: pb.Take) -> TakeOwnership:
+    binding, cause = _from_protobuf(take.binding), _checked_cause(take.cause)
+    return TakeOwnership(binding, cause, _checked_flows(take.flows), take.forced)
+
+
+def _decode_load(load: pb.Load) -> ServerLoad:
+    warmth = _checked_number(load.warmth, 1.0, "warmth")
+    return ServerLoad(load.sessions, warmth, _checked_number(load.capacity, MAX_CAPACITY, "capacity"))
+
+
+def encode_binding(binding: Binding) -> bytes:
+    """Encode a binding for the register, whose entry has the fencing number too."""
+    data: bytes = _to_protobuf(binding).SerializeToString()
     return data
 
 
-def unpack(data: bytes, number: int) -> Binding:
-    """What the register holds under `number`; raises `BadPacketError` and nothing else."""
+def decode_binding(data: bytes, fencing_number: int) -> Binding:
+    """Decode what the register holds under a fencing number.
+
+    Raises:
+        BadPacketError: The bytes are no valid binding.
+    """
     try:
-        told = pb.Binding.FromString(data)
+        stored = pb.Binding.FromString(data)
     except DecodeError:
         raise BadPacketError("not a binding") from None
-    told.number = number
-    return _in(told)
+    stored.number = fencing_number
+    return _from_protobuf(stored)
 
 
-def _out(one: Binding) -> pb.Binding:
+def _to_protobuf(binding: Binding) -> pb.Binding:
     return pb.Binding(
-        key=one.key,
-        number=one.fencing_number,
-        owner=one.owner,
-        incarnation=one.incarnation,
-        version=one.policy_version,
-        state=one.state.value,
-        heir=one.successor,
+        key=binding.key,
+        number=binding.fencing_number,
+        owner=binding.owner,
+        incarnation=binding.incarnation,
+        version=binding.policy_version,
+        state=binding.state.value,
+        heir=binding.successor,
     )
 
 
-def _in(told: pb.Binding) -> Binding:
-    if told.state not in (one.value for one in BindingState):
-        raise BadPacketError(f"state: no such state: {told.state[:40]!r}")
-    successor = _name(told.heir, "heir") if told.heir else ""
+def _from_protobuf(stored: pb.Binding) -> Binding:
+    if stored.state not in (state.value for state in BindingState):
+        raise BadPacketError(f"state: no such state: {stored.state[:40]!r}")
     return Binding(
-        _name(told.key, "key"),
-        told.number,
-        _name(told.owner, "owner"),
-        told.incarnation,
-        told.version,
-        BindingState(told.state),
-        successor,
+        key=_checked_name(stored.key, "key"),
+        fencing_number=stored.number,
+        owner=_checked_name(stored.owner, "owner"),
+        incarnation=stored.incarnation,
+        policy_version=stored.version,
+        state=BindingState(stored.state),
+        successor=_checked_name(stored.heir, "heir") if stored.heir else "",
     )
 
 
-def _name(name: str, field: str) -> str:
-    if not 0 < len(name.encode()) <= NAME_MOST:
-        raise BadPacketError(f"{field}: 1 to {NAME_MOST} bytes are wanted")
+def _checked_name(name: str, field: str) -> str:
+    if not 0 < len(name.encode()) <= MAX_NAME_BYTES:
+        raise BadPacketError(f"{field}: 1 to {MAX_NAME_BYTES} bytes are wanted")
     return name
 
 
-def _flows(flows: object) -> tuple[str, ...]:
-    found = tuple(str(one) for one in flows)  # type: ignore[attr-defined]
-    if len(found) > FLOWS_MOST or any(len(one.encode()) > NAME_MOST for one in found):
-        raise BadPacketError(f"flows: at most {FLOWS_MOST} of at most {NAME_MOST} bytes are wanted")
-    return found
+def _checked_flows(flows: Iterable[str]) -> tuple[str, ...]:
+    checked = tuple(str(flow) for flow in flows)
+    if len(checked) > MAX_FLOWS or any(len(flow.encode()) > MAX_NAME_BYTES for flow in checked):
+        raise BadPacketError(f"flows: at most {MAX_FLOWS} of at most {MAX_NAME_BYTES} bytes are wanted")
+    return checked
 
 
-def _cause(text: str) -> MigrationCause:
-    if text not in (one.value for one in MigrationCause):
+def _checked_cause(text: str) -> MigrationCause:
+    if text not in (cause.value for cause in MigrationCause):
         raise BadPacketError(f"cause: no such cause: {text[:40]!r}")
     return MigrationCause(text)
 
 
-def _span(value: float, most: float, field: str) -> float:
-    if not (isfinite(value) and 0 <= value <= most):
-        raise BadPacketError(f"{field}: 0 to {most:g} is wanted, got {value:g}")
+def _checked_number(value: float, maximum: float, field: str) -> float:
+    if not (isfinite(value) and 0 <= value <= maximum):
+        raise BadPacketError(f"{field}: 0 to {maximum:g} is wanted, got {value:g}")
     return value
--- a/sablewheel/session_affinity/context.py
+++ b/sablewheel/session_affinity/context.py
@@ -10,7 +10,9 @@
 
 from ..membership.view import View
 from .binding import Binding
-from .events import Effect, LogEvent, Message, ReadBinding, RequestArrived, SendMessage, WriteBinding
+from .effects import Effect, LogEvent, ReadBinding, SendMessage, WriteBinding
+from .events import RequestArrived
+from .messages import Message
 from .plan import AffinitySettings
 
 
--- a/sablewheel/session_affinity/events.py
+++ b/sablewheel/session_affinity/events.py
@@ -1,6 +1,6 @@
-"""What the sessions of one server are told, what they do about it, and what servers say to each other.
+"""What the sessions of one server react to. Pure values.
 
-A `ref` is whoever's number for a request that was read here, or ours for a question to the register.
+A `ref` is a number that the caller gave a request, or this server's for a query to the register.
 """
 
 from __future__ import annotations
@@ -12,45 +12,29 @@
 
 from ..membership.view import View
 from ..overload.interface import Idempotency
-from .binding import Binding, MigrationCause
+from .binding import Binding
+from .messages import Message
 from .placement import ServerLoad
 
 
 class RegisterVerdict(Enum):
-    """What the register says to a question."""
+    """How the register answered a query."""
 
-    WON = "won"  # written; or read, and `entry` is what stands there
-    LOST = "lost"  # another number stands there: `entry`
+    WON = "won"  # written; or read, and the answer has what is stored
+    LOST = "lost"  # another fencing number is stored, in the answer's binding
     UNREACHABLE = "unreachable"  # no majority: a write may have been made or not
 
 
-class DecisionReason(Enum):
-    """Why a request is served here or rejected; each is counted apart."""
-
-    OWNER = "owner"  # this server owns its session
-    NO_VIEW = "no_view"  # this server is in no view
-    UNREACHED = "unreached"  # the owner can't be reached
-    NO_MAJORITY = "no_majority"  # nobody can be made owner, or found
-    HANDOVER = "handover"  # its session is being handed over
-    BUDGET = "budget"  # its session must move, and the budget is spent
-    STALE = "stale"  # it was passed here for a session that is another's by now
-    FULL = "full"  # no server has room, or too many wait
-    INCAPABLE = "incapable"  # no server can run what it asks for together with its session
-
-
-# -- events
-
-
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A request. `sender`: the member who passed it on, empty if its router brought it here."""
+    """A request of a session."""
 
     ref: int
     key: str
     idempotency: Idempotency
     flow: str = ""
-    forwarded_by: str = ""
-    was_returned: bool = False  # it was passed on before, and came back since its session had gone on
+    forwarded_by: str = ""  # the member that forwarded it; empty if a client sent it here
+    was_returned: bool = False  # it was forwarded before, and came back since its session had changed hands
 
     @property
     def requires_owner(self) -> bool:
@@ -68,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnerUnreachable:
-    """A request that was passed on certainly did not arrive at `to`."""
+    """A request that was forwarded certainly did not arrive at its session's owner."""
 
     request: RequestArrived
     owner_name: str
@@ -76,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReturned:
-    """A forwarded request came back unserved: its session is another's, by what that server knows."""
+    """A forwarded request came back unserved: another server owns its session, by what that server knows."""
 
     request: RequestArrived
     binding: Binding | None = None
@@ -84,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimRefused:
-    """A holder refused its claim: a higher number than `number` stands there."""
+    """A replica refused the request's claim: a higher number than `fencing_number` is stored there."""
 
     request: RequestArrived
     fencing_number: int
@@ -92,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnerFenced:
-    """As `Refused`, where the request has been rejected already: the next one looks again."""
+    """A claim was refused as in `ClaimRefused`, but its request was rejected already."""
 
     key: str
     fencing_number: int
@@ -100,101 +84,54 @@
 
 @dataclass(frozen=True, slots=True)
 class RegisterAnswered:
-    """The register's answer to a `Write` or `Read`."""
+    """The register's answer to a `WriteBinding` or `ReadBinding`."""
 
     ref: int
     verdict: RegisterVerdict
     stored_binding: Binding | None = None
 
 
+@dataclass(frozen=True, slots=True)
+class MessageReceived:
+    """A message of another server."""
+
+    sender: str
+    message: Message
+
+
 @dataclass(frozen=True, slots=True)
 class ViewChanged:
+    """The fleet agreed on another view."""
+
     view: View
 
 
 @dataclass(frozen=True, slots=True)
 class PolicyActivated:
-    """The policy in force. `able`: by flow, the members that can run it under this version; a flow that is
-    not named can run anywhere. Told anew when that changes."""
+    """A policy version is in force, or the servers that can run it have changed."""
 
     version: int
-    capable_members: Mapping[str, frozenset[str]] = field(default_factory=dict)
+    capable_members: Mapping[str, frozenset[str]] = field(default_factory=dict)  # by flow; without entry: all
     mandatory: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class LoadsReported:
+    """The latest load reports by member."""
+
     by_member: Mapping[str, ServerLoad]
 
 
 @dataclass(frozen=True, slots=True)
 class DrainStarted:
-    """This server leaves after `grace` seconds."""
+    """This server leaves after `grace_s` seconds."""
 
     grace_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    pass
-
-
-# -- messages
-
-
-@dataclass(frozen=True, slots=True)
-class OwnershipOffer:
-    """Take this session, which has no owner. `turn`: the asker's number for it. `forced`: also past the
-    bound, since nobody is below."""
-
-    key: str
-    offer_id: int
-    flows: tuple[str, ...] = ()
-    forced: bool = False
-
-
-@dataclass(frozen=True, slots=True)
-class OfferReply:
-    """To an offer: `full`, or who owns the session now (none: that could not be found out)."""
-
-    key: str
-    offer_id: int
-    has_no_capacity: bool
-    binding: Binding | None = None
-
-
-@dataclass(frozen=True, slots=True)
-class TakeOwnership:
-    """The owner, who runs nothing of this session any more, to the successor."""
-
-    binding: Binding
-    cause: MigrationCause
-    flows: tuple[str, ...] = ()
-    forced: bool = False
-
-
-@dataclass(frozen=True, slots=True)
-class TakeDeclined:
-    """The successor has no room for it, or can't run it."""
-
-    key: str
-    fencing_number: int
-
-
-@dataclass(frozen=True, slots=True)
-class BindingNotice:
-    """A binding as the register holds it, or held it; to the old owner: the handover is done."""
-
-    binding: Binding
-
-
-Message: TypeAlias = OwnershipOffer | OfferReply | TakeOwnership | TakeDeclined | BindingNotice
-
-
-@dataclass(frozen=True, slots=True)
-class MessageReceived:
-    sender: str
-    message: Message
+    """The time of `Sessions.wake_at` has come."""
 
 
 Event: TypeAlias = (
@@ -212,87 +149,3 @@
     | TimerFired
     | MessageReceived
 )
-
-
-# -- effects
-
-
-@dataclass(frozen=True, slots=True)
-class ServeLocally:
-    """Serve it on this server; a claim carries `number`, 0 if it must not be claimed under a session."""
-
-    ref: int
-    fencing_number: int
-    policy_version: int
-    reason: DecisionReason = DecisionReason.OWNER
-
-
-@dataclass(frozen=True, slots=True)
-class ForwardToOwner:
-    """Pass it on to the session's owner, one hop."""
-
-    ref: int
-    owner_name: str
-
-
-@dataclass(frozen=True, slots=True)
-class ReturnToForwarder:
-    """Give it back to the server that passed it on: it never ran here, and its session is another's."""
-
-    ref: int
-    forwarded_by: str
-    binding: Binding
-
-
-@dataclass(frozen=True, slots=True)
-class RejectRequest:
-    """It never ran; come back after so many seconds. An idempotency key whose outcome is known may be
-    answered so.
-    """
-
-    ref: int
-    retry_after_s: float
-    reason: DecisionReason
-
-
-@dataclass(frozen=True, slots=True)
-class WriteBinding:
-    """To the register: `value` if `expect` is the number that stands there (0: none)."""
-
-    ref: int
-    key: str
-    expected_fencing_number: int
-    binding: Binding
-    lifetime_s: float
-
-
-@dataclass(frozen=True, slots=True)
-class ReadBinding:
-    ref: int
-    key: str
-
-
-@dataclass(frozen=True, slots=True)
-class SendMessage:
-    to: str
-    message: Message
-
-
-@dataclass(frozen=True, slots=True)
-class LogEvent:
-    """Something for counters and the log."""
-
-    message: str
-    fields: Mapping[str, object] = field(default_factory=dict)
-
-
-Effect: TypeAlias = (
-    ServeLocally
-    | ForwardToOwner
-    | ReturnToForwarder
-    | RejectRequest
-    | WriteBinding
-    | ReadBinding
-    | SendMessage
-    | LogEvent
-)
--- a/sablewheel/session_affinity/keys.py
+++ b/sablewheel/session_affinity/keys.py
@@ -1,8 +1,8 @@
 """Which session a request belongs to: a key made of fields that it carries. Pure.
 
-An idempotency key stays with its session: its repeats must come to the same key whatever way they take, or
-two owners would know the idempotency key. So the key of a keyed request never rests on its router: where the
-rule names one, the subject stands in for it, or the idempotency key itself.
+An idempotency key stays with its session: retries must map to the same session key whichever router sends
+them, or two owners would know the idempotency key. So the session key of a keyed request never depends on its
+router: where the rule names one, the subject is used in its place, or the idempotency key itself.
 """
 
 from __future__ import annotations
@@ -10,15 +10,16 @@
 import hashlib
 from dataclasses import dataclass
 
-# The names that a rule may use, as the features file gives them, and the attributes of `Carried`.
-FIELDS = {"customer": "tenant", "subject": "subject", "router": "router"}
-FIELD_MOST = 4096  # bytes of one field; a longer one belongs to no session
-KEY_SIZE = 32  # characters of every key
+# The words of the features file, which are also hashed into the session's key, and the request's attributes.
+ATTRIBUTES = {"customer": "tenant", "subject": "subject", "router": "router"}
+IDEMPOTENCY_KEY_WORD = "label"  # hashed in place of a router where the request has no subject
+MAX_FIELD_BYTES = 4096  # a request with a longer field belongs to no session
+KEY_LENGTH = 32  # characters of every session key
 
 
 @dataclass(frozen=True)
 class SessionKeyFields:
-    """What one request carries; empty is absent."""
+    """What one request carries; an empty field is absent."""
 
     tenant: str = ""
     subject: str = ""
@@ -26,21 +27,35 @@
     idempotency_key: str = ""
 
 
-def key_of(rule: tuple[str, ...], request: SessionKeyFields) -> str | None:
-    """The session's key, `KEY_SIZE` characters; None if the request lacks a field that the rule wants.
+def session_key(rule: tuple[str, ...], request: SessionKeyFields) -> str | None:
+    """Return the session's key, `KEY_LENGTH` characters.
 
-    A request without a session is served where it is, as with affinity off.
+    Args:
+        rule: The fields that make up a session, in the words of the features file.
+        request: What the request carries.
+
+    Returns:
+        None if the request lacks a field of the rule: it has no session and is served where it arrived.
     """
-    parts: list[str] = []
-    for name in rule:
-        value = str(getattr(request, FIELDS[name]))
-        if name == "router" and request.idempotency_key:
+    fields: list[str] = []
+    for word in rule:
+        name, value = word, str(getattr(request, ATTRIBUTES[word]))
+        if word == "router" and request.idempotency_key:
             if "subject" in rule:
-                continue  # it is in the key already
-            name, value = (
-                ("subject", request.subject) if request.subject else ("label", request.idempotency_key)
-            )
-        if not value or len(value.encode()) > FIELD_MOST:
+                continue  # the subject is in the key already
+            name, value = _router_substitute(request)
+        if not value or len(value.encode()) > MAX_FIELD_BYTES:
             return None
-        parts.append(f"{name}:{len(value)}:{value}")  # with its length: no two requests share a key by chance
-    return hashlib.blake2b("|".join(parts).encode(), digest_size=KEY_SIZE // 2).hexdigest() if parts else None
+        fields.append(
+            f"{name}:{len(value)}:{value}"
+        )  # the length keeps different fields from running together
+    if not fields:
+        return None
+    return hashlib.blake2b("|".join(fields).encode(), digest_size=KEY_LENGTH // 2).hexdigest()
+
+
+def _router_substitute(request: SessionKeyFields) -> tuple[str, str]:
+    """Return the word and value that stand in for the router of a keyed request."""
+    if request.subject:
+        return "subject", request.subject
+    return IDEMPOTENCY_KEY_WORD, request.idempotency_key
--- a/sablewheel/session_affinity/lookup_table.py
+++ b/sablewheel/session_affinity/lookup_table.py
@@ -8,8 +8,8 @@
 
 from .binding import Binding, MigrationCause
 from .context import SessionContext
-from .events import OfferReply, RequestArrived, TakeOwnership
-from .ownership import MAX_FLOWS
+from .events import RequestArrived
+from .messages import MAX_FLOWS, OfferReply, TakeOwnership
 
 
 class LookupStage(Enum):
--- a/sablewheel/session_affinity/migration.py
+++ b/sablewheel/session_affinity/migration.py
@@ -12,7 +12,8 @@
 
 from .binding import Binding, BindingState, MigrationCause
 from .context import SessionContext
-from .events import RegisterVerdict, TakeDeclined, TakeOwnership
+from .events import RegisterVerdict
+from .messages import TakeDeclined, TakeOwnership
 from .migration_queue import MigrationQueue
 from .ownership import OwnedSession, Ownership, OwnershipPhase
 from .policy_versions import PolicyVersions
--- a/sablewheel/session_affinity/migration_queue.py
+++ b/sablewheel/session_affinity/migration_queue.py
@@ -10,7 +10,7 @@
 from .budget import MigrationBudget
 from .context import SessionContext
 from .ownership import OwnedSession
-from .placement import spread
+from .placement import turn_fraction
 
 MIN_WAIT_S = 1e-3
 MIN_RATE_PER_S = 1e-6
@@ -122,7 +122,7 @@
         if self._context.settings.faulty_variant == "no-budget" or stored is None:
             return 0.0
         departed_at, span_s = self._departures.get((stored.owner, stored.incarnation), (now, 0.0))
-        wait_s = departed_at + span_s * spread(key) - now
+        wait_s = departed_at + span_s * turn_fraction(key) - now
         if wait_s <= 0 and not self._takeover_budget.try_take(now):
             wait_s = self._takeover_budget.wait_s(now)
         return max(wait_s, 0.0)
--- a/sablewheel/session_affinity/owned_requests.py
+++ b/sablewheel/session_affinity/owned_requests.py
@@ -4,7 +4,8 @@
 
 from .binding import MigrationCause
 from .context import RequestDispatcher, SessionContext
-from .events import DecisionReason, RequestArrived
+from .effects import DecisionReason
+from .events import RequestArrived
 from .migration import Migration
 from .migration_queue import MigrationQueue
 from .ownership import OwnedSession, Ownership, OwnershipPhase
--- a/sablewheel/session_affinity/owner_lookup.py
+++ b/sablewheel/session_affinity/owner_lookup.py
@@ -9,10 +9,12 @@
 from .acquisition import Acquisition
 from .binding import Binding, BindingState, MigrationCause
 from .context import RequestDispatcher, SessionContext
-from .events import DecisionReason, OfferReply, OwnershipOffer, RegisterVerdict, RequestArrived
+from .effects import DecisionReason
+from .events import RegisterVerdict, RequestArrived
 from .lookup_table import Lookup, LookupStage, LookupTable
+from .messages import MAX_FLOWS, OfferReply, OwnershipOffer
 from .migration_queue import MigrationQueue
-from .ownership import MAX_FLOWS, Ownership
+from .ownership import Ownership
 from .policy_versions import PolicyVersions
 from .responses import Responder
 from .route_cache import RouteCache
--- a/sablewheel/session_affinity/ownership.py
+++ b/sablewheel/session_affinity/ownership.py
@@ -16,9 +16,9 @@
 from .binding import Binding, MigrationCause
 from .context import RequestDispatcher, SessionContext
 from .events import RequestArrived
+from .messages import MAX_FLOWS
 from .route_cache import RouteCache
 
-MAX_FLOWS = 16  # flows retained of one session: what its next owner must be able to run
 MAX_EVICTION_CANDIDATES = 64  # least recently used sessions that are examined for one to evict
 
 
--- a/sablewheel/session_affinity/placement.py
+++ b/sablewheel/session_affinity/placement.py
@@ -1,8 +1,9 @@
-"""Which server a session begins on or moves to: bounded loads on rendezvous hashing. Pure.
+"""Which server a session begins on or migrates to: bounded loads on rendezvous hashing. Pure.
 
-Each key orders the servers by weighted rendezvous hashing; it goes to the first that is below its bound
-(Mirrokni, Thorup, Zadimoghaddam 2018: no bin above c times its fair share, and few balls move as bins come
-and go). A server's share is by capacity and warmth: one that came back cold is bound to little.
+Each key ranks the servers by weighted rendezvous hashing, and the session goes to the first one below its
+load bound (Mirrokni, Thorup, Zadimoghaddam 2018: no bin above c times its fair share, and few balls move as
+bins come and go). A server's share follows its capacity and warmth: one that was just restarted has a low
+bound.
 """
 
 from __future__ import annotations
@@ -15,64 +16,79 @@
 
 @dataclass(frozen=True)
 class ServerLoad:
-    """What is known of one server. `warmth`: 0 just started to 1 warm; `capacity` in any one unit."""
+    """A load report of one server."""
 
     sessions: int = 0
-    warmth: float = 1.0
-    capacity: float = 1.0
+    warmth: float = 1.0  # from 0, just started, to 1, warm
+    capacity: float = 1.0  # in any one unit; 0 while the server leaves
 
     @property
     def weight(self) -> float:
+        """The server's part in the placement."""
         return self.capacity * self.warmth
 
 
-def bounds(
-    loads: Mapping[str, ServerLoad], able: Collection[str], factor: float, least: int
+def load_bounds(
+    loads: Mapping[str, ServerLoad], servers: Collection[str], load_factor: float, min_bound: int
 ) -> dict[str, int]:
-    """The most sessions for each of `able`: `factor` times its fair share, one more on the way counted.
+    """Return the maximal number of sessions of each server: `load_factor` times its fair share.
 
-    `least` is the floor for a warm server with the mean weight: with few sessions a fair share is too small
-    to mean something. The bounds add up to more than all sessions, so there is always room below one.
+    The bounds add up to more than all sessions and the one that is being placed, so there is always a server
+    below its bound.
+
+    Args:
+        loads: The load reports; a server without one counts as warm and without sessions.
+        servers: The servers that can take the session.
+        load_factor: The bound in fair shares, above 1.
+        min_bound: The lowest bound of a server with the mean weight: with few sessions a fair share means
+        little.
     """
-    known = {name: loads.get(name, ServerLoad()) for name in sorted(able)}
-    weights = sum(one.weight for one in known.values())
-    if weights <= 0:
+    known = {name: loads.get(name, ServerLoad()) for name in sorted(servers)}
+    total_weight = sum(load.weight for load in known.values())
+    if total_weight <= 0:
         return dict.fromkeys(known, 0)
-    all_sessions = sum(one.sessions for one in known.values()) + 1
-    mean = weights / len(known)
+    total_sessions = sum(load.sessions for load in known.values()) + 1
+    mean_weight = total_weight / len(known)
     return {
-        name: max(math.ceil(factor * all_sessions * one.weight / weights), int(least * one.weight / mean))
-        for name, one in known.items()
+        name: max(
+            math.ceil(load_factor * total_sessions * load.weight / total_weight),
+            int(min_bound * load.weight / mean_weight),
+        )
+        for name, load in known.items()
     }
 
 
-def _draw(key: str, name: str) -> float:
-    """A number in (0, 1) that is this key's for this server."""
-    mark = hashlib.blake2b(f"{key}|{name}".encode(), digest_size=8).digest()
-    return (int.from_bytes(mark, "big") + 1) / (2**64 + 2)
+def rank_for_new_session(key: str, loads: Mapping[str, ServerLoad], bounds: Mapping[str, int]) -> list[str]:
+    """Return the servers below their bounds for a new session, the best one first."""
+    weights = {name: loads.get(name, ServerLoad()).weight for name in bounds}
+    ranked = _rank(key, weights)
+    return [name for name in ranked if loads.get(name, ServerLoad()).sessions < bounds[name]]
 
 
-def _order(key: str, weights: Mapping[str, float]) -> list[str]:
-    """Weighted rendezvous: the chance to be first is in proportion to the weight, and stays as others go."""
-    marks = {name: -math.log(_draw(key, name)) / weight for name, weight in weights.items() if weight > 0}
-    return sorted(marks, key=lambda name: (marks[name], name))
+def rank_for_migration(key: str, loads: Mapping[str, ServerLoad], bounds: Mapping[str, int]) -> list[str]:
+    """Return the servers below their bounds for a migrating session, the best one first.
 
+    The weights are the sessions that each bound leaves free: servers that migrate many sessions by the same
+    load reports spread them, and do not overload the least loaded server.
+    """
+    free = {name: float(bound - loads.get(name, ServerLoad()).sessions) for name, bound in bounds.items()}
+    return _rank(key, free)
 
-def begin_on(key: str, loads: Mapping[str, ServerLoad], most: Mapping[str, int]) -> list[str]:
-    """Where a new session goes, best first: in the key's order, who is below its bound."""
-    weights = {name: loads.get(name, ServerLoad()).weight for name in most}
-    return [one for one in _order(key, weights) if loads.get(one, ServerLoad()).sessions < most[one]]
 
+def turn_fraction(key: str) -> float:
+    """Return a number in (0, 1) that depends on the key alone: its turn among many."""
+    return _uniform(key, "turn")
 
-def move_to(key: str, loads: Mapping[str, ServerLoad], most: Mapping[str, int]) -> list[str]:
-    """Where a moved session goes, best first: the weights are the room below the bounds.
 
-    The least loaded get the most, in proportion: many movers that know the same loads do not bury one.
+def _rank(key: str, weights: Mapping[str, float]) -> list[str]:
+    """Rank by weighted rendezvous hashing: each is first in proportion to its weight, whoever else is
+    there.
     """
-    room = {name: float(bound - loads.get(name, ServerLoad()).sessions) for name, bound in most.items()}
-    return _order(key, room)
+    scores = {name: -math.log(_uniform(key, name)) / weight for name, weight in weights.items() if weight > 0}
+    return sorted(scores, key=lambda name: (scores[name], name))
 
 
-def spread(key: str) -> float:
-    """A number in (0, 1) that is this key's alone: its turn among many."""
-    return _draw(key, "turn")
+def _uniform(key: str, name: str) -> float:
+    """Return a number in (0, 1) for a key and a name."""
+    digest = hashlib.blake2b(f"{key}|{name}".encode(), digest_size=8).digest()
+    return (int.from_bytes(digest, "big") + 1) / (2**64 + 2)
--- a/sablewheel/session_affinity/plan.py
+++ b/sablewheel/session_affinity/plan.py
@@ -1,44 +1,44 @@
-"""What affinity is set to, as plain values; all spans are seconds."""
+"""The settings of session affinity, as plain values."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-BROKEN = ("rehash-on-bump", "no-handover", "two-owners", "no-budget")
+FAULTY_VARIANTS = ("rehash-on-bump", "no-handover", "two-owners", "no-budget")
 
 
 @dataclass(frozen=True)
 class AffinitySettings:
     """Every period and bound; docs/affinity.md says what each does."""
 
-    idle_timeout_s: float = 1800.0  # a session unused for longer has ended
-    keep_versions: int = 3  # policy versions that sessions may go on under, the active one among them
-    retire_after_s: float = 86400.0  # a version that is active no more is kept for so long at most
+    idle_timeout_s: float = 1800.0  # after which an unused session has ended
+    keep_versions: int = 3  # policy versions that sessions may go on under, with the active one
+    retire_after_s: float = 86400.0  # for which a superseded policy version is retained at most
     migrations_per_s: float = 50.0  # of the whole fleet
-    load_factor: float = 1.25  # no owner takes more than this times its fair share
-    min_load_bound: int = 16  # the floor of a bound
+    load_factor: float = 1.25  # of its fair share, up to which a server takes sessions
+    min_load_bound: int = 16
     max_sessions: int = 100_000  # owned at once by one server
-    max_cached_routes: int = 200_000  # remembered of others' sessions
-    max_lookups: int = 4_096  # sessions whose owner is looked for at once
-    max_waiting_requests: int = 64  # requests that wait for one session's owner
-    retry_after_s: float = 0.2  # what a rejected keyed request is told at least
-    offer_timeout_s: float = 0.5  # an offer unanswered for so long goes to the next server
-    binding_timeout_s: float = 2.0  # the longest that requests wait for an owner
-    handover_timeout_s: float = 3.0  # an owner waits so long for keyed runs; then they pass on as claims
-    retry_interval_s: float = 0.25  # a step of a handover that is not answered is tried again
-    claim_timeout_s: float = 0.5  # a claim won later is freed; a gone owner's sessions rest for so long
-    drain_grace_fraction: float = 0.8  # of the grace, over which a drain spreads its moves
-    faulty_variant: str = ""
+    max_cached_routes: int = 200_000  # of other servers' sessions
+    max_lookups: int = 4_096  # under way at once
+    max_waiting_requests: int = 64  # for one session's owner
+    retry_after_s: float = 0.2  # the least that a rejected keyed request is told
+    offer_timeout_s: float = 0.5  # after which an offer goes to the next server
+    binding_timeout_s: float = 2.0  # for which requests wait for an owner at most
+    handover_timeout_s: float = 3.0  # after which a handover goes on with its open keyed runs as claims
+    retry_interval_s: float = 0.25  # of a handover's step without an answer
+    claim_timeout_s: float = 0.5  # after which a claim is freed; a removed owner is succeeded no earlier
+    drain_grace_fraction: float = 0.8  # of the grace period, over which a drain spreads its handovers
+    faulty_variant: str = ""  # one of FAULTY_VARIANTS, for experiments that must detect it
 
     @property
     def binding_lifetime_s(self) -> float:
-        """How long a binding stays in the register unrenewed: past any doubt that its session has ended."""
+        """How long the register retains a binding without renewal: longer than the session may be idle."""
         return 2.0 * self.idle_timeout_s
 
 
 @dataclass(frozen=True)
 class AffinityPlan:
-    """`fields`: what a session's key is made of."""
+    """What the features file sets."""
 
-    fields: tuple[str, ...] = ("customer", "subject")
+    fields: tuple[str, ...] = ("customer", "subject")  # of a request, which make up its session's key
     settings: AffinitySettings = field(default_factory=AffinitySettings)
--- a/sablewheel/session_affinity/responses.py
+++ b/sablewheel/session_affinity/responses.py
@@ -6,14 +6,8 @@
 
 from .binding import Binding
 from .context import SessionContext
-from .events import (
-    DecisionReason,
-    ForwardToOwner,
-    RejectRequest,
-    RequestArrived,
-    ReturnToForwarder,
-    ServeLocally,
-)
+from .effects import DecisionReason, ForwardToOwner, RejectRequest, ReturnToForwarder, ServeLocally
+from .events import RequestArrived
 from .policy_versions import PolicyVersions
 
 
--- a/sablewheel/session_affinity/server_selection.py
+++ b/sablewheel/session_affinity/server_selection.py
@@ -10,7 +10,7 @@
 from .context import SessionContext
 from .lookup_table import LookupTable
 from .ownership import OwnedSession, Ownership
-from .placement import ServerLoad, begin_on, bounds, move_to
+from .placement import ServerLoad, load_bounds, rank_for_migration, rank_for_new_session
 from .policy_versions import PolicyVersions
 
 
@@ -79,9 +79,10 @@
     def choose(self, key: str, names: Set[str], *, is_migration: bool, excluded: Set[str]) -> str:
         """Return the best server below its load bound; empty if there is none."""
         loads, settings = self._current_loads(), self._context.settings
-        load_bounds = bounds(loads, names, settings.load_factor, settings.min_load_bound)
-        order = (move_to if is_migration else begin_on)(key, loads, load_bounds)
-        return next((name for name in order if name not in excluded), "")
+        bounds = load_bounds(loads, names, settings.load_factor, settings.min_load_bound)
+        rank = rank_for_migration if is_migration else rank_for_new_session
+        ranked = rank(key, loads, bounds)
+        return next((name for name in ranked if name not in excluded), "")
 
     def least_loaded(self, names: Set[str]) -> str:
         """Return the server with the fewest sessions for its weight; empty if none has any weight."""
@@ -120,5 +121,5 @@
             context.counts["forced"] += 1
             return True
         capable = self.capable_members(flows, version)
-        load_bounds = bounds(self._current_loads(), capable, settings.load_factor, settings.min_load_bound)
-        return count < load_bounds.get(context.node_name, 0)
+        bounds = load_bounds(self._current_loads(), capable, settings.load_factor, settings.min_load_bound)
+        return count < bounds.get(context.node_name, 0)
--- a/sablewheel/session_affinity/session_router.py
+++ b/sablewheel/session_affinity/session_router.py
@@ -27,32 +27,34 @@
 from ..transport.scheduler import Scheduler
 from ..transport.wakeup import Wake
 from . import codec
+from .effects import (
+    Effect,
+    ForwardToOwner,
+    LogEvent,
+    ReadBinding,
+    RejectRequest,
+    ReturnToForwarder,
+    SendMessage,
+    ServeLocally,
+    WriteBinding,
+)
 from .events import (
-    BindingNotice,
     DrainStarted,
-    Effect,
     Event,
-    ForwardToOwner,
     LoadsReported,
-    LogEvent,
     MessageReceived,
     OwnerFenced,
     OwnerUnreachable,
     PolicyActivated,
-    ReadBinding,
     RegisterAnswered,
     RegisterVerdict,
-    RejectRequest,
     RequestArrived,
     RequestFinished,
-    ReturnToForwarder,
-    SendMessage,
-    ServeLocally,
     TimerFired,
     ViewChanged,
-    WriteBinding,
 )
-from .keys import SessionKeyFields, key_of
+from .keys import SessionKeyFields, session_key
+from .messages import BindingNotice
 from .placement import ServerLoad
 from .plan import AffinityPlan
 from .sessions import Sessions
@@ -197,7 +199,7 @@
             request.client.name.decode("utf-8", "replace"),
             (idempotency_key or b"").decode("utf-8", "replace"),
         )
-        return key_of(self._plan.fields, carried)
+        return session_key(self._plan.fields, carried)
 
     # -- memory and observer: what is open of a session
 
@@ -346,7 +348,7 @@
                     SESSIONS,
                     key.encode(),
                     expect,
-                    codec.pack(value),
+                    codec.encode_binding(value),
                     life,
                     lambda answer: self._register(ref, answer),
                     value.fencing_number,
@@ -363,7 +365,7 @@
         entry, stands = answer.entry, None
         if entry.value:
             try:
-                stands = codec.unpack(entry.value, entry.number)
+                stands = codec.decode_binding(entry.value, entry.number)
             except codec.BadPacketError as trouble:
                 self.counts["bindings_bad"] += 1
                 log.warning("binding dropped", extra={"pairs": {"reason": trouble}})
--- a/sablewheel/session_affinity/sessions.py
+++ b/sablewheel/session_affinity/sessions.py
@@ -23,30 +23,25 @@
 from .acquisition import Acquisition
 from .binding import Binding
 from .context import SessionContext
+from .effects import DecisionReason, Effect
 from .events import (
-    BindingNotice,
     ClaimRefused,
-    DecisionReason,
     DrainStarted,
-    Effect,
     Event,
     LoadsReported,
     MessageReceived,
-    OfferReply,
     OwnerFenced,
-    OwnershipOffer,
     OwnerUnreachable,
     PolicyActivated,
     RegisterAnswered,
     RequestArrived,
     RequestFinished,
     RequestReturned,
-    TakeDeclined,
-    TakeOwnership,
     TimerFired,
     ViewChanged,
 )
 from .lookup_table import Lookup, LookupTable
+from .messages import BindingNotice, OfferReply, OwnershipOffer, TakeDeclined, TakeOwnership
 from .migration import Migration
 from .migration_queue import MigrationQueue
 from .owned_requests import OwnedRequests
--- a/tests/stories/test_affinity_stories.py
+++ b/tests/stories/test_affinity_stories.py
@@ -19,7 +19,7 @@
 from sablewheel.experiments.affinity_replicas import ReplicaWorld
 from sablewheel.overload.interface import Idempotency
 from sablewheel.session_affinity.binding import BindingState
-from sablewheel.session_affinity.placement import ServerLoad, bounds
+from sablewheel.session_affinity.placement import ServerLoad, load_bounds
 from sablewheel.session_affinity.plan import AffinitySettings
 
 scenarios("affinity.feature", "affinity_replicas.feature")
@@ -435,7 +435,7 @@
 def in_bound(story: Story) -> None:
     world = story.world
     loads = {name: ServerLoad(len(world.sessions(name).owned)) for name in world.alive}
-    most = bounds(loads, loads, world.settings.load_factor, world.settings.min_load_bound)
+    most = load_bounds(loads, loads, world.settings.load_factor, world.settings.min_load_bound)
     assert sum(load.sessions for load in loads.values()) == len(story.kiosks)
     assert world.count("forced") == 0
     assert all(load.sessions <= most[name] for name, load in loads.items())
--- a/tests/test_session_affinity.py
+++ b/tests/test_session_affinity.py
@@ -1,4 +1,4 @@
-"""Sessions that stay: keys, bounds, the budget, an owner's decisions, each order of a handover to a depth."""
+"""Session affinity: keys, placement, the budget, owners, and every order of a handover to a depth."""
 
 from __future__ import annotations
 
@@ -17,36 +17,40 @@
 from sablewheel.program.feature_file import FaultyFeaturesError, check
 from sablewheel.session_affinity import codec
 from sablewheel.session_affinity.binding import Binding, BindingState, MigrationCause, newer
-from sablewheel.session_affinity.budget import DEPTH, MigrationBudget
+from sablewheel.session_affinity.budget import MIN_BURST, MigrationBudget
+from sablewheel.session_affinity.effects import (
+    DecisionReason,
+    ForwardToOwner,
+    ReadBinding,
+    RejectRequest,
+    SendMessage,
+    ServeLocally,
+    WriteBinding,
+)
 from sablewheel.session_affinity.events import (
-    BindingNotice,
     ClaimRefused,
-    DecisionReason,
     DrainStarted,
-    ForwardToOwner,
     LoadsReported,
     MessageReceived,
-    OfferReply,
-    OwnershipOffer,
     OwnerUnreachable,
     PolicyActivated,
-    ReadBinding,
     RegisterAnswered,
     RegisterVerdict,
-    RejectRequest,
     RequestArrived,
     RequestFinished,
     RequestReturned,
-    SendMessage,
-    ServeLocally,
-    TakeOwnership,
     TimerFired,
     ViewChanged,
-    WriteBinding,
 )
-from sablewheel.session_affinity.keys import FIELD_MOST, KEY_SIZE, SessionKeyFields, key_of
+from sablewheel.session_affinity.keys import KEY_LENGTH, MAX_FIELD_BYTES, SessionKeyFields, session_key
+from sablewheel.session_affinity.messages import BindingNotice, OfferReply, OwnershipOffer, TakeOwnership
 from sablewheel.session_affinity.ownership import OwnershipPhase
-from sablewheel.session_affinity.placement import ServerLoad, begin_on, bounds, move_to
+from sablewheel.session_affinity.placement import (
+    ServerLoad,
+    load_bounds,
+    rank_for_migration,
+    rank_for_new_session,
+)
 from sablewheel.session_affinity.plan import AffinitySettings
 from sablewheel.session_affinity.sessions import Sessions
 
@@ -89,18 +93,18 @@
 
 @pytest.mark.parametrize("rule", RULES)
 def test_a_idempotency_key_stays_with_its_session_whatever_router_it_comes_by(rule: tuple[str, ...]) -> None:
-    keys = {key_of(rule, SessionKeyFields("c1", "s1", router, "label")) for router in ("r1", "r2")}
+    keys = {session_key(rule, SessionKeyFields("c1", "s1", router, "label")) for router in ("r1", "r2")}
     assert len(keys) == 1 and None not in keys
 
 
 def test_keys_of_different_fields_differ_and_have_one_size() -> None:
     rule = ("customer", "subject")
     pairs = [("a", "bc"), ("ab", "c"), ("a|subject:1:b", "c")]
-    keys = {key_of(rule, SessionKeyFields(tenant, subject)) for tenant, subject in pairs}
-    assert len(keys) == len(pairs) and all(len(one or "") == KEY_SIZE for one in keys)
+    keys = {session_key(rule, SessionKeyFields(tenant, subject)) for tenant, subject in pairs}
+    assert len(keys) == len(pairs) and all(len(one or "") == KEY_LENGTH for one in keys)
     assert (
-        key_of(rule, SessionKeyFields("c1")) is None
-        and key_of(rule, SessionKeyFields("c", "s" * (FIELD_MOST + 1))) is None
+        session_key(rule, SessionKeyFields("c1")) is None
+        and session_key(rule, SessionKeyFields("c", "s" * (MAX_FIELD_BYTES + 1))) is None
     )
 
 
@@ -108,25 +112,25 @@
 @settings(derandomize=True, max_examples=60, deadline=None)
 def test_there_is_always_room_below_a_bound(sessions: list[int], factor: float) -> None:
     loads = {f"m{place}": ServerLoad(much, 0.1 + place / 10) for place, much in enumerate(sessions)}
-    most = bounds(loads, loads, factor, 1)
-    assert begin_on("k", loads, most) and move_to("k", loads, most)
-    assert all(loads[name].sessions < most[name] for name in begin_on("k", loads, most))
+    most = load_bounds(loads, loads, factor, 1)
+    assert rank_for_new_session("k", loads, most) and rank_for_migration("k", loads, most)
+    assert all(loads[name].sessions < most[name] for name in rank_for_new_session("k", loads, most))
 
 
 def test_a_cold_server_is_bound_to_its_warmth_and_the_least_loaded_gets_the_most() -> None:
     loads = {"cold": ServerLoad(0, 0.1), "warm": ServerLoad(100), "idle": ServerLoad(20)}
-    most = bounds(loads, loads, 1.25, 4)
+    most = load_bounds(loads, loads, 1.25, 4)
     assert most["cold"] < most["warm"] / 5
-    first = Counter(move_to(f"k{place}", loads, most)[0] for place in range(400))
+    first = Counter(rank_for_migration(f"k{place}", loads, most)[0] for place in range(400))
     assert first["idle"] > 3 * first["cold"] and first["warm"] == 0
 
 
 def test_a_server_that_goes_moves_only_its_own_keys() -> None:
     loads = {f"m{place}": ServerLoad() for place in range(8)}
     most = dict.fromkeys(loads, 1000)
-    before = {key: begin_on(key, loads, most)[0] for key in map(str, range(300))}
+    before = {key: rank_for_new_session(key, loads, most)[0] for key in map(str, range(300))}
     del loads["m3"], most["m3"]
-    after = {key: begin_on(key, loads, most)[0] for key in before}
+    after = {key: rank_for_new_session(key, loads, most)[0] for key in before}
     assert all(before[key] == "m3" for key in before if before[key] != after[key])
 
 
@@ -138,7 +142,7 @@
         now += wait
         while budget.try_take(now):
             taken += 1
-        assert taken <= rate * now + max(DEPTH, rate) + 1e-6
+        assert taken <= rate * now + max(MIN_BURST, rate) + 1e-6
 
 
 def test_a_budget_of_nothing_moves_nothing() -> None:
@@ -395,7 +399,7 @@
     for data in (noise, whole[:at] + noise + whole[at:], whole[:at]):
         try:
             codec.decode(data)
-            codec.unpack(data, 1)
+            codec.decode_binding(data, 1)
         except codec.BadPacketError:
             continue
 
