--- a/sablewheel/experiments/affinity.py
+++ b/sablewheel/experiments/affinity.py
@@ -52,7 +52,9 @@
     "vote-timeout-s": 0.5,
     "sync-every-s": 1.0,
 }
-MOVED = re.compile(r"^time=(\S+) level=\S+ from=session_affinity\.session_router event=moved (.*)$")
+MOVED = re.compile(
+    r"^time=(\S+) level=\S+ from=session_affinity\.session_router event=\"session migrated\" (.*)$"
+)
 
 
 @dataclass(frozen=True)
--- a/sablewheel/experiments/affinity_server.py
+++ b/sablewheel/experiments/affinity_server.py
@@ -15,13 +15,13 @@
 from typing import Any
 
 from ..membership.view import Fact
-from ..session_affinity import session_router as placer
+from ..session_affinity import session_router
 
 LOOK_EVERY = 0.1
 FILE, VARIANT = Path(sys.argv[1]), "".join(sys.argv[2:3])
 
 
-class Told(placer.Affinity):
+class VersionFromFileRouter(session_router.SessionRouter):
     """Looks at the file, and says what is there to membership."""
 
     def __init__(self, scheduler: Any, plan: Any, *rest: Any, **more: Any) -> None:
@@ -41,12 +41,13 @@
             version = FILE.read_text().strip()
         if version and version != self._version and self._fleet.view is not None:
             self._version = version
-            self._fleet.judge(Fact(placer.ACTIVE, f"{version}:"))
+            self._fleet.judge(Fact(session_router.ACTIVE_VERSION_FACT, f"{version}:"))
         if not self._closed:
             self._scheduler.after(LOOK_EVERY, self._look)
 
 
 if __name__ == "__main__":
-    setattr(placer, "Affinity", Told)  # noqa: B010  the program imports it from there when it is switched on
+    # The program imports the class from its module when the feature is switched on.
+    setattr(session_router, "SessionRouter", VersionFromFileRouter)  # noqa: B010
     sys.argv = sys.argv[:1]
     runpy.run_module("sablewheel", run_name="__main__")
--- a/sablewheel/program/feature_registry.py
+++ b/sablewheel/program/feature_registry.py
@@ -310,7 +310,7 @@
 
 def _affinity(feature_context: FeatureContext, plan: AffinityPlan) -> Part:
     from ..session_affinity.events import PolicyActivated
-    from ..session_affinity.session_router import Affinity, Watching
+    from ..session_affinity.session_router import SessionRouter
 
     fleet, links, forward, keeper = (
         feature_context.fleet,
@@ -333,7 +333,7 @@
         )
 
     grace = min(server_settings.drain_grace_s, feature_context.placement_settings.stop_after)
-    affinity = Affinity(
+    router = SessionRouter(
         feature_context.scheduler,
         plan,
         fleet,
@@ -346,23 +346,22 @@
         warmth,
         float(server_settings.cores),
         grace,
-        feature_context.count,
     )
     feature_context.leave = (
         None  # the fleet is told, and peers' requests are refused, once sessions are handed over
     )
     policies = feature_context.policies
     if policies is not None:
-        affinity.flow_of = lambda exchange: policies.route(exchange).flow
-        policies.on_active(lambda number, able: affinity.activate(PolicyActivated(max(number, 1), able)))
+        router.flow_of = lambda exchange: policies.route(exchange).flow
+        policies.on_active(lambda number, able: router.activate(PolicyActivated(max(number, 1), able)))
     return Part(
-        observer=Watching(affinity),
-        memory=affinity,
-        handler=affinity.handler,
-        leaving=affinity.leaving,
-        settled=affinity.settled,
-        close=lambda _: affinity.close(),
-        gauges=affinity.gauges,
+        observer=router.observer,
+        memory=router.result_store,
+        handler=router.handler,
+        leaving=router.leaving,
+        settled=router.settled,
+        close=lambda _: router.close(),
+        gauges=router.gauges,
     )
 
 
--- a/sablewheel/session_affinity/acquisition.py
+++ b/sablewheel/session_affinity/acquisition.py
@@ -113,7 +113,7 @@
         else:
             self._context.counts[f"moved_{lookup.cause.value}"] += 1
             self._context.outbox.log(
-                "moved",
+                "session migrated",
                 key=lookup.key,
                 cause=lookup.cause.value,
                 number=binding.fencing_number,
@@ -122,9 +122,7 @@
         self.add_session(now, lookup, binding)
 
     def add_session(self, now: float, lookup: Lookup, binding: Binding) -> None:
-        """Own a session by its binding: won just now, by a write whose answer was lost, or evicted here
-        before.
-        """
+        """Add a session: won just now, by a write whose answer was lost, or evicted here before."""
         session = self._ownership.get(lookup.key)
         if session is None:
             if not self._ownership.make_capacity():
--- /dev/null
+++ b/sablewheel/session_affinity/binding_register.py
@@ -0,0 +1,57 @@
+"""The register of bindings: a collection of the replicated documents."""
+
+from __future__ import annotations
+
+import logging
+from collections import Counter
+from collections.abc import Callable
+
+from ..replication.messages import Answer
+from ..replication.replica import SESSIONS
+from ..replication.service import Keeper
+from .codec import BadPacketError, decode_binding, encode_binding
+from .effects import ReadBinding, WriteBinding
+from .events import RegisterAnswered, RegisterVerdict
+
+VERDICTS = {"won": RegisterVerdict.WON, "read": RegisterVerdict.WON, "stale": RegisterVerdict.LOST}
+
+log = logging.getLogger(__name__)
+
+
+class BindingRegister:
+    """Reads and writes bindings through replication; each answer becomes one event."""
+
+    def __init__(
+        self, keeper: Keeper, counts: Counter[str], on_answer: Callable[[RegisterAnswered], None]
+    ) -> None:
+        """Use the replicated documents of `keeper`."""
+        self._keeper, self._counts, self._on_answer = keeper, counts, on_answer
+
+    def write(self, effect: WriteBinding) -> None:
+        """Write a binding if the expected fencing number is stored."""
+        self._keeper.write(
+            SESSIONS,
+            effect.key.encode(),
+            effect.expected_fencing_number,
+            encode_binding(effect.binding),
+            effect.lifetime_s,
+            lambda answer: self._answered(effect.ref, answer),
+            effect.binding.fencing_number,
+        )
+
+    def read(self, effect: ReadBinding) -> None:
+        """Read a binding."""
+        self._keeper.read(SESSIONS, effect.key.encode(), lambda answer: self._answered(effect.ref, answer))
+
+    def _answered(self, ref: int, answer: Answer) -> None:
+        entry, stored = answer.entry, None
+        if entry.value:
+            try:
+                stored = decode_binding(entry.value, entry.number)
+            except BadPacketError as error:
+                self._counts["bindings_bad"] += 1
+                log.warning("invalid session binding in the register", extra={"pairs": {"reason": error}})
+                self._on_answer(RegisterAnswered(ref, RegisterVerdict.UNREACHABLE))
+                return
+        verdict = VERDICTS.get(answer.verdict, RegisterVerdict.UNREACHABLE)
+        self._on_answer(RegisterAnswered(ref, verdict, stored))
--- a/sablewheel/session_affinity/codec.py
+++ b/sablewheel/session_affinity/codec.py
@@ -23,6 +23,8 @@
 )
 from .placement import ServerLoad
 
+FRAME_TYPE = "session"
+FRAME_LIFETIME_S = 1.0  # after which an unsent frame is dropped: each step is repeated in time
 PROTOCOL_VERSION = 1
 MAX_NAME_BYTES = 256  # of a name, key or flow
 MAX_CAPACITY = 1e6
--- a/sablewheel/session_affinity/context.py
+++ b/sablewheel/session_affinity/context.py
@@ -1,6 +1,4 @@
-"""What the parts of one server's session affinity share: identity, view, settings, effects and timers.
-Pure.
-"""
+"""What the parts of one server's session affinity share. Pure."""
 
 from __future__ import annotations
 
@@ -17,9 +15,7 @@
 
 
 class RequestDispatcher(Protocol):
-    """Whoever decides where a request goes; a request may be dispatched anew when its session changes
-    hands.
-    """
+    """Decides where a request goes, also when its session changes hands."""
 
     def dispatch_request(self, now: float, request: RequestArrived) -> None:
         """Serve the request, forward it, or let it wait for its session's owner."""
@@ -90,9 +86,7 @@
 
 
 class TimerQueue:
-    """When sessions must be looked at again. A timer is never cancelled: its handler checks whether it
-    applies.
-    """
+    """When sessions need attention. A timer is never cancelled: its handler checks it."""
 
     def __init__(self) -> None:
         """Start without timers."""
--- a/sablewheel/session_affinity/effects.py
+++ b/sablewheel/session_affinity/effects.py
@@ -57,9 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Reject the request, which never ran; if its idempotency key has a known outcome it may get that
-    instead.
-    """
+    """Reject the request, which never ran, or answer it by the known outcome of its idempotency key."""
 
     ref: int
     retry_after_s: float
--- a/sablewheel/session_affinity/messages.py
+++ b/sablewheel/session_affinity/messages.py
@@ -50,9 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BindingNotice:
-    """Tells a binding as the register holds it or held it; to the earlier owner, that the handover is
-    done.
-    """
+    """Tells a binding that the register holds or held; the earlier owner, that the handover is done."""
 
     binding: Binding
 
--- a/sablewheel/session_affinity/migration.py
+++ b/sablewheel/session_affinity/migration.py
@@ -93,7 +93,9 @@
             session.phase, session.phase_since = OwnershipPhase.AWAITING_SUCCESSOR, now
             if session.open_refs:
                 context.counts["passed_as_claims"] += len(session.open_refs)
-                context.outbox.log("passed as claims", key=session.binding.key, runs=len(session.open_refs))
+                context.outbox.log(
+                    "session handed over with open runs", key=session.binding.key, runs=len(session.open_refs)
+                )
         successor = session.binding.successor
         is_overdue = now - session.phase_since > context.settings.binding_timeout_s
         if context.view is None or successor not in context.view or is_overdue:
--- a/sablewheel/session_affinity/owner_lookup.py
+++ b/sablewheel/session_affinity/owner_lookup.py
@@ -135,9 +135,7 @@
             self._responder.serve_or_reject(request, DecisionReason.FULL)
 
     def _choose_target(self, lookup: Lookup, capable: set[str]) -> str:
-        """Return the best server below its load bound, or else the least loaded one past it; empty if
-        none.
-        """
+        """Return the best server below its load bound, or the least loaded past it; empty if none."""
         target = ""
         if not lookup.forced:
             target = self._selection.choose(
--- a/sablewheel/session_affinity/placement.py
+++ b/sablewheel/session_affinity/placement.py
@@ -81,9 +81,7 @@
 
 
 def _rank(key: str, weights: Mapping[str, float]) -> list[str]:
-    """Rank by weighted rendezvous hashing: each is first in proportion to its weight, whoever else is
-    there.
-    """
+    """Rank servers by weighted rendezvous hashing: each is first in proportion to its weight."""
     scores = {name: -math.log(_uniform(key, name)) / weight for name, weight in weights.items() if weight > 0}
     return sorted(scores, key=lambda name: (scores[name], name))
 
--- a/sablewheel/session_affinity/policy_versions.py
+++ b/sablewheel/session_affinity/policy_versions.py
@@ -56,7 +56,9 @@
     @property
     def next_retirement_at(self) -> float:
         """When the next version expires; inf if none will."""
-        return min(self._superseded_at.values(), default=inf) + self._settings.retire_after_s
+        if not self._superseded_at:
+            return inf
+        return min(self._superseded_at.values()) + self._settings.retire_after_s
 
     def is_retained(self, version: int) -> bool:
         """Whether sessions may go on under this version."""
--- a/sablewheel/session_affinity/responses.py
+++ b/sablewheel/session_affinity/responses.py
@@ -1,6 +1,4 @@
-"""What is decided about one request: served here, rejected, forwarded, or returned to who forwarded it.
-Pure.
-"""
+"""The decisions about one request. Pure."""
 
 from __future__ import annotations
 
--- a/sablewheel/session_affinity/server_selection.py
+++ b/sablewheel/session_affinity/server_selection.py
@@ -1,6 +1,4 @@
-"""Which server a session begins on or migrates to, and whether this server has capacity for one more.
-Pure.
-"""
+"""The choice of the server that a session begins on or migrates to. Pure."""
 
 from __future__ import annotations
 
--- a/sablewheel/session_affinity/session_router.py
+++ b/sablewheel/session_affinity/session_router.py
@@ -1,8 +1,9 @@
-"""Sessions in the server: a handler in front of the forward path, and what the decisions need round them.
+"""The request handler that brings each request to the owner of its session.
 
-Decides nothing. Each request with a session is held until its owner is known, mostly at once; then it is
-served here, passed on, or rejected. Bindings are read and written through replication, whose claims go by the
-binding's number. Servers speak of sessions in frames of their own over the links, which may lose any.
+It decides nothing itself: `Sessions` does, from the events that this handler tells it. A request with a
+session waits until its owner is known, mostly not at all; then it is served here, forwarded or rejected.
+Bindings are read and written through replication, and claims are made under the binding's fencing number.
+Servers exchange frames about sessions over the links; any of them may be lost.
 """
 
 from __future__ import annotations
@@ -16,17 +17,15 @@
 from ..forwarding.service import Forward, Guest
 from ..membership.service import Fleet
 from ..membership.view import View
-from ..overload.interface import Idempotency, Outcome, Request, Tenant
-from ..replication.messages import Answer
-from ..replication.replica import SESSIONS
+from ..overload.interface import Idempotency, Tenant
 from ..replication.service import Keeper
-from ..serving.exchange import Caller, Exchange, RequestObserver
+from ..serving.exchange import Exchange, RequestObserver
 from ..serving.hooks import Memory
-from ..serving.idempotency_keys import IdempotencyTable
 from ..serving.listener import RequestHandler
 from ..transport.scheduler import Scheduler
 from ..transport.wakeup import Wake
-from . import codec
+from .binding_register import BindingRegister
+from .codec import FRAME_LIFETIME_S, FRAME_TYPE, BadPacketError, decode, encode
 from .effects import (
     Effect,
     ForwardToOwner,
@@ -46,45 +45,27 @@
     OwnerFenced,
     OwnerUnreachable,
     PolicyActivated,
-    RegisterAnswered,
-    RegisterVerdict,
     RequestArrived,
     RequestFinished,
     TimerFired,
     ViewChanged,
 )
-from .keys import SessionKeyFields, session_key
+from .load_reports import LoadReports
 from .messages import BindingNotice
+from .open_requests import OpenRequest, OpenRequests, SessionRequestObserver, SessionResultStore
 from .placement import ServerLoad
 from .plan import AffinityPlan
+from .request_keys import SessionKeyResolver
 from .sessions import Sessions
 
-KIND = "session"
-WITHIN = 1.0  # seconds after which a frame is worth nothing: each step of a handover is repeated
-LOADS_EVERY = 0.5
-ACTIVE = "policy/active"  # the fact of the view that names the active version, as VERSION or VERSION:...
-LEAVE_SHARE = 0.9  # of the grace, after which the fleet is told
-LOUD = ("moved", "passed as claims")
-VERDICTS = {"won": RegisterVerdict.WON, "read": RegisterVerdict.WON, "stale": RegisterVerdict.LOST}
+ACTIVE_VERSION_FACT = "policy/active"  # of the view: the active policy version, as VERSION or VERSION:...
+LEAVE_GRACE_FRACTION = 0.9  # of the grace period, after which the fleet is told that this server leaves
 
 log = logging.getLogger(__name__)
-Run = Callable[[Exchange], None]
 
 
-class Open:
-    """A request that only its session's owner may run, told to run here."""
-
-    __slots__ = ("begun", "key", "number", "ref")
-
-    def __init__(self, ref: int, key: str, number: int) -> None:
-        self.ref, self.key, self.number, self.begun = ref, key, number, False
-
-
-class Affinity:
-    """One server's sessions: a handler, and memory and observer in front of those given as `inner`.
-
-    `warmth` tells how warm this server is, from 0 to 1; `capacity` what it can carry, in any one unit.
-    """
+class SessionRouter:
+    """One server's session affinity: a request handler, a result store and an observer in front of others."""
 
     def __init__(
         self,
@@ -94,75 +75,110 @@
         links: Links,
         forward: Forward,
         keeper: Keeper,
-        memory: Memory,
+        result_store: Memory,
         observer: RequestObserver,
         tenants: dict[bytes, Tenant],
         warmth: Callable[[], float],
         capacity: float,
-        grace: float,
-        count: Callable[[str], None],
+        grace_s: float,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
+        """Connect to the fleet, the forward path and replication.
+
+        Args:
+            scheduler: Runs the timers.
+            plan: The settings.
+            fleet: The members.
+            links: The connections to the other members.
+            forward: Serves requests here or forwards them.
+            keeper: Replication, which holds the bindings and the claims.
+            result_store: The store that `self.result_store` passes on to.
+            observer: The observer that `self.observer` passes on to.
+            tenants: The tenants by name.
+            warmth: Returns how warm this server is, from 0 to 1.
+            capacity: What this server can carry, in the fleet's common unit.
+            grace_s: The time between the shutdown notice and the end.
+            clock: Returns the present time.
+        """
         self._scheduler, self._plan, self._fleet, self._links = scheduler, plan, fleet, links
-        self._forward, self._keeper, self._clock, self._count = forward, keeper, clock, count
-        self._memory, self._observer, self._tenants = memory, observer, tenants
-        self._tenant_names: dict[Tenant, str] = {}
-        self._warmth, self._capacity, self._grace = warmth, capacity, grace
-        self.flow_of: Callable[[Exchange], str] = lambda exchange: exchange.request_class.decode(
-            "utf-8", "replace"
-        )
+        self._forward, self._keeper, self._clock, self._grace_s = forward, keeper, clock, grace_s
+        self._keys = SessionKeyResolver(plan.fields, tenants)
+        self.flow_of: Callable[[Exchange], str] = _request_class_name
+        self.counts: Counter[str] = Counter()
         self.sessions = Sessions(fleet.me, fleet.node.me.incarnation, plan.settings, clock())
         self.sessions.handle_event(clock(), PolicyActivated(1))
+        self._register = BindingRegister(keeper, self.counts, self._handle_event)
+        self._load_reports = LoadReports(
+            scheduler,
+            fleet,
+            links,
+            warmth=warmth,
+            capacity=capacity,
+            session_count=lambda: len(self.sessions.owned),
+            on_report=lambda loads: self._handle_event(LoadsReported(loads)),
+        )
+        self._open_requests = OpenRequests(self._on_request_finished)
+        self.result_store = SessionResultStore(result_store, self._open_requests)
+        self.observer = SessionRequestObserver(observer, self._open_requests)
         self._inner: RequestHandler | None = None
-        self._refs = 0
-        self._held: dict[int, Exchange] = {}  # requests that wait for a decision
-        self._open: dict[Exchange, Open] = {}
-        self._loads: dict[str, ServerLoad] = {}
-        self._leaving = self._left = False
-        self._wake = Wake(scheduler, clock, self._ring)
-        self._closed = False
-        self.counts: Counter[str] = Counter()
-        keeper.group_of, keeper.may_begin, keeper.fenced = self._group_of, self._may_begin, self._fenced
-        keeper.replica.binding_life = max(keeper.replica.binding_life, plan.settings.binding_lifetime_s)
-        forward.guests, forward.home = self, self._home
-        links.on(KIND, self._heard)
-        fleet.on_view(self._viewed)
-        scheduler.after(LOADS_EVERY, self._tell_loads)
-
-    # -- the handler
+        self._last_ref = 0
+        self._undecided: dict[int, Exchange] = {}
+        self._has_left = self._closed = False
+        self._wake = Wake(scheduler, clock, self._on_timer)
+        self._connect()
+
+    def _connect(self) -> None:
+        keeper, forward = self._keeper, self._forward
+        keeper.group_of, keeper.may_begin, keeper.fenced = self._group_of, self._may_begin, self._on_fenced
+        lifetime_s = self._plan.settings.binding_lifetime_s
+        keeper.replica.binding_life = max(keeper.replica.binding_life, lifetime_s)
+        forward.guests, forward.home = self, self._on_forward_failed
+        self._links.on(FRAME_TYPE, self._on_frame)
+        self._fleet.on_view(self._on_view)
+        self._load_reports.start()
+
+    # -- the request handler
 
     def handler(self, inner: RequestHandler) -> RequestHandler:
+        """Return the handler that stands in front of `inner`."""
         self._inner = inner
         return self
 
     def arrived(self, exchange: Exchange) -> None:
-        guest = exchange.caller if isinstance(exchange.caller, Guest) else None
-        if guest is None:
-            exchange.session = self._session(exchange) or ""
+        """Handle a request of a client, or one that another server forwarded here."""
+        forwarded = isinstance(exchange.caller, Guest)
+        if not forwarded:
+            exchange.session = self._keys.resolve(exchange)
             if not exchange.session:
                 self.counts["without_session"] += 1
-                return self._handler.arrived(exchange)
+                self._handler.arrived(exchange)
+                return
             if self._forward.is_away(exchange.name):
-                return exchange.fail()  # the name of an open request: as the dispatch would
+                exchange.fail()  # an open request has this name: as the dispatcher would
+                return
         elif not exchange.session:
-            return self._forward.serve(exchange)
-        came = self._came(exchange, guest.sender if guest is not None else "")
+            self._forward.serve(exchange)
+            return
+        sender = exchange.caller.sender if isinstance(exchange.caller, Guest) else ""
+        self._decide(exchange, sender)
+
+    def _decide(self, exchange: Exchange, sender: str) -> None:
+        request = self._add_undecided(exchange, sender)
         try:
-            self._step(came)
+            self._handle_event(request)
         except Exception:
-            # A fault in who decides must not cost the request: what may run twice can be served where it
-            # came.
+            # An internal error must not cost the request: an idempotent one can be served where it arrived.
             self.counts["faults"] += 1
-            log.exception("session not found, for a fault")
-            if self._held.pop(came.ref, None) is not None:
-                if came.requires_owner:
+            log.exception("session lookup failed with an internal error")
+            if self._undecided.pop(request.ref, None) is not None:
+                if request.requires_owner:
                     exchange.reject(self._plan.settings.retry_after_s, False)
                 else:
                     self._forward.serve(exchange)
 
     def gone(self, exchange: Exchange) -> None:
-        """Nobody waits any more; one that is still held is let go of when it is decided on."""
-        if exchange not in self._held.values():
+        """Pass on that nobody waits any more; an undecided request is dropped when it is decided."""
+        if exchange not in self._undecided.values():
             self._handler.gone(exchange)
 
     @property
@@ -170,263 +186,159 @@
         assert self._inner is not None
         return self._inner
 
-    def _came(self, exchange: Exchange, sender: str, back: bool = False) -> RequestArrived:
-        self._refs += 1
-        self._held[self._refs] = exchange
+    def _add_undecided(
+        self, exchange: Exchange, sender: str, *, was_returned: bool = False
+    ) -> RequestArrived:
+        self._last_ref += 1
+        self._undecided[self._last_ref] = exchange
         flow = self.flow_of(exchange)
-        return RequestArrived(
-            self._refs, exchange.session, exchange.request.request_class.idempotency, flow, sender, back
-        )
-
-    def _home(self, exchange: Exchange, to: str, tried: frozenset[str]) -> None:
-        """One of ours is back from `to` and may run again."""
-        self._step(OwnerUnreachable(self._came(exchange, "", len(tried) > 1), to))
-
-    def _session(self, exchange: Exchange) -> str | None:
-        request = exchange.request
-        tenant = ""
-        if request.tenant is not None:
-            if request.tenant not in self._tenant_names:  # new settings make new objects
-                names = {one: name.decode("utf-8", "replace") for name, one in self._tenants.items()}
-                self._tenant_names = names
-            tenant = self._tenant_names.get(request.tenant, "")
-        idempotency_key = (
-            exchange.idempotency_key if request.request_class.idempotency is Idempotency.KEYED else None
-        )
-        carried = SessionKeyFields(
-            tenant,
-            request.subject or "",
-            request.client.name.decode("utf-8", "replace"),
-            (idempotency_key or b"").decode("utf-8", "replace"),
-        )
-        return session_key(self._plan.fields, carried)
-
-    # -- memory and observer: what is open of a session
-
-    @property
-    def ready(self) -> bool:
-        return self._memory.ready
-
-    def recalled(self, born: float, idempotency_keys: IdempotencyTable) -> list[tuple[Request, float]]:
-        return self._memory.recalled(born, idempotency_keys)
-
-    def adopted(self) -> tuple[list[Exchange], int]:
-        return self._memory.adopted()
+        idempotency = exchange.request.request_class.idempotency
+        return RequestArrived(self._last_ref, exchange.session, idempotency, flow, sender, was_returned)
 
-    def may_not_run(self, exchange: Exchange) -> bool:
-        return self._memory.may_not_run(exchange)
+    def _on_forward_failed(self, exchange: Exchange, to: str, tried: frozenset[str]) -> None:
+        """Decide again about a request of a client that `to` certainly did not run."""
+        request = self._add_undecided(exchange, "", was_returned=len(tried) > 1)
+        self._handle_event(OwnerUnreachable(request, to))
 
-    def prepare(self, exchange: Exchange) -> None:
-        self._memory.prepare(exchange)
+    def _on_request_finished(self, request: OpenRequest) -> None:
+        self._handle_event(RequestFinished(request.ref, request.key))
 
-    def remember(self, exchange: Exchange) -> None:
-        self._memory.remember(exchange)
-
-    def release(self, exchange: Exchange) -> None:
-        self._memory.release(exchange)
-
-    def before_run(self, exchange: Exchange, run: Run) -> None:
-        if (one := self._open.get(exchange)) is not None:
-            one.begun = True
-        self._memory.before_run(exchange, run)
-
-    def ended(self, exchange: Exchange, outcome: Outcome, result: bytes) -> None:
-        self._memory.ended(exchange, outcome, result)
-        self._over(exchange)
-
-    def completed(self, exchange: Exchange, result: bytes, caller: Caller) -> None:
-        self._answered(exchange)
-        self._observer.completed(exchange, result, caller)
-
-    def rejected(self, exchange: Exchange) -> None:
-        self._answered(exchange)
-        self._observer.rejected(exchange)
-
-    def failed(self, exchange: Exchange) -> None:
-        self._answered(exchange)
-        self._observer.failed(exchange)
-
-    def gone_by(self, exchange: Exchange) -> None:
-        self._answered(exchange)
-        self._observer.gone(exchange)
-
-    def _answered(self, exchange: Exchange) -> None:
-        """Its answer is given; a run of it that has begun counts until it ends."""
-        one = self._open.get(exchange)
-        if one is not None and not one.begun:
-            self._over(exchange)
-
-    def _over(self, exchange: Exchange) -> None:
-        if (one := self._open.pop(exchange, None)) is not None:
-            self._step(RequestFinished(one.ref, one.key))
-
-    # -- what replication asks
+    # -- replication
 
     def _group_of(self, exchange: Exchange) -> tuple[bytes, int]:
-        """IdempotencyTable of a session are held together, and claimed under its number."""
+        """Return a claim's group and number: a session's keys are stored together, under its number."""
         if not exchange.session:
             return exchange.idempotency_key or b"", 0
-        one = self._open.get(exchange)
-        return exchange.session.encode(), one.number if one is not None else 0
+        request = self._open_requests.get(exchange)
+        return exchange.session.encode(), request.fencing_number if request is not None else 0
 
-    def _may_begin(self, exchange: Exchange, asked: float) -> bool:
-        one = self._open.get(exchange)
-        return one is None or self.sessions.may_begin(self._clock(), one.key, one.number, asked)
+    def _may_begin(self, exchange: Exchange, claim_requested_at: float) -> bool:
+        request = self._open_requests.get(exchange)
+        return request is None or self.sessions.may_begin(
+            self._clock(), request.key, request.fencing_number, claim_requested_at
+        )
 
-    def _fenced(self, exchange: Exchange) -> None:
-        if (one := self._open.get(exchange)) is not None:
-            self._step(OwnerFenced(one.key, one.number))
+    def _on_fenced(self, exchange: Exchange) -> None:
+        if (request := self._open_requests.get(exchange)) is not None:
+            self._handle_event(OwnerFenced(request.key, request.fencing_number))
 
-    # -- what the fleet says
+    # -- the fleet
 
-    def activate(self, active: PolicyActivated) -> None:
-        """A policy version is in force, or what servers can run under it has changed."""
-        self._step(active)
+    def activate(self, event: PolicyActivated) -> None:
+        """Put a policy version in force, or update which servers can run it."""
+        self._handle_event(event)
 
-    def _viewed(self, view: View) -> None:
-        self._step(ViewChanged(view))
-        self._loads = {name: load for name, load in self._loads.items() if name in view}
-        version = view.fact(ACTIVE).partition(":")[0]
+    def _on_view(self, view: View) -> None:
+        self._handle_event(ViewChanged(view))
+        self._load_reports.forget_removed(view)
+        version = view.fact(ACTIVE_VERSION_FACT).partition(":")[0]
         if version.isdigit() and int(version) > self.sessions.version:
-            self._step(PolicyActivated(int(version)))
+            self._handle_event(PolicyActivated(int(version)))
 
-    def _heard(self, sender: str, payload: bytes) -> None:
+    def _on_frame(self, sender: str, payload: bytes) -> None:
         try:
-            message = codec.decode(payload)
-        except codec.BadPacketError as trouble:
+            message = decode(payload)
+        except BadPacketError as error:
             self.counts["packets_bad"] += 1
-            log.warning("packet dropped", extra={"pairs": {"from": sender, "reason": trouble}})
+            log.warning("invalid session frame dropped", extra={"pairs": {"from": sender, "reason": error}})
             return
         if isinstance(message, ServerLoad):
-            self._loads[sender] = message
-            return
-        self._step(MessageReceived(sender, message))
+            self._load_reports.receive(sender, message)
+        else:
+            self._handle_event(MessageReceived(sender, message))
 
-    def _tell_loads(self) -> None:
-        """Each to each; a lost one is made good by the next."""
-        if self._closed:
-            return
-        capacity = 0.0 if self._leaving else self._capacity
-        mine = ServerLoad(len(self.sessions.owned), min(max(self._warmth(), 0.01), 1.0), capacity)
-        self._loads[self._fleet.me] = mine
-        data = codec.encode(mine)
-        for name in self._fleet.view.names if self._fleet.view is not None else ():
-            if name != self._fleet.me:
-                self._links.send(name, KIND, data, LOADS_EVERY)
-        self._step(LoadsReported(self._loads))
-        self._scheduler.after(LOADS_EVERY, self._tell_loads)
-
-    # -- events in, effects out
-
-    def _step(self, event: Event) -> None:
+    # -- events and effects
+
+    def _handle_event(self, event: Event) -> None:
         if self._closed:
             return
         for effect in self.sessions.handle_event(self._clock(), event):
             self._carry_out(effect)
         self._wake.set(self.sessions.wake_at)
 
-    def _ring(self) -> None:
-        self._step(TimerFired())
+    def _on_timer(self) -> None:
+        self._handle_event(TimerFired())
 
     def _carry_out(self, effect: Effect) -> None:
         match effect:
-            case ServeLocally(ref, number):
-                self._serve(ref, number)
-            case ForwardToOwner(ref, to):
-                self._pass(ref, to)
-            case ReturnToForwarder(ref, sender, binding):
-                exchange = self._held.pop(ref)
-                self._links.send(
-                    sender, KIND, codec.encode(BindingNotice(binding)), WITHIN
-                )  # comes before the request
-                self._forward.decline(exchange)
+            case ServeLocally():
+                self._serve(effect)
+            case ForwardToOwner():
+                self._forward_to_owner(effect)
+            case ReturnToForwarder():
+                self._return_to_forwarder(effect)
             case RejectRequest(ref, retry_after_s, _):
-                exchange = self._held.pop(ref)
-                exchange.reject(retry_after_s, False)
-            case WriteBinding(ref, key, expect, value, life):
-                self._keeper.write(
-                    SESSIONS,
-                    key.encode(),
-                    expect,
-                    codec.encode_binding(value),
-                    life,
-                    lambda answer: self._register(ref, answer),
-                    value.fencing_number,
-                )
-            case ReadBinding(ref, key):
-                self._keeper.read(SESSIONS, key.encode(), lambda answer: self._register(ref, answer))
-            case SendMessage(to, message):
-                if not self._links.send(to, KIND, codec.encode(message), WITHIN):
-                    self.counts["unsent"] += 1
-            case LogEvent(what, fields):
-                log.log(logging.INFO if what in LOUD else logging.WARNING, what, extra={"pairs": fields})
-
-    def _register(self, ref: int, answer: Answer) -> None:
-        entry, stands = answer.entry, None
-        if entry.value:
-            try:
-                stands = codec.decode_binding(entry.value, entry.number)
-            except codec.BadPacketError as trouble:
-                self.counts["bindings_bad"] += 1
-                log.warning("binding dropped", extra={"pairs": {"reason": trouble}})
-                return self._step(RegisterAnswered(ref, RegisterVerdict.UNREACHABLE))
-        self._step(RegisterAnswered(ref, VERDICTS.get(answer.verdict, RegisterVerdict.UNREACHABLE), stands))
-
-    def _serve(self, ref: int, number: int) -> None:
-        exchange = self._held.pop(ref)
+                self._undecided.pop(ref).reject(retry_after_s, False)
+            case WriteBinding():
+                self._register.write(effect)
+            case ReadBinding():
+                self._register.read(effect)
+            case SendMessage():
+                self._send(effect)
+            case LogEvent(message, fields):
+                log.info(message, extra={"pairs": fields})
+
+    def _serve(self, effect: ServeLocally) -> None:
+        exchange = self._undecided.pop(effect.ref)
         if exchange.closed:  # nobody waits any more
-            return self._step(RequestFinished(ref, exchange.session))
-        if number and exchange.request.request_class.idempotency is not Idempotency.IDEMPOTENT:
-            self._open[exchange] = Open(ref, exchange.session, number)
+            self._handle_event(RequestFinished(effect.ref, exchange.session))
+            return
+        is_idempotent = exchange.request.request_class.idempotency is Idempotency.IDEMPOTENT
+        if effect.fencing_number and not is_idempotent:
+            request = OpenRequest(effect.ref, exchange.session, effect.fencing_number)
+            self._open_requests.add(exchange, request)
         self._forward.serve(exchange)
 
-    def _pass(self, ref: int, to: str) -> None:
-        exchange = self._held.pop(ref)
-        if exchange.closed:
-            return
-        if not self._forward.pass_on(exchange, to):
-            self._home(exchange, to, frozenset((to,)))
+    def _forward_to_owner(self, effect: ForwardToOwner) -> None:
+        exchange = self._undecided.pop(effect.ref)
+        if not exchange.closed and not self._forward.pass_on(exchange, effect.owner_name):
+            self._on_forward_failed(exchange, effect.owner_name, frozenset((effect.owner_name,)))
 
-    # -- the end
+    def _return_to_forwarder(self, effect: ReturnToForwarder) -> None:
+        exchange = self._undecided.pop(effect.ref)
+        # The notice is sent first: the forwarder must know the binding when the request is back.
+        notice = encode(BindingNotice(effect.binding))
+        self._links.send(effect.forwarded_by, FRAME_TYPE, notice, FRAME_LIFETIME_S)
+        self._forward.decline(exchange)
+
+    def _send(self, effect: SendMessage) -> None:
+        if not self._links.send(effect.to, FRAME_TYPE, encode(effect.message), FRAME_LIFETIME_S):
+            self.counts["unsent"] += 1
+
+    # -- shutdown
 
     def leaving(self) -> None:
-        """The notice to leave: sessions are handed over, and the fleet is told late in the grace. Until then
-        this server is in the view, and what still comes here goes on to the new owners.
-        """
-        self._leaving = True
-        self._tell_loads_once()
-        self._step(DrainStarted(self._grace))
-        self._scheduler.after(self._grace * LEAVE_SHARE, self._leave)
+        """Hand over all sessions after the shutdown notice, and tell the fleet late in the grace period.
 
-    def _tell_loads_once(self) -> None:
-        data = codec.encode(ServerLoad(len(self.sessions.owned), 1.0, 0.0))
-        for name in self._fleet.view.names if self._fleet.view is not None else ():
-            if name != self._fleet.me:
-                self._links.send(name, KIND, data, WITHIN)
+        Until then this server is in the view, and what still arrives here goes on to the new owners.
+        """
+        self._load_reports.announce_leaving()
+        self._handle_event(DrainStarted(self._grace_s))
+        self._scheduler.after(self._grace_s * LEAVE_GRACE_FRACTION, self._leave)
 
     def _leave(self) -> None:
-        if not self._left:
-            self._left = True
+        if not self._has_left:
+            self._has_left = True
             self._forward.leaving()
             self._fleet.leave()
 
     def settled(self) -> bool:
-        return not self._held
+        """Whether no request waits for a decision."""
+        return not self._undecided
 
     def close(self) -> None:
+        """Leave the fleet and handle no further events."""
         self._leave()
         self._closed = True
+        self._load_reports.close()
         self._wake.cancel()
 
     def gauges(self) -> dict[str, object]:
-        told = self.sessions.gauges()
-        told["affinity_held"] = len(self._held)
-        return told | {f"affinity_{what}": much for what, much in sorted(self.counts.items())}
-
+        """Return the counters and gauges for the metrics page."""
+        gauges = self.sessions.gauges()
+        gauges["affinity_held"] = len(self._undecided)
+        return gauges | {f"affinity_{name}": count for name, count in sorted(self.counts.items())}
 
-class Watching:
-    """The observer of an `Affinity`, whose handler has a `gone` of its own."""
 
-    def __init__(self, affinity: Affinity) -> None:
-        self.completed, self.rejected = affinity.completed, affinity.rejected
-        self.failed, self.gone = affinity.failed, affinity.gone_by
+def _request_class_name(exchange: Exchange) -> str:
+    return exchange.request_class.decode("utf-8", "replace")
--- a/sablewheel/session_affinity/sessions.py
+++ b/sablewheel/session_affinity/sessions.py
@@ -114,7 +114,8 @@
         """Handle an event; return the effects in the order in which they must be carried out."""
         effects = self._context.outbox.start_batch()
         _EVENT_HANDLERS[type(event)](self, now, event)
-        self._rebalancing.run_queue(now)
+        if self._queue:
+            self._rebalancing.run_queue(now)
         return effects
 
     @property
--- a/tests/stories/test_affinity_stories.py
+++ b/tests/stories/test_affinity_stories.py
@@ -85,7 +85,11 @@
         return self.world.requests[self.first :]
 
     def causes(self) -> Counter[str]:
-        notes = [note for when, _, note in self.world.notes if when >= self.since and note.message == "moved"]
+        notes = [
+            note
+            for when, _, note in self.world.notes
+            if when >= self.since and note.message == "session migrated"
+        ]
         return Counter(str(note.fields["cause"]) for note in notes)
 
 
@@ -322,7 +326,7 @@
 @then(parsers.parse("{count:d} run has passed on as a claim"))
 def passed_on(story: Story, count: int) -> None:
     assert story.long_run is not None
-    found = [note for _, _, note in story.world.notes if note.message == "passed as claims"]
+    found = [note for _, _, note in story.world.notes if note.message == "session handed over with open runs"]
     assert sum(int(str(note.fields["runs"])) for note in found) == count
 
 
--- a/tests/test_session_router.py
+++ b/tests/test_session_router.py
@@ -1,4 +1,4 @@
-"""Affinity's shell on the real forward path and replicas, over made links with a made clock."""
+"""The session router on the real forward path and replicas, over fake links with a fake clock."""
 
 from __future__ import annotations
 
@@ -19,9 +19,10 @@
 from sablewheel.replication.service import Keeper
 from sablewheel.serving.exchange import NO_OBSERVER, Exchange, Place
 from sablewheel.serving.hooks import NO_RESULT_STORE
+from sablewheel.session_affinity.codec import FRAME_TYPE
 from sablewheel.session_affinity.events import PolicyActivated
 from sablewheel.session_affinity.plan import AffinityPlan, AffinitySettings
-from sablewheel.session_affinity.session_router import KIND, Affinity, Watching
+from sablewheel.session_affinity.session_router import SessionRouter
 
 NAMES = "abc"
 REQUEST_CLASSES = {
@@ -92,7 +93,7 @@
             leave=self.leave,
         )
         self.observer: Any = NO_OBSERVER
-        self.affinity = Affinity(
+        self.router = SessionRouter(
             scheduler,
             AffinityPlan(settings=AffinitySettings(**keys)),
             cast(Any, self.fleet),
@@ -105,11 +106,10 @@
             lambda: 1.0,
             4.0,
             5.0,
-            self.count,
             clock,
         )
-        self.observer = Watching(self.affinity)
-        self.handler = self.affinity.handler(self.forward.handler(self))
+        self.observer = self.router.observer
+        self.handler = self.router.handler(self.forward.handler(self))
         self.keeper.view(view)
         self.see(view)
 
@@ -124,16 +124,16 @@
 
     def arrived(self, exchange: Exchange) -> None:
         exchange.place = Place.RUNNING
-        self.affinity.before_run(exchange, self.running.append)
+        self.router.result_store.before_run(exchange, self.running.append)
 
     def gone(self, exchange: Exchange) -> None: ...
 
     def never_begun(self, exchange: Exchange) -> None:
-        self.affinity.ended(exchange, Outcome.NEVER_STARTED, b"")
+        self.router.result_store.ended(exchange, Outcome.NEVER_STARTED, b"")
 
     def end(self, exchange: Exchange) -> None:
         self.running.remove(exchange)
-        self.affinity.ended(exchange, Outcome.SUCCEEDED, b"done")
+        self.router.result_store.ended(exchange, Outcome.SUCCEEDED, b"done")
         exchange.place = Place.OVER
         exchange.complete(b"done")
 
@@ -200,7 +200,7 @@
     three = Three()
     three.bring("b", subject="")
     three.time.run(0.5)
-    assert three.running() == {"b": 1} and three.servers["b"].affinity.counts["without_session"] == 1
+    assert three.running() == {"b": 1} and three.servers["b"].router.counts["without_session"] == 1
 
 
 def test_a_drain_hands_over_after_the_run_and_tells_the_fleet_then() -> None:
@@ -208,7 +208,7 @@
     three.bring("a")
     three.time.run(0.5)
     (owner,) = three.running()
-    three.servers[owner].affinity.leaving()
+    three.servers[owner].router.leaving()
     three.time.run(1.0)
     other = next(name for name in NAMES if name != owner)
     _, waits = three.bring(other)  # it waits for the successor
@@ -249,7 +249,7 @@
     assert exchange.discard()
     three.servers["a"].handler.gone(exchange)
     three.time.run(1.0)
-    assert three.running() == {} and told.answers == [] and three.servers["a"].affinity.settled()
+    assert three.running() == {} and told.answers == [] and three.servers["a"].router.settled()
 
 
 def test_the_fleets_fact_makes_a_version_active_and_moves_nobody() -> None:
@@ -264,10 +264,10 @@
     three.time.run(1.0)
     three.bring(next(name for name in NAMES if name != owner))
     three.time.run(0.5)
-    sessions = three.servers[owner].affinity.sessions
+    sessions = three.servers[owner].router.sessions
     assert three.running() == {owner: 2} and sessions.version == 7
     assert next(iter(sessions.owned.values())).binding.policy_version == 1
-    three.servers[owner].affinity.activate(PolicyActivated(8, mandatory=True))
+    three.servers[owner].router.activate(PolicyActivated(8, mandatory=True))
     three.time.run(0.5)
     assert next(iter(sessions.owned.values())).binding.policy_version == 8
 
@@ -275,5 +275,5 @@
 def test_a_bad_packet_is_counted_and_dropped() -> None:
     three = Three()
     for data in (b"", b"\xff" * 9, b"\x08\x09"):
-        three.servers["a"].links.handlers[KIND]("b", data)
-    assert three.servers["a"].affinity.gauges()["affinity_packets_bad"] == 3
+        three.servers["a"].links.handlers[FRAME_TYPE]("b", data)
+    assert three.servers["a"].router.gauges()["affinity_packets_bad"] == 3
