--- a/tests/test_session_affinity.py
+++ b/tests/test_session_affinity.py
@@ -59,45 +59,49 @@
 RULES = [("customer", "subject"), ("customer", "router"), ("customer", "subject", "router")]
 
 
-def server(me: str = "a", **keys: Any) -> Sessions:
-    one = Sessions(me, 1, AffinitySettings(**keys), 0.0)
-    one.handle_event(0.0, ViewChanged(VIEW))
-    one.handle_event(0.0, PolicyActivated(1))
-    return one
+def server(node_name: str = "a", **keys: Any) -> Sessions:
+    sessions = Sessions(node_name, 1, AffinitySettings(**keys), 0.0)
+    sessions.handle_event(0.0, ViewChanged(VIEW))
+    sessions.handle_event(0.0, PolicyActivated(1))
+    return sessions
 
 
 def owner(
     key: str = "k", idempotency: Idempotency = Idempotency.IDEMPOTENT, now: float = 0.0, **keys: Any
 ) -> Sessions:
     """A server that owns `key` at number NUMBER: the register holds that it does, and it renewed it."""
-    one = server(**keys)
-    own(one, key, idempotency, now)
-    return one
+    sessions = server(**keys)
+    own(sessions, key, idempotency, now)
+    return sessions
 
 
 def own(
-    one: Sessions, key: str, idempotency: Idempotency = Idempotency.IDEMPOTENT, now: float = 0.0, ref: int = 1
+    sessions: Sessions,
+    key: str,
+    idempotency: Idempotency = Idempotency.IDEMPOTENT,
+    now: float = 0.0,
+    ref: int = 1,
 ) -> None:
     (read,) = [
         effect
-        for effect in one.handle_event(now, RequestArrived(ref, key, idempotency))
+        for effect in sessions.handle_event(now, RequestArrived(ref, key, idempotency))
         if isinstance(effect, ReadBinding)
     ]
-    found = one.handle_event(
-        now, RegisterAnswered(read.ref, RegisterVerdict.WON, Binding(key, 5, one.node_name, 1, 1))
+    found = sessions.handle_event(
+        now, RegisterAnswered(read.ref, RegisterVerdict.WON, Binding(key, 5, sessions.node_name, 1, 1))
     )
     (write,) = [effect for effect in found if isinstance(effect, WriteBinding)]
-    one.handle_event(now, RegisterAnswered(write.ref, RegisterVerdict.WON, write.binding))
-    assert one.owned[key].binding == Binding(key, NUMBER, one.node_name, 1, 1)
+    sessions.handle_event(now, RegisterAnswered(write.ref, RegisterVerdict.WON, write.binding))
+    assert sessions.owned[key].binding == Binding(key, NUMBER, sessions.node_name, 1, 1)
 
 
 @pytest.mark.parametrize("rule", RULES)
-def test_a_idempotency_key_stays_with_its_session_whatever_router_it_comes_by(rule: tuple[str, ...]) -> None:
+def test_the_session_of_a_keyed_request_does_not_depend_on_its_router(rule: tuple[str, ...]) -> None:
     keys = {session_key(rule, SessionKeyFields("c1", "s1", router, "label")) for router in ("r1", "r2")}
     assert len(keys) == 1 and None not in keys
 
 
-def test_keys_of_different_fields_differ_and_have_one_size() -> None:
+def test_keys_of_different_fields_differ_and_have_the_same_length() -> None:
     rule = ("customer", "subject")
     pairs = [("a", "bc"), ("ab", "c"), ("a|subject:1:b", "c")]
     keys = {session_key(rule, SessionKeyFields(tenant, subject)) for tenant, subject in pairs}
@@ -110,33 +114,38 @@
 
 @given(st.lists(st.integers(0, 40), min_size=2, max_size=8), st.floats(1.05, 3.0))
 @settings(derandomize=True, max_examples=60, deadline=None)
-def test_there_is_always_room_below_a_bound(sessions: list[int], factor: float) -> None:
-    loads = {f"m{place}": ServerLoad(much, 0.1 + place / 10) for place, much in enumerate(sessions)}
-    most = load_bounds(loads, loads, factor, 1)
-    assert rank_for_new_session("k", loads, most) and rank_for_migration("k", loads, most)
-    assert all(loads[name].sessions < most[name] for name in rank_for_new_session("k", loads, most))
+def test_some_server_is_always_below_its_load_bound(session_counts: list[int], factor: float) -> None:
+    loads = {f"m{index}": ServerLoad(count, 0.1 + index / 10) for index, count in enumerate(session_counts)}
+    bounds_by_server = load_bounds(loads, loads, factor, 1)
+    assert rank_for_new_session("k", loads, bounds_by_server) and rank_for_migration(
+        "k", loads, bounds_by_server
+    )
+    assert all(
+        loads[name].sessions < bounds_by_server[name]
+        for name in rank_for_new_session("k", loads, bounds_by_server)
+    )
 
 
-def test_a_cold_server_is_bound_to_its_warmth_and_the_least_loaded_gets_the_most() -> None:
+def test_load_bounds_follow_warmth_and_migrations_prefer_the_least_loaded_server() -> None:
     loads = {"cold": ServerLoad(0, 0.1), "warm": ServerLoad(100), "idle": ServerLoad(20)}
-    most = load_bounds(loads, loads, 1.25, 4)
-    assert most["cold"] < most["warm"] / 5
-    first = Counter(rank_for_migration(f"k{place}", loads, most)[0] for place in range(400))
+    bounds_by_server = load_bounds(loads, loads, 1.25, 4)
+    assert bounds_by_server["cold"] < bounds_by_server["warm"] / 5
+    first = Counter(rank_for_migration(f"k{place}", loads, bounds_by_server)[0] for place in range(400))
     assert first["idle"] > 3 * first["cold"] and first["warm"] == 0
 
 
-def test_a_server_that_goes_moves_only_its_own_keys() -> None:
+def test_a_removed_server_migrates_only_its_own_keys() -> None:
     loads = {f"m{place}": ServerLoad() for place in range(8)}
-    most = dict.fromkeys(loads, 1000)
-    before = {key: rank_for_new_session(key, loads, most)[0] for key in map(str, range(300))}
-    del loads["m3"], most["m3"]
-    after = {key: rank_for_new_session(key, loads, most)[0] for key in before}
+    bounds_by_server = dict.fromkeys(loads, 1000)
+    before = {key: rank_for_new_session(key, loads, bounds_by_server)[0] for key in map(str, range(300))}
+    del loads["m3"], bounds_by_server["m3"]
+    after = {key: rank_for_new_session(key, loads, bounds_by_server)[0] for key in before}
     assert all(before[key] == "m3" for key in before if before[key] != after[key])
 
 
 @given(st.floats(0.1, 100), st.lists(st.floats(0, 2), max_size=60))
 @settings(derandomize=True, max_examples=60, deadline=None)
-def test_no_span_sees_more_moves_than_the_budget(rate: float, waits: list[float]) -> None:
+def test_no_span_has_more_migrations_than_the_budget_allows(rate: float, waits: list[float]) -> None:
     budget, now, taken = MigrationBudget(rate, 0.0), 0.0, 0
     for wait in waits:
         now += wait
@@ -145,11 +154,11 @@
         assert taken <= rate * now + max(MIN_BURST, rate) + 1e-6
 
 
-def test_a_budget_of_nothing_moves_nothing() -> None:
+def test_a_rate_of_zero_allows_no_migration() -> None:
     assert not MigrationBudget(0.0, 0.0).try_take(1e9)
 
 
-def test_the_higher_number_holds() -> None:
+def test_the_binding_with_the_higher_fencing_number_wins() -> None:
     old, new = Binding("k", 5, "a", 1, 1), Binding("k", 6, "b", 1, 1)
     assert newer(old, new) is new and newer(new, old) is new and newer(None, old) is old
     assert (
@@ -158,122 +167,131 @@
     )
 
 
-def test_a_request_goes_to_its_owner_and_is_not_passed_on_twice() -> None:
-    one, there = server("b"), Binding("k", 5, "a", 1, 1)
-    one.handle_event(0.0, MessageReceived("a", OfferReply("k", 0, False)))  # an answer to nothing
-    (read,) = one.handle_event(0.0, RequestArrived(1, "k", Idempotency.KEYED))
+def test_a_request_is_forwarded_to_its_owner_and_never_circulates() -> None:
+    sessions, owners_binding = server("b"), Binding("k", 5, "a", 1, 1)
+    sessions.handle_event(0.0, MessageReceived("a", OfferReply("k", 0, False)))  # no offer is open
+    (read,) = sessions.handle_event(0.0, RequestArrived(1, "k", Idempotency.KEYED))
     assert isinstance(read, ReadBinding)
-    assert one.handle_event(0.1, RegisterAnswered(read.ref, RegisterVerdict.WON, there)) == [
+    assert sessions.handle_event(0.1, RegisterAnswered(read.ref, RegisterVerdict.WON, owners_binding)) == [
         ForwardToOwner(1, "a")
     ]
-    assert one.handle_event(0.2, RequestArrived(2, "k", Idempotency.IDEMPOTENT)) == [ForwardToOwner(2, "a")]
+    assert sessions.handle_event(0.2, RequestArrived(2, "k", Idempotency.IDEMPOTENT)) == [
+        ForwardToOwner(2, "a")
+    ]
     back = RequestArrived(3, "k", Idempotency.KEYED, was_returned=True)
-    (reject,) = one.handle_event(0.3, RequestReturned(back, there))
+    (reject,) = sessions.handle_event(0.3, RequestReturned(back, owners_binding))
     assert isinstance(reject, RejectRequest) and reject.reason is DecisionReason.STALE
 
 
 @pytest.mark.parametrize("idempotency", Idempotency)
-def test_without_its_owner_only_what_may_run_twice_is_served(idempotency: Idempotency) -> None:
-    one = server("b")
-    (effect,) = one.handle_event(0.0, OwnerUnreachable(RequestArrived(1, "k", idempotency), "a"))
+def test_without_its_owner_only_an_idempotent_request_is_served(idempotency: Idempotency) -> None:
+    sessions = server("b")
+    (effect,) = sessions.handle_event(0.0, OwnerUnreachable(RequestArrived(1, "k", idempotency), "a"))
     assert (
         isinstance(effect, ServeLocally if idempotency is Idempotency.IDEMPOTENT else RejectRequest)
         and effect.reason is DecisionReason.UNREACHED
     )
-    assert "k" not in one.owned
+    assert "k" not in sessions.owned
 
 
-def test_no_majority_denies_keyed_requests_and_loses_none() -> None:
-    one = server()
-    (read,) = one.handle_event(0.0, RequestArrived(1, "k", Idempotency.KEYED))
-    one.handle_event(0.0, RequestArrived(2, "k", Idempotency.IDEMPOTENT))
+def test_without_a_majority_keyed_requests_are_rejected_and_none_is_lost() -> None:
+    sessions = server()
+    (read,) = sessions.handle_event(0.0, RequestArrived(1, "k", Idempotency.KEYED))
+    sessions.handle_event(0.0, RequestArrived(2, "k", Idempotency.IDEMPOTENT))
     assert isinstance(read, ReadBinding)
-    effects = one.handle_event(0.1, RegisterAnswered(read.ref, RegisterVerdict.UNREACHABLE))
-    assert [type(effect) for effect in effects] == [RejectRequest, ServeLocally] and not one.lookups
+    effects = sessions.handle_event(0.1, RegisterAnswered(read.ref, RegisterVerdict.UNREACHABLE))
+    assert [type(effect) for effect in effects] == [RejectRequest, ServeLocally] and not sessions.lookups
 
 
-def test_a_new_version_moves_nobody_and_new_sessions_begin_under_it() -> None:
-    one = owner(keep_versions=2)
-    assert one.handle_event(1.0, PolicyActivated(2)) == []
-    (here,) = one.handle_event(1.0, RequestArrived(2, "k", Idempotency.IDEMPOTENT))
+def test_a_new_version_migrates_nothing_and_new_sessions_begin_under_it() -> None:
+    sessions = owner(keep_versions=2)
+    assert sessions.handle_event(1.0, PolicyActivated(2)) == []
+    (here,) = sessions.handle_event(1.0, RequestArrived(2, "k", Idempotency.IDEMPOTENT))
     assert isinstance(here, ServeLocally) and here.policy_version == 1
-    effects = one.handle_event(2.0, PolicyActivated(3))  # now version 1 is kept no longer
+    effects = sessions.handle_event(2.0, PolicyActivated(3))  # now version 1 is kept no longer
     assert [effect.binding.policy_version for effect in effects if isinstance(effect, WriteBinding)] == [3]
 
 
-def test_a_retired_version_is_changed_where_the_session_is_and_a_mandatory_one_at_once() -> None:
+def test_retired_and_mandatory_versions_change_without_a_migration() -> None:
     for event, cause in (
         (TimerFired(), MigrationCause.RETIRED),
         (PolicyActivated(3, mandatory=True), MigrationCause.MANDATORY),
     ):
-        one = owner(retire_after_s=50.0)
-        one.handle_event(1.0, PolicyActivated(2))
-        (write,) = one.handle_event(60.0, event)
+        sessions = owner(retire_after_s=50.0)
+        sessions.handle_event(1.0, PolicyActivated(2))
+        (write,) = sessions.handle_event(60.0, event)
         assert isinstance(write, WriteBinding) and (write.expected_fencing_number, write.binding.owner) == (
             NUMBER,
             "a",
         )
-        one.handle_event(60.1, RegisterAnswered(write.ref, RegisterVerdict.WON, write.binding))
-        assert one.counts[f"brought_{cause.value}"] == 1 and one.owned["k"].phase is OwnershipPhase.SERVING
+        sessions.handle_event(60.1, RegisterAnswered(write.ref, RegisterVerdict.WON, write.binding))
+        assert (
+            sessions.counts[f"brought_{cause.value}"] == 1
+            and sessions.owned["k"].phase is OwnershipPhase.SERVING
+        )
 
 
 def test_an_owner_that_can_no_longer_run_a_flow_hands_over_after_its_keyed_runs() -> None:
-    one = owner(idempotency=Idempotency.KEYED)
-    one.handle_event(0.0, LoadsReported({"b": ServerLoad(5), "c": ServerLoad(5)}))
-    (write,) = one.handle_event(1.0, PolicyActivated(1, {"": frozenset({"b"})}))
+    sessions = owner(idempotency=Idempotency.KEYED)
+    sessions.handle_event(0.0, LoadsReported({"b": ServerLoad(5), "c": ServerLoad(5)}))
+    (write,) = sessions.handle_event(1.0, PolicyActivated(1, {"": frozenset({"b"})}))
     assert isinstance(write, WriteBinding) and (write.binding.state, write.binding.successor) == (
         BindingState.HANDING_OVER,
         "b",
     )
     assert (
-        one.handle_event(1.1, RegisterAnswered(write.ref, RegisterVerdict.WON, write.binding)) == []
+        sessions.handle_event(1.1, RegisterAnswered(write.ref, RegisterVerdict.WON, write.binding)) == []
     )  # one run is open
     assert (
-        one.handle_event(1.1, RequestArrived(2, "k", Idempotency.KEYED)) == []
-    )  # it waits for the successor
-    (take,) = one.handle_event(1.2, RequestFinished(1, "k"))
+        sessions.handle_event(1.1, RequestArrived(2, "k", Idempotency.KEYED)) == []
+    )  # waits for the successor
+    (take,) = sessions.handle_event(1.2, RequestFinished(1, "k"))
     assert isinstance(take, SendMessage) and isinstance(take.message, TakeOwnership) and take.to == "b"
-    assert not one.may_begin(1.2, "k", NUMBER, 1.2)
+    assert not sessions.may_begin(1.2, "k", NUMBER, 1.2)
     done = Binding("k", NUMBER + 2, "b", 1, 1)
     assert (
-        one.handle_event(1.3, MessageReceived("b", BindingNotice(done))) == [ForwardToOwner(2, "b")]
-        and "k" not in one.owned
+        sessions.handle_event(1.3, MessageReceived("b", BindingNotice(done))) == [ForwardToOwner(2, "b")]
+        and "k" not in sessions.owned
     )
 
 
 def test_a_claim_that_was_won_before_a_pause_does_not_begin_after_it() -> None:
-    one = owner(idempotency=Idempotency.KEYED, claim_timeout_s=0.5)
-    assert one.may_begin(0.4, "k", NUMBER, 0.0) and not one.may_begin(0.5, "k", NUMBER, 0.0)
-    assert not one.may_begin(0.4, "k", NUMBER - 1, 0.0) and not one.may_begin(0.4, "other", NUMBER, 0.0)
+    sessions = owner(idempotency=Idempotency.KEYED, claim_timeout_s=0.5)
+    assert sessions.may_begin(0.4, "k", NUMBER, 0.0) and not sessions.may_begin(0.5, "k", NUMBER, 0.0)
+    assert not sessions.may_begin(0.4, "k", NUMBER - 1, 0.0) and not sessions.may_begin(
+        0.4, "other", NUMBER, 0.0
+    )
 
 
-def test_what_the_register_may_have_forgotten_is_looked_for_anew_before_a_idempotency_key_runs() -> None:
+def test_an_expired_binding_is_read_again_before_a_keyed_request_runs() -> None:
     """An owner without a majority in reach can't renew: past the binding's life another may have begun anew,
     and a claim here would meet no number that refuses it."""
-    one = owner(idempotency=Idempotency.KEYED, idle_timeout_s=3.0)
-    assert [type(effect) for effect in one.handle_event(5.9, RequestArrived(2, "k", Idempotency.KEYED))] == [
+    sessions = owner(idempotency=Idempotency.KEYED, idle_timeout_s=3.0)
+    assert [
+        type(effect) for effect in sessions.handle_event(5.9, RequestArrived(2, "k", Idempotency.KEYED))
+    ] == [
         ServeLocally,
         WriteBinding,
     ]
-    assert one.may_begin(5.9, "k", NUMBER, 5.9) and not one.may_begin(6.0, "k", NUMBER, 5.9)
-    assert [type(effect) for effect in one.handle_event(6.1, RequestArrived(3, "k", Idempotency.KEYED))] == [
-        ReadBinding
-    ]
-    assert "k" not in one.owned
+    assert sessions.may_begin(5.9, "k", NUMBER, 5.9) and not sessions.may_begin(6.0, "k", NUMBER, 5.9)
+    assert [
+        type(effect) for effect in sessions.handle_event(6.1, RequestArrived(3, "k", Idempotency.KEYED))
+    ] == [ReadBinding]
+    assert "k" not in sessions.owned
 
 
-def test_who_takes_a_session_does_so_above_all_numbers_of_earlier_epochs() -> None:
+def test_a_new_owners_fencing_number_is_above_all_of_earlier_epochs() -> None:
     """Two holders fell with number 7 and left an older copy: its next owner must not come below 7."""
-    one = server("b")
-    gone = View(9, tuple(one for one in VIEW.members if one.name != "a"))
-    one.handle_event(0.0, ViewChanged(gone))
-    (read,) = one.handle_event(0.0, RequestArrived(1, "k", Idempotency.KEYED, forwarded_by="c"))
+    sessions = server("b")
+    gone = View(9, tuple(member for member in VIEW.members if member.name != "a"))
+    sessions.handle_event(0.0, ViewChanged(gone))
+    (read,) = sessions.handle_event(0.0, RequestArrived(1, "k", Idempotency.KEYED, forwarded_by="c"))
     assert isinstance(read, ReadBinding)
-    one.handle_event(0.1, RegisterAnswered(read.ref, RegisterVerdict.WON, Binding("k", 5, "a", 1, 1)))
+    sessions.handle_event(0.1, RegisterAnswered(read.ref, RegisterVerdict.WON, Binding("k", 5, "a", 1, 1)))
     (write,) = [
         effect
         for at in (0.1, 1.0)
-        for effect in one.handle_event(at, TimerFired())
+        for effect in sessions.handle_event(at, TimerFired())
         if isinstance(effect, WriteBinding)
     ]
     assert (write.expected_fencing_number, write.binding.fencing_number, write.binding.owner) == (
@@ -283,101 +301,101 @@
     )
 
 
-def test_a_refused_claim_makes_its_server_look_again() -> None:
-    one = owner(idempotency=Idempotency.KEYED)
-    (read,) = one.handle_event(1.0, ClaimRefused(RequestArrived(1, "k", Idempotency.KEYED), NUMBER + 1))
-    assert isinstance(read, ReadBinding) and "k" not in one.owned
-    there = Binding("k", NUMBER + 1, "b", 1, 1)
-    assert one.handle_event(1.1, RegisterAnswered(read.ref, RegisterVerdict.WON, there)) == [
+def test_a_refused_claim_makes_its_server_read_the_register_again() -> None:
+    sessions = owner(idempotency=Idempotency.KEYED)
+    (read,) = sessions.handle_event(1.0, ClaimRefused(RequestArrived(1, "k", Idempotency.KEYED), NUMBER + 1))
+    assert isinstance(read, ReadBinding) and "k" not in sessions.owned
+    owners_binding = Binding("k", NUMBER + 1, "b", 1, 1)
+    assert sessions.handle_event(1.1, RegisterAnswered(read.ref, RegisterVerdict.WON, owners_binding)) == [
         ForwardToOwner(1, "b")
     ]
 
 
-def test_room_is_made_by_idle_idempotent_sessions_never_by_one_with_open_idempotency_keys() -> None:
-    one = owner("open", Idempotency.KEYED, max_sessions=3)
-    own(one, "labelled", Idempotency.KEYED, 1.0, 2)
-    one.handle_event(1.0, RequestFinished(2, "labelled"))
-    own(one, "redoable", now=2.0, ref=3)
-    own(one, "next", now=3.0, ref=4)
-    assert set(one.owned) == {"open", "labelled", "next"}
-    own(one, "another", Idempotency.KEYED, now=4.0, ref=5)
-    assert set(one.owned) == {"open", "labelled", "another"}
-    own(one, "more", Idempotency.KEYED, now=4.0, ref=6)
-    assert set(one.owned) == {"open", "another", "more"}
-    (read,) = one.handle_event(5.0, MessageReceived("b", OwnershipOffer("late", 9)))
+def test_idle_idempotent_sessions_are_evicted_first_and_open_ones_never() -> None:
+    sessions = owner("open", Idempotency.KEYED, max_sessions=3)
+    own(sessions, "labelled", Idempotency.KEYED, 1.0, 2)
+    sessions.handle_event(1.0, RequestFinished(2, "labelled"))
+    own(sessions, "redoable", now=2.0, ref=3)
+    own(sessions, "next", now=3.0, ref=4)
+    assert set(sessions.owned) == {"open", "labelled", "next"}
+    own(sessions, "another", Idempotency.KEYED, now=4.0, ref=5)
+    assert set(sessions.owned) == {"open", "labelled", "another"}
+    own(sessions, "more", Idempotency.KEYED, now=4.0, ref=6)
+    assert set(sessions.owned) == {"open", "another", "more"}
+    (read,) = sessions.handle_event(5.0, MessageReceived("b", OwnershipOffer("late", 9)))
     assert isinstance(read, ReadBinding)
-    (reply,) = one.handle_event(5.0, RegisterAnswered(read.ref, RegisterVerdict.WON))
+    (reply,) = sessions.handle_event(5.0, RegisterAnswered(read.ref, RegisterVerdict.WON))
     assert isinstance(reply, SendMessage) and reply.message == OfferReply("late", 9, True)
 
 
 def test_an_idle_session_ends_and_one_in_use_does_not() -> None:
-    one = owner("idle", idle_timeout_s=10.0)
-    own(one, "open", Idempotency.KEYED, 0.0, 2)
-    one.handle_event(2.0, TimerFired())  # the time that a search for its owner would have had
-    assert one.wake_at == 10.0
-    (write,) = one.handle_event(10.0, TimerFired())
+    sessions = owner("idle", idle_timeout_s=10.0)
+    own(sessions, "open", Idempotency.KEYED, 0.0, 2)
+    sessions.handle_event(2.0, TimerFired())  # the time that a search for its owner would have had
+    assert sessions.wake_at == 10.0
+    (write,) = sessions.handle_event(10.0, TimerFired())
     assert (
         isinstance(write, WriteBinding)
         and write.binding.state is BindingState.ENDED
-        and set(one.owned) == {"open"}
+        and set(sessions.owned) == {"open"}
     )
 
 
 @pytest.mark.parametrize("start", STARTS)
-def test_no_order_of_a_handover_breaks_a_promise(start: str) -> None:
+def test_no_order_of_a_handover_violates_an_invariant(start: str) -> None:
     states, settled, trace, wrong = explore(STARTS[start](""), 5, 60_000, 40)
     assert not wrong, "\n".join([wrong, *trace])
     assert states > 50 and settled
 
 
 @pytest.mark.parametrize(
-    ("broken", "start"),
+    ("variant", "start"),
     [
         ("no-handover", "its owner drains"),
         ("two-owners", "its owner can't be reached"),
         ("two-owners", "its owner wakes after its removal"),
     ],
 )
-def test_the_search_catches_a_broken_handover(broken: str, start: str) -> None:
-    *_, wrong = explore(STARTS[start](broken), 5, 60_000, 40)
+def test_the_search_finds_a_faulty_handover(variant: str, start: str) -> None:
+    *_, wrong = explore(STARTS[start](variant), 5, 60_000, 40)
     assert wrong
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_after_a_storm_of_failures_all_is_well(seed: int) -> None:
+def test_the_fleet_recovers_from_a_storm_of_failures(seed: int) -> None:
     assert storm(seed).wrong == []
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_on_real_replicas_too_all_is_well_after_a_storm(seed: int) -> None:
+def test_the_fleet_recovers_from_a_storm_on_real_replicas(seed: int) -> None:
     assert storm(seed, kind=ReplicaWorld).wrong == []
 
 
-@pytest.mark.parametrize("broken", ["no-handover", "two-owners"])
-def test_a_storm_finds_what_is_broken(broken: str) -> None:
-    assert any(storm(seed, broken).wrong for seed in range(4))
+@pytest.mark.parametrize("variant", ["no-handover", "two-owners"])
+def test_a_storm_finds_a_faulty_variant(variant: str) -> None:
+    assert any(storm(seed, variant).wrong for seed in range(4))
 
 
-def test_work_that_is_open_outlives_what_its_server_knows_of_the_session() -> None:
+def test_open_work_outlives_the_release_of_its_session() -> None:
     """A renewal overtook a claim: the owner looked again, forgot what was open, and did not wait for it."""
-    one = owner(idempotency=Idempotency.KEYED)
-    (read,) = one.handle_event(1.0, ClaimRefused(RequestArrived(9, "k", Idempotency.KEYED), NUMBER + 1))
+    sessions = owner(idempotency=Idempotency.KEYED)
+    (read,) = sessions.handle_event(1.0, ClaimRefused(RequestArrived(9, "k", Idempotency.KEYED), NUMBER + 1))
     assert isinstance(read, ReadBinding)
-    (write,) = one.handle_event(
+    (write,) = sessions.handle_event(
         1.1, RegisterAnswered(read.ref, RegisterVerdict.WON, Binding("k", NUMBER + 1, "a", 1, 1))
     )
     assert isinstance(write, WriteBinding) and write.binding.fencing_number == NUMBER + 2
-    one.handle_event(1.1, RegisterAnswered(write.ref, RegisterVerdict.WON, write.binding))
-    assert one.owned["k"].open_refs == {1, 9}
-    one.handle_event(1.2, RequestFinished(9, "k"))
+    sessions.handle_event(1.1, RegisterAnswered(write.ref, RegisterVerdict.WON, write.binding))
+    assert sessions.owned["k"].open_refs == {1, 9}
+    sessions.handle_event(1.2, RequestFinished(9, "k"))
     (write,) = [
-        effect for effect in one.handle_event(1.3, DrainStarted(5.0)) if isinstance(effect, WriteBinding)
+        effect for effect in sessions.handle_event(1.3, DrainStarted(5.0)) if isinstance(effect, WriteBinding)
     ]
-    assert one.handle_event(1.4, RegisterAnswered(write.ref, RegisterVerdict.WON, write.binding)) == []
-    assert [type(effect) for effect in one.handle_event(1.5, RequestFinished(1, "k"))] == [SendMessage]
+    assert sessions.handle_event(1.4, RegisterAnswered(write.ref, RegisterVerdict.WON, write.binding)) == []
+    assert [type(effect) for effect in sessions.handle_event(1.5, RequestFinished(1, "k"))] == [SendMessage]
 
 
-SAID = [
+FRAMES = [
     OwnershipOffer("k", 3, ("pay",), True),
     OfferReply("k", 3, False, Binding("k", 5, "a", 1, 2, BindingState.HANDING_OVER, "b")),
     OfferReply("k", 3, True),
@@ -387,14 +405,14 @@
 ]
 
 
-@pytest.mark.parametrize("message", SAID)
-def test_what_servers_say_is_read_as_it_was_said(message: Any) -> None:
+@pytest.mark.parametrize("message", FRAMES)
+def test_a_frame_is_decoded_as_it_was_encoded(message: Any) -> None:
     assert codec.decode(codec.encode(message)) == message
 
 
-@given(st.binary(max_size=60), st.integers(0, 30), st.sampled_from(SAID))
+@given(st.binary(max_size=60), st.integers(0, 30), st.sampled_from(FRAMES))
 @settings(derandomize=True, max_examples=200, deadline=None)
-def test_bytes_that_are_no_packet_are_refused_and_break_nothing(noise: bytes, at: int, message: Any) -> None:
+def test_invalid_bytes_raise_only_bad_packet_error(noise: bytes, at: int, message: Any) -> None:
     whole = codec.encode(message)
     for data in (noise, whole[:at] + noise + whole[at:], whole[:at]):
         try:
@@ -411,7 +429,7 @@
 affinity: """
 
 
-def test_the_section_makes_its_plan() -> None:
+def test_the_section_gives_its_plan() -> None:
     top = check("f", NEEDED + "{key: [customer, router], idle-s: 60, moves-per-s: 5}")
     plan = top.sections()["affinity"].plan()
     assert plan.fields == ("customer", "router")
@@ -429,7 +447,7 @@
         ("{offer-within-s: 5}", "more than bind-within-s"),
     ],
 )
-def test_faults_of_the_section_are_told_by_key(text: str, says: str) -> None:
+def test_errors_in_the_section_name_the_key(text: str, says: str) -> None:
     with pytest.raises(FaultyFeaturesError, match=says):
         check("f", NEEDED + text)
     with pytest.raises(FaultyFeaturesError, match="needs the section"):
--- a/tests/test_session_router.py
+++ b/tests/test_session_router.py
@@ -138,7 +138,7 @@
         exchange.complete(b"done")
 
 
-class Three:
+class ThreeServers:
     def __init__(self, **keys: Any) -> None:
         self.time, wires = Clock(), dict[str, Wires]()
         self.view = View(1, tuple(Member(name, "", f"z{name}", "", 1) for name in NAMES))
@@ -185,95 +185,95 @@
 
 
 @pytest.mark.parametrize("request_class", REQUEST_CLASSES)
-def test_a_session_has_one_server_wherever_its_requests_come(request_class: bytes) -> None:
-    three = Three()
+def test_a_session_has_one_server_wherever_its_requests_arrive(request_class: bytes) -> None:
+    fleet = ThreeServers()
     told = []
     for at in "abcab":
-        told.append(three.bring(at, request_class)[1])
-        three.time.run(0.5)
-    assert list(three.running().values()) == [5]
-    three.end_all()
+        told.append(fleet.bring(at, request_class)[1])
+        fleet.time.run(0.5)
+    assert list(fleet.running().values()) == [5]
+    fleet.end_all()
     assert [one.answers for one in told] == [[("completed", b"done", 0.0)]] * 5
 
 
-def test_a_request_without_a_session_is_served_where_it_comes() -> None:
-    three = Three()
-    three.bring("b", subject="")
-    three.time.run(0.5)
-    assert three.running() == {"b": 1} and three.servers["b"].router.counts["without_session"] == 1
+def test_a_request_without_a_session_is_served_where_it_arrives() -> None:
+    fleet = ThreeServers()
+    fleet.bring("b", subject="")
+    fleet.time.run(0.5)
+    assert fleet.running() == {"b": 1} and fleet.servers["b"].router.counts["without_session"] == 1
 
 
-def test_a_drain_hands_over_after_the_run_and_tells_the_fleet_then() -> None:
-    three = Three()
-    three.bring("a")
-    three.time.run(0.5)
-    (owner,) = three.running()
-    three.servers[owner].router.leaving()
-    three.time.run(1.0)
+def test_a_drain_hands_over_after_the_run_and_leaves_the_fleet_afterwards() -> None:
+    fleet = ThreeServers()
+    fleet.bring("a")
+    fleet.time.run(0.5)
+    (owner,) = fleet.running()
+    fleet.servers[owner].router.leaving()
+    fleet.time.run(1.0)
     other = next(name for name in NAMES if name != owner)
-    _, waits = three.bring(other)  # it waits for the successor
-    three.time.run(0.3)
-    assert three.running() == {owner: 1} and not three.servers[owner].left
-    three.end_all()
-    three.time.run(1.0)
-    (successor,) = three.running()
+    _, waits = fleet.bring(other)  # it waits for the successor
+    fleet.time.run(0.3)
+    assert fleet.running() == {owner: 1} and not fleet.servers[owner].left
+    fleet.end_all()
+    fleet.time.run(1.0)
+    (successor,) = fleet.running()
     assert successor != owner and not waits.answers
-    three.bring(owner)  # one that comes late goes on to the successor
-    three.time.run(0.3)
-    assert three.running() == {successor: 2} and not three.servers[owner].left
-    three.end_all()
+    fleet.bring(owner)  # one that comes late goes on to the successor
+    fleet.time.run(0.3)
+    assert fleet.running() == {successor: 2} and not fleet.servers[owner].left
+    fleet.end_all()
     assert waits.answers == [("completed", b"done", 0.0)]
-    three.time.run(5.0)
-    assert three.servers[owner].left == 1
+    fleet.time.run(5.0)
+    assert fleet.servers[owner].left == 1
 
 
-def test_an_owner_out_of_reach_is_not_succeeded() -> None:
-    three = Three()
-    three.bring("a")
-    three.time.run(0.5)
-    (owner,) = three.running()
+def test_an_unreachable_owner_is_not_succeeded() -> None:
+    fleet = ThreeServers()
+    fleet.bring("a")
+    fleet.time.run(0.5)
+    (owner,) = fleet.running()
     other = next(name for name in NAMES if name != owner)
-    three.bring(other, b"lookup")
-    three.time.run(0.3)
-    three.servers[other].links.cut.add(owner)
-    _, rejected = three.bring(other)
-    three.bring(other, b"lookup")
-    three.time.run(0.5)
+    fleet.bring(other, b"lookup")
+    fleet.time.run(0.3)
+    fleet.servers[other].links.cut.add(owner)
+    _, rejected = fleet.bring(other)
+    fleet.bring(other, b"lookup")
+    fleet.time.run(0.5)
     assert rejected.answers == [("denied", b"", 0.2)]
-    assert three.running() == {owner: 2, other: 1}
+    assert fleet.running() == {owner: 2, other: 1}
 
 
-def test_who_gave_up_while_its_owner_was_looked_for_is_not_run() -> None:
-    three = Three()
-    exchange, told = three.bring("a", b"lookup")
+def test_a_request_abandoned_during_its_owner_lookup_is_not_run() -> None:
+    fleet = ThreeServers()
+    exchange, told = fleet.bring("a", b"lookup")
     assert exchange.discard()
-    three.servers["a"].handler.gone(exchange)
-    three.time.run(1.0)
-    assert three.running() == {} and told.answers == [] and three.servers["a"].router.settled()
-
-
-def test_the_fleets_fact_makes_a_version_active_and_moves_nobody() -> None:
-    three = Three()
-    three.bring("a")
-    three.time.run(0.5)
-    (owner,) = three.running()
-    view = View(2, three.view.members, (Fact("policy/active", "7:abc:"),))
-    for server in three.servers.values():
+    fleet.servers["a"].handler.gone(exchange)
+    fleet.time.run(1.0)
+    assert fleet.running() == {} and told.answers == [] and fleet.servers["a"].router.settled()
+
+
+def test_the_policy_fact_of_the_view_activates_a_version_and_migrates_nothing() -> None:
+    fleet = ThreeServers()
+    fleet.bring("a")
+    fleet.time.run(0.5)
+    (owner,) = fleet.running()
+    view = View(2, fleet.view.members, (Fact("policy/active", "7:abc:"),))
+    for server in fleet.servers.values():
         server.keeper.view(view)
         server.see(view)
-    three.time.run(1.0)
-    three.bring(next(name for name in NAMES if name != owner))
-    three.time.run(0.5)
-    sessions = three.servers[owner].router.sessions
-    assert three.running() == {owner: 2} and sessions.version == 7
+    fleet.time.run(1.0)
+    fleet.bring(next(name for name in NAMES if name != owner))
+    fleet.time.run(0.5)
+    sessions = fleet.servers[owner].router.sessions
+    assert fleet.running() == {owner: 2} and sessions.version == 7
     assert next(iter(sessions.owned.values())).binding.policy_version == 1
-    three.servers[owner].router.activate(PolicyActivated(8, mandatory=True))
-    three.time.run(0.5)
+    fleet.servers[owner].router.activate(PolicyActivated(8, mandatory=True))
+    fleet.time.run(0.5)
     assert next(iter(sessions.owned.values())).binding.policy_version == 8
 
 
 def test_a_bad_packet_is_counted_and_dropped() -> None:
-    three = Three()
+    fleet = ThreeServers()
     for data in (b"", b"\xff" * 9, b"\x08\x09"):
-        three.servers["a"].links.handlers[FRAME_TYPE]("b", data)
-    assert three.servers["a"].router.gauges()["affinity_packets_bad"] == 3
+        fleet.servers["a"].links.handlers[FRAME_TYPE]("b", data)
+    assert fleet.servers["a"].router.gauges()["affinity_packets_bad"] == 3
