--- a/sablewheel/command/recall.py
+++ b/sablewheel/command/recall.py
@@ -8,8 +8,8 @@
 
 import click
 
-from ..result_store.codec import compact_folder, load_folder
-from ..result_store.recorder import read_moment
+from ..result_store.clock_readings import read_clocks
+from ..result_store.folder import compact_folder, load_folder
 from ..storage.files import InUseError
 from .main import print_json
 
@@ -39,19 +39,19 @@
     \b
     sablewheel recall inspect /var/lib/sablewheel/recall --labels
     """
-    now = read_moment()
+    now = read_clocks()
     loaded, notes = load_folder(folder, longest_s, now)
-    entries = sorted(loaded.memory.entries.values(), key=lambda one: one.until)
+    entries = sorted(loaded.table.runs.values(), key=lambda one: one.expires_at)
     if labels:
         for one in entries:
             print_json(
                 {
                     "label": one.idempotency_key.decode("ascii", "replace"),
-                    "name": one.name.decode("ascii", "replace"),
+                    "name": one.request_name.decode("ascii", "replace"),
                     "track": one.request_class,
                     "state": one.state.value,
                     "result_bytes": len(one.result),
-                    "seconds_left": round(one.until - now.unix, 3),
+                    "seconds_left": round(one.expires_at - now.unix_s, 3),
                 }
             )
         return
@@ -59,7 +59,7 @@
     size = sum(path.stat().st_size for path in folder.glob("*.seg"))
     told = ", ".join(f"{count} {name}" for name, count in sorted(states.items())) or "-"
     click.echo(f"{len(entries)} labels open: {told}")
-    click.echo(f"{loaded.records} records, {size} bytes; last notice {loaded.notice}")
+    click.echo(f"{loaded.record_count} records, {size} bytes; last notice {loaded.last_notice}")
     for note in notes:
         click.echo(f"note: {note}")
 
@@ -73,11 +73,13 @@
     \b
     sablewheel recall verify /var/lib/sablewheel/recall
     """
-    loaded, notes = load_folder(folder, longest_s, read_moment())
+    loaded, notes = load_folder(folder, longest_s, read_clocks())
     for note in notes:
         click.echo(note)
     click.echo(
-        f"{len(notes)} faults in {loaded.records} records" if notes else f"in order, {loaded.records} records"
+        f"{len(notes)} faults in {loaded.record_count} records"
+        if notes
+        else f"in order, {loaded.record_count} records"
     )
     sys.exit(1 if notes else 0)
 
@@ -92,7 +94,7 @@
     sablewheel recall compact /var/lib/sablewheel/recall
     """
     try:
-        before, after, labels = compact_folder(folder, longest_s, read_moment())
+        before, after, labels = compact_folder(folder, longest_s, read_clocks())
     except InUseError as trouble:
         click.echo(f"sablewheel recall: {trouble}", err=True)
         sys.exit(1)
--- a/sablewheel/experiments/broken_server.py
+++ b/sablewheel/experiments/broken_server.py
@@ -10,9 +10,9 @@
 
 from ..result_store import recorder
 from ..result_store import recovery as loading
-from ..result_store.memory import Entry, Memory
+from ..result_store.clock_readings import ClockReading
+from ..result_store.keyed_runs import KeyedRun, KeyedRunTable
 from ..result_store.recorder import Recorder, Run
-from ..result_store.windows import Moment
 from ..serving.exchange import Caller, Exchange
 
 
@@ -40,27 +40,27 @@
 
 def evict_intents() -> None:
     """What is over the bound goes, the oldest first, and there is always room."""
-    intend = Memory.intend
+    add = KeyedRunTable.add
 
-    def evicting(self: Memory, entry: Entry) -> None:
-        while len(self.entries) >= self._entries_most:
-            self._let_go(next(iter(self.entries.values())))
-        intend(self, entry)
+    def evicting(self: KeyedRunTable, run: KeyedRun) -> None:
+        while len(self.runs) >= self._max_runs:
+            self._delete(next(iter(self.runs.values())))
+        add(self, run)
 
-    def room_in(self: Memory, now: float, planned: int = 0) -> float:
+    def capacity_in_s(self: KeyedRunTable, now: float, reserved: int = 0) -> float:
         return 0.0
 
-    Memory.intend = evicting  # type: ignore[method-assign]
-    Memory.room_in = room_in  # type: ignore[method-assign]
+    KeyedRunTable.add = evicting  # type: ignore[method-assign]
+    KeyedRunTable.capacity_in_s = capacity_in_s  # type: ignore[method-assign]
 
 
 def trust_clock() -> None:
     """Windows are taken as the clock has them, whoever set it."""
 
-    def shift(then: Moment, now: Moment) -> float:
+    def clock_offset_s(then: ClockReading, now: ClockReading) -> float:
         return 0.0
 
-    setattr(loading, "shift", shift)  # noqa: B010  a name that the module itself only imports
+    setattr(loading, "clock_offset_s", clock_offset_s)  # noqa: B010  a name that the module itself only imports
 
 
 VARIANTS = {
--- a/sablewheel/experiments/recall_cost.py
+++ b/sablewheel/experiments/recall_cost.py
@@ -12,10 +12,10 @@
 from pathlib import Path
 
 from ..result_store import result_store_pb2 as pb
-from ..result_store.codec import intent, moment, outcome
-from ..result_store.memory import Entry, Memory, State
-from ..result_store.recorder import KIND, read_moment
-from ..result_store.recovery import Loaded
+from ..result_store.clock_readings import read_clocks
+from ..result_store.codec import LOG_KIND, encode_clock_reading, encode_intent, encode_outcome
+from ..result_store.keyed_runs import KeyedRun, KeyedRunTable, RunState
+from ..result_store.recovery import RecoveredRuns
 from ..storage.files import DiskFiles
 from ..storage.log import Log
 from .paired import Rounds, side_by_side
@@ -86,22 +86,22 @@
     """A folder as it stands after so many windows of the same load: each window's segments go when it is
     over.
     """
-    now, window = read_moment(), 3600.0
-    log = Log(DiskFiles(folder), KIND, b"12345678", 1 << 40, 40 * live)  # some nine segments a window
+    now, window = read_clocks(), 3600.0
+    log = Log(DiskFiles(folder), LOG_KIND, b"12345678", 1 << 40, 40 * live)  # some nine segments a window
     group = 100
     for turn in range(windows, -1, -1):
         released = log.last
-        until = now.unix + 0.5 * window - turn * window
+        until = now.unix_s + 0.5 * window - turn * window
         for first in range(0, live, group):
-            record = pb.Record(moment=moment(now))
+            record = pb.Record(moment=encode_clock_reading(now))
             for number in range(first, min(first + group, live)):
                 idempotency_key = b"%016x%016x" % (turn, number)
-                entry = Entry(
+                entry = KeyedRun(
                     idempotency_key, b"s" * 16, idempotency_key[:16], "record", until - window, until
                 )
-                record.intents.append(intent(entry))
-                entry.state, entry.result = State.WORKED, b"r" * 200
-                record.outcomes.append(outcome(entry))
+                record.intents.append(encode_intent(entry))
+                entry.state, entry.result = RunState.SUCCEEDED, b"r" * 200
+                record.outcomes.append(encode_outcome(entry))
             log.commit([record.SerializeToString()])
         log.release_through(released)  # what the sweep does once a window is over
     log.close()
@@ -109,15 +109,15 @@
 
 def main() -> None:
     begun = time.perf_counter()
-    loaded = Loaded(Memory(1 << 30, 1 << 40), 3600.0)
-    Log(DiskFiles(Path(sys.argv[1])), KIND, os.urandom(8), 1 << 40).recover(
-        lambda number, payload, _: loaded.take(number, pb.Record.FromString(payload))
+    loaded = RecoveredRuns(KeyedRunTable(1 << 30, 1 << 40), 3600.0)
+    Log(DiskFiles(Path(sys.argv[1])), LOG_KIND, os.urandom(8), 1 << 40).recover(
+        lambda number, payload, _: loaded.apply(number, pb.Record.FromString(payload))
     )
-    loaded.finish(read_moment())
+    loaded.finish(read_clocks())
     seconds = time.perf_counter() - begun
     with open("/proc/self/statm") as file:
         memory = int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1e6
-    print(json.dumps({"seconds": seconds, "labels": len(loaded.memory.entries), "memory": memory}))
+    print(json.dumps({"seconds": seconds, "labels": len(loaded.table.runs), "memory": memory}))
 
 
 if __name__ == "__main__":
--- a/sablewheel/program/feature_file.py
+++ b/sablewheel/program/feature_file.py
@@ -31,7 +31,7 @@
 from ..membership.plan import MembershipPlan, Settings
 from ..replication.plan import ReplicationPlan
 from ..replication.plan import Settings as ReplicaSettings
-from ..result_store.plan import RecallPlan, Start, Unreadable
+from ..result_store.plan import ColdStartRule, ResultStorePlan, UnreadableFolderRule
 from ..session_affinity.plan import AffinityPlan, AffinitySettings
 from ..usage_metering.periods import PeriodError, zone_of
 from ..usage_metering.plan import Answers, Calendar, CollectorPlan, Depth, ExportPlan, LedgerPlan, Length
@@ -63,7 +63,7 @@
     """What is switched on: the plan of each section that is there, under the section's name."""
 
     ledger: LedgerPlan | None = None
-    recall: RecallPlan | None = None
+    recall: ResultStorePlan | None = None
     collector: CollectorPlan | None = None
     membership: MembershipPlan | None = None
     forwarding: ForwardingPlan | None = None
@@ -229,18 +229,18 @@
             raise ValueError(f"disk-mb {self.disk_mb} holds less than eight segments of {self.segment_kb} kB")
         return self
 
-    def plan(self) -> RecallPlan:
-        return RecallPlan(
+    def plan(self) -> ResultStorePlan:
+        return ResultStorePlan(
             folder=Path(self.folder) if self.folder else None,
-            cold=Start(self.cold),
-            unreadable=Unreadable(self.unreadable),
-            entries_most=self.entries_most,
-            bytes_most=self.memory_mb << 20,
-            disk_bytes_most=self.disk_mb << 20,
+            cold_start=ColdStartRule(self.cold),
+            unreadable=UnreadableFolderRule(self.unreadable),
+            max_runs=self.entries_most,
+            max_bytes=self.memory_mb << 20,
+            max_disk_bytes=self.disk_mb << 20,
             segment_bytes=self.segment_kb << 10,
-            commit_every=self.commit_every_s,
-            hold_most=self.hold_most_s,
-            interpreter_outlives=self.interpreter_outlives,
+            commit_interval_s=self.commit_every_s,
+            max_answer_delay_s=self.hold_most_s,
+            interpreter_survives=self.interpreter_outlives,
         )
 
 
--- a/sablewheel/program/feature_registry.py
+++ b/sablewheel/program/feature_registry.py
@@ -21,7 +21,7 @@
 from ..membership.plan import MembershipPlan
 from ..overload.interface import ServerSettings
 from ..replication.plan import ReplicationPlan
-from ..result_store.plan import RecallPlan
+from ..result_store.plan import ResultStorePlan
 from ..serving.exchange import NO_OBSERVER, Exchange, RequestObserver
 from ..serving.hooks import NO_RESULT_STORE, Memory
 from ..serving.listener import RequestHandler
@@ -136,7 +136,7 @@
     )
 
 
-def _recall(feature_context: FeatureContext, plan: RecallPlan) -> Part:
+def _recall(feature_context: FeatureContext, plan: ResultStorePlan) -> Part:
     from ..result_store.recorder import Recorder
 
     recorder = Recorder(
--- a/sablewheel/result_store/__init__.py
+++ b/sablewheel/result_store/__init__.py
@@ -1,3 +1,1 @@
-"""Recall: keyed runs remembered over restarts, so that a repeat gets its original answer and never runs
-again.
-"""
+"""Results of keyed runs that outlive a restart: a retry gets the original answer and never runs again."""
--- a/sablewheel/result_store/cold_start.py
+++ b/sablewheel/result_store/cold_start.py
@@ -1,24 +1,30 @@
-"""A keyed request at a server that remembers nothing of its predecessor: whether it may run. Pure."""
+"""What a server does with keyed requests while it knows nothing of its earlier incarnation. Pure."""
 
 from __future__ import annotations
 
-from .plan import Start
+from .plan import ColdStartRule
 
 
-def may_have_run(rule: Start, started: float, arrived: float, window: float, now: float) -> bool:
-    """Whether by this rule a keyed request is taken to have run in an incarnation before; it is failed
-    then.
+def may_have_run(
+    rule: ColdStartRule, started_at: float, arrived_at: float, window_s: float, now: float
+) -> bool:
+    """Whether a keyed request counts as run by an earlier incarnation, so that it is failed.
 
-    `started` is when this incarnation began, `arrived` when the request reached the machine, in seconds.
+    Args:
+        rule: The cold start rule.
+        started_at: When this incarnation started.
+        arrived_at: When the request reached the host.
+        window_s: The idempotency window of its request class.
+        now: The present time.
     """
     match rule:
-        case Start.EARLY:
-            return arrived < started
-        case Start.STRICT:
-            return now < started + window
+        case ColdStartRule.EARLY:
+            return arrived_at < started_at
+        case ColdStartRule.STRICT:
+            return now < started_at + window_s
     return False
 
 
-def up_at(rule: Start, started: float, longest: float) -> float:
-    """From when on the server may say that it is up."""
-    return started + longest if rule is Start.WAIT else started
+def ready_at(rule: ColdStartRule, started_at: float, max_window_s: float) -> float:
+    """Return when the server may report that it is up."""
+    return started_at + max_window_s if rule is ColdStartRule.WAIT else started_at
--- /dev/null
+++ b/sablewheel/result_store/folder.py
@@ -0,0 +1,65 @@
+"""A server's folder, read beside the server or compacted while it is down."""
+
+from __future__ import annotations
+
+import os
+from pathlib import Path
+
+from google.protobuf.message import DecodeError
+
+from ..storage.files import DiskFiles
+from ..storage.log import Log, read_folder
+from . import result_store_pb2 as pb
+from .clock_readings import ClockReading
+from .codec import LOG_KIND, encode_clock_reading, encode_intent, encode_outcome
+from .keyed_runs import KeyedRunTable, RunState
+from .recovery import RecoveredRuns
+
+RUNS_PER_RECORD = 1000
+UNBOUNDED = 1 << 50
+
+
+def load_folder(folder: Path, max_window_s: float, now: ClockReading) -> tuple[RecoveredRuns, list[str]]:
+    """Return what a start would recover, without bounds, and what is wrong with the folder."""
+    notes: list[str] = []
+    recovered = _empty(max_window_s)
+    for number, payload in read_folder(folder, LOG_KIND, notes):
+        try:
+            recovered.apply(number, pb.Record.FromString(payload))
+        except DecodeError:
+            notes.append(f"{folder}, record {number}: not a record of this program")
+    recovered.finish(now)
+    return recovered, notes
+
+
+def compact_folder(folder: Path, max_window_s: float, now: ClockReading) -> tuple[int, int, int]:
+    """Write the open runs anew and release the rest of the log once they are durable; take the folder's lock.
+
+    Returns:
+        The bytes before and after, and the number of idempotency keys that are retained.
+    """
+    files = DiskFiles(folder)
+    try:
+        log = Log(files, LOG_KIND, os.urandom(8), UNBOUNDED)
+        recovered = _empty(max_window_s)
+        log.recover(lambda number, payload, _: recovered.apply(number, pb.Record.FromString(payload)))
+        recovered.finish(now)
+        bytes_before, last_record = log.bytes, log.last
+        runs = sorted(recovered.table.runs.values(), key=lambda run: run.expires_at)
+        for first in range(0, max(len(runs), 1), RUNS_PER_RECORD):
+            batch = runs[first : first + RUNS_PER_RECORD]
+            record = pb.Record(moment=encode_clock_reading(now), snapshot=True)
+            record.intents.extend(encode_intent(run) for run in batch)
+            finished = (run for run in batch if run.state is not RunState.INTENDED)
+            record.outcomes.extend(encode_outcome(run) for run in finished)
+            if first == 0:  # the number of the last notice that was read stays known
+                record.outcomes.append(pb.Outcome(how=pb.FAILED, notice=recovered.last_notice))
+            log.commit([record.SerializeToString()])
+        log.release_through(last_record)
+        return bytes_before, log.bytes, len(runs)
+    finally:
+        files.close()
+
+
+def _empty(max_window_s: float) -> RecoveredRuns:
+    return RecoveredRuns(KeyedRunTable(UNBOUNDED, UNBOUNDED), max_window_s)
--- a/sablewheel/result_store/plan.py
+++ b/sablewheel/result_store/plan.py
@@ -1,4 +1,4 @@
-"""What recall is set to, as plain values; all spans are seconds."""
+"""The settings of the result store, as plain values."""
 
 from __future__ import annotations
 
@@ -7,38 +7,33 @@
 from pathlib import Path
 
 
-class Start(Enum):
-    """What a server that remembers nothing does with keyed requests that a predecessor may have run.
+class ColdStartRule(Enum):
+    """What a server without stored runs does with keyed requests that an earlier incarnation may have run."""
 
-    RUN: runs them; what a killed server held is no longer its duty. EARLY: terminates those that had reached
-    the machine before it started. STRICT: terminates all until one window has passed. WAIT: says that it is
-    not up for that long.
-    """
+    RUN = "run"  # run them: what a killed server had in flight is no longer its duty
+    EARLY = "early"  # fail those that had reached the host before this incarnation started
+    STRICT = "strict"  # fail all until one idempotency window has passed
+    WAIT = "wait"  # report that the server is not up until then
 
-    RUN = "run"
-    EARLY = "early"
-    STRICT = "strict"
-    WAIT = "wait"
 
+class UnreadableFolderRule(Enum):
+    """What a server does whose folder cannot be read."""
 
-class Unreadable(Enum):
-    """A folder that can't be read: REFUSE to start, or start as if it were empty, by the rule for `cold`."""
-
-    REFUSE = "refuse"
-    COLD = "cold"
+    REFUSE = "refuse"  # do not start
+    COLD = "cold"  # start as if it were empty, by the cold start rule
 
 
 @dataclass(frozen=True)
-class RecallPlan:
-    """One server's memory of its keyed runs. `folder` None: no lasting disk, only `cold` counts."""
-
-    folder: Path | None = None
-    cold: Start = Start.RUN
-    unreadable: Unreadable = Unreadable.REFUSE
-    entries_most: int = 200_000
-    bytes_most: int = 64 << 20
-    disk_bytes_most: int = 512 << 20
+class ResultStorePlan:
+    """What the features file sets."""
+
+    folder: Path | None = None  # None: no lasting disk, only the cold start rule applies
+    cold_start: ColdStartRule = ColdStartRule.RUN
+    unreadable: UnreadableFolderRule = UnreadableFolderRule.REFUSE
+    max_runs: int = 200_000
+    max_bytes: int = 64 << 20
+    max_disk_bytes: int = 512 << 20
     segment_bytes: int = 4 << 20
-    commit_every: float = 0.04
-    hold_most: float = 0.25
-    interpreter_outlives: bool = False
+    commit_interval_s: float = 0.04
+    max_answer_delay_s: float = 0.25  # for which an answer waits until its outcome is durable
+    interpreter_survives: bool = False  # whether the interpreter outlives a restart of the server
--- a/sablewheel/result_store/recorder.py
+++ b/sablewheel/result_store/recorder.py
@@ -24,19 +24,17 @@
 from ..storage.health import Disk
 from ..storage.store import Store
 from ..transport.background import Background
-from ..transport.clock import Clock
 from ..transport.scheduler import Scheduler
 from ..transport.worker_thread import Bridge
-from . import codec as written
 from . import result_store_pb2 as pb
-from .carrying import Carrier
-from .cold_start import may_have_run, up_at
-from .memory import Entry, Memory, State
-from .plan import RecallPlan, Start, Unreadable
-from .recovery import Loaded
-from .windows import Moment
-
-KIND = b"recall"
+from .clock_readings import ClockReading, read_clocks
+from .codec import LOG_KIND, encode_clock_reading, encode_intent, encode_outcome
+from .cold_start import may_have_run, ready_at
+from .keyed_runs import KeyedRun, KeyedRunTable, RunState
+from .log_compaction import CompactionPlanner
+from .plan import ColdStartRule, ResultStorePlan, UnreadableFolderRule
+from .recovery import RecoveredRuns
+
 SLOW_AFTER = 0.1
 COMMITS_KEPT = 50  # times of the last commits, from which the wait for the next is told
 SWEEP = 0.25
@@ -46,22 +44,7 @@
 Run = Callable[[Exchange], None]
 
 
-def read_moment(clock: Clock | None = None) -> Moment:
-    """The server's clock, by which windows are kept (without a server one that begins now), and the machine's
-    time since its start.
-
-    Not the wall clock, which may be set while the server runs: within a life the two run alike, so that only
-    what happened between two lives tells them apart.
-    """
-    try:
-        boot = bytes.fromhex(Path("/proc/sys/kernel/random/boot_id").read_text().strip().replace("-", ""))
-    except (OSError, ValueError):
-        boot = b""
-    since = time.clock_gettime(time.CLOCK_BOOTTIME)
-    return Moment((clock or Clock()).read(), since, boot)
-
-
-class Waiting:
+class WaitingRun:
     """A run that waits for its intent."""
 
     __slots__ = ("exchange", "run")
@@ -78,7 +61,7 @@
         scheduler: Scheduler,
         background: Background,
         bridge: Bridge | None,
-        plan: RecallPlan,
+        plan: ResultStorePlan,
         incarnation: bytes,
         request_classes: dict[bytes, RequestClass],
         inner: RequestObserver,
@@ -86,30 +69,30 @@
         remembered: Callable[[], None],
         fail: Callable[[str], None],
         count: Callable[[str], None],
-        moment: Callable[[], Moment] | None = None,
+        moment: Callable[[], ClockReading] | None = None,
     ) -> None:
         self._scheduler, self._plan, self._count, self._inner = scheduler, plan, count, inner
         self._never_begun, self._remembered, self._fail = never_begun, remembered, fail
         self._request_classes, self._bridge = request_classes, bridge
-        self._read_moment = moment or (lambda: read_moment(scheduler.clock))
+        self._read_moment = moment or (lambda: read_clocks(scheduler.clock))
         keyed = [one for one in request_classes.values() if one.idempotency is Idempotency.KEYED]
         self._longest = max((one.idempotency_window_s for one in keyed), default=0.0)
         self.started = scheduler.clock.now
-        self._memory = Memory(plan.entries_most, plan.bytes_most)
-        self._carrier = Carrier(plan.segment_bytes)
+        self._memory = KeyedRunTable(plan.max_runs, plan.max_bytes)
+        self._carrier = CompactionPlanner(plan.segment_bytes)
         self._store: Store | None = None
         self._log: durable.Log | None = None
-        self._intents: list[Entry] = []
+        self._intents: list[KeyedRun] = []
         self._outcomes: list[pb.Outcome] = []
-        self._waiting: list[Waiting] = []
-        self._marks: deque[tuple[int, int, list[Waiting]]] = deque()  # record, mark, runs that it lets go
+        self._waiting: list[WaitingRun] = []
+        self._marks: deque[tuple[int, int, list[WaitingRun]]] = deque()  # record, mark, runs that it lets go
         self._mark = self._durable_mark = 0
         self._commit_at = self._given_at = 0.0
         self._commits: deque[float] = deque(maxlen=COMMITS_KEPT)
         self._leaving = False
         self._prepared = 0  # in this round: who may want room beside those that are remembered
         self._anew = False  # the next record says that notices are numbered anew
-        self._holding = Holding(scheduler, plan.hold_most, self._release)
+        self._holding = Holding(scheduler, plan.max_answer_delay_s, self._release)
         self._adopted: dict[bytes, Exchange] = {}
         self.last_notice = 0
         self._written: float | None = None  # when the last record was, by the clock of now
@@ -130,17 +113,19 @@
         """
         assert self._bridge is not None
         plan, begun = self._plan, time.perf_counter()
-        records = durable.Log(DiskFiles(folder), KIND, incarnation, plan.disk_bytes_most, plan.segment_bytes)
-        loaded = Loaded(self._memory, self._longest)
+        records = durable.Log(
+            DiskFiles(folder), LOG_KIND, incarnation, plan.max_disk_bytes, plan.segment_bytes
+        )
+        loaded = RecoveredRuns(self._memory, self._longest)
 
         def job() -> durable.Recovery:
             return records.recover(
-                lambda number, payload, _: loaded.take(number, pb.Record.FromString(payload))
+                lambda number, payload, _: loaded.apply(number, pb.Record.FromString(payload))
             )
 
         def done(found: durable.Recovery | None, trouble: BaseException | None) -> None:
             damage = found.damage if found is not None else [f"{trouble}"]
-            if damage and plan.unreadable is Unreadable.REFUSE:
+            if damage and plan.unreadable is UnreadableFolderRule.REFUSE:
                 return self._fail(f"recall: {folder}: {damage[0]}")
             self._damaged = bool(damage)
             for one in damage[:20]:
@@ -150,22 +135,24 @@
 
         self._bridge.submit(job, done)
 
-    def _loaded(self, records: durable.Log, loaded: Loaded, found: durable.Recovery, took: float) -> None:
+    def _loaded(
+        self, records: durable.Log, loaded: RecoveredRuns, found: durable.Recovery, took: float
+    ) -> None:
         assert self._bridge is not None
         loaded.finish(self._read_moment())
-        self._written = loaded.written
-        self.last_notice = loaded.notice if self._plan.interpreter_outlives else 0
-        for idempotency_key in sorted(loaded.numbers, key=loaded.numbers.__getitem__):
-            size = ENTRY_ON_DISK + len(self._memory.entries[idempotency_key].result)
-            self._carrier.wrote(idempotency_key, loaded.numbers[idempotency_key], size)
+        self._written = loaded.last_write_at
+        self.last_notice = loaded.last_notice if self._plan.interpreter_survives else 0
+        for idempotency_key in sorted(loaded.record_numbers, key=loaded.record_numbers.__getitem__):
+            size = ENTRY_ON_DISK + len(self._memory.runs[idempotency_key].result)
+            self._carrier.add(idempotency_key, loaded.record_numbers[idempotency_key], size)
         self._log = records
         self._store = Store(
             self._scheduler, self._bridge, records, SLOW_AFTER, self._fenced, self._disk_changed
         )
         pairs = {
             "records": found.records,
-            "labels": len(self._memory.entries),
-            "rebased": loaded.rebased,
+            "labels": len(self._memory.runs),
+            "rebased": loaded.rebase_count,
             "torn_bytes": found.torn_bytes,
             "damaged": len(found.damage),
             "took": round(took, 4),
@@ -182,25 +169,25 @@
         else it may have run or not, nobody can tell, and its repeats end in an error.
         """
         now, told = self._scheduler.clock.now, []
-        outlived = self._plan.interpreter_outlives and self._written is not None and born < self._written
+        outlived = self._plan.interpreter_survives and self._written is not None and born < self._written
         if not outlived:
             self.last_notice, self._anew = 0, self._store is not None
-        for entry in sorted(self._memory.entries.values(), key=lambda one: one.until):
+        for entry in sorted(self._memory.runs.values(), key=lambda one: one.expires_at):
             request_class = self._request_classes.get(entry.request_class.encode())
             if request_class is None:
                 continue
-            if entry.state is State.INTENDED and not outlived:
-                entry.state = State.FAILED
-                self._outcomes.append(written.outcome(entry))
+            if entry.state is RunState.INTENDED and not outlived:
+                entry.state = RunState.FAILED
+                self._outcomes.append(encode_outcome(entry))
                 self._count("recall_unknown")
             exchange = self._exchange(entry, request_class)
-            if entry.state is State.INTENDED:
+            if entry.state is RunState.INTENDED:
                 exchange.place = Place.RUNNING
-                self._adopted[entry.name] = exchange
+                self._adopted[entry.request_name] = exchange
                 self._count("recall_adopted")
-            life = entry.until - now
+            life = entry.expires_at - now
             idempotency_keys.remember(exchange, now, life)
-            if entry.state is State.WORKED:
+            if entry.state is RunState.SUCCEEDED:
                 idempotency_keys.keep(exchange, entry.result)
             told.append((exchange.request, life))
             self._count("recall_labels")
@@ -210,37 +197,45 @@
         """Runs of the predecessor whose ends the interpreter may still tell, and the last notice read."""
         return list(self._adopted.values()), self.last_notice
 
-    def _exchange(self, entry: Entry, request_class: RequestClass) -> Exchange:
+    def _exchange(self, entry: KeyedRun, request_class: RequestClass) -> Exchange:
         """A try that is over, as repeats find it."""
-        request = Request(request_class, Client(), None, entry.arrived, 0.0)
+        request = Request(request_class, Client(), None, entry.arrived_at, 0.0)
         request.stage, request.started, request.answered = Stage.FINISHED, True, True
-        if entry.state is not State.INTENDED:
-            request.outcome = Outcome.SUCCEEDED if entry.state is not State.FAILED else Outcome.ERROR
+        if entry.state is not RunState.INTENDED:
+            request.outcome = Outcome.SUCCEEDED if entry.state is not RunState.FAILED else Outcome.ERROR
         exchange = Exchange(
-            entry.name, entry.request_class.encode(), b"", 0, entry.idempotency_key, request, None
+            entry.request_name, entry.request_class.encode(), b"", 0, entry.idempotency_key, request, None
         )
         exchange.place = Place.OVER
-        exchange.digest = entry.sameness
-        exchange.billed = entry.state is not State.INTENDED
+        exchange.digest = entry.request_digest
+        exchange.billed = entry.state is not RunState.INTENDED
         return exchange
 
     def up_at(self) -> float:
         """From when on the server may say that it is up."""
-        if not self.ready and (self._plan.interpreter_outlives or self._plan.cold is Start.WAIT):
+        if not self.ready and (
+            self._plan.interpreter_survives or self._plan.cold_start is ColdStartRule.WAIT
+        ):
             return inf  # what to ask the interpreter for, or whether to wait, is not known yet
         remembers = self._store is not None and self._written is not None and not self._damaged
-        return self.started if remembers else up_at(self._plan.cold, self.started, self._longest)
+        return self.started if remembers else ready_at(self._plan.cold_start, self.started, self._longest)
 
     # -- what the dispatch asks and tells
 
     def may_not_run(self, exchange: Exchange) -> bool:
         """Whether a keyed request without a remembered first may have run in a predecessor."""
-        if self._plan.cold in (Start.RUN, Start.WAIT) or (self._store is not None and not self._damaged):
+        if self._plan.cold_start in (ColdStartRule.RUN, ColdStartRule.WAIT) or (
+            self._store is not None and not self._damaged
+        ):
             return False
         request = exchange.request
         now = self._scheduler.clock.now
         if may_have_run(
-            self._plan.cold, self.started, request.arrived_at, request.request_class.idempotency_window_s, now
+            self._plan.cold_start,
+            self.started,
+            request.arrived_at,
+            request.request_class.idempotency_window_s,
+            now,
         ):
             self._count("recall_cold_terminated")
             return True
@@ -258,7 +253,7 @@
         if self._store.disk in (Disk.FULL, Disk.FAILING):
             request.key_capacity_in_s = 1.0
         else:
-            request.key_capacity_in_s = self._memory.room_in(now, self._prepared)
+            request.key_capacity_in_s = self._memory.capacity_in_s(now, self._prepared)
             self._prepared += 1
         if request.key_capacity_in_s:
             self._count("recall_no_room")
@@ -268,7 +263,7 @@
         ranked = sorted(self._commits)
         usual = ranked[int(0.9 * len(ranked))] if ranked else 0.0
         under_way = now - self._given_at if self._given_at else 0.0
-        return max(usual, under_way) + self._plan.commit_every
+        return max(usual, under_way) + self._plan.commit_interval_s
 
     def remember(self, exchange: Exchange) -> None:
         """Its idempotency key is kept from now on: the intent goes out at once, so that its commit passes
@@ -284,43 +279,43 @@
         until = request.arrived_at + request.request_class.idempotency_window_s
         sameness = digest(exchange.request_class, exchange.body)
         request_class = exchange.request_class.decode("utf-8", "replace")
-        entry = Entry(
+        entry = KeyedRun(
             exchange.idempotency_key, sameness, exchange.name, request_class, request.arrived_at, until
         )
-        self._memory.intend(entry)
+        self._memory.add(entry)
         self._intents.append(entry)
 
     def release(self, exchange: Exchange) -> None:
         """It will never run here: its idempotency key is free again."""
         entry = self._entry(exchange)
-        if entry is None or entry.state is not State.INTENDED:
+        if entry is None or entry.state is not RunState.INTENDED:
             return
         if entry in self._intents:
             self._intents.remove(entry)  # nobody was told of it
         else:
             never = pb.Outcome(
-                label=entry.idempotency_key, name=entry.name, how=pb.NEVER, notice=exchange.notice
+                label=entry.idempotency_key, name=entry.request_name, how=pb.NEVER, notice=exchange.notice
             )
             self._outcomes.append(never)
-        self._memory.forget(entry.idempotency_key, entry.name)
-        self._carrier.gone(entry.idempotency_key)
+        self._memory.remove(entry.idempotency_key, entry.request_name)
+        self._carrier.remove(entry.idempotency_key)
 
-    def _entry(self, exchange: Exchange) -> Entry | None:
+    def _entry(self, exchange: Exchange) -> KeyedRun | None:
         if self._store is None or exchange.idempotency_key is None:
             return None
-        entry = self._memory.entries.get(exchange.idempotency_key)
-        return entry if entry is not None and entry.name == exchange.name else None
+        entry = self._memory.runs.get(exchange.idempotency_key)
+        return entry if entry is not None and entry.request_name == exchange.name else None
 
     def before_run(self, exchange: Exchange, run: Run) -> None:
         """Send the run when its intent is durable; at once if that is so, or if it needs none."""
         entry = self._entry(exchange)
-        if entry is None or self._store is None or 0 < entry.record <= self._store.fence:
+        if entry is None or self._store is None or 0 < entry.intent_record <= self._store.fence:
             return run(exchange)
         waiting = self._waiting
         for number, _, runs in self._marks:
-            if number == entry.record:
+            if number == entry.intent_record:
                 waiting = runs
-        waiting.append(Waiting(exchange, run))
+        waiting.append(WaitingRun(exchange, run))
 
     def ended(self, exchange: Exchange, outcome: Outcome, result: bytes) -> None:
         """A keyed run is over, or never began."""
@@ -334,13 +329,13 @@
         if outcome is Outcome.NEVER_STARTED:
             self.release(exchange)
         else:
-            state = State.WORKED if outcome is Outcome.SUCCEEDED else State.FAILED
-            entry = self._memory.end(exchange.idempotency_key, exchange.name, state, result)
+            state = RunState.SUCCEEDED if outcome is Outcome.SUCCEEDED else RunState.FAILED
+            entry = self._memory.finish(exchange.idempotency_key, exchange.name, state, result)
             if entry is None:
                 return
-            told = written.outcome(entry)
+            told = encode_outcome(entry)
             told.notice = exchange.notice
-            if state is State.WORKED:
+            if state is RunState.SUCCEEDED:
                 told.result = result
             self._outcomes.append(told)
         if (
@@ -385,38 +380,38 @@
             return
         now = self._scheduler.clock.now
         if self._intents or self._outcomes or self._anew:
-            if store.idle and (now >= self._commit_at + self._plan.commit_every or self._leaving):
+            if store.idle and (now >= self._commit_at + self._plan.commit_interval_s or self._leaving):
                 self._write(store, now)
             elif store.idle:
-                self._scheduler.after(self._commit_at + self._plan.commit_every - now, lambda: None)
+                self._scheduler.after(self._commit_at + self._plan.commit_interval_s - now, lambda: None)
         store.flush()
 
     def _write(self, store: Store, now: float) -> None:
         record = pb.Record(moment=self._moment(), anew=self._anew)
         self._anew = False
-        record.intents.extend(written.intent(entry) for entry in self._intents)
+        record.intents.extend(encode_intent(entry) for entry in self._intents)
         record.outcomes.extend(self._outcomes)
         number = store.append(record.SerializeToString())
         assert number is not None  # the store was idle
         for entry, told in zip(self._intents, record.intents, strict=True):
-            entry.record = number
-            if self._memory.entries.get(entry.idempotency_key) is entry:
-                self._carrier.wrote(entry.idempotency_key, number, told.ByteSize())
+            entry.intent_record = number
+            if self._memory.runs.get(entry.idempotency_key) is entry:
+                self._carrier.add(entry.idempotency_key, number, told.ByteSize())
         for outcome in self._outcomes:
-            self._carrier.grew(outcome.label, outcome.ByteSize())
+            self._carrier.grow(outcome.label, outcome.ByteSize())
         self._marks.append((number, self._mark, self._waiting))
         self._intents, self._outcomes, self._waiting = [], [], []
         self._commit_at = self._given_at = now
 
     def _moment(self) -> pb.Moment:
-        return written.moment(self._read_moment())
+        return encode_clock_reading(self._read_moment())
 
     def _fenced(self, number: int) -> None:
         now = self._scheduler.clock.now
         if self._given_at:
             self._commits.append(now - self._given_at)
             self._given_at = 0.0
-        waiting: list[Waiting] = []
+        waiting: list[WaitingRun] = []
         while self._marks and self._marks[0][0] <= number:
             _, self._durable_mark, runs = self._marks.popleft()
             waiting += runs
@@ -424,7 +419,7 @@
         for one in waiting:
             self._let_run(one)
 
-    def _let_run(self, one: Waiting) -> None:
+    def _let_run(self, one: WaitingRun) -> None:
         """Its intent is durable. If nobody waits for it any more it is not begun, and its idempotency key is
         free again.
         """
@@ -446,15 +441,15 @@
 
     def _expire(self, now: float) -> None:
         for entry in self._memory.expire(now):
-            self._carrier.gone(entry.idempotency_key)
+            self._carrier.remove(entry.idempotency_key)
 
     def _sweep(self) -> None:
         now = self._scheduler.clock.now
         if self.ready:
             self._expire(now)
         if self._store is not None and self._log is not None:
-            self._store.release_through(self._carrier.oldest(self._store.fence) - 1)
-            if self._carrier.look(self._store.size, self._store.last):
+            self._store.release_through(self._carrier.oldest_needed(self._store.fence) - 1)
+            if self._carrier.is_pass_under_way(self._store.size, self._store.last):
                 self._background.want(self._carry)
         self._scheduler.after(SWEEP, self._sweep)
 
@@ -463,25 +458,25 @@
         store = self._store
         if store is None or not store.idle or self._intents or self._outcomes:
             return False  # the sweep asks again
-        idempotency_keys = [one for one in self._carrier.step(store.size) if one in self._memory.entries]
+        idempotency_keys = [one for one in self._carrier.next_batch(store.size) if one in self._memory.runs]
         if not idempotency_keys:
             return False
         record = pb.Record(moment=self._moment(), snapshot=True)
         sizes = {}
         for idempotency_key in idempotency_keys:
-            entry = self._memory.entries[idempotency_key]
-            intent = written.intent(entry)
+            entry = self._memory.runs[idempotency_key]
+            intent = encode_intent(entry)
             record.intents.append(intent)
             sizes[idempotency_key] = intent.ByteSize()
-            if entry.state is not State.INTENDED:
-                outcome = written.outcome(entry)
+            if entry.state is not RunState.INTENDED:
+                outcome = encode_outcome(entry)
                 record.outcomes.append(outcome)
                 sizes[idempotency_key] += outcome.ByteSize()
         number = store.append(record.SerializeToString())
         if number is None:
             return False
         for idempotency_key in idempotency_keys:
-            self._carrier.wrote(idempotency_key, number, sizes[idempotency_key])
+            self._carrier.add(idempotency_key, number, sizes[idempotency_key])
         self._marks.append((number, self._mark, []))
         self._count("recall_carried")
         store.flush()
@@ -508,9 +503,9 @@
 
     def gauges(self) -> dict[str, object]:
         told: dict[str, object] = {
-            "recall_live": len(self._memory.entries),
-            "recall_bytes": self._memory.bytes,
-            "recall_results_dropped": self._memory.results_dropped,
+            "recall_live": len(self._memory.runs),
+            "recall_bytes": self._memory.total_bytes,
+            "recall_results_dropped": self._memory.dropped_result_count,
             "recall_held": len(self._holding),
         }
         if self._store is not None:
--- a/sablewheel/result_store/recovery.py
+++ b/sablewheel/result_store/recovery.py
@@ -1,7 +1,7 @@
-"""From the log's records to what is remembered after a start: a fold over records, in their order. Pure.
+"""The runs that a log's records describe: a fold over the records in their order. Pure.
 
-Windows are rebased whenever the clocks say that the machine was started anew or its clock was set, so that a
-window is never cut short by a clock, and what was over before a restart stays over.
+Windows are rebased whenever the clocks show that the host was rebooted or its clock was set. So no clock cuts
+a window short, and what was over before a restart stays over.
 """
 
 from __future__ import annotations
@@ -9,75 +9,76 @@
 from dataclasses import dataclass, field
 
 from . import result_store_pb2 as pb
-from .memory import Entry, Memory, State
-from .windows import Moment, shift
+from .clock_readings import ClockReading, clock_offset_s
+from .keyed_runs import KeyedRun, KeyedRunTable, RunState
 
-STEP_LEAST = 0.05  # seconds by which two readings of the clocks may differ without anybody having set one
-HOW = {pb.WORKED: State.WORKED, pb.FAILED: State.FAILED}
+MIN_CLOCK_STEP_S = 0.05  # by which two readings may differ although no clock was set
+STATES = {pb.WORKED: RunState.SUCCEEDED, pb.FAILED: RunState.FAILED}
 
 
 @dataclass
-class Loaded:
-    """The result: `last` is when the last record was written, `notice` the last notice known to be read."""
+class RecoveredRuns:
+    """What is known after the records so far."""
 
-    memory: Memory
-    longest: float
-    last: Moment | None = None
-    notice: int = 0
-    numbers: dict[bytes, int] = field(
-        default_factory=dict
-    )  # of the record that holds an idempotency key's intent
-    records: int = 0
-    written: float | None = None  # when the last record was, by the clock of now; None: none, or another boot
-    rebased: int = 0
+    table: KeyedRunTable
+    max_window_s: float
+    last_reading: ClockReading | None = None  # of the last record
+    last_notice: int = 0  # the last notice of the interpreter that is known to be read
+    record_numbers: dict[bytes, int] = field(default_factory=dict)  # idempotency key -> record of its intent
+    record_count: int = 0
+    last_write_at: float | None = None  # by the present clock; None without a record, or after a reboot
+    rebase_count: int = 0
 
-    def take(self, number: int, record: pb.Record) -> None:
-        """The next record of the log."""
-        told = record.moment
-        moment = Moment(told.unix_us / 1e6, told.boot_us / 1e6, told.boot)
-        self._advance(moment)
-        self.records += 1
+    def apply(self, number: int, record: pb.Record) -> None:
+        """Apply the next record of the log."""
+        moment = record.moment
+        reading = ClockReading(moment.unix_us / 1e6, moment.boot_us / 1e6, moment.boot)
+        self._advance(reading)
+        self.record_count += 1
         if record.anew:
-            self.notice = 0
+            self.last_notice = 0
         for intent in record.intents:
-            entry = Entry(
-                intent.label,
-                intent.sameness,
-                intent.name,
-                intent.track,
-                intent.arrived_us / 1e6,
-                min(intent.until_us / 1e6, moment.unix + self.longest),
-            )
-            self.memory.intend(entry)
-            self.numbers[entry.idempotency_key] = number
+            self._apply_intent(number, intent, reading)
         for outcome in record.outcomes:
-            self.notice = max(self.notice, outcome.notice)
-            if outcome.how == pb.NEVER:
-                self.memory.forget(outcome.label, outcome.name)
-            elif outcome.dropped:
-                self.memory.end(outcome.label, outcome.name, State.DROPPED)
-            else:
-                self.memory.end(
-                    outcome.label, outcome.name, HOW.get(outcome.how, State.FAILED), outcome.result
-                )
+            self._apply_outcome(outcome)
 
-    def finish(self, now: Moment) -> None:
-        """The log is at its end: windows by the clock of now."""
-        if self.last is not None and self.last.boot == now.boot:
-            self.written = self.last.unix + shift(self.last, now)
+    def _apply_intent(self, number: int, intent: pb.Intent, reading: ClockReading) -> None:
+        run = KeyedRun(
+            idempotency_key=intent.label,
+            request_digest=intent.sameness,
+            request_name=intent.name,
+            request_class=intent.track,
+            arrived_at=intent.arrived_us / 1e6,
+            expires_at=min(intent.until_us / 1e6, reading.unix_s + self.max_window_s),
+        )
+        self.table.add(run)
+        self.record_numbers[run.idempotency_key] = number
+
+    def _apply_outcome(self, outcome: pb.Outcome) -> None:
+        self.last_notice = max(self.last_notice, outcome.notice)
+        if outcome.how == pb.NEVER:
+            self.table.remove(outcome.label, outcome.name)
+        elif outcome.dropped:
+            self.table.finish(outcome.label, outcome.name, RunState.RESULT_DROPPED)
+        else:
+            state = STATES.get(outcome.how, RunState.FAILED)
+            self.table.finish(outcome.label, outcome.name, state, outcome.result)
+
+    def finish(self, now: ClockReading) -> None:
+        """Rebase all windows to the present clock at the end of the log."""
+        if self.last_reading is not None and self.last_reading.boot_id == now.boot_id:
+            self.last_write_at = self.last_reading.unix_s + clock_offset_s(self.last_reading, now)
         self._advance(now)
-        self.numbers = {
-            idempotency_key: self.numbers[idempotency_key] for idempotency_key in self.memory.entries
-        }
+        self.record_numbers = {key: self.record_numbers[key] for key in self.table.runs}
 
-    def _advance(self, moment: Moment) -> None:
-        before, self.last = self.last, moment
-        if before is None:
+    def _advance(self, reading: ClockReading) -> None:
+        earlier, self.last_reading = self.last_reading, reading
+        if earlier is None:
             return
-        by = shift(before, moment)
-        if abs(by) > STEP_LEAST:
-            self.memory.expire(before.unix)  # what was over by the old clock stays over
-            self.memory.rebase(by, moment.unix + self.longest)
-            self.rebased += 1
-        for entry in self.memory.expire(moment.unix):
-            self.numbers.pop(entry.idempotency_key, None)
+        offset_s = clock_offset_s(earlier, reading)
+        if abs(offset_s) > MIN_CLOCK_STEP_S:
+            self.table.expire(earlier.unix_s)  # what was over by the earlier clock stays over
+            self.table.shift_clock(offset_s, reading.unix_s + self.max_window_s)
+            self.rebase_count += 1
+        for run in self.table.expire(reading.unix_s):
+            self.record_numbers.pop(run.idempotency_key, None)
--- a/tests/test_result_store.py
+++ b/tests/test_result_store.py
@@ -21,16 +21,16 @@
 from sablewheel.command.main import main
 from sablewheel.overload.interface import Outcome
 from sablewheel.protocol.resp import Parser
-from sablewheel.result_store import codec as written
 from sablewheel.result_store import recorder as recording
 from sablewheel.result_store import result_store_pb2 as pb
-from sablewheel.result_store.carrying import Carrier
-from sablewheel.result_store.cold_start import may_have_run, up_at
-from sablewheel.result_store.memory import ENTRY_BYTES, Entry, Memory, State
-from sablewheel.result_store.plan import RecallPlan, Start, Unreadable
-from sablewheel.result_store.recorder import KIND, Recorder
-from sablewheel.result_store.recovery import Loaded
-from sablewheel.result_store.windows import Moment, shift, until_after
+from sablewheel.result_store.clock_readings import ClockReading, clock_offset_s, read_clocks, rebased_expiry
+from sablewheel.result_store.codec import LOG_KIND, encode_clock_reading, encode_intent, encode_outcome
+from sablewheel.result_store.cold_start import may_have_run, ready_at
+from sablewheel.result_store.keyed_runs import RUN_BYTES, KeyedRun, KeyedRunTable, RunState
+from sablewheel.result_store.log_compaction import CompactionPlanner
+from sablewheel.result_store.plan import ColdStartRule, ResultStorePlan, UnreadableFolderRule
+from sablewheel.result_store.recorder import Recorder
+from sablewheel.result_store.recovery import RecoveredRuns
 from sablewheel.serving.exchange import NO_OBSERVER
 from sablewheel.storage.files import DiskFiles
 from sablewheel.storage.log import Log
@@ -39,8 +39,8 @@
 BOOT = b"boot0001"
 
 
-def entry(idempotency_key: bytes, until: float, name: bytes = b"n", arrived: float = 0.0) -> Entry:
-    return Entry(idempotency_key, b"s" * 16, name, "record", arrived, until)
+def entry(idempotency_key: bytes, until: float, name: bytes = b"n", arrived: float = 0.0) -> KeyedRun:
+    return KeyedRun(idempotency_key, b"s" * 16, name, "record", arrived, until)
 
 
 # -- the memory against a model that forgets nothing
@@ -54,44 +54,44 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = 100.0
-        self.memory = Memory(entries_most=6, bytes_most=6 * ENTRY_BYTES + 60)
-        self.model: dict[bytes, Entry] = {}
+        self.memory = KeyedRunTable(max_runs=6, max_bytes=6 * RUN_BYTES + 60)
+        self.model: dict[bytes, KeyedRun] = {}
         self.results: dict[bytes, bytes] = {}
         self.turn = 0
 
     @rule(idempotency_key=st.integers(0, 9), window=st.floats(0.5, 20.0))
     def intend(self, idempotency_key: int, window: float) -> None:
         name = b"%d" % idempotency_key
-        if name in self.model and self.model[name].until >= self.now:
+        if name in self.model and self.model[name].expires_at >= self.now:
             return  # a repeat: it does not run
         self.memory.expire(self.now)
-        if self.memory.room_in(self.now):
-            assert len(self.memory.entries) >= 6
+        if self.memory.capacity_in_s(self.now):
+            assert len(self.memory.runs) >= 6
             return  # told that there is no room, nobody runs it
         self.turn += 1
         one = entry(name, self.now + window, b"run%d" % self.turn)
-        self.memory.intend(one)
+        self.memory.add(one)
         self.model[name] = one
 
     @rule(idempotency_key=st.integers(0, 9), size=st.integers(0, 50), worked=st.booleans())
     def end(self, idempotency_key: int, size: int, worked: bool) -> None:
         one = self.model.get(b"%d" % idempotency_key)
-        if one is None or one.state is not State.INTENDED:
+        if one is None or one.state is not RunState.INTENDED:
             return
         result = b"r" * size
-        ended = self.memory.end(
-            one.idempotency_key, one.name, State.WORKED if worked else State.FAILED, result
+        ended = self.memory.finish(
+            one.idempotency_key, one.request_name, RunState.SUCCEEDED if worked else RunState.FAILED, result
         )
-        if one.until >= self.now:
+        if one.expires_at >= self.now:
             assert ended is one
             if worked:
-                self.results[one.name] = result
+                self.results[one.request_name] = result
 
     @rule(idempotency_key=st.integers(0, 9))
     def never_ran(self, idempotency_key: int) -> None:
         one = self.model.get(b"%d" % idempotency_key)
-        if one is not None and one.state is State.INTENDED:
-            self.memory.forget(one.idempotency_key, one.name)
+        if one is not None and one.state is RunState.INTENDED:
+            self.memory.remove(one.idempotency_key, one.request_name)
             del self.model[one.idempotency_key]
 
     @rule(span=st.floats(0.0, 5.0))
@@ -101,41 +101,41 @@
 
     @rule(by=st.floats(-50.0, 50.0))
     def set_clock(self, by: float) -> None:
-        self.memory.rebase(by, self.now + by + 20.0)
+        self.memory.shift_clock(by, self.now + by + 20.0)
         self.now += by
         for one in self.model.values():
-            if self.memory.entries.get(one.idempotency_key) is not one:
-                one.until += by
+            if self.memory.runs.get(one.idempotency_key) is not one:
+                one.expires_at += by
 
     @rule()
     def wait_for_room(self) -> None:
         self.memory.expire(self.now)
-        span = self.memory.room_in(self.now)
+        span = self.memory.capacity_in_s(self.now)
         if span:
             self.now += span + 0.001
             self.memory.expire(self.now)
-            assert self.memory.room_in(self.now) == 0.0
+            assert self.memory.capacity_in_s(self.now) == 0.0
 
     @invariant()
     def open_windows_are_known(self) -> None:
         for one in self.model.values():
-            if one.until >= self.now:
-                assert self.memory.entries.get(one.idempotency_key) is one
-                if one.state is State.WORKED:
-                    assert one.result == self.results[one.name]
-        assert len(self.memory.entries) <= 6 and self.memory.bytes <= 6 * ENTRY_BYTES + 60
-        kept = [one for one in self.memory.entries.values()]
-        assert self.memory.bytes == sum(ENTRY_BYTES + len(one.result) for one in kept)
+            if one.expires_at >= self.now:
+                assert self.memory.runs.get(one.idempotency_key) is one
+                if one.state is RunState.SUCCEEDED:
+                    assert one.result == self.results[one.request_name]
+        assert len(self.memory.runs) <= 6 and self.memory.total_bytes <= 6 * RUN_BYTES + 60
+        kept = [one for one in self.memory.runs.values()]
+        assert self.memory.total_bytes == sum(RUN_BYTES + len(one.result) for one in kept)
 
 
 def test_room_is_told_by_what_is_there_not_by_what_was_forgotten() -> None:
-    memory = Memory(entries_most=2, bytes_most=10 * ENTRY_BYTES)
-    memory.intend(entry(b"gone", 101.0))
-    memory.forget(b"gone", b"n")
-    memory.intend(entry(b"a", 105.0))
-    memory.intend(entry(b"b", 105.0))
-    assert memory.room_in(100.0) == 5.0
-    assert memory.room_in(100.0, planned=1) == 5.0  # both end then
+    memory = KeyedRunTable(max_runs=2, max_bytes=10 * RUN_BYTES)
+    memory.add(entry(b"gone", 101.0))
+    memory.remove(b"gone", b"n")
+    memory.add(entry(b"a", 105.0))
+    memory.add(entry(b"b", 105.0))
+    assert memory.capacity_in_s(100.0) == 5.0
+    assert memory.capacity_in_s(100.0, reserved=1) == 5.0  # both end then
 
 
 TestMemory = MemoryAgainstModel.TestCase
@@ -146,19 +146,22 @@
     """An idempotency key that is there till its window's last instant was taken for room, and one too
     many came in.
     """
-    memory = Memory(1, 10_000)
-    memory.intend(entry(b"a", 10.0, b"run1"))
-    assert memory.expire(10.0) == [] and memory.room_in(10.0) > 0
-    assert memory.expire(10.001) and memory.room_in(10.001) == 0.0
+    memory = KeyedRunTable(1, 10_000)
+    memory.add(entry(b"a", 10.0, b"run1"))
+    assert memory.expire(10.0) == [] and memory.capacity_in_s(10.0) > 0
+    assert memory.expire(10.001) and memory.capacity_in_s(10.001) == 0.0
 
 
 def test_results_go_before_idempotency_keys_the_oldest_first() -> None:
-    memory = Memory(100, 3 * ENTRY_BYTES + 25)
+    memory = KeyedRunTable(100, 3 * RUN_BYTES + 25)
     for number in range(3):
-        memory.intend(entry(b"%d" % number, 50.0, b"run%d" % number))
-        memory.end(b"%d" % number, b"run%d" % number, State.WORKED, b"ten bytes!")
-    states = [memory.entries[b"%d" % number].state for number in range(3)]
-    assert states == [State.DROPPED, State.WORKED, State.WORKED] and memory.results_dropped == 1
+        memory.add(entry(b"%d" % number, 50.0, b"run%d" % number))
+        memory.finish(b"%d" % number, b"run%d" % number, RunState.SUCCEEDED, b"ten bytes!")
+    states = [memory.runs[b"%d" % number].state for number in range(3)]
+    assert (
+        states == [RunState.RESULT_DROPPED, RunState.SUCCEEDED, RunState.SUCCEEDED]
+        and memory.dropped_result_count == 1
+    )
 
 
 # -- windows and clocks
@@ -172,34 +175,38 @@
     same_boot=st.booleans(),
 )
 def test_no_clock_cuts_a_window_short(down: float, step: float, left: float, same_boot: bool) -> None:
-    then = Moment(1_000_000.0, 500.0, BOOT)
-    now = Moment(then.unix + down + step, 500.0 + down if same_boot else 3.0, BOOT if same_boot else b"other")
-    until = until_after(then.unix + left, then, now, 13.5)
+    then = ClockReading(1_000_000.0, 500.0, BOOT)
+    now = ClockReading(
+        then.unix_s + down + step, 500.0 + down if same_boot else 3.0, BOOT if same_boot else b"other"
+    )
+    until = rebased_expiry(then.unix_s + left, then, now, 13.5)
     truly_left = left - down
-    assert until - now.unix >= truly_left - 1e-6
+    assert until - now.unix_s >= truly_left - 1e-6
     if same_boot:
-        assert until - now.unix <= max(truly_left, -100.0) + 1e-6  # nor makes it longer, where time is known
+        assert (
+            until - now.unix_s <= max(truly_left, -100.0) + 1e-6
+        )  # nor makes it longer, where time is known
     else:
-        assert until - now.unix <= min(left, 13.5) + 1e-6
-    assert shift(then, then) == 0.0
+        assert until - now.unix_s <= min(left, 13.5) + 1e-6
+    assert clock_offset_s(then, then) == 0.0
 
 
 @pytest.mark.parametrize(
     ("rule_", "arrived", "now", "failed"),
     [
-        (Start.RUN, 90.0, 101.0, False),
-        (Start.EARLY, 99.9, 101.0, True),
-        (Start.EARLY, 100.0, 101.0, False),
-        (Start.STRICT, 110.0, 113.0, True),
-        (Start.STRICT, 110.0, 113.5, False),
-        (Start.WAIT, 99.0, 101.0, False),
+        (ColdStartRule.RUN, 90.0, 101.0, False),
+        (ColdStartRule.EARLY, 99.9, 101.0, True),
+        (ColdStartRule.EARLY, 100.0, 101.0, False),
+        (ColdStartRule.STRICT, 110.0, 113.0, True),
+        (ColdStartRule.STRICT, 110.0, 113.5, False),
+        (ColdStartRule.WAIT, 99.0, 101.0, False),
     ],
 )
 def test_what_a_server_that_remembers_nothing_does(
-    rule_: Start, arrived: float, now: float, failed: bool
+    rule_: ColdStartRule, arrived: float, now: float, failed: bool
 ) -> None:
     assert may_have_run(rule_, 100.0, arrived, 13.5, now) is failed
-    assert up_at(rule_, 100.0, 13.5) == (113.5 if rule_ is Start.WAIT else 100.0)
+    assert ready_at(rule_, 100.0, 13.5) == (113.5 if rule_ is ColdStartRule.WAIT else 100.0)
 
 
 def a_record(at: float, boot: bytes = BOOT, **more: object) -> pb.Record:
@@ -219,27 +226,27 @@
 
 
 def test_loading_follows_ends_restarts_of_the_machine_and_clocks_that_were_set() -> None:
-    loaded = Loaded(Memory(100, 1 << 20), longest=13.5)
-    loaded.take(1, a_record(1_000_000, intents=[intent(b"a", 1_000_010), intent(b"b", 1_000_012)]))
+    loaded = RecoveredRuns(KeyedRunTable(100, 1 << 20), max_window_s=13.5)
+    loaded.apply(1, a_record(1_000_000, intents=[intent(b"a", 1_000_010), intent(b"b", 1_000_012)]))
     worked = pb.Outcome(label=b"a", name=b"n", how=pb.WORKED, result=b"bytes", notice=7)
-    loaded.take(2, a_record(1_000_001, outcomes=[worked], intents=[intent(b"c", 1_000_014)]))
-    loaded.take(3, a_record(1_000_002, outcomes=[pb.Outcome(label=b"c", name=b"n", how=pb.NEVER)]))
-    assert set(loaded.memory.entries) == {b"a", b"b"} and loaded.notice == 7
+    loaded.apply(2, a_record(1_000_001, outcomes=[worked], intents=[intent(b"c", 1_000_014)]))
+    loaded.apply(3, a_record(1_000_002, outcomes=[pb.Outcome(label=b"c", name=b"n", how=pb.NEVER)]))
+    assert set(loaded.table.runs) == {b"a", b"b"} and loaded.last_notice == 7
     # The machine's clock is an hour ahead now, five seconds have truly passed.
-    now = Moment(1_000_007 + 3600, 100_007.0, BOOT)
+    now = ClockReading(1_000_007 + 3600, 100_007.0, BOOT)
     loaded.finish(now)
-    assert loaded.written == pytest.approx(1_000_002 + 3600) and loaded.rebased == 1
-    assert loaded.memory.entries[b"a"].until == pytest.approx(1_000_010 + 3600)
-    assert loaded.memory.entries[b"a"].result == b"bytes" and loaded.numbers == {b"a": 1, b"b": 1}
+    assert loaded.last_write_at == pytest.approx(1_000_002 + 3600) and loaded.rebase_count == 1
+    assert loaded.table.runs[b"a"].expires_at == pytest.approx(1_000_010 + 3600)
+    assert loaded.table.runs[b"a"].result == b"bytes" and loaded.record_numbers == {b"a": 1, b"b": 1}
 
 
 def test_what_was_over_before_the_machine_restarted_does_not_come_back() -> None:
-    loaded = Loaded(Memory(100, 1 << 20), longest=13.5)
-    loaded.take(1, a_record(1_000_000, intents=[intent(b"old", 1_000_005)]))
-    loaded.take(2, a_record(1_000_010, intents=[intent(b"new", 1_000_020)]))
-    loaded.finish(Moment(999_000.0, 1.0, b"another"))  # and its clock lost a quarter of an hour
-    assert set(loaded.memory.entries) == {b"new"} and loaded.written is None
-    assert loaded.memory.entries[b"new"].until == pytest.approx(999_010)
+    loaded = RecoveredRuns(KeyedRunTable(100, 1 << 20), max_window_s=13.5)
+    loaded.apply(1, a_record(1_000_000, intents=[intent(b"old", 1_000_005)]))
+    loaded.apply(2, a_record(1_000_010, intents=[intent(b"new", 1_000_020)]))
+    loaded.finish(ClockReading(999_000.0, 1.0, b"another"))  # and its clock lost a quarter of an hour
+    assert set(loaded.table.runs) == {b"new"} and loaded.last_write_at is None
+    assert loaded.table.runs[b"new"].expires_at == pytest.approx(999_010)
 
 
 # -- carrying forward
@@ -249,28 +256,33 @@
 @given(seed=st.integers(0, 10**6))
 def test_carrying_ends_and_never_lets_a_live_idempotency_key_fall_behind_the_front(seed: int) -> None:
     """A log as the recorder keeps it: each record has its size, the front up to `oldest` goes at times."""
-    chance, carrier, lies, log = random.Random(seed), Carrier(100), dict[bytes, int](), dict[int, int]()
+    chance, carrier, lies, log = (
+        random.Random(seed),
+        CompactionPlanner(100),
+        dict[bytes, int](),
+        dict[int, int](),
+    )
     carried = 0
     for number in range(1, 600):
         log[number] = 50
         match chance.randrange(4):
             case 0 | 1:
                 idempotency_key = b"%d" % chance.randrange(30)
-                carrier.wrote(idempotency_key, number, 50)
+                carrier.add(idempotency_key, number, 50)
                 lies[idempotency_key] = number
             case 2 if lies:
                 idempotency_key = chance.choice(list(lies))
-                carrier.gone(idempotency_key)
+                carrier.remove(idempotency_key)
                 del lies[idempotency_key]
-        if carrier.look(sum(log.values()), number):
-            idempotency_keys = carrier.step(sum(log.values()))
+        if carrier.is_pass_under_way(sum(log.values()), number):
+            idempotency_keys = carrier.next_batch(sum(log.values()))
             for idempotency_key in idempotency_keys:
-                carrier.wrote(idempotency_key, number, 50)
+                carrier.add(idempotency_key, number, 50)
                 lies[idempotency_key] = number
             log[number] += 50 * len(idempotency_keys)
             carried += len(idempotency_keys)
-        assert carrier.oldest(number) <= min(lies.values(), default=number + 1)
-        log = {one: size for one, size in log.items() if one >= carrier.oldest(number)}
+        assert carrier.oldest_needed(number) <= min(lies.values(), default=number + 1)
+        log = {one: size for one, size in log.items() if one >= carrier.oldest_needed(number)}
         assert sum(log.values()) <= 3 * (2 * 50 * 30 + 400)
     assert carried <= 600 * 4  # it is no work without end
 
@@ -295,8 +307,8 @@
         super().__init__(SERVER_SETTINGS)
         self.disk, self.patch, self.more = disk, monkeypatch, more
         monkeypatch.setattr(recording, "DiskFiles", lambda _: disk.files)
-        plan = RecallPlan(Path("made"), commit_every=0.0, **more)  # type: ignore[arg-type]
-        outlived = before is not None and plan.interpreter_outlives
+        plan = ResultStorePlan(Path("made"), commit_interval_s=0.0, **more)  # type: ignore[arg-type]
+        outlived = before is not None and plan.interpreter_survives
         if before is not None:
             self.scheduler.clock.now = before.now
             self.tries = before.tries
@@ -341,8 +353,8 @@
                 self.link.feed(missed)
         self.settle()
 
-    def moment(self) -> Moment:
-        return Moment(self.now, self.disk.boot + self.now - 1_764_576_000, BOOT)
+    def moment(self) -> ClockReading:
+        return ClockReading(self.now, self.disk.boot + self.now - 1_764_576_000, BOOT)
 
     def settle(self, deliver: bool = True) -> None:
         super().settle(deliver)
@@ -425,7 +437,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     for outlives in (True, False):
-        town = RecallTown(monkeypatch, Disk(MadeFiles()), interpreter_outlives=outlives)
+        town = RecallTown(monkeypatch, Disk(MadeFiles()), interpreter_survives=outlives)
         first = town.call(b"record", b"label")
         town.settle()
         town = town.restart(random.Random(1))
@@ -444,7 +456,7 @@
 def test_an_end_that_came_while_the_server_was_down_is_told_by_its_notice(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    town = RecallTown(monkeypatch, Disk(MadeFiles()), interpreter_outlives=True)
+    town = RecallTown(monkeypatch, Disk(MadeFiles()), interpreter_survives=True)
     run_one(town, b"other")
     first = town.call(b"record", b"label")
     town.settle()
@@ -509,7 +521,7 @@
 
 
 def test_no_room_for_idempotency_keys_denies_and_tells_when_there_is(monkeypatch: pytest.MonkeyPatch) -> None:
-    town = RecallTown(monkeypatch, Disk(MadeFiles()), entries_most=3)
+    town = RecallTown(monkeypatch, Disk(MadeFiles()), max_runs=3)
     for number in range(3):
         run_one(town, b"%d" % number)
     rejected = town.call(b"record", b"one too many")
@@ -528,7 +540,7 @@
     for seed in range(14):
         chance = random.Random(seed)
         town = RecallTown(
-            monkeypatch, Disk(MadeFiles()), interpreter_outlives=seed % 2 == 0, segment_bytes=600
+            monkeypatch, Disk(MadeFiles()), interpreter_survives=seed % 2 == 0, segment_bytes=600
         )
         kills = 0
         held: dict[bytes, bytes] = {}
@@ -560,9 +572,9 @@
     old = town.recorder._memory
     run_one(town, b"lives long")
     # One idempotency key that lives long must not hold all that comes after it: it is carried forward.
-    (entry_,) = old.entries.values()
-    entry_.until += 1000.0
-    old._lapses = [(entry_.until, entry_.idempotency_key)]
+    (entry_,) = old.runs.values()
+    entry_.expires_at += 1000.0
+    old._expiries = [(entry_.expires_at, entry_.idempotency_key)]
     sizes = []
     for number in range(90):
         run_one(town, b"%d" % number)
@@ -570,7 +582,7 @@
         sizes.append(sum(map(len, disk.files.data.values())))
     assert "recall_carried" in town.counts and max(sizes) <= 14_000 < 90 * 260
     town = town.restart()
-    assert entry_.idempotency_key in town.recorder._memory.entries
+    assert entry_.idempotency_key in town.recorder._memory.runs
 
 
 def test_a_folder_that_can_not_be_read_is_a_reason_not_to_start(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -585,7 +597,9 @@
     unknown = refused.call(b"record", b"never seen")
     refused.settle()
     assert not unknown.answers and not refused.recorder._store
-    cold = RecallTown(monkeypatch, disk, town, unreadable=Unreadable.COLD, cold=Start.STRICT)
+    cold = RecallTown(
+        monkeypatch, disk, town, unreadable=UnreadableFolderRule.COLD, cold_start=ColdStartRule.STRICT
+    )
     for one in cold.tries:
         one.cancelled = True
     unknown = cold.call(b"record", b"never seen")
@@ -596,7 +610,7 @@
 def test_every_record_counts_at_every_crash_point() -> None:
     """The log of a short day cut at each byte: what is loaded is just what its whole records say."""
     files, records = MadeFiles(), []
-    log = Log(files, KIND, b"incarn01", 1 << 20)
+    log = Log(files, LOG_KIND, b"incarn01", 1 << 20)
     for number in range(6):
         some = [intent(b"%d" % number, 1_000_010, b"run%d" % number)]
         ends = [
@@ -610,25 +624,27 @@
         after = MadeFiles()
         after.create(name)
         after.append(name, whole[:cut])
-        loaded = Loaded(Memory(100, 1 << 20), 13.5)
-        Log(after, KIND, b"incarn02", 1 << 20).recover(
-            lambda number, payload, _, loaded=loaded: loaded.take(number, pb.Record.FromString(payload))  # type: ignore[misc]
+        loaded = RecoveredRuns(KeyedRunTable(100, 1 << 20), 13.5)
+        Log(after, LOG_KIND, b"incarn02", 1 << 20).recover(
+            lambda number, payload, _, loaded=loaded: loaded.apply(number, pb.Record.FromString(payload))  # type: ignore[misc]
         )
-        assert len(loaded.memory.entries) == loaded.records
-        worked = [one for one in loaded.memory.entries.values() if one.state is State.WORKED]
-        assert len(worked) == max(loaded.records - 1, 0)
+        assert len(loaded.table.runs) == loaded.record_count
+        worked = [one for one in loaded.table.runs.values() if one.state is RunState.SUCCEEDED]
+        assert len(worked) == max(loaded.record_count - 1, 0)
 
 
 def test_the_command_inspects_verifies_and_compacts_a_folder(tmp_path: Path) -> None:
-    now = recording.read_moment()
-    log = Log(DiskFiles(tmp_path), KIND, b"incarn01", 1 << 30, 4000)
+    now = read_clocks()
+    log = Log(DiskFiles(tmp_path), LOG_KIND, b"incarn01", 1 << 30, 4000)
     for number in range(200):
         over = number % 4 > 0
-        one = entry(b"%d" % number, now.unix + (-5.0 if over else 500.0), b"run%d" % number, now.unix - 10.0)
-        record = pb.Record(moment=written.moment(now), intents=[written.intent(one)])
+        one = entry(
+            b"%d" % number, now.unix_s + (-5.0 if over else 500.0), b"run%d" % number, now.unix_s - 10.0
+        )
+        record = pb.Record(moment=encode_clock_reading(now), intents=[encode_intent(one)])
         if number % 8 == 0:
-            one.state, one.result = State.WORKED, b"result %d" % number
-            record.outcomes.append(written.outcome(one))
+            one.state, one.result = RunState.SUCCEEDED, b"result %d" % number
+            record.outcomes.append(encode_outcome(one))
             record.outcomes[-1].notice = number
         log.commit([record.SerializeToString()])
     runner = CliRunner()
