--- a/sablewheel/experiments/broken_server.py
+++ b/sablewheel/experiments/broken_server.py
@@ -12,14 +12,15 @@
 from ..result_store import recovery as loading
 from ..result_store.clock_readings import ClockReading
 from ..result_store.keyed_runs import KeyedRun, KeyedRunTable
-from ..result_store.recorder import Recorder, Run
+from ..result_store.recorder import Recorder
+from ..result_store.run_log import StartRun
 from ..serving.exchange import Caller, Exchange
 
 
 def no_intent() -> None:
     """Runs are sent at once, and nothing is written before them."""
 
-    def before_run(self: Recorder, exchange: Exchange, run: Run) -> None:
+    def before_run(self: Recorder, exchange: Exchange, run: StartRun) -> None:
         run(exchange)
 
     def remember(self: Recorder, exchange: Exchange) -> None:
--- a/sablewheel/result_store/keyed_runs.py
+++ b/sablewheel/result_store/keyed_runs.py
@@ -70,9 +70,7 @@
         return max(soonest[-1] - now, MIN_WAIT_S) if soonest else 0.0
 
     def add(self, run: KeyedRun) -> None:
-        """Add an intended run. The caller has checked the capacity; an excess one is stored rather than
-        lost.
-        """
+        """Add an intended run; one beyond the capacity, which the caller checks, is stored all the same."""
         earlier = self.runs.get(run.idempotency_key)
         if earlier is not None:
             self._delete(earlier)
--- a/sablewheel/result_store/recorder.py
+++ b/sablewheel/result_store/recorder.py
@@ -1,26 +1,21 @@
-"""Recall in the server: an intent before each keyed run, an outcome after it, and what a restart still
-knows.
+"""The result store of one server: an intent before each keyed run, an outcome after it.
 
-A keyed run is sent when its intent is durable; its answer leaves when its outcome is. So whatever is
-killed when, a repeat finds what its first became, or that it may have run, and never runs again within its
+A keyed run starts when its intent is durable, and its answer leaves when its outcome is. So whatever is
+killed when, a retry finds the original's result, or that it may have run, and never runs again within its
 window.
 """
 
 from __future__ import annotations
 
 import logging
-import time
-from collections import deque
 from collections.abc import Callable
 from math import inf
 from pathlib import Path
 
-from ..overload.interface import Client, Idempotency, Outcome, Request, RequestClass, Stage
+from ..overload.interface import Idempotency, Outcome, Request, RequestClass, Stage
 from ..serving.delayed_answers import Held, Holding
 from ..serving.exchange import Caller, Exchange, Place, RequestObserver, digest
 from ..serving.idempotency_keys import IdempotencyTable
-from ..storage import log as durable
-from ..storage.files import DiskFiles
 from ..storage.health import Disk
 from ..storage.store import Store
 from ..transport.background import Background
@@ -28,33 +23,26 @@
 from ..transport.worker_thread import Bridge
 from . import result_store_pb2 as pb
 from .clock_readings import ClockReading, read_clocks
-from .codec import LOG_KIND, encode_clock_reading, encode_intent, encode_outcome
+from .codec import encode_outcome
 from .cold_start import may_have_run, ready_at
 from .keyed_runs import KeyedRun, KeyedRunTable, RunState
 from .log_compaction import CompactionPlanner
-from .plan import ColdStartRule, ResultStorePlan, UnreadableFolderRule
+from .plan import ColdStartRule, ResultStorePlan
 from .recovery import RecoveredRuns
+from .run_log import RunLog, StartRun, WaitingRun
+from .startup import RecoveredFolder, UnreadableFolderError, finished_exchange, read_folder_in_background
 
-SLOW_AFTER = 0.1
-COMMITS_KEPT = 50  # times of the last commits, from which the wait for the next is told
-SWEEP = 0.25
-ENTRY_ON_DISK = 150  # about, of one that was loaded, without its result
+SLOW_COMMIT_S = 0.1
+SWEEP_INTERVAL_S = 0.25
+DISK_FULL_RETRY_S = 1.0
+RECOVERED_RUN_BYTES = 150  # estimated size on the disk of a recovered run without its result
+MAX_LOGGED_DAMAGES = 20
 
 log = logging.getLogger(__name__)
-Run = Callable[[Exchange], None]
-
-
-class WaitingRun:
-    """A run that waits for its intent."""
-
-    __slots__ = ("exchange", "run")
-
-    def __init__(self, exchange: Exchange, run: Run) -> None:
-        self.exchange, self.run = exchange, run
 
 
 class Recorder:
-    """Memory of one server's keyed runs; a observer that holds their answers, in front of another."""
+    """Stores the keyed runs of one server; an observer that delays their answers, in front of another one."""
 
     def __init__(
         self,
@@ -65,449 +53,360 @@
         incarnation: bytes,
         request_classes: dict[bytes, RequestClass],
         inner: RequestObserver,
-        never_begun: Run,
+        never_begun: StartRun,
         remembered: Callable[[], None],
         fail: Callable[[str], None],
         count: Callable[[str], None],
         moment: Callable[[], ClockReading] | None = None,
     ) -> None:
+        """Begin to read the folder, if there is one.
+
+        Args:
+            scheduler: Runs the timers.
+            background: Runs the compaction.
+            bridge: The worker thread; needed with a folder.
+            plan: The settings.
+            incarnation: The name of this incarnation of the server.
+            request_classes: The request classes by name.
+            inner: The observer that everything is passed on to.
+            never_begun: Called with an exchange whose run will not begin, since nobody waits for it.
+            remembered: Called when the folder is read.
+            fail: Called with the reason why the server must not start.
+            count: Increments a counter.
+            moment: Reads the clocks; `read_clocks` by default.
+        """
         self._scheduler, self._plan, self._count, self._inner = scheduler, plan, count, inner
         self._never_begun, self._remembered, self._fail = never_begun, remembered, fail
         self._request_classes, self._bridge = request_classes, bridge
-        self._read_moment = moment or (lambda: read_clocks(scheduler.clock))
+        self._read_clocks = moment or (lambda: read_clocks(scheduler.clock))
         keyed = [one for one in request_classes.values() if one.idempotency is Idempotency.KEYED]
-        self._longest = max((one.idempotency_window_s for one in keyed), default=0.0)
-        self.started = scheduler.clock.now
-        self._memory = KeyedRunTable(plan.max_runs, plan.max_bytes)
-        self._carrier = CompactionPlanner(plan.segment_bytes)
-        self._store: Store | None = None
-        self._log: durable.Log | None = None
-        self._intents: list[KeyedRun] = []
-        self._outcomes: list[pb.Outcome] = []
-        self._waiting: list[WaitingRun] = []
-        self._marks: deque[tuple[int, int, list[WaitingRun]]] = deque()  # record, mark, runs that it lets go
-        self._mark = self._durable_mark = 0
-        self._commit_at = self._given_at = 0.0
-        self._commits: deque[float] = deque(maxlen=COMMITS_KEPT)
-        self._leaving = False
-        self._prepared = 0  # in this round: who may want room beside those that are remembered
-        self._anew = False  # the next record says that notices are numbered anew
-        self._holding = Holding(scheduler, plan.max_answer_delay_s, self._release)
+        self._max_window_s = max((one.idempotency_window_s for one in keyed), default=0.0)
+        self.started_at = scheduler.clock.now
+        self._table = KeyedRunTable(plan.max_runs, plan.max_bytes)
+        self._planner = CompactionPlanner(plan.segment_bytes)
+        self._holding = Holding(scheduler, plan.max_answer_delay_s, self._release_answer)
+        self._run_log = RunLog(
+            scheduler,
+            plan.commit_interval_s,
+            self._table,
+            self._planner,
+            self._read_clocks,
+            self._holding.durable,
+            self._let_run,
+        )
+        self._is_leaving = self._is_damaged = False
+        self._prepared_count = 0  # in this round: requests that may want capacity beside the stored runs
         self._adopted: dict[bytes, Exchange] = {}
         self.last_notice = 0
-        self._written: float | None = None  # when the last record was, by the clock of now
+        self._last_write_at: float | None = None  # of the earlier incarnation, by the present clock
         self.ready = plan.folder is None
-        self._damaged = False
         if plan.folder is not None:
-            self._load(plan.folder, incarnation)
-        self._carry = background.add("recall carry", 3, 0.1, self._carry_step)
+            self._recover(plan.folder, incarnation)
+        self._compaction = background.add("recall carry", 3, 0.1, self._compact)
         self._background = background
-        scheduler.after(SWEEP, self._sweep)
+        scheduler.after(SWEEP_INTERVAL_S, self._sweep)
 
     # -- the start
 
-    def _load(self, folder: Path, incarnation: bytes) -> None:
-        """Read what is remembered, on the worker: what may run again is served meanwhile.
-
-        What can't be read is a reason not to go on, unless it is set otherwise.
-        """
+    def _recover(self, folder: Path, incarnation: bytes) -> None:
+        """Read the folder on the worker thread; idempotent requests are served meanwhile."""
         assert self._bridge is not None
-        plan, begun = self._plan, time.perf_counter()
-        records = durable.Log(
-            DiskFiles(folder), LOG_KIND, incarnation, plan.max_disk_bytes, plan.segment_bytes
-        )
-        loaded = RecoveredRuns(self._memory, self._longest)
-
-        def job() -> durable.Recovery:
-            return records.recover(
-                lambda number, payload, _: loaded.apply(number, pb.Record.FromString(payload))
-            )
+        runs = RecoveredRuns(self._table, self._max_window_s)
+        read_folder_in_background(self._bridge, self._plan, folder, incarnation, runs, self._on_folder_read)
 
-        def done(found: durable.Recovery | None, trouble: BaseException | None) -> None:
-            damage = found.damage if found is not None else [f"{trouble}"]
-            if damage and plan.unreadable is UnreadableFolderRule.REFUSE:
-                return self._fail(f"recall: {folder}: {damage[0]}")
-            self._damaged = bool(damage)
-            for one in damage[:20]:
-                self._count("recall_damage")
-                log.error("recall damaged", extra={"pairs": {"where": one}})
-            self._loaded(records, loaded, found or durable.Recovery(), time.perf_counter() - begun)
-
-        self._bridge.submit(job, done)
-
-    def _loaded(
-        self, records: durable.Log, loaded: RecoveredRuns, found: durable.Recovery, took: float
-    ) -> None:
-        assert self._bridge is not None
-        loaded.finish(self._read_moment())
-        self._written = loaded.last_write_at
-        self.last_notice = loaded.last_notice if self._plan.interpreter_survives else 0
-        for idempotency_key in sorted(loaded.record_numbers, key=loaded.record_numbers.__getitem__):
-            size = ENTRY_ON_DISK + len(self._memory.runs[idempotency_key].result)
-            self._carrier.add(idempotency_key, loaded.record_numbers[idempotency_key], size)
-        self._log = records
-        self._store = Store(
-            self._scheduler, self._bridge, records, SLOW_AFTER, self._fenced, self._disk_changed
-        )
+    def _on_folder_read(self, folder: RecoveredFolder | UnreadableFolderError) -> None:
+        if isinstance(folder, UnreadableFolderError):
+            self._fail(str(folder))
+            return
+        self._is_damaged = bool(folder.damages)
+        for damage in folder.damages[:MAX_LOGGED_DAMAGES]:
+            self._count("recall_damage")
+            log.error("result store damaged", extra={"pairs": {"where": damage}})
+        self._use_folder(folder)
         pairs = {
-            "records": found.records,
-            "labels": len(self._memory.runs),
-            "rebased": loaded.rebase_count,
-            "torn_bytes": found.torn_bytes,
-            "damaged": len(found.damage),
-            "took": round(took, 4),
+            "records": folder.report.records,
+            "labels": len(self._table.runs),
+            "rebased": folder.runs.rebase_count,
+            "torn_bytes": folder.report.torn_bytes,
+            "damaged": len(folder.report.damage),
+            "took": round(folder.took_s, 4),
         }
-        log.info("recall loaded", extra={"pairs": pairs})
+        log.info("result store recovered", extra={"pairs": pairs})
         self.ready = True
         self._remembered()
 
+    def _use_folder(self, folder: RecoveredFolder) -> None:
+        """Take over the recovered runs, and write to the folder's log from now on."""
+        assert self._bridge is not None
+        runs = folder.runs
+        runs.finish(self._read_clocks())
+        self._last_write_at = runs.last_write_at
+        self.last_notice = runs.last_notice if self._plan.interpreter_survives else 0
+        for idempotency_key in sorted(runs.record_numbers, key=runs.record_numbers.__getitem__):
+            size = RECOVERED_RUN_BYTES + len(self._table.runs[idempotency_key].result)
+            self._planner.add(idempotency_key, runs.record_numbers[idempotency_key], size)
+        scheduler, on_fence = self._scheduler, self._run_log.on_fence
+        store = Store(scheduler, self._bridge, folder.log, SLOW_COMMIT_S, on_fence, self._on_disk_changed)
+        self._run_log.open(store)
+
     def recalled(self, born: float, idempotency_keys: IdempotencyTable) -> list[tuple[Request, float]]:
-        """The interpreter is up, since `born`: put what is remembered into the table of idempotency keys.
+        """Put the recovered runs into the idempotency table once the interpreter is up.
+
+        A run without an outcome is waited for where the interpreter survived the earlier incarnation of the
+        server. Otherwise it may have run or not, and its retries get a final error.
+
+        Args:
+            born: When the interpreter started.
+            idempotency_keys: The table to fill.
 
-        Gives the controller's part: requests that are over, and how long their idempotency keys count. A run
-        whose end nobody wrote down is waited for where the interpreter outlived this server's predecessor;
-        else it may have run or not, nobody can tell, and its repeats end in an error.
+        Returns:
+            The requests, which are finished, and for how many seconds their idempotency keys are valid.
         """
-        now, told = self._scheduler.clock.now, []
-        outlived = self._plan.interpreter_survives and self._written is not None and born < self._written
-        if not outlived:
-            self.last_notice, self._anew = 0, self._store is not None
-        for entry in sorted(self._memory.runs.values(), key=lambda one: one.expires_at):
-            request_class = self._request_classes.get(entry.request_class.encode())
+        now, recalled = self._scheduler.clock.now, []
+        last_write_at = self._last_write_at
+        survived = self._plan.interpreter_survives and last_write_at is not None and born < last_write_at
+        if not survived:
+            self.last_notice = 0
+            self._run_log.renumber_notices()
+        for run in sorted(self._table.runs.values(), key=lambda run: run.expires_at):
+            request_class = self._request_classes.get(run.request_class.encode())
             if request_class is None:
                 continue
-            if entry.state is RunState.INTENDED and not outlived:
-                entry.state = RunState.FAILED
-                self._outcomes.append(encode_outcome(entry))
+            if run.state is RunState.INTENDED and not survived:
+                run.state = RunState.FAILED
+                self._run_log.add_outcome(encode_outcome(run))
                 self._count("recall_unknown")
-            exchange = self._exchange(entry, request_class)
-            if entry.state is RunState.INTENDED:
+            exchange = finished_exchange(run, request_class)
+            if run.state is RunState.INTENDED:
                 exchange.place = Place.RUNNING
-                self._adopted[entry.request_name] = exchange
+                self._adopted[run.request_name] = exchange
                 self._count("recall_adopted")
-            life = entry.expires_at - now
-            idempotency_keys.remember(exchange, now, life)
-            if entry.state is RunState.SUCCEEDED:
-                idempotency_keys.keep(exchange, entry.result)
-            told.append((exchange.request, life))
+            remaining_s = run.expires_at - now
+            idempotency_keys.remember(exchange, now, remaining_s)
+            if run.state is RunState.SUCCEEDED:
+                idempotency_keys.keep(exchange, run.result)
+            recalled.append((exchange.request, remaining_s))
             self._count("recall_labels")
-        return told
+        return recalled
 
     def adopted(self) -> tuple[list[Exchange], int]:
-        """Runs of the predecessor whose ends the interpreter may still tell, and the last notice read."""
+        """Return the runs that the interpreter may still end, and the last notice that was read."""
         return list(self._adopted.values()), self.last_notice
 
-    def _exchange(self, entry: KeyedRun, request_class: RequestClass) -> Exchange:
-        """A try that is over, as repeats find it."""
-        request = Request(request_class, Client(), None, entry.arrived_at, 0.0)
-        request.stage, request.started, request.answered = Stage.FINISHED, True, True
-        if entry.state is not RunState.INTENDED:
-            request.outcome = Outcome.SUCCEEDED if entry.state is not RunState.FAILED else Outcome.ERROR
-        exchange = Exchange(
-            entry.request_name, entry.request_class.encode(), b"", 0, entry.idempotency_key, request, None
-        )
-        exchange.place = Place.OVER
-        exchange.digest = entry.request_digest
-        exchange.billed = entry.state is not RunState.INTENDED
-        return exchange
-
     def up_at(self) -> float:
-        """From when on the server may say that it is up."""
-        if not self.ready and (
-            self._plan.interpreter_survives or self._plan.cold_start is ColdStartRule.WAIT
-        ):
+        """Return when the server may report that it is up."""
+        plan = self._plan
+        if not self.ready and (plan.interpreter_survives or plan.cold_start is ColdStartRule.WAIT):
             return inf  # what to ask the interpreter for, or whether to wait, is not known yet
-        remembers = self._store is not None and self._written is not None and not self._damaged
-        return self.started if remembers else ready_at(self._plan.cold_start, self.started, self._longest)
+        is_recovered = self._run_log.store is not None and self._last_write_at is not None
+        if is_recovered and not self._is_damaged:
+            return self.started_at
+        return ready_at(plan.cold_start, self.started_at, self._max_window_s)
 
-    # -- what the dispatch asks and tells
+    # -- before a run
 
     def may_not_run(self, exchange: Exchange) -> bool:
-        """Whether a keyed request without a remembered first may have run in a predecessor."""
-        if self._plan.cold_start in (ColdStartRule.RUN, ColdStartRule.WAIT) or (
-            self._store is not None and not self._damaged
-        ):
+        """Whether a keyed request without a stored original may have run in an earlier incarnation."""
+        rule, request = self._plan.cold_start, exchange.request
+        is_recovered = self._run_log.store is not None and not self._is_damaged
+        if rule in (ColdStartRule.RUN, ColdStartRule.WAIT) or is_recovered:
             return False
-        request = exchange.request
-        now = self._scheduler.clock.now
-        if may_have_run(
-            self._plan.cold_start,
-            self.started,
-            request.arrived_at,
-            request.request_class.idempotency_window_s,
-            now,
-        ):
+        window_s, now = request.request_class.idempotency_window_s, self._scheduler.clock.now
+        if may_have_run(rule, self.started_at, request.arrived_at, window_s, now):
             self._count("recall_cold_terminated")
             return True
         return False
 
     def prepare(self, exchange: Exchange) -> None:
-        """What a run of it will wait for beside the cores, and whether its idempotency key has room: the
-        controller's to weigh against its budget.
+        """Set for how long a run waits for its intent, and when its idempotency key has capacity.
+
+        The controller weighs both against the request's deadline.
         """
-        if self._store is None:
+        if self._run_log.store is None:
             return
         now, request = self._scheduler.clock.now, exchange.request
         self._expire(now)
-        request.extra_wait_s = self._commit_wait(now)
-        if self._store.disk in (Disk.FULL, Disk.FAILING):
-            request.key_capacity_in_s = 1.0
+        request.extra_wait_s = self._run_log.commit_wait_s(now)
+        if self._run_log.is_disk_failing:
+            request.key_capacity_in_s = DISK_FULL_RETRY_S
         else:
-            request.key_capacity_in_s = self._memory.capacity_in_s(now, self._prepared)
-            self._prepared += 1
+            request.key_capacity_in_s = self._table.capacity_in_s(now, self._prepared_count)
+            self._prepared_count += 1
         if request.key_capacity_in_s:
             self._count("recall_no_room")
 
-    def _commit_wait(self, now: float) -> float:
-        """How long an intent may take to be durable: as recent slow ones, or as the one under way."""
-        ranked = sorted(self._commits)
-        usual = ranked[int(0.9 * len(ranked))] if ranked else 0.0
-        under_way = now - self._given_at if self._given_at else 0.0
-        return max(usual, under_way) + self._plan.commit_interval_s
-
     def remember(self, exchange: Exchange) -> None:
-        """Its idempotency key is kept from now on: the intent goes out at once, so that its commit passes
-        while the request waits for a core.
-        """
-        request = exchange.request
-        if (
-            self._store is None
-            or exchange.idempotency_key is None
-            or request.request_class.idempotency is not Idempotency.KEYED
-        ):
+        """Store a keyed request's intent at once, so that its commit passes while it waits for a core."""
+        request, idempotency_key = exchange.request, exchange.idempotency_key
+        if self._run_log.store is None or idempotency_key is None or not _is_keyed(exchange):
             return
-        until = request.arrived_at + request.request_class.idempotency_window_s
-        sameness = digest(exchange.request_class, exchange.body)
-        request_class = exchange.request_class.decode("utf-8", "replace")
-        entry = KeyedRun(
-            exchange.idempotency_key, sameness, exchange.name, request_class, request.arrived_at, until
+        run = KeyedRun(
+            idempotency_key=idempotency_key,
+            request_digest=digest(exchange.request_class, exchange.body),
+            request_name=exchange.name,
+            request_class=exchange.request_class.decode("utf-8", "replace"),
+            arrived_at=request.arrived_at,
+            expires_at=request.arrived_at + request.request_class.idempotency_window_s,
         )
-        self._memory.add(entry)
-        self._intents.append(entry)
+        self._table.add(run)
+        self._run_log.add_intent(run)
 
     def release(self, exchange: Exchange) -> None:
-        """It will never run here: its idempotency key is free again."""
-        entry = self._entry(exchange)
-        if entry is None or entry.state is not RunState.INTENDED:
+        """Free the idempotency key of a request that will never run here."""
+        run = self._find_run(exchange)
+        if run is None or run.state is not RunState.INTENDED:
             return
-        if entry in self._intents:
-            self._intents.remove(entry)  # nobody was told of it
-        else:
-            never = pb.Outcome(
-                label=entry.idempotency_key, name=entry.request_name, how=pb.NEVER, notice=exchange.notice
+        if not self._run_log.cancel_intent(run):
+            outcome = pb.Outcome(
+                label=run.idempotency_key, name=run.request_name, how=pb.NEVER, notice=exchange.notice
             )
-            self._outcomes.append(never)
-        self._memory.remove(entry.idempotency_key, entry.request_name)
-        self._carrier.remove(entry.idempotency_key)
+            self._run_log.add_outcome(outcome)
+        self._table.remove(run.idempotency_key, run.request_name)
+        self._planner.remove(run.idempotency_key)
 
-    def _entry(self, exchange: Exchange) -> KeyedRun | None:
-        if self._store is None or exchange.idempotency_key is None:
+    def _find_run(self, exchange: Exchange) -> KeyedRun | None:
+        if self._run_log.store is None or exchange.idempotency_key is None:
             return None
-        entry = self._memory.runs.get(exchange.idempotency_key)
-        return entry if entry is not None and entry.request_name == exchange.name else None
-
-    def before_run(self, exchange: Exchange, run: Run) -> None:
-        """Send the run when its intent is durable; at once if that is so, or if it needs none."""
-        entry = self._entry(exchange)
-        if entry is None or self._store is None or 0 < entry.intent_record <= self._store.fence:
-            return run(exchange)
-        waiting = self._waiting
-        for number, _, runs in self._marks:
-            if number == entry.intent_record:
-                waiting = runs
-        waiting.append(WaitingRun(exchange, run))
+        run = self._table.runs.get(exchange.idempotency_key)
+        return run if run is not None and run.request_name == exchange.name else None
+
+    def before_run(self, exchange: Exchange, run: StartRun) -> None:
+        """Start a run now if its intent is durable or not needed, otherwise as soon as it is durable."""
+        keyed_run = self._find_run(exchange)
+        if keyed_run is None or self._run_log.is_intent_durable(keyed_run):
+            run(exchange)
+        else:
+            self._run_log.wait_for_intent(keyed_run, WaitingRun(exchange, run))
+
+    def _let_run(self, waiting_run: WaitingRun) -> None:
+        """Start a run whose intent is durable; if nobody waits for it any more it does not begin."""
+        exchange = waiting_run.exchange
+        if exchange.place is not Place.RUNNING:
+            return
+        if exchange.closed and not exchange.joined:
+            self._count("recall_not_begun")
+            self._never_begun(exchange)
+        else:
+            waiting_run.start(exchange)
+
+    # -- after a run
 
     def ended(self, exchange: Exchange, outcome: Outcome, result: bytes) -> None:
-        """A keyed run is over, or never began."""
+        """Store the outcome of a keyed run, or that it never began."""
         self._adopted.pop(exchange.name, None)
-        if (
-            self._store is None
-            or exchange.idempotency_key is None
-            or exchange.request.request_class.idempotency is not Idempotency.KEYED
-        ):
+        idempotency_key = exchange.idempotency_key
+        if self._run_log.store is None or idempotency_key is None or not _is_keyed(exchange):
             return
         if outcome is Outcome.NEVER_STARTED:
             self.release(exchange)
-        else:
-            state = RunState.SUCCEEDED if outcome is Outcome.SUCCEEDED else RunState.FAILED
-            entry = self._memory.finish(exchange.idempotency_key, exchange.name, state, result)
-            if entry is None:
-                return
-            told = encode_outcome(entry)
-            told.notice = exchange.notice
-            if state is RunState.SUCCEEDED:
-                told.result = result
-            self._outcomes.append(told)
-        if (
-            exchange.request.stage is Stage.FINISHED
-        ):  # one of the predecessor's: the controller knows it as over
+        elif not self._store_outcome(exchange, idempotency_key, outcome, result):
+            return
+        if exchange.request.stage is Stage.FINISHED:  # an adopted run, which the controller knows as finished
             exchange.request.outcome = outcome
-        self._mark += 1
-
-    # -- the observer: answers wait for outcomes
+        self._run_log.count_outcome()
+
+    def _store_outcome(
+        self, exchange: Exchange, idempotency_key: bytes, outcome: Outcome, result: bytes
+    ) -> bool:
+        """Store an outcome; return False if the run is not stored any more."""
+        state = RunState.SUCCEEDED if outcome is Outcome.SUCCEEDED else RunState.FAILED
+        run = self._table.finish(idempotency_key, exchange.name, state, result)
+        if run is None:
+            return False
+        message = encode_outcome(run)
+        message.notice = exchange.notice
+        if state is RunState.SUCCEEDED:
+            message.result = result
+        self._run_log.add_outcome(message)
+        return True
 
     def completed(self, exchange: Exchange, result: bytes, caller: Caller) -> None:
-        keyed = (
-            exchange.idempotency_key is not None
-            and exchange.request.request_class.idempotency is Idempotency.KEYED
-        )
-        if self._store is None or not keyed or self._durable_mark >= self._mark:
-            return self._inner.completed(exchange, result, caller)
-        if self._store.disk in (Disk.FULL, Disk.FAILING):
+        """Pass on a result once its outcome is durable; at once if the disk is failing."""
+        run_log = self._run_log
+        is_stored = run_log.store is not None and exchange.idempotency_key is not None
+        if not is_stored or not _is_keyed(exchange) or run_log.durable_outcome_count >= run_log.outcome_count:
+            self._inner.completed(exchange, result, caller)
+        elif run_log.is_disk_failing:
             self._count("recall_answers_ahead")
-            return self._inner.completed(exchange, result, caller)
-        self._holding.hold(self._mark, exchange, result, caller)
+            self._inner.completed(exchange, result, caller)
+        else:
+            self._holding.hold(run_log.outcome_count, exchange, result, caller)
 
     def rejected(self, exchange: Exchange) -> None:
+        """Pass on a rejection."""
         self._inner.rejected(exchange)
 
     def failed(self, exchange: Exchange) -> None:
+        """Pass on a final error."""
         self._inner.failed(exchange)
 
     def gone(self, exchange: Exchange) -> None:
+        """Pass on that nobody waits for the answer any more."""
         self._inner.gone(exchange)
 
-    def _release(self, one: Held, ahead: bool) -> None:
+    def _release_answer(self, answer: Held, ahead: bool) -> None:
+        """Pass on a delayed answer; `ahead` if its outcome is not durable yet."""
         if ahead:
             self._count("recall_answers_ahead")
-        self._inner.completed(one.exchange, one.result, one.caller)
+        self._inner.completed(answer.exchange, answer.result, answer.caller)
 
-    # -- rounds and the disk
+    # -- rounds, the disk and time
 
     def end_round(self) -> None:
-        store, self._prepared = self._store, 0
-        if store is None:
-            return
-        now = self._scheduler.clock.now
-        if self._intents or self._outcomes or self._anew:
-            if store.idle and (now >= self._commit_at + self._plan.commit_interval_s or self._leaving):
-                self._write(store, now)
-            elif store.idle:
-                self._scheduler.after(self._commit_at + self._plan.commit_interval_s - now, lambda: None)
-        store.flush()
-
-    def _write(self, store: Store, now: float) -> None:
-        record = pb.Record(moment=self._moment(), anew=self._anew)
-        self._anew = False
-        record.intents.extend(encode_intent(entry) for entry in self._intents)
-        record.outcomes.extend(self._outcomes)
-        number = store.append(record.SerializeToString())
-        assert number is not None  # the store was idle
-        for entry, told in zip(self._intents, record.intents, strict=True):
-            entry.intent_record = number
-            if self._memory.runs.get(entry.idempotency_key) is entry:
-                self._carrier.add(entry.idempotency_key, number, told.ByteSize())
-        for outcome in self._outcomes:
-            self._carrier.grow(outcome.label, outcome.ByteSize())
-        self._marks.append((number, self._mark, self._waiting))
-        self._intents, self._outcomes, self._waiting = [], [], []
-        self._commit_at = self._given_at = now
-
-    def _moment(self) -> pb.Moment:
-        return encode_clock_reading(self._read_moment())
-
-    def _fenced(self, number: int) -> None:
-        now = self._scheduler.clock.now
-        if self._given_at:
-            self._commits.append(now - self._given_at)
-            self._given_at = 0.0
-        waiting: list[WaitingRun] = []
-        while self._marks and self._marks[0][0] <= number:
-            _, self._durable_mark, runs = self._marks.popleft()
-            waiting += runs
-        self._holding.durable(self._durable_mark)
-        for one in waiting:
-            self._let_run(one)
-
-    def _let_run(self, one: WaitingRun) -> None:
-        """Its intent is durable. If nobody waits for it any more it is not begun, and its idempotency key is
-        free again.
-        """
-        exchange = one.exchange
-        if exchange.place is not Place.RUNNING:
-            return
-        if exchange.closed and not exchange.joined:
-            self._count("recall_not_begun")
-            self._never_begun(exchange)
-        else:
-            one.run(exchange)
+        """Write what this round has brought."""
+        self._prepared_count = 0
+        self._run_log.end_round(is_leaving=self._is_leaving)
 
-    def _disk_changed(self, disk: Disk) -> None:
+    def _on_disk_changed(self, disk: Disk) -> None:
         self._count(f"recall_disk_{disk.value}")
         if disk in (Disk.FULL, Disk.FAILING):
             self._holding.let_all_go()
 
-    # -- ageing
-
     def _expire(self, now: float) -> None:
-        for entry in self._memory.expire(now):
-            self._carrier.remove(entry.idempotency_key)
+        for run in self._table.expire(now):
+            self._planner.remove(run.idempotency_key)
 
     def _sweep(self) -> None:
-        now = self._scheduler.clock.now
         if self.ready:
-            self._expire(now)
-        if self._store is not None and self._log is not None:
-            self._store.release_through(self._carrier.oldest_needed(self._store.fence) - 1)
-            if self._carrier.is_pass_under_way(self._store.size, self._store.last):
-                self._background.want(self._carry)
-        self._scheduler.after(SWEEP, self._sweep)
-
-    def _carry_step(self) -> bool:
-        """Write the oldest entries anew, so that the front of the log can go."""
-        store = self._store
-        if store is None or not store.idle or self._intents or self._outcomes:
-            return False  # the sweep asks again
-        idempotency_keys = [one for one in self._carrier.next_batch(store.size) if one in self._memory.runs]
-        if not idempotency_keys:
-            return False
-        record = pb.Record(moment=self._moment(), snapshot=True)
-        sizes = {}
-        for idempotency_key in idempotency_keys:
-            entry = self._memory.runs[idempotency_key]
-            intent = encode_intent(entry)
-            record.intents.append(intent)
-            sizes[idempotency_key] = intent.ByteSize()
-            if entry.state is not RunState.INTENDED:
-                outcome = encode_outcome(entry)
-                record.outcomes.append(outcome)
-                sizes[idempotency_key] += outcome.ByteSize()
-        number = store.append(record.SerializeToString())
-        if number is None:
-            return False
-        for idempotency_key in idempotency_keys:
-            self._carrier.add(idempotency_key, number, sizes[idempotency_key])
-        self._marks.append((number, self._mark, []))
-        self._count("recall_carried")
-        store.flush()
+            self._expire(self._scheduler.clock.now)
+        if self._run_log.release_unneeded():
+            self._background.want(self._compaction)
+        self._scheduler.after(SWEEP_INTERVAL_S, self._sweep)
+
+    def _compact(self) -> bool:
+        """Run a step of the compaction; return False, since the next sweep asks for another one."""
+        if self._run_log.compact_batch():
+            self._count("recall_carried")
         return False
 
     # -- the end
 
     def parting(self) -> None:
-        self._leaving = True
+        """Write without delay from now on, since the server leaves."""
+        self._is_leaving = True
 
     def settled(self) -> bool:
-        if self._store is None:
-            return True
-        return not self._intents and not self._outcomes and not self._holding and self._store.settled
+        """Whether all is durable and no answer is delayed."""
+        return self._run_log.store is None or (not self._holding and self._run_log.settled())
 
     def close(self) -> None:
-        """The last instant: what is pending is written, answers that wait leave."""
+        """Let all delayed answers leave, write what is left and close the folder."""
         self._holding.let_all_go()
-        if self._store is not None:
-            if (self._intents or self._outcomes) and self._store.idle:
-                self._write(self._store, self._scheduler.clock.now)
-            self._store.flush()
-            self._store.close()
+        self._run_log.close()
 
     def gauges(self) -> dict[str, object]:
-        told: dict[str, object] = {
-            "recall_live": len(self._memory.runs),
-            "recall_bytes": self._memory.total_bytes,
-            "recall_results_dropped": self._memory.dropped_result_count,
+        """Return the gauges for the metrics page."""
+        gauges: dict[str, object] = {
+            "recall_live": len(self._table.runs),
+            "recall_bytes": self._table.total_bytes,
+            "recall_results_dropped": self._table.dropped_result_count,
             "recall_held": len(self._holding),
         }
-        if self._store is not None:
-            told |= {"recall_disk": self._store.disk.value, "recall_disk_bytes": self._store.size}
-        return told
+        store = self._run_log.store
+        if store is not None:
+            gauges |= {"recall_disk": store.disk.value, "recall_disk_bytes": store.size}
+        return gauges
+
+
+def _is_keyed(exchange: Exchange) -> bool:
+    return exchange.request.request_class.idempotency is Idempotency.KEYED
--- /dev/null
+++ b/sablewheel/result_store/run_log.py
@@ -0,0 +1,243 @@
+"""The log of intents and outcomes: what is written when, and who waits until it is durable."""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from ..serving.exchange import Exchange
+from ..storage.health import Disk
+from ..storage.store import Store
+from ..transport.scheduler import Scheduler
+from . import result_store_pb2 as pb
+from .clock_readings import ClockReading
+from .codec import encode_clock_reading, encode_intent, encode_outcome
+from .keyed_runs import KeyedRun, KeyedRunTable, RunState
+from .log_compaction import CompactionPlanner
+
+MAX_COMMIT_TIMES = 50  # of the last commits, from which the wait for the next one is estimated
+COMMIT_TIME_QUANTILE = 0.9
+
+StartRun = Callable[[Exchange], None]
+
+
+@dataclass(slots=True, eq=False)
+class WaitingRun:
+    """A run that waits until its intent is durable."""
+
+    exchange: Exchange
+    start: StartRun
+
+
+class PendingRecord(NamedTuple):
+    """A record that is being made durable."""
+
+    number: int
+    outcome_count: int  # of all outcomes up to this record
+    waiting_runs: list[WaitingRun]
+
+
+class RunLog:
+    """Collects intents and outcomes, and writes them as one record whenever the store is idle.
+
+    Invariant: a run that waits is let go only once the record of its intent is durable;
+    `durable_outcome_count` never counts an outcome that is not durable.
+    """
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        commit_interval_s: float,
+        table: KeyedRunTable,
+        planner: CompactionPlanner,
+        read_clocks: Callable[[], ClockReading],
+        on_durable: Callable[[int], None],
+        let_run: Callable[[WaitingRun], None],
+    ) -> None:
+        """Start without a store: nothing is written until `open`.
+
+        Args:
+            scheduler: Wakes the server for the next commit.
+            commit_interval_s: The least time between two commits.
+            table: The runs.
+            planner: Is told where each run is stored.
+            read_clocks: Reads the clocks for each record.
+            on_durable: Called with the number of outcomes that are durable.
+            let_run: Called for each run whose intent is durable.
+        """
+        self._scheduler, self._commit_interval_s = scheduler, commit_interval_s
+        self._table, self._planner, self._read_clocks = table, planner, read_clocks
+        self._on_durable, self._let_run = on_durable, let_run
+        self.store: Store | None = None
+        self._intents: list[KeyedRun] = []
+        self._outcomes: list[pb.Outcome] = []
+        self._waiting_runs: list[WaitingRun] = []
+        self._pending_records: deque[PendingRecord] = deque()
+        self.outcome_count = self.durable_outcome_count = 0
+        self._last_commit_at = self._commit_started_at = 0.0
+        self._commit_times_s: deque[float] = deque(maxlen=MAX_COMMIT_TIMES)
+        self._are_notices_renumbered = False
+
+    def open(self, store: Store) -> None:
+        """Write to a store from now on."""
+        self.store = store
+
+    # -- what is to be written
+
+    @property
+    def has_unwritten(self) -> bool:
+        """Whether intents or outcomes wait to be written."""
+        return bool(self._intents or self._outcomes)
+
+    def renumber_notices(self) -> None:
+        """Note in the next record that the interpreter numbers its notices anew."""
+        self._are_notices_renumbered = self.store is not None
+
+    def add_intent(self, run: KeyedRun) -> None:
+        """Write a run's intent with the next record."""
+        self._intents.append(run)
+
+    def cancel_intent(self, run: KeyedRun) -> bool:
+        """Drop an intent that is not written yet; return False if it is."""
+        if run not in self._intents:
+            return False
+        self._intents.remove(run)
+        return True
+
+    def add_outcome(self, outcome: pb.Outcome) -> None:
+        """Write an outcome with the next record."""
+        self._outcomes.append(outcome)
+
+    def count_outcome(self) -> None:
+        """Let later answers wait until all that is to be written now is durable."""
+        self.outcome_count += 1
+
+    def is_intent_durable(self, run: KeyedRun) -> bool:
+        """Whether a run may start as far as its intent goes."""
+        return self.store is not None and 0 < run.intent_record <= self.store.fence
+
+    def wait_for_intent(self, run: KeyedRun, waiting_run: WaitingRun) -> None:
+        """Let a run wait until the record of its intent is durable."""
+        waiting_runs = self._waiting_runs
+        for record in self._pending_records:
+            if record.number == run.intent_record:
+                waiting_runs = record.waiting_runs
+        waiting_runs.append(waiting_run)
+
+    # -- commits
+
+    def commit_wait_s(self, now: float) -> float:
+        """Return how long an intent may take to be durable: as recent slow ones, or as the present one."""
+        ranked = sorted(self._commit_times_s)
+        usual_s = ranked[int(COMMIT_TIME_QUANTILE * len(ranked))] if ranked else 0.0
+        present_s = now - self._commit_started_at if self._commit_started_at else 0.0
+        return max(usual_s, present_s) + self._commit_interval_s
+
+    def end_round(self, *, is_leaving: bool) -> None:
+        """Write what has come together, unless the last commit was too recent."""
+        store = self.store
+        if store is None:
+            return
+        now, due_at = self._scheduler.clock.now, self._last_commit_at + self._commit_interval_s
+        if (self.has_unwritten or self._are_notices_renumbered) and store.idle:
+            if now >= due_at or is_leaving:
+                self._write(store, now)
+            else:
+                self._scheduler.after(due_at - now, lambda: None)
+        store.flush()
+
+    def _write(self, store: Store, now: float) -> None:
+        moment = encode_clock_reading(self._read_clocks())
+        record = pb.Record(moment=moment, anew=self._are_notices_renumbered)
+        self._are_notices_renumbered = False
+        record.intents.extend(encode_intent(run) for run in self._intents)
+        record.outcomes.extend(self._outcomes)
+        number = store.append(record.SerializeToString())
+        assert number is not None  # the store was idle
+        for run, intent in zip(self._intents, record.intents, strict=True):
+            run.intent_record = number
+            if self._table.runs.get(run.idempotency_key) is run:
+                self._planner.add(run.idempotency_key, number, intent.ByteSize())
+        for outcome in self._outcomes:
+            self._planner.grow(outcome.label, outcome.ByteSize())
+        self._pending_records.append(PendingRecord(number, self.outcome_count, self._waiting_runs))
+        self._intents, self._outcomes, self._waiting_runs = [], [], []
+        self._last_commit_at = self._commit_started_at = now
+
+    def on_fence(self, number: int) -> None:
+        """Let go what waited for the records up to a number, which are durable."""
+        if self._commit_started_at:
+            self._commit_times_s.append(self._scheduler.clock.now - self._commit_started_at)
+            self._commit_started_at = 0.0
+        waiting_runs: list[WaitingRun] = []
+        while self._pending_records and self._pending_records[0].number <= number:
+            record = self._pending_records.popleft()
+            self.durable_outcome_count = record.outcome_count
+            waiting_runs += record.waiting_runs
+        self._on_durable(self.durable_outcome_count)
+        for waiting_run in waiting_runs:
+            self._let_run(waiting_run)
+
+    # -- compaction
+
+    def release_unneeded(self) -> bool:
+        """Release the log's front that no live run needs; return whether a compaction is under way."""
+        store = self.store
+        if store is None:
+            return False
+        store.release_through(self._planner.oldest_needed(store.fence) - 1)
+        return self._planner.is_pass_under_way(store.size, store.last)
+
+    def compact_batch(self) -> bool:
+        """Write the oldest live runs anew, if nothing else is to be written; return whether that was done."""
+        store = self.store
+        if store is None or not store.idle or self.has_unwritten:
+            return False
+        runs = self._table.runs
+        batch = [runs[key] for key in self._planner.next_batch(store.size) if key in runs]
+        if not batch:
+            return False
+        record = pb.Record(moment=encode_clock_reading(self._read_clocks()), snapshot=True)
+        sizes = [_add_run(record, run) for run in batch]
+        number = store.append(record.SerializeToString())
+        if number is None:
+            return False
+        for run, size in zip(batch, sizes, strict=True):
+            self._planner.add(run.idempotency_key, number, size)
+        self._pending_records.append(PendingRecord(number, self.outcome_count, []))
+        store.flush()
+        return True
+
+    # -- the end
+
+    @property
+    def is_disk_failing(self) -> bool:
+        """Whether nothing can be made durable at present."""
+        return self.store is not None and self.store.disk in (Disk.FULL, Disk.FAILING)
+
+    def settled(self) -> bool:
+        """Whether all is durable."""
+        return self.store is None or (not self.has_unwritten and self.store.settled)
+
+    def close(self) -> None:
+        """Write what is left and close the store."""
+        store = self.store
+        if store is None:
+            return
+        if self.has_unwritten and store.idle:
+            self._write(store, self._scheduler.clock.now)
+        store.flush()
+        store.close()
+
+
+def _add_run(record: pb.Record, run: KeyedRun) -> int:
+    """Add all that is known of a run to a record; return its size in bytes."""
+    intent = encode_intent(run)
+    record.intents.append(intent)
+    if run.state is RunState.INTENDED:
+        return intent.ByteSize()
+    outcome = encode_outcome(run)
+    record.outcomes.append(outcome)
+    return intent.ByteSize() + outcome.ByteSize()
--- a/tests/test_result_store.py
+++ b/tests/test_result_store.py
@@ -21,8 +21,8 @@
 from sablewheel.command.main import main
 from sablewheel.overload.interface import Outcome
 from sablewheel.protocol.resp import Parser
-from sablewheel.result_store import recorder as recording
 from sablewheel.result_store import result_store_pb2 as pb
+from sablewheel.result_store import startup
 from sablewheel.result_store.clock_readings import ClockReading, clock_offset_s, read_clocks, rebased_expiry
 from sablewheel.result_store.codec import LOG_KIND, encode_clock_reading, encode_intent, encode_outcome
 from sablewheel.result_store.cold_start import may_have_run, ready_at
@@ -306,7 +306,7 @@
     ) -> None:
         super().__init__(SERVER_SETTINGS)
         self.disk, self.patch, self.more = disk, monkeypatch, more
-        monkeypatch.setattr(recording, "DiskFiles", lambda _: disk.files)
+        monkeypatch.setattr(startup, "DiskFiles", lambda _: disk.files)
         plan = ResultStorePlan(Path("made"), commit_interval_s=0.0, **more)  # type: ignore[arg-type]
         outlived = before is not None and plan.interpreter_survives
         if before is not None:
@@ -508,7 +508,8 @@
 
 def test_a_slow_disk_denies_early_instead_of_answering_late(monkeypatch: pytest.MonkeyPatch) -> None:
     town = RecallTown(monkeypatch, Disk(MadeFiles()))
-    town.recorder._commits.extend([3.9] * 20)  # the last commits took nearly all that a caller waits
+    # the last commits took nearly all that a caller waits
+    town.recorder._run_log._commit_times_s.extend([3.9] * 20)
     running = [town.call(b"lookup") for _ in range(12)]
     town.settle()
     one = town.call(b"record", b"label")
@@ -569,7 +570,7 @@
 def test_the_log_stays_near_what_is_alive(monkeypatch: pytest.MonkeyPatch) -> None:
     disk = Disk(MadeFiles())
     town = RecallTown(monkeypatch, disk, segment_bytes=500)
-    old = town.recorder._memory
+    old = town.recorder._table
     run_one(town, b"lives long")
     # One idempotency key that lives long must not hold all that comes after it: it is carried forward.
     (entry_,) = old.runs.values()
@@ -582,7 +583,7 @@
         sizes.append(sum(map(len, disk.files.data.values())))
     assert "recall_carried" in town.counts and max(sizes) <= 14_000 < 90 * 260
     town = town.restart()
-    assert entry_.idempotency_key in town.recorder._memory.runs
+    assert entry_.idempotency_key in town.recorder._table.runs
 
 
 def test_a_folder_that_can_not_be_read_is_a_reason_not_to_start(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -596,7 +597,7 @@
     assert "no record" in refused.failures[0] and not refused.recorder.ready
     unknown = refused.call(b"record", b"never seen")
     refused.settle()
-    assert not unknown.answers and not refused.recorder._store
+    assert not unknown.answers and not refused.recorder._run_log.store
     cold = RecallTown(
         monkeypatch, disk, town, unreadable=UnreadableFolderRule.COLD, cold_start=ColdStartRule.STRICT
     )
