--- a/tests/test_result_store.py
+++ b/tests/test_result_store.py
@@ -1,6 +1,4 @@
-"""Recall: its memory, its windows, its log at every crash point, and the server with it on a made clock and
-disk.
-"""
+"""The result store: its table, windows and log at every crash point, and a server with it on a fake disk."""
 
 from __future__ import annotations
 
@@ -39,14 +37,14 @@
 BOOT = b"boot0001"
 
 
-def entry(idempotency_key: bytes, until: float, name: bytes = b"n", arrived: float = 0.0) -> KeyedRun:
+def keyed_run(idempotency_key: bytes, until: float, name: bytes = b"n", arrived: float = 0.0) -> KeyedRun:
     return KeyedRun(idempotency_key, b"s" * 16, name, "record", arrived, until)
 
 
-# -- the memory against a model that forgets nothing
+# -- the table against a model that forgets nothing
 
 
-class MemoryAgainstModel(RuleBasedStateMachine):
+class KeyedRunTableAgainstModel(RuleBasedStateMachine):
     """No idempotency key whose window is open is ever lost, whatever fills up; results go first, the
     oldest first.
     """
@@ -54,7 +52,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = 100.0
-        self.memory = KeyedRunTable(max_runs=6, max_bytes=6 * RUN_BYTES + 60)
+        self.table = KeyedRunTable(max_runs=6, max_bytes=6 * RUN_BYTES + 60)
         self.model: dict[bytes, KeyedRun] = {}
         self.results: dict[bytes, bytes] = {}
         self.turn = 0
@@ -64,13 +62,13 @@
         name = b"%d" % idempotency_key
         if name in self.model and self.model[name].expires_at >= self.now:
             return  # a repeat: it does not run
-        self.memory.expire(self.now)
-        if self.memory.capacity_in_s(self.now):
-            assert len(self.memory.runs) >= 6
+        self.table.expire(self.now)
+        if self.table.capacity_in_s(self.now):
+            assert len(self.table.runs) >= 6
             return  # told that there is no room, nobody runs it
         self.turn += 1
-        one = entry(name, self.now + window, b"run%d" % self.turn)
-        self.memory.add(one)
+        one = keyed_run(name, self.now + window, b"run%d" % self.turn)
+        self.table.add(one)
         self.model[name] = one
 
     @rule(idempotency_key=st.integers(0, 9), size=st.integers(0, 50), worked=st.booleans())
@@ -79,7 +77,7 @@
         if one is None or one.state is not RunState.INTENDED:
             return
         result = b"r" * size
-        ended = self.memory.finish(
+        ended = self.table.finish(
             one.idempotency_key, one.request_name, RunState.SUCCEEDED if worked else RunState.FAILED, result
         )
         if one.expires_at >= self.now:
@@ -91,76 +89,78 @@
     def never_ran(self, idempotency_key: int) -> None:
         one = self.model.get(b"%d" % idempotency_key)
         if one is not None and one.state is RunState.INTENDED:
-            self.memory.remove(one.idempotency_key, one.request_name)
+            self.table.remove(one.idempotency_key, one.request_name)
             del self.model[one.idempotency_key]
 
     @rule(span=st.floats(0.0, 5.0))
     def wait(self, span: float) -> None:
         self.now += span
-        self.memory.expire(self.now)
+        self.table.expire(self.now)
 
     @rule(by=st.floats(-50.0, 50.0))
     def set_clock(self, by: float) -> None:
-        self.memory.shift_clock(by, self.now + by + 20.0)
+        self.table.shift_clock(by, self.now + by + 20.0)
         self.now += by
         for one in self.model.values():
-            if self.memory.runs.get(one.idempotency_key) is not one:
+            if self.table.runs.get(one.idempotency_key) is not one:
                 one.expires_at += by
 
     @rule()
     def wait_for_room(self) -> None:
-        self.memory.expire(self.now)
-        span = self.memory.capacity_in_s(self.now)
+        self.table.expire(self.now)
+        span = self.table.capacity_in_s(self.now)
         if span:
             self.now += span + 0.001
-            self.memory.expire(self.now)
-            assert self.memory.capacity_in_s(self.now) == 0.0
+            self.table.expire(self.now)
+            assert self.table.capacity_in_s(self.now) == 0.0
 
     @invariant()
     def open_windows_are_known(self) -> None:
         for one in self.model.values():
             if one.expires_at >= self.now:
-                assert self.memory.runs.get(one.idempotency_key) is one
+                assert self.table.runs.get(one.idempotency_key) is one
                 if one.state is RunState.SUCCEEDED:
                     assert one.result == self.results[one.request_name]
-        assert len(self.memory.runs) <= 6 and self.memory.total_bytes <= 6 * RUN_BYTES + 60
-        kept = [one for one in self.memory.runs.values()]
-        assert self.memory.total_bytes == sum(RUN_BYTES + len(one.result) for one in kept)
+        assert len(self.table.runs) <= 6 and self.table.total_bytes <= 6 * RUN_BYTES + 60
+        kept = [one for one in self.table.runs.values()]
+        assert self.table.total_bytes == sum(RUN_BYTES + len(one.result) for one in kept)
 
 
-def test_room_is_told_by_what_is_there_not_by_what_was_forgotten() -> None:
-    memory = KeyedRunTable(max_runs=2, max_bytes=10 * RUN_BYTES)
-    memory.add(entry(b"gone", 101.0))
-    memory.remove(b"gone", b"n")
-    memory.add(entry(b"a", 105.0))
-    memory.add(entry(b"b", 105.0))
-    assert memory.capacity_in_s(100.0) == 5.0
-    assert memory.capacity_in_s(100.0, reserved=1) == 5.0  # both end then
+def test_capacity_is_computed_from_stored_runs_not_from_removed_ones() -> None:
+    table = KeyedRunTable(max_runs=2, max_bytes=10 * RUN_BYTES)
+    table.add(keyed_run(b"gone", 101.0))
+    table.remove(b"gone", b"n")
+    table.add(keyed_run(b"a", 105.0))
+    table.add(keyed_run(b"b", 105.0))
+    assert table.capacity_in_s(100.0) == 5.0
+    assert table.capacity_in_s(100.0, reserved=1) == 5.0  # both end then
 
 
-TestMemory = MemoryAgainstModel.TestCase
-TestMemory.settings = settings(derandomize=True, max_examples=100, stateful_step_count=50, deadline=None)
+TestKeyedRunTable = KeyedRunTableAgainstModel.TestCase
+TestKeyedRunTable.settings = settings(
+    derandomize=True, max_examples=100, stateful_step_count=50, deadline=None
+)
 
 
-def test_at_the_very_end_of_a_window_there_is_no_room_yet() -> None:
+def test_a_run_occupies_capacity_until_the_last_instant_of_its_window() -> None:
     """An idempotency key that is there till its window's last instant was taken for room, and one too
     many came in.
     """
-    memory = KeyedRunTable(1, 10_000)
-    memory.add(entry(b"a", 10.0, b"run1"))
-    assert memory.expire(10.0) == [] and memory.capacity_in_s(10.0) > 0
-    assert memory.expire(10.001) and memory.capacity_in_s(10.001) == 0.0
+    table = KeyedRunTable(1, 10_000)
+    table.add(keyed_run(b"a", 10.0, b"run1"))
+    assert table.expire(10.0) == [] and table.capacity_in_s(10.0) > 0
+    assert table.expire(10.001) and table.capacity_in_s(10.001) == 0.0
 
 
-def test_results_go_before_idempotency_keys_the_oldest_first() -> None:
-    memory = KeyedRunTable(100, 3 * RUN_BYTES + 25)
+def test_results_are_dropped_before_runs_the_oldest_first() -> None:
+    table = KeyedRunTable(100, 3 * RUN_BYTES + 25)
     for number in range(3):
-        memory.add(entry(b"%d" % number, 50.0, b"run%d" % number))
-        memory.finish(b"%d" % number, b"run%d" % number, RunState.SUCCEEDED, b"ten bytes!")
-    states = [memory.runs[b"%d" % number].state for number in range(3)]
+        table.add(keyed_run(b"%d" % number, 50.0, b"run%d" % number))
+        table.finish(b"%d" % number, b"run%d" % number, RunState.SUCCEEDED, b"ten bytes!")
+    states = [table.runs[b"%d" % number].state for number in range(3)]
     assert (
         states == [RunState.RESULT_DROPPED, RunState.SUCCEEDED, RunState.SUCCEEDED]
-        and memory.dropped_result_count == 1
+        and table.dropped_result_count == 1
     )
 
 
@@ -202,9 +202,7 @@
         (ColdStartRule.WAIT, 99.0, 101.0, False),
     ],
 )
-def test_what_a_server_that_remembers_nothing_does(
-    rule_: ColdStartRule, arrived: float, now: float, failed: bool
-) -> None:
+def test_the_cold_start_rules(rule_: ColdStartRule, arrived: float, now: float, failed: bool) -> None:
     assert may_have_run(rule_, 100.0, arrived, 13.5, now) is failed
     assert ready_at(rule_, 100.0, 13.5) == (113.5 if rule_ is ColdStartRule.WAIT else 100.0)
 
@@ -225,7 +223,7 @@
     )
 
 
-def test_loading_follows_ends_restarts_of_the_machine_and_clocks_that_were_set() -> None:
+def test_recovery_follows_outcomes_and_clocks_that_were_set() -> None:
     loaded = RecoveredRuns(KeyedRunTable(100, 1 << 20), max_window_s=13.5)
     loaded.apply(1, a_record(1_000_000, intents=[intent(b"a", 1_000_010), intent(b"b", 1_000_012)]))
     worked = pb.Outcome(label=b"a", name=b"n", how=pb.WORKED, result=b"bytes", notice=7)
@@ -240,7 +238,7 @@
     assert loaded.table.runs[b"a"].result == b"bytes" and loaded.record_numbers == {b"a": 1, b"b": 1}
 
 
-def test_what_was_over_before_the_machine_restarted_does_not_come_back() -> None:
+def test_a_window_that_was_over_before_a_reboot_stays_over() -> None:
     loaded = RecoveredRuns(KeyedRunTable(100, 1 << 20), max_window_s=13.5)
     loaded.apply(1, a_record(1_000_000, intents=[intent(b"old", 1_000_005)]))
     loaded.apply(2, a_record(1_000_010, intents=[intent(b"new", 1_000_020)]))
@@ -249,14 +247,14 @@
     assert loaded.table.runs[b"new"].expires_at == pytest.approx(999_010)
 
 
-# -- carrying forward
+# -- compaction
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(seed=st.integers(0, 10**6))
-def test_carrying_ends_and_never_lets_a_live_idempotency_key_fall_behind_the_front(seed: int) -> None:
+def test_compaction_ends_and_never_releases_a_live_run(seed: int) -> None:
     """A log as the recorder keeps it: each record has its size, the front up to `oldest` goes at times."""
-    chance, carrier, lies, log = (
+    chance, planner, lies, log = (
         random.Random(seed),
         CompactionPlanner(100),
         dict[bytes, int](),
@@ -268,21 +266,21 @@
         match chance.randrange(4):
             case 0 | 1:
                 idempotency_key = b"%d" % chance.randrange(30)
-                carrier.add(idempotency_key, number, 50)
+                planner.add(idempotency_key, number, 50)
                 lies[idempotency_key] = number
             case 2 if lies:
                 idempotency_key = chance.choice(list(lies))
-                carrier.remove(idempotency_key)
+                planner.remove(idempotency_key)
                 del lies[idempotency_key]
-        if carrier.is_pass_under_way(sum(log.values()), number):
-            idempotency_keys = carrier.next_batch(sum(log.values()))
+        if planner.is_pass_under_way(sum(log.values()), number):
+            idempotency_keys = planner.next_batch(sum(log.values()))
             for idempotency_key in idempotency_keys:
-                carrier.add(idempotency_key, number, 50)
+                planner.add(idempotency_key, number, 50)
                 lies[idempotency_key] = number
             log[number] += 50 * len(idempotency_keys)
             carried += len(idempotency_keys)
-        assert carrier.oldest_needed(number) <= min(lies.values(), default=number + 1)
-        log = {one: size for one, size in log.items() if one >= carrier.oldest_needed(number)}
+        assert planner.oldest_needed(number) <= min(lies.values(), default=number + 1)
+        log = {one: size for one, size in log.items() if one >= planner.oldest_needed(number)}
         assert sum(log.values()) <= 3 * (2 * 50 * 30 + 400)
     assert carried <= 600 * 4  # it is no work without end
 
@@ -298,11 +296,15 @@
     boot: float = 50_000.0
 
 
-class RecallTown(Town):
-    """The routing layer with recall over a made disk; `restart` is a kill and a new start."""
+class ResultStoreTown(Town):
+    """The serving layer with a result store over a fake disk; `restart` is a kill and a new start."""
 
     def __init__(
-        self, monkeypatch: pytest.MonkeyPatch, disk: Disk, before: RecallTown | None = None, **more: object
+        self,
+        monkeypatch: pytest.MonkeyPatch,
+        disk: Disk,
+        before: ResultStoreTown | None = None,
+        **more: object,
     ) -> None:
         super().__init__(SERVER_SETTINGS)
         self.disk, self.patch, self.more = disk, monkeypatch, more
@@ -365,7 +367,7 @@
                 self.bridge.work()
                 super().settle(deliver)
 
-    def restart(self, crash: random.Random | None = None) -> RecallTown:
+    def restart(self, crash: random.Random | None = None) -> ResultStoreTown:
         """Killed: what was not synced may be gone, connections are, tries without an answer are lost."""
         for one in self.tries:
             one.cancelled = one.cancelled or not one.answers
@@ -373,7 +375,7 @@
             self.disk.files = self.disk.files.crash(crash)
         for one in self.tries:
             one.tag = -abs(one.tag)
-        return RecallTown(self.patch, self.disk, self, **self.more)
+        return ResultStoreTown(self.patch, self.disk, self, **self.more)
 
     def call(self, request_class: bytes, idempotency_key: bytes = b"", ago: float = 0.0) -> Try:
         one = super().call(request_class, idempotency_key, ago)
@@ -381,7 +383,7 @@
         return one
 
 
-def run_one(town: RecallTown, idempotency_key: bytes = b"label") -> Try:
+def run_one(town: ResultStoreTown, idempotency_key: bytes = b"label") -> Try:
     one = town.call(b"record", idempotency_key)
     town.settle()
     town.end(one.name)
@@ -393,10 +395,10 @@
     return one.answers[0][1] if one.answers else b""
 
 
-def test_a_run_is_sent_when_its_intent_is_durable_and_answered_when_its_outcome_is(
+def test_a_run_starts_when_its_intent_is_durable_and_is_answered_when_its_outcome_is(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    town = RecallTown(monkeypatch, Disk(MadeFiles()))
+    town = ResultStoreTown(monkeypatch, Disk(MadeFiles()))
     town.bridge.open = False
     one = town.call(b"record", b"label")
     other = town.call(b"lookup")
@@ -416,10 +418,10 @@
     assert word(one) == b"OK"
 
 
-def test_after_a_kill_a_repeat_gets_the_original_bytes_and_never_runs(
+def test_after_a_kill_a_retry_gets_the_original_bytes_and_never_runs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    town = RecallTown(monkeypatch, Disk(MadeFiles()))
+    town = ResultStoreTown(monkeypatch, Disk(MadeFiles()))
     first = run_one(town)
     runs = len(town.interpreter.applied)
     for turn in range(3):
@@ -433,11 +435,11 @@
     assert town.interpreter.applied[-1][0] == later.name  # its window is over: it may run again
 
 
-def test_killed_in_the_middle_of_a_run_it_is_waited_for_or_ended_but_not_run_again(
+def test_a_run_that_a_kill_interrupted_is_awaited_or_failed_but_never_repeated(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     for outlives in (True, False):
-        town = RecallTown(monkeypatch, Disk(MadeFiles()), interpreter_survives=outlives)
+        town = ResultStoreTown(monkeypatch, Disk(MadeFiles()), interpreter_survives=outlives)
         first = town.call(b"record", b"label")
         town.settle()
         town = town.restart(random.Random(1))
@@ -453,10 +455,10 @@
             assert word(repeat) == b"FAILED" and "recall_unknown" in town.counts
 
 
-def test_an_end_that_came_while_the_server_was_down_is_told_by_its_notice(
+def test_a_run_that_ended_while_the_server_was_down_is_found_by_its_notice(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    town = RecallTown(monkeypatch, Disk(MadeFiles()), interpreter_survives=True)
+    town = ResultStoreTown(monkeypatch, Disk(MadeFiles()), interpreter_survives=True)
     run_one(town, b"other")
     first = town.call(b"record", b"label")
     town.settle()
@@ -467,10 +469,10 @@
     assert repeat.answers[0][3] == b"made of " + first.body and len(town.interpreter.applied) == 2
 
 
-def test_a_idempotency_key_with_another_body_is_failed_after_a_restart_too(
+def test_an_idempotency_key_with_another_body_is_failed_after_a_restart_too(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    town = RecallTown(monkeypatch, Disk(MadeFiles()))
+    town = ResultStoreTown(monkeypatch, Disk(MadeFiles()))
     run_one(town)
     town = town.restart()
     copy = Try(len(town.tries) + 1, b"%016x" % 99, b"record", b"", town.now)
@@ -483,9 +485,9 @@
     assert word(copy) == b"FAILED" and len(town.interpreter.applied) == 1
 
 
-def test_a_failing_disk_denies_new_keyed_requests_before_they_run(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_failing_disk_rejects_new_keyed_requests_before_they_run(monkeypatch: pytest.MonkeyPatch) -> None:
     disk = Disk(MadeFiles())
-    town = RecallTown(monkeypatch, disk)
+    town = ResultStoreTown(monkeypatch, disk)
     first = run_one(town)
     disk.files.fail = {"append": [OSError(errno.ENOSPC, "no space left on device")] * 10_000}
     stuck = town.call(b"record", b"stuck")
@@ -506,8 +508,8 @@
     assert word(again) == b"OK"  # it is known never to have run, so its repeat may
 
 
-def test_a_slow_disk_denies_early_instead_of_answering_late(monkeypatch: pytest.MonkeyPatch) -> None:
-    town = RecallTown(monkeypatch, Disk(MadeFiles()))
+def test_a_slow_disk_rejects_early_instead_of_answering_late(monkeypatch: pytest.MonkeyPatch) -> None:
+    town = ResultStoreTown(monkeypatch, Disk(MadeFiles()))
     # the last commits took nearly all that a caller waits
     town.recorder._run_log._commit_times_s.extend([3.9] * 20)
     running = [town.call(b"lookup") for _ in range(12)]
@@ -521,8 +523,10 @@
     )
 
 
-def test_no_room_for_idempotency_keys_denies_and_tells_when_there_is(monkeypatch: pytest.MonkeyPatch) -> None:
-    town = RecallTown(monkeypatch, Disk(MadeFiles()), max_runs=3)
+def test_without_capacity_for_idempotency_keys_requests_are_rejected_until_there_is(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    town = ResultStoreTown(monkeypatch, Disk(MadeFiles()), max_runs=3)
     for number in range(3):
         run_one(town, b"%d" % number)
     rejected = town.call(b"record", b"one too many")
@@ -532,7 +536,7 @@
     assert word(run_one(town, b"one too many")) == b"OK"
 
 
-def test_random_days_with_kills_and_lost_writes_never_run_a_idempotency_key_twice(
+def test_random_kills_and_lost_writes_never_run_an_idempotency_key_twice(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What Town checks after each step (no second run in the window, no rejection of what ran, one answer in
@@ -540,7 +544,7 @@
     """
     for seed in range(14):
         chance = random.Random(seed)
-        town = RecallTown(
+        town = ResultStoreTown(
             monkeypatch, Disk(MadeFiles()), interpreter_survives=seed % 2 == 0, segment_bytes=600
         )
         kills = 0
@@ -567,15 +571,15 @@
         assert kills
 
 
-def test_the_log_stays_near_what_is_alive(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_log_stays_near_the_size_of_its_live_runs(monkeypatch: pytest.MonkeyPatch) -> None:
     disk = Disk(MadeFiles())
-    town = RecallTown(monkeypatch, disk, segment_bytes=500)
-    old = town.recorder._table
+    town = ResultStoreTown(monkeypatch, disk, segment_bytes=500)
+    table = town.recorder._table
     run_one(town, b"lives long")
     # One idempotency key that lives long must not hold all that comes after it: it is carried forward.
-    (entry_,) = old.runs.values()
-    entry_.expires_at += 1000.0
-    old._expiries = [(entry_.expires_at, entry_.idempotency_key)]
+    (long_lived,) = table.runs.values()
+    long_lived.expires_at += 1000.0
+    table._expiries = [(long_lived.expires_at, long_lived.idempotency_key)]
     sizes = []
     for number in range(90):
         run_one(town, b"%d" % number)
@@ -583,12 +587,12 @@
         sizes.append(sum(map(len, disk.files.data.values())))
     assert "recall_carried" in town.counts and max(sizes) <= 14_000 < 90 * 260
     town = town.restart()
-    assert entry_.idempotency_key in town.recorder._table.runs
+    assert long_lived.idempotency_key in town.recorder._table.runs
 
 
-def test_a_folder_that_can_not_be_read_is_a_reason_not_to_start(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_folder_that_cannot_be_read_prevents_the_start(monkeypatch: pytest.MonkeyPatch) -> None:
     disk = Disk(MadeFiles())
-    town = RecallTown(monkeypatch, disk)
+    town = ResultStoreTown(monkeypatch, disk)
     for number in range(3):
         run_one(town, b"%d" % number)
     (name,) = disk.files.names()
@@ -598,7 +602,7 @@
     unknown = refused.call(b"record", b"never seen")
     refused.settle()
     assert not unknown.answers and not refused.recorder._run_log.store
-    cold = RecallTown(
+    cold = ResultStoreTown(
         monkeypatch, disk, town, unreadable=UnreadableFolderRule.COLD, cold_start=ColdStartRule.STRICT
     )
     for one in cold.tries:
@@ -639,7 +643,7 @@
     log = Log(DiskFiles(tmp_path), LOG_KIND, b"incarn01", 1 << 30, 4000)
     for number in range(200):
         over = number % 4 > 0
-        one = entry(
+        one = keyed_run(
             b"%d" % number, now.unix_s + (-5.0 if over else 500.0), b"run%d" % number, now.unix_s - 10.0
         )
         record = pb.Record(moment=encode_clock_reading(now), intents=[encode_intent(one)])
