--- a/sablewheel/experiments/broken_server.py
+++ b/sablewheel/experiments/broken_server.py
@@ -22,11 +22,11 @@
     def before_run(self: Recorder, exchange: Exchange, run: Run) -> None:
         run(exchange)
 
-    def remember(self: Recorder, exchange: Exchange) -> None:
+    def reserve(self: Recorder, exchange: Exchange) -> None:
         pass
 
     Recorder.before_run = before_run  # type: ignore[method-assign]
-    Recorder.remember = remember  # type: ignore[method-assign]
+    Recorder.reserve = reserve  # type: ignore[method-assign]
 
 
 def answer_before_outcome() -> None:
--- a/sablewheel/experiments/policy_member.py
+++ b/sablewheel/experiments/policy_member.py
@@ -21,7 +21,7 @@
 from ..feature_policy.plan import PolicyPlan
 from ..feature_policy.policy_bundle import Bundle
 from ..feature_policy.rollout import BROKEN, Translated
-from ..serving.dispatcher import Dispatch
+from ..serving.dispatcher import Dispatcher
 from ..serving.exchange import Exchange
 
 TAMPERED = 9
@@ -45,14 +45,14 @@
 
 
 def weakest(request_class: bytes) -> None:
-    arrived = Dispatch.arrived
+    arrived = Dispatcher.arrived
 
-    def only_weak(self: Dispatch, exchange: Exchange) -> None:
+    def only_weak(self: Dispatcher, exchange: Exchange) -> None:
         if exchange.request_class == request_class:
             return exchange.reject(0.0, True)
         arrived(self, exchange)
 
-    setattr(Dispatch, "arrived", only_weak)  # noqa: B010  for this process alone
+    setattr(Dispatcher, "arrived", only_weak)  # noqa: B010  for this process alone
 
 
 if __name__ == "__main__":
--- a/sablewheel/experiments/router.py
+++ b/sablewheel/experiments/router.py
@@ -18,7 +18,7 @@
 from collections import deque
 from typing import Any
 
-from ..protocol.resp import GarbledError, Parser
+from ..protocol.resp import Parser, ProtocolError
 from . import wire
 
 OPEN_MOST = 30
@@ -165,7 +165,7 @@
                         self.answered(link, words)
                 if link.leaving and not link.open:
                     break
-        except (OSError, GarbledError):
+        except (OSError, ProtocolError):
             pass
         self.links[server].remove(link)
         self.lost(link, "lost")
--- a/sablewheel/feature_policy/service.py
+++ b/sablewheel/feature_policy/service.py
@@ -350,5 +350,5 @@
         else:
             self._policies.reject(exchange, route)
 
-    def gone(self, exchange: Exchange) -> None:
-        self._inner.gone(exchange)
+    def cancelled(self, exchange: Exchange) -> None:
+        self._inner.cancelled(exchange)
--- a/sablewheel/forwarding/service.py
+++ b/sablewheel/forwarding/service.py
@@ -186,11 +186,11 @@
             log.exception("ticket not placed, for a fault")
             return None
 
-    def gone(self, exchange: Exchange) -> None:
+    def cancelled(self, exchange: Exchange) -> None:
         number = self._numbers.get(exchange)
         if number is None:
             assert self._inner is not None
-            return self._inner.gone(exchange)
+            return self._inner.cancelled(exchange)
         self._home(number)
         self._step(Gone(number))
 
@@ -279,8 +279,8 @@
             case Abandon(key):
                 guest = self._guests.pop(key, None)
                 handler = self.guests or self._inner
-                if guest is not None and guest.discard() and handler is not None:
-                    handler.gone(guest)
+                if guest is not None and guest.cancel() and handler is not None:
+                    handler.cancelled(guest)
             case Answered(number, answer, here):
                 away = self._home(number)
                 if away is not None:
--- a/sablewheel/program/application.py
+++ b/sablewheel/program/application.py
@@ -12,11 +12,11 @@
 
 from ..overload.interface import Outcome
 from ..protocol import naming
-from ..serving.dispatcher import Dispatch
-from ..serving.exchange import Exchange, Standing
+from ..serving.dispatcher import Dispatcher
+from ..serving.exchange import Exchange, ServerStatus
 from ..serving.idempotency_keys import IdempotencyTable
 from ..serving.interpreter_client import InterpreterClient
-from ..serving.listener import RequestHandler, Server
+from ..serving.listener import RequestHandler, RequestListener
 from ..transport.datagram import Post
 from ..transport.scheduler import Clock, Scheduler
 from ..transport.stream import Address, Listener, Stream, connect
@@ -57,8 +57,8 @@
     def __init__(self, inner: RequestHandler, refuse: Callable[[Exchange], None]) -> None:
         self._inner, self.arrived = inner, refuse
 
-    def gone(self, exchange: Exchange) -> None:
-        self._inner.gone(exchange)
+    def cancelled(self, exchange: Exchange) -> None:
+        self._inner.cancelled(exchange)
 
 
 class Application:
@@ -69,7 +69,7 @@
         self._placement_settings = placement_settings
         self._counters = Counters()
         self._scheduler = scheduler = Scheduler(Clock())
-        self._standing = Standing()
+        self._standing = ServerStatus()
         longest = max(
             request_class.timeout_s for request_class in placement_settings.server_settings.request_classes
         )
@@ -90,12 +90,12 @@
                 scheduler,
                 lambda: self._dispatch.batches,
                 self._never_begun,
-                lambda: self._dispatch.remembered(),
+                lambda: self._dispatch.recovery_finished(),
                 self._fail,
                 count,
                 self._retune,
             )
-        self._dispatch = Dispatch(
+        self._dispatch = Dispatcher(
             scheduler,
             placement_settings.server_settings,
             placement_settings.seed,
@@ -105,7 +105,7 @@
             self._opened,
             self._feature.memory,
         )
-        self._server = Server(
+        self._server = RequestListener(
             scheduler,
             placement_settings.request_classes,
             placement_settings.tenants,
@@ -117,15 +117,15 @@
             placement_settings.server_settings.clients,
         )
         if features is not None and features.any:
-            scheduler.every(SHARE_EVERY, lambda: self._server.allow(self._for_routers()))
+            scheduler.every(SHARE_EVERY, lambda: self._server.set_max_connections(self._for_routers()))
         self._post = Post(placement_settings.naming)
         # The last that may fail: a start that is tried again must not find its own door open.
         self._listener = Listener(
             scheduler,
             placement_settings.listen,
-            self._server.room,
+            self._server.has_capacity,
             self._server.accepted,
-            self._server.make_room,
+            self._server.evict_unused,
         )
         self._client = InterpreterClient(
             scheduler,
@@ -176,8 +176,8 @@
         if self.phase is Phase.WAITING:
             self._enter(Phase.SERVING)
         elif self.phase is Phase.PARTING:  # told to leave before that: the controller has yet to hear of it
-            self._standing.good = False
-            self._dispatch.notice(max(self._stop_at - self._scheduler.clock.now, 0.0))
+            self._standing.healthy = False
+            self._dispatch.shutdown_notice(max(self._stop_at - self._scheduler.clock.now, 0.0))
 
     def _leave(self) -> None:
         """The notice to leave; a second one changes nothing."""
@@ -198,7 +198,7 @@
         )
         self._scheduler.after(max(grace, 0.0), self._part)
         self._enter(Phase.DRAINING)
-        self._dispatch.notice(placement_settings.stop_after)
+        self._dispatch.shutdown_notice(placement_settings.stop_after)
         self._send_report()
         self._feature.leaving()
 
@@ -210,15 +210,15 @@
     def _shut(self) -> None:
         """Close the door; with a full table it stays open until those before it were let in."""
         self._shut_door = self._listener.shut()
-        self._scheduler.spawn(self._server.farewell)  # to those just taken as well
+        self._scheduler.spawn(self._server.announce_close)  # to those just taken as well
         if not self._shut_door:
             self._scheduler.after(DOOR_AGAIN, self._shut)
 
     def _refuse(self) -> None:
         """From now on nothing that is read runs, and what waits for the start has waited for nothing."""
         if not isinstance(self._server.handler, Refusing):
-            self._server.handler = Refusing(self._server.handler, self._dispatch.refuse)
-        self._dispatch.refuse_early()
+            self._server.handler = Refusing(self._server.handler, self._dispatch.reject_draining)
+        self._dispatch.reject_waiting_for_start()
 
     def _answer_all(self) -> None:
         """Nobody is left without an answer, and there is still time to take it.
@@ -229,9 +229,9 @@
         # A pause may end past the stop: who was let in only now is read in a round to come, and answered.
         left = max(self._stop_at - self._scheduler.clock.now - LAST_INSTANT, LAST_ROUNDS)
         self._scheduler.after(left, self._end)
-        self._scheduler.after(left / 2, self._server.finish)
+        self._scheduler.after(left / 2, self._server.stop_reading)
         self._refuse()
-        self._dispatch.answer_all()
+        self._dispatch.finish_all()
 
     def _look_for_end(self) -> None:
         if self.phase is not Phase.PARTING or not self._shut_door:
@@ -295,7 +295,7 @@
             self._post.move(told.naming)
             self._send_report()
         if told.interpreter != held.interpreter:
-            self._client.move(self._linking(told.interpreter))
+            self._client.connect_to(self._linking(told.interpreter))
         self._counters.count("configurations_taken")
 
     def _retune(self) -> None:
@@ -303,7 +303,7 @@
         placement_settings = self._placement_settings
         server_settings = self._feature.server_settings(placement_settings.server_settings)
         self._dispatch.retune(server_settings, placement_settings.gauge_places)
-        self._server.expect(server_settings.clients)
+        self._server.expect_clients(server_settings.clients)
         # The dicts that the server reads names by; their order is that of the settings.
         placement_settings.request_classes.update(
             zip(list(placement_settings.request_classes), server_settings.request_classes, strict=True)
@@ -331,7 +331,7 @@
 
     def _never_begun(self, exchange: Exchange) -> None:
         """A run that a feature held back and nobody waits for any more."""
-        self._dispatch.ended(exchange, Outcome.NEVER_STARTED, 0.0, b"")
+        self._dispatch.run_ended(exchange, Outcome.NEVER_STARTED, 0.0, b"")
 
     # -- small duties
 
@@ -361,9 +361,10 @@
             request_class.timeout_s
             for request_class in self._placement_settings.server_settings.request_classes
         )
-        self._standing.able = self._client.away <= longest
-        word = naming.report(
-            self._placement_settings.name, self.phase is Phase.SERVING and self._standing.able
+        self._standing.interpreter_available = self._client.disconnected_for_s <= longest
+        word = naming.encode_report(
+            self._placement_settings.name,
+            self.phase is Phase.SERVING and self._standing.interpreter_available,
         )
         self._counters.count("reports_sent" if self._post.send(word) else "reports_failed")
 
@@ -373,9 +374,9 @@
             phase=self.phase.value,
             open_requests=self._dispatch.open_count,
             open_connections=len(self._server.connections),
-            said=self._standing.said,
-            **self._dispatch.rejections,
-            **self._dispatch.failures,
+            said=self._standing.advertised,
+            **self._dispatch.outcomes.rejections,
+            **self._dispatch.outcomes.failures,
             **self._feature.gauges(),
         )
 
--- a/sablewheel/program/feature.py
+++ b/sablewheel/program/feature.py
@@ -9,7 +9,7 @@
 
 from ..overload.interface import ServerSettings
 from ..serving.exchange import NO_OBSERVER, RequestObserver
-from ..serving.hooks import NO_RESULT_STORE, Memory
+from ..serving.hooks import NO_RESULT_STORE, ResultStore
 from ..serving.listener import RequestHandler
 
 
@@ -19,7 +19,7 @@
     @property
     def observer(self) -> RequestObserver: ...
     @property
-    def memory(self) -> Memory: ...
+    def memory(self) -> ResultStore: ...
     @property
     def up_at(self) -> float:
         """From when on the server may say that it is up."""
@@ -61,7 +61,7 @@
     """Nothing is switched on."""
 
     observer: RequestObserver = NO_OBSERVER
-    memory: Memory = NO_RESULT_STORE
+    memory: ResultStore = NO_RESULT_STORE
     up_at = 0.0
     sockets = 0
     last_notice = 0
@@ -93,7 +93,7 @@
     """
 
     observer: RequestObserver | None = None
-    memory: Memory | None = None
+    memory: ResultStore | None = None
     handler: Callable[[RequestHandler], RequestHandler] | None = None
     gate: Callable[[RequestHandler], RequestHandler] | None = (
         None  # a handler within all others: what peers pass here meets it too
--- a/sablewheel/program/feature_registry.py
+++ b/sablewheel/program/feature_registry.py
@@ -23,7 +23,7 @@
 from ..replication.plan import ReplicationPlan
 from ..result_store.plan import RecallPlan
 from ..serving.exchange import NO_OBSERVER, Exchange, RequestObserver
-from ..serving.hooks import NO_RESULT_STORE, Memory
+from ..serving.hooks import NO_RESULT_STORE, ResultStore
 from ..serving.listener import RequestHandler
 from ..session_affinity.plan import AffinityPlan
 from ..transport.background import Background
@@ -62,7 +62,7 @@
     features: Features
     retune: Callable[[], None] = lambda: None  # the settings that a feature would have are others now
     observer: RequestObserver = NO_OBSERVER
-    memory: Memory = NO_RESULT_STORE
+    memory: ResultStore = NO_RESULT_STORE
     says: tuple[tuple[str, str], ...] = ()  # what all features together have this member say of itself
     fleet: Fleet | None = None  # by membership
     links: Links | None = None  # by forwarding
--- a/sablewheel/protocol/__init__.py
+++ b/sablewheel/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Parsers and writers: bytes in, plain values out and back. Nothing here does I/O or knows a decision."""
+"""Parsers and encoders of the wire formats. Nothing here does I/O or takes a decision."""
--- a/sablewheel/protocol/interpreter.py
+++ b/sablewheel/protocol/interpreter.py
@@ -1,17 +1,22 @@
-"""The interpreter's lines: commands to it, notices from it. The wire's own words stay in this file."""
+"""The interpreter's protocol: lines of words, commands to it and notices from it.
+
+The protocol's own words stay in this module.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import Enum, auto
+from math import isfinite
 from typing import TypeAlias
 
 from ..overload.interface import Outcome
 
-LINE_MOST = 4096
-FOLLOWING_MOST = 1 << 20  # bytes behind a line
+MAX_LINE_BYTES = 4096
+MAX_PAYLOAD_BYTES = 1 << 20
+MAX_DIGITS = 19
 UNNUMBERED = (b"BANNER", b"TOPS", b"ERROR")
-ENDS = {
+OUTCOMES = {
     b"success": Outcome.SUCCEEDED,
     b"failure": Outcome.ERROR,
     b"interrupted": Outcome.CANCELLED,
@@ -20,21 +25,23 @@
 
 
 class Command(Enum):
-    """What a command was for."""
+    """What a command asked for."""
 
     START = auto()
-    HALT = auto()
+    CANCEL = auto()
     GAUGES = auto()
     OTHER = auto()
 
 
-COMMANDS = {b"APPLY": Command.START, b"BREAK": Command.HALT, b"TOP": Command.GAUGES}
+COMMANDS = {b"APPLY": Command.START, b"BREAK": Command.CANCEL, b"TOP": Command.GAUGES}
 
 
-class GarbledError(ValueError):
-    """What came is not of the interpreter's lines.
+class ProtocolError(ValueError):
+    """What was received is not a notice of this protocol.
 
-    `number`: the notice's own; `name`: the run whose end it tells; 0 and empty if none can be made out.
+    Attributes:
+        number: The number of the notice; 0 if it could not be parsed.
+        name: The id of the run that the notice ends; empty if it could not be parsed.
     """
 
     number = 0
@@ -43,33 +50,43 @@
 
 @dataclass(slots=True)
 class Greeting:
-    """The interpreter is up, since `age` seconds; `cold` if it was only booting then."""
+    """The interpreter is up.
+
+    Attributes:
+        cold: Whether it was booting `uptime_s` ago.
+        uptime_s: How long it has been up.
+    """
 
     cold: bool
-    age: float
+    uptime_s: float
 
 
 @dataclass(slots=True)
-class RunOver:
-    """A run is over: notice number, the run's id, how it ended, after how many seconds, its result."""
+class RunFinished:
+    """A run is over.
+
+    Attributes:
+        number: The number of this notice.
+        name: The id of the run's request.
+    """
 
     number: int
     name: bytes
     outcome: Outcome
-    took: float
+    run_time_s: float
     result: bytes
 
 
 @dataclass(slots=True)
 class Gauges:
-    """The gauges, in the order of the settings, as asked for under `tag`."""
+    """The gauges, in the order of the settings, as queried under `tag`."""
 
     tag: bytes
     values: tuple[float | None, ...]
 
 
 @dataclass(slots=True)
-class Rejected:
+class CommandRejected:
     """A command was not carried out."""
 
     command: Command
@@ -78,126 +95,140 @@
 
 @dataclass(slots=True)
 class CallNeeded:
-    """A run stands at a call of a service below, and waits for its result: notice number, the run's id."""
+    """A run waits for the result of a call of a dependency."""
 
     number: int
     name: bytes
 
 
 @dataclass(slots=True)
-class Remark:
-    """A numbered notice with no meaning."""
+class IgnoredNotice:
+    """A numbered notice without a meaning."""
 
     number: int
 
 
-Notice: TypeAlias = Greeting | RunOver | Gauges | Rejected | CallNeeded | Remark
+Notice: TypeAlias = Greeting | RunFinished | Gauges | CommandRejected | CallNeeded | IgnoredNotice
 
 
-def connect(last: int) -> bytes:
-    return b"CONNECT %d\r\n" % last
+def encode_connect(last_notice: int) -> bytes:
+    """Encode the first message of a link; the interpreter repeats all notices after `last_notice`."""
+    return b"CONNECT %d\r\n" % last_notice
 
 
-def apply(name: bytes, request_class: bytes, body: bytes) -> bytes:
+def encode_start_run(name: bytes, request_class: bytes, body: bytes) -> bytes:
+    """Encode the command that starts a run."""
     return b"APPLY %b %b %d\r\n%b\r\n" % (name, request_class, len(body), body)
 
 
-def halt(name: bytes) -> bytes:
+def encode_cancel_run(name: bytes) -> bytes:
+    """Encode the command that cancels a run."""
     return b"BREAK %b\r\n" % name
 
 
-def ask_gauges(tag: bytes) -> bytes:
+def encode_gauge_query(tag: bytes) -> bytes:
+    """Encode the query for the gauges; the answer repeats `tag`."""
     return b"TOP %b\r\n" % tag
 
 
 class Parser:
-    """Takes bytes as they come, gives the notices that are complete."""
+    """Incremental parser: takes bytes as they are read and returns the notices that are complete."""
 
     def __init__(self) -> None:
-        self._bytes = bytearray()
+        self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Notice]:
-        """All notices up to the first that is none; GarbledError if that is the first, each time anew."""
-        self._bytes += data
-        found: list[Notice] = []
+        """Return the complete notices up to the first that is invalid.
+
+        Raises:
+            ProtocolError: The first one is invalid. It stays in the buffer, so each further call raises.
+        """
+        self._buffer += data
+        notices: list[Notice] = []
         try:
-            while (notice := self._next()) is not None:
-                found.append(notice)
-        except GarbledError:
-            if not found:
+            while (notice := self._next_notice()) is not None:
+                notices.append(notice)
+        except ProtocolError:
+            if not notices:
                 raise
-        return found
-
-    def _next(self) -> Notice | None:
-        end = self._bytes.find(b"\r\n")
-        if end < 0:
-            if len(self._bytes) > LINE_MOST:
-                raise GarbledError("a line without an end")
+        return notices
+
+    def _next_notice(self) -> Notice | None:
+        """Remove the next notice from the buffer and return it; None while it is incomplete."""
+        line_end = self._buffer.find(b"\r\n")
+        if line_end < 0:
+            if len(self._buffer) > MAX_LINE_BYTES:
+                raise ProtocolError("a line without an end")
             return None
-        words = bytes(self._bytes[:end]).split(b" ")
+        words = bytes(self._buffer[:line_end]).split(b" ")
         try:
-            size = _length(words)
-            if size is None:
-                notice, stop = _notice(words), end + 2
-            else:
-                stop = end + size + 4
-                if len(self._bytes) < stop:
-                    return None
-                if self._bytes[stop - 2 : stop] != b"\r\n":
-                    raise GarbledError("what follows a line does not end where its length says")
-                notice = _notice(words, bytes(self._bytes[end + 2 : stop - 2]))
-        except GarbledError as trouble:
-            numbered = len(words) > 1 and words[0] not in UNNUMBERED and words[1].isdigit()
-            trouble.number = int(words[1][:19]) if numbered else 0
-            trouble.name = words[2] if words[0] == b"VALUE" and len(words) > 2 else b""
+            size = _payload_size(words)
+            notice_end = line_end + 2 if size is None else line_end + size + 4
+            if len(self._buffer) < notice_end:
+                return None
+            if self._buffer[notice_end - 2 : notice_end] != b"\r\n":
+                raise ProtocolError("what follows a line does not end where its length says")
+            notice = _parse_notice(words, bytes(self._buffer[line_end + 2 : notice_end - 2]))
+        except ProtocolError as error:
+            _describe_notice(error, words)
             raise
-        del self._bytes[:stop]
+        del self._buffer[:notice_end]
         return notice
 
 
-def _length(words: list[bytes]) -> int | None:
-    """How many bytes follow a line, None for none."""
+def _describe_notice(error: ProtocolError, words: list[bytes]) -> None:
+    """Note on `error` which notice is invalid, as far as that can be parsed."""
+    numbered = len(words) > 1 and words[0] not in UNNUMBERED and words[1].isdigit()
+    error.number = int(words[1][:MAX_DIGITS]) if numbered else 0
+    error.name = words[2] if words[0] == b"VALUE" and len(words) > 2 else b""
+
+
+def _payload_size(words: list[bytes]) -> int | None:
+    """Return how many bytes follow a line, or None if nothing does."""
     match words:
         case [b"VALUE", number, _, _, _, size] | [b"AWAIT", number, _, size]:
-            _whole(number)
-            return _whole(size, FOLLOWING_MOST)
+            _parse_integer(number)
+            return _parse_integer(size, MAX_PAYLOAD_BYTES)
     return None
 
 
-def _run_over(words: list[bytes], result: bytes) -> RunOver:
-    if words[3] not in ENDS:
-        raise GarbledError(f"no such end: {words[3]!r}")
-    return RunOver(_whole(words[1]), words[2], ENDS[words[3]], _number(words[4]) / 1000, result)
-
-
-def _notice(words: list[bytes], following: bytes = b"") -> Notice:
+def _parse_notice(words: list[bytes], payload: bytes) -> Notice:
     match words:
-        case [b"BANNER", (b"booting" | b"steady") as state, age]:
-            return Greeting(state == b"booting", _number(age) / 1000)
+        case [b"BANNER", (b"booting" | b"steady") as state, uptime_ms]:
+            return Greeting(state == b"booting", _parse_number(uptime_ms) / 1000)
         case [b"VALUE", _, _, _, _] | [b"VALUE", _, _, _, _, _]:
-            return _run_over(words, following)
+            return _parse_run_finished(words, payload)
         case [b"AWAIT", number, name, _]:
-            return CallNeeded(_whole(number), name)
+            return CallNeeded(_parse_integer(number), name)
         case [b"TOPS", tag, *values]:
-            return Gauges(tag, tuple(None if value == b"-" else _number(value) for value in values))
+            return Gauges(tag, tuple(None if value == b"-" else _parse_number(value) for value in values))
         case [b"ERROR", command, name, *_]:
-            return Rejected(COMMANDS.get(command, Command.OTHER), name)
+            return CommandRejected(COMMANDS.get(command, Command.OTHER), name)
         case [b"TRACE", number, *_]:
-            return Remark(_whole(number))
-    raise GarbledError(f"not a notice: {b' '.join(words)[:80]!r}")
+            return IgnoredNotice(_parse_integer(number))
+    raise ProtocolError(f"not a notice: {b' '.join(words)[:80]!r}")
+
+
+def _parse_run_finished(words: list[bytes], result: bytes) -> RunFinished:
+    _, number, name, outcome, run_time_ms = words[:5]
+    if outcome not in OUTCOMES:
+        raise ProtocolError(f"no such end: {outcome!r}")
+    return RunFinished(
+        _parse_integer(number), name, OUTCOMES[outcome], _parse_number(run_time_ms) / 1000, result
+    )
 
 
-def _number(word: bytes) -> float:
+def _parse_number(word: bytes) -> float:
     try:
         value = float(word)
     except ValueError:
-        raise GarbledError(f"not a number: {word[:40]!r}") from None
-    if value - value != 0 or value < 0:
-        raise GarbledError(f"not a finite number: {word[:40]!r}")
+        raise ProtocolError(f"not a number: {word[:40]!r}") from None
+    if not isfinite(value) or value < 0:
+        raise ProtocolError(f"not a finite number: {word[:40]!r}")
     return value
 
 
-def _whole(word: bytes, most: int = 1 << 63) -> int:
-    if not word.isdigit() or len(word) > 19 or int(word) > most:
-        raise GarbledError(f"not a whole number in range: {word[:40]!r}")
+def _parse_integer(word: bytes, limit: int = 1 << 63) -> int:
+    if not word.isdigit() or len(word) > MAX_DIGITS or int(word) > limit:
+        raise ProtocolError(f"not a whole number in range: {word[:40]!r}")
     return int(word)
--- a/sablewheel/protocol/naming.py
+++ b/sablewheel/protocol/naming.py
@@ -1,5 +1,6 @@
 """Reports to the name service: one datagram of three words."""
 
 
-def report(name: str, serving: bool) -> bytes:
-    return f"renew {name} {'yes' if serving else 'no'}".encode("utf-8", "replace")
+def encode_report(server_name: str, serving: bool) -> bytes:
+    """Encode the report that keeps a server listed."""
+    return f"renew {server_name} {'yes' if serving else 'no'}".encode("utf-8", "replace")
--- a/sablewheel/protocol/resp.py
+++ b/sablewheel/protocol/resp.py
@@ -1,4 +1,7 @@
-"""The routers' protocol: RESP arrays of bulk strings. The wire's own words stay in this file."""
+"""The clients' protocol: RESP arrays of bulk strings.
+
+The protocol's own words (verbs, field names, states) stay in this module.
+"""
 
 from __future__ import annotations
 
@@ -6,13 +9,13 @@
 from dataclasses import dataclass
 from typing import TypeAlias
 
-WORDS_MOST = 16
-WORD_MOST = 1 << 16  # what one bulk string may hold before the connection is past saving
-BODY_MOST = 2048
-DIGITS_MOST = 19
-KB_UNDER = 2000.0
-# The shapes that fields must have; Python's own readers take signs, blanks, underscores and exponents.
-SHAPES = {
+MAX_FRAME_WORDS = 16
+MAX_WORD_BYTES = 1 << 16
+MAX_BODY_BYTES = 2048
+MAX_DIGITS = 19
+MEMORY_LIMIT_KB = 2000.0  # exclusive
+# Python's own number parsers also accept signs, blanks, underscores and exponents.
+FIELD_PATTERNS = {
     b"ref": re.compile(rb"[0-9a-fA-F]{16}"),
     b"since": re.compile(rb"[0-9]{1,16}"),
     b"sender": re.compile(rb"[0-9]{1,19}"),
@@ -24,13 +27,14 @@
     b"dup": re.compile(rb"[0-9]{1,9}"),
     b"effort": re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?"),
 }
-NEEDED = (b"ref", b"since", b"sender", b"room")
+REQUIRED_FIELDS = (b"ref", b"since", b"sender", b"room")
 
 
-class GarbledError(ValueError):
-    """The bytes are not frames of this protocol: nothing after them can be read.
+class ProtocolError(ValueError):
+    """The bytes are not frames of this protocol, so nothing after them can be parsed.
 
-    `frames` are those that came whole before them in the same read; they are owed their answers.
+    Attributes:
+        frames: The complete frames that preceded the error in the same read. They are still to be answered.
     """
 
     def __init__(self, reason: str) -> None:
@@ -38,8 +42,12 @@
         self.frames: list[list[bytes]] = []
 
 
-class FaultyError(ValueError):
-    """A whole frame that means nothing; `tag` is what an answer would carry, if it could be read."""
+class InvalidMessageError(ValueError):
+    """A complete frame that is not a valid message.
+
+    Attributes:
+        tag: The tag that an answer has to carry; 0 if it could not be parsed.
+    """
 
     def __init__(self, reason: str, tag: int = 0) -> None:
         super().__init__(reason)
@@ -47,201 +55,233 @@
 
 
 @dataclass(slots=True)
-class Asked:
-    """A try of a request: the fields that decisions need, and the rest as the bytes that came.
+class RequestMessage:
+    """One attempt of a request.
+
+    Fields that decisions depend on are parsed; the others stay as the bytes received. The last three are
+    present only where the settings say that clients send them.
 
-    The last three come only where the settings say so: until when its caller waits, whether it is a further
-    try, and for how many seconds it should run.
+    Attributes:
+        arrived_at_unix: When the request reached the machine, in seconds of Unix time.
+        deadline_unix: When the client stops waiting, in seconds of Unix time.
+        cost_hint_s: The expected run time.
     """
 
     tag: int
     name: bytes
     request_class: bytes
-    router: bytes
+    client: bytes
     tenant: bytes
-    since: float
-    kb: float
+    arrived_at_unix: float
+    memory_kb: float
     idempotency_key: bytes | None
     subject: str | None
     body: bytes
-    until: float | None = None
-    again: bool = False
-    estimate: float | None = None
+    deadline_unix: float | None = None
+    is_retry: bool = False
+    cost_hint_s: float | None = None
 
 
 @dataclass(slots=True)
-class Withdrawn:
-    """Nobody waits for the answer to `tag` any more."""
+class CancelMessage:
+    """The client no longer waits for the answer to `tag`."""
 
     tag: int
 
 
 @dataclass(slots=True)
-class Checked:
+class HealthCheckMessage:
     """A health check."""
 
     tag: int
 
 
-Message: TypeAlias = Asked | Withdrawn | Checked
+Message: TypeAlias = RequestMessage | CancelMessage | HealthCheckMessage
 
 
 class Parser:
-    """Takes bytes as they come, gives the arrays that are complete."""
+    """Incremental parser: takes bytes as they are read and returns the arrays that are complete."""
 
     def __init__(self) -> None:
-        self._bytes = bytearray()
-        self._at = 0
+        self._buffer = bytearray()
+        self._position = 0
         self._words: list[bytes] = []
-        self._left = 0  # words still to come in the open array
+        self._missing_words = 0  # of the open array
 
     @property
     def partial(self) -> bool:
-        """Whether an array has begun whose end is still to come."""
-        return bool(self._bytes or self._left)
+        """Whether an array has begun but not ended."""
+        return bool(self._buffer or self._missing_words)
 
     def feed(self, data: bytes) -> list[list[bytes]]:
-        self._bytes += data
-        self._at = 0
-        found: list[list[bytes]] = []
+        """Return the frames that `data` completes.
+
+        Raises:
+            ProtocolError: The bytes are not of this protocol.
+        """
+        self._buffer += data
+        self._position = 0
+        frames: list[list[bytes]] = []
         try:
-            self._take_whole(found)
-        except GarbledError as trouble:
-            trouble.frames = found
+            self._parse_frames(frames)
+        except ProtocolError as error:
+            error.frames = frames
             raise
-        del self._bytes[: self._at]
-        return found
+        del self._buffer[: self._position]
+        return frames
 
-    def _take_whole(self, found: list[list[bytes]]) -> None:
-        """Take all frames that are whole, one by one."""
+    def _parse_frames(self, frames: list[list[bytes]]) -> None:
+        """Append all complete frames to `frames`."""
         while True:
-            if not self._left:
-                count = self._length(b"*", WORDS_MOST)
+            if not self._missing_words:
+                count = self._parse_length(b"*", MAX_FRAME_WORDS)
                 if count is None:
                     return
                 if not count:
-                    raise GarbledError("an empty array")
-                self._words, self._left = [], count
-            word = self._word()
+                    raise ProtocolError("an empty array")
+                self._words, self._missing_words = [], count
+            word = self._parse_word()
             if word is None:
                 return
             self._words.append(word)
-            self._left -= 1
-            if not self._left:
-                found.append(self._words)
-
-    def _length(self, mark: bytes, most: int) -> int | None:
-        """The number of a header line, or None while its end is missing."""
-        start = self._at
-        if len(self._bytes) > start and self._bytes[start : start + 1] != mark:
-            raise GarbledError(f"expected {mark!r}, got {bytes(self._bytes[start : start + 1])!r}")
-        end = self._bytes.find(b"\r\n", start, start + DIGITS_MOST + 3)
-        digits = bytes(self._bytes[start + 1 : end if end >= 0 else None])
+            self._missing_words -= 1
+            if not self._missing_words:
+                frames.append(self._words)
+
+    def _parse_length(self, prefix: bytes, limit: int) -> int | None:
+        """Return the number in a header line, or None while the line is incomplete."""
+        start = self._position
+        if len(self._buffer) > start and self._buffer[start : start + 1] != prefix:
+            raise ProtocolError(f"expected {prefix!r}, got {bytes(self._buffer[start : start + 1])!r}")
+        end = self._buffer.find(b"\r\n", start, start + MAX_DIGITS + 3)
+        digits = bytes(self._buffer[start + 1 : end if end >= 0 else None])
         if end < 0:
-            if len(digits) > DIGITS_MOST + 1:
-                raise GarbledError("a length without an end")
+            if len(digits) > MAX_DIGITS + 1:
+                raise ProtocolError("a length without an end")
             return None
-        if not digits.isdigit() or int(digits) > most:
-            raise GarbledError(f"not a length in range: {digits!r}")
-        self._at = end + 2
+        if not digits.isdigit() or int(digits) > limit:
+            raise ProtocolError(f"not a length in range: {digits!r}")
+        self._position = end + 2
         return int(digits)
 
-    def _word(self) -> bytes | None:
-        back = self._at
-        size = self._length(b"$", WORD_MOST)
+    def _parse_word(self) -> bytes | None:
+        """Return the next bulk string, or None while it is incomplete."""
+        word_start = self._position
+        size = self._parse_length(b"$", MAX_WORD_BYTES)
         if size is None:
             return None
-        start, end = self._at, self._at + size
-        if len(self._bytes) < end + 2:
-            self._at = back
+        start, end = self._position, self._position + size
+        if len(self._buffer) < end + 2:
+            self._position = word_start
             return None
-        if self._bytes[end : end + 2] != b"\r\n":
-            raise GarbledError("a bulk string does not end where its length says")
-        self._at = end + 2
-        return bytes(self._bytes[start:end])
+        if self._buffer[end : end + 2] != b"\r\n":
+            raise ProtocolError("a bulk string does not end where its length says")
+        self._position = end + 2
+        return bytes(self._buffer[start:end])
 
 
-def message(words: list[bytes]) -> Message:
-    """What a frame means; raises `FaultyError` for one that means nothing."""
-    if len(words) < 2 or not words[1].isdigit() or len(words[1]) > DIGITS_MOST or not int(words[1]):
-        raise FaultyError("no tag that can be read")
+def parse_message(words: list[bytes]) -> Message:
+    """Return the message that a frame carries.
+
+    Raises:
+        InvalidMessageError: The frame is not a valid message.
+    """
+    if len(words) < 2 or not words[1].isdigit() or len(words[1]) > MAX_DIGITS or not int(words[1]):
+        raise InvalidMessageError("no tag that can be read")
     verb, tag = words[0], int(words[1])
     match verb, len(words):
         case b"RPC.CALL", 4 | 5:
-            return _asked(tag, words)
+            return _parse_request(tag, words)
         case b"RPC.CANCEL", _:
-            return Withdrawn(tag)
+            return CancelMessage(tag)
         case b"RPC.HEALTH", _:
-            return Checked(tag)
-    raise FaultyError(f"no such verb, or not with {len(words)} words: {verb[:40]!r}", tag)
+            return HealthCheckMessage(tag)
+    raise InvalidMessageError(f"no such verb, or not with {len(words)} words: {verb[:40]!r}", tag)
 
 
-def _asked(tag: int, words: list[bytes]) -> Asked:
+def _parse_request(tag: int, words: list[bytes]) -> RequestMessage:
     body = words[4] if len(words) > 4 else b""
-    if len(body) > BODY_MOST:
-        raise FaultyError(f"a body of {len(body)} bytes", tag)
-    fields: dict[bytes, bytes] = {}
-    for pair in words[3].split(b","):
-        name, mark, value = pair.partition(b"=")
-        if not mark or name in fields:
-            raise FaultyError(f"not a field: {pair[:40]!r}", tag)
-        if name in SHAPES and not SHAPES[name].fullmatch(value):
-            raise FaultyError(f"a field that can't be read: {pair[:60]!r}", tag)
-        fields[name] = value
-    for name in NEEDED:
-        if name not in fields:
-            raise FaultyError(f"no field {name!r}", tag)
-    kb = float(fields[b"room"])
-    if not 0 < kb < KB_UNDER:
-        raise FaultyError(f"a figure out of range: room={kb:g}", tag)
-    since = int(fields[b"since"]) / 1000
-    return Asked(
+    if len(body) > MAX_BODY_BYTES:
+        raise InvalidMessageError(f"a body of {len(body)} bytes", tag)
+    fields = _parse_fields(tag, words[3])
+    memory_kb = float(fields[b"room"])
+    if not 0 < memory_kb < MEMORY_LIMIT_KB:
+        raise InvalidMessageError(f"a figure out of range: room={memory_kb:g}", tag)
+    arrived_at_unix = int(fields[b"since"]) / 1000
+    deadline_unix = arrived_at_unix + int(fields[b"allow"]) / 1000 if b"allow" in fields else None
+    return RequestMessage(
         tag=tag,
         name=fields[b"ref"],
         request_class=words[2],
-        router=fields[b"sender"],
+        client=fields[b"sender"],
         tenant=fields.get(b"project", b""),
-        since=since,
-        kb=kb,
+        arrived_at_unix=arrived_at_unix,
+        memory_kb=memory_kb,
         idempotency_key=fields.get(b"replay"),
         subject=fields[b"lookup"].decode("ascii") if b"lookup" in fields else None,
         body=body,
-        until=since + int(fields[b"allow"]) / 1000 if b"allow" in fields else None,
-        again=b"dup" in fields and int(fields[b"dup"]) > 0,
-        estimate=float(fields[b"effort"]) / 1000 if b"effort" in fields else None,
+        deadline_unix=deadline_unix,
+        is_retry=b"dup" in fields and int(fields[b"dup"]) > 0,
+        cost_hint_s=float(fields[b"effort"]) / 1000 if b"effort" in fields else None,
     )
 
 
-def completed(tag: int, said: float | None, result: bytes) -> bytes:
-    return _array(b"%d" % tag, b"OK", _fields(said), result)
+def _parse_fields(tag: int, word: bytes) -> dict[bytes, bytes]:
+    """Return the fields of a request by name, each of the form that the protocol gives it."""
+    fields: dict[bytes, bytes] = {}
+    for pair in word.split(b","):
+        name, separator, value = pair.partition(b"=")
+        if not separator or name in fields:
+            raise InvalidMessageError(f"not a field: {pair[:40]!r}", tag)
+        if name in FIELD_PATTERNS and not FIELD_PATTERNS[name].fullmatch(value):
+            raise InvalidMessageError(f"a field that can't be read: {pair[:60]!r}", tag)
+        fields[name] = value
+    for name in REQUIRED_FIELDS:
+        if name not in fields:
+            raise InvalidMessageError(f"no field {name!r}", tag)
+    return fields
+
+
+def encode_completed(tag: int, advertised: float | None, result: bytes) -> bytes:
+    """Encode the answer of a request that was served."""
+    return _encode_array(b"%d" % tag, b"OK", _encode_fields(advertised), result)
 
 
-def rejected(tag: int, said: float | None, retry_after_s: float, no_retry_elsewhere: bool) -> bytes:
-    return _array(b"%d" % tag, b"BUSY", _fields(said, retry_after_s, no_retry_elsewhere), b"")
+def encode_rejected(
+    tag: int, advertised: float | None, retry_after_s: float, no_retry_elsewhere: bool
+) -> bytes:
+    """Encode the answer of a request that was refused and never ran."""
+    fields = _encode_fields(advertised, retry_after_s, no_retry_elsewhere)
+    return _encode_array(b"%d" % tag, b"BUSY", fields, b"")
 
 
-def failed(tag: int, said: float | None) -> bytes:
-    return _array(b"%d" % tag, b"FAILED", _fields(said), b"")
+def encode_failed(tag: int, advertised: float | None) -> bytes:
+    """Encode the answer of a request that failed."""
+    return _encode_array(b"%d" % tag, b"FAILED", _encode_fields(advertised), b"")
 
 
-def checked(tag: int, said: float | None, good: bool) -> bytes:
-    return _array(b"%d" % tag, b"UP" if good else b"DOWN", _fields(said), b"")
+def encode_health(tag: int, advertised: float | None, healthy: bool) -> bytes:
+    """Encode the answer of a health check."""
+    return _encode_array(b"%d" % tag, b"UP" if healthy else b"DOWN", _encode_fields(advertised), b"")
 
 
-def farewell() -> bytes:
-    return _array(b"0", b"BYE")
+def encode_close_notice() -> bytes:
+    """Encode the notice after which the client sends no new request on the connection."""
+    return _encode_array(b"0", b"BYE")
 
 
-def _fields(said: float | None, retry_after_s: float = 0.0, no_retry_elsewhere: bool = False) -> bytes:
-    parts = []
-    if said is not None:
-        parts.append(b"pressure=" + f"{said:.6f}".rstrip("0").rstrip(".").encode())
+def _encode_fields(
+    advertised: float | None, retry_after_s: float = 0.0, no_retry_elsewhere: bool = False
+) -> bytes:
+    fields = []
+    if advertised is not None:
+        fields.append(b"pressure=" + f"{advertised:.6f}".rstrip("0").rstrip(".").encode())
     if retry_after_s > 0:
-        parts.append(b"cooldown=%d" % max(round(retry_after_s * 1000), 1))
+        fields.append(b"cooldown=%d" % max(round(retry_after_s * 1000), 1))
     if no_retry_elsewhere:
-        parts.append(b"nowhere=1")
-    return b",".join(parts)
+        fields.append(b"nowhere=1")
+    return b",".join(fields)
 
 
-def _array(*words: bytes) -> bytes:
+def _encode_array(*words: bytes) -> bytes:
     return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%b\r\n" % (len(word), word) for word in words)
--- a/sablewheel/replication/service.py
+++ b/sablewheel/replication/service.py
@@ -21,9 +21,9 @@
 
 from ..membership.view import View
 from ..overload.interface import Client, Idempotency, Outcome, Request, RequestClass
-from ..serving.delayed_answers import DUE_SPARE
-from ..serving.exchange import Caller, Exchange, Place, RequestObserver, digest
-from ..serving.hooks import Memory
+from ..serving.delayed_answers import DEADLINE_MARGIN_S
+from ..serving.exchange import Caller, Exchange, ExchangeState, RequestObserver, digest
+from ..serving.hooks import ResultStore
 from ..serving.idempotency_keys import IdempotencyTable
 from ..transport.scheduler import Scheduler
 from ..transport.wakeup import Wake
@@ -102,7 +102,7 @@
 
 
 class Keeper:
-    """Memory and observer of one server's keyed runs, in front of those given as `inner`."""
+    """ResultStore and observer of one server's keyed runs, in front of those given as `inner`."""
 
     def __init__(
         self,
@@ -111,7 +111,7 @@
         plan: ReplicationPlan,
         name: str,
         birth: int,
-        memory: Memory,
+        memory: ResultStore,
         observer: RequestObserver,
         never_begun: Run,
         count: Callable[[str], None],
@@ -150,20 +150,20 @@
     def ready(self) -> bool:
         return self._memory.ready
 
-    def recalled(self, born: float, idempotency_keys: IdempotencyTable) -> list[tuple[Request, float]]:
-        return self._memory.recalled(born, idempotency_keys)
+    def recover_keys(self, born: float, idempotency_keys: IdempotencyTable) -> list[tuple[Request, float]]:
+        return self._memory.recover_keys(born, idempotency_keys)
 
-    def adopted(self) -> tuple[list[Exchange], int]:
-        return self._memory.adopted()
+    def runs_to_adopt(self) -> tuple[list[Exchange], int]:
+        return self._memory.runs_to_adopt()
 
-    def may_not_run(self, exchange: Exchange) -> bool:
-        return self._memory.may_not_run(exchange)
+    def may_have_run(self, exchange: Exchange) -> bool:
+        return self._memory.may_have_run(exchange)
 
     def prepare(self, exchange: Exchange) -> None:
         """What a claim will take, and whether there may be one: the controller's to weigh."""
         self._memory.prepare(exchange)
         idempotency_key, request = exchange.idempotency_key, exchange.request
-        if idempotency_key is None or exchange.first is not None:
+        if idempotency_key is None or exchange.original is not None:
             return
         group, _ = self.group_of(exchange)
         if not self.reachable(group):
@@ -177,8 +177,8 @@
     def reachable(self, group: bytes) -> bool:
         return self.replica.reachable(group, self._clock(), self._plan.reject_after)
 
-    def remember(self, exchange: Exchange) -> None:
-        self._memory.remember(exchange)
+    def reserve(self, exchange: Exchange) -> None:
+        self._memory.reserve(exchange)
 
     def release(self, exchange: Exchange) -> None:
         self._memory.release(exchange)
@@ -200,7 +200,7 @@
         group, under = self.group_of(exchange)
         self._step(Claim(self._refs, idempotency_key, group, life, same, under))
 
-    def ended(self, exchange: Exchange, outcome: Outcome, result: bytes) -> None:
+    def run_ended(self, exchange: Exchange, outcome: Outcome, result: bytes) -> None:
         """A run is over, or never began."""
         idempotency_key = exchange.idempotency_key
         if idempotency_key is not None and self._claims.get(idempotency_key) is exchange:
@@ -214,7 +214,7 @@
                 self._step(
                     Finish(idempotency_key, "worked" if worked else "failed", result if worked else b"")
                 )
-        self._memory.ended(exchange, outcome, result)
+        self._memory.run_ended(exchange, outcome, result)
 
     # -- the observer: answers wait for outcomes
 
@@ -224,7 +224,7 @@
             return self._observer.completed(exchange, result, caller)
         one, now = Held(exchange, result, caller), self._scheduler.clock.now
         held.append(one)
-        wait = min(self._plan.hold_most, max(exchange.request.deadline - DUE_SPARE - now, 0.0))
+        wait = min(self._plan.hold_most, max(exchange.request.deadline - DEADLINE_MARGIN_S - now, 0.0))
         self._scheduler.after(wait, lambda: self._let_go(held, one))
 
     def _let_go(self, held: list[Held], one: Held) -> None:
@@ -240,8 +240,8 @@
     def failed(self, exchange: Exchange) -> None:
         self._observer.failed(exchange)
 
-    def gone(self, exchange: Exchange) -> None:
-        self._observer.gone(exchange)
+    def cancelled(self, exchange: Exchange) -> None:
+        self._observer.cancelled(exchange)
 
     # -- what a claim came to
 
@@ -261,7 +261,9 @@
         assert idempotency_key is not None
         if answer.verdict == "won":
             self._times.append(self._clock() - asked.began)
-            if exchange.place is not Place.RUNNING or (exchange.closed and not exchange.joined):
+            if exchange.state is not ExchangeState.RUNNING or (
+                exchange.closed and not exchange.attached_duplicates
+            ):
                 self._step(Free(idempotency_key))  # nobody waits for it any more
                 return self._never_ran(exchange)
             if not self.may_begin(exchange, asked.began):
@@ -284,21 +286,21 @@
 
     def _end(self, exchange: Exchange, how: Callable[[Exchange], None]) -> None:
         """It never runs here: it and those that joined it get their answers, and it leaves the table."""
-        for one in [exchange, *exchange.joined]:
+        for one in [exchange, *exchange.attached_duplicates]:
             how(one)
         self._never_ran(exchange)
 
     def _never_ran(self, exchange: Exchange) -> None:
-        if exchange.place is Place.RUNNING:
+        if exchange.state is ExchangeState.RUNNING:
             self._never_begun(exchange)
 
     def _elsewhere(self, exchange: Exchange, idempotency_key: bytes, entry: Entry) -> None:
         """Another server has its idempotency key. The try is no longer the controller's: waiting takes
         no core.
         """
-        due = exchange.request.deadline - DUE_SPARE
+        due = exchange.request.deadline - DEADLINE_MARGIN_S
         those = []
-        for one in [exchange, *exchange.joined]:
+        for one in [exchange, *exchange.attached_duplicates]:
             caller = one.detach()
             if caller is not None:
                 those.append((one, caller))
@@ -348,9 +350,9 @@
         for exchange, caller in those:
             if outcome is not None and outcome.how == "worked":
                 first = self._stand_in(exchange)
-                exchange.place, exchange.first = Place.JOINED, first
+                exchange.state, exchange.original = ExchangeState.ATTACHED, first
                 exchange.observer.completed(exchange, outcome.result, caller)
-                exchange.place, exchange.first = Place.OVER, None
+                exchange.state, exchange.original = ExchangeState.FINISHED, None
                 self._count("replication_answered_from_outcome")
             else:
                 exchange.observer.failed(exchange)
--- a/sablewheel/result_store/recorder.py
+++ b/sablewheel/result_store/recorder.py
@@ -16,8 +16,8 @@
 from pathlib import Path
 
 from ..overload.interface import Client, Idempotency, Outcome, Request, RequestClass, Stage
-from ..serving.delayed_answers import Held, Holding
-from ..serving.exchange import Caller, Exchange, Place, RequestObserver, digest
+from ..serving.delayed_answers import DelayedAnswer, DelayedAnswers
+from ..serving.exchange import Caller, Exchange, ExchangeState, RequestObserver, digest
 from ..serving.idempotency_keys import IdempotencyTable
 from ..storage import log as durable
 from ..storage.files import DiskFiles
@@ -109,7 +109,7 @@
         self._leaving = False
         self._prepared = 0  # in this round: who may want room beside those that are remembered
         self._anew = False  # the next record says that notices are numbered anew
-        self._holding = Holding(scheduler, plan.hold_most, self._release)
+        self._holding = DelayedAnswers(scheduler, plan.hold_most, self._release)
         self._adopted: dict[bytes, Exchange] = {}
         self.last_notice = 0
         self._written: float | None = None  # when the last record was, by the clock of now
@@ -174,7 +174,7 @@
         self.ready = True
         self._remembered()
 
-    def recalled(self, born: float, idempotency_keys: IdempotencyTable) -> list[tuple[Request, float]]:
+    def recover_keys(self, born: float, idempotency_keys: IdempotencyTable) -> list[tuple[Request, float]]:
         """The interpreter is up, since `born`: put what is remembered into the table of idempotency keys.
 
         Gives the controller's part: requests that are over, and how long their idempotency keys count. A run
@@ -195,18 +195,18 @@
                 self._count("recall_unknown")
             exchange = self._exchange(entry, request_class)
             if entry.state is State.INTENDED:
-                exchange.place = Place.RUNNING
+                exchange.state = ExchangeState.RUNNING
                 self._adopted[entry.name] = exchange
                 self._count("recall_adopted")
             life = entry.until - now
-            idempotency_keys.remember(exchange, now, life)
+            idempotency_keys.reserve(exchange, now, life)
             if entry.state is State.WORKED:
-                idempotency_keys.keep(exchange, entry.result)
+                idempotency_keys.store_result(exchange, entry.result)
             told.append((exchange.request, life))
             self._count("recall_labels")
         return told
 
-    def adopted(self) -> tuple[list[Exchange], int]:
+    def runs_to_adopt(self) -> tuple[list[Exchange], int]:
         """Runs of the predecessor whose ends the interpreter may still tell, and the last notice read."""
         return list(self._adopted.values()), self.last_notice
 
@@ -219,7 +219,7 @@
         exchange = Exchange(
             entry.name, entry.request_class.encode(), b"", 0, entry.idempotency_key, request, None
         )
-        exchange.place = Place.OVER
+        exchange.state = ExchangeState.FINISHED
         exchange.digest = entry.sameness
         exchange.billed = entry.state is not State.INTENDED
         return exchange
@@ -233,7 +233,7 @@
 
     # -- what the dispatch asks and tells
 
-    def may_not_run(self, exchange: Exchange) -> bool:
+    def may_have_run(self, exchange: Exchange) -> bool:
         """Whether a keyed request without a remembered first may have run in a predecessor."""
         if self._plan.cold in (Start.RUN, Start.WAIT) or (self._store is not None and not self._damaged):
             return False
@@ -270,7 +270,7 @@
         under_way = now - self._given_at if self._given_at else 0.0
         return max(usual, under_way) + self._plan.commit_every
 
-    def remember(self, exchange: Exchange) -> None:
+    def reserve(self, exchange: Exchange) -> None:
         """Its idempotency key is kept from now on: the intent goes out at once, so that its commit passes
         while the request waits for a core.
         """
@@ -299,7 +299,7 @@
             self._intents.remove(entry)  # nobody was told of it
         else:
             never = pb.Outcome(
-                label=entry.idempotency_key, name=entry.name, how=pb.NEVER, notice=exchange.notice
+                label=entry.idempotency_key, name=entry.name, how=pb.NEVER, notice=exchange.notice_number
             )
             self._outcomes.append(never)
         self._memory.forget(entry.idempotency_key, entry.name)
@@ -322,7 +322,7 @@
                 waiting = runs
         waiting.append(Waiting(exchange, run))
 
-    def ended(self, exchange: Exchange, outcome: Outcome, result: bytes) -> None:
+    def run_ended(self, exchange: Exchange, outcome: Outcome, result: bytes) -> None:
         """A keyed run is over, or never began."""
         self._adopted.pop(exchange.name, None)
         if (
@@ -339,7 +339,7 @@
             if entry is None:
                 return
             told = written.outcome(entry)
-            told.notice = exchange.notice
+            told.notice = exchange.notice_number
             if state is State.WORKED:
                 told.result = result
             self._outcomes.append(told)
@@ -361,7 +361,7 @@
         if self._store.disk in (Disk.FULL, Disk.FAILING):
             self._count("recall_answers_ahead")
             return self._inner.completed(exchange, result, caller)
-        self._holding.hold(self._mark, exchange, result, caller)
+        self._holding.delay(self._mark, exchange, result, caller)
 
     def rejected(self, exchange: Exchange) -> None:
         self._inner.rejected(exchange)
@@ -369,10 +369,10 @@
     def failed(self, exchange: Exchange) -> None:
         self._inner.failed(exchange)
 
-    def gone(self, exchange: Exchange) -> None:
-        self._inner.gone(exchange)
+    def cancelled(self, exchange: Exchange) -> None:
+        self._inner.cancelled(exchange)
 
-    def _release(self, one: Held, ahead: bool) -> None:
+    def _release(self, one: DelayedAnswer, ahead: bool) -> None:
         if ahead:
             self._count("recall_answers_ahead")
         self._inner.completed(one.exchange, one.result, one.caller)
@@ -429,9 +429,9 @@
         free again.
         """
         exchange = one.exchange
-        if exchange.place is not Place.RUNNING:
+        if exchange.state is not ExchangeState.RUNNING:
             return
-        if exchange.closed and not exchange.joined:
+        if exchange.closed and not exchange.attached_duplicates:
             self._count("recall_not_begun")
             self._never_begun(exchange)
         else:
@@ -440,7 +440,7 @@
     def _disk_changed(self, disk: Disk) -> None:
         self._count(f"recall_disk_{disk.value}")
         if disk in (Disk.FULL, Disk.FAILING):
-            self._holding.let_all_go()
+            self._holding.release_all()
 
     # -- ageing
 
@@ -499,7 +499,7 @@
 
     def close(self) -> None:
         """The last instant: what is pending is written, answers that wait leave."""
-        self._holding.let_all_go()
+        self._holding.release_all()
         if self._store is not None:
             if (self._intents or self._outcomes) and self._store.idle:
                 self._write(self._store, self._scheduler.clock.now)
--- a/sablewheel/serving/__init__.py
+++ b/sablewheel/serving/__init__.py
@@ -1,1 +1,1 @@
-"""The path of a request: a router's connection, the exchange, the decision, the interpreter, the answer."""
+"""The path of a request: connection, exchange, controller, interpreter, answer."""
--- /dev/null
+++ b/sablewheel/serving/connection.py
@@ -0,0 +1,291 @@
+"""One client's connection: frames become exchanges, and answers are written in the order they are given."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+from math import inf
+from typing import Protocol
+
+from ..overload.interface import Request
+from ..protocol import resp
+from ..transport.scheduler import Scheduler
+from ..transport.stream import Stream
+from .close_reasons import CloseReason, log_reason
+from .exchange import Exchange, RequestObserver, ServerStatus
+
+MAX_OPEN_REQUESTS = 32  # by the protocol
+FIRST_FRAME_TIMEOUT_S = 2.0  # from connecting to its end: clients connect when they have one to send
+FRAME_TIMEOUT_S = 2.0  # of any later frame, from its first byte
+MAX_DISCARDED_BYTES = 1 << 16  # read past a connection's end, so that no reset takes answers away
+
+log = logging.getLogger(__name__)
+
+
+class ConnectionOwner(Protocol):
+    """What a connection needs of its listener."""
+
+    scheduler: Scheduler
+    server_status: ServerStatus
+    observer: RequestObserver
+    count: Callable[[str], None]
+
+    def make_request(self, message: resp.RequestMessage) -> Request:
+        """Return the request of a message. Raises `InvalidMessageError`."""
+
+    def arrived(self, exchange: Exchange) -> None:
+        """A request was received."""
+
+    def cancelled(self, exchange: Exchange) -> None:
+        """The client no longer waits."""
+
+    def answer_queued(self, connection: Connection) -> None:
+        """The connection has something to write at the end of the round."""
+
+    def closed(self, connection: Connection) -> None:
+        """The connection is no more."""
+
+
+class Connection:
+    """One client's connection, and the caller of the exchanges that it received.
+
+    Attributes:
+        open: The exchanges whose clients wait, by tag.
+        last_used_at: When something was last read or written.
+        frame_deadline: When the frame that is awaited or incomplete must have ended.
+        has_received: Whether a complete frame was received.
+        close_announced: Whether the client was told to send no new request, or can send none.
+        reading_stopped: Whether nothing more is taken in; answers may still be owed.
+        shut_down_at: When the writing side was shut down, if it was.
+    """
+
+    def __init__(self, owner: ConnectionOwner, stream: Stream) -> None:
+        self.stream = stream
+        self.open: dict[int, Exchange] = {}
+        self.last_used_at = owner.scheduler.clock.now
+        self.frame_deadline = self.last_used_at + FIRST_FRAME_TIMEOUT_S
+        self.has_received = False
+        self.close_announced = False
+        self.reading_stopped = False
+        self.shut_down_at: float | None = None
+        self._owner = owner
+        self._parser = resp.Parser()
+        self._answers: list[Callable[[float | None], bytes]] = []
+        self._discarded_bytes = 0
+        self._peer_open = True  # until the end of what the peer sends was read
+
+    @property
+    def idle(self) -> bool:
+        """Whether nothing is open and all answers are sent, also those of this round."""
+        return not self.open and not self._answers and self.stream.all_sent
+
+    # -- reading
+
+    def serve(self) -> None:
+        """Read until the end. The peer may close its side alone and still wait for answers."""
+        try:
+            while data := self.stream.read():
+                if not self.reading_stopped:
+                    self._receive(data)
+                elif self._discard(len(data)):
+                    break
+        except Exception:
+            # What is still to be read here would be lost unread if the connection stayed open.
+            log.exception("connection closed by a fault")
+            self._owner.count("faults")
+            return self.close(CloseReason.FAULT)
+        self._peer_open, self.frame_deadline = False, inf
+        if not self.stream.open or self.idle:
+            return self.close(CloseReason.PEER_ENDED)
+        if not self.reading_stopped:
+            self._owner.count("connections_half_closed")
+        self.close_announced = self.reading_stopped = True
+        return None
+
+    def _receive(self, data: bytes) -> None:
+        self.last_used_at = now = self._owner.scheduler.clock.now
+        invalid: resp.ProtocolError | None = None
+        try:
+            frames = self._parser.feed(data)
+        except resp.ProtocolError as error:
+            frames, invalid = error.frames, error
+        try:
+            for words in frames:
+                self._handle_frame(words)
+        except resp.ProtocolError as error:
+            invalid = error
+        if invalid is not None:
+            self._owner.count("frames_garbled")
+            log.warning("invalid data on connection", extra={"pairs": {"reason": invalid}})
+            return self.stop_reading(CloseReason.GARBLED)
+        self.has_received = self.has_received or bool(frames)
+        if not self._parser.partial:
+            self.frame_deadline = inf
+        elif frames or self.frame_deadline == inf:
+            self.frame_deadline = now + FRAME_TIMEOUT_S
+        return None
+
+    def _discard(self, size: int) -> bool:
+        """Discard what was read after reading stopped. Returns whether that is enough of it."""
+        if self.shut_down_at is not None and not self._discarded_bytes:
+            self._owner.count("connections_crossed")
+        self._discarded_bytes += size
+        return self._discarded_bytes > MAX_DISCARDED_BYTES
+
+    def _handle_frame(self, words: list[bytes]) -> None:
+        try:
+            match resp.parse_message(words):
+                case resp.RequestMessage() as message:
+                    self._handle_request(message)
+                case resp.CancelMessage(tag):
+                    self._owner.count("cancels_in")
+                    if tag in self.open:
+                        self._cancel(self.open[tag])
+                case resp.HealthCheckMessage(tag):
+                    self._handle_health_check(tag)
+        except resp.InvalidMessageError as error:
+            self._handle_invalid(error)
+
+    def _handle_health_check(self, tag: int) -> None:
+        self._owner.count("checks_in")
+        status = self._owner.server_status
+        healthy = status.healthy and status.interpreter_available
+        self._queue(lambda advertised: resp.encode_health(tag, advertised, healthy))
+
+    def _handle_invalid(self, error: resp.InvalidMessageError) -> None:
+        """Answer an invalid message with an error.
+
+        Raises:
+            ProtocolError: No answer could tell which request is meant.
+        """
+        self._owner.count("frames_faulty")
+        tag = error.tag
+        log.warning("invalid message", extra={"pairs": {"tag": tag, "reason": error}})
+        if not tag or tag in self.open:
+            if tag:
+                self._cancel(self.open[tag])
+            raise resp.ProtocolError(str(error)) from None
+        self._queue(lambda advertised: resp.encode_failed(tag, advertised))
+
+    def _handle_request(self, message: resp.RequestMessage) -> None:
+        owner, tag = self._owner, message.tag
+        owner.count("tickets_in")
+        if tag in self.open:
+            raise resp.InvalidMessageError("a tag that is still open", tag)
+        if len(self.open) >= MAX_OPEN_REQUESTS:
+            raise resp.InvalidMessageError("more open than allowed", tag)
+        request = owner.make_request(message)
+        exchange = Exchange(
+            message.name,
+            message.request_class,
+            message.body,
+            tag,
+            message.idempotency_key,
+            request,
+            self,
+            owner.observer,
+        )
+        if message.deadline_unix is not None:
+            exchange.client_deadline = request.arrived_at + (message.deadline_unix - message.arrived_at_unix)
+        self.open[tag] = exchange
+        try:
+            owner.arrived(exchange)
+        except Exception:
+            # An internal error costs the one request that met it; the others here go on.
+            log.exception("request failed by a fault", extra={"pairs": {"tag": tag}})
+            owner.count("faults")
+            exchange.fail()
+
+    def _cancel(self, exchange: Exchange) -> None:
+        self.open.pop(exchange.tag, None)
+        if exchange.cancel():
+            self._owner.count("tickets_gone")
+            self._owner.cancelled(exchange)
+
+    # -- closing
+
+    def announce_close(self, reason: CloseReason) -> None:
+        """Tell the client to send no new request here, and to close the connection once all is answered."""
+        if not self.close_announced:
+            self._log("close announced on connection", reason)
+            self.close_announced = True
+            self._queue(lambda _: resp.encode_close_notice())
+
+    def stop_reading(self, reason: CloseReason) -> None:
+        """Take in nothing more. Requests received before get their answers, then the connection ends."""
+        self._log("stopped reading from connection", reason)
+        self.close_announced = self.reading_stopped = True
+        self.frame_deadline = inf
+        if self.idle:
+            self.shut_down(reason)
+
+    def shut_down(self, reason: CloseReason) -> None:
+        """Shut down the writing side, and read on until the client closes its own or its time is up.
+
+        What the client sent meanwhile is discarded. The client sees the end of the stream, no answer and no
+        reset that would take along what it has not read yet, and sends its request again elsewhere.
+        """
+        if not self._peer_open:
+            return self.close(reason)
+        if self.shut_down_at is None:
+            self._log("connection shut down for writing", reason)
+            self.close_announced = self.reading_stopped = True
+            self.shut_down_at = self._owner.scheduler.clock.now
+            self.stream.shut()
+            if not self.stream.open:
+                self.close(CloseReason.BROKEN)
+        return None
+
+    def close(self, reason: CloseReason) -> None:
+        """Close the connection; the requests that are open on it are cancelled."""
+        self._log("connection closed", reason)
+        self.stream.close()
+        self._owner.closed(self)
+        for exchange in list(self.open.values()):
+            self._cancel(exchange)
+
+    def _log(self, event: str, reason: CloseReason) -> None:
+        log_reason(log, event, reason, open_requests=len(self.open), unsent=not self.stream.all_sent)
+
+    # -- answers
+
+    def completed(self, exchange: Exchange, result: bytes) -> None:
+        """Send a result."""
+        tag = exchange.tag
+        self._answer(exchange, "completed", lambda advertised: resp.encode_completed(tag, advertised, result))
+
+    def rejected(self, exchange: Exchange, retry_after_s: float, no_retry_elsewhere: bool) -> None:
+        """Answer that the request never ran."""
+        tag = exchange.tag
+        self._answer(
+            exchange,
+            "denied",
+            lambda advertised: resp.encode_rejected(tag, advertised, retry_after_s, no_retry_elsewhere),
+        )
+
+    def failed(self, exchange: Exchange) -> None:
+        """Answer with an error."""
+        tag = exchange.tag
+        self._answer(exchange, "terminated", lambda advertised: resp.encode_failed(tag, advertised))
+
+    def flush(self) -> None:
+        """Write the queued answers, each with the capacity that is advertised by now."""
+        advertised = self._owner.server_status.advertised
+        for encode in self._answers:
+            self.stream.write(encode(advertised))
+        self._answers.clear()
+        self.last_used_at = self._owner.scheduler.clock.now
+        self.stream.flush()
+        if not self.stream.open:
+            self.close(CloseReason.BROKEN)
+        elif self.reading_stopped and self.idle:
+            self.shut_down(CloseReason.ANSWERED)
+
+    def _answer(self, exchange: Exchange, outcome: str, encode: Callable[[float | None], bytes]) -> None:
+        self.open.pop(exchange.tag, None)
+        self._owner.count(f"tickets_{outcome}")
+        self._queue(encode)
+
+    def _queue(self, encode: Callable[[float | None], bytes]) -> None:
+        self._answers.append(encode)
+        self._owner.answer_queued(self)
--- a/sablewheel/serving/delayed_answers.py
+++ b/sablewheel/serving/delayed_answers.py
@@ -1,63 +1,71 @@
-"""Completed answers that wait until what was written of them is durable; each for a bounded time."""
+"""Completed answers that wait, each for a bounded time, until their records are durable."""
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable
+from dataclasses import dataclass
 
 from ..transport.scheduler import Scheduler
 from .exchange import Caller, Exchange
 
-DUE_SPARE = 0.02  # an answer that waits leaves so long before its request's time is up
+DEADLINE_MARGIN_S = 0.02  # a delayed answer leaves so long before its request's deadline
 
 
-class Held:
-    """One answer; `mark` is what must be durable before it leaves."""
+@dataclass(slots=True, eq=False)
+class DelayedAnswer:
+    """One answer; `mark` is the position in the log that must be durable before it leaves."""
 
-    __slots__ = ("caller", "due", "exchange", "mark", "result")
+    mark: int
+    release_at: float
+    exchange: Exchange
+    result: bytes
+    caller: Caller
 
-    def __init__(self, mark: int, due: float, exchange: Exchange, result: bytes, caller: Caller) -> None:
-        self.mark, self.due = mark, due
-        self.exchange, self.result, self.caller = exchange, result, caller
 
+class DelayedAnswers:
+    """Answers in the order of their marks.
 
-class Holding:
-    """Answers in the order of their marks. `release` gets each, and whether it leaves ahead of its mark.
-
-    Rule 1 comes before any feature: no answer waits longer than `most`, nor past its own request's time by
-    more than the one before it may.
+    No answer waits longer than `max_delay_s`, nor past its own request's deadline by more than the one before
+    it may: an answer in time is worth more than its record. `release` gets each answer, and whether it leaves
+    ahead of its mark.
     """
 
-    def __init__(self, scheduler: Scheduler, most: float, release: Callable[[Held, bool], None]) -> None:
-        self._scheduler, self._most, self._release = scheduler, most, release
-        self._held: deque[Held] = deque()
+    def __init__(
+        self, scheduler: Scheduler, max_delay_s: float, release: Callable[[DelayedAnswer, bool], None]
+    ) -> None:
+        self._scheduler, self._max_delay_s, self._release = scheduler, max_delay_s, release
+        self._answers: deque[DelayedAnswer] = deque()
 
     def __len__(self) -> int:
-        return len(self._held)
+        return len(self._answers)
 
     @property
     def first_mark(self) -> int | None:
-        return self._held[0].mark if self._held else None
+        """The mark of the answer that leaves next."""
+        return self._answers[0].mark if self._answers else None
 
-    def hold(self, mark: int, exchange: Exchange, result: bytes, caller: Caller) -> None:
+    def delay(self, mark: int, exchange: Exchange, result: bytes, caller: Caller) -> None:
+        """Retain an answer until its mark is durable or its time is up."""
         now = self._scheduler.clock.now
-        due = min(now + self._most, max(exchange.request.deadline - DUE_SPARE, now))
-        self._held.append(Held(mark, due, exchange, result, caller))
-        if len(self._held) == 1:
-            self._scheduler.after(due - now, self._release_due)
+        release_at = min(now + self._max_delay_s, max(exchange.request.deadline - DEADLINE_MARGIN_S, now))
+        self._answers.append(DelayedAnswer(mark, release_at, exchange, result, caller))
+        if len(self._answers) == 1:
+            self._scheduler.after(release_at - now, self._release_overdue)
 
     def durable(self, mark: int) -> None:
-        """All up to this mark may leave."""
-        while self._held and self._held[0].mark <= mark:
-            self._release(self._held.popleft(), False)
+        """Release all answers up to this mark."""
+        while self._answers and self._answers[0].mark <= mark:
+            self._release(self._answers.popleft(), False)
 
-    def let_all_go(self) -> None:
-        while self._held:
-            self._release(self._held.popleft(), True)
+    def release_all(self) -> None:
+        """Release all answers, durable or not."""
+        while self._answers:
+            self._release(self._answers.popleft(), True)
 
-    def _release_due(self) -> None:
+    def _release_overdue(self) -> None:
         now = self._scheduler.clock.now
-        while self._held and self._held[0].due <= now:
-            self._release(self._held.popleft(), True)
-        if self._held:
-            self._scheduler.after(self._held[0].due - now, self._release_due)
+        while self._answers and self._answers[0].release_at <= now:
+            self._release(self._answers.popleft(), True)
+        if self._answers:
+            self._scheduler.after(self._answers[0].release_at - now, self._release_overdue)
--- a/sablewheel/serving/exchange.py
+++ b/sablewheel/serving/exchange.py
@@ -1,9 +1,9 @@
-"""One try of a request on its way through the server: the one thing that both sides know.
+"""One attempt of a request on its way through the server.
 
-The routers' side makes it, the interpreter's side runs it, the dispatch decides on it. It keeps what goes on
-unchanged as the bytes that came, and takes care that there is one final answer, or none if nobody waits.
-Here an outcome becomes final, once; it tells its observer. A completed answer leaves through the observer,
-who may hold it back until what it wrote is durable, for a bounded time; all others leave at once.
+The listener creates an exchange, the dispatcher decides on it and the interpreter client runs it. What is
+passed on unchanged stays as the bytes received. An exchange gets at most one final answer. It reports the
+final outcome to its observer once; the observer passes on the answer of a completed request, and may delay it
+for a bounded time until its records are durable. All other answers leave at once.
 """
 
 from __future__ import annotations
@@ -16,91 +16,132 @@
 
 
 def digest(request_class: bytes, body: bytes) -> bytes:
-    """Whether two requests of one idempotency key ask for the same, also after a restart; 16 bytes."""
-    from hashlib import blake2b  # some MB that a server without recall need not have
+    """Return 16 bytes that tell the contents of requests apart, also after a restart."""
+    from hashlib import blake2b  # some MB that a server without a result store need not load
 
     return blake2b(request_class + b"\0" + body, digest_size=16).digest()
 
 
 class Caller(Protocol):
-    """Where a try came from and its answer goes."""
+    """Where a request came from and its answer goes: a client's connection or a forwarding server."""
 
-    def completed(self, exchange: Exchange, result: bytes) -> None: ...
-    def rejected(self, exchange: Exchange, retry_after_s: float, no_retry_elsewhere: bool) -> None: ...
-    def failed(self, exchange: Exchange) -> None: ...
+    def completed(self, exchange: Exchange, result: bytes) -> None:
+        """Send the result."""
+
+    def rejected(self, exchange: Exchange, retry_after_s: float, no_retry_elsewhere: bool) -> None:
+        """Answer that the request never ran."""
+
+    def failed(self, exchange: Exchange) -> None:
+        """Answer with an error."""
 
 
 class RequestObserver(Protocol):
-    """Who is told of each final outcome, exactly once a request, before its answer is written."""
+    """Notified of each final outcome, once a request, before the answer is written."""
 
     def completed(self, exchange: Exchange, result: bytes, caller: Caller) -> None:
-        """Must hand the result to `caller.completed`, now or soon; `exchange.first` is what it repeats."""
+        """Pass the result to `caller.completed`, now or soon. A duplicate has an `exchange.original`."""
+
+    def rejected(self, exchange: Exchange) -> None:
+        """The request never ran."""
+
+    def failed(self, exchange: Exchange) -> None:
+        """The request's answer is an error."""
 
-    def rejected(self, exchange: Exchange) -> None: ...
-    def failed(self, exchange: Exchange) -> None: ...
-    def gone(self, exchange: Exchange) -> None:
-        """Nobody waits any more, so there is no answer."""
+    def cancelled(self, exchange: Exchange) -> None:
+        """The client no longer waits, so there is no answer."""
 
 
-class Unwitnessed:
-    """No feature is on: answers go straight on."""
+class NullObserver:
+    """Passes answers on; used while no feature observes requests."""
 
     __slots__ = ()
 
     def completed(self, exchange: Exchange, result: bytes, caller: Caller) -> None:
+        """Send the result at once."""
         caller.completed(exchange, result)
 
-    def rejected(self, exchange: Exchange) -> None: ...
-    def failed(self, exchange: Exchange) -> None: ...
-    def gone(self, exchange: Exchange) -> None: ...
+    def rejected(self, exchange: Exchange) -> None:
+        """Do nothing."""
 
+    def failed(self, exchange: Exchange) -> None:
+        """Do nothing."""
 
-NO_OBSERVER = Unwitnessed()
+    def cancelled(self, exchange: Exchange) -> None:
+        """Do nothing."""
+
+
+NO_OBSERVER = NullObserver()
 
 
 @dataclass(slots=True)
-class Standing:
-    """What goes with every answer from now on, and what health checks are told."""
+class ServerStatus:
+    """What this server tells its clients.
 
-    said: float | None = None
-    good: bool = False
-    able: bool = True  # not for long without its interpreter
+    Attributes:
+        advertised: The capacity that goes with every answer, if any.
+        healthy: Whether the controller calls the server healthy.
+        interpreter_available: False once the interpreter has been away for long.
+    """
 
+    advertised: float | None = None
+    healthy: bool = False
+    interpreter_available: bool = True
 
-class Place(Enum):
-    """Where an exchange is, as far as the program must know."""
 
-    HELD = auto()
+class ExchangeState(Enum):
+    """How far an exchange is."""
+
+    QUEUED = auto()
     RUNNING = auto()
-    JOINED = auto()
-    OVER = auto()
+    ATTACHED = auto()  # waits for the result of its original
+    FINISHED = auto()
 
 
 class Exchange:
-    """One try, from its bytes to its answer; kept for repeats, it lets go of all that they do not need."""
+    """One attempt of a request, from its bytes to its answer.
+
+    Exchanges of keyed requests are retained for duplicates, without what those do not need.
+
+    Attributes:
+        name: The id of the attempt, unique.
+        tag: The number that the answer carries on its connection.
+        caller: Where the answer goes; None once it is given or nobody waits.
+        run_time_s: How long the run took, once it is over.
+        notice_number: The number of the interpreter's notice that ended the run.
+        digest: Of class and body, where the exchange was recovered after a restart; else empty.
+        content_hash: Tells apart requests of one idempotency key that differ in class or body.
+        billed: Whether the result of the run was given to somebody.
+        result: The result, as long as it is cached for duplicates.
+        original: The exchange that this one is a duplicate of.
+        attached_duplicates: Duplicates that wait for the end of this one's run.
+        attached_at: When this one was attached to its original.
+        arrival_uncertainty_s: By how much the request may have arrived later than it says.
+        client_deadline: When the client stops waiting, where clients tell.
+        session: The key of the request's session, where sessions are routed.
+    """
 
     __slots__ = (
-        "ahead",
-        "began",
+        "arrival_uncertainty_s",
+        "attached_at",
+        "attached_duplicates",
         "billed",
         "body",
         "caller",
+        "client_deadline",
+        "content_hash",
         "digest",
-        "first",
         "idempotency_key",
-        "joined",
         "name",
-        "notice",
+        "notice_number",
         "observer",
-        "place",
+        "original",
         "request",
         "request_class",
         "result",
-        "sameness",
+        "run_time_s",
         "session",
+        "state",
         "tag",
-        "took",
-        "until",
     )
 
     def __init__(
@@ -116,61 +157,58 @@
     ) -> None:
         self.name, self.request_class, self.body = name, request_class, body
         self.tag, self.idempotency_key, self.request = tag, idempotency_key, request
-        self.caller = caller  # until answered, or nobody waits
+        self.caller = caller
         self.observer = observer
-        self.took = 0.0  # how long its run took, once that is over
-        self.notice = 0  # the number under which that was told
-        self.digest = b""  # of request class and body, where this one was remembered over a restart
-        self.billed = False  # whether the result of its run went out to somebody
-        self.sameness = hash(
-            (request_class, body)
-        )  # of two with one idempotency key: whether they ask for the same
-        self.place = Place.HELD
-        self.result: bytes | None = None  # as long as it is kept
-        self.joined: list[Exchange] = []  # repeats that wait for its end
-        self.began = 0.0  # when its join was decided
-        self.ahead = 0.0  # how much later it may have come than its request says
-        self.first: Exchange | None = None  # what it repeats
-        self.until: float | None = None  # when its caller stops waiting, where that is told
-        self.session = ""  # the key of the session that it belongs to, where sessions are told apart
-
-    def asks_same(self, other: Exchange) -> bool:
-        """Whether another with this idempotency key asks for the same; one remembered from before has a
-        digest only.
-        """
+        self.state = ExchangeState.QUEUED
+        self.run_time_s = 0.0
+        self.notice_number = 0
+        self.digest = b""
+        self.content_hash = hash((request_class, body))
+        self.billed = False
+        self.result: bytes | None = None
+        self.original: Exchange | None = None
+        self.attached_duplicates: list[Exchange] = []
+        self.attached_at = 0.0
+        self.arrival_uncertainty_s = 0.0
+        self.client_deadline: float | None = None
+        self.session = ""
+
+    def has_same_content(self, other: Exchange) -> bool:
+        """Whether another exchange with this idempotency key has the same class and body."""
         if not self.digest:
-            return self.sameness == other.sameness
+            return self.content_hash == other.content_hash
         return self.digest == digest(other.request_class, other.body)
 
     @property
     def closed(self) -> bool:
+        """Whether the answer is given, or nobody waits for it."""
         return self.caller is None
 
     def complete(self, result: bytes) -> None:
-        if (caller := self._close()) is not None:
+        """Answer with a result, if anybody waits."""
+        if (caller := self.detach()) is not None:
             self.observer.completed(self, result, caller)
 
     def reject(self, retry_after_s: float, no_retry_elsewhere: bool) -> None:
-        if (caller := self._close()) is not None:
+        """Answer that the request never ran, if anybody waits."""
+        if (caller := self.detach()) is not None:
             self.observer.rejected(self)
             caller.rejected(self, retry_after_s, no_retry_elsewhere)
 
     def fail(self) -> None:
-        if (caller := self._close()) is not None:
+        """Answer with an error, if anybody waits."""
+        if (caller := self.detach()) is not None:
             self.observer.failed(self)
             caller.failed(self)
 
-    def discard(self) -> bool:
-        """Nobody waits any more; whether that is news."""
-        if self._close() is None:
+    def cancel(self) -> bool:
+        """Note that nobody waits any more. Returns whether anybody did until now."""
+        if self.detach() is None:
             return False
-        self.observer.gone(self)
+        self.observer.cancelled(self)
         return True
 
     def detach(self) -> Caller | None:
-        """Its answer is the taker's to give from now on, through the observer; None: nobody waits."""
-        return self._close()
-
-    def _close(self) -> Caller | None:
+        """Take over the duty to answer and to notify the observer. Returns None if nobody waits."""
         caller, self.caller = self.caller, None
         return caller
--- a/sablewheel/serving/hooks.py
+++ b/sablewheel/serving/hooks.py
@@ -1,7 +1,7 @@
-"""The seam of what is remembered over restarts: what a feature must do, and the object that does nothing.
+"""The hook for results that outlive a restart: what a result store must do, and the one that stores nothing.
 
-The other seams lie where they are called: who witnesses an outcome in `exchange.py`, who stands between the
-routers' side and the dispatch (a `RequestHandler`) in `server.py`.
+The other hooks are defined where they are called: `RequestObserver` in `exchange.py`, and `RequestHandler`,
+which stands between the listener and the dispatcher, in `listener.py`.
 """
 
 from __future__ import annotations
@@ -14,66 +14,79 @@
 from .idempotency_keys import IdempotencyTable
 
 
-class Memory(Protocol):
-    """Who remembers keyed runs over restarts."""
+class ResultStore(Protocol):
+    """Remembers keyed runs over restarts."""
 
     @property
     def ready(self) -> bool:
-        """Whether all that is remembered is known; until then keyed tries wait, others are served."""
+        """Whether all that is stored is known. Until then keyed requests wait; others are served."""
 
-    def recalled(self, born: float, idempotency_keys: IdempotencyTable) -> list[tuple[Request, float]]:
-        """The interpreter is up, since `born`: fill the table of idempotency keys. Requests and how long
-        their idempotency keys count.
+    def recover_keys(
+        self, interpreter_started_at: float, idempotency_keys: IdempotencyTable
+    ) -> list[tuple[Request, float]]:
+        """Fill the idempotency table; called once the interpreter is up.
+
+        Returns:
+            The requests, each with the lifetime of its idempotency key in seconds.
         """
 
-    def adopted(self) -> tuple[list[Exchange], int]:
-        """Runs of a predecessor whose ends may still be told, and the last notice that was read."""
+    def runs_to_adopt(self) -> tuple[list[Exchange], int]:
+        """Return runs of a predecessor that may still end, and the number of the last notice it read."""
 
-    def may_not_run(self, exchange: Exchange) -> bool:
-        """Whether a keyed try without a known first may have run in a predecessor, by the rule that is
-        set.
-        """
+    def may_have_run(self, exchange: Exchange) -> bool:
+        """Whether a keyed request without a known original may have run in a predecessor."""
 
     def prepare(self, exchange: Exchange) -> None:
-        """Note on a keyed try's request what a run of it would wait for beside the cores, and whether
-        there is room.
-        """
+        """Note on a keyed request what else than cores its run would wait for, and whether it fits."""
 
-    def remember(self, exchange: Exchange) -> None:
-        """The controller keeps its idempotency key from now on: it may run."""
+    def reserve(self, exchange: Exchange) -> None:
+        """The controller reserved the idempotency key: the request may run."""
 
     def release(self, exchange: Exchange) -> None:
-        """It will not run, and its idempotency key is free."""
+        """The request will not run, and its idempotency key is free."""
 
     def before_run(self, exchange: Exchange, run: Callable[[Exchange], None]) -> None:
-        """Call `run` now, or when it may be sent, or report that it never began."""
+        """Call `run` now, or once the run may start, or report that it never started."""
 
-    def ended(self, exchange: Exchange, outcome: Outcome, result: bytes) -> None:
-        """A run is over, before its answer is."""
+    def run_ended(self, exchange: Exchange, outcome: Outcome, result: bytes) -> None:
+        """A run is over; called before its answer is given."""
 
 
-class NoResultStore:
-    """Nothing is kept over a restart."""
+class NullResultStore:
+    """Stores nothing."""
 
     __slots__ = ()
     ready = True
 
-    def recalled(self, born: float, idempotency_keys: IdempotencyTable) -> list[tuple[Request, float]]:
+    def recover_keys(
+        self, interpreter_started_at: float, idempotency_keys: IdempotencyTable
+    ) -> list[tuple[Request, float]]:
+        """Return nothing."""
         return []
 
-    def adopted(self) -> tuple[list[Exchange], int]:
+    def runs_to_adopt(self) -> tuple[list[Exchange], int]:
+        """Return nothing."""
         return [], 0
 
-    def may_not_run(self, exchange: Exchange) -> bool:
+    def may_have_run(self, exchange: Exchange) -> bool:
+        """Return False: without a store, that is not known of any request."""
         return False
 
-    def prepare(self, exchange: Exchange) -> None: ...
-    def remember(self, exchange: Exchange) -> None: ...
-    def release(self, exchange: Exchange) -> None: ...
+    def prepare(self, exchange: Exchange) -> None:
+        """Do nothing."""
+
+    def reserve(self, exchange: Exchange) -> None:
+        """Do nothing."""
+
+    def release(self, exchange: Exchange) -> None:
+        """Do nothing."""
+
     def before_run(self, exchange: Exchange, run: Callable[[Exchange], None]) -> None:
+        """Call `run` now."""
         run(exchange)
 
-    def ended(self, exchange: Exchange, outcome: Outcome, result: bytes) -> None: ...
+    def run_ended(self, exchange: Exchange, outcome: Outcome, result: bytes) -> None:
+        """Do nothing."""
 
 
-NO_RESULT_STORE = NoResultStore()
+NO_RESULT_STORE = NullResultStore()
--- a/sablewheel/serving/idempotency_keys.py
+++ b/sablewheel/serving/idempotency_keys.py
@@ -1,100 +1,123 @@
-"""The table of idempotency keys: which try a repeat repeats, and the results kept for repeats.
+"""The idempotency table: which exchange a request is a duplicate of, and the results cached for duplicates.
 
-An entry lives as long as the decision says. It is looked up by when a repeat reached the machine, not by
-when it is read, so it is kept for as long past its life as a request may lie unread.
+An entry lives as long as the controller says. It is looked up by when a duplicate reached the machine, not by
+when it is read, so it is retained for as long past its life as a request may lie unread.
 """
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from heapq import heappop, heappush
 
-from .exchange import Exchange, Place
+from .exchange import Exchange, ExchangeState
 
-LONGER = 0.051  # the protocol makes every time limit 50 ms longer, and tells times in whole milliseconds
+# The protocol makes every time limit 50 ms longer, and rounds times to whole milliseconds.
+TIME_LIMIT_TOLERANCE_S = 0.051
+
+
+@dataclass(slots=True)
+class Entry:
+    """Who has an idempotency key, until when, and the entry that counts again if that never runs."""
+
+    exchange: Exchange
+    expires_at: float
+    previous: Entry | None = None
 
 
 class IdempotencyTable:
-    """Entries by idempotency key, each with the try that holds it; kept results have a bound in bytes.
+    """Entries by idempotency key. Cached results are bounded by `max_result_bytes`.
 
-    An idempotency key may be taken over by a try that came past the entry's life and is then never run. So an
-    entry also has what ran before it, which counts again once that try lets go of it.
+    A request that arrives past an entry's life takes the idempotency key over, and may then never run. So its
+    entry refers to that of the run before it, which counts again once the request releases the key.
+
+    Args:
+        max_wait_s: The longest timeout of any request class.
+        slack_s: How much longer an entry counts than the controller says.
+        max_result_bytes: The bound of all cached results together.
     """
 
-    def __init__(self, lag: float, slack: float, bytes_most: int) -> None:
-        self._slack, self._bytes_most = slack + LONGER, bytes_most
-        self.lag = lag  # the longest that a request is waited for
-        self._entries: dict[bytes, tuple[Exchange, float, tuple[Exchange, float] | None]] = {}
-        self._lapses: list[tuple[float, bytes]] = []  # a heap: windows differ by request class
-        self._kept: dict[Exchange, None] = {}
-        self._bytes = 0
+    def __init__(self, max_wait_s: float, slack_s: float, max_result_bytes: int) -> None:
+        self._slack_s, self._max_result_bytes = slack_s + TIME_LIMIT_TOLERANCE_S, max_result_bytes
+        self.max_wait_s = max_wait_s
+        self._entries: dict[bytes, Entry] = {}
+        self._expirations: list[tuple[float, bytes]] = []  # a heap, as windows differ by request class
+        self._cached: dict[Exchange, None] = {}
+        self._cached_bytes = 0
 
-    def find(self, idempotency_key: bytes, reached: float) -> Exchange | None:
-        """The try that one with this idempotency key repeats, by when it reached the machine.
+    def find(self, idempotency_key: bytes, arrived_at: float) -> Exchange | None:
+        """Return the exchange that a request with this idempotency key is a duplicate of.
 
-        One that has not begun counts past its life as well: the later try might overtake it, and it would run
-        within that one's window.
+        One that has not started counts past its life as well: the later request might overtake it, and it
+        would then run within the window of that one.
         """
-        first, until, _ = self._entries.get(idempotency_key, (None, 0.0, None))
-        if first is None or reached <= until + self._slack:
-            return first
-        return first if first.place is Place.HELD else None
-
-    def forgets(self, reached: float, now: float) -> bool:
-        """Whether what a try repeats may be swept already. Nobody waits for that try any more."""
-        return now - reached > self.lag
-
-    def remember(self, exchange: Exchange, now: float, life: float) -> None:
-        """The entry is this try's from now on; it is renewed if it was already."""
-        idempotency_key, until = exchange.idempotency_key, now + life
+        entry = self._entries.get(idempotency_key)
+        if entry is None:
+            return None
+        if arrived_at <= entry.expires_at + self._slack_s or entry.exchange.state is ExchangeState.QUEUED:
+            return entry.exchange
+        return None
+
+    def may_have_expired(self, arrived_at: float, now: float) -> bool:
+        """Whether the original of a request that arrived then may be swept already."""
+        return now - arrived_at > self.max_wait_s
+
+    def reserve(self, exchange: Exchange, now: float, lifetime_s: float) -> None:
+        """Give the entry to this exchange, or renew it."""
+        idempotency_key, expires_at = exchange.idempotency_key, now + lifetime_s
         if idempotency_key is None:
             return
-        before = None
+        previous = None
         if (entry := self._entries.get(idempotency_key)) is not None:
-            first, _, before = entry
-            if first is not exchange and first.request.started:
-                if before is not None:
-                    self._drop(before[0])
-                before = entry[:2]
-        self._entries[idempotency_key] = (exchange, until, before)
-        heappush(self._lapses, (until, idempotency_key))
+            previous = entry.previous
+            if entry.exchange is not exchange and entry.exchange.request.started:
+                if previous is not None:
+                    self._drop_result(previous.exchange)
+                previous = Entry(entry.exchange, entry.expires_at)
+        self._entries[idempotency_key] = Entry(exchange, expires_at, previous)
+        heappush(self._expirations, (expires_at, idempotency_key))
 
     def release(self, exchange: Exchange) -> None:
-        """It has not run and never will: the entry is that of the one before it again, if any."""
+        """Give the entry back to the exchange before, if any: this one has not run and never will."""
         idempotency_key = exchange.idempotency_key
-        if idempotency_key is None or not self.holds(exchange):
+        if idempotency_key is None or not self.is_reserved_by(exchange):
             return
-        before = self._entries.pop(idempotency_key)[2]
-        if before is not None:
-            self._entries[idempotency_key] = (*before, None)
-            heappush(self._lapses, (before[1], idempotency_key))
-
-    def holds(self, exchange: Exchange) -> bool:
-        return (
-            exchange.idempotency_key is not None
-            and self._entries.get(exchange.idempotency_key, (None,))[0] is exchange
-        )
-
-    def keep(self, exchange: Exchange, result: bytes) -> None:
-        """Keep a result for repeats; beyond the bound the oldest go, and their repeats end in an error."""
+        previous = self._entries.pop(idempotency_key).previous
+        if previous is not None:
+            self._entries[idempotency_key] = previous
+            heappush(self._expirations, (previous.expires_at, idempotency_key))
+
+    def is_reserved_by(self, exchange: Exchange) -> bool:
+        """Whether the entry of the exchange's idempotency key is its own."""
+        if exchange.idempotency_key is None:
+            return False
+        entry = self._entries.get(exchange.idempotency_key)
+        return entry is not None and entry.exchange is exchange
+
+    def store_result(self, exchange: Exchange, result: bytes) -> None:
+        """Cache a result for duplicates.
+
+        Beyond the bound the oldest results are dropped, and their duplicates fail.
+        """
         exchange.result = result
-        self._kept[exchange] = None
-        self._bytes += len(result)
-        while self._bytes > self._bytes_most:
-            self._drop(next(iter(self._kept)))
+        self._cached[exchange] = None
+        self._cached_bytes += len(result)
+        while self._cached_bytes > self._max_result_bytes:
+            self._drop_result(next(iter(self._cached)))
 
     def sweep(self, now: float) -> None:
-        """Let go of entries that no unread repeat can mean any more, and of their results."""
-        oldest = now - self.lag - self._slack
-        while self._lapses and self._lapses[0][0] < oldest:
-            _, idempotency_key = heappop(self._lapses)
-            if idempotency_key in self._entries and self._entries[idempotency_key][1] < oldest:
-                first, _, before = self._entries.pop(idempotency_key)
-                self._drop(first)
-                if before is not None:
-                    self._drop(before[0])
-
-    def _drop(self, exchange: Exchange) -> None:
-        if exchange in self._kept:
-            del self._kept[exchange]
-            self._bytes -= len(exchange.result or b"")
+        """Drop the entries that no unread duplicate can refer to any more, with their results."""
+        oldest = now - self.max_wait_s - self._slack_s
+        while self._expirations and self._expirations[0][0] < oldest:
+            _, idempotency_key = heappop(self._expirations)
+            entry = self._entries.get(idempotency_key)
+            if entry is not None and entry.expires_at < oldest:
+                del self._entries[idempotency_key]
+                self._drop_result(entry.exchange)
+                if entry.previous is not None:
+                    self._drop_result(entry.previous.exchange)
+
+    def _drop_result(self, exchange: Exchange) -> None:
+        if exchange in self._cached:
+            del self._cached[exchange]
+            self._cached_bytes -= len(exchange.result or b"")
             exchange.result = None
--- a/sablewheel/serving/interpreter_client.py
+++ b/sablewheel/serving/interpreter_client.py
@@ -1,36 +1,38 @@
-"""The link to the interpreter: runs, stops and gauges. Knows no router and no decision.
-
-The link may break and come back. What ended meanwhile is told again by number. The fence, a question for
-gauges asked once the greeting has come, has its answer when all of that is in. Commands given while there is
-no link wait for it. A command that was written to a link that broke may have been carried out or not. It is
-written again only where a second run does no harm; for any other the handler is told that its start is
-unconfirmed. The interpreter may also move to another address: the old link serves until the new one
-stands, and is then left behind a fence, so that no command is under way between the two.
+"""The link to the interpreter: starts and cancels runs, receives their ends and the gauges.
+
+The link may break and come back. The interpreter numbers its notices and repeats those that a broken link
+missed. A query for gauges serves as a fence: its answer proves that the commands before it were read. The
+first fence of a link is written once the greeting has come; its answer shows that all repeated notices are
+in, and the link is ready.
+
+Commands given while no link is ready wait. A command that was written to a link that broke may have been
+carried out or not. It is written again only where a second run does no harm; for other runs the handler is
+told that the start is unconfirmed. When the interpreter moves to another address, the old link serves until
+the new one stands, and is then left behind a fence, so that no command is under way between the two.
 """
 
 from __future__ import annotations
 
 import logging
-from collections import deque
 from collections.abc import Callable
-from math import inf
 from typing import Protocol
 
-from ..overload.interface import Idempotency, Outcome
+from ..overload.interface import Outcome
 from ..protocol import interpreter
 from ..transport.scheduler import Scheduler
 from ..transport.stream import Stream
 from .exchange import Exchange
-
-FIRST_REST, LAST_REST = 0.02, 0.5  # between tries, doubling
-GAUGES_EVERY, GAUGES_HOLD = 0.2, 0.5
-SILENT_MOST = 15  # times asked without a word: 3 s, however long the whole machine stood still between two
-LOST_MOST = 0.05  # commands that came so shortly before a break may be lost, whatever was answered since
-ASKED_MOST = 4096  # questions kept request class of; beyond, the oldest are as if they were never answered
-QUIET_MOST = 3  # times asked without a word, past which no command is written that may not be written again
-HAND_OVER_MOST = 0.3  # for the fence on a link that is about to be left; past it, it counts as broken
-HAND_OVER_LOOK = 0.005
-ADOPTED = -1  # the fence of a run that was sent before this process began
+from .fences import Fences
+from .open_run import OpenRun, may_run_twice
+
+INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.02, 0.5  # between connection attempts
+GAUGES_INTERVAL_S, GAUGES_LIFETIME_S = 0.2, 0.5
+# Both in unanswered queries and not in seconds: a pause of the whole machine counts as one.
+MAX_UNANSWERED_QUERIES = 15  # the link is taken for dead
+MAX_UNANSWERED_FOR_START = 3  # beyond it, no command is written that may not be written twice
+HAND_OVER_TIMEOUT_S = 0.3  # for the fence on a link that is to be left; past it, it counts as broken
+HAND_OVER_CHECK_INTERVAL_S = 0.005
+ADOPTED_FENCE = -1  # of a run whose command was written by a predecessor of this process
 
 # The counters keep the names that alerts and dashboards know.
 RUN_COUNTERS = {
@@ -46,398 +48,394 @@
 }
 
 log = logging.getLogger(__name__)
-# Many lines at a break, which must not use up the rate of the link's own.
+# Lines of single runs have a rate limit of their own: there are many at a break.
 run_log = logging.getLogger(f"{__name__}.runs")
 
 
-class RequestHandler(Protocol):
-    """Who is told what the interpreter said."""
-
-    def greeted(self, cold: bool, age: float) -> None: ...
-    def ended(self, exchange: Exchange, outcome: Outcome, took: float, result: bytes) -> None: ...
-    def call_needed(self, exchange: Exchange) -> None: ...
-    def start_unconfirmed(self, exchange: Exchange) -> None: ...
+class RunHandler(Protocol):
+    """Notified of what the interpreter reports."""
 
+    def interpreter_ready(self, cold: bool, uptime_s: float) -> None:
+        """The interpreter is up since `uptime_s`; `cold`: it was booting then."""
 
-class Run:
-    """A run without an end so far: under which fence its command was written, if it was."""
+    def run_ended(self, exchange: Exchange, outcome: Outcome, run_time_s: float, result: bytes) -> None:
+        """A run is over."""
 
-    __slots__ = ("again", "command_end", "exchange", "fence", "halted", "sent_at", "unconfirmed")
+    def call_needed(self, exchange: Exchange) -> None:
+        """A run waits for a call of a dependency."""
 
-    def __init__(self, exchange: Exchange) -> None:
-        self.exchange = exchange
-        self.command_end = 0  # where its command ends among the bytes of this link, 0 if it is not there
-        self.unconfirmed = False  # the handler was told so
-        self.sent_at = 0.0  # when its command was last given
-        self.fence = 0  # 0: not written; else the question behind it, whose answer proves that it was read
-        self.halted = False
-        self.again = False  # its command was written a second time: the first may have been carried out
+    def start_unconfirmed(self, exchange: Exchange) -> None:
+        """A run may or may not have started, and its command is not written again."""
 
 
-def may_run_twice(exchange: Exchange) -> bool:
-    """Whether a second run of this request would do no harm."""
-    return exchange.request.request_class.idempotency is Idempotency.IDEMPOTENT
+class InterpreterClient:
+    """The one link to the interpreter.
 
+    Args:
+        connect: Opens a connection; returns None if that failed.
+        last_notice: The number of the last notice that was read, by a predecessor of this process.
 
-class InterpreterClient:
-    """The one link; `gauges` are those last told, while they hold."""
+    Attributes:
+        discards_cancelled_runs: Whether the interpreter ends a cancelled run for good.
+    """
 
     def __init__(
         self,
         scheduler: Scheduler,
         connect: Callable[[], Stream | None],
-        handler: RequestHandler,
+        handler: RunHandler,
         count: Callable[[str], None],
-        last: int = 0,
+        last_notice: int = 0,
     ) -> None:
+        self.discards_cancelled_runs = False
         self._scheduler, self._handler, self._count = scheduler, handler, count
-        self._runs: dict[bytes, Run] = {}
+        self._runs: dict[bytes, OpenRun] = {}
         self._stream: Stream | None = None
-        self._ready = False  # behind the fence
-        self._last = last
-        self._away_since: float | None = scheduler.clock.now  # since when there is no link that stands
-        self._unreadable = 0  # the number of the last notice that broke a link, if it was the next
-        self._fence = 0  # the last question for gauges that went out
-        self._asking = False  # one goes out at the end of this round
-        self._proven = 0  # the last that was answered: all commands before it were read
-        self._safe = 0  # the last whose commands no break can take back
-        # On this link: questions without an answer, when written; with one, not safe yet, when it was read.
-        self._asked: deque[tuple[int, float]] = deque(maxlen=ASKED_MOST)
-        self._answered: deque[tuple[int, float]] = deque(maxlen=ASKED_MOST)
-        self._commands = bytearray()
+        self._ready = False  # the first fence of the link was answered
+        self._last_notice = last_notice
+        self._unreadable_notice = 0  # the number of the notice that broke the link before, if it was the next
+        self._disconnected_since: float | None = scheduler.clock.now  # None while a link is ready
+        self._commands = bytearray()  # of this round
+        self._query_gauges = False  # at the end of this round
+        self._fences = Fences()
         self._gauges: tuple[float | None, ...] = ()
-        self._told = 0.0
+        self._gauges_received_at = 0.0
         self._greeted = False  # on any link so far
-        self._unheard = 0  # times asked, or waited for a greeting, since the last word on this link
-        self._moves = 0
-        self.can_stop = False  # whether the interpreter ends a run for good when told to stop it
-        self.move(connect)
-        scheduler.every(GAUGES_EVERY, self._ask_gauges)
-
-    def move(self, connect: Callable[[], Stream | None]) -> None:
-        """From now on links are made by `connect`; the one there is serves until the new one stands."""
+        self._silent_queries = 0  # since the last byte received on this link, or while no greeting came
+        self._moves = 0  # addresses so far
+        self.connect_to(connect)
+        scheduler.every(GAUGES_INTERVAL_S, self._check_link)
+
+    def connect_to(self, connect: Callable[[], Stream | None]) -> None:
+        """Open links by `connect` from now on; the present one serves until a new one stands."""
         self._moves += 1
-        self._scheduler.spawn(self._keep_linked, connect, self._moves)
+        self._scheduler.spawn(self._keep_connected, connect, self._moves)
 
     def gauges(self) -> tuple[float | None, ...]:
-        return self._gauges if self._scheduler.clock.now <= self._told + GAUGES_HOLD else ()
+        """Return the gauges last received; empty if they are too old."""
+        fresh = self._scheduler.clock.now <= self._gauges_received_at + GAUGES_LIFETIME_S
+        return self._gauges if fresh else ()
 
     @property
-    def away(self) -> float:
-        """For how many seconds no link has stood: nothing that came since then has begun."""
-        return 0.0 if self._away_since is None else self._scheduler.clock.now - self._away_since
+    def disconnected_for_s(self) -> float:
+        """For how long no link has been ready: no run that was given since then has started."""
+        return (
+            0.0 if self._disconnected_since is None else self._scheduler.clock.now - self._disconnected_since
+        )
 
     def run(self, exchange: Exchange) -> None:
-        """The name is that of no other run: the handler takes no two requests of one name."""
-        run = self._runs[exchange.name] = Run(exchange)
+        """Start a run. The request's id must not be that of another open run."""
+        run = self._runs[exchange.name] = OpenRun(exchange)
         self._count("runs_sent")
-        if self._ready and (may_run_twice(exchange) or self._unheard < QUIET_MOST):
-            self._apply(run)
+        link_answers = self._silent_queries < MAX_UNANSWERED_FOR_START
+        if self._ready and (may_run_twice(exchange) or link_answers):
+            self._write_start(run)
 
-    def adopt(self, exchanges: list[Exchange], last: int | None) -> None:
-        """Runs that a predecessor of this server began: not applied again, but their ends are waited for.
+    def adopt(self, exchanges: list[Exchange], last_notice: int | None) -> None:
+        """Wait for the ends of runs that a predecessor of this process started.
 
-        `last` is the number of the last notice that anybody here has read; None: as it is known.
+        Args:
+            exchanges: The requests of the runs, which are not started again.
+            last_notice: The number of the last notice that the predecessor read; None: as it is known here.
         """
-        self._last = self._last if last is None else last
+        self._last_notice = self._last_notice if last_notice is None else last_notice
         for exchange in exchanges:
-            run = self._runs[exchange.name] = Run(exchange)
-            run.fence = ADOPTED
+            run = self._runs[exchange.name] = OpenRun(exchange)
+            run.fence = ADOPTED_FENCE
 
-    def give_up(self, exchange: Exchange) -> None:
-        """The end of this run is waited for no longer; one that comes all the same is nobody's."""
+    def presume_lost(self, exchange: Exchange) -> None:
+        """Wait no longer for the end of this run; if it comes all the same, it is that of no open run."""
         if exchange.name in self._runs:
-            self._end(exchange.name, Outcome.LOST, 0.0, b"")
+            self._end_run(exchange.name, Outcome.LOST)
 
-    def halt(self, exchange: Exchange) -> None:
+    def cancel(self, exchange: Exchange) -> None:
+        """Cancel a run, now or once a link is ready."""
         run = self._runs.get(exchange.name)
-        if run is not None and not run.halted:
-            run.halted = True
+        if run is not None and not run.cancelled:
+            run.cancelled = True
             self._count("stops_sent")
             if self._ready:
-                self._commands += interpreter.halt(exchange.name)
+                self._commands += interpreter.encode_cancel_run(exchange.name)
 
     def flush(self) -> None:
-        """At the end of a round: commands go out, a fence behind them."""
-        if self._stream is not None and (self._commands or self._asking):
-            self._fence += 1
-            self._asked.append((self._fence, self._scheduler.clock.now))
-            self._stream.write(bytes(self._commands) + interpreter.ask_gauges(b"%d" % self._fence))
+        """Write the commands of this round, with a fence behind them."""
+        if self._stream is not None and (self._commands or self._query_gauges):
+            fence = self._fences.write(self._scheduler.clock.now)
+            self._stream.write(bytes(self._commands) + interpreter.encode_gauge_query(b"%d" % fence))
             self._stream.flush()
-        self._asking = False
+        self._query_gauges = False
         self._commands.clear()
 
     # -- the link
 
-    def _keep_linked(self, connect: Callable[[], Stream | None], move: int) -> None:
-        """Links to one address, until the interpreter moves; whatever this waits for then delays nobody."""
-        rest = FIRST_REST
+    def _keep_connected(self, connect: Callable[[], Stream | None], move: int) -> None:
+        """Serve links to one address until the interpreter moves."""
+        backoff_s = INITIAL_BACKOFF_S
         while move == self._moves:
-            try:
-                stream = connect()
-            except Exception:  # nor must one here: nobody would try again
-                self._count("faults")
-                log.exception("no link for a fault")
-                stream = None
+            stream = self._try_connect(connect)
             if stream is None:
-                self._scheduler.sleep(rest)
-                rest = min(2 * rest, LAST_REST)
+                self._scheduler.sleep(backoff_s)
+                backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
                 continue
             if move == self._moves:
-                self._leave_old()
-                # Even if it moved again meanwhile: this link serves until the next stands, if none does yet.
+                self._leave_old_link()
+                # Also if it moved again meanwhile: this link serves until the next stands, unless one does.
                 if self._stream is None:
                     self._serve(stream)
-                    self._scheduler.sleep(FIRST_REST)
+                    self._scheduler.sleep(INITIAL_BACKOFF_S)
             stream.close()
-            rest = FIRST_REST
+            backoff_s = INITIAL_BACKOFF_S
 
-    def _leave_old(self) -> None:
-        """Hold commands back until the link there is has proven that it read all; then close it."""
+    def _try_connect(self, connect: Callable[[], Stream | None]) -> Stream | None:
+        try:
+            return connect()
+        except Exception:  # must not end the greenlet: nobody would connect again
+            self._count("faults")
+            log.exception("no link for a fault")
+            return None
+
+    def _leave_old_link(self) -> None:
+        """Withhold commands until the old link has proven that it read all; then close it."""
         old = self._stream
         if old is None:
             return
         if self._ready:
-            self._ready, self._asking = False, True
-            fence, until = self._fence + 1, self._scheduler.clock.now + HAND_OVER_MOST
-            while self._stream is old and self._proven < fence and self._scheduler.clock.now < until:
-                self._scheduler.sleep(HAND_OVER_LOOK)
-            if self._stream is old and self._proven >= fence:
-                self._safe = fence  # it is left, and did not break
+            self._ready, self._query_gauges = False, True
+            fence, until = self._fences.next, self._scheduler.clock.now + HAND_OVER_TIMEOUT_S
+            while self._stream is old and self._fences.proven < fence and self._scheduler.clock.now < until:
+                self._scheduler.sleep(HAND_OVER_CHECK_INTERVAL_S)
+            if self._stream is old and self._fences.proven >= fence:
+                self._fences.safe = fence  # the link is left, and did not break
         if self._stream is old:
-            self._lose(old, "the interpreter moved")
+            self._lose_link(old, "the interpreter moved")
 
     def _serve(self, stream: Stream) -> None:
+        """Receive notices until the link ends, for whatever reason."""
         self._count("links")
         try:
-            self._follow(stream)
+            self._receive(stream)
             reason: object = "the interpreter closed it"
-        except interpreter.GarbledError as trouble:
+        except interpreter.ProtocolError as error:
             self._count("notices_garbled")
-            self._pass_over(trouble)
-            reason = trouble
-        except Exception as trouble:  # a fault of ours must not leave the server without its interpreter
+            self._skip_unreadable(error)
+            reason = error
+        except Exception as error:  # an internal error must not leave the server without its interpreter
             self._count("faults")
             log.exception("link broken by a fault")
-            reason = trouble
+            reason = error
         if self._stream is stream:
-            self._lose(stream, reason)
+            self._lose_link(stream, reason)
 
-    def _lose(self, stream: Stream, reason: object) -> None:
-        """No link from here on; commands that never went out wait for the next."""
-        unproven = sum(run.fence > self._proven for run in self._runs.values())
+    def _lose_link(self, stream: Stream, reason: object) -> None:
+        """Close the link. Commands that were not written yet wait for the next."""
+        unproven = sum(run.fence > self._fences.proven for run in self._runs.values())
         pairs = {"reason": reason, "open_runs": len(self._runs), "unproven": unproven}
         log.warning("link to the interpreter lost", extra={"pairs": pairs})
         self._stream, self._ready = None, False
-        if self._away_since is None:
-            self._away_since = self._scheduler.clock.now
+        if self._disconnected_since is None:
+            self._disconnected_since = self._scheduler.clock.now
         self._commands.clear()
-        self._asked.clear()
-        self._answered.clear()
+        self._fences.lose_link()
         for run in self._runs.values():
-            if run.fence > self._fence or run.command_end > stream.sent:
+            if run.fence > self._fences.last or run.command_end > stream.sent:
                 run.fence = 0  # not all of its command was handed to the system, so nobody has read it
             run.command_end = 0
         stream.close()
 
-    def _follow(self, stream: Stream) -> None:
-        """One link from its first message to its end."""
+    def _receive(self, stream: Stream) -> None:
+        """Read one link from its first message to its end."""
         parser = interpreter.Parser()
-        safe = self._safe  # by the links before this one
-        opening = 0  # the fence of this link: not before the greeting, as no command is carried out till then
-        self._stream, self._unheard = stream, 0
-        stream.write(interpreter.connect(self._last))
+        safe_before = self._fences.safe  # of the links before this one
+        opening_fence = 0  # none before the greeting, as no command is carried out till then
+        self._stream, self._silent_queries = stream, 0
+        stream.write(interpreter.encode_connect(self._last_notice))
         stream.flush()
         while data := stream.read():
-            was_quiet, self._unheard = self._unheard >= QUIET_MOST, 0
-            if was_quiet and self._ready:
-                self._apply_waiting()
-            while notices := parser.feed(data):  # asked once more for what is left: nothing, or no notice
+            was_silent, self._silent_queries = self._silent_queries >= MAX_UNANSWERED_FOR_START, 0
+            if was_silent and self._ready:
+                self._start_waiting()
+            # again with nothing new, until no notice is left or it raises
+            while notices := parser.feed(data):
                 data = b""
                 for notice in notices:
                     if isinstance(notice, interpreter.Greeting):
                         self._greeted = True
-                        self._handler.greeted(notice.cold, notice.age)
-                        opening, self._asking = self._fence + 1, True
+                        self._handler.interpreter_ready(notice.cold, notice.uptime_s)
+                        opening_fence, self._query_gauges = self._fences.next, True
                     else:
-                        self._heed(notice, opening, safe)
+                        self._handle_notice(notice, opening_fence, safe_before)
 
-    def _heed(self, notice: interpreter.Notice, opening: int, safe: int) -> None:
+    def _handle_notice(self, notice: interpreter.Notice, opening_fence: int, safe_before: int) -> None:
         match notice:
-            case interpreter.RunOver():
-                if notice.number > self._last:
-                    self._last = notice.number
-                    self._over(notice)
-            case interpreter.CallNeeded(number, name):
-                if number > self._last:
-                    self._last = number
-                    self._count("calls_needed")
-                    if name in self._runs:
-                        self._handler.call_needed(self._runs[name].exchange)
-            case interpreter.Remark(number):
-                self._last = max(self._last, number)
-            case interpreter.Rejected(command, name):
-                self._rejected(command, name)
-                if command is interpreter.Command.GAUGES:  # none here, but a fence all the same
-                    self._pass_fence(name, opening, safe)
-            case interpreter.Gauges(tag, values):
-                self._gauges, self._told = values, self._scheduler.clock.now
-                self._pass_fence(tag, opening, safe)
-
-    def _pass_over(self, trouble: interpreter.GarbledError) -> None:
-        """The next notice can't be read; a second time in a row it is passed over, and costs nothing else.
-
-        Guards against an interpreter that says more than this program knows, or the same thing wrongly each
-        time: a link that breaks for it brings it again and breaks again, and no run of any class would ever
-        end. Once may be an accident of the link, and is read anew. The run that it was about has no other
-        notice, so it is given up, if its name can be read.
+            case interpreter.RunFinished():
+                if notice.number > self._last_notice:
+                    self._last_notice = notice.number
+                    self._handle_run_finished(notice)
+            case interpreter.CallNeeded():
+                if notice.number > self._last_notice:
+                    self._last_notice = notice.number
+                    self._handle_call_needed(notice)
+            case interpreter.IgnoredNotice():
+                self._last_notice = max(self._last_notice, notice.number)
+            case interpreter.CommandRejected():
+                self._handle_rejection(notice)
+                if notice.command is interpreter.Command.GAUGES:  # no gauges here, but a fence all the same
+                    self._pass_fence(notice.name, opening_fence, safe_before)
+            case interpreter.Gauges():
+                self._gauges, self._gauges_received_at = notice.values, self._scheduler.clock.now
+                self._pass_fence(notice.tag, opening_fence, safe_before)
+
+    def _skip_unreadable(self, error: interpreter.ProtocolError) -> None:
+        """Skip the next notice once it was unreadable twice in a row.
+
+        A link that breaks for a notice receives it again after the break. If the interpreter sends what this
+        version does not know, or the same mistake each time, no run would ever end. The first time may be an
+        accident of the link, so the notice is read again. The run that it is about has no other notice: it is
+        lost, if its id can be parsed.
         """
-        number = trouble.number
-        if number and number == self._last + 1:
-            if number == self._unreadable:
-                self._last = number
+        number = error.number
+        if number and number == self._last_notice + 1:
+            if number == self._unreadable_notice:
+                self._last_notice = number
                 self._count("notices_passed_over")
-                if trouble.name in self._runs:
-                    self._end(trouble.name, Outcome.LOST, 0.0, b"")
-            self._unreadable = number
-
-    def _pass_fence(self, tag: bytes, opening: int, safe: int) -> None:
-        """An answer proves that what was written before its question was read, but a break may still take the
-        last of that back: until a question is answered that was written LOST_MOST later: the link was whole
-        till then. From the reading of one to the writing of the other, since that holds in any stall.
-        """
-        fence = int(tag) if tag.isdigit() else 0
-        written = -inf
-        while self._asked and self._asked[0][0] <= fence:
-            written = self._asked.popleft()[1]
-        while self._answered and self._answered[0][1] + LOST_MOST <= written:
-            self._safe = self._answered.popleft()[0]
-        if written > -inf:
-            self._proven = fence
-            self._answered.append((fence, self._scheduler.clock.now))
-            if not self._ready and fence == opening:
-                self._catch_up(safe)
-
-    def _catch_up(self, safe: int) -> None:
-        """All that was missed is in: what has no end yet and was never written is applied, and what may not
-        have been read is applied again if its class may run twice.
-        """
-        away = self.away
-        self._ready, self._away_since = True, None
-        # A run that ends while its command is on the way again is begun anew, and no question asked before
-        # can rule that out. So what may not run twice is left to its end, told or not.
-        unproven = [run for run in self._runs.values() if run.fence > safe]
-        again = [run for run in unproven if may_run_twice(run.exchange)]
+                if error.name in self._runs:
+                    self._end_run(error.name, Outcome.LOST)
+            self._unreadable_notice = number
+
+    def _pass_fence(self, tag: bytes, opening_fence: int, safe_before: int) -> None:
+        """Note an answered fence; the first one of a link makes the link ready."""
+        fence = self._fences.answer(tag, self._scheduler.clock.now)
+        if fence is not None and not self._ready and fence == opening_fence:
+            self._link_ready(safe_before)
+
+    def _link_ready(self, safe_before: int) -> None:
+        """Write the commands that waited, and again those that may not have been read and may run twice."""
+        disconnected_for_s = self.disconnected_for_s
+        self._ready, self._disconnected_since = True, None
+        # A run that ends while its command is written again is started anew, and no query before can rule
+        # that out. So what may not run twice is left to its end, whether that is notified or not.
+        unproven = [run for run in self._runs.values() if run.fence > safe_before]
+        resent = [run for run in unproven if may_run_twice(run.exchange)]
         unconfirmed = [run for run in unproven if not may_run_twice(run.exchange) and not run.unconfirmed]
-        first = self._apply_waiting()
-        for run in again:
-            self._send_again(run)
+        started = self._start_waiting()
+        for run in resent:
+            self._resend(run)
         for run in unconfirmed:
             self._leave_unconfirmed(run)
         for run in self._runs.values():
-            if run.halted:
-                self._commands += interpreter.halt(run.exchange.name)
+            if run.cancelled:
+                self._commands += interpreter.encode_cancel_run(run.exchange.name)
         pairs = {
-            "away": round(away, 3),
+            "away": round(disconnected_for_s, 3),
             "open_runs": len(self._runs),
-            "sent_first": first,
-            "sent_again": len(again),
+            "sent_first": started,
+            "sent_again": len(resent),
             "unconfirmed": len(unconfirmed),
         }
         log.info("link to the interpreter ready", extra={"pairs": pairs})
 
-    def _apply_waiting(self) -> int:
-        """Write the commands that were never written; how many. What nobody waits for is not begun."""
+    def _start_waiting(self) -> int:
+        """Write the commands that were never written, but end the runs that nobody waits for any more.
+
+        Returns:
+            How many commands were written.
+        """
         waiting = [run for run in self._runs.values() if not run.fence]
-        wanted = [run for run in waiting if not run.exchange.closed or run.exchange.joined]
+        wanted = [run for run in waiting if not run.exchange.closed or run.exchange.attached_duplicates]
         for run in wanted:
-            self._apply(run)
+            self._write_start(run)
         for run in waiting:
             if run not in wanted:
-                self._end(run.exchange.name, Outcome.NEVER_STARTED, 0.0, b"")
+                self._end_run(run.exchange.name, Outcome.NEVER_STARTED)
         return len(wanted)
 
-    def _send_again(self, run: Run) -> None:
-        run.again = True
+    def _resend(self, run: OpenRun) -> None:
+        run.resent = True
         self._count("runs_sent_again")
-        pairs = {**self._told_of(run), "written_before": self._since_sent(run)}
-        run_log.info("run sent again", extra={"pairs": pairs})
-        self._apply(run)
+        pairs = {**self._log_fields(run), "written_before": self._since_sent(run)}
+        run_log.info("command resent after reconnect", extra={"pairs": pairs})
+        self._write_start(run)
 
-    def _leave_unconfirmed(self, run: Run) -> None:
+    def _leave_unconfirmed(self, run: OpenRun) -> None:
         run.unconfirmed = True
         self._count("runs_unconfirmed")
-        pairs = {**self._told_of(run), "written_before": self._since_sent(run)}
+        pairs = {**self._log_fields(run), "written_before": self._since_sent(run)}
         run_log.info("start of a run unconfirmed", extra={"pairs": pairs})
         self._handler.start_unconfirmed(run.exchange)
 
-    def _told_of(self, run: Run) -> dict[str, object]:
-        """What a log line tells of a run: its request and class."""
+    def _log_fields(self, run: OpenRun) -> dict[str, object]:
+        """Return the fields of a log line about a run: its request and class."""
         exchange = run.exchange
         return {"request": exchange.name.decode("ascii", "replace"), "class": exchange.request_class.decode()}
 
-    def _since_sent(self, run: Run) -> float:
+    def _since_sent(self, run: OpenRun) -> float:
         return round(self._scheduler.clock.now - run.sent_at, 3)
 
-    def _apply(self, run: Run) -> None:
-        run.fence, run.sent_at = self._fence + 1, self._scheduler.clock.now
+    def _write_start(self, run: OpenRun) -> None:
+        run.fence, run.sent_at = self._fences.next, self._scheduler.clock.now
         exchange = run.exchange
-        self._commands += interpreter.apply(exchange.name, exchange.request_class, exchange.body)
+        self._commands += interpreter.encode_start_run(exchange.name, exchange.request_class, exchange.body)
         if self._stream is not None:
             run.command_end = self._stream.queued + len(self._commands)
 
-    def _ask_gauges(self) -> None:
-        """Also finds a link that is open but dead: it is made anew, which harms nothing if it only stalls.
+    def _check_link(self) -> None:
+        """Query the gauges, and close a link that is open but dead.
 
         So is one on which no greeting or no first answer comes, once the interpreter has greeted at all;
-        before, it may just not be up. Times are counted and not seconds: a pause of the machine is one time.
+        before, it may just not be up. To close a link that only stalls does no harm: it is opened again.
         """
-        self._asking = self._asking or self._ready
+        self._query_gauges = self._query_gauges or self._ready
         if self._greeted and self._stream is not None:
-            self._unheard += 1
-            if self._unheard > SILENT_MOST:
+            self._silent_queries += 1
+            if self._silent_queries > MAX_UNANSWERED_QUERIES:
                 self._count("links_silent")
                 self._stream.close()
 
-    # -- what it tells
+    # -- notices
 
-    def _over(self, notice: interpreter.RunOver) -> None:
+    def _handle_run_finished(self, notice: interpreter.RunFinished) -> None:
         run = self._runs.get(notice.name)
         if run is None:
             self._count("ends_unknown")
-            self._log_unknown_end(notice)
+            self._log_unknown_result(notice)
             return
-        if run.again:
-            pairs = {**self._told_of(run), "notice": notice.number, "after": self._since_sent(run)}
-            run_log.info("end of a run that was sent again", extra={"pairs": pairs})
-            if self.can_stop:  # it may have been begun once more, and nobody counts that run
-                self._commands += interpreter.halt(notice.name)
-        run.exchange.notice = notice.number
-        self._end(notice.name, notice.outcome, notice.took, notice.result)
-
-    def _log_unknown_end(self, notice: interpreter.RunOver) -> None:
+        if run.resent:
+            pairs = {**self._log_fields(run), "notice": notice.number, "after": self._since_sent(run)}
+            run_log.info("result for resent command", extra={"pairs": pairs})
+            if self.discards_cancelled_runs:  # it may have started once more, and nobody counts that run
+                self._commands += interpreter.encode_cancel_run(notice.name)
+        run.exchange.notice_number = notice.number
+        self._end_run(notice.name, notice.outcome, notice.run_time_s, notice.result)
+
+    def _log_unknown_result(self, notice: interpreter.RunFinished) -> None:
         pairs = {
             "request": notice.name.decode("ascii", "replace"),
             "notice": notice.number,
             "outcome": notice.outcome.name.lower(),
         }
-        run_log.info("end of a run that is not open here", extra={"pairs": pairs})
+        run_log.info("result for unknown request", extra={"pairs": pairs})
+
+    def _handle_call_needed(self, notice: interpreter.CallNeeded) -> None:
+        self._count("calls_needed")
+        if notice.name in self._runs:
+            self._handler.call_needed(self._runs[notice.name].exchange)
 
-    def _rejected(self, command: interpreter.Command, name: bytes) -> None:
-        """The command was not carried out: so its run never started, unless one before it was.
+    def _handle_rejection(self, notice: interpreter.CommandRejected) -> None:
+        """End a run whose command was not carried out.
 
-        Guards against an idempotency key set free for a run that goes on: a repeat would run it a second
-        time.
+        It never started, unless its command was written before: then its idempotency key must not be
+        released, or a duplicate would run a second time.
         """
         self._count("commands_rejected")
-        if command is interpreter.Command.GAUGES:
+        if notice.command is interpreter.Command.GAUGES:
             return
-        pairs = {"command": command.name.lower(), "name": name.decode("ascii", "replace")}
+        pairs = {"command": notice.command.name.lower(), "name": notice.name.decode("ascii", "replace")}
         log.warning("interpreter rejected a command", extra={"pairs": pairs})
-        if command is interpreter.Command.START and name in self._runs:
-            self._end(name, Outcome.ERROR if self._runs[name].again else Outcome.NEVER_STARTED, 0.0, b"")
+        if notice.command is interpreter.Command.START and notice.name in self._runs:
+            resent = self._runs[notice.name].resent
+            self._end_run(notice.name, Outcome.ERROR if resent else Outcome.NEVER_STARTED)
 
-    def _end(self, name: bytes, outcome: Outcome, took: float, result: bytes) -> None:
+    def _end_run(self, name: bytes, outcome: Outcome, run_time_s: float = 0.0, result: bytes = b"") -> None:
         exchange = self._runs.pop(name).exchange
         self._count(RUN_COUNTERS[outcome])
-        self._handler.ended(exchange, outcome, took, result)
+        self._handler.run_ended(exchange, outcome, run_time_s, result)
--- a/sablewheel/serving/recent_runs.py
+++ b/sablewheel/serving/recent_runs.py
@@ -1,33 +1,36 @@
-"""The ids of requests whose run began a short while ago and may not be begun again.
+"""The ids of requests whose run started recently and must not be started again.
 
-A router gives each try an id of its own. One that comes again is a copy, by a mistake or by a resend of what
-was thought to be lost; while the first is open it is told by the table of open requests, and after that here.
+A client gives each attempt an id of its own. An id that is received again is a copy, by a mistake or by a
+resend of what was thought to be lost. While the first is open, the table of open requests tells; after that,
+this one does.
 """
 
 from __future__ import annotations
 
 
 class RecentRuns:
-    """Ids, each kept for `life` seconds after its run began; so the oldest are always the first to go."""
+    """Ids, each retained for `lifetime_s` after its run started. The oldest always expire first."""
 
-    def __init__(self, life: float) -> None:
-        self.life = life
-        self._until: dict[bytes, float] = {}
+    def __init__(self, lifetime_s: float) -> None:
+        self.lifetime_s = lifetime_s
+        self._expires_at: dict[bytes, float] = {}
 
     def __contains__(self, name: bytes) -> bool:
-        return name in self._until
+        return name in self._expires_at
 
     def add(self, name: bytes, now: float) -> None:
-        self._until.pop(name, None)
-        self._until[name] = now + self.life
+        """Retain the id of a run that starts now."""
+        self._expires_at.pop(name, None)  # so that the order stays that of the times
+        self._expires_at[name] = now + self.lifetime_s
 
     def discard(self, name: bytes) -> None:
-        """Its run never began after all."""
-        self._until.pop(name, None)
+        """Drop the id of a run that never started after all."""
+        self._expires_at.pop(name, None)
 
     def sweep(self, now: float) -> None:
-        while self._until:
-            oldest = next(iter(self._until))
-            if self._until[oldest] > now:
+        """Drop the ids that expired."""
+        while self._expires_at:
+            oldest = next(iter(self._expires_at))
+            if self._expires_at[oldest] > now:
                 return
-            del self._until[oldest]
+            del self._expires_at[oldest]
--- a/sablewheel/session_affinity/session_router.py
+++ b/sablewheel/session_affinity/session_router.py
@@ -21,7 +21,7 @@
 from ..replication.replica import SESSIONS
 from ..replication.service import Keeper
 from ..serving.exchange import Caller, Exchange, RequestObserver
-from ..serving.hooks import Memory
+from ..serving.hooks import ResultStore
 from ..serving.idempotency_keys import IdempotencyTable
 from ..serving.listener import RequestHandler
 from ..transport.scheduler import Scheduler
@@ -92,7 +92,7 @@
         links: Links,
         forward: Forward,
         keeper: Keeper,
-        memory: Memory,
+        memory: ResultStore,
         observer: RequestObserver,
         tenants: dict[bytes, Tenant],
         warmth: Callable[[], float],
@@ -158,10 +158,10 @@
                 else:
                     self._forward.serve(exchange)
 
-    def gone(self, exchange: Exchange) -> None:
+    def cancelled(self, exchange: Exchange) -> None:
         """Nobody waits any more; one that is still held is let go of when it is decided on."""
         if exchange not in self._held.values():
-            self._handler.gone(exchange)
+            self._handler.cancelled(exchange)
 
     @property
     def _handler(self) -> RequestHandler:
@@ -205,20 +205,20 @@
     def ready(self) -> bool:
         return self._memory.ready
 
-    def recalled(self, born: float, idempotency_keys: IdempotencyTable) -> list[tuple[Request, float]]:
-        return self._memory.recalled(born, idempotency_keys)
+    def recover_keys(self, born: float, idempotency_keys: IdempotencyTable) -> list[tuple[Request, float]]:
+        return self._memory.recover_keys(born, idempotency_keys)
 
-    def adopted(self) -> tuple[list[Exchange], int]:
-        return self._memory.adopted()
+    def runs_to_adopt(self) -> tuple[list[Exchange], int]:
+        return self._memory.runs_to_adopt()
 
-    def may_not_run(self, exchange: Exchange) -> bool:
-        return self._memory.may_not_run(exchange)
+    def may_have_run(self, exchange: Exchange) -> bool:
+        return self._memory.may_have_run(exchange)
 
     def prepare(self, exchange: Exchange) -> None:
         self._memory.prepare(exchange)
 
-    def remember(self, exchange: Exchange) -> None:
-        self._memory.remember(exchange)
+    def reserve(self, exchange: Exchange) -> None:
+        self._memory.reserve(exchange)
 
     def release(self, exchange: Exchange) -> None:
         self._memory.release(exchange)
@@ -228,8 +228,8 @@
             one.begun = True
         self._memory.before_run(exchange, run)
 
-    def ended(self, exchange: Exchange, outcome: Outcome, result: bytes) -> None:
-        self._memory.ended(exchange, outcome, result)
+    def run_ended(self, exchange: Exchange, outcome: Outcome, result: bytes) -> None:
+        self._memory.run_ended(exchange, outcome, result)
         self._over(exchange)
 
     def completed(self, exchange: Exchange, result: bytes, caller: Caller) -> None:
@@ -246,7 +246,7 @@
 
     def gone_by(self, exchange: Exchange) -> None:
         self._answered(exchange)
-        self._observer.gone(exchange)
+        self._observer.cancelled(exchange)
 
     def _answered(self, exchange: Exchange) -> None:
         """Its answer is given; a run of it that has begun counts until it ends."""
@@ -423,8 +423,8 @@
 
 
 class Watching:
-    """The observer of an `Affinity`, whose handler has a `gone` of its own."""
+    """The observer of an `Affinity`, whose handler has a `cancelled` of its own."""
 
     def __init__(self, affinity: Affinity) -> None:
         self.completed, self.rejected = affinity.completed, affinity.rejected
-        self.failed, self.gone = affinity.failed, affinity.gone_by
+        self.failed, self.cancelled = affinity.failed, affinity.gone_by
--- a/sablewheel/usage_metering/recorder.py
+++ b/sablewheel/usage_metering/recorder.py
@@ -14,8 +14,8 @@
 from typing import Any
 
 from ..overload.interface import Tenant
-from ..serving.delayed_answers import Held, Holding
-from ..serving.exchange import Caller, Exchange, Place
+from ..serving.delayed_answers import DelayedAnswer, DelayedAnswers
+from ..serving.exchange import Caller, Exchange, ExchangeState
 from ..storage import log as durable
 from ..storage.files import DiskFiles
 from ..storage.health import Disk
@@ -84,7 +84,7 @@
     ) -> None:
         self._scheduler, self._plan, self._count, self._names = scheduler, plan, count, names
         self._pool = Pool(server, incarnation, Periods(plan.calendar), plan.entries_most, plan.totals_most)
-        self._held = Holding(scheduler, plan.hold_most, self._release)
+        self._held = DelayedAnswers(scheduler, plan.hold_most, self._release)
         self._fences: deque[tuple[int, int]] = deque()  # record number, last sequence in it
         self._durable_sequence = self._marked = 0
         self._cut_at = scheduler.clock.now
@@ -138,7 +138,8 @@
     # -- what the seam tells
 
     def completed(self, exchange: Exchange, result: bytes, caller: Caller) -> None:
-        first = exchange.first if exchange.place is Place.JOINED else None  # whose result it gets
+        # whose result it gets
+        first = exchange.original if exchange.state is ExchangeState.ATTACHED else None
         run = first if first is not None else exchange
         billed, run.billed = not run.billed, True
         sequence = self._note(exchange, pb.COMPLETED, run if billed else None, len(result), first)
@@ -146,7 +147,7 @@
             if self._waits:
                 self._count("ledger_answers_ahead")
             return caller.completed(exchange, result)
-        self._held.hold(sequence, exchange, result, caller)
+        self._held.delay(sequence, exchange, result, caller)
         wait = self._cut_at + self._plan.commit_every - self._scheduler.clock.now
         if len(self._held) == 1 and wait > 0:
             self._scheduler.after(wait, lambda: None)  # a round to commit in
@@ -157,7 +158,7 @@
     def failed(self, exchange: Exchange) -> None:
         self._note(exchange, pb.TERMINATED)
 
-    def gone(self, exchange: Exchange) -> None:
+    def cancelled(self, exchange: Exchange) -> None:
         self._note(exchange, pb.GONE)
 
     def _note(
@@ -181,7 +182,7 @@
             outcome=outcome,
             ended_us=round(self._scheduler.clock.to_unix(now) * 1e6),
             arrived_us=round(self._scheduler.clock.to_unix(ticket.arrived_at) * 1e6),
-            run_us=round(billed.took * 1e6) if billed is not None else 0,
+            run_us=round(billed.run_time_s * 1e6) if billed is not None else 0,
             asked_bytes=len(exchange.body),
             answer_bytes=answer_bytes,
             goal_kept=outcome == pb.COMPLETED and now - ticket.arrived_at <= goal,
@@ -254,7 +255,7 @@
             self._durable_sequence = self._fences.popleft()[1]
         self._held.durable(self._durable_sequence)
 
-    def _release(self, one: Held, ahead: bool) -> None:
+    def _release(self, one: DelayedAnswer, ahead: bool) -> None:
         if ahead:
             self._count("ledger_answers_ahead")
         one.caller.completed(one.exchange, one.result)
@@ -262,7 +263,7 @@
     def _disk_changed(self, disk: Disk) -> None:
         self._count(f"ledger_disk_{disk.value}")
         if disk in (Disk.FULL, Disk.FAILING):
-            self._held.let_all_go()
+            self._held.release_all()
 
     # -- the end
 
@@ -282,7 +283,7 @@
 
     def close(self, most: float) -> None:
         """The last instant: write what can be written; what can't is told in the log, by customer."""
-        self._held.let_all_go()
+        self._held.release_all()
         if self._store is not None and self._bridge is not None:
             self._seal_durably(self._store)
             self._store.close()
--- a/tests/simulated_server.py
+++ b/tests/simulated_server.py
@@ -13,11 +13,11 @@
 from sablewheel.overload.controller import Controller
 from sablewheel.overload.interface import Cancellation, Client, Idempotency, Outcome, Request, ServerSettings
 from sablewheel.protocol.resp import Parser
-from sablewheel.serving.dispatcher import Dispatch
-from sablewheel.serving.exchange import Standing
+from sablewheel.serving.dispatcher import Dispatcher
+from sablewheel.serving.exchange import ServerStatus
 from sablewheel.serving.idempotency_keys import IdempotencyTable
 from sablewheel.serving.interpreter_client import InterpreterClient
-from sablewheel.serving.listener import Server
+from sablewheel.serving.listener import RequestListener
 from sablewheel.transport.scheduler import Clock, Scheduler
 from sablewheel.transport.stream import Stream
 
@@ -455,21 +455,21 @@
         self.scheduler = MadeScheduler()
         self.server_settings = server_settings
         self.counts: list[str] = []
-        self.standing = Standing()
+        self.standing = ServerStatus()
         self.idempotency_keys = IdempotencyTable(4.0, server_settings.answer_slack_s, 1 << 16)
         places = (0, 3, 1)  # cpu_busy, sockets, runnable
-        self.dispatch = Dispatch(
+        self.dispatch = Dispatcher(
             self.scheduler, server_settings, 7, places, self.standing, self.idempotency_keys, lambda: None
         )
         names = (b"lookup", b"record")
-        self.server = Server(
+        self.server = RequestListener(
             self.scheduler,
             dict(zip(names, server_settings.request_classes, strict=True)),
             {b"acme": server_settings.tenants[0]},
             self.standing,
             self.dispatch,
             self.counts.append,
-            connections_most=40,
+            max_connections=40,
         )
         self.linked = True
         self.links: list[MadeStream] = []
@@ -531,7 +531,7 @@
     def drain(self, left: float) -> None:
         if self.notice > self.now:
             self.notice, self.stop = self.now, self.now + left
-            self.dispatch.notice(left)
+            self.dispatch.shutdown_notice(left)
 
     def settle(self, deliver: bool = True) -> None:
         """Rounds until nothing moves; without `deliver` what goes to the interpreter is still under way."""
--- a/tests/test_close_races.py
+++ b/tests/test_close_races.py
@@ -23,10 +23,11 @@
 
 from sablewheel.program import configuration
 from sablewheel.protocol.resp import Parser
-from sablewheel.serving import listener as routers
+from sablewheel.serving import connection as connections
 from sablewheel.serving.close_reasons import CloseReason
-from sablewheel.serving.exchange import Exchange, Standing
-from sablewheel.serving.listener import Connection, Server
+from sablewheel.serving.connection import Connection
+from sablewheel.serving.exchange import Exchange, ServerStatus
+from sablewheel.serving.listener import RequestListener
 from sablewheel.transport import stream as transport
 from sablewheel.transport.scheduler import Clock, Scheduler, Timer
 from sablewheel.transport.stream import Listener, Stream
@@ -54,7 +55,7 @@
     def arrived(self, exchange: Exchange) -> None:
         self.held.append(exchange)
 
-    def gone(self, exchange: Exchange) -> None:
+    def cancelled(self, exchange: Exchange) -> None:
         self.left.append(exchange)
 
 
@@ -67,17 +68,21 @@
         self.counts: list[str] = []
         self.handler = RequestHandler()
         names = (b"lookup", b"record")
-        self.server = Server(
+        self.server = RequestListener(
             self.scheduler,
             dict(zip(names, SERVER_SETTINGS.request_classes, strict=True)),
             {b"acme": SERVER_SETTINGS.tenants[0]},
-            Standing(None, True),
+            ServerStatus(None, True),
             self.handler,
             self.counts.append,
             connections_most,
         )
         self.listener = Listener(
-            self.scheduler, ("127.0.0.1", 0), self.server.room, self.server.accepted, self.server.make_room
+            self.scheduler,
+            ("127.0.0.1", 0),
+            self.server.has_capacity,
+            self.server.accepted,
+            self.server.evict_unused,
         )
         self.address = self.listener._socket.getsockname()
         self.scheduler.after_round.append(self.server.flush)
@@ -191,7 +196,7 @@
     town = Town(SERVER_SETTINGS)
     one = town.call(b"lookup")
     town.settle()
-    town.server.farewell()
+    town.server.announce_close()
     town.settle()
     town.scheduler.clock.now += 2.0  # the router had its time to close after the farewell
     town.end(one.name)
@@ -247,10 +252,10 @@
     connection = hall.connection(peer)
     crossing(connection.stream, lambda: peer.sendall(hall.call(2)))
     hall.handler.held[0].complete(b"made" * 1000)
-    hall.server.farewell()
+    hall.server.announce_close()
     hall.server.flush()  # the router has not read it by then
     hall.ahead(2.0)
-    hall.turn(lambda: connection.shut_at is not None or not connection.stream.open)
+    hall.turn(lambda: connection.shut_down_at is not None or not connection.stream.open)
     hall.turn(lambda: "connections_crossed" in hall.counts)
     said, over = words(peer)
     assert [one[:2] for one in said] == [[b"1", b"OK"], [b"0", b"BYE"]] and over
@@ -272,7 +277,7 @@
     last = hall.connection(one)
     wait_until(lambda: hall.connection(two).stream.unread)
     crossing(last.stream, lambda: one.sendall(hall.call(4)))
-    hall.server.finish()
+    hall.server.stop_reading()
     hall.turn(lambda: len(hall.handler.held) == 3)
     hall.handler.held[2].reject(0.0, False)
     hall.server.flush()
@@ -286,8 +291,8 @@
 def test_a_router_that_stays_after_the_shutdown_is_closed_in_a_while(hall: Hall) -> None:
     peer = hall.peer()
     peer.send(frame(b"RPC.HEALTH", b"1", b""))
-    hall.turn(lambda: hall.connection(peer).heard if hall.server.connections else False)
-    hall.server.farewell()
+    hall.turn(lambda: hall.connection(peer).has_received if hall.server.connections else False)
+    hall.server.announce_close()
     hall.ahead(2.0)
     hall.turn(lambda: ended(peer))
     assert hall.server.connections
@@ -308,7 +313,7 @@
         return not hall.server.connections
 
     hall.turn(flooded)
-    assert sent >= routers.DISCARD_MOST and hall.counts.count("frames_garbled") == 1
+    assert sent >= connections.MAX_DISCARDED_BYTES and hall.counts.count("frames_garbled") == 1
 
 
 def test_whole_requests_before_bad_bytes_get_their_answers_and_then_the_end_comes() -> None:
@@ -374,7 +379,7 @@
     hall.turn(lambda: hall.handler.left)
     assert [exchange.name for exchange in hall.handler.left] == [b"%016x" % 2]
     held[b"%016x" % 3].complete(b"made")
-    hall.turn(lambda: len(hall.server.connections) == 1 and not hall.server.dirty)
+    hall.turn(lambda: len(hall.server.connections) == 1 and not hall.server._with_answers)
     assert words(two)[0][0][1] == b"OK"
 
 
@@ -385,7 +390,7 @@
     connection = hall.connection(peer)
     late = hall.call(1)
     hall.clock.now -= 1.1  # the round began before the request was made
-    connection._read(late)
+    connection._receive(late)
     assert len(hall.handler.held) == 1 and "frames_faulty" not in hall.counts
 
 
@@ -405,7 +410,11 @@
         if asked:
             for sock in idle:
                 sock.send(frame(b"RPC.HEALTH", b"1", b""))
-            hall.turn(lambda: all(one.heard for one in hall.server.connections) and not hall.server.dirty)
+            hall.turn(
+                lambda: (
+                    all(one.has_received for one in hall.server.connections) and not hall.server._with_answers
+                )
+            )
         hall.turn(lambda: len(hall.server.connections) == most)
         hall.ahead(0.2)
         check, asking = hall.peer(), hall.peer()
@@ -438,7 +447,7 @@
         late.send(hall.call(9))
         hall.ahead(1.0)
         hall.turn(lambda: hall.listener is not None)
-        hall.server.make_room()
+        hall.server.evict_unused()
         assert len(hall.server.connections) == 4
         hall.handler.held[0].complete(b"made")
         hall.server.flush()
@@ -523,17 +532,17 @@
 
 def test_a_full_table_of_the_narrowest_server_is_thinned_all_the_same() -> None:
     town = Town(replace(SERVER_SETTINGS))
-    town.server._connections_most = 4
+    town.server._max_connections = 4
     streams = [MadeStream(town.scheduler) for _ in range(3)]
     for stream in streams:
         town.server.accepted(stream)
         stream.feed(frame(b"RPC.HEALTH", b"1", b""))
     town.settle()
-    assert not town.server.room()
+    assert not town.server.has_capacity()
     town.wait(0.5)
-    town.server.make_room()
+    town.server.evict_unused()
     town.settle()
-    assert town.server.room()
+    assert town.server.has_capacity()
 
 
 @pytest.mark.parametrize("limit", [16, 70])
--- a/tests/test_duplicate_races.py
+++ b/tests/test_duplicate_races.py
@@ -155,7 +155,7 @@
     town.settle()
     assert town.dispatch.open_count == 2 and not town.ran()
     town.scheduler.clock.now += 1.0
-    town.dispatch.greeted(cold=False, age=1.0)
+    town.dispatch.interpreter_ready(cold=False, uptime_s=1.0)
     town.settle()
     assert_run_once(town, first, second)
 
@@ -311,9 +311,9 @@
         town.settle()
         town.end(one.name)
         town.settle()
-    kept = town.idempotency_keys._bytes
+    kept = town.idempotency_keys._cached_bytes
     town.wait(5.0)
-    assert len(town.idempotency_keys._entries) == 1 and town.idempotency_keys._bytes < kept / 10
+    assert len(town.idempotency_keys._entries) == 1 and town.idempotency_keys._cached_bytes < kept / 10
     assert controller.kb == pytest.approx(SERVER_SETTINGS.idempotency_key_kb)
     again = town.call(b"record", b"long")
     town.settle()
@@ -326,13 +326,13 @@
     town.settle()
     town.end(long.name)
     town.settle()
-    town.idempotency_keys._bytes_most = 100
+    town.idempotency_keys._max_result_bytes = 100
     for place in range(20):
         one = town.call(b"lookup", b"short%d" % place)
         town.settle()
         town.end(one.name)
         town.wait(5.0 if place % 4 == 3 else 0.0)
-    assert town.idempotency_keys._bytes <= 100
+    assert town.idempotency_keys._cached_bytes <= 100
     again = town.call(b"record", b"long")
     town.settle()
     assert words(again) == [b"OK"]
--- a/tests/test_feature_policy_service.py
+++ b/tests/test_feature_policy_service.py
@@ -129,7 +129,7 @@
     def arrived(self, exchange: Exchange) -> None:
         self.served.append(exchange.request_class)
 
-    def gone(self, exchange: Exchange) -> None: ...
+    def cancelled(self, exchange: Exchange) -> None: ...
 
 
 def policies(world: World, kind: str, file: Path | None) -> tuple[Policies, list[int]]:
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -592,7 +592,7 @@
     def arrived(self, exchange: Exchange) -> None:
         self.open.append(exchange)
 
-    def gone(self, exchange: Exchange) -> None:
+    def cancelled(self, exchange: Exchange) -> None:
         self.left.append(exchange)
 
 
@@ -704,8 +704,8 @@
         pair.count -= 1
         pair.ask(b"stamp")  # a copy of its name
         assert pair.router.told == [("terminated",)]
-        assert exchange.discard()
-        pair.forwards["a"].gone(exchange)
+        assert exchange.cancel()
+        pair.forwards["a"].cancelled(exchange)
         wait(scheduler, lambda: pair.engines["b"].left == [guest])
         assert pair.router.told == [("terminated",)] and pair.forwards["a"].settled
 
--- a/tests/test_internal_errors.py
+++ b/tests/test_internal_errors.py
@@ -7,13 +7,13 @@
 from test_serving import SERVER_SETTINGS
 
 
-@pytest.mark.parametrize("step", ["remember", "run", "deny"])
+@pytest.mark.parametrize("step", ["reserve", "run", "reject"])
 def test_a_fault_in_one_request_s_action_leaves_those_of_the_same_batch_alone(step: str) -> None:
     town = Town(SERVER_SETTINGS)
     faults: list[bool] = []
     town.scheduler.on_fault = lambda: faults.append(True)
-    part = {"remember": town.idempotency_keys, "run": town.client, "deny": town.dispatch}[step]
-    method = {"remember": "remember", "run": "run", "deny": "_count_rejection"}[step]
+    part = {"reserve": town.idempotency_keys, "run": town.client, "reject": town.dispatch.outcomes}[step]
+    method = {"reserve": "reserve", "run": "run", "reject": "count_rejection"}[step]
     real = getattr(part, method)
 
     def once(*values: object) -> None:
@@ -21,7 +21,7 @@
         raise RuntimeError("a fault of ours")
 
     setattr(part, method, once)
-    late = 3.9 if step == "deny" else 0.0
+    late = 3.9 if step == "reject" else 0.0
     bad = town.call(b"record", b"a", ago=late)
     town.scheduler.run_ready()
     good, other = town.call(b"record", b"b"), town.call(b"lookup")
@@ -30,7 +30,7 @@
         town.end(name)
     town.settle()
     assert faults == [True]
-    assert [words[1] for words in bad.answers] == [b"BUSY" if step == "deny" else b"FAILED"]
+    assert [words[1] for words in bad.answers] == [b"BUSY" if step == "reject" else b"FAILED"]
     assert good.answers[0][1] == other.answers[0][1] == b"OK"
     assert not town.dispatch.open_count
     controller = town.dispatch._controller
@@ -64,8 +64,8 @@
     town = Town(SERVER_SETTINGS)
     one = town.call(b"lookup")
     town.settle()
-    exchange = next(iter(town.dispatch._exchanges.values()))
-    town.dispatch._fail(exchange)
+    exchange = next(iter(town.dispatch._open_requests._exchanges.values()))
+    town.dispatch._fail_after_internal_error(exchange)
     town.settle()
     town.end(one.name)  # its run was under way all the same
     town.settle()
--- a/tests/test_interpreter_link_races.py
+++ b/tests/test_interpreter_link_races.py
@@ -17,7 +17,8 @@
 from sablewheel.overload.interface import Client, Idempotency, Outcome, Request, RequestClass
 from sablewheel.protocol import interpreter
 from sablewheel.serving.exchange import Exchange
-from sablewheel.serving.interpreter_client import ASKED_MOST, InterpreterClient
+from sablewheel.serving.fences import MAX_TRACKED_QUERIES
+from sablewheel.serving.interpreter_client import InterpreterClient
 from sablewheel.transport.scheduler import Clock, Scheduler
 from sablewheel.transport.stream import Listener, Stream, connect
 
@@ -215,10 +216,10 @@
 def test_questions_that_are_never_answered_are_kept_track_of_within_a_bound() -> None:
     town = Town(SERVER_SETTINGS)
     town.links.clear()  # nothing that is written arrives any more
-    for _ in range(ASKED_MOST + 100):
-        town.client._asking = True
+    for _ in range(MAX_TRACKED_QUERIES + 100):
+        town.client._query_gauges = True
         town.client.flush()
-    assert len(town.client._asked) == ASKED_MOST
+    assert len(town.client._fences._unanswered) == MAX_TRACKED_QUERIES
 
 
 def test_a_link_left_before_it_greeted_proves_nothing_of_the_one_that_broke_before_it() -> None:
@@ -229,7 +230,7 @@
     recover(town)
     town.interpreter.up = False
     broken(town, lost=False)
-    town.client.move(town._connect)
+    town.client.connect_to(town._connect)
     town.interpreter.up = True
     town.wait(0.1)
     assert town.counts.count("links") == 3 and one.name in town.interpreter.running
@@ -332,9 +333,9 @@
     """The second address can't be had for long; the first link stood already, and was thrown away."""
     town = Town(SERVER_SETTINGS)
     reachable = False
-    town.client.move(town._connect)
+    town.client.connect_to(town._connect)
     town.scheduler.run_ready()  # connected; waits until the old link has read all
-    town.client.move(lambda: town._connect() if reachable else None)
+    town.client.connect_to(lambda: town._connect() if reachable else None)
     town.wait(0.5)
     one = town.call(b"record", b"a")
     town.settle()
@@ -357,11 +358,11 @@
         made.append(MadeStream(town.scheduler))
         return made[-1]
 
-    town.client.move(slow)
+    town.client.connect_to(slow)
     town.scheduler.run_ready()
-    town.client.move(town._connect)
+    town.client.connect_to(town._connect)
     town.scheduler.run_ready()
-    town.client.move(town._connect)
+    town.client.connect_to(town._connect)
     town.wait(0.5)
     one = town.call(b"lookup")
     town.settle()
@@ -375,7 +376,7 @@
     town = Town(SERVER_SETTINGS)
     before = town.call(b"record", b"a")
     town.settle(deliver=False)
-    town.client.move(town._connect)
+    town.client.connect_to(town._connect)
     town.scheduler.run_ready()
     held = town.call(b"record", b"b")
     town.settle(deliver=False)
@@ -393,7 +394,7 @@
     town = Town(SERVER_SETTINGS)
     stopped, staying = town.call(b"lookup"), town.call(b"lookup")
     town.settle()
-    town.client.move(town._connect)
+    town.client.connect_to(town._connect)
     town.scheduler.run_ready()
     town.cancel(stopped)
     town.drain(1.0)
@@ -418,7 +419,7 @@
         tried[-1].feed(b"")
         return tried[-1]
 
-    town.client.move(ending)
+    town.client.connect_to(ending)
     town.wait(0.5)
     assert len(tried) == 3 and one.name in town.interpreter.running
     town.end(one.name)
@@ -435,7 +436,7 @@
             raise faults.pop()
         return town._connect()
 
-    town.client.move(faulty)
+    town.client.connect_to(faulty)
     town.wait(0.5)
     one = town.call(b"lookup")
     town.settle()
@@ -486,17 +487,17 @@
 
 def test_for_how_long_no_link_has_stood_is_known_also_while_links_are_made_and_not_greeted() -> None:
     town = Town(SERVER_SETTINGS)
-    assert town.client.away == 0.0
+    assert town.client.disconnected_for_s == 0.0
     town.linked = False
     broken(town, lost=False)
     town.wait(1.0)
     town.linked, town.interpreter.up = True, False
     town.wait(1.0)
-    assert 2.0 < town.client.away < 2.2
+    assert 2.0 < town.client.disconnected_for_s < 2.2
     town.interpreter.up = True
     town.cut(lost=False)
     town.wait(0.6)
-    assert town.client.away == 0.0
+    assert town.client.disconnected_for_s == 0.0
 
 
 def test_an_interpreter_that_has_not_come_up_yet_is_waited_for_on_one_link() -> None:
@@ -563,7 +564,7 @@
                 recover(town)
                 town.cut(lost=False)
             case "move":
-                town.client.move(town._connect)
+                town.client.connect_to(town._connect)
                 town.scheduler.run_ready()
             case "gap":
                 town.linked = not town.linked
@@ -593,10 +594,10 @@
         self.ends: list[tuple[bytes, Outcome, bytes]] = []
         self.greetings = 0
 
-    def greeted(self, cold: bool, age: float) -> None:
+    def interpreter_ready(self, cold: bool, age: float) -> None:
         self.greetings += 1
 
-    def ended(self, exchange: Exchange, outcome: Outcome, took: float, result: bytes) -> None:
+    def run_ended(self, exchange: Exchange, outcome: Outcome, took: float, result: bytes) -> None:
         self.ends.append((exchange.name, outcome, result))
 
     def call_needed(self, exchange: Exchange) -> None:
@@ -662,7 +663,7 @@
         old.links[-1].write(half[: len(half) // 2])
         old.links[-1].flush()
         old.listener.close()
-        client.move(lambda: connect(scheduler, new.address, 1.0))
+        client.connect_to(lambda: connect(scheduler, new.address, 1.0))
         client.run(exchange(names[3]))
         scheduler.sleep(0.0)
         old.reset()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -33,7 +33,7 @@
 from sablewheel.program import feature_file as features
 from sablewheel.program.feature_registry import Parts
 from sablewheel.protocol import resp
-from sablewheel.serving.listener import ROUTERS_TIMES
+from sablewheel.serving.client_table import CLIENTS_PER_EXPECTED
 from sablewheel.transport.scheduler import Clock, Scheduler
 from sablewheel.usage_metering.collector import Collector
 from sablewheel.usage_metering.plan import CollectorPlan
@@ -43,27 +43,27 @@
 
 
 def heard(town: Town, number: int) -> Client:
-    asked = resp.Asked(
+    asked = resp.RequestMessage(
         tag=1,
         name=b"a",
         request_class=b"lookup",
-        router=b"%d" % number,
+        client=b"%d" % number,
         tenant=b"acme",
-        since=town.now,
-        kb=10.0,
+        arrived_at_unix=town.now,
+        memory_kb=10.0,
         idempotency_key=None,
         subject=None,
         body=b"",
-        until=None,
-        again=False,
-        estimate=None,
+        deadline_unix=None,
+        is_retry=False,
+        cost_hint_s=None,
     )
-    return town.server.request(asked).client
+    return town.server.make_request(asked).client
 
 
 def test_1024_routers_are_remembered_whatever_the_settings_tell_and_an_entry_is_small() -> None:
     town = Town(SERVER_SETTINGS)
-    empty = len(town.server._routers)
+    empty = len(town.server._clients)
     tracemalloc.start()
     try:
         before = tracemalloc.get_traced_memory()[0]
@@ -75,24 +75,24 @@
     assert heard(town, 10**18) is first[0]  # the table is full to the border and nobody had to go
     assert heard(town, 7) is not first[0] and heard(town, 10**18) is first[0]
     assert heard(town, 10**18 + 1) is not first[1]  # one past the border: who was heard longest ago went
-    assert len(town.server._routers) == LEAST
+    assert len(town.server._clients) == LEAST
 
 
 def test_more_routers_are_remembered_where_the_settings_or_the_descriptors_allow_more() -> None:
     town = Town(SERVER_SETTINGS)
-    town.server.expect(3000)
+    town.server.expect_clients(3000)
     first = heard(town, 1)
-    for number in range(2, ROUTERS_TIMES * 3000 + 1):
+    for number in range(2, CLIENTS_PER_EXPECTED * 3000 + 1):
         heard(town, number)
-    assert heard(town, 1) is first and len(town.server._routers) == ROUTERS_TIMES * 3000
-    town.server.expect(1)  # a new configuration tells of one
+    assert heard(town, 1) is first and len(town.server._clients) == CLIENTS_PER_EXPECTED * 3000
+    town.server.expect_clients(1)  # a new configuration tells of one
     heard(town, 1)
-    assert len(town.server._routers) == LEAST
-    town.server._connections_most = 1500
-    town.server.expect(1)
+    assert len(town.server._clients) == LEAST
+    town.server._max_connections = 1500
+    town.server.expect_clients(1)
     for number in range(2, 2000):
         heard(town, number)
-    assert len(town.server._routers) == 1500
+    assert len(town.server._clients) == 1500
 
 
 # -- membership: who starts at once, who joins at once, who is heard of at once
@@ -236,7 +236,7 @@
     one = application.Application(
         configuration.placement_settings({"RELAY_CONFIG": str(told)}), features.read(on)
     )
-    assert one._server._connections_most == 1004 - 64
+    assert one._server._max_connections == 1004 - 64
     parts = one._feature
     assert isinstance(parts, Parts)
     for needs, left in ((460, 544), (2048, 502), (64, 940)):
@@ -244,7 +244,7 @@
         one._scheduler.after(0.05, one._scheduler.stop)
         one._scheduler.run()
         one._scheduler._stopped = False
-        assert one._server._connections_most == left
+        assert one._server._max_connections == left
     one._listener.close()
     parts.close(0.0)
     block.close()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -355,8 +355,8 @@
         "a length too short": one().replace(b"$6", b"$5"),
         "a negative length": one().replace(b"$6", b"$-6"),
         "a body of 60 MB": one().replace(b"$12", b"$60000000") + b"x" * 300_000,
-        "no such track": one(request_class=b"novel"),
-        "no such customer": one().replace(b"acme", b"ecma"),
+        "unknown request class": one(request_class=b"novel"),
+        "unknown tenant": one().replace(b"acme", b"ecma"),
         "no number": one().replace(b"room=10.0", b"room=nan0"),
         "out of range": one().replace(b"room=10.0", b"room=1e99"),
         "from another time": one().replace(b"since=17", b"since=97"),
@@ -566,14 +566,14 @@
     second, bound, form = 5.0, logs.RateBound(), logs.KeyValueFormatter()
     monkeypatch.setattr(time, "monotonic", lambda: second)
     record = logging.LogRecord(
-        "sablewheel.serving.listener", logging.WARNING, "", 0, "faulty frame", None, None
+        "sablewheel.serving.connection", logging.WARNING, "", 0, "invalid message", None, None
     )
     record.pairs = {"tag": 7, "reason": 'a "b"\nc', "empty": ""}
     passed = sum(bound.filter(record) is True for _ in range(logs.LINES_A_SECOND + 30))
     assert passed == logs.LINES_A_SECOND
     second = 6.0
     assert bound.filter(record)
-    said = 'from=serving.listener event="faulty frame" tag=7 reason="a \\"b\\"\\nc" empty="" left_out=30'
+    said = 'from=serving.connection event="invalid message" tag=7 reason="a \\"b\\"\\nc" empty="" left_out=30'
     assert form.format(record).endswith(said)
 
 
--- a/tests/test_propagated_deadlines.py
+++ b/tests/test_propagated_deadlines.py
@@ -80,7 +80,7 @@
     assert set(said) == {2}  # given up before the start
     town.wait(0.5)
     town.dispatch._controller = controller
-    town.dispatch.remembered()
+    town.dispatch.recovery_finished()
     town.settle()
     assert town.interpreter.running
     town.wait(1.99 + TOLD.answer_slack_s)
@@ -113,7 +113,7 @@
     )
     town = Town(server_settings)
     ask(town, 1, b",allow=2000,dup=2,effort=412.5")
-    (request,) = town.dispatch._exchanges
+    (request,) = town.dispatch._open_requests._exchanges
     assert request.is_retry and request.cost_hint == 0.4125
     assert request.remaining_s == pytest.approx(2.0, abs=0.01)
 
@@ -125,5 +125,5 @@
     whole = call(7, b"%016x" % 7, b"lookup", 1.0, b"")
     words = resp.Parser().feed(whole)[0]
     words[3] += b"," + field
-    with pytest.raises(resp.FaultyError):
-        resp.message(words)
+    with pytest.raises(resp.InvalidMessageError):
+        resp.parse_message(words)
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -46,7 +46,7 @@
 )
 def test_noise_is_refused_or_waited_for(which: int, pieces: list[bytes], tail: bytes) -> None:
     new, _ = feeds()[which]
-    with contextlib.suppress(resp.GarbledError, interpreter.GarbledError):
+    with contextlib.suppress(resp.ProtocolError, interpreter.ProtocolError):
         new()(b"".join(pieces) + tail)
 
 
@@ -65,7 +65,7 @@
     ],
 )
 def test_what_is_no_array_of_bulk_strings_ends_the_connection(data: bytes) -> None:
-    with pytest.raises(resp.GarbledError):
+    with pytest.raises(resp.ProtocolError):
         resp.Parser().feed(data)
 
 
@@ -86,7 +86,7 @@
     ],
 )
 def test_what_is_no_notice_ends_the_link(data: bytes) -> None:
-    with pytest.raises(interpreter.GarbledError):
+    with pytest.raises(interpreter.ProtocolError):
         interpreter.Parser().feed(data)
 
 
@@ -99,8 +99,8 @@
         b",class_rank=0.6250,replay=%b,novel=x" % (NAME, NAME * 2),
         b"\0body",
     )
-    asked = resp.message(resp.Parser().feed(words)[0])
-    assert asked == resp.Asked(
+    asked = resp.parse_message(resp.Parser().feed(words)[0])
+    assert asked == resp.RequestMessage(
         9, NAME, b"record", b"4", b"acme", 1764576000.123, 24.5, NAME * 2, None, b"\0body"
     )
 
@@ -123,20 +123,22 @@
         words = [b"RPC.CALL", b"9", b"lookup", b",".join(b"%b=%b" % pair for pair in fields.items()), b""]
         for tag in (9, 0):
             words[1] = b"9" if tag else b"nine"
-            with pytest.raises(resp.FaultyError) as fault:
+            with pytest.raises(resp.InvalidMessageError) as fault:
                 if fields.get(b"") is not None:
                     words[3] = words[3].replace(name + b"=", b"novel=") if name in good else b"ref"
-                resp.message(words)
+                resp.parse_message(words)
             assert fault.value.tag == tag
 
 
 def test_answers_and_commands_are_written_as_published() -> None:
-    assert resp.completed(7, 12.5, b"r") == frame(b"7", b"OK", b"pressure=12.5", b"r")
-    assert resp.rejected(8, None, 0.2504, True) == frame(b"8", b"BUSY", b"cooldown=250,nowhere=1", b"")
-    assert resp.rejected(8, 0.0, 0.0, False) == frame(b"8", b"BUSY", b"pressure=0", b"")
-    assert resp.failed(9, 3.0) == frame(b"9", b"FAILED", b"pressure=3", b"")
-    assert resp.checked(1, None, False) == frame(b"1", b"DOWN", b"", b"")
-    assert resp.farewell() == frame(b"0", b"BYE")
-    assert interpreter.apply(b"0a", b"record", b"b\r\n") == b"APPLY 0a record 3\r\nb\r\n\r\n"
-    assert interpreter.connect(4) + interpreter.halt(b"0a") == b"CONNECT 4\r\nBREAK 0a\r\n"
-    assert naming.report("n3", True) == b"renew n3 yes"
+    assert resp.encode_completed(7, 12.5, b"r") == frame(b"7", b"OK", b"pressure=12.5", b"r")
+    assert resp.encode_rejected(8, None, 0.2504, True) == frame(b"8", b"BUSY", b"cooldown=250,nowhere=1", b"")
+    assert resp.encode_rejected(8, 0.0, 0.0, False) == frame(b"8", b"BUSY", b"pressure=0", b"")
+    assert resp.encode_failed(9, 3.0) == frame(b"9", b"FAILED", b"pressure=3", b"")
+    assert resp.encode_health(1, None, False) == frame(b"1", b"DOWN", b"", b"")
+    assert resp.encode_close_notice() == frame(b"0", b"BYE")
+    assert interpreter.encode_start_run(b"0a", b"record", b"b\r\n") == b"APPLY 0a record 3\r\nb\r\n\r\n"
+    assert (
+        interpreter.encode_connect(4) + interpreter.encode_cancel_run(b"0a") == b"CONNECT 4\r\nBREAK 0a\r\n"
+    )
+    assert naming.encode_report("n3", True) == b"renew n3 yes"
--- a/tests/test_replication_service.py
+++ b/tests/test_replication_service.py
@@ -31,7 +31,7 @@
 from sablewheel.replication.placement import Site
 from sablewheel.replication.plan import ReplicationPlan, Settings
 from sablewheel.replication.service import Keeper
-from sablewheel.serving.exchange import Caller, Exchange, Place
+from sablewheel.serving.exchange import Caller, Exchange, ExchangeState
 from sablewheel.serving.hooks import NO_RESULT_STORE
 from sablewheel.transport.scheduler import Scheduler
 
@@ -131,17 +131,19 @@
         self.counts[name] += 1
 
     def completed(self, exchange: Exchange, result: bytes, caller: Caller) -> None:
-        self.billed.append(exchange.place is not Place.JOINED or not getattr(exchange.first, "billed", False))
+        self.billed.append(
+            exchange.state is not ExchangeState.ATTACHED or not getattr(exchange.original, "billed", False)
+        )
         caller.completed(exchange, result)
 
     def rejected(self, exchange: Exchange) -> None: ...
     def failed(self, exchange: Exchange) -> None: ...
-    def gone(self, exchange: Exchange) -> None: ...
+    def cancelled(self, exchange: Exchange) -> None: ...
 
     def never_begun(self, name: str) -> Callable[[Exchange], None]:
         def moot(exchange: Exchange) -> None:
-            exchange.place = Place.OVER
-            self.keepers[name].ended(exchange, Ended.NEVER_STARTED, b"")
+            exchange.state = ExchangeState.FINISHED
+            self.keepers[name].run_ended(exchange, Ended.NEVER_STARTED, b"")
 
         return moot
 
@@ -158,19 +160,19 @@
         if request.key_capacity_in_s:
             exchange.reject(request.key_capacity_in_s, False)
             return exchange, told
-        exchange.place = Place.RUNNING
+        exchange.state = ExchangeState.RUNNING
         self.keepers[name].before_run(exchange, lambda one: self.runs.append((name, one)))
         return exchange, told
 
     def end(self, result: bytes = b"result", outcome: Ended = Ended.SUCCEEDED) -> None:
         """The last run that began is over, as the dispatch has it."""
         name, exchange = self.runs[-1]
-        self.keepers[name].ended(exchange, outcome, result)
+        self.keepers[name].run_ended(exchange, outcome, result)
         if outcome is Ended.SUCCEEDED:
             exchange.complete(result)
         else:
             exchange.fail()
-        exchange.place = Place.OVER
+        exchange.state = ExchangeState.FINISHED
 
     def cut(self, name: str, cut: bool = True) -> None:
         self.wires[name].cut = cut
@@ -264,7 +266,7 @@
 def test_who_left_before_its_claim_was_won_leaves_the_idempotency_key_free() -> None:
     fleet = Servers()
     exchange, _ = fleet.come("a")
-    exchange.discard()
+    exchange.cancel()
     fleet.time.run(0.3)
     assert not fleet.runs
     fleet.come("b")
--- a/tests/test_result_store.py
+++ b/tests/test_result_store.py
@@ -319,7 +319,7 @@
             b"inc%05d" % len(disk.files.names()),
             request_classes,
             NO_OBSERVER,
-            lambda one: self.dispatch.ended(one, Outcome.NEVER_STARTED, 0.0, b""),
+            lambda one: self.dispatch.run_ended(one, Outcome.NEVER_STARTED, 0.0, b""),
             lambda: None,
             self.failures.append,
             self.counts.append,
@@ -327,14 +327,15 @@
         )
         bridge.work()
         self.server.observer = self.recorder
-        self.dispatch._memory = self.recorder
+        self.dispatch._result_store = self.recorder
+        self.dispatch._duplicate_checks._result_store = self.recorder
         # The town greeted its interpreter before: what a start would have told is told now.
         born = self.now - (5000.0 if outlived or before is None else 0.0)
         from sablewheel.overload import interface
 
-        recalled = self.recorder.recalled(born, self.idempotency_keys)
+        recalled = self.recorder.recover_keys(born, self.idempotency_keys)
         self.dispatch._events[:0] = [interface.KeyRecovered(request, life) for request, life in recalled]
-        self.client.adopt(*self.recorder.adopted())
+        self.client.adopt(*self.recorder.runs_to_adopt())
         if outlived:
             missed = b"".join(self.interpreter.notices[self.recorder.last_notice :])
             if self.link is not None and missed:
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -89,7 +89,7 @@
                 town.cut(lost=which > 1)
             case "move":
                 town.linked = True
-                town.client.move(town._connect)
+                town.client.connect_to(town._connect)
             case "double" if town.interpreter.notices and town.link is not None:  # the last notice once more
                 town.link.feed(town.interpreter.notices[-1] + b"TRACE 1 a remark\r\n")
             case "bad":  # a copied idempotency key or name with another body, a faulty field, no end
@@ -185,14 +185,14 @@
 
 def test_kept_results_have_a_bound_in_bytes() -> None:
     town = Town(SERVER_SETTINGS)
-    town.idempotency_keys._bytes_most = 100
+    town.idempotency_keys._max_result_bytes = 100
     tries = [town.call(b"record", b"label%d" % which) for which in range(10)]
     for one in tries:
         town.settle()
         if one.name in town.interpreter.running:
             town.end(one.name)
     town.settle()
-    assert town.idempotency_keys._bytes <= 100
+    assert town.idempotency_keys._cached_bytes <= 100
     late = [town.call(b"record", one.idempotency_key) for one in (tries[0], tries[-1])]
     town.settle()
     assert [one.answers[0][1] for one in late] == [b"FAILED", b"OK"]
@@ -312,10 +312,10 @@
 def test_a_request_that_crosses_the_farewell_unread_is_answered_before_the_close() -> None:
     """A drain on the fleet days closed a connection over a request that had come after the farewell."""
     town = Town(SERVER_SETTINGS)
-    town.server.close_unused(1.0)
+    town.server.set_idle_timeout(1.0)
     town.wait(2.0)
     connection = next(iter(town.server.connections))
-    assert connection.leaving
+    assert connection.close_announced
     reader, town.router.reader = town.router.reader, None  # the bytes come, the reader's turn has not
     late = town.call(b"lookup")
     town.wait(2.0)
@@ -328,14 +328,14 @@
 
 def test_unused_connections_get_a_farewell() -> None:
     town = Town(SERVER_SETTINGS)
-    town.server.close_unused(1.0)
+    town.server.set_idle_timeout(1.0)
     one = town.call(b"lookup")
     town.wait(2.0)
     assert town.server.connections and one.name in town.interpreter.running
     connection = next(iter(town.server.connections))
     town.end(one.name)
     town.wait(2.0)
-    assert connection.leaving
+    assert connection.close_announced
     town.wait(2.0)
     assert not town.router.open
 
@@ -367,11 +367,11 @@
     def fault(*_: object) -> None:
         raise RuntimeError("a fault of ours")
 
-    town.dispatch.ended = fault  # type: ignore[method-assign, assignment]
+    town.dispatch.run_ended = fault  # type: ignore[method-assign, assignment]
     town.end(one.name)
     town.wait(1.0)
     assert town.counts.count("links") == 2 and town.link is not None and town.link.open
-    del town.dispatch.ended
+    del town.dispatch.run_ended
     town.server.handler = type("Faulty", (), {"arrived": fault, "gone": lambda *_: None})()
     said = town.ask(call(99, b"%016x" % 255, b"lookup", town.now, b""))
     assert [words[:2] for words in said] == [[b"99", b"FAILED"]]
@@ -381,7 +381,7 @@
 
 def test_unused_connections_with_answers_to_take_are_not_cut_off() -> None:
     town = Town(SERVER_SETTINGS)
-    town.server.farewell()
+    town.server.announce_close()
     town.router._unsent += b"an answer that the router has not taken yet"
     town.wait(3.0)
     assert town.router.open
@@ -409,7 +409,7 @@
     town.interpreter.up = True
     town.link.feed(b"BANNER steady 10\r\n")
     town.scheduler.run_ready()
-    town.client._ask_gauges()
+    town.client._check_link()
     one = town.call(b"lookup")
     town.settle()
     assert one.name in town.interpreter.running
@@ -434,7 +434,7 @@
     town = Town(SERVER_SETTINGS)
     town.call(b"lookup", ago=-0.004)
     town.settle()
-    assert [request.arrived_at for request in town.dispatch._exchanges] == [town.now]
+    assert [request.arrived_at for request in town.dispatch._open_requests._exchanges] == [town.now]
 
 
 def test_an_interpreter_that_moves_leaves_no_run_in_doubt_and_takes_commands_in_order() -> None:
@@ -443,7 +443,7 @@
     town.settle()
     under_way = town.call(b"record", b"b")
     town.settle(deliver=False)
-    town.client.move(town._connect)
+    town.client.connect_to(town._connect)
     town.settle(deliver=False)
     meanwhile = town.call(b"record", b"c")
     town.settle(deliver=False)
@@ -458,14 +458,14 @@
 
 def test_an_interpreter_that_cannot_be_had_at_its_new_address_is_kept_at_the_old() -> None:
     town = Town(SERVER_SETTINGS)
-    town.client.move(lambda: None)
+    town.client.connect_to(lambda: None)
     one = town.call(b"record", b"a")
     town.wait(1.0)
     town.end(one.name)
     town.settle()
     assert one.answers[0][1] == b"OK" and town.counts.count("links") == 1
-    town.client.move(town._connect)
-    town.client.move(town._connect)  # twice at once: the last word counts
+    town.client.connect_to(town._connect)
+    town.client.connect_to(town._connect)  # twice at once: the last word counts
     town.wait(0.5)
     two = town.call(b"lookup")
     town.settle()
@@ -568,7 +568,7 @@
 def test_nothing_grows_with_new_names_idempotency_keys_routers_and_connections() -> None:
     tracemalloc.start()  # first: what replaces something older would look like growth
     town, sizes = Town(SERVER_SETTINGS), []
-    town.server.close_unused(1.0)
+    town.server.set_idle_timeout(1.0)
     try:
         for place in range(4000):
             request_class, idempotency_key = ((b"lookup", b""), (b"record", b"label%d" % place))[place % 2]
@@ -626,8 +626,8 @@
     town.call(b"lookup")
     staying = [one for one in others if one.open]
     assert len(staying) >= 5
-    town.server.make_room()  # forty connections, a part in eight: five may go
-    town.server.make_room()  # those on their way count: no more go than are in the way
+    town.server.evict_unused()  # forty connections, a part in eight: five may go
+    town.server.evict_unused()  # those on their way count: no more go than are in the way
     town.scheduler.run_ready()
     assert first.open and sum(not one.open for one in staying) == min(5, len(staying))
 
@@ -639,4 +639,4 @@
     town.settle()
     assert one.answers[0][1] == b"BUSY"
     alone = {} if limit else {"denied_without_advice": 1}
-    assert town.dispatch.rejections == {"denied_memory": 1, **alone}
+    assert town.dispatch.outcomes.rejections == {"denied_memory": 1, **alone}
--- a/tests/test_session_router.py
+++ b/tests/test_session_router.py
@@ -17,7 +17,7 @@
 from sablewheel.replication.plan import ReplicationPlan
 from sablewheel.replication.plan import Settings as ReplicaSettings
 from sablewheel.replication.service import Keeper
-from sablewheel.serving.exchange import NO_OBSERVER, Exchange, Place
+from sablewheel.serving.exchange import NO_OBSERVER, Exchange, ExchangeState
 from sablewheel.serving.hooks import NO_RESULT_STORE
 from sablewheel.session_affinity.events import Active
 from sablewheel.session_affinity.plan import AffinityPlan, Settings
@@ -123,18 +123,18 @@
         self.counts[what] += 1
 
     def arrived(self, exchange: Exchange) -> None:
-        exchange.place = Place.RUNNING
+        exchange.state = ExchangeState.RUNNING
         self.affinity.before_run(exchange, self.running.append)
 
-    def gone(self, exchange: Exchange) -> None: ...
+    def cancelled(self, exchange: Exchange) -> None: ...
 
     def never_begun(self, exchange: Exchange) -> None:
-        self.affinity.ended(exchange, Outcome.NEVER_STARTED, b"")
+        self.affinity.run_ended(exchange, Outcome.NEVER_STARTED, b"")
 
     def end(self, exchange: Exchange) -> None:
         self.running.remove(exchange)
-        self.affinity.ended(exchange, Outcome.SUCCEEDED, b"done")
-        exchange.place = Place.OVER
+        self.affinity.run_ended(exchange, Outcome.SUCCEEDED, b"done")
+        exchange.state = ExchangeState.FINISHED
         exchange.complete(b"done")
 
 
@@ -246,8 +246,8 @@
 def test_who_gave_up_while_its_owner_was_looked_for_is_not_run() -> None:
     three = Three()
     exchange, told = three.bring("a", b"lookup")
-    assert exchange.discard()
-    three.servers["a"].handler.gone(exchange)
+    assert exchange.cancel()
+    three.servers["a"].handler.cancelled(exchange)
     three.time.run(1.0)
     assert three.running() == {} and told.answers == [] and three.servers["a"].affinity.settled()
 
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -80,7 +80,7 @@
 import os, signal, sys, time
 from sablewheel import __main__ as start
 from sablewheel.program.application import Application
-from sablewheel.serving.dispatcher import Dispatch
+from sablewheel.serving.dispatcher import Dispatcher
 def tell(*numbers):
     for number in numbers:
         os.kill(os.getpid(), number)
@@ -133,17 +133,17 @@
     process = child(
         place,
         f"""
-application, greeted, init = [], Dispatch.greeted, Application.__init__
+application, greeted, init = [], Dispatcher.interpreter_ready, Application.__init__
 def remembering(self, *values):
     init(self, *values)
     application.append(self)
 def both(self, *values):
     {"; ".join(calls if first == "greeting" else calls[::-1])}
-notice = Dispatch.notice
+notice = Dispatcher.shutdown_notice
 def noticed(self, left):
     print("the controller has notice", file=sys.stderr)
     notice(self, left)
-Application.__init__, Dispatch.greeted, Dispatch.notice = remembering, both, noticed
+Application.__init__, Dispatcher.interpreter_ready, Dispatcher.shutdown_notice = remembering, both, noticed
 """,
     )
     place.engine.core.up = False
@@ -270,7 +270,7 @@
 
 def test_who_waits_for_what_is_remembered_is_answered_before_the_end(place: Place) -> None:
     """It may be a repeat of what ran before the start: so it fails, and it is not rejected."""
-    process = child(place, "from sablewheel.serving import hooks; hooks.NoResultStore.ready = False")
+    process = child(place, "from sablewheel.serving import hooks; hooks.NullResultStore.ready = False")
     peer = place.ready()
     peer.send(peer.call(1, b"record", b"ab"))
     assert peer.ask(999, HEALTH)[1] == b"UP"
@@ -647,13 +647,13 @@
 
 
 def test_a_name_that_is_no_text_is_reported_all_the_same() -> None:
-    assert naming.report("n\ud800", True) == b"renew n? yes"
+    assert naming.encode_report("n\ud800", True) == b"renew n? yes"
 
 
 FAULTY = """
 import sys
 from sablewheel import __main__ as start
-from sablewheel.serving.dispatcher import Dispatch
+from sablewheel.serving.dispatcher import Dispatcher
 from sablewheel.transport.stream import Listener
 def fault(*_):
     raise RuntimeError("a fault of ours")
@@ -667,14 +667,14 @@
     send(self)
 if "report" in sys.argv[1:]:
     Application._send_report = once
-for kind, method in ((Dispatch, "notice"), (Listener, "shut")):
+for kind, method in ((Dispatcher, "shutdown_notice"), (Listener, "shut")):
     if method in sys.argv[1:]:
         setattr(kind, method, fault)
 sys.exit(start.main())
 """
 
 
-@pytest.mark.parametrize("method", ["notice", "shut"])
+@pytest.mark.parametrize("method", ["shutdown_notice", "shut"])
 def test_a_fault_on_the_way_out_still_answers_all_and_ends_before_the_stop(place: Place, method: str) -> None:
     place.file.write_text(json.dumps(place.told | {"stop_ms": 900}))
     process = subprocess.Popen(
