--- a/sablewheel/feature_policy/service.py
+++ b/sablewheel/feature_policy/service.py
@@ -22,7 +22,7 @@
 from ..serving.exchange import Exchange
 from ..serving.listener import RequestHandler
 from ..transport.scheduler import Scheduler
-from ..transport.wakeup import Wake
+from ..transport.wakeup import Wakeup
 from . import codec
 from . import policy_bundle as bundle
 from .applying import settings
@@ -100,7 +100,7 @@
         self._told: tuple[int, dict[str, frozenset[str]]] = (0, {})
         self._broken: dict[str, float] = {}  # when the last link to each broke
         self._turn = 0
-        self._wake = Wake(scheduler, clock, self._ring, 0.005)
+        self._wake = Wakeup(scheduler, clock, self._ring, 0.005)
         self._job: subprocess.Popen[bytes] | None = None
         self._job_out: IO[bytes] | None = None
         self._job_until = 0.0
--- a/sablewheel/forwarding/peer_connections.py
+++ b/sablewheel/forwarding/peer_connections.py
@@ -15,8 +15,9 @@
 
 from ..membership.plan import address_of
 from ..membership.view import View
+from ..transport.listening_socket import Listener
 from ..transport.scheduler import Scheduler
-from ..transport.stream import Listener, Stream, connect
+from ..transport.stream import Stream, connect
 from . import forwarding_pb2 as pb
 from .frames import BadFrameError, Frames, Hops, frame
 from .plan import Address, LinkSettings
--- a/sablewheel/forwarding/service.py
+++ b/sablewheel/forwarding/service.py
@@ -22,7 +22,7 @@
 from ..serving.exchange import NO_OBSERVER, Exchange, RequestObserver
 from ..serving.listener import RequestHandler
 from ..transport.scheduler import Scheduler
-from ..transport.wakeup import Wake
+from ..transport.wakeup import Wakeup
 from .forwarding_state import (
     Abandon,
     Admit,
@@ -159,7 +159,7 @@
         self._names: set[bytes] = set()  # of those that are away
         self._guests: dict[Key, Exchange] = {}
         self._routers: dict[str, Client] = {}  # a peer is one, to the controller
-        self._wake = Wake(scheduler, clock, self._ring)
+        self._wake = Wakeup(scheduler, clock, self._ring)
         self.counts: dict[str, int] = {}
         links.on(KIND, self._heard, parted=True)
         links.on_broken(lambda peer: self._step(Broken(peer)))
--- a/sablewheel/membership/service.py
+++ b/sablewheel/membership/service.py
@@ -13,10 +13,11 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from ..transport.datagram import Mailbox
+from ..transport.datagram import DatagramSocket
+from ..transport.listening_socket import Listener
 from ..transport.scheduler import Scheduler
-from ..transport.stream import Listener, Stream, connect
-from ..transport.wakeup import Wake
+from ..transport.stream import Stream, connect
+from ..transport.wakeup import Wakeup
 from . import codec
 from .events import Event, Got, Judge, Note, Part, Send, Tick, Viewed
 from .messages import Ask, Envelope, Message, Sync
@@ -55,7 +56,7 @@
         chance = random.Random(f"{seed}-{name}-{incarnation}")
         # The node's clock is the machine's steady one: a clock that is set moves no timeout.
         self.node = Node(me, plan.seeds, plan.settings, chance, clock())
-        self._wake = Wake(scheduler, clock, self._ring)
+        self._wake = Wakeup(scheduler, clock, self._ring)
         self._frames_out = self._frames_in = 0
         self._waiting: dict[tuple[Address, bool], tuple[Message, float]] = {}  # frames, and until when
         self._framed: tuple[Message, bytes] | None = None  # the last frame's bytes, while others wait
@@ -64,7 +65,7 @@
         self._views: deque[View] = deque()  # installed, and not told yet; what is told may install more
         self._told: View | None = None
         self._telling = False
-        self._mail = Mailbox(scheduler, plan.listen, codec.PACKET_MOST, self._datagram)
+        self._mail = DatagramSocket(scheduler, plan.listen, codec.PACKET_MOST, self._datagram)
         try:
             self._listener = Listener(
                 scheduler,
--- a/sablewheel/program/application.py
+++ b/sablewheel/program/application.py
@@ -17,9 +17,10 @@
 from ..serving.idempotency_keys import IdempotencyTable
 from ..serving.interpreter_client import InterpreterClient
 from ..serving.listener import RequestHandler, RequestListener
-from ..transport.datagram import Post
+from ..transport.datagram import DatagramSender
+from ..transport.listening_socket import Listener
 from ..transport.scheduler import Clock, Scheduler
-from ..transport.stream import Address, Listener, Stream, connect
+from ..transport.stream import Address, Stream, connect
 from . import configuration
 from .configuration import FaultyKeyError, PlacementSettings, UnreadableFileError
 from .counters import Counters
@@ -118,7 +119,7 @@
         )
         if features is not None and features.any:
             scheduler.every(SHARE_EVERY, lambda: self._server.set_max_connections(self._for_routers()))
-        self._post = Post(placement_settings.naming)
+        self._post = DatagramSender(placement_settings.naming)
         # The last that may fail: a start that is tried again must not find its own door open.
         self._listener = Listener(
             scheduler,
@@ -209,7 +210,7 @@
 
     def _shut(self) -> None:
         """Close the door; with a full table it stays open until those before it were let in."""
-        self._shut_door = self._listener.shut()
+        self._shut_door = self._listener.close_if_queue_empty()
         self._scheduler.spawn(self._server.announce_close)  # to those just taken as well
         if not self._shut_door:
             self._scheduler.after(DOOR_AGAIN, self._shut)
@@ -292,7 +293,7 @@
             )
             self._retune()
         if told.naming != held.naming:
-            self._post.move(told.naming)
+            self._post.set_address(told.naming)
             self._send_report()
         if told.interpreter != held.interpreter:
             self._client.connect_to(self._linking(told.interpreter))
--- a/sablewheel/program/feature_registry.py
+++ b/sablewheel/program/feature_registry.py
@@ -28,7 +28,7 @@
 from ..session_affinity.plan import AffinityPlan
 from ..transport.background import Background
 from ..transport.scheduler import Scheduler
-from ..transport.worker_thread import Bridge
+from ..transport.worker_thread import WorkerThread
 from ..usage_metering.plan import Depth, LedgerPlan
 from .configuration import PlacementSettings
 from .feature import Part
@@ -54,7 +54,7 @@
     background: Background
     placement_settings: PlacementSettings
     incarnation: bytes
-    bridge: Bridge | None
+    bridge: WorkerThread | None
     never_begun: Callable[[Exchange], None]
     remembered: Callable[[], None]
     fail: Callable[[str], None]
@@ -401,7 +401,7 @@
         self._background = Background(scheduler, moved)
         self._on = [(one, plan) for one in DECLARED if (plan := features.plan(one.section)) is not None]
         incarnation = round(scheduler.clock.now * 1000).to_bytes(6, "big") + os.urandom(2)
-        self._bridge = Bridge(scheduler) if any(one.blocks(plan) for one, plan in self._on) else None
+        self._bridge = WorkerThread(scheduler) if any(one.blocks(plan) for one, plan in self._on) else None
         feature_context = FeatureContext(
             scheduler,
             self._background,
--- a/sablewheel/replication/service.py
+++ b/sablewheel/replication/service.py
@@ -26,7 +26,7 @@
 from ..serving.hooks import ResultStore
 from ..serving.idempotency_keys import IdempotencyTable
 from ..transport.scheduler import Scheduler
-from ..transport.wakeup import Wake
+from ..transport.wakeup import Wakeup
 from . import codec
 from .entries import Entry, State
 from .messages import (
@@ -139,7 +139,7 @@
         self._others: dict[int, Callable[[Answer], None]] = {}  # who asked for a read or a write
         self._doubted: dict[bytes, None] = {}
         self._times: deque[float] = deque(maxlen=TIMES_KEPT)
-        self._wake = Wake(scheduler, clock, self._ring)
+        self._wake = Wakeup(scheduler, clock, self._ring)
         self._open = True
         self._left_at = -inf
         links.on(KIND, self._heard, parted=True)  # one that leaves still says what its runs became
--- a/sablewheel/result_store/recorder.py
+++ b/sablewheel/result_store/recorder.py
@@ -26,7 +26,7 @@
 from ..transport.background import Background
 from ..transport.clock import Clock
 from ..transport.scheduler import Scheduler
-from ..transport.worker_thread import Bridge
+from ..transport.worker_thread import WorkerThread
 from . import codec as written
 from . import result_store_pb2 as pb
 from .carrying import Carrier
@@ -77,7 +77,7 @@
         self,
         scheduler: Scheduler,
         background: Background,
-        bridge: Bridge | None,
+        bridge: WorkerThread | None,
         plan: RecallPlan,
         incarnation: bytes,
         request_classes: dict[bytes, RequestClass],
--- a/sablewheel/serving/connection.py
+++ b/sablewheel/serving/connection.py
@@ -231,7 +231,7 @@
             self._log("connection shut down for writing", reason)
             self.close_announced = self.reading_stopped = True
             self.shut_down_at = self._owner.scheduler.clock.now
-            self.stream.shut()
+            self.stream.shut_down_writing()
             if not self.stream.open:
                 self.close(CloseReason.BROKEN)
         return None
--- a/sablewheel/serving/interpreter_client.py
+++ b/sablewheel/serving/interpreter_client.py
@@ -237,7 +237,7 @@
         self._commands.clear()
         self._fences.lose_link()
         for run in self._runs.values():
-            if run.fence > self._fences.last or run.command_end > stream.sent:
+            if run.fence > self._fences.last or run.command_end > stream.bytes_sent:
                 run.fence = 0  # not all of its command was handed to the system, so nobody has read it
             run.command_end = 0
         stream.close()
@@ -376,7 +376,7 @@
         exchange = run.exchange
         self._commands += interpreter.encode_start_run(exchange.name, exchange.request_class, exchange.body)
         if self._stream is not None:
-            run.command_end = self._stream.queued + len(self._commands)
+            run.command_end = self._stream.bytes_queued + len(self._commands)
 
     def _check_link(self) -> None:
         """Query the gauges, and close a link that is open but dead.
--- a/sablewheel/session_affinity/session_router.py
+++ b/sablewheel/session_affinity/session_router.py
@@ -25,7 +25,7 @@
 from ..serving.idempotency_keys import IdempotencyTable
 from ..serving.listener import RequestHandler
 from ..transport.scheduler import Scheduler
-from ..transport.wakeup import Wake
+from ..transport.wakeup import Wakeup
 from . import codec
 from .events import (
     Active,
@@ -117,7 +117,7 @@
         self._open: dict[Exchange, Open] = {}
         self._loads: dict[str, Load] = {}
         self._leaving = self._left = False
-        self._wake = Wake(scheduler, clock, self._ring)
+        self._wake = Wakeup(scheduler, clock, self._ring)
         self._closed = False
         self.counts: Counter[str] = Counter()
         keeper.group_of, keeper.may_begin, keeper.fenced = self._group_of, self._may_begin, self._fenced
--- a/sablewheel/storage/store.py
+++ b/sablewheel/storage/store.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from ..transport.scheduler import Scheduler
-from ..transport.worker_thread import Bridge
+from ..transport.worker_thread import WorkerThread
 from .health import Disk, DiskHealth
 from .log import DiskFault, Log, Place
 
@@ -25,7 +25,7 @@
     def __init__(
         self,
         scheduler: Scheduler,
-        bridge: Bridge,
+        bridge: WorkerThread,
         records: Log,
         slow_after: float,
         fenced: Callable[[int], None],
--- a/sablewheel/transport/background.py
+++ b/sablewheel/transport/background.py
@@ -1,6 +1,4 @@
-"""Carries out the periodic_scheduler's periodic_tasks at the end of rounds, after all that requests
-needed.
-"""
+"""Runs background tasks at the end of rounds, after all that requests needed."""
 
 from __future__ import annotations
 
@@ -11,52 +9,64 @@
 from .periodic import PeriodicScheduler, PeriodicTask
 from .scheduler import Scheduler, Timer
 
-SLICE = 0.002  # seconds of periodic_tasks in one round without requests
-LOOK = 0.01  # how soon a round without requests is looked for; sooner would be work by itself
+MAX_ROUND_TIME_S = 0.002  # of all steps in one round without requests
+MIN_RECHECK_S = 0.01  # until the next round for tasks alone; rounds in quicker succession would be a load
 
 log = logging.getLogger(__name__)
 
 
 class Background:
-    """`moved` tells a number that changes whenever a round carried requests."""
+    """The background tasks of one scheduler.
 
-    def __init__(self, scheduler: Scheduler, moved: Callable[[], int]) -> None:
-        self._scheduler, self._moved = scheduler, moved
-        self._last = -1
+    Args:
+        batch_count: Returns a number that changes whenever a round carried requests.
+    """
+
+    def __init__(self, scheduler: Scheduler, batch_count: Callable[[], int]) -> None:
+        self._scheduler, self._batch_count = scheduler, batch_count
+        self._last_count = -1
         self._periodic_scheduler = PeriodicScheduler()
         self._steps: dict[str, Callable[[], bool]] = {}
-        self._wake: Timer | None = None
+        self._timer: Timer | None = None
 
     def add(self, name: str, priority: int, share: float, step: Callable[[], bool]) -> PeriodicTask:
-        """A periodic_task; `step` does one small piece and tells whether there is more to do now."""
-        periodic_task = PeriodicTask(name, priority, share)
-        self._periodic_scheduler.add(periodic_task)
+        """Add a task; `step` does one small piece and returns whether there is more to do now."""
+        task = PeriodicTask(name, priority, share)
+        self._periodic_scheduler.add(task)
         self._steps[name] = step
-        return periodic_task
+        return task
 
-    def want(self, periodic_task: PeriodicTask) -> None:
-        self._periodic_scheduler.want(periodic_task, self._scheduler.clock.now)
+    def want(self, task: PeriodicTask) -> None:
+        """Ask for a step of a task."""
+        self._periodic_scheduler.want(task, self._scheduler.clock.now)
 
     def end_round(self) -> None:
+        """Run the steps for which there is time, and set a timer for the others."""
         if not self._periodic_scheduler.wanted:
             return
-        moved = self._moved()
-        busy, self._last = moved != self._last, moved
-        begun = time.perf_counter()
+        count = self._batch_count()
+        busy, self._last_count = count != self._last_count, count
         now = self._scheduler.clock.now
-        while (periodic_task := self._periodic_scheduler.choose(now, busy)) is not None:
-            before = time.perf_counter()
-            try:
-                more = self._steps[periodic_task.name]()
-            except Exception:
-                log.exception("a chore ended by a fault", extra={"pairs": {"chore": periodic_task.name}})
-                more = False
-            after = time.perf_counter()
-            self._periodic_scheduler.done(periodic_task, now, after - before, more)
-            if busy or after - begun > SLICE:
-                break
-        rest = self._periodic_scheduler.again_in(now, busy=False)
-        if rest is not None:
-            if self._wake is not None:
-                self._wake.cancel()
-            self._wake = self._scheduler.after(max(rest, LOOK), lambda: None)
+        self._run_steps(now, busy)
+        delay_s = self._periodic_scheduler.next_step_in_s(now, busy=False)
+        if delay_s is not None:
+            if self._timer is not None:
+                self._timer.cancel()
+            self._timer = self._scheduler.after(max(delay_s, MIN_RECHECK_S), lambda: None)
+
+    def _run_steps(self, now: float, busy: bool) -> None:
+        round_started = time.perf_counter()
+        while (task := self._periodic_scheduler.choose(now, busy)) is not None:
+            started = time.perf_counter()
+            more = self._run_step(task)
+            ended = time.perf_counter()
+            self._periodic_scheduler.done(task, now, ended - started, more)
+            if busy or ended - round_started > MAX_ROUND_TIME_S:
+                return
+
+    def _run_step(self, task: PeriodicTask) -> bool:
+        try:
+            return self._steps[task.name]()
+        except Exception:
+            log.exception("background task ended by a fault", extra={"pairs": {"task": task.name}})
+            return False
--- a/sablewheel/transport/datagram.py
+++ b/sablewheel/transport/datagram.py
@@ -1,4 +1,4 @@
-"""UDP, where nothing that goes wrong matters: towards one address, or to and from many."""
+"""UDP sockets. What cannot be sent is dropped, as the network might have done."""
 
 from __future__ import annotations
 
@@ -8,55 +8,60 @@
 from .scheduler import READABLE, Scheduler
 from .stream import Address
 
-BURST = 64  # datagrams taken in one round: a flood of them must not keep requests waiting
-WAITING_BYTES = 1 << 21  # for those that wait: the kernel gives what it allows, and holds what there is
+MAX_DATAGRAMS_PER_ROUND = 64  # a flood of them must not keep requests waiting
+# Room for what a large fleet sends at once: by default some 250 small datagrams fit. The kernel may give
+# less.
+RECEIVE_BUFFER_BYTES = 1 << 21
 
 
-class Post:
-    """Sends datagrams to one address; one that cannot go is dropped, as the network might have done."""
+class DatagramSender:
+    """Sends datagrams to one address."""
 
     def __init__(self, address: Address) -> None:
         self._address = address
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.setblocking(False)
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
+        """Send to another address from now on."""
         self._address = address
 
     def send(self, data: bytes) -> bool:
-        try:
-            self._socket.sendto(data, self._address)
-        except OSError:
-            return False
-        return True
+        """Send a datagram. Returns whether the system took it."""
+        return _send(self._socket, data, self._address)
 
     def close(self) -> None:
+        """Close the socket."""
         self._socket.close()
 
 
-class Mailbox:
-    """A bound socket: `took` gets each datagram with its source; what cannot be sent is dropped."""
+class DatagramSocket:
+    """A bound socket; `on_datagram` gets each datagram with its source.
+
+    A datagram longer than `max_bytes` is cut to one byte more.
+    """
 
     def __init__(
-        self, scheduler: Scheduler, address: Address, most: int, took: Callable[[bytes, Address], None]
+        self,
+        scheduler: Scheduler,
+        address: Address,
+        max_bytes: int,
+        on_datagram: Callable[[bytes, Address], None],
     ) -> None:
-        self._scheduler, self._most, self._took = scheduler, most, took
+        self._scheduler, self._max_bytes, self._on_datagram = scheduler, max_bytes, on_datagram
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.setblocking(False)
-        # Guards against the loss of what a large fleet says at once: by default some 250 small ones fit.
-        self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, WAITING_BYTES)
+        self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         self._socket.bind(address)
         self._open = True
         scheduler.spawn(self._receive)
 
     def send(self, data: bytes, address: Address) -> bool:
-        try:
-            self._socket.sendto(data, address)
-        except OSError:
-            return False
-        return True
+        """Send a datagram. Returns whether the system took it."""
+        return _send(self._socket, data, address)
 
     def close(self) -> None:
+        """Close the socket; safe to call twice."""
         if self._open:
             self._open = False
             self._scheduler.forget(self._socket.fileno())
@@ -65,11 +70,19 @@
     def _receive(self) -> None:
         while self._open:
             self._scheduler.wait(self._socket.fileno(), READABLE)
-            for _ in range(BURST):
+            for _ in range(MAX_DATAGRAMS_PER_ROUND):
                 if not self._open:
                     return
                 try:
-                    data, source = self._socket.recvfrom(self._most + 1)
-                except OSError:  # nothing more now, or an error of an earlier send: neither ends the mailbox
+                    data, source = self._socket.recvfrom(self._max_bytes + 1)
+                except OSError:  # nothing is left, or an earlier send failed: neither ends the socket
                     break
-                self._took(data, source)
+                self._on_datagram(data, source)
+
+
+def _send(sock: socket.socket, data: bytes, address: Address) -> bool:
+    try:
+        sock.sendto(data, address)
+    except OSError:
+        return False
+    return True
--- a/sablewheel/transport/scheduler.py
+++ b/sablewheel/transport/scheduler.py
@@ -1,7 +1,7 @@
-"""Greenlets over `select.poll`: who waits for which descriptor, timers, signals, and the rounds of it all.
+"""The event loop: greenlets over `select.poll`, timers and signals.
 
-One round is one poll. All greenlets that it wakes run first, then the timers that are due, then what was
-asked for at the end of each round. So whatever came in at once is seen at once.
+One round is one poll. All greenlets that it wakes run first, then the timers that are due, then the actions
+of `after_round`. So what was received at once is seen at once.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 from .clock import Clock as Clock
 
 READABLE, WRITABLE = select.POLLIN, select.POLLOUT
-TROUBLE = select.POLLHUP | select.POLLERR | select.POLLNVAL
-POLL_AGAIN = 0.005  # seconds to rest after a poll that failed
-WAKE_UP_AGAIN = 0.05  # and after a read of the signals' pipe that failed
+ERROR_EVENTS = select.POLLHUP | select.POLLERR | select.POLLNVAL
+POLL_BACKOFF_S = 0.005  # after a poll that failed
+SIGNAL_PIPE_BACKOFF_S = 0.05  # after a read of it that failed
 
 log = logging.getLogger(__name__)
 
 
 class Timer:
-    """Something to do at a time; `cancel` takes it back."""
+    """An action that is due at a time."""
 
     __slots__ = ("action",)
 
@@ -37,27 +37,35 @@
         self.action: Callable[[], None] | None = action
 
     def cancel(self) -> None:
+        """Never call the action, or never again."""
         self.action = None
 
 
 class Scheduler:
-    """The loop. Greenlets started by `spawn` may call `wait` and `sleep`; the rest may be called anywhere."""
+    """The event loop.
+
+    `wait`, `sleep` and `park` are for greenlets that `spawn` started; the rest may be called anywhere.
+
+    Attributes:
+        after_round: Called at the end of each round.
+        on_fault: Called for each internal error that was survived.
+    """
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.after_round: list[Callable[[], None]] = []
+        self.on_fault: Callable[[], None] = lambda: None
         self._poll = select.poll()
-        self._waiting: dict[int, dict[int, greenlet]] = {}
-        self._masks: dict[int, int] = {}
-        self._timers: list[tuple[float, int, Timer]] = []
-        self._order = 0
+        self._waiting: dict[int, dict[int, greenlet]] = {}  # by descriptor and event
+        self._masks: dict[int, int] = {}  # registered events by descriptor
+        self._timers: list[tuple[float, int, Timer]] = []  # a heap
+        self._timer_count = 0
         self._ready: deque[tuple[greenlet, int]] = deque()
         self._hub = getcurrent()
         self._stopped = False
-        self.on_fault: Callable[[], None] = lambda: None  # told of each fault of ours that was survived
         self._on_signal: dict[int, Callable[[], None]] = {}
-        self._came: deque[int] = deque()  # signals not taken yet
-        self._wake_up: tuple[int, int] | None = None
+        self._pending_signals: deque[int] = deque()
+        self._signal_pipe: tuple[int, int] | None = None
 
     # -- greenlets
 
@@ -68,39 +76,44 @@
             try:
                 function(*values)
             except Exception:
-                # A fault in one greenlet must not take the others along; who must go on catches its own.
-                self._survived("greenlet ended by a fault")
+                # An internal error in one greenlet must not end the others; one that must go on catches its
+                # own.
+                self._report_fault("greenlet ended by a fault")
 
         self._ready.append((greenlet(body, parent=self._hub), 0))
 
-    def wait(self, descriptor: int, event: int, most: float = inf) -> bool:
-        """Wait until the descriptor is readable or writable (or broken), `most` seconds; whether it is."""
+    def wait(self, descriptor: int, event: int, timeout_s: float = inf) -> bool:
+        """Wait until the descriptor is readable or writable, or broken. Returns whether it is in time."""
         mask = self._masks.get(descriptor, 0)
         if not mask & event:
-            self._poll.register(descriptor, mask | event)  # first: what is no descriptor leaves no trace
+            self._poll.register(descriptor, mask | event)  # first: it raises if that is no descriptor
             self._masks[descriptor] = mask | event
-        me = getcurrent()
-        self._waiting.setdefault(descriptor, {})[event] = me
-        timer = self.after(most, lambda: self._time_out(descriptor, event, me)) if most < inf else None
-        happened = bool(self._hub.switch())
+        current = getcurrent()
+        self._waiting.setdefault(descriptor, {})[event] = current
+        timer = None
+        if timeout_s < inf:
+            timer = self.after(timeout_s, lambda: self._time_out(descriptor, event, current))
+        ready = bool(self._hub.switch())
         if timer is not None:
             timer.cancel()
-        return happened
+        return ready
 
-    def sleep(self, span: float) -> None:
-        me = getcurrent()
-        self.after(span, lambda: self.resume(me))
+    def sleep(self, delay_s: float) -> None:
+        """Suspend the calling greenlet."""
+        current = getcurrent()
+        self.after(delay_s, lambda: self.resume(current))
         self.park()
 
     def park(self) -> None:
-        """Stand still until somebody calls `resume` with this greenlet."""
+        """Suspend the calling greenlet until `resume` is called with it."""
         self._hub.switch()
 
     def resume(self, waiter: greenlet) -> None:
+        """Run a suspended greenlet in this round."""
         self._ready.append((waiter, 1))
 
     def forget(self, descriptor: int) -> None:
-        """The descriptor is about to be closed; who waits for it is told that it is ready, and will see."""
+        """Unregister a descriptor that is about to be closed; greenlets that wait for it are resumed."""
         if self._masks.pop(descriptor, 0):
             self._poll.unregister(descriptor)
         for waiter in self._waiting.pop(descriptor, {}).values():
@@ -108,64 +121,62 @@
 
     # -- timers and signals
 
-    def after(self, span: float, action: Callable[[], None]) -> Timer:
-        """Call `action` in the first round at or after `span` seconds from the clock's last reading."""
+    def after(self, delay_s: float, action: Callable[[], None]) -> Timer:
+        """Call `action` in the first round at or after `delay_s` from the clock's last reading."""
         timer = Timer(action)
-        self._set(span, timer)
+        self._set_timer(delay_s, timer)
         return timer
 
-    def every(self, span: float, action: Callable[[], None]) -> Timer:
-        """Call `action` again and again, `span` seconds after its last turn; `cancel` ends that.
-
-        The next turn is set before the action: guards against a fault that would cost all turns to come.
-        """
+    def every(self, interval_s: float, action: Callable[[], None]) -> Timer:
+        """Call `action` again and again, `interval_s` after its last call, until the timer is cancelled."""
 
-        def turn() -> None:
-            self._set(span, timer)
+        def call() -> None:
+            self._set_timer(interval_s, timer)  # first, so that an internal error does not end all calls
             action()
 
-        timer = self.after(span, turn)
+        timer = self.after(interval_s, call)
         return timer
 
-    def _set(self, span: float, timer: Timer) -> None:
-        self._order += 1
-        heapq.heappush(self._timers, (self.clock.now + span, self._order, timer))
+    def _set_timer(self, delay_s: float, timer: Timer) -> None:
+        self._timer_count += 1
+        heapq.heappush(self._timers, (self.clock.now + delay_s, self._timer_count, timer))
 
     def on_signal(self, number: int, action: Callable[[], None]) -> None:
-        """Call `action` in the loop, never in the middle of anything, after the signal came."""
-        if self._wake_up is None:
-            self._wake_up = os.pipe()
-            for end in self._wake_up:
-                os.set_blocking(end, False)
-            signal.set_wakeup_fd(self._wake_up[1], warn_on_full_buffer=False)
-            self.spawn(self._watch_signals, self._wake_up[0])
+        """Call `action` in a greenlet of its own after the signal was received."""
+        if self._signal_pipe is None:
+            self._signal_pipe = os.pipe()
+            for descriptor in self._signal_pipe:
+                os.set_blocking(descriptor, False)
+            signal.set_wakeup_fd(self._signal_pipe[1], warn_on_full_buffer=False)
+            self.spawn(self._watch_signals, self._signal_pipe[0])
         self._on_signal[number] = action
         signal.signal(number, self._note_signal)
 
     def _note_signal(self, number: int, _: object) -> None:
-        """Between any two steps of anything; the pipe's byte has made the poll return, or will."""
-        if number not in self._came:
-            self._came.append(number)
+        """Note a signal. This is the signal handler, called between any two steps of the program."""
+        if number not in self._pending_signals:
+            self._pending_signals.append(number)
 
     def _watch_signals(self, descriptor: int) -> None:
-        """The pipe only wakes: a byte that finds it full is lost, and its signal must not be."""
+        """Take signals whenever the pipe wakes the loop, not by its bytes: they are lost when it is full."""
         while True:
             self.wait(descriptor, READABLE)
             try:
                 os.read(descriptor, 65536)
             except BlockingIOError:
                 pass
-            except OSError:  # a watch that ended would leave this process deaf to signals
-                self.sleep(WAKE_UP_AGAIN)
-            while self._came:
-                self.spawn(self._on_signal[self._came.popleft()])  # a fault there must not end the watch
+            except OSError:  # must not end the greenlet: no signal would be taken any more
+                self.sleep(SIGNAL_PIPE_BACKOFF_S)
+            while self._pending_signals:
+                # an internal error must not end this one
+                self.spawn(self._on_signal[self._pending_signals.popleft()])
 
     # -- the loop
 
     def run(self) -> None:
-        """Rounds until `stop`; the round in which it is called is the last.
+        """Run rounds until `stop`; the round in which it is called is the last.
 
-        A fault of ours in an action costs that action: it must not end the process with everything open.
+        An internal error in an action ends that action, and not the process with all that is open.
         """
         while not self._stopped:
             events = self._poll_once()
@@ -173,45 +184,49 @@
             for descriptor, event in events:
                 self._wake(descriptor, event)
             self._run_ready()
-            now = self.clock.read()
-            while self._timers and self._timers[0][0] <= now:
-                action = heapq.heappop(self._timers)[2].action
-                if action is not None:
-                    try:
-                        action()
-                    except Exception:
-                        self._survived("timer's action ended by a fault")
+            self._run_timers()
             self._run_ready()
             for action in self.after_round:
                 try:
                     action()
                 except Exception:
-                    self._survived("end of a round cut short by a fault")
+                    self._report_fault("end of a round cut short by a fault")
+
+    def _run_timers(self) -> None:
+        now = self.clock.read()
+        while self._timers and self._timers[0][0] <= now:
+            action = heapq.heappop(self._timers)[2].action
+            if action is not None:
+                try:
+                    action()
+                except Exception:
+                    self._report_fault("timer's action ended by a fault")
 
     def _poll_once(self) -> list[tuple[int, int]]:
-        """What has happened; nothing where poll(2) fails, as it may for want of memory. Timers ring on."""
+        """Poll once; returns no event if poll(2) fails, as it may for want of memory."""
         try:
             return self._poll.poll(self._timeout())
         except OSError:
-            self._survived("poll failed")
-            time.sleep(POLL_AGAIN)
+            self._report_fault("poll failed")
+            time.sleep(POLL_BACKOFF_S)
             return []
 
     def stop(self) -> None:
+        """End `run` after this round."""
         self._stopped = True
 
-    def _survived(self, what: str) -> None:
-        """Within `except`: loudly, and counted."""
-        log.exception(what)
+    def _report_fault(self, event: str) -> None:
+        """Log and count the internal error that is being handled."""
+        log.exception(event)
         self.on_fault()
 
     def _run_ready(self) -> None:
         while self._ready:
-            waiter, happened = self._ready.popleft()
-            waiter.switch(happened)
+            waiter, ready = self._ready.popleft()
+            waiter.switch(ready)
 
     def _timeout(self) -> int | None:
-        """Whole milliseconds, rounded up: poll can't do better, and a timer must not ring early."""
+        """Return the time until the next timer in milliseconds, rounded up so that none fires early."""
         if self._ready:
             return 0
         while self._timers and self._timers[0][2].action is None:
@@ -223,12 +238,12 @@
     def _wake(self, descriptor: int, events: int) -> None:
         waiting = self._waiting.get(descriptor, {})
         for event in (READABLE, WRITABLE):
-            if events & (event | TROUBLE) and event in waiting:
+            if events & (event | ERROR_EVENTS) and event in waiting:
                 self.resume(waiting.pop(event))
                 events &= ~event
-        # What nobody waits for is asked for no longer: level-triggered, it would come again at once.
+        # Polling is level-triggered, so an event that nobody waits for would be reported again at once.
         mask = self._masks.get(descriptor, 0) & ~(events & (READABLE | WRITABLE))
-        if events & TROUBLE and not waiting:
+        if events & ERROR_EVENTS and not waiting:
             mask = 0
         if mask != self._masks.get(descriptor, 0):
             if mask:
--- a/sablewheel/transport/stream.py
+++ b/sablewheel/transport/stream.py
@@ -1,60 +1,65 @@
-"""TCP: streams with bounded buffers, and a listener that outlasts a full table of descriptors."""
+"""TCP streams with bounded buffers."""
 
 from __future__ import annotations
 
 import contextlib
 import errno
-import logging
 import socket
-from collections.abc import Callable
-from enum import Enum, auto
 from math import inf
 
 from greenlet import getcurrent, greenlet
 
 from .scheduler import READABLE, WRITABLE, Scheduler
-from .system_call_errors import ACCEPTED_ONE_FAILED, CONNECTION_GONE, NO_DESCRIPTOR, Failures
+from .system_call_errors import CONNECTION_GONE, FailureCount
 
-CHUNK = 131072  # the most read at once
-FAIR_CHUNK = 16384  # at once of a connection accepted: one that sends at full speed has one turn a round
-BUFFER = memoryview(bytearray(CHUNK))
-HIGH_WATER = 65536  # unsent bytes past which nothing more is read from a peer
-BACKLOG = 1024
-FAILED_MOST = 64  # accepted connections that had failed already, passed over in one turn
+MAX_READ_BYTES = 131072
+READ_BUFFER = memoryview(bytearray(MAX_READ_BYTES))
 Address = tuple[str, int]
 
-log = logging.getLogger(__name__)
-
 
 class Stream:
-    """One connection. What is written goes out at `flush`, or when the peer takes it."""
+    """One connection. What is written is sent at `flush`, or when the peer takes it.
+
+    Args:
+        max_unsent_bytes: While more than that is unsent, nothing is read from the peer.
+        max_read_bytes: How much is read at once.
+
+    Attributes:
+        bytes_queued: All that was ever written here.
+        bytes_sent: All that was ever handed to the system.
+        stuck_since: Since when the peer has taken nothing of what is unsent.
+    """
 
     def __init__(
-        self, scheduler: Scheduler, sock: socket.socket, unsent_most: float = inf, chunk: int = CHUNK
+        self,
+        scheduler: Scheduler,
+        sock: socket.socket,
+        max_unsent_bytes: float = inf,
+        max_read_bytes: int = MAX_READ_BYTES,
     ) -> None:
         sock.setblocking(False)
-        with contextlib.suppress(OSError):  # without it small writes may come late, and that is all
+        with contextlib.suppress(OSError):  # without it small writes may be sent late, and that is all
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._receive_failures, self._send_failures = Failures(), Failures()
+        self.open = True
+        self.bytes_queued = self.bytes_sent = 0
+        self.stuck_since: float | None = None
+        self._receive_failures, self._send_failures = FailureCount(), FailureCount()
         self._scheduler = scheduler
         self._socket = sock
         self._unsent = bytearray()
-        self._unsent_most, self._chunk = unsent_most, chunk
-        self.queued = self.sent = 0  # bytes ever written here, and ever handed to the system
-        self._paused: greenlet | None = None  # the reader, while too much is unsent
+        self._max_unsent_bytes, self._max_read_bytes = max_unsent_bytes, max_read_bytes
+        self._paused_reader: greenlet | None = None  # while too much is unsent
         self._sending = False
-        self.open = True
-        self.stuck_since: float | None = None  # since when the peer has taken nothing of what is unsent
 
     def read(self) -> bytes:
-        """What has come, waiting for it; empty at the end of the stream, however it ended.
+        """Wait for data and return it; empty at the end of the stream, however it ended.
 
-        While a peer does not take what was written to it, nothing more is read from it. Guards against one
-        that never reads and would grow the buffer without bound; its cancels lie unread as well.
+        While a peer does not take what was written to it, nothing is read from it, as a peer that never reads
+        would make the buffer grow without bound. The price: its cancellations lie unread as well.
         """
         while self.open:
-            if len(self._unsent) > self._unsent_most:
-                self._paused = getcurrent()
+            if len(self._unsent) > self._max_unsent_bytes:
+                self._paused_reader = getcurrent()
                 self._scheduler.park()
                 continue
             self._scheduler.wait(self._socket.fileno(), READABLE)
@@ -66,23 +71,27 @@
                 if self._receive_failures.is_final(error):
                     self.close()
                 else:
-                    self._scheduler.sleep(self._receive_failures.rest)
+                    self._scheduler.sleep(self._receive_failures.backoff_s)
         return b""
 
     def _receive(self) -> bytes:
-        """Into one buffer for all: a block as large as a read may be, cut down at once, would leave a hole in
-        the heap beside whatever is kept of it, and the process would grow though its objects do not."""
-        got = self._socket.recv_into(BUFFER, self._chunk)
+        """Receive into the one buffer of all streams and return a copy.
+
+        A block as large as a read may be, cut down at once, would leave a hole in the heap beside whatever is
+        retained of it, and the process would grow though its objects do not.
+        """
+        size = self._socket.recv_into(READ_BUFFER, self._max_read_bytes)
         self._receive_failures.clear()
-        return bytes(BUFFER[:got])
+        return bytes(READ_BUFFER[:size])
 
     def write(self, data: bytes) -> None:
+        """Queue data for the next flush; dropped if the stream is closed."""
         if self.open:
             self._unsent += data
-            self.queued += len(data)
+            self.bytes_queued += len(data)
 
     def flush(self) -> None:
-        """Send what can be sent now; the rest goes out as the peer takes it."""
+        """Send what can be sent now; the rest is sent as the peer takes it."""
         if not self._sending:
             self._send()
             if self._unsent:
@@ -92,14 +101,15 @@
 
     @property
     def all_sent(self) -> bool:
+        """Whether all that was written is handed to the system."""
         return not self._unsent
 
     @property
     def unread(self) -> bool:
-        """Whether bytes have come that were not read yet, as between a readiness and the reader's turn.
+        """Whether data was received that is not read yet.
 
-        Guards against closing a connection over a request that crossed a farewell or a crowding out: the
-        close would lose it unread, though it reached the machine.
+        A connection must not be closed over a request that crossed the announcement of the close or an
+        eviction: it would be lost unread, though it reached the machine.
         """
         if not self.open:
             return False
@@ -110,11 +120,11 @@
         except OSError as error:  # nothing to lose where the connection is gone; else nobody knows
             return error.errno not in CONNECTION_GONE
 
-    def shut(self) -> None:
-        """Write nothing more, and let the peer see it, while what it still sends is read.
+    def shut_down_writing(self) -> None:
+        """Write nothing more and let the peer see it, while what it still sends is read.
 
-        Guards against a close over bytes that come in its very moment: it would reset the connection, and
-        what the peer has not taken yet would go with it. Only once all is sent.
+        Only once all is sent. A close over data received in its very moment would reset the connection, and
+        take along what the peer has not read yet.
         """
         if self.open:
             try:
@@ -123,10 +133,11 @@
                 self.close()  # broken already
 
     def close(self) -> None:
+        """Close the connection and drop what is unsent; safe to call twice."""
         if self.open:
             self.open = False
             self._unsent.clear()
-            self._go_on_reading()
+            self._resume_reader()
             self._scheduler.forget(self._socket.fileno())
             close_socket(self._socket)
 
@@ -142,37 +153,41 @@
                 return
             self._send_failures.clear()
             del self._unsent[:sent]
-            self.sent += sent
+            self.bytes_sent += sent
 
     def _send_rest(self) -> None:
         while self.open and self._unsent:
             if self._send_failures.in_a_row:
-                self._scheduler.sleep(self._send_failures.rest)
+                self._scheduler.sleep(self._send_failures.backoff_s)
             else:
                 self._scheduler.wait(self._socket.fileno(), WRITABLE)
-            before = len(self._unsent)
+            unsent_before = len(self._unsent)
             self._send()
-            if len(self._unsent) < before:
+            if len(self._unsent) < unsent_before:
                 self.stuck_since = self._scheduler.clock.now
-            if len(self._unsent) <= self._unsent_most:
-                self._go_on_reading()
+            if len(self._unsent) <= self._max_unsent_bytes:
+                self._resume_reader()
         self._sending = False
         self.stuck_since = None
 
-    def _go_on_reading(self) -> None:
-        if self._paused is not None:
-            self._scheduler.resume(self._paused)
-            self._paused = None
+    def _resume_reader(self) -> None:
+        if self._paused_reader is not None:
+            self._scheduler.resume(self._paused_reader)
+            self._paused_reader = None
 
 
 def close_socket(sock: socket.socket) -> None:
-    """Close it; the descriptor is free whatever close(2) says."""
+    """Close a socket; the descriptor is free whatever close(2) returns."""
     with contextlib.suppress(OSError):
         sock.close()
 
 
-def connect(scheduler: Scheduler, address: Address, most: float, source: str = "") -> Stream | None:
-    """A connection to the address, or None if there is none within `most` seconds; `source`: from which."""
+def connect(scheduler: Scheduler, address: Address, timeout_s: float, source: str = "") -> Stream | None:
+    """Connect to an address, from the address `source` if given.
+
+    Returns:
+        The stream, or None if there is no connection within `timeout_s`.
+    """
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     except OSError:
@@ -183,8 +198,8 @@
             sock.bind((source, 0))
         code = sock.connect_ex(address)
         if code in (errno.EINPROGRESS, errno.EINTR):  # either way it goes on by itself
-            came = scheduler.wait(sock.fileno(), WRITABLE, most)
-            code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) if came else errno.ETIMEDOUT
+            writable = scheduler.wait(sock.fileno(), WRITABLE, timeout_s)
+            code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) if writable else errno.ETIMEDOUT
         if not code:
             return Stream(scheduler, sock)
     except OSError:
@@ -192,165 +207,3 @@
     scheduler.forget(sock.fileno())
     close_socket(sock)
     return None
-
-
-class Taken(Enum):
-    """How a turn of taking connections ended."""
-
-    ALL = auto()  # nobody waits
-    NO_ROOM = auto()  # the table or the descriptors are used up
-    FAILED = auto()  # for another reason that may pass
-
-
-class Listener:
-    """Accepts connections while there is `room`; `accepted` gets each, `crowded` hears that there is none."""
-
-    def __init__(
-        self,
-        scheduler: Scheduler,
-        address: Address,
-        room: Callable[[], bool],
-        accepted: Callable[[Stream], None],
-        crowded: Callable[[], None],
-    ) -> None:
-        self._scheduler = scheduler
-        self._room, self._accepted, self._crowded = room, accepted, crowded
-        self._socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        try:
-            self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            self._socket.setblocking(False)
-            self._socket.bind(address)
-            self._socket.listen(BACKLOG)
-        except OSError:
-            close_socket(self._socket)
-            raise
-        self._open = True
-        scheduler.spawn(self._accept)
-
-    def close(self) -> None:
-        """Take what the machine has accepted already, then listen no longer."""
-        if self._open:
-            self._take()
-            self._open = False
-            self._scheduler.forget(self._socket.fileno())
-            close_socket(self._socket)
-
-    def _accept(self) -> None:
-        while self._open:
-            self._scheduler.wait(self._socket.fileno(), READABLE)
-            try:
-                if not self._open or (taken := self._take()) is Taken.ALL:
-                    continue
-                # Those who wait stay in the kernel's line. No spin, and no one is cut off.
-                if taken is Taken.NO_ROOM:
-                    self._crowded()
-            except Exception:
-                # A fault of ours costs one connection; without this nobody would ever be let in again.
-                log.exception("connection not taken for a fault")
-                self._scheduler.on_fault()
-            self._scheduler.sleep(0.02)
-
-    def _take(self) -> Taken:
-        """Accept all that wait, as far as there is room."""
-        failures = 0
-        while self._room():
-            try:
-                sock, _ = self._socket.accept()
-            except BlockingIOError:
-                return Taken.ALL
-            except OSError as error:
-                failures += 1
-                if error.errno in ACCEPTED_ONE_FAILED and failures <= FAILED_MOST:
-                    continue
-                return Taken.NO_ROOM if error.errno in NO_DESCRIPTOR else Taken.FAILED
-            self._admit(sock)
-        return Taken.NO_ROOM
-
-    def _admit(self, sock: socket.socket) -> None:
-        try:
-            stream = Stream(self._scheduler, sock, HIGH_WATER, FAIR_CHUNK)
-        except OSError:
-            close_socket(sock)  # reset since: no sign of a full table, for which others would have to go
-        else:
-            self._accepted(stream)
-
-    ATTACH_FILTER = 26  # SO_ATTACH_FILTER
-    LAST_MOST = 2  # taken as the door closes, whatever room there is: out of the descriptors in hand
-
-    def shut(self) -> bool:
-        """Listen no longer, unless somebody is left in the line; whether that is so.
-
-        A connection that the machine accepted may carry a whole request, and a close resets it unread. So the
-        line is empty before, and nothing lies between the last look at it and the close but the close.
-        """
-        if not self._open:
-            return True
-        taken = self._take()
-        if taken is not Taken.ALL and self._line:
-            if taken is Taken.NO_ROOM:
-                self._crowded()
-            return False
-        self._bar()
-        last: list[socket.socket] = []
-        if not self._take_last(last) and self._line:
-            for sock in last:
-                self._admit(sock)
-            return False  # closed now, the door would reset whoever is left before it
-        self._open = False
-        self._scheduler.forget(self._socket.fileno())
-        close_socket(self._socket)
-        for sock in last:
-            self._admit(sock)
-        return True
-
-    def _take_last(self, last: list[socket.socket]) -> bool:
-        """Accept those who came behind the last look, whatever room there is; whether the line is empty."""
-        failures = 0
-        while len(last) < self.LAST_MOST:
-            try:
-                last.append(self._socket.accept()[0])
-            except BlockingIOError:
-                return True
-            except OSError as error:
-                failures += 1
-                if error.errno not in ACCEPTED_ONE_FAILED or failures > FAILED_MOST:
-                    return False
-        return False
-
-    def _bar(self) -> None:
-        """No new connection from here on; those that the machine has accepted stay in the line.
-
-        A filter (classic BPF, Linux) that drops what asks for a connection: bit SYN of byte 13 of the TCP
-        header. Who asks now asks again a second later and is refused, which proves that nothing ran. Neither
-        a backlog of 0, which leaves one place, nor a shutdown, which resets the line, does the same. Where
-        there is no such filter, the moment before the close stays as short as it can be.
-        """
-        from array import array  # there since the start: no descriptor may be left to load it with
-
-        def bare(kind: str, number: int) -> bytes:
-            return array(kind, [number]).tobytes()
-
-        load_flags, if_syn, drop, take = (0x30, 0, 0, 13), (0x45, 0, 1, 2), (6, 0, 0, 0), (6, 0, 0, 65535)
-        steps = [
-            bare("H", code) + bytes([yes, no]) + bare("I", k)
-            for code, yes, no, k in (load_flags, if_syn, drop, take)
-        ]
-        program = array("B", b"".join(steps))
-        place, _ = program.buffer_info()
-        told = bare("H", len(steps)).ljust(array("L").itemsize, b"\0") + bare("L", place)
-        try:
-            self._socket.setsockopt(socket.SOL_SOCKET, self.ATTACH_FILTER, told)
-        except OSError:
-            return
-
-    @property
-    def _line(self) -> bool:
-        """Whether the machine has accepted connections that were not taken here."""
-        import select
-
-        line = select.poll()
-        line.register(self._socket.fileno(), READABLE)
-        try:
-            return bool(line.poll(0))
-        except OSError:
-            return True  # nobody knows
--- a/sablewheel/transport/system_call_errors.py
+++ b/sablewheel/transport/system_call_errors.py
@@ -1,17 +1,17 @@
 """What a failed system call on a socket means: the connection is gone, or it may go on.
 
 From the manual pages accept(2), recv(2), send(2), tcp(7) and ip(7). A call may fail for want of memory or
-descriptors, or pass on a network error that was pending and is gone with it. The connection may stand all the
-same, with requests on it that are owed an answer: so the call is tried again after a rest that grows, and one
-that stays broken shows it by an end of the stream or by failing FAILURES_MOST times in a row.
+descriptors, or report a network error that was pending and is gone with it. The connection may still stand,
+with requests on it that are owed an answer. So the call is repeated after a backoff that grows. A connection
+that stays broken shows it by an end of the stream or by failing more than MAX_FAILURES_IN_A_ROW times.
 """
 
 from __future__ import annotations
 
 import errno
 
-FAILURES_MOST = 30  # in a row; with the rests between them six seconds, longer than any deadline
-FIRST_REST, LONGEST_REST = 0.002, 0.25  # seconds, doubling
+MAX_FAILURES_IN_A_ROW = 30  # six seconds with the backoffs, longer than any deadline
+INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.002, 0.25  # doubling
 
 CONNECTION_GONE = frozenset(
     {
@@ -24,7 +24,7 @@
         errno.ECONNABORTED,
     }
 )
-# accept(2): the connection that was taken had failed already; it says nothing of the next one.
+# accept(2): this connection had failed already, which says nothing of the next one.
 ACCEPTED_ONE_FAILED = frozenset(
     {
         errno.ECONNABORTED,
@@ -43,7 +43,7 @@
     }
 )
 NO_DESCRIPTOR = frozenset({errno.EMFILE, errno.ENFILE})
-# At start-up: what another try a little later may not meet.
+# At start-up: another attempt a little later may succeed.
 START_AGAIN = NO_DESCRIPTOR | frozenset(
     {
         errno.EADDRINUSE,
@@ -61,26 +61,27 @@
 )
 
 
-def rest_after(failures: int) -> float:
-    """How long to rest, in seconds, after so many failures in a row (1 or more)."""
-    return min(FIRST_REST * 2.0 ** (failures - 1), LONGEST_REST)
+def backoff_after(failures: int) -> float:
+    """Return the backoff in seconds after so many failures in a row (1 or more)."""
+    return min(INITIAL_BACKOFF_S * 2.0 ** (failures - 1), MAX_BACKOFF_S)
 
 
-class Failures:
-    """The failures in a row of one direction of a connection."""
+class FailureCount:
+    """Counts the failures in a row of one direction of a connection."""
 
     def __init__(self) -> None:
         self.in_a_row = 0
 
     def clear(self) -> None:
+        """Note a success."""
         self.in_a_row = 0
 
     def is_final(self, error: OSError) -> bool:
-        """Note a failure; whether the connection is given up for it."""
+        """Note a failure. Returns whether the connection has to be given up for it."""
         self.in_a_row += 1
-        return error.errno in CONNECTION_GONE or self.in_a_row > FAILURES_MOST
+        return error.errno in CONNECTION_GONE or self.in_a_row > MAX_FAILURES_IN_A_ROW
 
     @property
-    def rest(self) -> float:
-        """Seconds to rest before the next try, 0 after a success."""
-        return rest_after(self.in_a_row) if self.in_a_row else 0.0
+    def backoff_s(self) -> float:
+        """How long to wait before the next attempt; 0 after a success."""
+        return backoff_after(self.in_a_row) if self.in_a_row else 0.0
--- a/sablewheel/transport/wakeup.py
+++ b/sablewheel/transport/wakeup.py
@@ -1,4 +1,4 @@
-"""One timer for a pure core: it rings at the core's next wake, and what comes sooner moves it forward."""
+"""One timer for a state machine without I/O: it fires at the next time that the machine asks for."""
 
 from __future__ import annotations
 
@@ -7,41 +7,50 @@
 
 from .scheduler import Scheduler, Timer
 
-FAULT_REST = 0.25  # until the next ring after one that faulted, or sooner as it set
+RETRY_AFTER_FAULT_S = 0.25
 
 
-class Wake:
-    """Rings `ring` at the moment set last, or sooner; times are those of `clock`, seconds.
+class Wakeup:
+    """Calls `on_wakeup` at the time set last, or sooner.
 
-    A timer that is set for sooner is left, and its ring finds nothing due. Never sooner than `least`:
-    guards the scheduler against a core whose wake lies behind.
+    A timer that is set for sooner is left as it is, and `on_wakeup` finds nothing due.
+
+    Args:
+        clock: The time in seconds, as `set` takes it.
+        min_delay_s: The shortest delay, so that a time in the past does not keep the loop busy.
     """
 
     def __init__(
-        self, scheduler: Scheduler, clock: Callable[[], float], ring: Callable[[], None], least: float = 0.001
+        self,
+        scheduler: Scheduler,
+        clock: Callable[[], float],
+        on_wakeup: Callable[[], None],
+        min_delay_s: float = 0.001,
     ) -> None:
-        self._scheduler, self._clock, self._ring, self._least = scheduler, clock, ring, least
+        self._scheduler, self._clock, self._on_wakeup = scheduler, clock, on_wakeup
+        self._min_delay_s = min_delay_s
         self._timer: Timer | None = None
-        self._at = 0.0
+        self._timer_set_for = 0.0
 
-    def set(self, wake: float) -> None:
-        """The core's next wake; infinity is none."""
-        if wake == inf or (self._timer is not None and self._at <= wake):
+    def set(self, wake_at: float) -> None:
+        """Set the next time; infinity is none."""
+        if wake_at == inf or (self._timer is not None and self._timer_set_for <= wake_at):
             return
         self.cancel()
-        self._at = wake
-        self._timer = self._scheduler.after(max(wake - self._clock(), self._least), self._rung)
+        self._timer_set_for = wake_at
+        self._timer = self._scheduler.after(max(wake_at - self._clock(), self._min_delay_s), self._fire)
 
     def cancel(self) -> None:
+        """Call nothing until the next `set`."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _rung(self) -> None:
+    def _fire(self) -> None:
         self._timer = None
         try:
-            self._ring()
+            self._on_wakeup()
         except Exception:
-            # Nobody else would ring a core that heard nothing; sooner, a lasting fault would be the load.
-            self.set(self._clock() + FAULT_REST)
+            # Nothing else would wake the machine; with no delay, a lasting fault would keep the loop busy.
+            self.set(self._clock() + RETRY_AFTER_FAULT_S)
             raise
--- a/sablewheel/transport/worker_thread.py
+++ b/sablewheel/transport/worker_thread.py
@@ -1,4 +1,4 @@
-"""The one bridge to a worker thread: what blocks is done there, what came of it is told in the loop."""
+"""The one worker thread: it runs what blocks, and the results are handed to the event loop."""
 
 from __future__ import annotations
 
@@ -14,75 +14,80 @@
 
 from .scheduler import READABLE, Scheduler
 
-JOBS_MOST = 64  # under way or waiting; each feature has few of its own at a time
+MAX_OPEN_JOBS = 64  # each feature has few of its own at a time
 
 log = logging.getLogger(__name__)
 Done = Callable[[Any, BaseException | None], None]
 
 
-class Bridge:
-    """Jobs run one after another, in the order given; `done` is called in a later round with result
-    or error.
+class WorkerThread:
+    """Runs jobs one after another, in the order given.
+
+    `done` of each job is called in a later round of the event loop, with the result or the error.
     """
 
-    def __init__(self, scheduler: Scheduler, jobs_most: int = JOBS_MOST) -> None:
+    def __init__(self, scheduler: Scheduler, max_open_jobs: int = MAX_OPEN_JOBS) -> None:
         self._jobs: SimpleQueue[tuple[Callable[[], Any], Done] | None] = SimpleQueue()
-        self._over: deque[tuple[Done, Any, BaseException | None]] = deque()
-        self._most, self._open = jobs_most, 0
-        self._ends = os.pipe()
-        for end in self._ends:
-            os.set_blocking(end, False)
+        self._finished: deque[tuple[Done, Any, BaseException | None]] = deque()
+        self._max_open_jobs, self._open_jobs = max_open_jobs, 0
+        self._pipe_read, self._pipe_write = os.pipe()
+        for descriptor in (self._pipe_read, self._pipe_write):
+            os.set_blocking(descriptor, False)
         self._scheduler = scheduler
         self._thread = threading.Thread(target=self._work, name="bridge", daemon=True)
         self._thread.start()
-        scheduler.spawn(self._listen)
+        scheduler.spawn(self._watch_finished)
 
     @property
     def open_jobs(self) -> int:
-        return self._open
+        """How many jobs are running, waiting or not reported yet."""
+        return self._open_jobs
 
     def submit(self, job: Callable[[], Any], done: Done) -> bool:
-        """Whether there was room for it."""
-        if self._open >= self._most:
+        """Queue a job. Returns whether there was room for it."""
+        if self._open_jobs >= self._max_open_jobs:
             return False
-        self._open += 1
+        self._open_jobs += 1
         self._jobs.put((job, done))
         return True
 
-    def close(self, most: float) -> bool:
-        """Let the worker finish what it has, `most` seconds; then tell all that is over. Whether it did."""
+    def close(self, timeout_s: float) -> bool:
+        """Wait for the queued jobs and report those that finished.
+
+        Returns:
+            Whether all jobs finished in time.
+        """
         self._jobs.put(None)
-        self._thread.join(max(most, 0.0))
-        self._tell()
+        self._thread.join(max(timeout_s, 0.0))
+        self._report_finished()
         return not self._thread.is_alive()
 
     def _work(self) -> None:
-        signal.pthread_sigmask(signal.SIG_BLOCK, signal.valid_signals())  # signals are the loop's
-        while True:
-            job = self._jobs.get()
-            if job is None:
-                return
-            result, trouble = None, None
+        signal.pthread_sigmask(signal.SIG_BLOCK, signal.valid_signals())  # signals are the event loop's
+        while (entry := self._jobs.get()) is not None:
+            job, done = entry
+            result: Any = None
+            error: BaseException | None = None
             try:
-                result = job[0]()
-            except BaseException as caught:  # told in the loop, whatever it is
-                trouble = caught
-            self._over.append((job[1], result, trouble))
-            with contextlib.suppress(BlockingIOError):  # full: a wake-up is under way already
-                os.write(self._ends[1], b"!")
-
-    def _listen(self) -> None:
+                result = job()
+            except BaseException as caught:  # reported in the event loop, whatever it is
+                error = caught
+            self._finished.append((done, result, error))
+            with contextlib.suppress(BlockingIOError):  # full: the event loop is about to wake anyway
+                os.write(self._pipe_write, b"!")
+
+    def _watch_finished(self) -> None:
         while True:
-            self._scheduler.wait(self._ends[0], READABLE)
+            self._scheduler.wait(self._pipe_read, READABLE)
             with contextlib.suppress(BlockingIOError):
-                os.read(self._ends[0], 4096)
-            self._tell()
+                os.read(self._pipe_read, 4096)
+            self._report_finished()
 
-    def _tell(self) -> None:
-        while self._over:
-            done, result, trouble = self._over.popleft()
-            self._open -= 1
+    def _report_finished(self) -> None:
+        while self._finished:
+            done, result, error = self._finished.popleft()
+            self._open_jobs -= 1
             try:
-                done(result, trouble)
+                done(result, error)
             except Exception:
                 log.exception("a fault in what follows a job")
--- a/sablewheel/usage_metering/collector.py
+++ b/sablewheel/usage_metering/collector.py
@@ -11,8 +11,9 @@
 from collections.abc import Callable
 from typing import Any
 
+from ..transport.listening_socket import Listener
 from ..transport.scheduler import Scheduler
-from ..transport.stream import Listener, Stream
+from ..transport.stream import Stream
 from . import collecting
 from . import usage_metering_pb2 as pb
 from .collecting import Again, Apply, Known, Presence, Refuse
--- a/sablewheel/usage_metering/recorder.py
+++ b/sablewheel/usage_metering/recorder.py
@@ -22,7 +22,7 @@
 from ..storage.store import Store
 from ..transport.background import Background
 from ..transport.scheduler import Scheduler
-from ..transport.worker_thread import Bridge
+from ..transport.worker_thread import WorkerThread
 from . import usage_metering_pb2 as pb
 from .aggregation import Pool
 from .blocks import Sealed
@@ -80,7 +80,7 @@
         names: dict[Tenant, str],
         chance: Callable[[], float],
         count: Callable[[str], None],
-        bridge: Bridge | None = None,
+        bridge: WorkerThread | None = None,
     ) -> None:
         self._scheduler, self._plan, self._count, self._names = scheduler, plan, count, names
         self._pool = Pool(server, incarnation, Periods(plan.calendar), plan.entries_most, plan.totals_most)
@@ -90,7 +90,7 @@
         self._cut_at = scheduler.clock.now
         self._leaving = False
         self._store: Store | None = None
-        self._bridge: Bridge | None = None
+        self._bridge: WorkerThread | None = None
         self._shared = bridge is not None  # then its owner closes it, behind all who use it
         self._sender: Sender | None = None
         self._tracks: dict[bytes, str] = {}
@@ -102,7 +102,7 @@
             records = durable.Log(DiskFiles(plan.folder), KIND, incarnation, plan.disk_bytes_most)
             self.recovery = records.recover(predecessors.saw)
             self._tell_recovery(predecessors)
-            self._bridge = bridge or Bridge(scheduler)
+            self._bridge = bridge or WorkerThread(scheduler)
             self._store = Store(
                 scheduler, self._bridge, records, SLOW_AFTER, self._fenced, self._disk_changed
             )
--- a/tests/simulated_server.py
+++ b/tests/simulated_server.py
@@ -382,7 +382,7 @@
         self.stuck_since = None
         self.fed: deque[bytes] = deque()
         self.written = bytearray()
-        self.queued = self.sent = 0
+        self.bytes_queued = self.bytes_sent = 0
         self.takes = True  # whether the system takes what is written
         self.closes_when_shut = True  # as a router does that sees the end of the stream
         self.reader: greenlet | None = None
@@ -395,9 +395,9 @@
 
     def write(self, data: bytes) -> None:
         if self.open:
-            self.queued += len(data)
+            self.bytes_queued += len(data)
             if self.takes:
-                self.sent += len(data)
+                self.bytes_sent += len(data)
                 self.written += data
 
     def flush(self) -> None:
@@ -407,7 +407,7 @@
     def unread(self) -> bool:
         return self.open and bool(self.fed)
 
-    def shut(self) -> None:
+    def shut_down_writing(self) -> None:
         if self.open and self.closes_when_shut:
             self.feed(b"")
 
--- a/tests/test_close_races.py
+++ b/tests/test_close_races.py
@@ -28,9 +28,10 @@
 from sablewheel.serving.connection import Connection
 from sablewheel.serving.exchange import Exchange, ServerStatus
 from sablewheel.serving.listener import RequestListener
-from sablewheel.transport import stream as transport
+from sablewheel.transport import listening_socket
+from sablewheel.transport.listening_socket import Listener
 from sablewheel.transport.scheduler import Clock, Scheduler, Timer
-from sablewheel.transport.stream import Listener, Stream
+from sablewheel.transport.stream import Stream
 
 PATIENCE = 5.0
 
@@ -184,7 +185,7 @@
         if real is not None:
             setattr(stream, name, crossed)
 
-    wrap("shut")
+    wrap("shut_down_writing")
     wrap("close")
 
 
@@ -490,14 +491,14 @@
     resting.send(frame(b"RPC.HEALTH", b"1", b""))
     hall.turn(lambda: "checks_in" in hall.counts)
     hall.ahead(1.0)
-    real, broken = transport.Stream, iter([True])
+    real, broken = Stream, iter([True])
 
     def taken(*values: object) -> Stream:
         if next(broken, False):
             raise OSError("invalid argument")
         return real(*values)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(transport, "Stream", taken)
+    monkeypatch.setattr(listening_socket, "Stream", taken)
     hall.peer()
     good = hall.peer()
     good.send(frame(b"RPC.HEALTH", b"2", b""))
@@ -505,13 +506,13 @@
     assert "connections_crowded_out" not in hall.counts and len(hall.server.connections) == 2
 
 
-@pytest.mark.parametrize("method", ["accepted", "make_room"])
+@pytest.mark.parametrize("method", ["accepted", "evict_unused"])
 def test_a_fault_as_one_is_let_in_does_not_keep_out_all_that_come_later(method: str) -> None:
     hall = Hall(4)
     faults: list[bool] = []
     try:
         hall.scheduler.on_fault = lambda: faults.append(True)
-        part = {"accepted": "_accepted", "make_room": "_crowded"}[method]
+        part = {"accepted": "_on_accepted", "evict_unused": "_on_full"}[method]
         real = getattr(hall.listener, part)
 
         def once(*_: object) -> None:
@@ -519,7 +520,7 @@
             raise RuntimeError("a fault of ours")
 
         setattr(hall.listener, part, once)
-        first = [hall.peer() for _ in range(4 if method == "make_room" else 1)]
+        first = [hall.peer() for _ in range(4 if method == "evict_unused" else 1)]
         hall.turn(lambda: faults or len(hall.server.connections) == len(first))
         hall.ahead(0.2)
         late = hall.peer()
--- a/tests/test_interpreter_link_races.py
+++ b/tests/test_interpreter_link_races.py
@@ -19,8 +19,9 @@
 from sablewheel.serving.exchange import Exchange
 from sablewheel.serving.fences import MAX_TRACKED_QUERIES
 from sablewheel.serving.interpreter_client import InterpreterClient
+from sablewheel.transport.listening_socket import Listener
 from sablewheel.transport.scheduler import Clock, Scheduler
-from sablewheel.transport.stream import Listener, Stream, connect
+from sablewheel.transport.stream import Stream, connect
 
 Obey = Callable[[list[bytes], bytes], bytes]
 
--- a/tests/test_scheduler_races.py
+++ b/tests/test_scheduler_races.py
@@ -16,7 +16,7 @@
 from test_transport import play as play_for
 
 from sablewheel.transport.scheduler import READABLE, Clock, Scheduler
-from sablewheel.transport.wakeup import Wake
+from sablewheel.transport.wakeup import Wakeup
 
 MOST = 2.0  # no test waits longer
 
@@ -117,7 +117,7 @@
             scheduler.stop()
         fault()
 
-    Wake(scheduler, lambda: scheduler.clock.now, ring).set(scheduler.clock.now)
+    Wakeup(scheduler, lambda: scheduler.clock.now, ring).set(scheduler.clock.now)
     play(scheduler)
     assert len(rung) == 2 and rung[1] - rung[0] >= 0.1  # and a lasting fault does not spin
 
@@ -132,7 +132,7 @@
         wake.set(scheduler.clock.now + 0.01)
         fault()
 
-    wake = Wake(scheduler, lambda: scheduler.clock.now, ring)
+    wake = Wakeup(scheduler, lambda: scheduler.clock.now, ring)
     wake.set(scheduler.clock.now)
     play(scheduler)
     assert len(rung) == 2 and rung[1] - rung[0] < 0.1
@@ -143,10 +143,10 @@
 
 def test_a_signal_that_finds_the_pipe_full_is_not_lost(scheduler: Scheduler, signals: int) -> None:
     scheduler.on_signal(signals, scheduler.stop)
-    assert scheduler._wake_up is not None
+    assert scheduler._signal_pipe is not None
     with pytest.raises(BlockingIOError):
         while True:
-            os.write(scheduler._wake_up[1], b"\0" * 65536)
+            os.write(scheduler._signal_pipe[1], b"\0" * 65536)
     os.kill(os.getpid(), signals)
     scheduler.after(0.5, lambda: pytest.fail("the signal was lost"))
     scheduler.on_fault = scheduler.stop
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -23,8 +23,10 @@
 from test_program import PATIENCE, SETTINGS, Peer, Place, wait_until
 
 from sablewheel.protocol import naming
+from sablewheel.transport import listening_socket
+from sablewheel.transport.listening_socket import Listener
 from sablewheel.transport.scheduler import Clock, Scheduler
-from sablewheel.transport.stream import Listener, Stream
+from sablewheel.transport.stream import Stream
 
 HEALTH = frame(b"RPC.HEALTH", b"999", b"")
 
@@ -494,7 +496,7 @@
 def test_who_connects_behind_the_last_look_at_the_line_is_taken(door: Door) -> None:
     door.client()
     door.sock.empty.append(door.client)
-    assert door.listener.shut() and door.listener.shut()
+    assert door.listener.close_if_queue_empty() and door.listener.close_if_queue_empty()
     assert door.answer() == [b"told", b"told"]
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection(door.address, timeout=PATIENCE)
@@ -502,28 +504,30 @@
 
 def test_who_connects_as_the_door_closes_is_not_accepted_and_lost(door: Door) -> None:
     door.sock.closing.append(lambda: door.client(0.05))
-    assert door.listener.shut()
+    assert door.listener.close_if_queue_empty()
     assert door.answer() == []
 
 
-def test_where_there_is_no_filter_the_door_closes_all_the_same(door: Door) -> None:
-    door.listener.ATTACH_FILTER = 99
+def test_where_there_is_no_filter_the_door_closes_all_the_same(
+    door: Door, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(listening_socket, "SO_ATTACH_FILTER", 99)
     door.sock.empty.append(door.client)
-    assert door.listener.shut() and door.answer() == [b"told"]
+    assert door.listener.close_if_queue_empty() and door.answer() == [b"told"]
 
 
 def test_a_full_table_keeps_the_door_open_for_those_before_it(door: Door) -> None:
     door.most = 1
     for _ in range(3):
         door.client()
-    assert not door.listener.shut() and door.crowds == 1 and len(door.taken) == 1
+    assert not door.listener.close_if_queue_empty() and door.crowds == 1 and len(door.taken) == 1
     door.most = 3
-    assert door.listener.shut() and door.answer() == [b"told"] * 3
+    assert door.listener.close_if_queue_empty() and door.answer() == [b"told"] * 3
 
 
 def test_a_full_table_and_nobody_before_it_is_no_reason_to_stay_open(door: Door) -> None:
     door.most = 0
-    assert door.listener.shut() and not door.crowds
+    assert door.listener.close_if_queue_empty() and not door.crowds
 
 
 def test_a_drain_with_a_full_table_answers_those_in_the_line(tmp_path: Path) -> None:
@@ -634,11 +638,11 @@
             Failing.left -= 1
             raise OSError(105, "No buffer space available")
         return self.sock.sendto(*values)
-init = datagram.Post.__init__
+init = datagram.DatagramSender.__init__
 def failing(self, address):
     init(self, address)
     self._socket = Failing(self._socket)
-datagram.Post.__init__ = failing
+datagram.DatagramSender.__init__ = failing
 """,
     )
     assert place.names.recv(64).startswith(b"renew n3 ")
@@ -654,7 +658,7 @@
 import sys
 from sablewheel import __main__ as start
 from sablewheel.serving.dispatcher import Dispatcher
-from sablewheel.transport.stream import Listener
+from sablewheel.transport.listening_socket import Listener
 def fault(*_):
     raise RuntimeError("a fault of ours")
 from sablewheel.program.application import Application
@@ -667,14 +671,14 @@
     send(self)
 if "report" in sys.argv[1:]:
     Application._send_report = once
-for kind, method in ((Dispatcher, "shutdown_notice"), (Listener, "shut")):
+for kind, method in ((Dispatcher, "shutdown_notice"), (Listener, "close_if_queue_empty")):
     if method in sys.argv[1:]:
         setattr(kind, method, fault)
 sys.exit(start.main())
 """
 
 
-@pytest.mark.parametrize("method", ["shutdown_notice", "shut"])
+@pytest.mark.parametrize("method", ["shutdown_notice", "close_if_queue_empty"])
 def test_a_fault_on_the_way_out_still_answers_all_and_ends_before_the_stop(place: Place, method: str) -> None:
     place.file.write_text(json.dumps(place.told | {"stop_ms": 900}))
     process = subprocess.Popen(
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -20,7 +20,7 @@
 from sablewheel.storage.log import START, DiskFault, Log
 from sablewheel.storage.store import Store
 from sablewheel.transport.scheduler import Clock, Scheduler
-from sablewheel.transport.worker_thread import Bridge
+from sablewheel.transport.worker_thread import WorkerThread
 
 KIND = b"test"
 
@@ -282,7 +282,7 @@
 
 def test_the_store_gathers_while_a_commit_is_under_way_and_moves_its_fence() -> None:
     scheduler, files, fences, states = Scheduler(Clock()), MadeFiles(), list[int](), list[Disk]()
-    store = Store(scheduler, Bridge(scheduler), a_log(files), 0.1, fences.append, states.append)
+    store = Store(scheduler, WorkerThread(scheduler), a_log(files), 0.1, fences.append, states.append)
     scheduler.after_round.append(store.flush)
     numbers: list[int | None] = []
 
@@ -311,7 +311,7 @@
 
 def test_the_store_says_when_it_has_no_room() -> None:
     scheduler, files = Scheduler(Clock()), MadeFiles()
-    store = Store(scheduler, Bridge(scheduler), a_log(files), 0.1, lambda _: None, lambda _: None)
+    store = Store(scheduler, WorkerThread(scheduler), a_log(files), 0.1, lambda _: None, lambda _: None)
     big = b"x" * (1 << 19)
     assert store.append(big) == 1 and store.append(big) == 2
     assert store.append(big) is None
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -14,9 +14,10 @@
 
 import pytest
 
-from sablewheel.transport.datagram import WAITING_BYTES, Mailbox
+from sablewheel.transport.datagram import RECEIVE_BUFFER_BYTES, DatagramSocket
+from sablewheel.transport.listening_socket import Listener
 from sablewheel.transport.scheduler import READABLE, WRITABLE, Clock, Scheduler
-from sablewheel.transport.stream import Listener, Stream, connect
+from sablewheel.transport.stream import Stream, connect
 
 
 @pytest.fixture
@@ -264,9 +265,9 @@
 def test_a_mailbox_holds_what_1024_say_at_once_as_far_as_the_kernel_allows() -> None:
     allowed = int(Path("/proc/sys/net/core/rmem_max").read_text())
     scheduler, got = Scheduler(Clock()), list[bytes]()
-    box = Mailbox(scheduler, ("127.0.0.1", 0), 1000, lambda data, _: got.append(data))
+    box = DatagramSocket(scheduler, ("127.0.0.1", 0), 1000, lambda data, _: got.append(data))
     room = box._socket.getsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF)
-    assert room == 2 * min(WAITING_BYTES, allowed)  # the kernel counts its own part
+    assert room == 2 * min(RECEIVE_BUFFER_BYTES, allowed)  # the kernel counts its own part
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
         for number in range(1024):  # all before the first round, as while the process is busy
             sender.sendto(b"%d" % number + bytes(100), box._socket.getsockname())
--- a/tests/test_usage_metering.py
+++ b/tests/test_usage_metering.py
@@ -36,7 +36,7 @@
 from sablewheel.storage.files import DiskFiles
 from sablewheel.storage.log import Log
 from sablewheel.transport.background import Background
-from sablewheel.transport.periodic import SAVED_MOST, PeriodicScheduler, PeriodicTask
+from sablewheel.transport.periodic import MAX_BUDGET_S, PeriodicScheduler, PeriodicTask
 from sablewheel.transport.scheduler import Clock, Scheduler
 from sablewheel.usage_metering import blocks, collecting, export, reports, statement
 from sablewheel.usage_metering import recorder as keeper
@@ -85,7 +85,7 @@
         super().__init__(SERVER_SETTINGS)
         self.files = MadeFiles()
         monkeypatch.setattr(keeper, "DiskFiles", lambda _: self.files)
-        monkeypatch.setattr(keeper, "Bridge", SlowBridge)
+        monkeypatch.setattr(keeper, "WorkerThread", SlowBridge)
         plan = LedgerPlan(Depth.DURABLE, Path("made"), answers, commit_every=0.0, entries_most=50)
         background = Background(self.scheduler, lambda: 0)
         names = {SERVER_SETTINGS.tenants[0]: "acme"}
@@ -674,18 +674,18 @@
         periodic_scheduler.want(high, now)
         periodic_task = periodic_scheduler.choose(now, busy)
         if periodic_task is not None:
-            assert not busy or now - periodic_task.wanted_since >= periodic_task.starved
+            assert not busy or now - periodic_task.wanted_since >= periodic_task.max_wait_s
             took[periodic_task.name] += 0.001
             periodic_scheduler.done(periodic_task, now, 0.001, more=True)
-    assert 0.9 * 2.0 <= took["high"] <= 0.1 * 20 + SAVED_MOST + 0.001
-    assert 4.0 <= took["low"] <= 0.5 * 20 + SAVED_MOST + 0.001
+    assert 0.9 * 2.0 <= took["high"] <= 0.1 * 20 + MAX_BUDGET_S + 0.001
+    assert 4.0 <= took["low"] <= 0.5 * 20 + MAX_BUDGET_S + 0.001
 
 
 def test_a_starved_chore_has_its_step_in_spite_of_tickets() -> None:
-    periodic_scheduler, periodic_task = PeriodicScheduler(), PeriodicTask("one", 1, 0.5, starved=0.25)
+    periodic_scheduler, periodic_task = PeriodicScheduler(), PeriodicTask("one", 1, 0.5, max_wait_s=0.25)
     periodic_scheduler.add(periodic_task)
     periodic_scheduler.want(periodic_task, 10.0)
-    assert periodic_scheduler.choose(10.2, busy=True) is None and periodic_scheduler.again_in(
+    assert periodic_scheduler.choose(10.2, busy=True) is None and periodic_scheduler.next_step_in_s(
         10.2, busy=True
     ) == pytest.approx(0.05)
     assert periodic_scheduler.choose(10.3, busy=True) is periodic_task
