--- a/sablewheel/__main__.py
+++ b/sablewheel/__main__.py
@@ -41,7 +41,7 @@
         except FaultyFeaturesError as trouble:
             print(trouble, file=sys.stderr)
             return 2
-    logs.start(placement_settings.level)
+    logs.start(placement_settings.log_level)
     try:
         application = put_together(placement_settings, features)
     except OSError as trouble:
@@ -76,7 +76,7 @@
     except OSError as trouble:
         if trouble.errno != EADDRINUSE:
             raise
-    if not await_door(placement_settings.listen, placement_settings.stop_after + DOOR_SPARE):
+    if not await_door(placement_settings.listen, placement_settings.stop_after_s + DOOR_SPARE):
         return None
     return patiently(lambda: Application(placement_settings))
 
--- a/sablewheel/program/application.py
+++ b/sablewheel/program/application.py
@@ -6,7 +6,6 @@
 import logging
 import signal
 from collections.abc import Callable
-from dataclasses import replace
 from enum import Enum
 from typing import TYPE_CHECKING
 
@@ -21,23 +20,22 @@
 from ..transport.listening_socket import Listener
 from ..transport.scheduler import Clock, Scheduler
 from ..transport.stream import Address, Stream, connect
-from . import configuration
-from .configuration import FaultyKeyError, PlacementSettings, UnreadableFileError
+from .configuration import PlacementSettings
+from .configuration_reload import ConfigurationReloader, merge
 from .counters import Counters
 from .feature import Feature, NoFeature
 
 if TYPE_CHECKING:
     from .feature_file import Features
 
-SHARE_EVERY = 1.0  # how often it is looked how many connections features leave to routers
-REPORT_EVERY = 0.25  # a server silent for 3 s is off the list, and one report in a few may be lost
-CONNECT_MOST = 1.0  # one try to reach the interpreter
-LAST_INSTANT = 0.03  # before the stop: whoever still has a connection open then is left behind
-LAST_ANSWERS = 2 * LAST_INSTANT  # before the stop: what is open then is answered, whatever it is doing
-LAST_ROUNDS = 0.002  # that are played after the last answers, however late these are
-DOOR_AGAIN = 0.02  # until the door is tried again that can't be shut over those who wait before it
-READ_AGAIN_FIRST, READ_AGAIN_TIMES = 0.05, 7  # rests doubling: the last try is 6.35 s after the first
-KEPT_SHARE = 16  # results kept for repeats get one part in so many of the program's memory
+CONNECTION_LIMIT_INTERVAL_S = 1.0  # between checks of how many connections features leave to clients
+REPORT_INTERVAL_S = 0.25  # a server silent for 3 s is off the list, and one report in a few may be lost
+CONNECT_TIMEOUT_S = 1.0  # of one attempt to reach the interpreter
+END_MARGIN_S = 0.03  # before the stop: clients that still have a connection open are left behind
+ANSWER_MARGIN_S = 2 * END_MARGIN_S  # before the stop: all that is open is answered
+MIN_FINAL_ROUNDS_S = 0.002  # after the last answers, however late these are
+CLOSE_RETRY_S = 0.02  # until the listening socket is closed again, if connections were queued on it
+RESULT_MEMORY_DIVISOR = 16  # cached results get one part in so many of the program's memory
 
 log = logging.getLogger(__name__)
 
@@ -47,125 +45,139 @@
 
     WAITING = "waiting"  # listening; the interpreter is not up yet
     SERVING = "serving"
-    DRAINING = "draining"  # told to leave; serves on within the grace
-    PARTING = "parting"  # listens no longer, routers were told farewell, what is open gets its answers
+    DRAINING = "draining"  # the shutdown notice was received; serves on within the grace
+    CLOSING = "parting"  # listens no longer, the close of all connections is announced
     ENDED = "ended"
 
 
-class Refusing:
-    """In front of the handler once nothing that comes may run: each try is refused as it is read."""
+class RejectingHandler:
+    """Rejects each request as it is read, once no new request may run."""
 
-    def __init__(self, inner: RequestHandler, refuse: Callable[[Exchange], None]) -> None:
-        self._inner, self.arrived = inner, refuse
+    def __init__(self, inner: RequestHandler, reject: Callable[[Exchange], None]) -> None:
+        self._inner, self._reject = inner, reject
+
+    def arrived(self, exchange: Exchange) -> None:
+        """Reject a request."""
+        self._reject(exchange)
 
     def cancelled(self, exchange: Exchange) -> None:
+        """Pass on that the client no longer waits."""
         self._inner.cancelled(exchange)
 
 
 class Application:
-    """All parts, and how they start and end."""
+    """All parts of the server, and how they start and end.
+
+    Raises:
+        OSError: The address can't be listened on, or a feature's folder can't be used.
+    """
 
     def __init__(self, placement_settings: PlacementSettings, features: Features | None = None) -> None:
         self.phase = Phase.WAITING
         self._placement_settings = placement_settings
         self._counters = Counters()
         self._scheduler = scheduler = Scheduler(Clock())
-        self._standing = ServerStatus()
-        longest = max(
-            request_class.timeout_s for request_class in placement_settings.server_settings.request_classes
-        )
-        idempotency_keys = IdempotencyTable(
-            longest,
-            placement_settings.server_settings.answer_slack_s,
-            placement_settings.memory_bytes // KEPT_SHARE,
-        )
+        self._server_status = ServerStatus()
+        self._stop_at = 0.0
+        self._listener_closed = False
+        self._start_failed = False
         count = self._counters.count
         scheduler.on_fault = lambda: count("faults")
-        self._feature: Feature = NoFeature()
-        if features is not None and features.any:
-            from .feature_registry import Parts
-
-            self._feature = Parts(
-                features,
-                placement_settings,
-                scheduler,
-                lambda: self._dispatch.batches,
-                self._never_begun,
-                lambda: self._dispatch.recovery_finished(),
-                self._fail,
-                count,
-                self._retune,
-            )
-        self._dispatch = Dispatcher(
+        self._features = self._build_features(features)
+        self._dispatcher = Dispatcher(
             scheduler,
             placement_settings.server_settings,
             placement_settings.seed,
-            placement_settings.gauge_places,
-            self._standing,
-            idempotency_keys,
-            self._opened,
-            self._feature.memory,
+            placement_settings.gauge_indexes,
+            self._server_status,
+            self._idempotency_table(),
+            self._on_interpreter_ready,
+            self._features.result_store,
         )
-        self._server = RequestListener(
+        self._request_listener = RequestListener(
             scheduler,
             placement_settings.request_classes,
             placement_settings.tenants,
-            self._standing,
-            self._feature.handler(self._dispatch),
+            self._server_status,
+            self._features.handler(self._dispatcher),
             count,
-            self._for_routers(),
-            self._feature.observer,
+            self._max_client_connections(),
+            self._features.observer,
             placement_settings.server_settings.clients,
         )
         if features is not None and features.any:
-            scheduler.every(SHARE_EVERY, lambda: self._server.set_max_connections(self._for_routers()))
-        self._post = DatagramSender(placement_settings.naming)
-        # The last that may fail: a start that is tried again must not find its own door open.
+            scheduler.every(CONNECTION_LIMIT_INTERVAL_S, self._limit_connections)
+        self._name_service = DatagramSender(placement_settings.naming)
+        # The last that may fail: a start that is repeated must not find its own socket listening.
         self._listener = Listener(
             scheduler,
             placement_settings.listen,
-            self._server.has_capacity,
-            self._server.accepted,
-            self._server.evict_unused,
+            self._request_listener.has_capacity,
+            self._request_listener.accepted,
+            self._request_listener.evict_unused,
         )
-        self._client = InterpreterClient(
+        self._interpreter = InterpreterClient(
             scheduler,
-            self._linking(placement_settings.interpreter),
-            self._dispatch,
+            self._connector(placement_settings.interpreter),
+            self._dispatcher,
             count,
-            self._feature.last_notice,
+            self._features.last_notice,
         )
-        self._dispatch.attach(self._server, self._client)
-        self._stop_at = 0.0
-        self._shut_door = False
-        self._failed = False
+        self._dispatcher.attach(self._request_listener, self._interpreter)
+        self._reloader = ConfigurationReloader(scheduler, self._apply_configuration)
+
+    def _build_features(self, features: Features | None) -> Feature:
+        if features is None or not features.any:
+            return NoFeature()
+        from .feature_set import FeatureSet
+
+        return FeatureSet(
+            features,
+            self._placement_settings,
+            self._scheduler,
+            lambda: self._dispatcher.batches,
+            self._on_never_started,
+            lambda: self._dispatcher.recovery_finished(),
+            self._on_start_failed,
+            self._counters.count,
+            self._retune,
+        )
+
+    def _idempotency_table(self) -> IdempotencyTable:
+        return IdempotencyTable(
+            self._longest_timeout_s(),
+            self._placement_settings.server_settings.answer_slack_s,
+            self._placement_settings.memory_bytes // RESULT_MEMORY_DIVISOR,
+        )
+
+    def _longest_timeout_s(self) -> float:
+        request_classes = self._placement_settings.server_settings.request_classes
+        return max(request_class.timeout_s for request_class in request_classes)
 
     def prepare(self) -> None:
-        """From here on signals are taken; what they ask for is done in `run`."""
+        """Take signals from here on; what they ask for is done in `run`."""
         scheduler = self._scheduler
-        scheduler.on_signal(signal.SIGTERM, self._leave)
-        scheduler.on_signal(signal.SIGINT, self._leave)
-        scheduler.on_signal(signal.SIGHUP, self._read_anew)
-        scheduler.on_signal(signal.SIGUSR1, lambda: self._print("asked"))
-        scheduler.after_round.append(self._dispatch.end_round)
-        scheduler.after_round.append(self._feature.end_round)
-        scheduler.after_round.append(self._look_for_end)
+        scheduler.on_signal(signal.SIGTERM, self._on_shutdown_notice)
+        scheduler.on_signal(signal.SIGINT, self._on_shutdown_notice)
+        scheduler.on_signal(signal.SIGHUP, self._reload)
+        scheduler.on_signal(signal.SIGUSR1, lambda: self._print_counters("asked"))
+        scheduler.after_round.append(self._dispatcher.end_round)
+        scheduler.after_round.append(self._features.end_round)
+        scheduler.after_round.append(self._end_if_settled)
 
     def run(self) -> int:
-        """Serve until told to leave, then leave in order; the process's exit code."""
+        """Serve until the shutdown notice, then shut down. Returns the process's exit code."""
         self._report()
         gc.collect()
         gc.freeze()
-        log.info(
-            "listening", extra={"pairs": {"name": self._placement_settings.name, "phase": self.phase.value}}
-        )
+        pairs = {"name": self._placement_settings.name, "phase": self.phase.value}
+        log.info("listening", extra={"pairs": pairs})
         self._scheduler.run()
-        self._feature.close(
-            max(self._stop_at - self._scheduler.clock.read() - LAST_INSTANT / 2, LAST_INSTANT / 2)
-        )
-        self._server.flush()
-        self._print("exit")
-        return 1 if self._failed else 0
+        remaining_s = self._stop_at - self._scheduler.clock.read() - END_MARGIN_S / 2
+        self._features.close(max(remaining_s, END_MARGIN_S / 2))
+        self._request_listener.flush()
+        self._print_counters("exit")
+        return 1 if self._start_failed else 0
 
     # -- the phases
 
@@ -173,73 +185,74 @@
         log.info("phase", extra={"pairs": {"was": self.phase.value, "now": phase.value}})
         self.phase = phase
 
-    def _opened(self) -> None:
+    def _on_interpreter_ready(self) -> None:
         if self.phase is Phase.WAITING:
             self._enter(Phase.SERVING)
-        elif self.phase is Phase.PARTING:  # told to leave before that: the controller has yet to hear of it
-            self._standing.healthy = False
-            self._dispatch.shutdown_notice(max(self._stop_at - self._scheduler.clock.now, 0.0))
+        elif self.phase is Phase.CLOSING:  # the notice came first, and the controller has not had it
+            self._server_status.healthy = False
+            self._dispatcher.shutdown_notice(max(self._stop_at - self._scheduler.clock.now, 0.0))
 
-    def _leave(self) -> None:
-        """The notice to leave; a second one changes nothing."""
+    def _on_shutdown_notice(self) -> None:
+        """Begin to shut down; a second notice changes nothing."""
         if self.phase not in (Phase.WAITING, Phase.SERVING):
             return
-        placement_settings, now = self._placement_settings, self._scheduler.clock.now
-        self._stop_at = now + placement_settings.stop_after
-        # First of all, so that no fault on the way can leave a server that is told to go without its end.
-        self._scheduler.after(max(placement_settings.stop_after - LAST_ANSWERS, 0.0), self._answer_all)
+        stop_after_s = self._placement_settings.stop_after_s
+        self._stop_at = self._scheduler.clock.now + stop_after_s
+        # First of all, so that no internal error on the way leaves a server that never ends.
+        self._scheduler.after(max(stop_after_s - ANSWER_MARGIN_S, 0.0), self._answer_all)
         if self.phase is Phase.WAITING:
-            # Nothing ran and nothing will: who waits for the start, here or still unread, is owed that word.
-            self._feature.leaving()
-            self._refuse()
-            return self._part()
-        # Past the grace nothing that comes may run: a closed door says so soonest.
-        grace = min(
-            placement_settings.server_settings.drain_grace_s, placement_settings.stop_after - 2 * LAST_INSTANT
-        )
-        self._scheduler.after(max(grace, 0.0), self._part)
+            # Nothing ran and nothing will: requests that wait for the start, or are unread, are rejected.
+            self._features.leaving()
+            self._reject_requests()
+            return self._start_closing()
+        # Past the grace no new request may run, and a closed socket is the earliest sign of that for clients.
+        grace_s = min(self._placement_settings.server_settings.drain_grace_s, stop_after_s - 2 * END_MARGIN_S)
+        self._scheduler.after(max(grace_s, 0.0), self._start_closing)
         self._enter(Phase.DRAINING)
-        self._dispatch.shutdown_notice(placement_settings.stop_after)
+        self._dispatcher.shutdown_notice(stop_after_s)
         self._send_report()
-        self._feature.leaving()
-
-    def _part(self) -> None:
-        self._enter(Phase.PARTING)
-        self._shut()
-        self._feature.parting()
-
-    def _shut(self) -> None:
-        """Close the door; with a full table it stays open until those before it were let in."""
-        self._shut_door = self._listener.close_if_queue_empty()
-        self._scheduler.spawn(self._server.announce_close)  # to those just taken as well
-        if not self._shut_door:
-            self._scheduler.after(DOOR_AGAIN, self._shut)
-
-    def _refuse(self) -> None:
-        """From now on nothing that is read runs, and what waits for the start has waited for nothing."""
-        if not isinstance(self._server.handler, Refusing):
-            self._server.handler = Refusing(self._server.handler, self._dispatch.reject_draining)
-        self._dispatch.reject_waiting_for_start()
+        self._features.leaving()
+        return None
+
+    def _start_closing(self) -> None:
+        self._enter(Phase.CLOSING)
+        self._close_listener()
+        self._features.closing()
+
+    def _close_listener(self) -> None:
+        """Close the listening socket, once all connections that are queued on it were accepted."""
+        self._listener_closed = self._listener.close_if_queue_empty()
+        self._scheduler.spawn(self._request_listener.announce_close)  # also to those just accepted
+        if not self._listener_closed:
+            self._scheduler.after(CLOSE_RETRY_S, self._close_listener)
+
+    def _reject_requests(self) -> None:
+        """Reject all requests that are read from now on, and those that wait for the start."""
+        if not isinstance(self._request_listener.handler, RejectingHandler):
+            self._request_listener.handler = RejectingHandler(
+                self._request_listener.handler, self._dispatcher.reject_draining
+            )
+        self._dispatcher.reject_waiting_for_start()
 
     def _answer_all(self) -> None:
-        """Nobody is left without an answer, and there is still time to take it.
+        """Answer all requests while there is still time for clients to read the answers.
 
-        The controller has answered all by then, unless there is hardly a slack or a tick, the notice is too
-        short for both, or what a server remembers is not known yet.
+        The controller has answered all by then, unless there is hardly a slack or a batch interval, the
+        notice is too short for both, or what is stored is not known yet.
         """
-        # A pause may end past the stop: who was let in only now is read in a round to come, and answered.
-        left = max(self._stop_at - self._scheduler.clock.now - LAST_INSTANT, LAST_ROUNDS)
-        self._scheduler.after(left, self._end)
-        self._scheduler.after(left / 2, self._server.stop_reading)
-        self._refuse()
-        self._dispatch.finish_all()
-
-    def _look_for_end(self) -> None:
-        if self.phase is not Phase.PARTING or not self._shut_door:
+        # A pause may end past the stop: what was accepted only now is read in a later round, and answered.
+        remaining_s = max(self._stop_at - self._scheduler.clock.now - END_MARGIN_S, MIN_FINAL_ROUNDS_S)
+        self._scheduler.after(remaining_s, self._end)
+        self._scheduler.after(remaining_s / 2, self._request_listener.stop_reading)
+        self._reject_requests()
+        self._dispatcher.finish_all()
+
+    def _end_if_settled(self) -> None:
+        if self.phase is not Phase.CLOSING or not self._listener_closed:
             return
-        if self._server.connections or self._dispatch.open_count:
+        if self._request_listener.connections or self._dispatcher.open_count:
             return
-        if self._feature.settled():
+        if self._features.settled():
             self._end()
 
     def _end(self) -> None:
@@ -249,63 +262,33 @@
 
     # -- a new configuration
 
-    def _read_anew(self) -> None:
-        """Take new addresses from the configuration, in any phase; a faulty one changes nothing."""
-        self._feature.hangup()
-        self._try_to_read_anew(READ_AGAIN_TIMES, READ_AGAIN_FIRST)
-
-    def _try_to_read_anew(self, times_left: int, rest: float) -> None:
-        """A file that can't be read now is tried again: it may name the only address that still serves."""
-        try:
-            told = configuration.placement_settings()
-        except UnreadableFileError as trouble:
-            pairs = {"reason": trouble, "tries_left": times_left}
-            log.error("configuration not read", extra={"pairs": pairs})
-            if times_left:
-                self._scheduler.after(rest, lambda: self._try_to_read_anew(times_left - 1, 2 * rest))
-        except FaultyKeyError as trouble:
-            log.error("configuration not taken", extra={"pairs": {"reason": trouble}})
-        else:
-            self._take_anew(told)
-
-    def _take_anew(self, told: PlacementSettings) -> None:
-        held = self._placement_settings
-        keys = list(configuration.differing(held.told, told.told))
-        # Requests in flight name their request class and tenant: settings that rename them wait for a
-        # restart.
-        same_names = [*held.request_classes, *held.tenants] == [*told.request_classes, *told.tenants]
-        if not same_names:
-            told = replace(told, told={**told.told, "settings": held.told["settings"]})
-        anew = configuration.TAKEN_ANEW
-        taken = [key for key in keys if top(key) in anew and (same_names or top(key) != "settings")]
-        waiting = [key for key in keys if key not in taken]
-        pairs = {"taken": ",".join(taken), "need_restart": ",".join(waiting)}
+    def _reload(self) -> None:
+        self._features.reload()
+        self._reloader.reload()
+
+    def _apply_configuration(self, loaded: PlacementSettings) -> None:
+        """Apply what of a new configuration needs no restart, in any phase."""
+        before = self._placement_settings
+        reloaded = merge(before, loaded)
+        pairs = {"taken": ",".join(reloaded.applied), "need_restart": ",".join(reloaded.need_restart)}
         log.info("configuration read anew", extra={"pairs": pairs})
-        self._placement_settings = replace(
-            held,
-            interpreter=told.interpreter,
-            naming=told.naming,
-            told={**held.told, **{key: told.told[key] for key in configuration.TAKEN_ANEW}},
-        )
-        if any(top(key) == "settings" for key in taken):
-            self._placement_settings = replace(
-                self._placement_settings, server_settings=told.server_settings, gauge_places=told.gauge_places
-            )
+        self._placement_settings = reloaded.placement_settings
+        if reloaded.settings_changed:
             self._retune()
-        if told.naming != held.naming:
-            self._post.set_address(told.naming)
+        if loaded.naming != before.naming:
+            self._name_service.set_address(loaded.naming)
             self._send_report()
-        if told.interpreter != held.interpreter:
-            self._client.connect_to(self._linking(told.interpreter))
+        if loaded.interpreter != before.interpreter:
+            self._interpreter.connect_to(self._connector(loaded.interpreter))
         self._counters.count("configurations_taken")
 
     def _retune(self) -> None:
-        """The settings that were read, as features would have them now, for requests from now on."""
+        """Apply the settings, as features change them now, to requests from now on."""
         placement_settings = self._placement_settings
-        server_settings = self._feature.server_settings(placement_settings.server_settings)
-        self._dispatch.retune(server_settings, placement_settings.gauge_places)
-        self._server.expect_clients(server_settings.clients)
-        # The dicts that the server reads names by; their order is that of the settings.
+        server_settings = self._features.server_settings(placement_settings.server_settings)
+        self._dispatcher.retune(server_settings, placement_settings.gauge_indexes)
+        self._request_listener.expect_clients(server_settings.clients)
+        # The listener resolves names by these dictionaries; their order is that of the settings.
         placement_settings.request_classes.update(
             zip(list(placement_settings.request_classes), server_settings.request_classes, strict=True)
         )
@@ -313,75 +296,72 @@
             zip(list(placement_settings.tenants), server_settings.tenants, strict=True)
         )
 
-    def _linking(self, address: Address) -> Callable[[], Stream | None]:
-        def linked() -> Stream | None:
-            """None yet, while a feature says that the server must not be up."""
-            if self._scheduler.clock.now < self._feature.up_at:
+    # -- what other parts ask for
+
+    def _connector(self, address: Address) -> Callable[[], Stream | None]:
+        """Return a function that connects to the interpreter, once features let the server be up."""
+
+        def connect_to_interpreter() -> Stream | None:
+            if self._scheduler.clock.now < self._features.up_at:
                 return None
-            return connect(self._scheduler, address, CONNECT_MOST)
+            return connect(self._scheduler, address, CONNECT_TIMEOUT_S)
 
-        return linked
+        return connect_to_interpreter
 
-    def _fail(self, reason: str) -> None:
-        """A feature can't start, and is set not to go on without."""
+    def _on_start_failed(self, reason: str) -> None:
+        """A feature can't start, and must not be left out."""
         log.error("not started", extra={"pairs": {"reason": reason}})
-        self._failed = True
+        self._start_failed = True
         self._listener.close()
-        self._refuse()
+        self._reject_requests()
         self._end()
 
-    def _never_begun(self, exchange: Exchange) -> None:
-        """A run that a feature held back and nobody waits for any more."""
-        self._dispatch.run_ended(exchange, Outcome.NEVER_STARTED, 0.0, b"")
+    def _on_never_started(self, exchange: Exchange) -> None:
+        """A feature held a run back, and nobody waits for it any more."""
+        self._dispatcher.run_ended(exchange, Outcome.NEVER_STARTED, 0.0, b"")
+
+    def _limit_connections(self) -> None:
+        self._request_listener.set_max_connections(self._max_client_connections())
 
-    # -- small duties
+    def _max_client_connections(self) -> int:
+        """Return how many connections clients may have beside what features need by now."""
+        max_connections = self._placement_settings.max_connections
+        return max(max_connections - self._features.descriptors, max_connections // 2)
 
-    def _for_routers(self) -> int:
-        """How many connections routers may have beside what features need by now."""
-        most = self._placement_settings.connections_most
-        return max(most - self._feature.sockets, most // 2)
+    # -- reports and counters
 
     def _report(self) -> None:
-        """To the name service, well within the time after which it takes a silent server off its list.
+        """Report to the name service, and again within the time after which it drops a silent server.
 
-        Where the word itself changes nothing, a server stays on the list as long as it reports: so one that
-        leaves says so at once and once more, and is silent from then on.
+        The state itself changes nothing there: a server stays listed as long as it reports. So one that
+        leaves reports that at once and once more, and is silent from then on.
         """
-        if self.phase in (Phase.WAITING, Phase.SERVING):  # first, so that no fault ends the reports
-            self._scheduler.after(REPORT_EVERY, self._report)
+        if self.phase in (Phase.WAITING, Phase.SERVING):  # first, so that no internal error ends the reports
+            self._scheduler.after(REPORT_INTERVAL_S, self._report)
         self._send_report()
 
     def _send_report(self) -> None:
-        """Says yes while it serves, also without its interpreter for as long as any request may wait for it.
+        """Report whether this server serves.
 
-        Past that it says no, to health checks as well: guards against a server that is up and serves nobody,
-        whose every request fails at its deadline elsewhere than where it would be served. May keep away, for
-        as long as a report takes, what comes as the interpreter returns.
+        It still does without its interpreter, for as long as any request may wait for that. Past that it
+        would fail every request, so it reports that it does not serve, to health checks as well. The price:
+        it gets no request for as long as a report takes after the interpreter returned.
         """
-        longest = max(
-            request_class.timeout_s
-            for request_class in self._placement_settings.server_settings.request_classes
+        available = self._interpreter.disconnected_for_s <= self._longest_timeout_s()
+        self._server_status.interpreter_available = available
+        report = naming.encode_report(
+            self._placement_settings.name, self.phase is Phase.SERVING and available
         )
-        self._standing.interpreter_available = self._client.disconnected_for_s <= longest
-        word = naming.encode_report(
-            self._placement_settings.name,
-            self.phase is Phase.SERVING and self._standing.interpreter_available,
-        )
-        self._counters.count("reports_sent" if self._post.send(word) else "reports_failed")
+        self._counters.count("reports_sent" if self._name_service.send(report) else "reports_failed")
 
-    def _print(self, occasion: str) -> None:
+    def _print_counters(self, occasion: str) -> None:
         self._counters.print(
             occasion,
             phase=self.phase.value,
-            open_requests=self._dispatch.open_count,
-            open_connections=len(self._server.connections),
-            said=self._standing.advertised,
-            **self._dispatch.outcomes.rejections,
-            **self._dispatch.outcomes.failures,
-            **self._feature.gauges(),
+            open_requests=self._dispatcher.open_count,
+            open_connections=len(self._request_listener.connections),
+            said=self._server_status.advertised,
+            **self._dispatcher.outcomes.rejections,
+            **self._dispatcher.outcomes.failures,
+            **self._features.gauges(),
         )
-
-
-def top(key: str) -> str:
-    """The first part of a key's path: `settings` of `settings.extra.halt`."""
-    return key.split(".", 1)[0]
--- a/sablewheel/program/collector_process.py
+++ b/sablewheel/program/collector_process.py
@@ -16,7 +16,7 @@
 
 
 def logger() -> Any:
-    """Key=value lines on standard error."""
+    """Return a logger of key=value lines on standard error."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -31,24 +31,28 @@
 def run(
     plan: CollectorPlan, make: Callable[[Scheduler, CollectorPlan, Book, Any], Collector] = Collector
 ) -> int:
-    """Collect until told to leave; 0, or 1 if the address can't be listened on."""
+    """Collect until SIGTERM or SIGINT. Returns the exit code.
+
+    Raises:
+        BookError: The address can't be listened on.
+    """
     log, scheduler = logger(), Scheduler(Clock())
     book = Book(plan.book, plan.calendar)
     try:
         collector = make(scheduler, plan, book, log)
-    except OSError as trouble:
-        raise BookError(f"listen: {plan.listen[0]}:{plan.listen[1]}: {trouble.strerror}") from None
+    except OSError as error:
+        raise BookError(f"listen: {plan.listen[0]}:{plan.listen[1]}: {error.strerror}") from None
 
-    def tell() -> None:
+    def print_counters() -> None:
         log.info(
             "counters", connections_open=len(collector.connections), **dict(sorted(collector.counts.items()))
         )
 
     for number in (signal.SIGTERM, signal.SIGINT):
         scheduler.on_signal(number, scheduler.stop)
-    scheduler.on_signal(signal.SIGUSR1, tell)
+    scheduler.on_signal(signal.SIGUSR1, print_counters)
     log.info("collecting", listen=f"{plan.listen[0]}:{plan.listen[1]}", book=str(plan.book))
     scheduler.run()
     collector.close()
-    tell()
+    print_counters()
     return 0
--- a/sablewheel/program/configuration.py
+++ b/sablewheel/program/configuration.py
@@ -1,8 +1,7 @@
 """The one place where the configuration and the settings are read, checked and given defaults.
 
-`placement_settings` reads what an instance is told at its start; `machine` makes the controller's
-`ServerSettings` of the settings, for the program and for the simulator's adapter alike. Every message names
-the key at fault.
+`placement_settings` reads what one server is configured with. `server_settings` makes the controller's
+settings, for the program and for the simulator's adapter alike. Every error message names the key at fault.
 """
 
 from __future__ import annotations
@@ -12,7 +11,8 @@
 import socket
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
-from math import inf
+from math import inf, isfinite
+from pathlib import Path
 from typing import Any, TypeVar
 
 from ..overload.interface import (
@@ -25,23 +25,29 @@
     Tenant,
 )
 
-NATURES = {"safe": Idempotency.IDEMPOTENT, "keyed": Idempotency.KEYED, "unsafe": Idempotency.NON_IDEMPOTENT}
-HALTINGS = {
+IDEMPOTENCY_BY_WORD = {
+    "safe": Idempotency.IDEMPOTENT,
+    "keyed": Idempotency.KEYED,
+    "unsafe": Idempotency.NON_IDEMPOTENT,
+}
+CANCELLATION_BY_WORD = {
     "off": Cancellation.UNSUPPORTED,
     "drop": Cancellation.DISCARDS_WORK,
     "pause": Cancellation.SUSPENDS,
 }
-VALUES = {"request": False, "work": True}
-SPEECHES = {
+WEIGHT_BY_WORK_BY_WORD = {"request": False, "work": True}
+ADVERTISEMENT_BY_WORD = {
     "off": AdvertisementKind.NONE,
     "tokens": AdvertisementKind.CREDIT,
     "min_rank": AdvertisementKind.LOAD_LEVEL,
     "bias": AdvertisementKind.ACCEPT_PROBABILITY,
 }
-LEVELS = {"debug": "DEBUG", "info": "INFO", "warning": "WARNING", "error": "ERROR"}
-RESERVED = 12  # descriptors that routers' connections don't get: standard ones, links, some in hand
-RESERVED_MORE = 8  # and up to so many where there are more: what else whoever started the process gave it
-TAKEN_ANEW = ("vm", "naming", "settings")  # the keys that a running server takes from a new configuration
+LOG_LEVELS = {"debug": "DEBUG", "info": "INFO", "warning": "WARNING", "error": "ERROR"}
+# Descriptors that are not for clients' connections: standard ones, links, a reserve; and where there are
+# more, those that the process was started with.
+RESERVED_DESCRIPTORS = 12
+MAX_MORE_RESERVED_DESCRIPTORS = 8
+RELOADABLE_KEYS = ("vm", "naming", "settings")  # that a running server takes from a new configuration
 
 Choice = TypeVar("Choice")
 
@@ -51,31 +57,37 @@
 
 
 class UnreadableFileError(FaultyKeyError):
-    """The file can't be read now; its `__cause__` is the system's error."""
+    """The file can't be read now; `__cause__` is the system's error."""
 
 
 @dataclass(frozen=True)
 class PlacementSettings:
-    """Where this server stands and what it has, as told at its start."""
+    """What one server is configured with.
+
+    Attributes:
+        stop_after_s: How long after the shutdown notice the process is stopped.
+        gauge_indexes: Which of the interpreter's gauges are CPU use, connections and runnable work; None:
+        none is. raw: The configuration as it was read.
+    """
 
     name: str
     listen: tuple[str, int]
     interpreter: tuple[str, int]
     naming: tuple[str, int]
     seed: int
-    stop_after: float
+    stop_after_s: float
     memory_bytes: int
-    connections_most: int
+    max_connections: int
     server_settings: ServerSettings
     request_classes: dict[bytes, RequestClass]
     tenants: dict[bytes, Tenant]
-    gauge_places: tuple[int | None, int | None, int | None]  # cpu_busy, sockets, runnable
-    level: str
-    told: Mapping[str, Any]  # the configuration as it was read
+    gauge_indexes: tuple[int | None, int | None, int | None]
+    log_level: str
+    raw: Mapping[str, Any]
 
 
 class Section:
-    """One object of the configuration; reads its keys and names them when something is wrong."""
+    """One object of the configuration. All methods raise `FaultyKeyError` with the key's path."""
 
     def __init__(self, values: object, path: str = "") -> None:
         if not isinstance(values, Mapping):
@@ -83,9 +95,11 @@
         self._values, self._path = values, path
 
     def name(self, key: str) -> str:
+        """Return the path of a key."""
         return f"{self._path}.{key}" if self._path else key
 
     def raw(self, key: str, default: Any = ...) -> Any:
+        """Return a value of any type. Without a default the key must be there."""
         value = self._values.get(key)
         if value is None:
             if default is ...:
@@ -94,60 +108,69 @@
         return value
 
     def section(self, key: str, default: Any = ...) -> Section:
+        """Return an object."""
         return Section(self.raw(key, default), self.name(key))
 
     def sections(self, key: str, default: Any = ...) -> list[Section]:
+        """Return a list of objects."""
         values = self.items(key, default)
-        return [Section(one, f"{self.name(key)}[{place}]") for place, one in enumerate(values)]
+        return [Section(value, f"{self.name(key)}[{index}]") for index, value in enumerate(values)]
 
     def items(self, key: str, default: Any = ...) -> list[Any]:
+        """Return a list."""
         values = self.raw(key, default)
         if not isinstance(values, list):
             raise FaultyKeyError(f"{self.name(key)}: a list is wanted")
         return values
 
-    def places(self, key: str) -> Section:
-        """A list whose items are read one by one, by place."""
+    def indexed(self, key: str) -> Section:
+        """Return a list as an object whose keys are the indexes."""
         items = enumerate(self.items(key, []))
-        return Section({str(place): item for place, item in items}, self.name(key))
+        return Section({str(index): item for index, item in items}, self.name(key))
 
-    def number(self, key: str, default: Any = ..., least: float = 0.0, most: float = inf) -> float:
+    def number(self, key: str, default: Any = ..., minimum: float = 0.0, maximum: float = inf) -> float:
+        """Return a number within the bounds."""
         value = self.raw(key, default)
         if isinstance(value, bool) or not isinstance(value, (int, float)):
             raise FaultyKeyError(f"{self.name(key)}: a number is wanted, got {value!r:.40}")
-        if not least <= value <= most or value - value != 0:
-            raise FaultyKeyError(f"{self.name(key)}: {value} is not between {least:g} and {most:g}")
+        if not minimum <= value <= maximum or not isfinite(value):
+            raise FaultyKeyError(f"{self.name(key)}: {value} is not between {minimum:g} and {maximum:g}")
         return float(value)
 
-    def whole(self, key: str, default: Any = ..., least: int = 0, most: int = 1 << 53) -> int:
-        value = self.number(key, default, least, most)
+    def integer(self, key: str, default: Any = ..., minimum: int = 0, maximum: int = 1 << 53) -> int:
+        """Return a whole number within the bounds."""
+        value = self.number(key, default, minimum, maximum)
         if value != int(value):
             raise FaultyKeyError(f"{self.name(key)}: a whole number is wanted, got {value}")
         return int(value)
 
     def flag(self, key: str, default: Any = ...) -> bool:
+        """Return a boolean."""
         value = self.raw(key, default)
         if not isinstance(value, bool):
             raise FaultyKeyError(f"{self.name(key)}: true or false is wanted, got {value!r:.40}")
         return value
 
     def text(self, key: str, default: Any = ...) -> str:
+        """Return a text that is not empty."""
         value = self.raw(key, default)
         if not isinstance(value, str) or not value:
             raise FaultyKeyError(f"{self.name(key)}: a text is wanted, got {value!r:.40}")
         return value
 
     def choice(self, key: str, choices: Mapping[str, Choice], default: Any = ...) -> Choice:
+        """Return what the key's word stands for."""
         value = self.text(key, default)
         if value not in choices:
             raise FaultyKeyError(f"{self.name(key)}: {value!r:.40} is none of {', '.join(choices)}")
         return choices[value]
 
     def address(self, key: str) -> tuple[str, int]:
+        """Return an IPv4 address and a port. Names are not resolved: there may be nobody to do that."""
         value = self.text(key)
         host, colon, port = value.rpartition(":")
         try:
-            socket.inet_pton(socket.AF_INET, host)  # no names: there may be nobody to resolve them
+            socket.inet_pton(socket.AF_INET, host)
         except (OSError, ValueError):
             colon = ""
         if not (colon and port.isascii() and port.isdigit() and len(port) < 6 and 0 < int(port) < 65536):
@@ -157,111 +180,124 @@
         return host, int(port)
 
     def names(self, key: str) -> list[bytes]:
-        """The names of a list's items, as they stand on the wire; each must be its own."""
-        names = [one.text("name").encode("utf-8", "replace") for one in self.sections(key, [])]
+        """Return the names of a list's items as they stand on the wire; they must differ."""
+        names = [item.text("name").encode("utf-8", "replace") for item in self.sections(key, [])]
         if len(set(names)) < len(names):
             raise FaultyKeyError(f"{self.name(key)}: a name is there twice")
         return names
 
 
 def placement_settings(environment: Mapping[str, str] = os.environ) -> PlacementSettings:
-    """What this instance is told: the file that RELAY_CONFIG names, and SABLEWHEEL_LOG for the log level."""
+    """Return what this server is configured with.
+
+    Args:
+        environment: `RELAY_CONFIG` names the file, `SABLEWHEEL_LOG` the log level.
+
+    Raises:
+        UnreadableFileError: The file can't be read now.
+        FaultyKeyError: The configuration is faulty.
+    """
+    raw = _load(environment)
+    top = Section(raw)
+    limits, settings = top.section("limits", {}), top.section("settings")
+    descriptors = limits.integer("sockets", 1024, minimum=RESERVED_DESCRIPTORS + 4)
+    seed = _seed(top)
+    controller_settings = server_settings(settings, calls_dependency=False)
+    gauge_indexes = _gauge_indexes(settings)
+    class_names, tenant_names = settings.names("classes"), settings.names("orgs")
+    return PlacementSettings(
+        name=top.text("name"),
+        listen=top.address("listen"),
+        interpreter=top.address("vm"),
+        naming=top.address("naming"),
+        seed=seed,
+        stop_after_s=top.number("stop_ms", 3000, minimum=1) / 1000,
+        memory_bytes=int(limits.number("memory_mb", 192, minimum=8) * 1e6),
+        max_connections=_max_connections(descriptors),
+        server_settings=controller_settings,
+        request_classes=dict(zip(class_names, controller_settings.request_classes, strict=True)),
+        tenants=dict(zip(tenant_names, controller_settings.tenants, strict=True)),
+        gauge_indexes=gauge_indexes,
+        log_level=Section(environment).choice("SABLEWHEEL_LOG", LOG_LEVELS, "info"),
+        raw=raw,
+    )
+
+
+def _load(environment: Mapping[str, str]) -> Any:
     path = environment.get("RELAY_CONFIG")
     if not path:
         raise FaultyKeyError("RELAY_CONFIG: missing")
     try:
-        with open(path, "rb") as file:
-            told = json.load(file)
-    except OSError as trouble:
-        raise UnreadableFileError(f"RELAY_CONFIG: {path}: {trouble.strerror}") from trouble
-    except ValueError as trouble:
-        raise FaultyKeyError(f"RELAY_CONFIG: {path} is not JSON: {trouble}") from None
-    top = Section(told)
-    limits, settings = top.section("limits", {}), top.section("settings")
-    sockets = limits.whole("sockets", 1024, least=RESERVED + 4)
+        return json.loads(Path(path).read_bytes())
+    except OSError as error:
+        raise UnreadableFileError(f"RELAY_CONFIG: {path}: {error.strerror}") from error
+    except ValueError as error:
+        raise FaultyKeyError(f"RELAY_CONFIG: {path} is not JSON: {error}") from None
+
+
+def _seed(top: Section) -> int:
     digits = top.text("seed")
     try:
-        seed = int(digits, 16)
+        return int(digits, 16)
     except ValueError:
         raise FaultyKeyError("seed: hexadecimal digits are wanted") from None
-    built = server_settings(settings, calls_below=False)
+
+
+def _max_connections(descriptors: int) -> int:
+    more = max(descriptors - 2 * RESERVED_DESCRIPTORS - 4, 0) // 4
+    return descriptors - RESERVED_DESCRIPTORS - min(more, MAX_MORE_RESERVED_DESCRIPTORS)
+
+
+def _gauge_indexes(settings: Section) -> tuple[int | None, int | None, int | None]:
     gauges = settings.section("extra").items("gauges", [])
-    names, owners = settings.names("classes"), settings.names("orgs")
-    return PlacementSettings(
-        name=top.text("name"),
-        listen=top.address("listen"),
-        interpreter=top.address("vm"),
-        naming=top.address("naming"),
-        seed=seed,
-        stop_after=top.number("stop_ms", 3000, least=1) / 1000,
-        memory_bytes=int(limits.number("memory_mb", 192, least=8) * 1e6),
-        connections_most=sockets - RESERVED - min(max(sockets - 2 * RESERVED - 4, 0) // 4, RESERVED_MORE),
-        server_settings=built,
-        request_classes=dict(zip(names, built.request_classes, strict=True)),
-        tenants=dict(zip(owners, built.tenants, strict=True)),
-        gauge_places=(
-            gauges.index("cpu_busy") if "cpu_busy" in gauges else None,
-            gauges.index("sockets") if "sockets" in gauges else None,
-            gauges.index("runnable") if "runnable" in gauges else None,
-        ),
-        level=Section(environment).choice("SABLEWHEEL_LOG", LEVELS, "info"),
-        told=told,
-    )
 
+    def index(name: str) -> int | None:
+        return gauges.index(name) if name in gauges else None
 
-def differing(held: Any, told: Any, path: str = "") -> Iterator[str]:
-    """The names of the keys whose values differ between two configurations."""
-    if isinstance(held, Mapping) and isinstance(told, Mapping):
-        for key in sorted({*held, *told}):
-            yield from differing(held.get(key), told.get(key), f"{path}.{key}" if path else key)
-    elif held != told:
+    return index("cpu_busy"), index("sockets"), index("runnable")
+
+
+def differing(before: Any, after: Any, path: str = "") -> Iterator[str]:
+    """Yield the paths of the keys whose values differ between two configurations."""
+    if isinstance(before, Mapping) and isinstance(after, Mapping):
+        for key in sorted({*before, *after}):
+            yield from differing(before.get(key), after.get(key), f"{path}.{key}" if path else key)
+    elif before != after:
         yield path
 
 
-def server_settings(settings: Section, calls_below: bool = True) -> ServerSettings:
-    """The controller's view of the settings; keys not known here are skipped.
+def server_settings(settings: Section, calls_dependency: bool = True) -> ServerSettings:
+    """Return the controller's settings; keys not known here are skipped.
+
+    Args:
+        settings: The object `settings` of the configuration, or that of the simulator's first message.
+        calls_dependency: Whether the protocol can make and skip calls of a dependency.
 
-    `calls_below`: whether the protocol has words for a call of the service below and for going on without.
+    Raises:
+        FaultyKeyError: The settings are faulty.
     """
     extra, safety = settings.section("extra"), settings.section("safety")
-    limits = settings.section("limits", {})
-    request_classes = settings.sections("classes")
-    if not request_classes:
-        raise FaultyKeyError(f"{settings.name('classes')}: at least one is wanted")
-    calls, skips = extra.places("class-calls"), extra.places("class-skip-worth")
-    habits = settings.section("client-habits", {})
+    limits, habits = settings.section("limits", {}), settings.section("client-habits", {})
     return ServerSettings(
-        request_classes=tuple(
-            RequestClass(
-                idempotency=one.choice("repeat", NATURES),
-                latency_objective_s=one.number("on-time-s"),
-                timeout_s=one.number("deadline-s"),
-                idempotency_window_s=one.number("window-s", 0.0),
-                objective_s_per_hint=one.number("aim-stretch", 0.0),
-                priority_weight=one.number("worth", 1.0),
-                calls_dependency=calls.flag(str(place), False) and calls_below,
-                skip_value_ratio=skips.number(str(place), 0.0) * calls_below,
-            )
-            for place, one in enumerate(request_classes)
-        ),
-        cores=extra.whole("cores", least=1),
+        request_classes=_request_classes(settings, extra, calls_dependency),
+        cores=extra.integer("cores", minimum=1),
         memory_kb=extra.number("memory-kb"),
         running_memory_factor=extra.number("run-factor", 1.0),
         tenants=tuple(
-            Tenant(quota_per_s=one.number("quota-rps", 0.0)) for one in settings.sections("orgs", [])
+            Tenant(quota_per_s=tenant.number("quota-rps", 0.0)) for tenant in settings.sections("orgs", [])
         ),
-        dependency=_ledger(extra) if calls_below else None,
-        servers=settings.whole("servers", 1) or 1,
-        clients=extra.whole("callers", 1) or 1,
+        dependency=_dependency(extra) if calls_dependency else None,
+        servers=settings.integer("servers", 1) or 1,
+        clients=extra.integer("callers", 1) or 1,
         idempotency_key_kb=extra.number("key-kb", 0.0),
-        cancellation=extra.choice("halt", HALTINGS, "off"),
-        advertisement=extra.choice("say", SPEECHES, "off"),
+        cancellation=extra.choice("halt", CANCELLATION_BY_WORD, "off"),
+        advertisement=extra.choice("say", ADVERTISEMENT_BY_WORD, "off"),
         advertisement_ttl_s=extra.number("said-for-s", 0.0),
         coalesce_reads_for_s=extra.number("share-for-s", 0.0),
         deadline_propagated=extra.flag("passes-deadline", False),
         marks_retries=habits.flag("marks-retry", False),
         over_quota_weight=settings.number("over-share-worth", 1.0),
-        weight_by_work=settings.choice("value-by", VALUES, "request"),
+        weight_by_work=settings.choice("value-by", WEIGHT_BY_WORK_BY_WORD, "request"),
         starts_cold=extra.flag("fresh-start", False),
         idle_timeout_s=extra.number("idle-s", 0.0),
         min_batch_interval_s=settings.number("tick-s", 0.0),
@@ -277,13 +313,33 @@
     )
 
 
-def _ledger(extra: Section) -> Dependency | None:
-    below = extra.text("below", "off")
-    if below == "off":
+def _request_classes(settings: Section, extra: Section, calls_dependency: bool) -> tuple[RequestClass, ...]:
+    sections = settings.sections("classes")
+    if not sections:
+        raise FaultyKeyError(f"{settings.name('classes')}: at least one is wanted")
+    calls, skips = extra.indexed("class-calls"), extra.indexed("class-skip-worth")
+    return tuple(
+        RequestClass(
+            idempotency=section.choice("repeat", IDEMPOTENCY_BY_WORD),
+            latency_objective_s=section.number("on-time-s"),
+            timeout_s=section.number("deadline-s"),
+            idempotency_window_s=section.number("window-s", 0.0),
+            objective_s_per_hint=section.number("aim-stretch", 0.0),
+            priority_weight=section.number("worth", 1.0),
+            calls_dependency=calls.flag(str(index), False) and calls_dependency,
+            skip_value_ratio=skips.number(str(index), 0.0) * calls_dependency,
+        )
+        for index, section in enumerate(sections)
+    )
+
+
+def _dependency(extra: Section) -> Dependency | None:
+    kind = extra.text("below", "off")
+    if kind == "off":
         return None
-    in_hand = extra.number("calls-out", -1.0, least=-1.0)
+    capacity = extra.number("calls-out", -1.0, minimum=-1.0)
     return Dependency(
-        capacity=in_hand if below == "common" and in_hand >= 0 else None,
+        capacity=capacity if kind == "common" and capacity >= 0 else None,
         span_s=extra.number("share-span-s", 0.0),
         linger_s=extra.number("lingers-s", 0.0),
     )
--- a/sablewheel/program/feature.py
+++ b/sablewheel/program/feature.py
@@ -1,5 +1,4 @@
-"""What the application knows of features: one seam, the object that stands there when none is on, and what a
-feature fills in to be part of it."""
+"""What the application knows of features: their common interface, and the hooks that one feature fills in."""
 
 from __future__ import annotations
 
@@ -14,98 +13,121 @@
 
 
 class Feature(Protocol):
-    """All features together, as the phases need them."""
+    """All features together, as the program's phases need them."""
 
     @property
-    def observer(self) -> RequestObserver: ...
+    def observer(self) -> RequestObserver:
+        """The observer of requests."""
+
     @property
-    def memory(self) -> ResultStore: ...
+    def result_store(self) -> ResultStore:
+        """The store of results that outlive a restart."""
+
     @property
     def up_at(self) -> float:
-        """From when on the server may say that it is up."""
+        """From when on the server may be up."""
 
     @property
-    def sockets(self) -> int:
-        """Descriptors that routers' connections don't get by now; some need more in a larger view."""
+    def descriptors(self) -> int:
+        """How many descriptors features need by now; some need more in a larger fleet."""
 
     @property
     def last_notice(self) -> int:
         """The last notice of the interpreter that a predecessor has read."""
 
     def handler(self, inner: RequestHandler) -> RequestHandler:
-        """Who is told what routers sent: `inner`, the dispatch, or who stands in front of it."""
+        """Return the handler that clients' requests go to: `inner`, or one that wraps it."""
 
     def server_settings(self, server_settings: ServerSettings) -> ServerSettings:
-        """The controller's settings as features would have them."""
+        """Return the controller's settings as features change them."""
+
+    def reload(self) -> None:
+        """Read the features' own files anew, on SIGHUP."""
 
-    def hangup(self) -> None:
-        """SIGHUP: whatever features read from files of their own is read anew."""
+    def end_round(self) -> None:
+        """Finish a round of the event loop."""
 
-    def end_round(self) -> None: ...
     def leaving(self) -> None:
-        """The notice to leave has come; the grace begins."""
+        """The shutdown notice was received; the grace begins."""
 
-    def parting(self) -> None:
+    def closing(self) -> None:
         """The grace is over: finish what is under way."""
 
     def settled(self) -> bool:
         """Whether the process may end without losing anything."""
 
-    def close(self, most: float) -> None:
-        """It ends now; `most` seconds are left."""
+    def close(self, timeout_s: float) -> None:
+        """End now, within `timeout_s`."""
 
-    def gauges(self) -> dict[str, object]: ...
+    def gauges(self) -> dict[str, object]:
+        """Return the features' counters."""
 
 
 class NoFeature:
-    """Nothing is switched on."""
+    """No feature is on."""
 
     observer: RequestObserver = NO_OBSERVER
-    memory: ResultStore = NO_RESULT_STORE
+    result_store: ResultStore = NO_RESULT_STORE
     up_at = 0.0
-    sockets = 0
+    descriptors = 0
     last_notice = 0
 
     def handler(self, inner: RequestHandler) -> RequestHandler:
+        """Return `inner`."""
         return inner
 
     def server_settings(self, server_settings: ServerSettings) -> ServerSettings:
+        """Return the settings unchanged."""
         return server_settings
 
-    def hangup(self) -> None: ...
-    def end_round(self) -> None: ...
-    def leaving(self) -> None: ...
-    def parting(self) -> None: ...
+    def reload(self) -> None:
+        """Do nothing."""
+
+    def end_round(self) -> None:
+        """Do nothing."""
+
+    def leaving(self) -> None:
+        """Do nothing."""
+
+    def closing(self) -> None:
+        """Do nothing."""
+
     def settled(self) -> bool:
+        """Return True."""
         return True
 
-    def close(self, most: float) -> None: ...
+    def close(self, timeout_s: float) -> None:
+        """Do nothing."""
+
     def gauges(self) -> dict[str, object]:
+        """Return no counters."""
         return {}
 
 
 @dataclass(frozen=True)
-class Part:
-    """One feature that is on: its seams, and what it does at the program's moments. What it leaves out costs
-    nothing.
+class FeatureHooks:
+    """The hooks of one feature that is on, and what it does at the program's moments.
+
+    An observer, store or handler takes the place of the one before it, and must pass on to that.
 
-    A seam that is filled in replaces what stood there, so it must pass on to what it was given of it.
+    Attributes:
+        handler: Wraps the handler of clients' requests.
+        inner_handler: The same, within the handlers of all features: requests forwarded by peers go to it as
+        well. descriptors: How many descriptors it may need, which are not left for clients' connections.
     """
 
     observer: RequestObserver | None = None
-    memory: ResultStore | None = None
+    result_store: ResultStore | None = None
     handler: Callable[[RequestHandler], RequestHandler] | None = None
-    gate: Callable[[RequestHandler], RequestHandler] | None = (
-        None  # a handler within all others: what peers pass here meets it too
-    )
+    inner_handler: Callable[[RequestHandler], RequestHandler] | None = None
     server_settings: Callable[[ServerSettings], ServerSettings] | None = None
-    hangup: Callable[[], None] | None = None
-    sockets: Callable[[], int] | None = None  # descriptors it may hold, which routers' connections don't get
+    reload: Callable[[], None] | None = None
+    descriptors: Callable[[], int] | None = None
     up_at: Callable[[], float] | None = None
     last_notice: Callable[[], int] | None = None
     end_round: Callable[[], None] | None = None
     leaving: Callable[[], None] | None = None
-    parting: Callable[[], None] | None = None
+    closing: Callable[[], None] | None = None
     settled: Callable[[], bool] | None = None
     close: Callable[[float], None] | None = None
     gauges: Callable[[], dict[str, object]] | None = None
--- a/sablewheel/program/feature_registry.py
+++ b/sablewheel/program/feature_registry.py
@@ -1,20 +1,16 @@
-"""Makes the features that are switched on, and only then imports them.
+"""Declares the features and builds them; a feature's package is imported only when it is built.
 
-Each is declared once, in `DECLARED`: its section of the features file, how it is made, whether it has work
-for the worker thread. What it needs of other sections stands with its section's keys in `features.py`. The
-order of the list is the order in which they are made, so what stands on another comes after it; and it is the
-order in which seams wrap each other: the observer of a later one is told first and passes on to that of an
-earlier one. At the program's later moments the last made comes first, as it stands on the others.
+`DECLARED` has each feature once: its section of the features file, how it is built, and whether it has work
+for the worker thread. The sections that it needs stand with its own section in `feature_settings`.
 """
 
 from __future__ import annotations
 
 import contextlib
-import os
 import random
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, replace
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, TypeAlias
 
 from ..feature_policy.plan import PolicyPlan
 from ..forwarding.plan import ForwardingPlan
@@ -22,150 +18,118 @@
 from ..overload.interface import ServerSettings
 from ..replication.plan import ReplicationPlan
 from ..result_store.plan import RecallPlan
-from ..serving.exchange import NO_OBSERVER, Exchange, RequestObserver
-from ..serving.hooks import NO_RESULT_STORE, ResultStore
-from ..serving.listener import RequestHandler
 from ..session_affinity.plan import AffinityPlan
-from ..transport.background import Background
-from ..transport.scheduler import Scheduler
-from ..transport.worker_thread import WorkerThread
+from ..transport.scheduler import Clock
 from ..usage_metering.plan import Depth, LedgerPlan
 from .configuration import PlacementSettings
-from .feature import Part
+from .feature import FeatureHooks
+from .feature_context import FeatureContext
 from .feature_file import Features
 
 if TYPE_CHECKING:
     from ..feature_policy.host_capabilities import Ability
-    from ..feature_policy.service import Policies
-    from ..forwarding.peer_connections import Links
-    from ..forwarding.service import Forward
-    from ..membership.service import Fleet
-    from ..replication.service import Keeper
 
 
-@dataclass
-class FeatureContext:
-    """What features stand on: the server's, and what features made before have put down for later ones.
+Metadata: TypeAlias = tuple[tuple[str, str], ...]
 
-    `bridge` is there if any feature has work for it; the program closes it, behind all who use it.
-    """
 
-    scheduler: Scheduler
-    background: Background
-    placement_settings: PlacementSettings
-    incarnation: bytes
-    bridge: WorkerThread | None
-    never_begun: Callable[[Exchange], None]
-    remembered: Callable[[], None]
-    fail: Callable[[str], None]
-    count: Callable[[str], None]
-    features: Features
-    retune: Callable[[], None] = lambda: None  # the settings that a feature would have are others now
-    observer: RequestObserver = NO_OBSERVER
-    memory: ResultStore = NO_RESULT_STORE
-    says: tuple[tuple[str, str], ...] = ()  # what all features together have this member say of itself
-    fleet: Fleet | None = None  # by membership
-    links: Links | None = None  # by forwarding
-    forward: Forward | None = None  # by forwarding; who places requests sets its placer
-    policies: Policies | None = None  # by policy: who may serve what, `on_active`, and the placer above
-    replication: Keeper | None = None  # by replication; bindings and documents go through it
-    leave: Callable[[], None] | None = None  # by membership; None where another tells the fleet in its time
-
-
-def _no_blocks(plan: Any) -> bool:
+def _needs_no_worker_thread(plan: Any) -> bool:
     return False
 
 
-def _no_says(plan: Any) -> tuple[tuple[str, str], ...]:
+def _no_metadata(plan: Any) -> Metadata:
     return ()
 
 
-def _no_tells(
-    plan: Any, placement_settings: PlacementSettings, features: Features
-) -> tuple[tuple[str, str], ...]:
+def _no_derived_metadata(plan: Any, placement_settings: PlacementSettings, features: Features) -> Metadata:
     return ()
 
 
 @dataclass(frozen=True)
-class Declared:
-    """One feature. `make` gets the feature_context and the section's plan, and imports the feature's
-    package.
+class FeatureDeclaration:
+    """One feature.
+
+    Attributes:
+        build: Imports the feature's package and builds it by the section's plan.
+        needs_worker_thread: Whether it has work for the worker thread.
+        metadata: What this member publishes in the fleet's view.
+        derived_metadata: The same, where it takes more than the plan.
     """
 
     section: str
-    make: Callable[[FeatureContext, Any], Part]
-    blocks: Callable[[Any], bool] = _no_blocks  # whether it has work for the worker thread
-    says: Callable[[Any], tuple[tuple[str, str], ...]] = _no_says  # in the fleet's view, of this member
-    tells: Callable[[Any, PlacementSettings, Features], tuple[tuple[str, str], ...]] = (
-        _no_tells  # the same, of more
-    )
+    build: Callable[[FeatureContext, Any], FeatureHooks]
+    needs_worker_thread: Callable[[Any], bool] = _needs_no_worker_thread
+    metadata: Callable[[Any], Metadata] = _no_metadata
+    derived_metadata: Callable[[Any, PlacementSettings, Features], Metadata] = _no_derived_metadata
 
 
 @contextlib.contextmanager
 def _listening(section: str, address: tuple[str, int]) -> Iterator[None]:
-    """A door that can't be opened is told by its own key, not as the routers'."""
+    """Name the section in the error of an address that can't be listened on."""
     try:
         yield
-    except OSError as trouble:
-        raise OSError(f"{section}.listen: {address[0]}:{address[1]}: {trouble.strerror}") from None
+    except OSError as error:
+        raise OSError(f"{section}.listen: {address[0]}:{address[1]}: {error.strerror}") from None
 
 
-def _ledger(feature_context: FeatureContext, plan: LedgerPlan) -> Part:
+def _build_usage_metering(feature_context: FeatureContext, plan: LedgerPlan) -> FeatureHooks:
     from ..usage_metering.recorder import Keeper
 
     placement_settings = feature_context.placement_settings
-    names = {one: name.decode("utf-8", "replace") for name, one in placement_settings.tenants.items()}
+    tenant_names = {
+        tenant: name.decode("utf-8", "replace") for name, tenant in placement_settings.tenants.items()
+    }
     keeper = Keeper(
         feature_context.scheduler,
         feature_context.background,
         plan,
         placement_settings.name,
         feature_context.incarnation,
-        names,
+        tenant_names,
         random.Random(placement_settings.seed).random,
         feature_context.count,
-        feature_context.bridge,
+        feature_context.worker_thread,
     )
-    return Part(
+    return FeatureHooks(
         observer=keeper,
         end_round=keeper.end_round,
-        parting=keeper.parting,
+        closing=keeper.parting,
         settled=keeper.settled,
         close=keeper.close,
         gauges=keeper.gauges,
     )
 
 
-def _recall(feature_context: FeatureContext, plan: RecallPlan) -> Part:
+def _build_result_store(feature_context: FeatureContext, plan: RecallPlan) -> FeatureHooks:
     from ..result_store.recorder import Recorder
 
     recorder = Recorder(
         feature_context.scheduler,
         feature_context.background,
-        feature_context.bridge,
+        feature_context.worker_thread,
         plan,
         feature_context.incarnation,
         feature_context.placement_settings.request_classes,
         feature_context.observer,
-        feature_context.never_begun,
-        feature_context.remembered,
-        feature_context.fail,
+        feature_context.on_never_started,
+        feature_context.on_recovery_finished,
+        feature_context.on_start_failed,
         feature_context.count,
     )
-    return Part(
+    return FeatureHooks(
         observer=recorder,
-        memory=recorder,
+        result_store=recorder,
         up_at=recorder.up_at,
         last_notice=lambda: recorder.last_notice,
         end_round=recorder.end_round,
-        parting=recorder.parting,
+        closing=recorder.parting,
         settled=recorder.settled,
         close=lambda _: recorder.close(),
         gauges=recorder.gauges,
     )
 
 
-def _membership(feature_context: FeatureContext, plan: MembershipPlan) -> Part:
+def _build_membership(feature_context: FeatureContext, plan: MembershipPlan) -> FeatureHooks:
     from ..membership.service import Fleet
 
     placement_settings = feature_context.placement_settings
@@ -175,7 +139,7 @@
             plan,
             placement_settings.name,
             placement_settings.seed,
-            says=feature_context.says,
+            says=feature_context.metadata,
         )
     feature_context.fleet = fleet
     feature_context.leave = fleet.leave
@@ -184,24 +148,24 @@
         if feature_context.leave is not None:
             feature_context.leave()
 
-    return Part(leaving=leaving, close=lambda _: fleet.close(), gauges=fleet.gauges)
+    return FeatureHooks(leaving=leaving, close=lambda _: fleet.close(), gauges=fleet.gauges)
 
 
-def _forwarding(feature_context: FeatureContext, plan: ForwardingPlan) -> Part:
+def _build_forwarding(feature_context: FeatureContext, plan: ForwardingPlan) -> FeatureHooks:
     from ..forwarding.forwarding_state import Passing
     from ..forwarding.peer_connections import Links
     from ..forwarding.service import Forward
 
     fleet, placement_settings = feature_context.fleet, feature_context.placement_settings
     assert fleet is not None  # the section needs membership's
-    born = fleet.node.me.incarnation
-    # At least half of the connections there may be stays for routers.
+    incarnation = fleet.node.me.incarnation
+    # At least half of the connections there may be is left for clients.
     settings = replace(
-        plan.links, links_most=min(plan.links.links_most, placement_settings.connections_most // 2)
+        plan.links, links_most=min(plan.links.links_most, placement_settings.max_connections // 2)
     )
     with _listening("forwarding", plan.listen):
         links = feature_context.links = Links(
-            feature_context.scheduler, plan.listen, settings, fleet.me, born
+            feature_context.scheduler, plan.listen, settings, fleet.me, incarnation
         )
     forward = feature_context.forward = Forward(
         feature_context.scheduler,
@@ -214,9 +178,9 @@
     )
     fleet.on_view(links.view)
     fleet.on_view(forward.view)
-    return Part(
+    return FeatureHooks(
         handler=forward.handler,
-        sockets=lambda: links.room_for,
+        descriptors=lambda: links.room_for,
         leaving=lambda: forward.leaving() if feature_context.leave is not None else None,
         end_round=links.end_round,
         settled=lambda: forward.settled and links.quiet,
@@ -225,52 +189,58 @@
     )
 
 
-def _ability(plan: PolicyPlan, placement_settings: PlacementSettings, features: Features) -> Ability:
-    """What this server can do: by its settings, the features that are on beside it, and its disk."""
-    from ..feature_policy import host_capabilities as ability
+def _host_capabilities(
+    plan: PolicyPlan, placement_settings: PlacementSettings, features: Features
+) -> Ability:
+    """Return what this server can do, by its settings, the other features that are on, and its disk."""
+    from ..feature_policy import host_capabilities
 
     recall = features.recall
     folder = recall.folder if recall is not None else None
-    absent = set(ability.UNKNOWN_HERE)
-    absent |= {name for name, section in ability.SECTIONS.items() if getattr(features, section, None) is None}
-    start = ability.StartUp(
+    absent = set(host_capabilities.UNKNOWN_HERE)
+    absent |= {
+        name
+        for name, section in host_capabilities.SECTIONS.items()
+        if getattr(features, section, None) is None
+    }
+    start = host_capabilities.StartUp(
         placement_settings.memory_bytes,
-        placement_settings.connections_most,
-        disk=folder is not None and ability.lasting(folder),
+        placement_settings.max_connections,
+        disk=folder is not None and host_capabilities.lasting(folder),
         links=features.forwarding is not None,
         speed=plan.speed,
         without=frozenset(absent),
     )
-    return ability.of(placement_settings.server_settings, start)
+    return host_capabilities.of(placement_settings.server_settings, start)
 
 
-def _policy(feature_context: FeatureContext, plan: PolicyPlan) -> Part:
+def _build_feature_policy(feature_context: FeatureContext, plan: PolicyPlan) -> FeatureHooks:
     from ..feature_policy.service import Policies
 
     fleet, links, forward = feature_context.fleet, feature_context.links, feature_context.forward
     assert fleet is not None and links is not None and forward is not None  # the section needs theirs
-    own = _ability(plan, feature_context.placement_settings, feature_context.features)
-    made = Policies(
+    host_capabilities = _host_capabilities(plan, feature_context.placement_settings, feature_context.features)
+    policies = Policies(
         feature_context.scheduler,
         plan,
         fleet,
         links,
-        own,
+        host_capabilities,
         feature_context.placement_settings.tenants,
         feature_context.retune,
     )
-    forward.placer = made  # who places by more than this asks `made.place` in turn
-    feature_context.policies = made
-    return Part(
-        gate=made.gate,
-        server_settings=made.server_settings,
-        hangup=made.hangup,
-        close=lambda _: made.close(),
-        gauges=made.gauges,
+    forward.placer = policies  # a feature that also places requests calls `policies.place` in turn
+    feature_context.policies = policies
+    return FeatureHooks(
+        inner_handler=policies.gate,
+        server_settings=policies.server_settings,
+        reload=policies.hangup,
+        close=lambda _: policies.close(),
+        gauges=policies.gauges,
     )
 
 
-def _replication(feature_context: FeatureContext, plan: ReplicationPlan) -> Part:
+def _build_replication(feature_context: FeatureContext, plan: ReplicationPlan) -> FeatureHooks:
     from ..replication.service import Keeper, longest
 
     fleet, links, placement_settings = (
@@ -278,9 +248,8 @@
         feature_context.links,
         feature_context.placement_settings,
     )
-    assert (
-        fleet is not None and links is not None and feature_context.forward is not None
-    )  # the section needs them
+    forward = feature_context.forward
+    assert fleet is not None and links is not None and forward is not None  # the section needs theirs
     slack = placement_settings.server_settings.answer_slack_s
     settings = replace(plan.settings, longest=longest(placement_settings.request_classes, slack))
     keeper = feature_context.replication = Keeper(
@@ -289,18 +258,18 @@
         replace(plan, settings=settings),
         placement_settings.name,
         fleet.node.me.incarnation,
-        feature_context.memory,
+        feature_context.result_store,
         feature_context.observer,
-        feature_context.never_begun,
+        feature_context.on_never_started,
         feature_context.count,
         placement_settings.seed,
         slack,
     )
-    feature_context.forward.owner = keeper
+    forward.owner = keeper
     fleet.on_view(keeper.view)
-    return Part(
+    return FeatureHooks(
         observer=keeper,
-        memory=keeper,
+        result_store=keeper,
         leaving=keeper.leaving,
         settled=keeper.settled,
         close=lambda _: keeper.close(),
@@ -308,7 +277,20 @@
     )
 
 
-def _affinity(feature_context: FeatureContext, plan: AffinityPlan) -> Part:
+def _warm_up_progress(clock: Clock, server_settings: ServerSettings) -> Callable[[], float]:
+    """Return a function for the server's speed, from now on, relative to that of a warm one."""
+    started_at = clock.now
+
+    def relative_speed() -> float:
+        if not server_settings.starts_cold or server_settings.warm_up_s <= 0:
+            return 1.0
+        elapsed_ratio = min((clock.now - started_at) / server_settings.warm_up_s, 1.0)
+        return server_settings.cold_speed_ratio + (1.0 - server_settings.cold_speed_ratio) * elapsed_ratio
+
+    return relative_speed
+
+
+def _build_session_affinity(feature_context: FeatureContext, plan: AffinityPlan) -> FeatureHooks:
     from ..session_affinity.events import Active
     from ..session_affinity.session_router import Affinity, Watching
 
@@ -319,20 +301,8 @@
         feature_context.replication,
     )
     assert fleet and links and forward and keeper  # the section needs theirs
-    server_settings, clock = (
-        feature_context.placement_settings.server_settings,
-        feature_context.scheduler.clock,
-    )
-    born = clock.now
-
-    def warmth() -> float:
-        if not server_settings.starts_cold or server_settings.warm_up_s <= 0:
-            return 1.0
-        return server_settings.cold_speed_ratio + (1.0 - server_settings.cold_speed_ratio) * min(
-            (clock.now - born) / server_settings.warm_up_s, 1.0
-        )
-
-    grace = min(server_settings.drain_grace_s, feature_context.placement_settings.stop_after)
+    server_settings = feature_context.placement_settings.server_settings
+    grace = min(server_settings.drain_grace_s, feature_context.placement_settings.stop_after_s)
     affinity = Affinity(
         feature_context.scheduler,
         plan,
@@ -340,24 +310,23 @@
         links,
         forward,
         keeper,
-        feature_context.memory,
+        feature_context.result_store,
         feature_context.observer,
         feature_context.placement_settings.tenants,
-        warmth,
+        _warm_up_progress(feature_context.scheduler.clock, server_settings),
         float(server_settings.cores),
         grace,
         feature_context.count,
     )
-    feature_context.leave = (
-        None  # the fleet is told, and peers' requests are refused, once sessions are handed over
-    )
+    # The fleet is notified, and peers' requests are rejected, once sessions are handed over.
+    feature_context.leave = None
     policies = feature_context.policies
     if policies is not None:
         affinity.flow_of = lambda exchange: policies.route(exchange).flow
         policies.on_active(lambda number, able: affinity.activate(Active(max(number, 1), able)))
-    return Part(
+    return FeatureHooks(
         observer=Watching(affinity),
-        memory=affinity,
+        result_store=affinity,
         handler=affinity.handler,
         leaving=affinity.leaving,
         settled=affinity.settled,
@@ -367,133 +336,21 @@
 
 
 DECLARED = (
-    Declared("ledger", _ledger, blocks=lambda plan: plan.depth is Depth.DURABLE),
-    Declared("recall", _recall, blocks=lambda plan: plan.folder is not None),
-    Declared("membership", _membership),
-    Declared("forwarding", _forwarding, says=lambda plan: (("link", plan.advertise),)),
-    Declared(
+    FeatureDeclaration(
+        "ledger", _build_usage_metering, needs_worker_thread=lambda plan: plan.depth is Depth.DURABLE
+    ),
+    FeatureDeclaration(
+        "recall", _build_result_store, needs_worker_thread=lambda plan: plan.folder is not None
+    ),
+    FeatureDeclaration("membership", _build_membership),
+    FeatureDeclaration("forwarding", _build_forwarding, metadata=lambda plan: (("link", plan.advertise),)),
+    FeatureDeclaration(
         "policy",
-        _policy,
-        tells=lambda plan, placement_settings, features: (
-            ("class", _ability(plan, placement_settings, features).said),
+        _build_feature_policy,
+        derived_metadata=lambda plan, placement_settings, features: (
+            ("class", _host_capabilities(plan, placement_settings, features).said),
         ),
     ),
-    Declared("replication", _replication),
-    Declared("affinity", _affinity),
+    FeatureDeclaration("replication", _build_replication),
+    FeatureDeclaration("affinity", _build_session_affinity),
 )
-
-
-class Parts:
-    """The features of one server. Background work has its turns behind theirs, blocking work one worker."""
-
-    def __init__(
-        self,
-        features: Features,
-        placement_settings: PlacementSettings,
-        scheduler: Scheduler,
-        moved: Callable[[], int],
-        never_begun: Callable[[Exchange], None],
-        remembered: Callable[[], None],
-        fail: Callable[[str], None],
-        count: Callable[[str], None],
-        retune: Callable[[], None] = lambda: None,
-    ) -> None:
-        self._background = Background(scheduler, moved)
-        self._on = [(one, plan) for one in DECLARED if (plan := features.plan(one.section)) is not None]
-        incarnation = round(scheduler.clock.now * 1000).to_bytes(6, "big") + os.urandom(2)
-        self._bridge = WorkerThread(scheduler) if any(one.blocks(plan) for one, plan in self._on) else None
-        feature_context = FeatureContext(
-            scheduler,
-            self._background,
-            placement_settings,
-            incarnation,
-            self._bridge,
-            never_begun,
-            remembered,
-            fail,
-            count,
-            features,
-            retune,
-            says=tuple(
-                pair
-                for one, plan in self._on
-                for pair in (*one.says(plan), *one.tells(plan, placement_settings, features))
-            ),
-        )
-        made: list[Part] = []
-        for one, plan in self._on:
-            part = one.make(feature_context, plan)
-            feature_context.observer = part.observer or feature_context.observer
-            feature_context.memory = part.memory or feature_context.memory
-            made.append(part)
-        self.observer, self.memory = feature_context.observer, feature_context.memory
-        self._made = made
-        self._sockets = [part.sockets for part in made if part.sockets is not None]
-        made = made[::-1]  # the last made comes first
-        self._end_round = [part.end_round for part in made if part.end_round is not None]
-        self._leaving = [part.leaving for part in made if part.leaving is not None]
-        self._parting = [part.parting for part in made if part.parting is not None]
-        self._settled = [part.settled for part in made if part.settled is not None]
-        self._close = [part.close for part in made if part.close is not None]
-        self._up_at = [part.up_at for part in made if part.up_at is not None]
-
-    @property
-    def sockets(self) -> int:
-        return sum(sockets() for sockets in self._sockets)
-
-    @property
-    def up_at(self) -> float:
-        return max((up_at() for up_at in self._up_at), default=0.0)
-
-    @property
-    def last_notice(self) -> int:
-        return max((part.last_notice() for part in self._made if part.last_notice is not None), default=0)
-
-    def handler(self, inner: RequestHandler) -> RequestHandler:
-        for part in self._made:
-            if part.gate is not None:
-                inner = part.gate(inner)
-        for part in self._made:
-            if part.handler is not None:
-                inner = part.handler(inner)
-        return inner
-
-    def server_settings(self, server_settings: ServerSettings) -> ServerSettings:
-        for part in self._made:
-            if part.server_settings is not None:
-                server_settings = part.server_settings(server_settings)
-        return server_settings
-
-    def hangup(self) -> None:
-        for part in self._made:
-            if part.hangup is not None:
-                part.hangup()
-
-    def end_round(self) -> None:
-        for end_round in self._end_round:
-            end_round()
-        self._background.end_round()
-
-    def leaving(self) -> None:
-        for leaving in self._leaving:
-            leaving()
-
-    def parting(self) -> None:
-        for parting in self._parting:
-            parting()
-
-    def settled(self) -> bool:
-        return all(settled() for settled in self._settled)
-
-    def close(self, most: float) -> None:
-        for close in self._close:
-            close(most)
-        if self._bridge is not None:
-            self._bridge.close(most)
-
-    def gauges(self) -> dict[str, object]:
-        told: dict[str, object] = {}
-        for part in self._made:
-            if part.gauges is not None:
-                told |= part.gauges()
-        return told
--- /dev/null
+++ b/sablewheel/program/feature_set.py
@@ -0,0 +1,175 @@
+"""The features of one server: builds those that are on and calls their hooks at the program's moments."""
+
+from __future__ import annotations
+
+import os
+from collections.abc import Callable
+from typing import Any
+
+from ..overload.interface import ServerSettings
+from ..serving.exchange import Exchange
+from ..serving.listener import RequestHandler
+from ..transport.background import Background
+from ..transport.scheduler import Scheduler
+from ..transport.worker_thread import WorkerThread
+from .configuration import PlacementSettings
+from .feature import FeatureHooks
+from .feature_context import FeatureContext
+from .feature_file import Features
+from .feature_registry import DECLARED, FeatureDeclaration, Metadata
+
+
+class FeatureSet:
+    """All features that are on.
+
+    Features are built in the order of `DECLARED`, so what uses another comes after it. That is the order in
+    which hooks wrap each other: the observer of a later feature is notified first and passes on to that of an
+    earlier one. At the program's later moments the last built comes first, as it uses the others.
+
+    Attributes:
+        observer: The outermost observer of requests.
+        result_store: The outermost result store.
+    """
+
+    def __init__(
+        self,
+        features: Features,
+        placement_settings: PlacementSettings,
+        scheduler: Scheduler,
+        batch_count: Callable[[], int],
+        on_never_started: Callable[[Exchange], None],
+        on_recovery_finished: Callable[[], None],
+        on_start_failed: Callable[[str], None],
+        count: Callable[[str], None],
+        retune: Callable[[], None] = lambda: None,
+    ) -> None:
+        self._background = Background(scheduler, batch_count)
+        declared = [
+            (declaration, plan)
+            for declaration in DECLARED
+            if (plan := features.plan(declaration.section)) is not None
+        ]
+        needs_worker = any(declaration.needs_worker_thread(plan) for declaration, plan in declared)
+        self._worker_thread = WorkerThread(scheduler) if needs_worker else None
+        feature_context = FeatureContext(
+            scheduler,
+            self._background,
+            placement_settings,
+            round(scheduler.clock.now * 1000).to_bytes(6, "big") + os.urandom(2),
+            self._worker_thread,
+            on_never_started,
+            on_recovery_finished,
+            on_start_failed,
+            count,
+            features,
+            retune,
+            metadata=_all_metadata(declared, placement_settings, features),
+        )
+        self._built = [_build(declaration, feature_context, plan) for declaration, plan in declared]
+        self.observer, self.result_store = feature_context.observer, feature_context.result_store
+        self._collect_hooks(self._built)
+
+    def _collect_hooks(self, built: list[FeatureHooks]) -> None:
+        self._descriptors = [hooks.descriptors for hooks in built if hooks.descriptors is not None]
+        last_first = built[::-1]
+        self._end_round = [hooks.end_round for hooks in last_first if hooks.end_round is not None]
+        self._leaving = [hooks.leaving for hooks in last_first if hooks.leaving is not None]
+        self._closing = [hooks.closing for hooks in last_first if hooks.closing is not None]
+        self._settled = [hooks.settled for hooks in last_first if hooks.settled is not None]
+        self._close = [hooks.close for hooks in last_first if hooks.close is not None]
+        self._up_at = [hooks.up_at for hooks in last_first if hooks.up_at is not None]
+
+    @property
+    def descriptors(self) -> int:
+        """How many descriptors features need by now."""
+        return sum(descriptors() for descriptors in self._descriptors)
+
+    @property
+    def up_at(self) -> float:
+        """From when on the server may be up."""
+        return max((up_at() for up_at in self._up_at), default=0.0)
+
+    @property
+    def last_notice(self) -> int:
+        """The last notice of the interpreter that a predecessor has read."""
+        numbers = (hooks.last_notice() for hooks in self._built if hooks.last_notice is not None)
+        return max(numbers, default=0)
+
+    def handler(self, inner: RequestHandler) -> RequestHandler:
+        """Return the handler that clients' requests go to."""
+        for hooks in self._built:
+            if hooks.inner_handler is not None:
+                inner = hooks.inner_handler(inner)
+        for hooks in self._built:
+            if hooks.handler is not None:
+                inner = hooks.handler(inner)
+        return inner
+
+    def server_settings(self, server_settings: ServerSettings) -> ServerSettings:
+        """Return the controller's settings as the features change them."""
+        for hooks in self._built:
+            if hooks.server_settings is not None:
+                server_settings = hooks.server_settings(server_settings)
+        return server_settings
+
+    def reload(self) -> None:
+        """Read the features' own files anew."""
+        for hooks in self._built:
+            if hooks.reload is not None:
+                hooks.reload()
+
+    def end_round(self) -> None:
+        """Finish a round of the event loop, and run background tasks."""
+        for end_round in self._end_round:
+            end_round()
+        self._background.end_round()
+
+    def leaving(self) -> None:
+        """The shutdown notice was received; the grace begins."""
+        for leaving in self._leaving:
+            leaving()
+
+    def closing(self) -> None:
+        """The grace is over: finish what is under way."""
+        for closing in self._closing:
+            closing()
+
+    def settled(self) -> bool:
+        """Whether the process may end without losing anything."""
+        return all(settled() for settled in self._settled)
+
+    def close(self, timeout_s: float) -> None:
+        """End now, within `timeout_s`."""
+        for close in self._close:
+            close(timeout_s)
+        if self._worker_thread is not None:
+            self._worker_thread.close(timeout_s)
+
+    def gauges(self) -> dict[str, object]:
+        """Return the counters of all features."""
+        gauges: dict[str, object] = {}
+        for hooks in self._built:
+            if hooks.gauges is not None:
+                gauges |= hooks.gauges()
+        return gauges
+
+
+def _build(declaration: FeatureDeclaration, feature_context: FeatureContext, plan: Any) -> FeatureHooks:
+    """Build a feature; its observer and result store wrap those of the features before."""
+    hooks = declaration.build(feature_context, plan)
+    feature_context.observer = hooks.observer or feature_context.observer
+    feature_context.result_store = hooks.result_store or feature_context.result_store
+    return hooks
+
+
+def _all_metadata(
+    declared: list[tuple[FeatureDeclaration, Any]], placement_settings: PlacementSettings, features: Features
+) -> Metadata:
+    return tuple(
+        pair
+        for declaration, plan in declared
+        for pair in (
+            *declaration.metadata(plan),
+            *declaration.derived_metadata(plan, placement_settings, features),
+        )
+    )
--- /dev/null
+++ b/sablewheel/program/feature_settings/replication.py
@@ -0,0 +1,54 @@
+"""The section `replication`: keyed runs, bindings and documents on several members each."""
+
+from __future__ import annotations
+
+from typing import Annotated, Literal
+
+from pydantic import Field, model_validator
+
+from ...replication.plan import ReplicationPlan, Settings
+from .section import Section
+
+
+class ReplicationSection(Section):
+    """Keyed runs, bindings and documents on several members each."""
+
+    needs = ("membership", "forwarding")
+
+    copies: Annotated[int, Field(ge=1, le=9)] = 3
+    ranges: Annotated[int, Field(ge=64, le=65536)] = 1024
+    entries_most: Annotated[int, Field(ge=100, le=10_000_000)] = 200_000
+    memory_mb: Annotated[int, Field(ge=1, le=65536)] = 64
+    result_most_kb: Annotated[int, Field(ge=0, le=512)] = 64
+    claim_within_s: Annotated[float, Field(ge=0.02, le=30)] = 0.4
+    repeat_after_s: Annotated[float, Field(ge=0.005, le=5)] = 0.08
+    hold_most_s: Annotated[float, Field(ge=0, le=10)] = 0.25
+    deny_after_s: Annotated[float, Field(ge=0.05, le=60)] = 0.3
+    repair_every_s: Annotated[float, Field(ge=0.1, le=3600)] = 2.0
+    cold: Literal["wait", "run"] = "wait"
+
+    @model_validator(mode="after")
+    def _check_consistency(self) -> ReplicationSection:
+        if self.copies % 2 == 0:
+            raise ValueError(f"copies {self.copies}: odd is wanted: one more outlives no more losses")
+        if self.claim_within_s < 2 * self.repeat_after_s:
+            raise ValueError(
+                f"claim-within-s {self.claim_within_s:g} must be at least twice repeat-after-s "
+                f"{self.repeat_after_s:g}, or one lost frame denies a ticket"
+            )
+        return self
+
+    def plan(self) -> ReplicationPlan:
+        """Return the plan of the feature."""
+        settings = Settings(
+            copies=self.copies,
+            slots=self.ranges,
+            entries_most=self.entries_most,
+            bytes_most=self.memory_mb << 20,
+            result_most=self.result_most_kb << 10,
+            patience=self.claim_within_s,
+            retry=self.repeat_after_s,
+            repair_every=self.repair_every_s,
+            cold_waits=self.cold == "wait",
+        )
+        return ReplicationPlan(settings, self.hold_most_s, self.deny_after_s)
--- /dev/null
+++ b/sablewheel/program/feature_settings/section.py
@@ -0,0 +1,45 @@
+"""The base of all sections, and the types of keys that several sections have."""
+
+from __future__ import annotations
+
+import ipaddress
+from typing import Annotated, ClassVar
+
+from pydantic import AfterValidator, BaseModel, ConfigDict, Field
+
+
+class Section(BaseModel):
+    """A section of the features file. Its keys are written with hyphens; unknown ones are errors.
+
+    Attributes:
+        needs: The sections that must be there as well.
+    """
+
+    needs: ClassVar[tuple[str, ...]] = ()
+
+    model_config = ConfigDict(
+        extra="forbid", strict=True, frozen=True, alias_generator=lambda name: name.replace("_", "-")
+    )
+
+
+def _check_address(text: str) -> str:
+    host, colon, port = text.rpartition(":")
+    try:
+        ipaddress.IPv4Address(host)
+        valid = bool(colon) and port.isascii() and port.isdigit() and 0 < int(port) < 65536
+    except ValueError:
+        valid = False
+    if not valid:
+        raise ValueError("an IPv4 address and a port are wanted, as 127.0.0.1:7600")
+    return text
+
+
+Address = Annotated[str, AfterValidator(_check_address)]
+DurationS = Annotated[float, Field(ge=0, le=86400 * 31, allow_inf_nan=False)]
+PositiveDurationS = Annotated[float, Field(gt=0, le=86400, allow_inf_nan=False)]
+
+
+def host_and_port(address: str) -> tuple[str, int]:
+    """Split an address that was checked."""
+    host, _, port = address.rpartition(":")
+    return host, int(port)
--- a/sablewheel/program/logs.py
+++ b/sablewheel/program/logs.py
@@ -6,13 +6,14 @@
 import sys
 import time
 
-LINES_A_SECOND = 20  # of one logger; what is beyond is counted and told with the next line that passes
+MAX_LINES_PER_S = 20  # of one logger; the next line that passes has the number left out
 
 
 class KeyValueFormatter(logging.Formatter):
     """`time=... level=... from=... event="..." key=value ...`; values with spaces or quotes are quoted."""
 
     def format(self, record: logging.LogRecord) -> str:
+        """Return the line of a record."""
         pairs: dict[str, object] = {
             "time": f"{record.created:.3f}",
             "level": record.levelname.lower(),
@@ -33,8 +34,8 @@
         return '"' + text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n") + '"'
 
 
-class RateBound(logging.Filter):
-    """So many lines of one logger pass each second, so that bad input cannot make the log the load."""
+class RateLimit(logging.Filter):
+    """Limits the lines of each logger per second, so that logging bad input is never the main load."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -43,12 +44,13 @@
         self._left_out = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
+        """Return whether the record may pass."""
         second = int(time.monotonic())
         if second != self._second:
             self._second = second
             self._lines.clear()
         self._lines[record.name] = lines = self._lines.get(record.name, 0) + 1
-        if lines > LINES_A_SECOND:
+        if lines > MAX_LINES_PER_S:
             self._left_out += 1
             return False
         if self._left_out:
@@ -58,9 +60,10 @@
 
 
 def start(level: str) -> None:
+    """Log to standard error from this level on."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(KeyValueFormatter())
-    handler.addFilter(RateBound())
+    handler.addFilter(RateLimit())
     root = logging.getLogger("sablewheel")
     root.handlers[:] = [handler]
     root.propagate = False
--- a/sablewheel/serving/client_table.py
+++ b/sablewheel/serving/client_table.py
@@ -22,7 +22,7 @@
         return len(self._clients)
 
     def set_capacity(self, expected_clients: int, max_connections: int) -> None:
-        """Retain the clients that the settings tell of, and those that may be connected."""
+        """Retain as many clients as are expected, and as may be connected."""
         self._capacity = max(MIN_CLIENTS, CLIENTS_PER_EXPECTED * expected_clients, max_connections)
 
     def get(self, name: bytes) -> Client:
--- a/sablewheel/serving/connection.py
+++ b/sablewheel/serving/connection.py
@@ -54,7 +54,7 @@
         last_used_at: When something was last read or written.
         frame_deadline: When the frame that is awaited or incomplete must have ended.
         has_received: Whether a complete frame was received.
-        close_announced: Whether the client was told to send no new request, or can send none.
+        close_announced: Whether the client was asked to send no new request, or can send none.
         reading_stopped: Whether nothing more is taken in; answers may still be owed.
         shut_down_at: When the writing side was shut down, if it was.
     """
@@ -156,7 +156,7 @@
         """Answer an invalid message with an error.
 
         Raises:
-            ProtocolError: No answer could tell which request is meant.
+            ProtocolError: It would be ambiguous which request an answer is for.
         """
         self._owner.count("frames_faulty")
         tag = error.tag
@@ -205,7 +205,7 @@
     # -- closing
 
     def announce_close(self, reason: CloseReason) -> None:
-        """Tell the client to send no new request here, and to close the connection once all is answered."""
+        """Ask the client to send no new request here, and to close the connection once all is answered."""
         if not self.close_announced:
             self._log("close announced on connection", reason)
             self.close_announced = True
--- a/sablewheel/serving/delayed_answers.py
+++ b/sablewheel/serving/delayed_answers.py
@@ -27,7 +27,7 @@
     """Answers in the order of their marks.
 
     No answer waits longer than `max_delay_s`, nor past its own request's deadline by more than the one before
-    it may: an answer in time is worth more than its record. `release` gets each answer, and whether it leaves
+    it may: a timely answer matters more than its record. `release` gets each answer, and whether it leaves
     ahead of its mark.
     """
 
--- a/sablewheel/serving/dispatcher.py
+++ b/sablewheel/serving/dispatcher.py
@@ -144,7 +144,9 @@
             return
         if self._result_store.ready:
             recovered = self._result_store.recover_keys(self._interpreter_started_at, self._idempotency_keys)
-            self._events[:0] = [interface.KeyRecovered(request, life) for request, life in recovered]
+            self._events[:0] = [
+                interface.KeyRecovered(request, lifetime_s) for request, lifetime_s in recovered
+            ]
             exchanges, last_notice = self._result_store.runs_to_adopt()
             self._interpreter.adopt(exchanges, last_notice if at_first_link else None)
         for exchange in self._start_queue.take_all():
@@ -289,7 +291,7 @@
                 case interface.CloseIdle(idle_timeout_s):
                     self._listener.set_idle_timeout(idle_timeout_s or self._server_settings.idle_timeout_s)
                 case interface.Log(message):
-                    log.info("controller", extra={"pairs": {"says": message}})
+                    log.info("controller message", extra={"pairs": {"message": message}})
                 case _:
                     self._apply_request_action(action)
 
@@ -348,7 +350,7 @@
     def _reject(self, exchange: Exchange, action: interface.Reject) -> None:
         exchange.reject(action.retry_after_s, action.no_retry_elsewhere)
         self.outcomes.count_rejection(exchange, action.reason, action.retry_after_s)
-        self._idempotency_keys.release(exchange)  # the controller releases none whose life is over
+        self._idempotency_keys.release(exchange)  # the controller releases none that expired
         self._open_requests.finish_unless_running(exchange)
 
     def _fail_after_internal_error(self, exchange: Exchange) -> None:
@@ -383,7 +385,7 @@
             self.reject_draining(exchange)
 
     def finish_all(self) -> None:
-        """Answer all open requests, since the process ends, and tell the controller that nobody waits.
+        """Answer all open requests, since the process ends, and notify the controller that nobody waits.
 
         The controller cancels their runs where that is supported; other runs end without an answer.
         """
--- a/sablewheel/serving/duplicate_checks.py
+++ b/sablewheel/serving/duplicate_checks.py
@@ -35,7 +35,7 @@
         self._recent_runs, self._result_store = recent_runs, result_store
 
     def reuses_id(self, exchange: Exchange) -> bool:
-        """Whether the id is that of an open request, or of a run that is told apart by its id alone."""
+        """Whether the id is that of an open request, or of a run that only its id identifies."""
         recent = exchange.name in self._recent_runs and not is_keyed(exchange)
         return exchange.name in self._open_ids or recent
 
--- a/sablewheel/serving/exchange.py
+++ b/sablewheel/serving/exchange.py
@@ -16,7 +16,7 @@
 
 
 def digest(request_class: bytes, body: bytes) -> bytes:
-    """Return 16 bytes that tell the contents of requests apart, also after a restart."""
+    """Return 16 bytes that identify the contents of a request, also after a restart."""
     from hashlib import blake2b  # some MB that a server without a result store need not load
 
     return blake2b(request_class + b"\0" + body, digest_size=16).digest()
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True)
 class ServerStatus:
-    """What this server tells its clients.
+    """What this server reports to its clients.
 
     Attributes:
         advertised: The capacity that goes with every answer, if any.
@@ -109,14 +109,14 @@
         run_time_s: How long the run took, once it is over.
         notice_number: The number of the interpreter's notice that ended the run.
         digest: Of class and body, where the exchange was recovered after a restart; else empty.
-        content_hash: Tells apart requests of one idempotency key that differ in class or body.
+        content_hash: Of class and body, to compare requests of one idempotency key.
         billed: Whether the result of the run was given to somebody.
         result: The result, as long as it is cached for duplicates.
         original: The exchange that this one is a duplicate of.
         attached_duplicates: Duplicates that wait for the end of this one's run.
         attached_at: When this one was attached to its original.
-        arrival_uncertainty_s: By how much the request may have arrived later than it says.
-        client_deadline: When the client stops waiting, where clients tell.
+        arrival_uncertainty_s: By how much the request may have arrived later than stated.
+        client_deadline: When the client stops waiting, where clients state that.
         session: The key of the request's session, where sessions are routed.
     """
 
--- a/sablewheel/serving/fences.py
+++ b/sablewheel/serving/fences.py
@@ -10,7 +10,7 @@
 from math import inf
 
 LOSS_WINDOW_S = 0.05  # commands written so shortly before a break may be lost, whatever was answered since
-MAX_TRACKED_QUERIES = 4096  # beyond, the oldest are as if they were never answered
+MAX_TRACKED_QUERIES = 4096  # older ones count as never answered
 
 
 class Fences:
--- a/sablewheel/serving/idempotency_keys.py
+++ b/sablewheel/serving/idempotency_keys.py
@@ -1,7 +1,7 @@
 """The idempotency table: which exchange a request is a duplicate of, and the results cached for duplicates.
 
-An entry lives as long as the controller says. It is looked up by when a duplicate reached the machine, not by
-when it is read, so it is retained for as long past its life as a request may lie unread.
+The controller sets how long an entry is valid. It is looked up by when a duplicate reached the machine, not
+by when it is read, so it is retained for as long after it expired as a request may lie unread.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 class IdempotencyTable:
     """Entries by idempotency key. Cached results are bounded by `max_result_bytes`.
 
-    A request that arrives past an entry's life takes the idempotency key over, and may then never run. So its
-    entry refers to that of the run before it, which counts again once the request releases the key.
+    A request that arrives after an entry expired takes the idempotency key over, and may then never run. So
+    its entry refers to that of the run before it, which counts again once the request releases the key.
 
     Args:
         max_wait_s: The longest timeout of any request class.
-        slack_s: How much longer an entry counts than the controller says.
+        slack_s: How much longer an entry is valid than the controller sets.
         max_result_bytes: The bound of all cached results together.
     """
 
@@ -47,7 +47,7 @@
     def find(self, idempotency_key: bytes, arrived_at: float) -> Exchange | None:
         """Return the exchange that a request with this idempotency key is a duplicate of.
 
-        One that has not started counts past its life as well: the later request might overtake it, and it
+        One that has not started counts after it expired as well: the later request might overtake it, and it
         would then run within the window of that one.
         """
         entry = self._entries.get(idempotency_key)
--- a/sablewheel/serving/interpreter_client.py
+++ b/sablewheel/serving/interpreter_client.py
@@ -7,8 +7,8 @@
 
 Commands given while no link is ready wait. A command that was written to a link that broke may have been
 carried out or not. It is written again only where a second run does no harm; for other runs the handler is
-told that the start is unconfirmed. When the interpreter moves to another address, the old link serves until
-the new one stands, and is then left behind a fence, so that no command is under way between the two.
+notified that the start is unconfirmed. When the interpreter moves to another address, the old link serves
+until the new one stands, and is then left behind a fence, so that no command is under way between the two.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 GAUGES_INTERVAL_S, GAUGES_LIFETIME_S = 0.2, 0.5
 # Both in unanswered queries and not in seconds: a pause of the whole machine counts as one.
 MAX_UNANSWERED_QUERIES = 15  # the link is taken for dead
-MAX_UNANSWERED_FOR_START = 3  # beyond it, no command is written that may not be written twice
+MAX_UNANSWERED_FOR_START = 3  # then no command is written that may not be written twice
 HAND_OVER_TIMEOUT_S = 0.3  # for the fence on a link that is to be left; past it, it counts as broken
 HAND_OVER_CHECK_INTERVAL_S = 0.005
 ADOPTED_FENCE = -1  # of a run whose command was written by a predecessor of this process
--- a/sablewheel/serving/listener.py
+++ b/sablewheel/serving/listener.py
@@ -19,7 +19,7 @@
 SWEEP_INTERVAL_S = 0.25
 CLOSE_GRACE_S = 1.0  # for a client to close an idle connection after an announcement
 LINGER_TIMEOUT_S = 0.5  # for a client to close a connection that was shut down
-# One part in so many of the table; beyond it, connections unused for a while are asked to close.
+# Once more than one part in so many of the table is used, unused connections are asked to close.
 CROWDED_DIVISOR = 4
 MIN_UNUSED_S = 2.0
 # While the table is full, connections idle for so long are evicted, one part in so many of the table at a
@@ -47,7 +47,7 @@
 
     Args:
         max_connections: How many connections there may be.
-        expected_clients: How many clients the settings tell of.
+        expected_clients: How many clients the settings name.
     """
 
     def __init__(
@@ -74,11 +74,11 @@
         scheduler.every(SWEEP_INTERVAL_S, self._sweep)
 
     def expect_clients(self, count: int) -> None:
-        """Retain as many clients as the settings tell of, and as may be connected."""
+        """Retain as many clients as are expected, and as may be connected."""
         self._clients.set_capacity(count, self._max_connections)
 
     def set_max_connections(self, max_connections: int) -> None:
-        """Set how many connections there may be; those beyond are closed as in a full table."""
+        """Set how many connections there may be; excess ones are closed as in a full table."""
         self._max_connections = max_connections
 
     def set_idle_timeout(self, idle_timeout_s: float) -> None:
@@ -99,7 +99,7 @@
         self.handler.arrived(exchange)
 
     def cancelled(self, exchange: Exchange) -> None:
-        """Tell the handler that the client no longer waits."""
+        """Notify the handler that the client no longer waits."""
         self.handler.cancelled(exchange)
 
     def answer_queued(self, connection: Connection) -> None:
@@ -200,7 +200,7 @@
                 connection.close(CloseReason.CROWDED_OUT)
 
     def announce_close(self) -> None:
-        """Tell all clients to send no new request on their connections."""
+        """Ask all clients to send no new request on their connections."""
         for connection in list(self.connections):
             connection.announce_close(CloseReason.DRAINING)
 
@@ -235,7 +235,7 @@
             connection.close(CloseReason.STUCK)
             return True
         if now > connection.frame_deadline and stream.all_sent:
-            if not stream.unread:  # else the rest was just received
+            if not stream.unread:  # else its end was just received
                 self.count("connections_unfinished" if connection.has_received else "connections_silent")
                 connection.stop_reading(CloseReason.UNFINISHED)
             return True
--- a/sablewheel/serving/open_run.py
+++ b/sablewheel/serving/open_run.py
@@ -15,7 +15,7 @@
             written.
         command_end: Where its command ends among the bytes of the present link; 0 if it is not among them.
         sent_at: When its command was last written.
-        unconfirmed: Whether the handler was told that its start is unconfirmed.
+        unconfirmed: Whether the handler was notified that its start is unconfirmed.
         cancelled: Whether it is to be cancelled.
         resent: Whether its command was written again, though the first may have been carried out.
     """
--- a/sablewheel/serving/recent_runs.py
+++ b/sablewheel/serving/recent_runs.py
@@ -1,7 +1,7 @@
 """The ids of requests whose run started recently and must not be started again.
 
 A client gives each attempt an id of its own. An id that is received again is a copy, by a mistake or by a
-resend of what was thought to be lost. While the first is open, the table of open requests tells; after that,
+resend of what was thought to be lost. While the first is open, the table of open requests has it; after that,
 this one does.
 """
 
--- a/sablewheel/transport/clock.py
+++ b/sablewheel/transport/clock.py
@@ -15,7 +15,7 @@
 # The wall clock was stepped if it left the monotonic one by more than the sum of both.
 MIN_STEP_S = 0.02
 MAX_SLEW_RATIO = 0.001  # of the time since the last reading
-MAX_READING_S = 0.001  # between two readings that still tell how far the clocks are apart
+MAX_READING_S = 0.001  # between two readings that can still be compared
 MAX_TIMESTAMP_AGE_S = 60.0
 MAX_EARLIER_SETTINGS = 16
 
--- a/sablewheel/transport/stream.py
+++ b/sablewheel/transport/stream.py
@@ -203,7 +203,7 @@
         if not code:
             return Stream(scheduler, sock)
     except OSError:
-        pass  # gone again already
+        pass  # closed again already
     scheduler.forget(sock.fileno())
     close_socket(sock)
     return None
--- a/sablewheel/transport/system_call_errors.py
+++ b/sablewheel/transport/system_call_errors.py
@@ -24,7 +24,7 @@
         errno.ECONNABORTED,
     }
 )
-# accept(2): this connection had failed already, which says nothing of the next one.
+# accept(2): this connection had failed already, which means nothing for the next one.
 ACCEPTED_ONE_FAILED = frozenset(
     {
         errno.ECONNABORTED,
--- a/tests/test_close_races.py
+++ b/tests/test_close_races.py
@@ -589,6 +589,6 @@
     for limit in (16, 28, 48, 64, 384, 512, 1024):
         place = Place(tmp_path, limits={"sockets": limit})
         place.file.write_text(json.dumps(place.told))
-        told[limit] = configuration.placement_settings({"RELAY_CONFIG": str(place.file)}).connections_most
+        told[limit] = configuration.placement_settings({"RELAY_CONFIG": str(place.file)}).max_connections
         place.end()
     assert told == {16: 4, 28: 16, 48: 31, 64: 44, 384: 364, 512: 492, 1024: 1004}
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -31,7 +31,8 @@
 from sablewheel.overload.interface import Client
 from sablewheel.program import application, configuration
 from sablewheel.program import feature_file as features
-from sablewheel.program.feature_registry import Parts
+from sablewheel.program.feature_set import FeatureSet
+from sablewheel.program.feature_settings.collector import CollectorSection
 from sablewheel.protocol import resp
 from sablewheel.serving.client_table import CLIENTS_PER_EXPECTED
 from sablewheel.transport.scheduler import Clock, Scheduler
@@ -232,19 +233,19 @@
         f"version: 1\nmembership:\n  listen: {host}:7700\n  zone: a\n  region: b\n  seeds: [{host}:7700]\n"
         f"forwarding:\n  listen: {host}:7702\n"
     )
-    monkeypatch.setattr(application, "SHARE_EVERY", 0.01)
+    monkeypatch.setattr(application, "CONNECTION_LIMIT_INTERVAL_S", 0.01)
     one = application.Application(
         configuration.placement_settings({"RELAY_CONFIG": str(told)}), features.read(on)
     )
-    assert one._server._max_connections == 1004 - 64
-    parts = one._feature
-    assert isinstance(parts, Parts)
+    assert one._request_listener._max_connections == 1004 - 64
+    parts = one._features
+    assert isinstance(parts, FeatureSet)
     for needs, left in ((460, 544), (2048, 502), (64, 940)):
-        parts._sockets[:] = [lambda needs=needs: needs]  # type: ignore[misc]
+        parts._descriptors[:] = [lambda needs=needs: needs]  # type: ignore[misc]
         one._scheduler.after(0.05, one._scheduler.stop)
         one._scheduler.run()
         one._scheduler._stopped = False
-        assert one._server._max_connections == left
+        assert one._request_listener._max_connections == left
     one._listener.close()
     parts.close(0.0)
     block.close()
@@ -252,7 +253,7 @@
 
 def test_the_collector_takes_1024_servers_and_as_many_more_that_are_new_in_their_place() -> None:
     plan = CollectorPlan(Path("book"), ("127.0.0.1", 1))
-    assert features.CollectorSection(book="book", listen="127.0.0.1:1").plan().connections_most == (
+    assert CollectorSection(book="book", listen="127.0.0.1:1").plan().connections_most == (
         plan.connections_most
     )
     crowd = SimpleNamespace(connections=dict.fromkeys(range(2 * LEAST - 1)), _plan=plan)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -563,14 +563,14 @@
 
 
 def test_the_log_is_key_value_and_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    second, bound, form = 5.0, logs.RateBound(), logs.KeyValueFormatter()
+    second, bound, form = 5.0, logs.RateLimit(), logs.KeyValueFormatter()
     monkeypatch.setattr(time, "monotonic", lambda: second)
     record = logging.LogRecord(
         "sablewheel.serving.connection", logging.WARNING, "", 0, "invalid message", None, None
     )
     record.pairs = {"tag": 7, "reason": 'a "b"\nc', "empty": ""}
-    passed = sum(bound.filter(record) is True for _ in range(logs.LINES_A_SECOND + 30))
-    assert passed == logs.LINES_A_SECOND
+    passed = sum(bound.filter(record) is True for _ in range(logs.MAX_LINES_PER_S + 30))
+    assert passed == logs.MAX_LINES_PER_S
     second = 6.0
     assert bound.filter(record)
     said = 'from=serving.connection event="invalid message" tag=7 reason="a \\"b\\"\\nc" empty="" left_out=30'
@@ -632,6 +632,6 @@
     told["settings"]["extra"]["gauges"] = gauges
     place.file.write_text(json.dumps(told))
     try:
-        assert configuration.placement_settings({"RELAY_CONFIG": str(place.file)}).gauge_places == places
+        assert configuration.placement_settings({"RELAY_CONFIG": str(place.file)}).gauge_indexes == places
     finally:
         place.end()
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -131,7 +131,7 @@
 @pytest.mark.parametrize("first", ["greeting", "notice"])
 def test_the_greeting_and_the_notice_in_one_round(place: Place, first: str) -> None:
     """Whichever is seen first: what waited has its one answer, and the server is not up any more."""
-    calls = ["greeted(self, *values)", "application[0]._leave()"]
+    calls = ["greeted(self, *values)", "application[0]._on_shutdown_notice()"]
     process = child(
         place,
         f"""
@@ -242,7 +242,7 @@
     self._scheduler.after(0.0, lambda: tell(signal.SIGSTOP))
     answer_all(self)
     self._stop_at = self._scheduler.clock.now + 60.0  # the end waits for the connections
-    self._end = lambda: None if self._server.connections else Application._end(self)
+    self._end = lambda: None if self._request_listener.connections else Application._end(self)
 Application._answer_all = slow
 """,
     )
@@ -289,11 +289,11 @@
     process = child(
         place,
         """
-leave = Application._leave
+leave = Application._on_shutdown_notice
 def paused(self):
     leave(self)
     self._scheduler.after(0.0, lambda: tell(signal.SIGSTOP))
-Application._leave = paused
+Application._on_shutdown_notice = paused
 """,
     )
     peer, other = place.ready(), place.router()
@@ -603,7 +603,9 @@
 @pytest.mark.parametrize(("every", "told"), [(60.0, 1), (0.05, 2)])
 def test_the_notice_is_reported_at_once_and_once_more(place: Place, every: float, told: int) -> None:
     """Reports keep a server on the list, whatever they say: one that leaves is silent soon."""
-    process = child(place, f"from sablewheel.program import application; application.REPORT_EVERY = {every}")
+    process = child(
+        place, f"from sablewheel.program import application; application.REPORT_INTERVAL_S = {every}"
+    )
     peer = place.ready()
     while every < 1.0 and place.names.recv(64) != b"renew n3 yes":
         pass  # of the time before it was up
@@ -629,7 +631,7 @@
         """
 from sablewheel.program import application
 from sablewheel.transport import datagram
-application.REPORT_EVERY = 0.02
+application.REPORT_INTERVAL_S = 0.02
 class Failing:
     left = 3
     def __init__(self, sock): self.sock = sock
