--- a/sablewheel/program/configuration.py
+++ b/sablewheel/program/configuration.py
@@ -66,8 +66,8 @@
 
     Attributes:
         stop_after_s: How long after the shutdown notice the process is stopped.
-        gauge_indexes: Which of the interpreter's gauges are CPU use, connections and runnable work; None:
-        none is. raw: The configuration as it was read.
+        gauge_indexes: Which of the interpreter's gauges are CPU use, connections and runnable work, if any.
+        raw: The configuration as it was read.
     """
 
     name: str
--- a/sablewheel/program/feature.py
+++ b/sablewheel/program/feature.py
@@ -112,8 +112,8 @@
 
     Attributes:
         handler: Wraps the handler of clients' requests.
-        inner_handler: The same, within the handlers of all features: requests forwarded by peers go to it as
-        well. descriptors: How many descriptors it may need, which are not left for clients' connections.
+        inner_handler: The same, within the handlers of all features: forwarded requests go to it as well.
+        descriptors: How many descriptors it may need, which are not left for clients' connections.
     """
 
     observer: RequestObserver | None = None
--- a/sablewheel/serving/dispatcher.py
+++ b/sablewheel/serving/dispatcher.py
@@ -55,8 +55,8 @@
     The events of one round of poll are one batch; `end_round` has it decided and sends everything.
 
     Args:
-        gauge_indexes: Which of the interpreter's gauges are CPU use, connections and runnable work; None:
-        none is. on_interpreter_ready: Called once, when the interpreter is up for the first time.
+        gauge_indexes: Which of the interpreter's gauges are CPU use, connections and runnable work, if any.
+        on_interpreter_ready: Called once, when the interpreter is up for the first time.
     """
 
     def __init__(
--- a/sablewheel/serving/interpreter_client.py
+++ b/sablewheel/serving/interpreter_client.py
@@ -23,7 +23,7 @@
 from ..transport.stream import Stream
 from .exchange import Exchange
 from .fences import Fences
-from .open_run import OpenRun, may_run_twice
+from .open_run import OpenRun, log_unknown_result, may_run_twice
 
 INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.02, 0.5  # between connection attempts
 GAUGES_INTERVAL_S, GAUGES_LIFETIME_S = 0.2, 0.5
@@ -48,8 +48,6 @@
 }
 
 log = logging.getLogger(__name__)
-# Lines of single runs have a rate limit of their own: there are many at a break.
-run_log = logging.getLogger(f"{__name__}.runs")
 
 
 class RunHandler(Protocol):
@@ -352,25 +350,15 @@
     def _resend(self, run: OpenRun) -> None:
         run.resent = True
         self._count("runs_sent_again")
-        pairs = {**self._log_fields(run), "written_before": self._since_sent(run)}
-        run_log.info("command resent after reconnect", extra={"pairs": pairs})
+        run.log_unproven("command resent after reconnect", self._scheduler.clock.now)
         self._write_start(run)
 
     def _leave_unconfirmed(self, run: OpenRun) -> None:
         run.unconfirmed = True
         self._count("runs_unconfirmed")
-        pairs = {**self._log_fields(run), "written_before": self._since_sent(run)}
-        run_log.info("start of a run unconfirmed", extra={"pairs": pairs})
+        run.log_unproven("start of a run unconfirmed", self._scheduler.clock.now)
         self._handler.start_unconfirmed(run.exchange)
 
-    def _log_fields(self, run: OpenRun) -> dict[str, object]:
-        """Return the fields of a log line about a run: its request and class."""
-        exchange = run.exchange
-        return {"request": exchange.name.decode("ascii", "replace"), "class": exchange.request_class.decode()}
-
-    def _since_sent(self, run: OpenRun) -> float:
-        return round(self._scheduler.clock.now - run.sent_at, 3)
-
     def _write_start(self, run: OpenRun) -> None:
         run.fence, run.sent_at = self._fences.next, self._scheduler.clock.now
         exchange = run.exchange
@@ -397,24 +385,15 @@
         run = self._runs.get(notice.name)
         if run is None:
             self._count("ends_unknown")
-            self._log_unknown_result(notice)
+            log_unknown_result(notice)
             return
         if run.resent:
-            pairs = {**self._log_fields(run), "notice": notice.number, "after": self._since_sent(run)}
-            run_log.info("result for resent command", extra={"pairs": pairs})
+            run.log_result_of_resent(notice.number, self._scheduler.clock.now)
             if self.discards_cancelled_runs:  # it may have started once more, and nobody counts that run
                 self._commands += interpreter.encode_cancel_run(notice.name)
         run.exchange.notice_number = notice.number
         self._end_run(notice.name, notice.outcome, notice.run_time_s, notice.result)
 
-    def _log_unknown_result(self, notice: interpreter.RunFinished) -> None:
-        pairs = {
-            "request": notice.name.decode("ascii", "replace"),
-            "notice": notice.number,
-            "outcome": notice.outcome.name.lower(),
-        }
-        run_log.info("result for unknown request", extra={"pairs": pairs})
-
     def _handle_call_needed(self, notice: interpreter.CallNeeded) -> None:
         self._count("calls_needed")
         if notice.name in self._runs:
--- a/sablewheel/serving/listener.py
+++ b/sablewheel/serving/listener.py
@@ -129,8 +129,7 @@
         """Return the request of a message, its names resolved.
 
         Raises:
-            InvalidMessageError: A name is unknown, the idempotency key is missing or the time is out of
-            range.
+            InvalidMessageError: A name is unknown, the key is missing or the time is out of range.
         """
         request_class = self._request_classes.get(message.request_class)
         tenant = self._tenants.get(message.tenant)
--- a/sablewheel/serving/open_run.py
+++ b/sablewheel/serving/open_run.py
@@ -2,17 +2,20 @@
 
 from __future__ import annotations
 
+import logging
+
 from ..overload.interface import Idempotency
+from ..protocol.interpreter import RunFinished
 from .exchange import Exchange
 
+log = logging.getLogger(__name__)  # apart from the link's: there are many lines of runs when it breaks
+
 
 class OpenRun:
     """A run whose end is not known.
 
     Attributes:
-        fence: The query behind its command, whose answer proves that the command was read; 0 if no command
-        was
-            written.
+        fence: The query behind its command, whose answer proves that the command was read; 0: not written.
         command_end: Where its command ends among the bytes of the present link; 0 if it is not among them.
         sent_at: When its command was last written.
         unconfirmed: Whether the handler was notified that its start is unconfirmed.
@@ -29,6 +32,29 @@
         self.sent_at = 0.0
         self.unconfirmed = self.cancelled = self.resent = False
 
+    def log_unproven(self, event: str, now: float) -> None:
+        """Log an event after a break of the link, when it is not known whether the run started."""
+        self._log(event, written_before=round(now - self.sent_at, 3))
+
+    def log_result_of_resent(self, notice_number: int, now: float) -> None:
+        """Log that a run ended whose command was resent."""
+        self._log("result for resent command", notice=notice_number, after=round(now - self.sent_at, 3))
+
+    def _log(self, event: str, **pairs: object) -> None:
+        exchange = self.exchange
+        request, request_class = exchange.name.decode("ascii", "replace"), exchange.request_class.decode()
+        log.info(event, extra={"pairs": {"request": request, "class": request_class, **pairs}})
+
+
+def log_unknown_result(notice: RunFinished) -> None:
+    """Log that a run ended which is not open here."""
+    pairs = {
+        "request": notice.name.decode("ascii", "replace"),
+        "notice": notice.number,
+        "outcome": notice.outcome.name.lower(),
+    }
+    log.info("result for unknown request", extra={"pairs": pairs})
+
 
 def may_run_twice(exchange: Exchange) -> bool:
     """Whether a second run of this request would do no harm."""
--- a/tests/failing_calls.py
+++ b/tests/failing_calls.py
@@ -18,8 +18,8 @@
 import sys
 from typing import Any
 
-SHORT_MOST = 7  # bytes of a short read or write
-FAILS_AT_START = 3
+MAX_SHORT_BYTES = 7  # bytes of a short read or write
+FAILURES_AT_START = 3
 ACCEPT = [
     errno.ECONNABORTED,
     errno.EMFILE,
@@ -43,10 +43,10 @@
 class Chance:
     """Which calls fail, and how."""
 
-    def __init__(self, told: dict[str, Any]) -> None:
-        self._random = random.Random(told["seed"])
-        self._share = float(told["share"])
-        self._at_start = dict.fromkeys(told.get("at_start", []), FAILS_AT_START)
+    def __init__(self, options: dict[str, Any]) -> None:
+        self._random = random.Random(options["seed"])
+        self._share = float(options["share"])
+        self._at_start = dict.fromkeys(options.get("at_start", []), FAILURES_AT_START)
 
     def fails(self, call: str) -> bool:
         if self._at_start.get(call, 0):
@@ -63,7 +63,7 @@
         return self._random.choice(codes) if self.fails(call) else 0
 
     def size(self, whole: int) -> int:
-        return min(whole, self._random.randint(1, SHORT_MOST)) if self.fails("short") else whole
+        return min(whole, self._random.randint(1, MAX_SHORT_BYTES)) if self.fails("short") else whole
 
 
 chance = Chance({"seed": 0, "share": 0.0})
@@ -127,9 +127,9 @@
         return self._real.poll(timeout)
 
 
-def install(told: dict[str, Any]) -> None:
+def install(options: dict[str, Any]) -> None:
     global chance
-    chance = Chance(told)
+    chance = Chance(options)
     socket.socket = FailingSocket  # type: ignore[misc]
     real_poll, real_pipe, real_read = select.poll, os.pipe, os.read
 
--- a/tests/installation.py
+++ b/tests/installation.py
@@ -76,7 +76,7 @@
 
 
 class Client:
-    """A router's connection to the server; answers by tag."""
+    """A client's connection to the server; answers by tag."""
 
     def __init__(self, port: int) -> None:
         self._socket = socket.create_connection(("127.0.0.1", port), timeout=PATIENCE)
@@ -87,7 +87,7 @@
         self.sent_at: dict[int, float] = {}  # monotonic
         self.answers: dict[int, list[bytes]] = {}
         self.answered_at: dict[int, float] = {}
-        self.told_to_go = False  # no new request may come on this connection
+        self.close_announced = False  # no new request may come on this connection
         self.ended_at: float | None = None  # when it was seen to have ended
 
     def ask(self, tag: int, request_class: bytes, key: int | None = None) -> bytes:
@@ -143,7 +143,7 @@
             if tag:
                 self.answers[tag], self.answered_at[tag] = words, time.monotonic()
             else:
-                self.told_to_go = True
+                self.close_announced = True
         return True
 
     def close(self) -> None:
@@ -173,8 +173,8 @@
         self.interpreter_port = interpreter_port
         self.proxy = LinkProxy(interpreter_port, pass_on or pass_unchanged)
         configuration = rig.configuration("n1", port, self.proxy.port, **changes)
-        told = {"RELAY_CONFIG": str(configuration), **(environment or {})}
-        self.server = rig.start("n1", *module, shifted=shifted, **told)
+        variables = {"RELAY_CONFIG": str(configuration), **(environment or {})}
+        self.server = rig.start("n1", *module, shifted=shifted, **variables)
         rig.wait_until_up(port, self.server)
         self.port = port
         self.client = Client(port)
--- a/tests/simulated_server.py
+++ b/tests/simulated_server.py
@@ -1,4 +1,4 @@
-"""A server's side of the contract, with the four rules' arithmetic written apart from the module's guards."""
+"""A simulated server; the four rules are checked independently of the code under test."""
 
 from __future__ import annotations
 
@@ -278,20 +278,21 @@
 # -- stand-ins for what the program talks to, after the published protocols
 
 
-class Interpreter:
-    """Keeps the runs it was told of, numbers its notices, and tells again what a broken link missed."""
+class SimulatedInterpreter:
+    """Runs what it is sent, numbers its notices, and repeats those that a broken link missed."""
 
     def __init__(self) -> None:
         self.up = True
         self.running: dict[bytes, tuple[bytes, bytes]] = {}
         self.over: set[bytes] = set()  # runs that ended
-        self.answered: set[bytes] = set()  # requests that are over: the town, which sees answers, notes them
+        # requests that are over: the server, which sees answers, notes them
+        self.answered: set[bytes] = set()
         self.applied: list[tuple[bytes, bytes, bytes]] = []
         self.notices: list[bytes] = []
         self.bytes = b""
 
     def feed(self, data: bytes) -> bytes:
-        """What it answers at once."""
+        """Take bytes from the link and return what is answered at once."""
         self.bytes += data
         said = b""
         while (end := self.bytes.find(b"\r\n")) >= 0:
@@ -356,8 +357,8 @@
     return frame(b"RPC.CALL", b"%d" % tag, request_class, fields, body)
 
 
-class MadeScheduler(Scheduler):
-    """The scheduler with a made clock and no descriptors; a fault in a greenlet reaches the test."""
+class FakeScheduler(Scheduler):
+    """The scheduler with a fake clock and no descriptors; an error in a greenlet reaches the test."""
 
     def __init__(self) -> None:
         super().__init__(Clock())
@@ -373,10 +374,10 @@
         return some
 
 
-class MadeStream(Stream):
+class FakeStream(Stream):
     """A stream whose other end is the test."""
 
-    def __init__(self, scheduler: MadeScheduler) -> None:
+    def __init__(self, scheduler: FakeScheduler) -> None:
         self.made, self.open = scheduler, True
         self._unsent = bytearray()
         self.stuck_since = None
@@ -384,7 +385,7 @@
         self.written = bytearray()
         self.bytes_queued = self.bytes_sent = 0
         self.takes = True  # whether the system takes what is written
-        self.closes_when_shut = True  # as a router does that sees the end of the stream
+        self.closes_when_shut = True  # as a client does that sees the end of the stream
         self.reader: greenlet | None = None
 
     def read(self) -> bytes:
@@ -430,8 +431,8 @@
         return data
 
 
-class Try:
-    """One try as its router knows it."""
+class Attempt:
+    """One attempt as its client knows it."""
 
     def __init__(
         self, tag: int, name: bytes, request_class: bytes, idempotency_key: bytes, since: float
@@ -448,46 +449,57 @@
         self.cancelled = False
 
 
-class Town:
-    """The routing layer between stand-ins, on a made clock; the four rules are checked after every step."""
+class SimulatedServer:
+    """The serving layer between a fake client and a simulated interpreter, on a fake clock.
+
+    The four rules are checked after every step.
+    """
 
     def __init__(self, server_settings: ServerSettings) -> None:
-        self.scheduler = MadeScheduler()
+        self.scheduler = FakeScheduler()
         self.server_settings = server_settings
         self.counts: list[str] = []
-        self.standing = ServerStatus()
+        self.server_status = ServerStatus()
         self.idempotency_keys = IdempotencyTable(4.0, server_settings.answer_slack_s, 1 << 16)
         places = (0, 3, 1)  # cpu_busy, sockets, runnable
-        self.dispatch = Dispatcher(
-            self.scheduler, server_settings, 7, places, self.standing, self.idempotency_keys, lambda: None
+        self.dispatcher = Dispatcher(
+            self.scheduler,
+            server_settings,
+            7,
+            places,
+            self.server_status,
+            self.idempotency_keys,
+            lambda: None,
         )
         names = (b"lookup", b"record")
-        self.server = RequestListener(
+        self.listener = RequestListener(
             self.scheduler,
             dict(zip(names, server_settings.request_classes, strict=True)),
             {b"acme": server_settings.tenants[0]},
-            self.standing,
-            self.dispatch,
+            self.server_status,
+            self.dispatcher,
             self.counts.append,
             max_connections=40,
         )
         self.linked = True
-        self.links: list[MadeStream] = []
-        self.link: MadeStream | None = None  # the one the interpreter goes by
-        self.interpreter = Interpreter()
-        self.client = InterpreterClient(self.scheduler, self._connect, self.dispatch, self.counts.append)
-        self.dispatch.attach(self.server, self.client)
-        self.router, self.answers = MadeStream(self.scheduler), Parser()
-        self.server.accepted(self.router)
-        self.router.feed(frame(b"RPC.HEALTH", b"%d" % 10**9, b""))
-        self.tries: list[Try] = []
+        self.links: list[FakeStream] = []
+        self.link: FakeStream | None = None  # the one the interpreter goes by
+        self.interpreter = SimulatedInterpreter()
+        self.interpreter_client = InterpreterClient(
+            self.scheduler, self._connect, self.dispatcher, self.counts.append
+        )
+        self.dispatcher.attach(self.listener, self.interpreter_client)
+        self.client, self.answers = FakeStream(self.scheduler), Parser()
+        self.listener.accepted(self.client)
+        self.client.feed(frame(b"RPC.HEALTH", b"%d" % 10**9, b""))
+        self.attempts: list[Attempt] = []
         self.notice = self.stop = float("inf")
         self.settle()
 
     def _connect(self) -> Stream | None:
         if not self.linked:
             return None
-        self.links = [one for one in self.links if one.open] + [MadeStream(self.scheduler)]
+        self.links = [link for link in self.links if link.open] + [FakeStream(self.scheduler)]
         if self.link is None or not self.link.open:
             self.link = self.links[-1]
         return self.links[-1]
@@ -496,24 +508,24 @@
     def now(self) -> float:
         return self.scheduler.clock.now
 
-    def call(self, request_class: bytes, idempotency_key: bytes = b"", ago: float = 0.0) -> Try:
-        tag = len(self.tries) + 1
-        one = Try(tag, b"%016x" % tag, request_class, idempotency_key, self.now - ago)
-        self.tries.append(one)
-        self.router.feed(call(tag, one.name, request_class, one.since, one.body, idempotency_key))
-        return one
+    def call(self, request_class: bytes, idempotency_key: bytes = b"", ago: float = 0.0) -> Attempt:
+        tag = len(self.attempts) + 1
+        attempt = Attempt(tag, b"%016x" % tag, request_class, idempotency_key, self.now - ago)
+        self.attempts.append(attempt)
+        self.client.feed(call(tag, attempt.name, request_class, attempt.since, attempt.body, idempotency_key))
+        return attempt
 
     def ask(self, data: bytes) -> list[list[bytes]]:
-        """One round with these bytes from the router; what it was answered in it."""
-        self.router.feed(data)
+        """Run one round with these bytes from the client; returns its answers."""
+        self.client.feed(data)
         self.scheduler.run_ready()
-        self.dispatch.end_round()
-        return self.answers.feed(self.router.taken())
+        self.dispatcher.end_round()
+        return self.answers.feed(self.client.taken())
 
-    def cancel(self, one: Try) -> None:
-        one.cancelled = one.cancelled or not one.answers
-        self.interpreter.answered.add(one.name)
-        self.router.feed(frame(b"RPC.CANCEL", b"%d" % one.tag))
+    def cancel(self, attempt: Attempt) -> None:
+        attempt.cancelled = attempt.cancelled or not attempt.answers
+        self.interpreter.answered.add(attempt.name)
+        self.client.feed(frame(b"RPC.CANCEL", b"%d" % attempt.tag))
 
     def end(self, name: bytes, how: bytes = b"success") -> None:
         notice = self.interpreter.end(name, how)
@@ -531,24 +543,24 @@
     def drain(self, left: float) -> None:
         if self.notice > self.now:
             self.notice, self.stop = self.now, self.now + left
-            self.dispatch.shutdown_notice(left)
+            self.dispatcher.shutdown_notice(left)
 
     def settle(self, deliver: bool = True) -> None:
         """Rounds until nothing moves; without `deliver` what goes to the interpreter is still under way."""
         for _ in range(50):
             moved = self.scheduler.run_ready()
-            self.dispatch.end_round()
-            for link in [one for one in self.links if deliver and one.open and one.written]:
+            self.dispatcher.end_round()
+            for link in [link for link in self.links if deliver and link.open and link.written]:
                 moved, data = True, link.taken()
                 if data.startswith(b"CONNECT"):  # replaces the one before it
                     self.link = link
-                if link is self.link and (said := self.interpreter.feed(data)):
-                    link.feed(said)
-            for words in self.answers.feed(self.router.taken()):
-                if 0 < int(words[0]) <= len(self.tries):
-                    one = self.tries[int(words[0]) - 1]
-                    one.answers.append(words)
-                    self.interpreter.answered.add(one.name)
+                if link is self.link and (answer := self.interpreter.feed(data)):
+                    link.feed(answer)
+            for words in self.answers.feed(self.client.taken()):
+                if 0 < int(words[0]) <= len(self.attempts):
+                    attempt = self.attempts[int(words[0]) - 1]
+                    attempt.answers.append(words)
+                    self.interpreter.answered.add(attempt.name)
             if not moved:
                 break
         self.check()
@@ -571,26 +583,31 @@
         )
         applied = {name: (request_class, body) for name, request_class, body in self.interpreter.applied}
         keyed = [name for name, request_class, _ in self.interpreter.applied if request_class == b"record"]
-        assert len(set(keyed)) == len(keyed), "one try was run twice"
+        assert len(set(keyed)) == len(keyed), "one attempt was run twice"
         repeated = len(self.interpreter.applied) - len(applied)
-        assert repeated <= self.counts.count("runs_sent_again"), "one was run twice and not sent again"
+        assert repeated <= self.counts.count("runs_sent_again"), "one was run twice and not resent"
         made = {b"made of " + body for _, body in applied.values()}
         ran: dict[bytes, float] = {}
-        for one in self.tries:
-            due = one.since + self.server_settings.request_classes[one.request_class == b"record"].timeout_s
-            assert one.cancelled or one.answers or self.now <= min(due + slack, self.stop), "lost"
-            assert len(one.answers) <= 1, "answered twice"
-            word = one.answers[0][1] if one.answers else b""
+        for attempt in self.attempts:
+            due = (
+                attempt.since
+                + self.server_settings.request_classes[attempt.request_class == b"record"].timeout_s
+            )
+            assert attempt.cancelled or attempt.answers or self.now <= min(due + slack, self.stop), "lost"
+            assert len(attempt.answers) <= 1, "answered twice"
+            word = attempt.answers[0][1] if attempt.answers else b""
             if word == b"OK":
-                assert one.answers[0][3] == b"made of " + one.body and one.answers[0][3] in made, (
-                    "result changed"
-                )
-            if one.name not in applied:
+                assert (
+                    attempt.answers[0][3] == b"made of " + attempt.body and attempt.answers[0][3] in made
+                ), "result changed"
+            if attempt.name not in applied:
                 continue
-            assert applied[one.name] == (one.request_class, one.body), "changed on the way"
-            assert one.since <= self.notice + grace, "run after the drain's grace"
-            if one.idempotency_key:
-                assert word != b"BUSY", "denied what has run"
+            assert applied[attempt.name] == (attempt.request_class, attempt.body), "changed on the way"
+            assert attempt.since <= self.notice + grace, "run after the drain's grace"
+            if attempt.idempotency_key:
+                assert word != b"BUSY", "rejected what has run"
                 window = self.server_settings.request_classes[1].idempotency_window_s
-                assert one.since - ran.get(one.idempotency_key, -window) >= window, "one label ran twice"
-                ran[one.idempotency_key] = one.since
+                assert attempt.since - ran.get(attempt.idempotency_key, -window) >= window, (
+                    "one idempotency key ran twice"
+                )
+                ran[attempt.idempotency_key] = attempt.since
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -169,7 +169,7 @@
                 self.crowd.append(socket.create_connection(("127.0.0.1", self.installation.port), 0.2))
 
     def _ask(self, number: int) -> None:
-        usable = [one for one in self.clients if not one.told_to_go and one.ended_at is None]
+        usable = [one for one in self.clients if not one.close_announced and one.ended_at is None]
         if len(usable) < 5 and self.told_at == float("inf"):
             with contextlib.suppress(OSError):
                 self.clients.append(Client(self.installation.port))
--- a/tests/stories/test_server_stories.py
+++ b/tests/stories/test_server_stories.py
@@ -21,7 +21,7 @@
 import pytest
 from pytest_bdd import given, parsers, scenarios, then, when
 from simulated_server import frame
-from test_program import PATIENCE, SETTINGS, Engine, Peer, Place, wait_until
+from test_program import PATIENCE, SETTINGS, ClientConnection, Deployment, FakeInterpreter, wait_until
 
 scenarios("servers.feature")
 
@@ -32,7 +32,7 @@
 HEALTH = 1_000_000  # the tag of a health check
 
 
-class Names:
+class NameServices:
     """Two name services: what servers report to either, in order."""
 
     def __init__(self) -> None:
@@ -41,7 +41,7 @@
             sock.bind(("127.0.0.1", 0))
         self.addresses = [f"127.0.0.1:{sock.getsockname()[1]}" for sock in self.socks]
 
-    def told(self, within: float = PATIENCE) -> tuple[int, str, bytes] | None:
+    def next_report(self, within: float = PATIENCE) -> tuple[int, str, bytes] | None:
         """To which, from whom and the word; None if nothing comes in that time."""
         ready = select.select(self.socks, [], [], within)[0]
         if not ready:
@@ -49,91 +49,99 @@
         _, name, word = ready[0].recv(64).split()
         return self.socks.index(ready[0]), name.decode(), word
 
-    def waiting(self) -> list[tuple[int, str, bytes]]:
-        return list(iter(lambda: self.told(0.0), None))
+    def pending_reports(self) -> list[tuple[int, str, bytes]]:
+        return list(iter(lambda: self.next_report(0.0), None))
 
 
-class Caller(Peer):
+class RecordingClient(ClientConnection):
     """A router's connection: knows what it asked, and stamps whatever comes."""
 
-    def __init__(self, place: Place) -> None:
-        super().__init__(place.router().sock)
-        self.place = place
-        self.owed: dict[int, float] = {}
-        self.came: list[tuple[float, int, bytes]] = []
-        self.over = False
+    def __init__(self, deployment: Deployment) -> None:
+        super().__init__(deployment.client().sock)
+        self.deployment = deployment
+        self.sent_at: dict[int, float] = {}
+        self.received: list[tuple[float, int, bytes]] = []
+        self.connection_ended = False
         threading.Thread(target=self._stamp, daemon=True).start()
 
     def _stamp(self) -> None:
         with contextlib.suppress(OSError):
             while data := self.sock.recv(65536):
                 now = time.time()
-                self.came += [(now, int(words[0]), words[1]) for words in self.parser.feed(data)]
-        self.over = True
+                self.received += [(now, int(words[0]), words[1]) for words in self.parser.feed(data)]
+        self.connection_ended = True
 
-    def owe(self, idempotency_key: bytes = b"") -> bytes:
+    def new_request(self, idempotency_key: bytes = b"") -> bytes:
         """The bytes of a request that counts from now on."""
-        tag = len(self.owed) + 1
-        self.owed[tag] = time.time()
+        tag = len(self.sent_at) + 1
+        self.sent_at[tag] = time.time()
         return self.call(tag, b"record" if idempotency_key else b"lookup", idempotency_key)
 
     def words(self, tag: int) -> list[bytes]:
-        return [word for _, number, word in self.came if number == tag]
+        return [word for _, number, word in self.received if number == tag]
 
     @property
     def done(self) -> bool:
-        return self.over or all(self.words(tag) for tag in self.owed)
+        return self.connection_ended or all(self.words(tag) for tag in self.sent_at)
 
     @property
-    def leaving(self) -> bool:
+    def close_announced(self) -> bool:
         return bool(self.words(0))
 
 
 @dataclass
 class Story:
     folder: Path
-    names: Names = field(default_factory=Names)
-    places: list[Place] = field(default_factory=list)
+    name_services: NameServices = field(default_factory=NameServices)
+    deployments: list[Deployment] = field(default_factory=list)
     running: list[subprocess.Popen[str]] = field(default_factory=list)
-    callers: list[Caller] = field(default_factory=list)  # kept: a request's name is made of its caller
-    engines: list[Engine] = field(default_factory=list)
-    told: dict[int, float] = field(default_factory=dict)  # by place, when it was told to leave
-    took: dict[int, float] = field(default_factory=dict)  # and how long it took to leave
+    clients: list[RecordingClient] = field(
+        default_factory=list
+    )  # kept: a request's name is made of its caller
+    interpreters: list[FakeInterpreter] = field(default_factory=list)
+    shutdown_asked_at: dict[int, float] = field(
+        default_factory=dict
+    )  # by place, when it was asked to shut down
+    shutdown_time_s: dict[int, float] = field(default_factory=dict)  # and how long it took to leave
     quiet: threading.Event = field(default_factory=threading.Event)
     threads: list[threading.Thread] = field(default_factory=list)
-    ready: dict[int, float] = field(default_factory=dict)  # by place, how long its restart took
+    restart_time_s: dict[int, float] = field(default_factory=dict)  # by place, how long its restart took
 
     def fleet(self, size: int, up: bool = True, **changes: Any) -> None:
         settings = json.loads(json.dumps(SETTINGS))
         for request_class in settings["classes"]:
             request_class["deadline-s"] = DEADLINE
         settings["safety"]["answer-slack-s"] = SLACK
-        told = {"naming": self.names.addresses[0], "stop_ms": round(1000 * STOP), "settings": settings}
+        told = {
+            "naming": self.name_services.addresses[0],
+            "stop_ms": round(1000 * STOP),
+            "settings": settings,
+        }
         made = []
         for _ in range(size):
-            name = f"n{len(self.places)}"
+            name = f"n{len(self.deployments)}"
             (folder := self.folder / name).mkdir()
-            made.append(Place(folder, name=name, **told, **changes))
-            made[-1].engine.core.up = up
-            self.places.append(made[-1])
-        self.running += [place.start() for place in made]
-        for place in made if up else []:
-            place.ready().sock.close()
-
-    def ask(self, place: Place, *idempotency_keys: bytes) -> Caller:
+            made.append(Deployment(folder, name=name, **told, **changes))
+            made[-1].interpreter.core.up = up
+            self.deployments.append(made[-1])
+        self.running += [deployment.start() for deployment in made]
+        for deployment in made if up else []:
+            deployment.ready().sock.close()
+
+    def ask(self, deployment: Deployment, *idempotency_keys: bytes) -> RecordingClient:
         """Requests on a connection of their own, an empty idempotency key for a lookup."""
-        caller = Caller(place)
-        self.callers.append(caller)
+        client = RecordingClient(deployment)
+        self.clients.append(client)
         with contextlib.suppress(OSError):  # it may be closed at once where there is no room
-            caller.send(b"".join(caller.owe(idempotency_key) for idempotency_key in idempotency_keys))
-        return caller
+            client.send(b"".join(client.new_request(idempotency_key) for idempotency_key in idempotency_keys))
+        return client
 
-    def open_runs(self, place: Place) -> None:
+    def open_runs(self, deployment: Deployment) -> None:
         """A lookup, a record and its repeat, all under way."""
-        place.engine.at_once = False
-        self.ask(place, b"", b"ab")
-        wait_until(lambda: len(place.engine.core.running) == 2)
-        self.ask(place, b"ab")
+        deployment.interpreter.at_once = False
+        self.ask(deployment, b"", b"ab")
+        wait_until(lambda: len(deployment.interpreter.core.running) == 2)
+        self.ask(deployment, b"ab")
 
     def signal(self, number: int, which: int) -> None:
         process, since = self.running[number], time.monotonic()
@@ -141,58 +149,58 @@
 
         def time_its_end() -> None:
             process.wait()
-            self.took[number] = time.monotonic() - since
+            self.shutdown_time_s[number] = time.monotonic() - since
 
         if which == signal.SIGTERM:
-            self.told[number] = since
+            self.shutdown_asked_at[number] = since
             threading.Thread(target=time_its_end, daemon=True).start()
 
     def leave(self, *numbers: int) -> None:
         """Told to leave, and have all said so; what was said up to then is forgotten."""
-        self.names.waiting()
+        self.name_services.pending_reports()
         for number in numbers:
             self.signal(number, signal.SIGTERM)
         left, until = {f"n{number}" for number in numbers}, time.monotonic() + PATIENCE
         while left:
-            told = self.names.told()
+            told = self.name_services.next_report()
             assert told is not None and time.monotonic() < until, f"never said that they leave: {left}"
             left -= {told[1]} if told[2] == LEAVES else set()
 
     def reload(self, number: int, move: bool = True) -> None:
         """Another name service, and, if the interpreter moves, the same one behind another address."""
-        place = self.places[number]
-        place.told["naming"] = self.names.addresses[1]
+        deployment = self.deployments[number]
+        deployment.config["naming"] = self.name_services.addresses[1]
         if move:
-            old, place.engine = place.engine, Engine(place.engine.core)
-            place.engine.at_once = old.at_once
-            self.engines.append(old)
-            place.told["vm"] = f"127.0.0.1:{place.engine.door.getsockname()[1]}"
-        place.file.write_text(json.dumps(place.told))
+            old, deployment.interpreter = deployment.interpreter, FakeInterpreter(deployment.interpreter.core)
+            deployment.interpreter.at_once = old.at_once
+            self.interpreters.append(old)
+            deployment.config["vm"] = f"127.0.0.1:{deployment.interpreter.listening_socket.getsockname()[1]}"
+        deployment.file.write_text(json.dumps(deployment.config))
         self.signal(number, signal.SIGHUP)
         if move:
-            wait_until(lambda: place.engine.link is not None)
+            wait_until(lambda: deployment.interpreter.link is not None)
 
-    def serves(self, place: Place) -> bool:
+    def serves(self, deployment: Deployment) -> bool:
         """Whether a request on a connection of its own is completed."""
-        place.engine.at_once = True
-        caller = self.ask(place, b"")
-        wait_until(lambda: caller.done)
-        return caller.words(1) == [b"OK"]
+        deployment.interpreter.at_once = True
+        client = self.ask(deployment, b"")
+        wait_until(lambda: client.done)
+        return client.words(1) == [b"OK"]
 
     def end(self) -> None:
         self.quiet.set()
         for thread in self.threads:
             thread.join(PATIENCE)
-        for place in self.places:
-            place.end()
-        for engine in self.engines:
-            engine.door.close()
-            engine.cut()
-        for caller in self.callers:
+        for deployment in self.deployments:
+            deployment.end()
+        for interpreter in self.interpreters:
+            interpreter.listening_socket.close()
+            interpreter.cut()
+        for client in self.clients:
             with contextlib.suppress(OSError):
-                caller.sock.shutdown(socket.SHUT_RDWR)  # its thread is waiting there
-            caller.sock.close()
-        for sock in self.names.socks:
+                client.sock.shutdown(socket.SHUT_RDWR)  # its thread is waiting there
+            client.sock.close()
+        for sock in self.name_services.socks:
             sock.close()
 
 
@@ -203,58 +211,58 @@
     story.end()
 
 
-def greet(engine: Engine) -> None:
+def greet(interpreter: FakeInterpreter) -> None:
     """The interpreter is up now, for the link that waits for it."""
-    wait_until(lambda: engine.link is not None)
-    engine.core.up = True
-    assert engine.link is not None
-    engine.link.sendall(engine.core.feed(b"CONNECT 0\r\n"))
+    wait_until(lambda: interpreter.link is not None)
+    interpreter.core.up = True
+    assert interpreter.link is not None
+    interpreter.link.sendall(interpreter.core.feed(b"CONNECT 0\r\n"))
 
 
 @given(parsers.re(r"a fleet of (?P<size>\d+) servers(?P<kind>.*)"))
 def fleet(story: Story, size: str, kind: str) -> None:
     if kind == ", the first never greeted":
         story.fleet(1, up=False)
-    story.fleet(int(size) - len(story.places), up=kind != " whose interpreters are not up")
-    for place in story.places:
+    story.fleet(int(size) - len(story.deployments), up=kind != " whose interpreters are not up")
+    for deployment in story.deployments:
         if kind == " with runs under way":
-            story.open_runs(place)
-        if kind == " with routers that go on asking":
+            story.open_runs(deployment)
+        if kind == " with clients that go on sending":
             # From its restart on each reports to a name service of its own.
-            place.told["naming"] = f"127.0.0.1:{place.names.getsockname()[1]}"
-            story.threads.append(threading.Thread(target=go_on_asking, args=(story, place)))
+            deployment.config["naming"] = f"127.0.0.1:{deployment.name_service.getsockname()[1]}"
+            story.threads.append(threading.Thread(target=go_on_asking, args=(story, deployment)))
             story.threads[-1].start()
 
 
 @then("every request has just one answer, by its deadline")
 def one_answer(story: Story) -> None:
-    wait_until(lambda: all(caller.done for caller in story.callers))
-    for caller in story.callers:
+    wait_until(lambda: all(client.done for client in story.clients))
+    for client in story.clients:
         with contextlib.suppress(OSError):  # it may be closed already
-            caller.sock.shutdown(socket.SHUT_WR)
-    wait_until(lambda: all(caller.over for caller in story.callers))
-    for caller in story.callers:
-        for tag, since in caller.owed.items():
-            came = [(at - since, word) for at, number, word in caller.came if number == tag]
-            told = caller.place.told["name"], tag, came
+            client.sock.shutdown(socket.SHUT_WR)
+    wait_until(lambda: all(client.connection_ended for client in story.clients))
+    for client in story.clients:
+        for tag, since in client.sent_at.items():
+            came = [(at - since, word) for at, number, word in client.received if number == tag]
+            told = client.deployment.config["name"], tag, came
             assert len(came) == 1 and came[0][1] in (b"OK", b"BUSY", b"FAILED"), told
             assert came[0][0] <= DEADLINE + LAG, told
 
 
-@then("all that were told to leave did so with code 0 before their stop")
+@then("all that were asked to shut down did so with code 0 before their stop")
 def left_in_order(story: Story, within: float = STOP) -> None:
-    assert story.told
-    for number in story.told:
+    assert story.shutdown_asked_at
+    for number in story.shutdown_asked_at:
         _, text = story.running[number].communicate(timeout=PATIENCE)
         assert story.running[number].returncode == 0 and "Traceback" not in text and "by a fault" not in text
-        wait_until(lambda number=number: number in story.took)  # type: ignore[misc]
-        assert story.took[number] <= within, story.took
+        wait_until(lambda number=number: number in story.shutdown_time_s)  # type: ignore[misc]
+        assert story.shutdown_time_s[number] <= within, story.shutdown_time_s
 
 
-@then("all leave with code 0 when told to")
+@then("all leave with code 0 when asked to")
 def all_leave(story: Story) -> None:
     """Keyed runs without an end are waited for up to 30 ms before the stop: too near it to time here."""
-    for number in range(len(story.places)):
+    for number in range(len(story.deployments)):
         story.signal(number, signal.SIGTERM)
     left_in_order(story, STOP + LAG)
 
@@ -267,97 +275,104 @@
     if crossing == "a reload":
         story.leave(0, 1, 2)
     if when == " past the grace of a drain":
-        wait_until(lambda: all(caller.leaving for caller in story.callers))
-    for number, place in enumerate(story.places):
-        place.engine.core.up = crossing == "a reload"  # else it greets nobody from here on
+        wait_until(lambda: all(client.close_announced for client in story.clients))
+    for number, deployment in enumerate(story.deployments):
+        deployment.interpreter.core.up = crossing == "a reload"  # else it greets nobody from here on
         story.reload(number)
-        first = story.callers[2 * number]
-        first.send(first.owe())
+        first = story.clients[2 * number]
+        first.send(first.new_request())
     if crossing == "a drain":
         story.leave(0, 1, 2)
-        for place in story.places:
-            greet(place.engine)
+        for deployment in story.deployments:
+            greet(deployment.interpreter)
 
 
 @when(parsers.parse("the {which} runs end"))
 def runs_end(story: Story, which: str = "open") -> None:
     """A lookup that never ends is stopped by the drain; a keyed run would be waited for up to the stop."""
-    for place in story.places:
-        assert place.engine.core.running
-        place.engine.at_once = which == "open"
-        for name, (request_class, _) in list(place.engine.core.running.items()):
+    for deployment in story.deployments:
+        assert deployment.interpreter.core.running
+        deployment.interpreter.at_once = which == "open"
+        for name, (request_class, _) in list(deployment.interpreter.core.running.items()):
             if which == "open" or request_class == b"record":
                 with contextlib.suppress(KeyError):  # it was ended behind what was just read
-                    place.engine.end(name)
+                    deployment.interpreter.end(name)
 
 
 @then(parsers.parse("the lookups that ran are {answered}, the records completed"))
 def ran(story: Story, answered: str) -> None:
-    firsts, repeats = story.callers[::2], story.callers[1::2]
+    firsts, repeats = story.clients[::2], story.clients[1::2]
     assert {one.words(1)[0] for one in firsts} == {{"completed": b"OK", "failed": b"FAILED"}[answered]}
     assert {one.words(2)[0] for one in firsts} == {one.words(1)[0] for one in repeats} == {b"OK"}
 
 
-@then("none of them said to any name service that it serves")
+@then("none of them reported to any name service that it serves")
 def none_serves(story: Story) -> None:
-    assert not [one for one in story.names.waiting() if one[2] == SERVES]  # after `leave` had its word
+    assert not [
+        one for one in story.name_services.pending_reports() if one[2] == SERVES
+    ]  # after `leave` had its word
 
 
 # -- restarts
 
 
-def go_on_asking(story: Story, place: Place) -> None:
+def go_on_asking(story: Story, deployment: Deployment) -> None:
     """A router: one request at a time, on a connection till it is told farewell or broken off."""
     while not story.quiet.is_set():
-        caller = story.ask(place)
+        client = story.ask(deployment)
         with contextlib.suppress(OSError):
-            while not (story.quiet.is_set() or caller.leaving or caller.over):
-                caller.send(caller.owe())
-                wait_until(lambda: caller.done)  # noqa: B023  called before the next
+            while not (story.quiet.is_set() or client.close_announced or client.connection_ended):
+                client.send(client.new_request())
+                wait_until(lambda: client.done)  # noqa: B023  called before the next
                 story.quiet.wait(0.03)
-            caller.sock.shutdown(socket.SHUT_WR)
+            client.sock.shutdown(socket.SHUT_WR)
 
 
-def kill_in_its_start(place: Place, moment: int) -> None:
-    link, place.engine.at_once = place.engine.link, moment != 4
-    starting = place.start()
+def kill_in_its_start(deployment: Deployment, moment: int) -> None:
+    link, deployment.interpreter.at_once = deployment.interpreter.link, moment != 4
+    starting = deployment.start()
     match moment:  # 0: not even the program is loaded
         case 1:
-            place.router().sock.close()
+            deployment.client().sock.close()
         case 2:
-            wait_until(lambda: place.engine.link is not link)
+            wait_until(lambda: deployment.interpreter.link is not link)
         case 3:
-            place.names.recv(64)
+            deployment.name_service.recv(64)
         case 4:
-            wait_until(lambda: place.engine.core.running)
+            wait_until(lambda: deployment.interpreter.core.running)
     starting.kill()
     starting.wait(PATIENCE)
-    place.engine.at_once = True
+    deployment.interpreter.at_once = True
 
 
 def restart(story: Story, number: int) -> None:
-    place, old, killed = story.places[number], story.running[number], number % 2 == 1
+    deployment, old, killed = story.deployments[number], story.running[number], number % 2 == 1
     old.send_signal(signal.SIGTERM)
     if killed:
         old.wait(PATIENCE)
     begun = time.time()
     if killed:
-        kill_in_its_start(place, number // 2 % 5)
-    story.running[number] = place.start()  # the other half finds its door still held by the one that leaves
+        kill_in_its_start(deployment, number // 2 % 5)
+    # the other half finds its door still held by the one that leaves
+    story.running[number] = deployment.start()
     assert old.wait(PATIENCE) == 0
     since = time.time()
 
     def served() -> list[float]:
-        mine = [one for one in story.callers if one.place is place]
-        return [at for one in mine for at, tag, word in one.came if word == b"OK" and one.owed[tag] > since]
+        mine = [one for one in story.clients if one.deployment is deployment]
+        return [
+            at for one in mine for at, tag, word in one.received if word == b"OK" and one.sent_at[tag] > since
+        ]
 
     wait_until(served)
-    story.ready[number] = min(served()) - begun
+    story.restart_time_s[number] = min(served()) - begun
 
 
-@when("all start anew, each second one killed as it starts and started once more")
+@when("all restart, each second one killed as it starts and started again")
 def restart_all(story: Story) -> None:
-    restarts = [threading.Thread(target=restart, args=(story, number)) for number in range(len(story.places))]
+    restarts = [
+        threading.Thread(target=restart, args=(story, number)) for number in range(len(story.deployments))
+    ]
     for thread in restarts:
         thread.start()
     for thread in restarts:
@@ -369,16 +384,18 @@
 
 @then(parsers.parse("{some:d} of {all_:d} serve within {span:d} seconds, and all in the end"))
 def most_serve(story: Story, some: int, all_: int, span: int) -> None:
-    assert len(story.ready) == len(story.places), f"only {sorted(story.ready)} ever served"
-    in_time = sum(took <= span for took in story.ready.values())
-    assert in_time * all_ >= some * len(story.places), story.ready
+    assert len(story.restart_time_s) == len(story.deployments), (
+        f"only {sorted(story.restart_time_s)} ever served"
+    )
+    in_time = sum(took <= span for took in story.restart_time_s.values())
+    assert in_time * all_ >= some * len(story.deployments), story.restart_time_s
 
 
 @then("every request to those that left in order has just one answer, none has two")
 def none_missed(story: Story) -> None:
-    killed = [one for one in story.callers if story.places.index(one.place) % 2 == 1]
-    assert all(len(one.words(tag)) <= 1 for one in killed for tag in one.owed)
-    story.callers = [one for one in story.callers if one not in killed]
+    killed = [one for one in story.clients if story.deployments.index(one.deployment) % 2 == 1]
+    assert all(len(one.words(tag)) <= 1 for one in killed for tag in one.sent_at)
+    story.clients = [one for one in story.clients if one not in killed]
     one_answer(story)
 
 
@@ -387,33 +404,33 @@
 
 @when("requests come and the interpreters greet later")
 def greet_late(story: Story) -> None:
-    for place in story.places:
-        story.ask(place, b"", b"ab")
-        assert place.router().ask(HEALTH, frame(b"RPC.HEALTH", b"%d" % HEALTH, b""))[1] == b"DOWN"
-    said = [story.names.told() for _ in range(9)] + story.names.waiting()
+    for deployment in story.deployments:
+        story.ask(deployment, b"", b"ab")
+        assert deployment.client().ask(HEALTH, frame(b"RPC.HEALTH", b"%d" % HEALTH, b""))[1] == b"DOWN"
+    said = [story.name_services.next_report() for _ in range(9)] + story.name_services.pending_reports()
     assert {one[1:] for one in said if one} == {(f"n{number}", LEAVES) for number in range(3)}
-    for place in story.places:
-        greet(place.engine)
+    for deployment in story.deployments:
+        greet(deployment.interpreter)
 
 
 @when("all links to the interpreters are lost, are not greeted for a while and come back")
 def links_lost(story: Story) -> None:
-    for number, place in enumerate(story.places):
-        core, old, first = place.engine.core, place.engine.link, story.callers[2 * number]
+    for number, deployment in enumerate(story.deployments):
+        core, old, first = deployment.interpreter.core, deployment.interpreter.link, story.clients[2 * number]
         core.up = False
-        place.engine.cut()
-        wait_until(lambda place=place, old=old: place.engine.link is not old)  # type: ignore[misc]
-        first.send(first.owe())
+        deployment.interpreter.cut()
+        wait_until(lambda deployment=deployment, old=old: deployment.interpreter.link is not old)  # type: ignore[misc]
+        first.send(first.new_request())
         core.end(next(iter(core.running)))  # nobody is told yet
     time.sleep(0.6)  # some reports and questions for gauges long
-    for place in story.places:
-        greet(place.engine)
+    for deployment in story.deployments:
+        greet(deployment.interpreter)
     runs_end(story)
 
 
-@when("one is told of another name service as a second begins to leave and a third is told of it and leaves")
+@when("one is given another name service as a second begins to leave and a third is given it and leaves")
 def names_move(story: Story) -> None:
-    story.names.waiting()
+    story.name_services.pending_reports()
     story.signal(1, signal.SIGTERM)
     story.reload(0, move=False)
     story.reload(2, move=False)
@@ -421,104 +438,106 @@
     runs_end(story)
 
 
-@then("the first says there within 3 seconds that it serves, and the others nowhere once they left")
+@then("the first reports there within 3 seconds that it serves, and the others nowhere once they left")
 def first_says(story: Story) -> None:
     said: list[tuple[int, str, bytes]] = []
     while (1, "n0", SERVES) not in said:
-        told = story.names.told()
-        assert told is not None and time.monotonic() - story.told[1] <= 3.0, said
+        told = story.name_services.next_report()
+        assert told is not None and time.monotonic() - story.shutdown_asked_at[1] <= 3.0, said
         said.append(told)
     for number in (1, 2):
-        wait_until(lambda number=number: number in story.took)  # type: ignore[misc]
-    said += story.names.waiting()
+        wait_until(lambda number=number: number in story.shutdown_time_s)  # type: ignore[misc]
+    said += story.name_services.pending_reports()
     for there, name in ((0, "n1"), (1, "n2")):
         words = [word for where, who, word in said if (where, who) == (there, name)]
         assert LEAVES in words and SERVES not in words[words.index(LEAVES) :]
     assert not [one for one in said if one[1:] == ("n0", LEAVES) or one[:2] == (1, "n1")]
 
 
-@then("each that says that it serves does")
+@then("each that reports that it serves does")
 def each_serves(story: Story) -> None:
     """Three times, from reports that come after what happened."""
-    story.names.waiting()
-    left = {f"n{number}": 3 for number in range(len(story.places)) if number not in story.told}
+    story.name_services.pending_reports()
+    left = {
+        f"n{number}": 3 for number in range(len(story.deployments)) if number not in story.shutdown_asked_at
+    }
     until = time.monotonic() + PATIENCE
     while any(left.values()):
-        told = story.names.told()
+        told = story.name_services.next_report()
         assert told is not None and time.monotonic() < until, left
         if told[2] == SERVES:
-            assert story.serves(story.places[int(told[1][1:])]), told
+            assert story.serves(story.deployments[int(told[1][1:])]), told
             left[told[1]] = max(left[told[1]] - 1, 0)
 
 
 @when("the interpreter of the first is gone and a request was there for its whole deadline")
 def interpreter_gone(story: Story) -> None:
-    gone = story.places[0]
-    gone.engine.door.close()
-    gone.engine.cut()
-    caller = story.ask(gone, b"")
-    wait_until(lambda: caller.done)
+    gone = story.deployments[0]
+    gone.interpreter.listening_socket.close()
+    gone.interpreter.cut()
+    client = story.ask(gone, b"")
+    wait_until(lambda: client.done)
 
 
-@then("who says from then on that it serves does")
+@then("each that reports from then on that it serves does")
 def who_says_serves(story: Story) -> None:
     """Whoever says no, or nothing, is off the list and asked by nobody."""
-    story.names.waiting()
+    story.name_services.pending_reports()
     said: list[tuple[int, str, bytes]] = []
     while said.count((0, "n1", SERVES)) < 4:
-        told = story.names.told()
+        told = story.name_services.next_report()
         assert told is not None and len(said) < 100, said
         said.append(told)
-    for place in story.places:
-        if (0, place.told["name"], SERVES) in said:
-            assert story.serves(place), (place.told["name"], story.callers[-1].came)
+    for deployment in story.deployments:
+        if (0, deployment.config["name"], SERVES) in said:
+            assert story.serves(deployment), (deployment.config["name"], story.clients[-1].received)
 
 
 # -- requests in parts
 
 
-def begun(story: Story, place: Place, sizes: range) -> list[tuple[Caller, bytes]]:
+def begun(story: Story, deployment: Deployment, sizes: range) -> list[tuple[RecordingClient, bytes]]:
     """Connections that were taken, so many bytes of a request written on each, and what is to follow."""
-    callers = [story.ask(place) for _ in sizes]
-    for caller in callers:
-        caller.send(frame(b"RPC.HEALTH", b"%d" % HEALTH, b""))
-    wait_until(lambda: all(caller.words(HEALTH) for caller in callers))
+    callers = [story.ask(deployment) for _ in sizes]
+    for client in callers:
+        client.send(frame(b"RPC.HEALTH", b"%d" % HEALTH, b""))
+    wait_until(lambda: all(client.words(HEALTH) for client in callers))
     parts = []
-    for caller, size in zip(callers, sizes, strict=True):
-        whole = caller.owe(b"%d" % size if size % 2 else b"")
-        caller.send(whole[:size])
-        parts.append((caller, whole[size:]))
+    for client, size in zip(callers, sizes, strict=True):
+        whole = client.new_request(b"%d" % size if size % 2 else b"")
+        client.send(whole[:size])
+        parts.append((client, whole[size:]))
     return parts
 
 
 @when("requests come cut at each byte on both, the one leaving and the other reloading between the parts")
 def cut_at_each_byte(story: Story) -> None:
-    size = len(Peer(socket.socket()).call(1))
-    leaving, staying = (begun(story, place, range(1, size)) for place in story.places)
+    size = len(ClientConnection(socket.socket()).call(1))
+    leaving, staying = (begun(story, deployment, range(1, size)) for deployment in story.deployments)
     story.reload(1)
-    for caller, rest in staying:
-        caller.send(rest)
+    for client, rest in staying:
+        client.send(rest)
     story.leave(0)
-    for caller, rest in leaving[::2]:
-        caller.send(rest)
-    wait_until(lambda: all(caller.leaving for caller, _ in leaving))
-    for caller, rest in leaving[1::2]:  # past the grace, after the farewell
-        caller.send(rest)
+    for client, rest in leaving[::2]:
+        client.send(rest)
+    wait_until(lambda: all(client.close_announced for client, _ in leaving))
+    for client, rest in leaving[1::2]:  # past the grace, after the farewell
+        client.send(rest)
 
 
 @when("requests come byte by byte on both, the one leaving and the other reloading between the parts")
 def byte_by_byte(story: Story) -> None:
-    parts = [part for place in story.places for part in begun(story, place, range(1, 181, 9))]
+    parts = [part for deployment in story.deployments for part in begun(story, deployment, range(1, 181, 9))]
     pace = time.monotonic() + 1.2  # a frame that takes 2 s is ended: on a slow machine the rest goes quicker
     for at in range(max(len(rest) for _, rest in parts)):
         if at == 20:
             story.signal(0, signal.SIGTERM)
             story.reload(1)
-        for caller, rest in parts:
-            caller.send(rest[at : at + 1])
+        for client, rest in parts:
+            client.send(rest[at : at + 1])
         time.sleep(0.004 if time.monotonic() < pace else 0.0)
-    wait_until(lambda: all(caller.done for caller in story.callers))
-    assert {one.words(1)[0] for one in story.callers if one.place is story.places[1]} == {b"OK"}
+    wait_until(lambda: all(client.done for client in story.clients))
+    assert {one.words(1)[0] for one in story.clients if one.deployment is story.deployments[1]} == {b"OK"}
 
 
 # -- idle clients
@@ -530,12 +549,12 @@
         story.fleet(1, limits={"sockets": sockets, "memory_mb": 32})
 
 
-@when("the name service is down and more idle clients than there is room for come back whenever closed")
+@when("the name service is down and more idle clients than there is capacity for reconnect whenever closed")
 def idle_clients(story: Story) -> None:
-    story.names.socks.pop(0).close()
+    story.name_services.socks.pop(0).close()
     # Newcomers stand in line behind them: at 28 descriptors two places are made free each 0.1 s.
-    places = [story.places[0]] * 40 + [story.places[1]] * 80
-    idle = [place.router().sock for place in places]
+    places = [story.deployments[0]] * 40 + [story.deployments[1]] * 80
+    idle = [deployment.client().sock for deployment in places]
 
     def crowd() -> None:
         while not story.quiet.wait(0.01):
@@ -547,7 +566,7 @@
                     except BlockingIOError:
                         continue
                 sock.close()
-                idle[number] = places[number].router().sock
+                idle[number] = places[number].client().sock
                 if number % 2:
                     with contextlib.suppress(OSError):
                         idle[number].sendall(frame(b"RPC.HEALTH", b"1", b""))
@@ -560,35 +579,35 @@
 
 @then(parsers.parse("each of {many:d} requests on each server is completed by its deadline"))
 def each_completed(story: Story, many: int) -> None:
-    for place in story.places:
+    for deployment in story.deployments:
         for _ in range(many):
             since, completed = time.time(), False
             while not completed:  # a router asks again where its connection ends without an answer
-                caller = story.ask(place, b"")
-                wait_until(lambda: caller.done)  # noqa: B023  called before the next
-                completed = caller.words(1) == [b"OK"]
-                assert (completed or not caller.words(1)) and time.time() - since <= DEADLINE, caller.came
-            caller.sock.shutdown(socket.SHUT_WR)
+                client = story.ask(deployment, b"")
+                wait_until(lambda: client.done)  # noqa: B023  called before the next
+                completed = client.words(1) == [b"OK"]
+                assert (completed or not client.words(1)) and time.time() - since <= DEADLINE, client.received
+            client.sock.shutdown(socket.SHUT_WR)
 
 
-@then("once the name service is back, each that says that it serves does")
+@then("once the name service is back, each that reports that it serves does")
 def names_back(story: Story) -> None:
-    host, port = story.names.addresses[0].split(":")
-    story.names.socks.insert(0, socket.socket(socket.AF_INET, socket.SOCK_DGRAM))
-    story.names.socks[0].bind((host, int(port)))
+    host, port = story.name_services.addresses[0].split(":")
+    story.name_services.socks.insert(0, socket.socket(socket.AF_INET, socket.SOCK_DGRAM))
+    story.name_services.socks[0].bind((host, int(port)))
     each_serves(story)
 
 
 # -- deadlines
 
 
-@when("the runs of one never end, one loses its link for good and one moves to a mute address")
+@when("the runs of one never end, one loses its link for good and one moves to an address that never greets")
 def interpreters_fail(story: Story) -> None:
-    for place in story.places[1:]:
-        story.open_runs(place)
-    for place in story.places[2:]:
-        place.engine.core.up = False
-    story.places[2].engine.cut()
+    for deployment in story.deployments[1:]:
+        story.open_runs(deployment)
+    for deployment in story.deployments[2:]:
+        deployment.interpreter.core.up = False
+    story.deployments[2].interpreter.cut()
     story.reload(3)
-    for place in story.places:
-        story.ask(place, b"", b"cd")
+    for deployment in story.deployments:
+        story.ask(deployment, b"", b"cd")
--- a/tests/test_close_races.py
+++ b/tests/test_close_races.py
@@ -17,8 +17,8 @@
 from pathlib import Path
 
 import pytest
-from simulated_server import MadeStream, Town, call, frame
-from test_program import Engine, Place, leave, wait_until
+from simulated_server import FakeStream, SimulatedServer, call, frame
+from test_program import Deployment, FakeInterpreter, leave, wait_until
 from test_serving import SERVER_SETTINGS
 
 from sablewheel.program import configuration
@@ -60,8 +60,8 @@
         self.left.append(exchange)
 
 
-class Hall:
-    """The routers' side over real sockets; the test is every router and the handler."""
+class ListenerHarness:
+    """The listener over real sockets; the test is every client and the handler."""
 
     def __init__(self, connections_most: int) -> None:
         self.clock = Ahead()
@@ -69,7 +69,7 @@
         self.counts: list[str] = []
         self.handler = RequestHandler()
         names = (b"lookup", b"record")
-        self.server = RequestListener(
+        self.request_listener = RequestListener(
             self.scheduler,
             dict(zip(names, SERVER_SETTINGS.request_classes, strict=True)),
             {b"acme": SERVER_SETTINGS.tenants[0]},
@@ -81,12 +81,12 @@
         self.listener = Listener(
             self.scheduler,
             ("127.0.0.1", 0),
-            self.server.has_capacity,
-            self.server.accepted,
-            self.server.evict_unused,
+            self.request_listener.has_capacity,
+            self.request_listener.accepted,
+            self.request_listener.evict_unused,
         )
         self.address = self.listener._socket.getsockname()
-        self.scheduler.after_round.append(self.server.flush)
+        self.scheduler.after_round.append(self.request_listener.flush)
         self.peers: list[socket.socket] = []
 
     def peer(self) -> socket.socket:
@@ -128,21 +128,23 @@
     def connection(self, sock: socket.socket) -> Connection:
         """The server's end of it."""
         where = sock.getsockname()
-        return next(one for one in self.server.connections if one.stream._socket.getpeername() == where)
+        return next(
+            one for one in self.request_listener.connections if one.stream._socket.getpeername() == where
+        )
 
 
 @pytest.fixture
-def hall() -> Iterator[Hall]:
-    made = Hall(16)
+def harness() -> Iterator[ListenerHarness]:
+    made = ListenerHarness(16)
     yield made
     finish(made)
 
 
-def finish(made: Hall) -> None:
+def finish(made: ListenerHarness) -> None:
     for sock in made.peers:
         sock.close()
     made.listener.close()
-    for connection in list(made.server.connections):
+    for connection in list(made.request_listener.connections):
         connection.close(CloseReason.STOPPING)
 
 
@@ -194,205 +196,217 @@
 
 def test_a_run_that_ends_in_the_round_of_the_sweep_is_answered_before_the_close() -> None:
     """Brink, seed 4101, roll+term: the answer was queued, not yet written, and its connection seemed idle."""
-    town = Town(SERVER_SETTINGS)
-    one = town.call(b"lookup")
-    town.settle()
-    town.server.announce_close()
-    town.settle()
-    town.scheduler.clock.now += 2.0  # the router had its time to close after the farewell
-    town.end(one.name)
-    town.scheduler.run_ready()  # the answer is queued; the sweep's timer rings in this very round
-    town.server._sweep()
-    town.settle()
+    server = SimulatedServer(SERVER_SETTINGS)
+    one = server.call(b"lookup")
+    server.settle()
+    server.listener.announce_close()
+    server.settle()
+    server.scheduler.clock.now += 2.0  # the router had its time to close after the farewell
+    server.end(one.name)
+    server.scheduler.run_ready()  # the answer is queued; the sweep's timer rings in this very round
+    server.listener._sweep()
+    server.settle()
     assert [words[1] for words in one.answers] == [b"OK"]
 
 
-def test_a_last_word_that_comes_with_the_end_of_a_run_does_not_take_its_answer_away() -> None:
-    town = Town(SERVER_SETTINGS)
-    one = town.call(b"lookup")
-    town.settle()
-    town.end(one.name)
-    town.router.feed(b"")  # half a close, read in the round in which the answer is queued
-    town.scheduler.run_ready()
-    town.settle()
+def test_a_close_that_comes_with_the_end_of_a_run_does_not_take_its_answer_away() -> None:
+    server = SimulatedServer(SERVER_SETTINGS)
+    one = server.call(b"lookup")
+    server.settle()
+    server.end(one.name)
+    server.client.feed(b"")  # half a close, read in the round in which the answer is queued
+    server.scheduler.run_ready()
+    server.settle()
     assert [words[1] for words in one.answers] == [b"OK"]
-    town.wait(1.0)
-    assert not town.router.open
+    server.wait(1.0)
+    assert not server.client.open
 
 
 def test_a_fault_in_one_connection_s_answers_loses_no_other_s() -> None:
-    town = Town(SERVER_SETTINGS)
-    bad = MadeStream(town.scheduler)
-    town.server.accepted(bad)
+    server = SimulatedServer(SERVER_SETTINGS)
+    bad = FakeStream(server.scheduler)
+    server.listener.accepted(bad)
     bad.feed(frame(b"RPC.HEALTH", b"1", b""))
-    town.scheduler.run_ready()
-    faulty = next(reversed(town.server.connections))
+    server.scheduler.run_ready()
+    faulty = next(reversed(server.listener.connections))
 
     def fault(_: float | None) -> bytes:
         raise RuntimeError("a fault of ours")
 
     faulty._answers.insert(0, fault)
-    one = town.call(b"lookup")
-    town.scheduler.run_ready()
-    town.server.flush()
-    assert not bad.open and town.counts.count("faults") == 1 and town.router.open
-    town.settle()
-    town.end(one.name)
-    town.settle()
+    one = server.call(b"lookup")
+    server.scheduler.run_ready()
+    server.listener.flush()
+    assert not bad.open and server.counts.count("faults") == 1 and server.client.open
+    server.settle()
+    server.end(one.name)
+    server.settle()
     assert [words[1] for words in one.answers] == [b"OK"]
 
 
 # -- a request, or a part of one, on a connection that is about to go
 
 
-def test_a_request_that_crosses_the_shutdown_is_not_run_and_takes_no_answer_along(hall: Hall) -> None:
+def test_a_request_that_crosses_the_shutdown_is_not_run_and_takes_no_answer_along(
+    harness: ListenerHarness,
+) -> None:
     """A close over bytes that came after the last look at them reset the connection: the answer was lost."""
-    peer = hall.peer()
-    peer.send(hall.call(1))
-    hall.turn(lambda: hall.handler.held)
-    connection = hall.connection(peer)
-    crossing(connection.stream, lambda: peer.sendall(hall.call(2)))
-    hall.handler.held[0].complete(b"made" * 1000)
-    hall.server.announce_close()
-    hall.server.flush()  # the router has not read it by then
-    hall.ahead(2.0)
-    hall.turn(lambda: connection.shut_down_at is not None or not connection.stream.open)
-    hall.turn(lambda: "connections_crossed" in hall.counts)
+    peer = harness.peer()
+    peer.send(harness.call(1))
+    harness.turn(lambda: harness.handler.held)
+    connection = harness.connection(peer)
+    crossing(connection.stream, lambda: peer.sendall(harness.call(2)))
+    harness.handler.held[0].complete(b"made" * 1000)
+    harness.request_listener.announce_close()
+    harness.request_listener.flush()  # the router has not read it by then
+    harness.ahead(2.0)
+    harness.turn(lambda: connection.shut_down_at is not None or not connection.stream.open)
+    harness.turn(lambda: "connections_crossed" in harness.counts)
     said, over = words(peer)
     assert [one[:2] for one in said] == [[b"1", b"OK"], [b"0", b"BYE"]] and over
-    assert len(hall.handler.held) == 1, "what came after the shutdown was run"
+    assert len(harness.handler.held) == 1, "what came after the shutdown was run"
     peer.close()
-    hall.turn(lambda: not hall.server.connections)
+    harness.turn(lambda: not harness.request_listener.connections)
 
 
-def test_at_the_last_instant_no_answer_is_taken_along_and_what_has_come_is_answered(hall: Hall) -> None:
+def test_at_the_last_instant_no_answer_is_taken_along_and_what_has_come_is_answered(
+    harness: ListenerHarness,
+) -> None:
     """An end over unread bytes resets; and what lies unread by then is owed its answer all the same."""
-    one, two = hall.peer(), hall.peer()
-    one.send(hall.call(1))
-    two.send(hall.call(2))
-    hall.turn(lambda: len(hall.handler.held) == 2)
-    for exchange in hall.handler.held:
+    one, two = harness.peer(), harness.peer()
+    one.send(harness.call(1))
+    two.send(harness.call(2))
+    harness.turn(lambda: len(harness.handler.held) == 2)
+    for exchange in harness.handler.held:
         exchange.complete(b"made" * 1000)
-    hall.server.flush()
-    two.send(hall.call(3))  # has come, is not read yet
-    last = hall.connection(one)
-    wait_until(lambda: hall.connection(two).stream.unread)
-    crossing(last.stream, lambda: one.sendall(hall.call(4)))
-    hall.server.stop_reading()
-    hall.turn(lambda: len(hall.handler.held) == 3)
-    hall.handler.held[2].reject(0.0, False)
-    hall.server.flush()
-    hall.turn(lambda: "connections_crossed" in hall.counts)
+    harness.request_listener.flush()
+    two.send(harness.call(3))  # has come, is not read yet
+    last = harness.connection(one)
+    wait_until(lambda: harness.connection(two).stream.unread)
+    crossing(last.stream, lambda: one.sendall(harness.call(4)))
+    harness.request_listener.stop_reading()
+    harness.turn(lambda: len(harness.handler.held) == 3)
+    harness.handler.held[2].reject(0.0, False)
+    harness.request_listener.flush()
+    harness.turn(lambda: "connections_crossed" in harness.counts)
     said, over = words(one)
     assert [frame[1] for frame in said] == [b"OK"] and over
     assert [frame[1] for frame in words(two)[0]] == [b"OK", b"BUSY"]
-    assert len(hall.handler.held) == 3
+    assert len(harness.handler.held) == 3
 
 
-def test_a_router_that_stays_after_the_shutdown_is_closed_in_a_while(hall: Hall) -> None:
-    peer = hall.peer()
+def test_a_client_that_stays_after_the_shutdown_is_closed_in_a_while(harness: ListenerHarness) -> None:
+    peer = harness.peer()
     peer.send(frame(b"RPC.HEALTH", b"1", b""))
-    hall.turn(lambda: hall.connection(peer).has_received if hall.server.connections else False)
-    hall.server.announce_close()
-    hall.ahead(2.0)
-    hall.turn(lambda: ended(peer))
-    assert hall.server.connections
-    hall.ahead(1.0)
-    hall.turn(lambda: not hall.server.connections)
-
-
-def test_one_that_sends_on_without_end_is_read_for_a_bounded_while_only(hall: Hall) -> None:
-    peer = hall.peer()
+    harness.turn(
+        lambda: harness.connection(peer).has_received if harness.request_listener.connections else False
+    )
+    harness.request_listener.announce_close()
+    harness.ahead(2.0)
+    harness.turn(lambda: ended(peer))
+    assert harness.request_listener.connections
+    harness.ahead(1.0)
+    harness.turn(lambda: not harness.request_listener.connections)
+
+
+def test_one_that_sends_on_without_end_is_read_for_a_bounded_while_only(harness: ListenerHarness) -> None:
+    peer = harness.peer()
     sent = 0
     peer.send(b"no frame of this protocol")
-    hall.turn(lambda: hall.server.connections)
+    harness.turn(lambda: harness.request_listener.connections)
 
     def flooded() -> bool:
         nonlocal sent
         with contextlib.suppress(OSError):
             sent += peer.send(b"x" * 65536)
-        return not hall.server.connections
+        return not harness.request_listener.connections
 
-    hall.turn(flooded)
-    assert sent >= connections.MAX_DISCARDED_BYTES and hall.counts.count("frames_garbled") == 1
+    harness.turn(flooded)
+    assert sent >= connections.MAX_DISCARDED_BYTES and harness.counts.count("frames_garbled") == 1
 
 
 def test_whole_requests_before_bad_bytes_get_their_answers_and_then_the_end_comes() -> None:
-    town = Town(SERVER_SETTINGS)
-    one = town.call(b"lookup")
-    data = town.router.fed.pop()
-    two = town.call(b"record", b"label")
-    data += town.router.fed.pop()
-    town.router.fed.append(data + b"no frame of this protocol")
-    town.settle()
-    assert town.router.open and {one.name, two.name} == set(town.interpreter.running)
-    late = town.call(b"lookup")
+    server = SimulatedServer(SERVER_SETTINGS)
+    one = server.call(b"lookup")
+    data = server.client.fed.pop()
+    two = server.call(b"record", b"label")
+    data += server.client.fed.pop()
+    server.client.fed.append(data + b"no frame of this protocol")
+    server.settle()
+    assert server.client.open and {one.name, two.name} == set(server.interpreter.running)
+    late = server.call(b"lookup")
     late.cancelled = True  # behind what can't be read: never read, never run
-    town.settle()
-    for name in list(town.interpreter.running):
-        town.end(name)
-        town.settle()
+    server.settle()
+    for name in list(server.interpreter.running):
+        server.end(name)
+        server.settle()
     assert [one.answers[0][1], two.answers[0][1]] == [b"OK", b"OK"] and not late.answers
-    assert not town.router.open
+    assert not server.client.open
 
 
 def test_half_a_frame_that_is_overdue_does_not_take_an_open_request_along() -> None:
-    town = Town(SERVER_SETTINGS)
-    one = town.call(b"lookup")
-    town.settle()
-    town.router.feed(call(77, b"%016x" % 77, b"lookup", town.now, b"body")[:-9])
-    town.settle()
-    town.wait(3.0)
-    assert town.router.open and town.counts.count("connections_unfinished") == 1
-    town.end(one.name)
-    town.settle()
+    server = SimulatedServer(SERVER_SETTINGS)
+    one = server.call(b"lookup")
+    server.settle()
+    server.client.feed(call(77, b"%016x" % 77, b"lookup", server.now, b"body")[:-9])
+    server.settle()
+    server.wait(3.0)
+    assert server.client.open and server.counts.count("connections_unfinished") == 1
+    server.end(one.name)
+    server.settle()
     assert [words[1] for words in one.answers] == [b"OK"]
-    assert not town.router.open and town.counts.count("connections_unfinished") == 1
+    assert not server.client.open and server.counts.count("connections_unfinished") == 1
 
 
 def test_the_rest_of_a_frame_that_has_just_come_is_read_before_it_counts_as_overdue() -> None:
-    town = Town(SERVER_SETTINGS)
-    one = town.call(b"lookup")
-    data = town.router.fed.pop()
-    town.router.fed.append(data[:-9])
-    town.router.wake()
-    town.settle()
-    reader, town.router.reader = town.router.reader, None  # the rest comes, the reader's turn has not
-    town.router.fed.append(data[-9:])
-    town.scheduler.clock.now += 2.5
-    town.server._sweep()
-    assert town.router.open
-    town.router.reader = reader
-    town.router.wake()
-    town.settle()
-    assert len(one.answers) == 1 and town.router.open  # rejected for its wait, which is an answer
-
-
-def test_a_router_that_resets_in_the_middle_of_an_answer_costs_its_own_requests_only(hall: Hall) -> None:
-    one, two = hall.peer(), hall.peer()
-    one.send(hall.call(1) + hall.call(2))
-    two.send(hall.call(3))
-    hall.turn(lambda: len(hall.handler.held) == 3)
-    held = {exchange.name: exchange for exchange in hall.handler.held}
+    server = SimulatedServer(SERVER_SETTINGS)
+    one = server.call(b"lookup")
+    data = server.client.fed.pop()
+    server.client.fed.append(data[:-9])
+    server.client.wake()
+    server.settle()
+    reader, server.client.reader = server.client.reader, None  # the rest comes, the reader's turn has not
+    server.client.fed.append(data[-9:])
+    server.scheduler.clock.now += 2.5
+    server.listener._sweep()
+    assert server.client.open
+    server.client.reader = reader
+    server.client.wake()
+    server.settle()
+    assert len(one.answers) == 1 and server.client.open  # rejected for its wait, which is an answer
+
+
+def test_a_client_that_resets_in_the_middle_of_an_answer_costs_its_own_requests_only(
+    harness: ListenerHarness,
+) -> None:
+    one, two = harness.peer(), harness.peer()
+    one.send(harness.call(1) + harness.call(2))
+    two.send(harness.call(3))
+    harness.turn(lambda: len(harness.handler.held) == 3)
+    held = {exchange.name: exchange for exchange in harness.handler.held}
     held[b"%016x" % 1].complete(b"x" * 4096)
     one.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     one.close()  # a reset, as the answer is queued
-    hall.turn(lambda: hall.handler.left)
-    assert [exchange.name for exchange in hall.handler.left] == [b"%016x" % 2]
+    harness.turn(lambda: harness.handler.left)
+    assert [exchange.name for exchange in harness.handler.left] == [b"%016x" % 2]
     held[b"%016x" % 3].complete(b"made")
-    hall.turn(lambda: len(hall.server.connections) == 1 and not hall.server._with_answers)
+    harness.turn(
+        lambda: len(harness.request_listener.connections) == 1 and not harness.request_listener._with_answers
+    )
     assert words(two)[0][0][1] == b"OK"
 
 
-def test_a_request_that_came_while_a_long_round_went_on_is_not_from_another_time(hall: Hall) -> None:
+def test_a_request_that_came_while_a_long_round_went_on_is_not_from_another_time(
+    harness: ListenerHarness,
+) -> None:
     """The round's clock stands while it reads: 1.1 s later than its start was taken for a faulty field."""
-    peer = hall.peer()
-    hall.turn(lambda: hall.server.connections)
-    connection = hall.connection(peer)
-    late = hall.call(1)
-    hall.clock.now -= 1.1  # the round began before the request was made
+    peer = harness.peer()
+    harness.turn(lambda: harness.request_listener.connections)
+    connection = harness.connection(peer)
+    late = harness.call(1)
+    harness.clock.now -= 1.1  # the round began before the request was made
     connection._receive(late)
-    assert len(hall.handler.held) == 1 and "frames_faulty" not in hall.counts
+    assert len(harness.handler.held) == 1 and "frames_faulty" not in harness.counts
 
 
 # -- a full table
@@ -405,92 +419,93 @@
     most: int, asked: bool, closes: bool
 ) -> None:
     """Under eight connections the part of the table that may go was none: nobody else was ever served."""
-    hall = Hall(most)
+    harness = ListenerHarness(most)
     try:
-        idle = [hall.peer() for _ in range(most)]
+        idle = [harness.peer() for _ in range(most)]
         if asked:
             for sock in idle:
                 sock.send(frame(b"RPC.HEALTH", b"1", b""))
-            hall.turn(
+            harness.turn(
                 lambda: (
-                    all(one.has_received for one in hall.server.connections) and not hall.server._with_answers
+                    all(one.has_received for one in harness.request_listener.connections)
+                    and not harness.request_listener._with_answers
                 )
             )
-        hall.turn(lambda: len(hall.server.connections) == most)
-        hall.ahead(0.2)
-        check, asking = hall.peer(), hall.peer()
+        harness.turn(lambda: len(harness.request_listener.connections) == most)
+        harness.ahead(0.2)
+        check, asking = harness.peer(), harness.peer()
         check.send(frame(b"RPC.HEALTH", b"1", b""))
-        asking.send(hall.call(1))
+        asking.send(harness.call(1))
 
         def served() -> bool:
             for sock in idle:
                 if closes and sock.fileno() >= 0 and ended(sock):
                     sock.close()
-            return bool(hall.handler.held) and hall.counts.count("checks_in") == most * asked + 1
+            return bool(harness.handler.held) and harness.counts.count("checks_in") == most * asked + 1
 
-        hall.turn(served)
-        hall.handler.held[0].complete(b"made")
-        hall.server.flush()
+        harness.turn(served)
+        harness.handler.held[0].complete(b"made")
+        harness.request_listener.flush()
         assert words(asking)[0][0][1] == b"OK" and words(check)[0][0][1] == b"UP"
-        assert hall.counts.count("connections_crowded_out") <= 4, "more went than were in the way"
+        assert harness.counts.count("connections_crowded_out") <= 4, "more went than were in the way"
     finally:
-        finish(hall)
+        finish(harness)
 
 
 def test_a_table_full_of_open_requests_loses_none_of_them_for_a_newcomer() -> None:
-    hall = Hall(4)
+    harness = ListenerHarness(4)
     try:
-        busy = [hall.peer() for _ in range(4)]
+        busy = [harness.peer() for _ in range(4)]
         for tag, sock in enumerate(busy, 1):
-            sock.send(hall.call(tag))
-        hall.turn(lambda: len(hall.handler.held) == 4)
-        late = hall.peer()
-        late.send(hall.call(9))
-        hall.ahead(1.0)
-        hall.turn(lambda: hall.listener is not None)
-        hall.server.evict_unused()
-        assert len(hall.server.connections) == 4
-        hall.handler.held[0].complete(b"made")
-        hall.server.flush()
-        hall.ahead(0.2)
-        hall.turn(lambda: len(hall.handler.held) == 5)
+            sock.send(harness.call(tag))
+        harness.turn(lambda: len(harness.handler.held) == 4)
+        late = harness.peer()
+        late.send(harness.call(9))
+        harness.ahead(1.0)
+        harness.turn(lambda: harness.listener is not None)
+        harness.request_listener.evict_unused()
+        assert len(harness.request_listener.connections) == 4
+        harness.handler.held[0].complete(b"made")
+        harness.request_listener.flush()
+        harness.ahead(0.2)
+        harness.turn(lambda: len(harness.handler.held) == 5)
         assert words(busy[0])[0][0][1] == b"OK"
-        assert "connections_crowded_out" in hall.counts and not hall.handler.left
+        assert "connections_crowded_out" in harness.counts and not harness.handler.left
     finally:
-        finish(hall)
+        finish(harness)
 
 
-def test_a_peer_that_never_reads_keeps_its_place_for_a_bounded_time_only(hall: Hall) -> None:
+def test_a_peer_that_never_reads_stays_connected_for_a_bounded_time_only(harness: ListenerHarness) -> None:
     """Its unsent answers kept its connection from ever counting as idle."""
-    deaf, good = hall.peer(), hall.peer()
+    deaf, good = harness.peer(), harness.peer()
     deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    hall.turn(lambda: len(hall.server.connections) == 2)
+    harness.turn(lambda: len(harness.request_listener.connections) == 2)
     # Else the kernel takes some MB of answers first: seconds of work, more than the patience beside load.
-    hall.connection(deaf).stream._socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    harness.connection(deaf).stream._socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     checks = bytearray(b"".join(frame(b"RPC.HEALTH", b"%d" % tag, b"") for tag in range(1, 20_000)))
 
     def stuffed() -> bool:
         with contextlib.suppress(BlockingIOError):
             while checks:
                 del checks[: deaf.send(checks[:65536])]
-        return any(one.stream.stuck_since is not None for one in hall.server.connections)
+        return any(one.stream.stuck_since is not None for one in harness.request_listener.connections)
 
-    hall.turn(stuffed)
-    good.send(hall.call(1))
-    hall.turn(lambda: hall.handler.held)
-    assert len(hall.server.connections) == 2
-    hall.ahead(max(request_class.timeout_s for request_class in SERVER_SETTINGS.request_classes) + 2.0)
-    hall.turn(lambda: "connections_stuck" in hall.counts)
-    assert [one.open for one in hall.server.connections] == [{1: hall.handler.held[0]}]
+    harness.turn(stuffed)
+    good.send(harness.call(1))
+    harness.turn(lambda: harness.handler.held)
+    assert len(harness.request_listener.connections) == 2
+    harness.ahead(max(request_class.timeout_s for request_class in SERVER_SETTINGS.request_classes) + 2.0)
+    harness.turn(lambda: "connections_stuck" in harness.counts)
+    assert [one.open for one in harness.request_listener.connections] == [{1: harness.handler.held[0]}]
 
 
 def test_one_reset_before_it_was_taken_is_no_sign_of_a_full_table(
-    hall: Hall, monkeypatch: pytest.MonkeyPatch
+    harness: ListenerHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    resting = hall.peer()
+    resting = harness.peer()
     resting.send(frame(b"RPC.HEALTH", b"1", b""))
-    hall.turn(lambda: "checks_in" in hall.counts)
-    hall.ahead(1.0)
+    harness.turn(lambda: "checks_in" in harness.counts)
+    harness.ahead(1.0)
     real, broken = Stream, iter([True])
 
     def taken(*values: object) -> Stream:
@@ -499,69 +514,71 @@
         return real(*values)  # type: ignore[arg-type]
 
     monkeypatch.setattr(listening_socket, "Stream", taken)
-    hall.peer()
-    good = hall.peer()
+    harness.peer()
+    good = harness.peer()
     good.send(frame(b"RPC.HEALTH", b"2", b""))
-    hall.turn(lambda: hall.counts.count("checks_in") == 2)
-    assert "connections_crowded_out" not in hall.counts and len(hall.server.connections) == 2
+    harness.turn(lambda: harness.counts.count("checks_in") == 2)
+    assert "connections_crowded_out" not in harness.counts and len(harness.request_listener.connections) == 2
 
 
 @pytest.mark.parametrize("method", ["accepted", "evict_unused"])
-def test_a_fault_as_one_is_let_in_does_not_keep_out_all_that_come_later(method: str) -> None:
-    hall = Hall(4)
+def test_a_fault_as_one_is_accepted_does_not_refuse_all_that_come_later(method: str) -> None:
+    harness = ListenerHarness(4)
     faults: list[bool] = []
     try:
-        hall.scheduler.on_fault = lambda: faults.append(True)
+        harness.scheduler.on_fault = lambda: faults.append(True)
         part = {"accepted": "_on_accepted", "evict_unused": "_on_full"}[method]
-        real = getattr(hall.listener, part)
+        real = getattr(harness.listener, part)
 
         def once(*_: object) -> None:
-            setattr(hall.listener, part, real)
+            setattr(harness.listener, part, real)
             raise RuntimeError("a fault of ours")
 
-        setattr(hall.listener, part, once)
-        first = [hall.peer() for _ in range(4 if method == "evict_unused" else 1)]
-        hall.turn(lambda: faults or len(hall.server.connections) == len(first))
-        hall.ahead(0.2)
-        late = hall.peer()
-        late.send(hall.call(1))
-        hall.turn(lambda: hall.handler.held)
+        setattr(harness.listener, part, once)
+        first = [harness.peer() for _ in range(4 if method == "evict_unused" else 1)]
+        harness.turn(lambda: faults or len(harness.request_listener.connections) == len(first))
+        harness.ahead(0.2)
+        late = harness.peer()
+        late.send(harness.call(1))
+        harness.turn(lambda: harness.handler.held)
         assert faults == [True]
     finally:
-        finish(hall)
+        finish(harness)
 
 
-def test_a_full_table_of_the_narrowest_server_is_thinned_all_the_same() -> None:
-    town = Town(replace(SERVER_SETTINGS))
-    town.server._max_connections = 4
-    streams = [MadeStream(town.scheduler) for _ in range(3)]
+def test_a_full_table_of_the_narrowest_server_is_reduced_all_the_same() -> None:
+    server = SimulatedServer(replace(SERVER_SETTINGS))
+    server.listener._max_connections = 4
+    streams = [FakeStream(server.scheduler) for _ in range(3)]
     for stream in streams:
-        town.server.accepted(stream)
+        server.listener.accepted(stream)
         stream.feed(frame(b"RPC.HEALTH", b"1", b""))
-    town.settle()
-    assert not town.server.has_capacity()
-    town.wait(0.5)
-    town.server.evict_unused()
-    town.settle()
-    assert town.server.has_capacity()
+    server.settle()
+    assert not server.listener.has_capacity()
+    server.wait(0.5)
+    server.listener.evict_unused()
+    server.settle()
+    assert server.listener.has_capacity()
 
 
 @pytest.mark.parametrize("limit", [16, 70])
 def test_idle_clients_leave_descriptors_for_the_link_and_its_replacement(tmp_path: Path, limit: int) -> None:
     """On crowded days a process was seen to hold 513 of 512: what else it holds was not left room for."""
-    place = Place(tmp_path, limits={"sockets": limit, "memory_mb": 32})
-    new = Engine(place.engine.core)  # the same interpreter behind another address
+    deployment = Deployment(tmp_path, limits={"sockets": limit, "memory_mb": 32})
+    new = FakeInterpreter(deployment.interpreter.core)  # the same interpreter behind another address
     try:
-        process = place.start()
-        peer = place.ready()
-        crowd = [place.router() for _ in range(limit)]  # as while discovery is down and nothing lapses
+        process = deployment.start()
+        peer = deployment.ready()
+        crowd = [deployment.client() for _ in range(limit)]  # as while discovery is down and nothing lapses
         held = Path(f"/proc/{process.pid}/fd")
         most = 0
         for tag, one in enumerate(crowd, 1):
             with contextlib.suppress(OSError):
                 one.send(frame(b"RPC.HEALTH", b"%d" % tag, b""))
             most = max(most, len(list(held.iterdir())))
-        place.file.write_text(json.dumps(place.told | {"vm": f"127.0.0.1:{new.door.getsockname()[1]}"}))
+        deployment.file.write_text(
+            json.dumps(deployment.config | {"vm": f"127.0.0.1:{new.listening_socket.getsockname()[1]}"})
+        )
         process.send_signal(signal.SIGHUP)
 
         def moved() -> bool:
@@ -570,16 +587,16 @@
             return new.link is not None
 
         wait_until(moved)
-        asking = place.router()
+        asking = deployment.client()
         assert asking.ask(1, asking.call(1))[1] == b"OK"
         assert most <= limit, f"{most} descriptors of {limit}"
         for one in (peer, asking, *crowd):
             one.sock.close()
         leave(process)
     finally:
-        new.door.close()
+        new.listening_socket.close()
         new.cut()
-        place.end()
+        deployment.end()
 
 
 def test_the_table_leaves_a_part_of_the_descriptors_to_whatever_else_the_process_holds(
@@ -587,8 +604,8 @@
 ) -> None:
     told = {}
     for limit in (16, 28, 48, 64, 384, 512, 1024):
-        place = Place(tmp_path, limits={"sockets": limit})
-        place.file.write_text(json.dumps(place.told))
-        told[limit] = configuration.placement_settings({"RELAY_CONFIG": str(place.file)}).max_connections
-        place.end()
+        deployment = Deployment(tmp_path, limits={"sockets": limit})
+        deployment.file.write_text(json.dumps(deployment.config))
+        told[limit] = configuration.placement_settings({"RELAY_CONFIG": str(deployment.file)}).max_connections
+        deployment.end()
     assert told == {16: 4, 28: 16, 48: 31, 64: 44, 384: 364, 512: 492, 1024: 1004}
--- a/tests/test_dependency_calls.py
+++ b/tests/test_dependency_calls.py
@@ -10,106 +10,108 @@
 from pathlib import Path
 
 import pytest
-from simulated_server import Town, Try
+from simulated_server import Attempt, SimulatedServer
 from test_serving import SERVER_SETTINGS
 
 from sablewheel.program import configuration
 
 
-def notice(town: Town, words: bytes, following: bytes | None = None) -> bytes:
+def notice(server: SimulatedServer, words: bytes, following: bytes | None = None) -> bytes:
     """The next numbered notice, told now and kept for later links: `%d` in `words` is its number."""
-    said = words % (len(town.interpreter.notices) + 1)
+    said = words % (len(server.interpreter.notices) + 1)
     if following is not None:
         said += b" %d\r\n%b" % (len(following), following)
-    town.interpreter.notices.append(said + b"\r\n")
-    assert town.link is not None
-    town.link.feed(town.interpreter.notices[-1])
-    town.settle()
-    return town.interpreter.notices[-1]
+    server.interpreter.notices.append(said + b"\r\n")
+    assert server.link is not None
+    server.link.feed(server.interpreter.notices[-1])
+    server.settle()
+    return server.interpreter.notices[-1]
 
 
-def stand_at_call(town: Town, one: Try) -> None:
-    notice(town, b"AWAIT %d " + one.name, b"a question\r\nof any bytes \0")
+def stand_at_call(server: SimulatedServer, one: Attempt) -> None:
+    notice(server, b"AWAIT %d " + one.name, b"a question\r\nof any bytes \0")
 
 
 @pytest.fixture
-def town() -> Town:
-    return Town(SERVER_SETTINGS)
+def server() -> SimulatedServer:
+    return SimulatedServer(SERVER_SETTINGS)
 
 
-def test_a_run_at_a_call_is_answered_at_once_and_all_others_end(town: Town) -> None:
-    one, other = town.call(b"lookup"), town.call(b"record", b"a")
-    town.settle()
-    stand_at_call(town, one)
+def test_a_run_at_a_call_is_answered_at_once_and_all_others_end(server: SimulatedServer) -> None:
+    one, other = server.call(b"lookup"), server.call(b"record", b"a")
+    server.settle()
+    stand_at_call(server, one)
     assert [words[1] for words in one.answers] == [b"FAILED"]
-    town.end(other.name)
-    town.settle()
+    server.end(other.name)
+    server.settle()
     assert [words[1] for words in other.answers] == [b"OK"]
-    assert town.counts.count("links") == town.counts.count("calls_needed") == 1
+    assert server.counts.count("links") == server.counts.count("calls_needed") == 1
 
 
-def test_a_run_at_a_call_leaves_its_core_to_others_and_its_memory_when_it_ends(town: Town) -> None:
-    controller = town.dispatch._controller
+def test_a_run_at_a_call_leaves_its_core_to_others_and_its_memory_when_it_ends(
+    server: SimulatedServer,
+) -> None:
+    controller = server.dispatcher._controller
     assert controller is not None
-    one = town.call(b"lookup")
-    town.settle()
-    stand_at_call(town, one)
+    one = server.call(b"lookup")
+    server.settle()
+    stand_at_call(server, one)
     assert controller.on_cores == 0
-    town.end(one.name, b"interrupted")
-    town.settle()
-    assert controller.kb == 0 and not controller.running and town.dispatch.open_count == 0
-
-
-def test_a_keyed_run_at_a_call_is_neither_rejected_nor_run_again(town: Town) -> None:
-    first = town.call(b"record", b"a")
-    town.settle()
-    stand_at_call(town, first)
-    early = town.call(b"record", b"a")
-    town.settle()
-    town.end(first.name, b"interrupted")
-    late = town.call(b"record", b"a")
-    town.wait(0.2)  # the town checks the rules at each step
+    server.end(one.name, b"interrupted")
+    server.settle()
+    assert controller.kb == 0 and not controller.running and server.dispatcher.open_count == 0
+
+
+def test_a_keyed_run_at_a_call_is_neither_rejected_nor_run_again(server: SimulatedServer) -> None:
+    first = server.call(b"record", b"a")
+    server.settle()
+    stand_at_call(server, first)
+    early = server.call(b"record", b"a")
+    server.settle()
+    server.end(first.name, b"interrupted")
+    late = server.call(b"record", b"a")
+    server.wait(0.2)  # the town checks the rules at each step
     assert [[words[1] for words in one.answers] for one in (first, early, late)] == [[b"FAILED"]] * 3
-    assert len(town.interpreter.applied) == 1
+    assert len(server.interpreter.applied) == 1
 
 
-def test_the_next_link_does_not_bring_the_call_again(town: Town) -> None:
-    one, other = town.call(b"lookup"), town.call(b"lookup")
-    town.settle()
-    stand_at_call(town, one)
-    town.cut(lost=False)
-    town.wait(0.2)
-    town.end(other.name)
-    town.settle()
+def test_the_next_link_does_not_bring_the_call_again(server: SimulatedServer) -> None:
+    one, other = server.call(b"lookup"), server.call(b"lookup")
+    server.settle()
+    stand_at_call(server, one)
+    server.cut(lost=False)
+    server.wait(0.2)
+    server.end(other.name)
+    server.settle()
     assert [words[1] for words in other.answers] == [b"OK"]
-    assert town.counts.count("links") == 2 and town.counts.count("calls_needed") == 1
-
-
-def test_a_call_told_while_the_link_was_down_is_read_with_the_next(town: Town) -> None:
-    one = town.call(b"lookup")
-    town.settle()
-    town.linked = False
-    town.cut(lost=False)
-    town.settle()
-    town.interpreter.notices.append(b"AWAIT 1 %b 2\r\nhi\r\n" % one.name)
-    town.linked = True
-    town.wait(0.6)
+    assert server.counts.count("links") == 2 and server.counts.count("calls_needed") == 1
+
+
+def test_a_call_notified_while_the_link_was_down_is_read_with_the_next(server: SimulatedServer) -> None:
+    one = server.call(b"lookup")
+    server.settle()
+    server.linked = False
+    server.cut(lost=False)
+    server.settle()
+    server.interpreter.notices.append(b"AWAIT 1 %b 2\r\nhi\r\n" % one.name)
+    server.linked = True
+    server.wait(0.6)
     assert [words[1] for words in one.answers] == [b"FAILED"]
 
 
 @pytest.mark.parametrize("cancelled", [False, True])
-def test_a_call_of_a_run_that_nobody_waits_for_is_nothing(town: Town, cancelled: bool) -> None:
-    one = town.call(b"lookup")
-    town.settle()
+def test_a_call_of_a_run_that_nobody_waits_for_is_nothing(server: SimulatedServer, cancelled: bool) -> None:
+    one = server.call(b"lookup")
+    server.settle()
     if cancelled:
-        town.cancel(one)
-        town.settle()
+        server.cancel(one)
+        server.settle()
     else:
-        town.end(one.name)
-        town.settle()
+        server.end(one.name)
+        server.settle()
     answers = list(one.answers)
-    stand_at_call(town, one)
-    assert one.answers == answers and town.counts.count("links") == 1
+    stand_at_call(server, one)
+    assert one.answers == answers and server.counts.count("links") == 1
 
 
 @pytest.mark.parametrize(
@@ -122,46 +124,48 @@
     ],
 )
 def test_a_notice_of_an_unknown_word_costs_nothing_but_itself(
-    town: Town, words: bytes, following: bytes | None
+    server: SimulatedServer, words: bytes, following: bytes | None
 ) -> None:
-    one = town.call(b"lookup")
-    town.settle()
-    notice(town, words, following)
-    town.wait(0.2)
-    town.end(one.name)
-    town.settle()
+    one = server.call(b"lookup")
+    server.settle()
+    notice(server, words, following)
+    server.wait(0.2)
+    server.end(one.name)
+    server.settle()
     assert [words[1] for words in one.answers] == [b"OK"]
-    assert town.counts.count("links") == 3 and town.counts.count("notices_passed_over") == 1
-    town.cut(lost=False)
-    town.wait(0.2)
-    assert town.counts.count("links") == 4 and town.counts.count("notices_passed_over") == 1
-
-
-def test_one_in_the_same_bytes_as_an_end_takes_nothing_of_it_along(town: Town) -> None:
-    one, other = town.call(b"lookup"), town.call(b"lookup")
-    town.settle()
-    assert town.link is not None
-    end = town.interpreter.end(one.name)
-    town.interpreter.notices.append(b"NOVEL 2 level 3\r\n")
-    town.link.feed(end + town.interpreter.notices[-1] + town.interpreter.end(other.name))
-    town.wait(0.2)
+    assert server.counts.count("links") == 3 and server.counts.count("notices_passed_over") == 1
+    server.cut(lost=False)
+    server.wait(0.2)
+    assert server.counts.count("links") == 4 and server.counts.count("notices_passed_over") == 1
+
+
+def test_one_in_the_same_bytes_as_an_end_takes_nothing_of_it_along(server: SimulatedServer) -> None:
+    one, other = server.call(b"lookup"), server.call(b"lookup")
+    server.settle()
+    assert server.link is not None
+    end = server.interpreter.end(one.name)
+    server.interpreter.notices.append(b"NOVEL 2 level 3\r\n")
+    server.link.feed(end + server.interpreter.notices[-1] + server.interpreter.end(other.name))
+    server.wait(0.2)
     assert [words[1] for words in one.answers + other.answers] == [b"OK", b"OK"]
-    assert town.counts.count("links") == 3 and town.counts.count("runs_worked") == 2
+    assert server.counts.count("links") == 3 and server.counts.count("runs_worked") == 2
 
 
 @pytest.mark.parametrize(
     "garbled", [b"NOVEL 7 which never came\r\n", b"TOPS 1 nan\r\n", b"VALUE 1 x no 1 0\r\n\r\n"]
 )
-def test_what_is_unreadable_once_is_read_anew_and_nothing_is_passed_over(town: Town, garbled: bytes) -> None:
-    one = town.call(b"lookup")
-    town.settle()
+def test_what_is_unreadable_once_is_read_again_and_nothing_is_passed_over(
+    server: SimulatedServer, garbled: bytes
+) -> None:
+    one = server.call(b"lookup")
+    server.settle()
     for _ in range(1 if garbled.startswith(b"VALUE") else 3):
-        assert town.link is not None
-        town.link.feed(garbled)
-        town.wait(0.2)
-    town.end(one.name)
-    town.settle()
-    assert [words[1] for words in one.answers] == [b"OK"] and not town.counts.count("notices_passed_over")
+        assert server.link is not None
+        server.link.feed(garbled)
+        server.wait(0.2)
+    server.end(one.name)
+    server.settle()
+    assert [words[1] for words in one.answers] == [b"OK"] and not server.counts.count("notices_passed_over")
 
 
 def test_the_program_counts_on_no_call_and_the_simulator_s_adapter_does(tmp_path: Path) -> None:
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -582,7 +582,7 @@
 # -- requests between two desks
 
 
-class Engine:
+class FakeInterpreter:
     """A handler that keeps what arrives."""
 
     def __init__(self) -> None:
@@ -630,13 +630,13 @@
 class Pair:
     def __init__(self, scheduler: Scheduler) -> None:
         self.net = Net(scheduler, "ab", silent_most=0.6)
-        self.engines, self.forwards = dict[str, Engine](), dict[str, Forward]()
+        self.engines, self.forwards = dict[str, FakeInterpreter](), dict[str, Forward]()
         for place, name in enumerate("ab"):
             links = self.net.start(name)
             forward = Forward(
                 scheduler, links, Passing(), place + 1, {**REQUEST_CLASSES}, {}, lambda: NO_OBSERVER
             )
-            self.engines[name] = Engine()
+            self.engines[name] = FakeInterpreter()
             forward.handler(self.engines[name])
             forward.placer = To("b")  # on b as well: what was passed there must not go on
             self.forwards[name] = forward
--- a/tests/test_incident_duplicate_run.py
+++ b/tests/test_incident_duplicate_run.py
@@ -36,7 +36,7 @@
         yield made
 
 
-def test_a_run_that_ends_while_the_link_comes_back_is_not_begun_again(rig: Rig) -> None:
+def test_a_run_that_ends_while_the_link_comes_back_is_not_started_again(rig: Rig) -> None:
     command_seen, end_written = threading.Event(), threading.Event()
 
     def pass_on(pair: Pair, upward: bool, data: bytes) -> bool:
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_no_keyed_request_is_begun_twice_over_a_slow_link_that_breaks_again_and_again(
+def test_no_keyed_request_is_started_twice_over_a_slow_link_that_breaks_again_and_again(
     rig: Rig, seed: int
 ) -> None:
     """Nothing is held for a moment of its own: each way takes 40 to 90 ms, each link lives 0.3 to 0.8 s."""
--- a/tests/test_internal_errors.py
+++ b/tests/test_internal_errors.py
@@ -3,16 +3,20 @@
 from __future__ import annotations
 
 import pytest
-from simulated_server import Town
+from simulated_server import SimulatedServer
 from test_serving import SERVER_SETTINGS
 
 
 @pytest.mark.parametrize("step", ["reserve", "run", "reject"])
 def test_a_fault_in_one_request_s_action_leaves_those_of_the_same_batch_alone(step: str) -> None:
-    town = Town(SERVER_SETTINGS)
+    server = SimulatedServer(SERVER_SETTINGS)
     faults: list[bool] = []
-    town.scheduler.on_fault = lambda: faults.append(True)
-    part = {"reserve": town.idempotency_keys, "run": town.client, "reject": town.dispatch.outcomes}[step]
+    server.scheduler.on_fault = lambda: faults.append(True)
+    part = {
+        "reserve": server.idempotency_keys,
+        "run": server.interpreter_client,
+        "reject": server.dispatcher.outcomes,
+    }[step]
     method = {"reserve": "reserve", "run": "run", "reject": "count_rejection"}[step]
     real = getattr(part, method)
 
@@ -22,30 +26,30 @@
 
     setattr(part, method, once)
     late = 3.9 if step == "reject" else 0.0
-    bad = town.call(b"record", b"a", ago=late)
-    town.scheduler.run_ready()
-    good, other = town.call(b"record", b"b"), town.call(b"lookup")
-    town.settle()
-    for name in list(town.interpreter.running):
-        town.end(name)
-    town.settle()
+    bad = server.call(b"record", b"a", ago=late)
+    server.scheduler.run_ready()
+    good, other = server.call(b"record", b"b"), server.call(b"lookup")
+    server.settle()
+    for name in list(server.interpreter.running):
+        server.end(name)
+    server.settle()
     assert faults == [True]
     assert [words[1] for words in bad.answers] == [b"BUSY" if step == "reject" else b"FAILED"]
     assert good.answers[0][1] == other.answers[0][1] == b"OK"
-    assert not town.dispatch.open_count
-    controller = town.dispatch._controller
+    assert not server.dispatcher.open_count
+    controller = server.dispatcher._controller
     assert controller is not None
-    town.settle()
+    server.settle()
     assert controller.on_cores == 0 and not controller.running
 
 
 def test_a_fault_in_a_decision_still_lets_out_what_was_decided_before() -> None:
-    town = Town(SERVER_SETTINGS)
-    one = town.call(b"lookup")
-    town.settle()
-    town.end(one.name)
-    town.scheduler.run_ready()  # its answer is queued
-    controller = town.dispatch._controller
+    server = SimulatedServer(SERVER_SETTINGS)
+    one = server.call(b"lookup")
+    server.settle()
+    server.end(one.name)
+    server.scheduler.run_ready()  # its answer is queued
+    controller = server.dispatcher._controller
     assert controller is not None
     real = controller.decide
 
@@ -54,19 +58,19 @@
 
     controller.decide = fault  # type: ignore[method-assign, assignment]
     with pytest.raises(RuntimeError):
-        town.dispatch.end_round()
+        server.dispatcher.end_round()
     controller.decide = real  # type: ignore[method-assign]
-    said = town.answers.feed(town.router.taken())
+    said = server.answers.feed(server.client.taken())
     assert [words[1] for words in said if words[0] == b"1"] == [b"OK"]
 
 
 def test_one_that_failed_by_a_fault_is_never_answered_again() -> None:
-    town = Town(SERVER_SETTINGS)
-    one = town.call(b"lookup")
-    town.settle()
-    exchange = next(iter(town.dispatch._open_requests._exchanges.values()))
-    town.dispatch._fail_after_internal_error(exchange)
-    town.settle()
-    town.end(one.name)  # its run was under way all the same
-    town.settle()
+    server = SimulatedServer(SERVER_SETTINGS)
+    one = server.call(b"lookup")
+    server.settle()
+    exchange = next(iter(server.dispatcher._open_requests._exchanges.values()))
+    server.dispatcher._fail_after_internal_error(exchange)
+    server.settle()
+    server.end(one.name)  # its run was under way all the same
+    server.settle()
     assert [words[1] for words in one.answers] == [b"FAILED"]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -9,7 +9,7 @@
 from types import SimpleNamespace
 
 import pytest
-from simulated_server import Town
+from simulated_server import SimulatedServer
 from test_serving import SERVER_SETTINGS
 
 from sablewheel.experiments.fleet import Block
@@ -43,14 +43,14 @@
 ENTRY_BYTES = 256  # a router remembered: its object, its number and its place in the table
 
 
-def heard(town: Town, number: int) -> Client:
+def heard(server: SimulatedServer, number: int) -> Client:
     asked = resp.RequestMessage(
         tag=1,
         name=b"a",
         request_class=b"lookup",
         client=b"%d" % number,
         tenant=b"acme",
-        arrived_at_unix=town.now,
+        arrived_at_unix=server.now,
         memory_kb=10.0,
         idempotency_key=None,
         subject=None,
@@ -59,41 +59,41 @@
         is_retry=False,
         cost_hint_s=None,
     )
-    return town.server.make_request(asked).client
+    return server.listener.make_request(asked).client
 
 
 def test_1024_routers_are_remembered_whatever_the_settings_tell_and_an_entry_is_small() -> None:
-    town = Town(SERVER_SETTINGS)
-    empty = len(town.server._clients)
+    server = SimulatedServer(SERVER_SETTINGS)
+    empty = len(server.listener._clients)
     tracemalloc.start()
     try:
         before = tracemalloc.get_traced_memory()[0]
-        first = [heard(town, 10**18 + place) for place in range(LEAST - empty)]
+        first = [heard(server, 10**18 + place) for place in range(LEAST - empty)]
         took = tracemalloc.get_traced_memory()[0] - before
     finally:
         tracemalloc.stop()
     assert took < LEAST * ENTRY_BYTES, took
-    assert heard(town, 10**18) is first[0]  # the table is full to the border and nobody had to go
-    assert heard(town, 7) is not first[0] and heard(town, 10**18) is first[0]
-    assert heard(town, 10**18 + 1) is not first[1]  # one past the border: who was heard longest ago went
-    assert len(town.server._clients) == LEAST
+    assert heard(server, 10**18) is first[0]  # the table is full to the border and nobody had to go
+    assert heard(server, 7) is not first[0] and heard(server, 10**18) is first[0]
+    assert heard(server, 10**18 + 1) is not first[1]  # one past the border: who was heard longest ago went
+    assert len(server.listener._clients) == LEAST
 
 
 def test_more_routers_are_remembered_where_the_settings_or_the_descriptors_allow_more() -> None:
-    town = Town(SERVER_SETTINGS)
-    town.server.expect_clients(3000)
-    first = heard(town, 1)
+    server = SimulatedServer(SERVER_SETTINGS)
+    server.listener.expect_clients(3000)
+    first = heard(server, 1)
     for number in range(2, CLIENTS_PER_EXPECTED * 3000 + 1):
-        heard(town, number)
-    assert heard(town, 1) is first and len(town.server._clients) == CLIENTS_PER_EXPECTED * 3000
-    town.server.expect_clients(1)  # a new configuration tells of one
-    heard(town, 1)
-    assert len(town.server._clients) == LEAST
-    town.server._max_connections = 1500
-    town.server.expect_clients(1)
+        heard(server, number)
+    assert heard(server, 1) is first and len(server.listener._clients) == CLIENTS_PER_EXPECTED * 3000
+    server.listener.expect_clients(1)  # a new configuration tells of one
+    heard(server, 1)
+    assert len(server.listener._clients) == LEAST
+    server.listener._max_connections = 1500
+    server.listener.expect_clients(1)
     for number in range(2, 2000):
-        heard(town, number)
-    assert len(town.server._clients) == 1500
+        heard(server, number)
+    assert len(server.listener._clients) == 1500
 
 
 # -- membership: who starts at once, who joins at once, who is heard of at once
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 import pytest
-from simulated_server import Interpreter, call, frame
+from simulated_server import SimulatedInterpreter, call, frame
 
 from sablewheel.program import configuration, logs
 from sablewheel.protocol.resp import Parser
@@ -47,27 +47,27 @@
 }
 
 
-class Engine:
-    """The interpreter's stand-in behind a socket: ends each run at once, or when told."""
+class FakeInterpreter:
+    """A simulated interpreter behind a socket: ends each run at once, or when asked."""
 
-    def __init__(self, core: Interpreter | None = None) -> None:
-        self.core, self.at_once = core or Interpreter(), True
-        self.door = socket.create_server(("127.0.0.1", 0))
-        self.door.settimeout(PATIENCE)
+    def __init__(self, core: SimulatedInterpreter | None = None) -> None:
+        self.core, self.at_once = core or SimulatedInterpreter(), True
+        self.listening_socket = socket.create_server(("127.0.0.1", 0))
+        self.listening_socket.settimeout(PATIENCE)
         self.link: socket.socket | None = None
         threading.Thread(target=self._serve, daemon=True).start()
 
     def _serve(self) -> None:
         while True:
             try:
-                self.link = self.door.accept()[0]
+                self.link = self.listening_socket.accept()[0]
                 self.core.bytes = b""
                 while data := self.link.recv(65536):
                     self.link.sendall(self.core.feed(data))
                     while self.at_once and self.core.running:
                         self.end(next(iter(self.core.running)))
             except OSError:
-                if self.door.fileno() < 0:
+                if self.listening_socket.fileno() < 0:
                     return
 
     def end(self, name: bytes) -> None:
@@ -81,22 +81,22 @@
                 self.link.shutdown(socket.SHUT_RDWR)
 
 
-class Place:
-    """One server's surroundings and its process."""
+class Deployment:
+    """One server process with its configuration, a fake interpreter and the name service's socket."""
 
     def __init__(self, folder: Path, **changes: Any) -> None:
-        self.engine = Engine()
-        self.names = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self.names.bind(("127.0.0.1", 0))
-        self.names.settimeout(PATIENCE)
+        self.interpreter = FakeInterpreter()
+        self.name_service = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self.name_service.bind(("127.0.0.1", 0))
+        self.name_service.settimeout(PATIENCE)
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.address = free.getsockname()
         self.file = folder / "configuration.json"
-        self.told: dict[str, Any] = {
+        self.config: dict[str, Any] = {
             "name": "n3",
             "listen": f"127.0.0.1:{self.address[1]}",
-            "vm": f"127.0.0.1:{self.engine.door.getsockname()[1]}",
-            "naming": f"127.0.0.1:{self.names.getsockname()[1]}",
+            "vm": f"127.0.0.1:{self.interpreter.listening_socket.getsockname()[1]}",
+            "naming": f"127.0.0.1:{self.name_service.getsockname()[1]}",
             "seed": "8c1f30d27a5be964",
             "stop_ms": 1500,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
@@ -106,7 +106,7 @@
         self.processes: list[subprocess.Popen[str]] = []
 
     def start(self) -> subprocess.Popen[str]:
-        self.file.write_text(json.dumps(self.told))
+        self.file.write_text(json.dumps(self.config))
         process = subprocess.Popen(
             [sys.executable, "-m", "sablewheel"],
             env={**os.environ, "RELAY_CONFIG": str(self.file)},
@@ -116,18 +116,18 @@
         self.processes.append(process)
         return process
 
-    def router(self) -> Peer:
+    def client(self) -> ClientConnection:
         until = time.monotonic() + PATIENCE
         while True:
             try:
-                return Peer(socket.create_connection(self.address, timeout=PATIENCE))
+                return ClientConnection(socket.create_connection(self.address, timeout=PATIENCE))
             except OSError:
                 assert time.monotonic() < until, "the server does not listen"
                 time.sleep(0.01)
 
-    def ready(self) -> Peer:
-        """A connection of a server that has said that it is up."""
-        peer = self.router()
+    def ready(self) -> ClientConnection:
+        """Connect and wait until the server reports that it is up."""
+        peer = self.client()
         until = time.monotonic() + PATIENCE
         tag = 1_000_000
         while peer.ask(tag, frame(b"RPC.HEALTH", b"%d" % tag, b""))[1] != b"UP":
@@ -141,9 +141,9 @@
             if process.poll() is None:
                 process.kill()
             process.communicate()
-        self.engine.door.close()
-        self.engine.cut()
-        self.names.close()
+        self.interpreter.listening_socket.close()
+        self.interpreter.cut()
+        self.name_service.close()
 
 
 def wait_until(true: Callable[[], object]) -> None:
@@ -153,8 +153,8 @@
         time.sleep(0.005)
 
 
-class Peer:
-    """A router's connection."""
+class ClientConnection:
+    """A client's connection."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock, self.parser = sock, Parser()
@@ -191,10 +191,10 @@
 
 
 @pytest.fixture
-def place(tmp_path: Path) -> Iterator[Place]:
-    place = Place(tmp_path)
-    yield place
-    place.end()
+def deployment(tmp_path: Path) -> Iterator[Deployment]:
+    deployment = Deployment(tmp_path)
+    yield deployment
+    deployment.end()
 
 
 def leave(process: subprocess.Popen[str], number: int = signal.SIGTERM) -> str:
@@ -204,17 +204,17 @@
     return text
 
 
-def test_serves_reports_counts_and_leaves_in_order(place: Place) -> None:
-    process = place.start()
-    peer = place.ready()
-    reports = {place.names.recv(64) for _ in range(4)}
+def test_serves_reports_counts_and_leaves_in_order(deployment: Deployment) -> None:
+    process = deployment.start()
+    peer = deployment.ready()
+    reports = {deployment.name_service.recv(64) for _ in range(4)}
     assert b"renew n3 yes" in reports <= {b"renew n3 yes", b"renew n3 no"}
     done = peer.ask(1, peer.call(1))
     assert done[1] == b"OK" and done[2].startswith(b"pressure=") and done[3] == b"made of body1"
     first, again = peer.ask(2, peer.call(2, b"record", b"aa")), peer.ask(3, peer.call(3, b"record", b"aa"))
-    assert first[3] == again[3] == b"made of aa" and len(place.engine.core.applied) == 2
+    assert first[3] == again[3] == b"made of aa" and len(deployment.interpreter.core.applied) == 2
     process.send_signal(signal.SIGUSR1)
-    place.engine.at_once = False
+    deployment.interpreter.at_once = False
     peer.send(peer.call(4))
     process.send_signal(signal.SIGTERM)
     process.send_signal(signal.SIGTERM)
@@ -225,10 +225,12 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
-def test_told_to_leave_before_the_interpreter_is_up_it_ends_at_once(place: Place, number: int) -> None:
-    place.engine.core.up = False
-    process = place.start()
-    assert place.router().ask(1, frame(b"RPC.HEALTH", b"1", b""))[1] == b"DOWN"
+def test_notified_to_shut_down_before_the_interpreter_is_up_it_ends_at_once(
+    deployment: Deployment, number: int
+) -> None:
+    deployment.interpreter.core.up = False
+    process = deployment.start()
+    assert deployment.client().ask(1, frame(b"RPC.HEALTH", b"1", b""))[1] == b"DOWN"
     leave(process, number)
 
 
@@ -246,67 +248,67 @@
 """
 
 
-def test_signals_that_come_while_it_is_put_together_wait(place: Place) -> None:
-    place.file.write_text(json.dumps(place.told))
-    environment = {**os.environ, "RELAY_CONFIG": str(place.file)}
+def test_signals_that_come_while_it_is_put_together_wait(deployment: Deployment) -> None:
+    deployment.file.write_text(json.dumps(deployment.config))
+    environment = {**os.environ, "RELAY_CONFIG": str(deployment.file)}
     done = subprocess.run(
         [sys.executable, "-c", EARLY], env=environment, capture_output=True, text=True, timeout=PATIENCE
     )
     assert done.returncode == 0 and "occasion=asked" in done.stderr and "occasion=exit" in done.stderr
 
 
-def test_killed_and_started_again_under_its_address_it_serves(place: Place) -> None:
+def test_killed_and_started_again_under_its_address_it_serves(deployment: Deployment) -> None:
     for _ in range(2):
-        process = place.start()
-        peer = place.ready()
+        process = deployment.start()
+        peer = deployment.ready()
         assert peer.ask(1, peer.call(1))[1] == b"OK"
         process.kill()
         process.wait(PATIENCE)
 
 
-def test_a_broken_link_comes_back_and_the_end_is_not_lost(place: Place) -> None:
-    place.start()
-    peer = place.ready()
-    place.engine.at_once = False
+def test_a_broken_link_comes_back_and_the_end_is_not_lost(deployment: Deployment) -> None:
+    deployment.start()
+    peer = deployment.ready()
+    deployment.interpreter.at_once = False
     peer.send(peer.call(1))
-    wait_until(lambda: place.engine.core.running)
-    place.engine.cut()
-    place.engine.core.end(next(iter(place.engine.core.running)))
+    wait_until(lambda: deployment.interpreter.core.running)
+    deployment.interpreter.cut()
+    deployment.interpreter.core.end(next(iter(deployment.interpreter.core.running)))
     assert peer.read(1)[1] == b"OK"
 
 
-def test_new_addresses_are_taken_under_load_and_nothing_is_lost(place: Place) -> None:
-    process = place.start()
-    peer, old = place.ready(), place.engine
+def test_new_addresses_are_taken_under_load_and_nothing_is_lost(deployment: Deployment) -> None:
+    process = deployment.start()
+    peer, old = deployment.ready(), deployment.interpreter
     old.at_once = False
     peer.send(peer.call(1))
-    new = Engine(old.core)  # the same interpreter behind another address
+    new = FakeInterpreter(old.core)  # the same interpreter behind another address
     names = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     names.bind(("127.0.0.1", 0))
     names.settimeout(PATIENCE)
 
-    def told(**changes: Any) -> None:
-        place.file.write_text(json.dumps(place.told | changes))
+    def write_configuration(**changes: Any) -> None:
+        deployment.file.write_text(json.dumps(deployment.config | changes))
         process.send_signal(signal.SIGHUP)
         peer.ask(tag := next(tags), frame(b"RPC.HEALTH", b"%d" % tag, b""))
 
     tags = iter(range(500, 600))
-    told(vm="nowhere")
-    told(vm=f"127.0.0.1:{names.getsockname()[1]}")  # nobody listens there
+    write_configuration(vm="nowhere")
+    write_configuration(vm=f"127.0.0.1:{names.getsockname()[1]}")  # nobody listens there
     old.at_once = True
     assert peer.ask(2, peer.call(2))[1] == peer.read(1)[1] == b"OK"
     old.at_once = new.at_once = False
     peer.send(peer.call(3, b"record", b"ab"))
     wait_until(lambda: old.core.running)
     addresses = {
-        "vm": f"127.0.0.1:{new.door.getsockname()[1]}",
+        "vm": f"127.0.0.1:{new.listening_socket.getsockname()[1]}",
         "naming": f"127.0.0.1:{names.getsockname()[1]}",
     }
-    told(**addresses, stop_ms=1501)
-    told(**addresses, stop_ms=1501)
+    write_configuration(**addresses, stop_ms=1501)
+    write_configuration(**addresses, stop_ms=1501)
     assert names.recv(64) == b"renew n3 yes"
     wait_until(lambda: new.link is not None)
-    old.door.close()
+    old.listening_socket.close()
     old.cut()
     new.end(next(iter(new.core.running)))
     assert peer.read(3)[1] == b"OK"
@@ -317,24 +319,26 @@
     assert peer.read(0)[1] == b"BYE"
     peer.sock.close()
     text = leave(process)
-    new.door.close()
+    new.listening_socket.close()
     names.close()
     assert "runs_sent_again" not in text and 'reason="vm: ' in text and "need_restart=stop_ms" in text
 
 
-def test_a_configuration_that_can_not_be_read_at_once_is_read_again(place: Place) -> None:
+def test_a_configuration_that_can_not_be_read_at_once_is_read_again(deployment: Deployment) -> None:
     """It may name the only address at which the interpreter still takes links."""
-    process = place.start()
-    peer, new = place.ready(), Engine(place.engine.core)
-    place.file.unlink()
+    process = deployment.start()
+    peer, new = deployment.ready(), FakeInterpreter(deployment.interpreter.core)
+    deployment.file.unlink()
     process.send_signal(signal.SIGHUP)
     peer.ask(500, frame(b"RPC.HEALTH", b"500", b""))
     time.sleep(0.1)
-    place.file.write_text(json.dumps(place.told | {"vm": f"127.0.0.1:{new.door.getsockname()[1]}"}))
+    deployment.file.write_text(
+        json.dumps(deployment.config | {"vm": f"127.0.0.1:{new.listening_socket.getsockname()[1]}"})
+    )
     wait_until(lambda: new.link is not None)
     assert peer.ask(1, peer.call(1))[1] == b"OK"
     text = leave(process)
-    new.door.close()
+    new.listening_socket.close()
     assert "configuration not read" in text and "configurations_taken=1" in text
 
 
@@ -373,27 +377,27 @@
     }
 
 
-def test_every_kind_of_bad_client_is_ended_and_never_completed(place: Place) -> None:
-    process = place.start()
-    good = place.ready()
+def test_every_kind_of_bad_client_is_ended_and_never_completed(deployment: Deployment) -> None:
+    process = deployment.start()
+    good = deployment.ready()
     assert good.ask(1, good.call(1, b"record", b"true"))[1] == b"OK"
-    place.engine.at_once = False
+    deployment.interpreter.at_once = False
     good.send(good.call(2))
-    wait_until(lambda: place.engine.core.running)
-    held = next(iter(place.engine.core.running))
-    for tag, (kind, data) in enumerate(bad_clients(held).items(), 10):
-        bad = place.router()
+    wait_until(lambda: deployment.interpreter.core.running)
+    running = next(iter(deployment.interpreter.core.running))
+    for tag, (kind, data) in enumerate(bad_clients(running).items(), 10):
+        bad = deployment.client()
         with contextlib.suppress(OSError):  # it may be closed half-way through
             bad.send(data)
-        told = b""
+        answer = b""
         with contextlib.suppress(ConnectionResetError):
-            told = bad.sock.recv(65536)
-        assert not told or b"FAILED" in told or b"BUSY" in told, kind
-        assert b"\r\nOK\r\n" not in told, kind
+            answer = bad.sock.recv(65536)
+        assert not answer or b"FAILED" in answer or b"BUSY" in answer, kind
+        assert b"\r\nOK\r\n" not in answer, kind
         bad.sock.close()
         assert good.ask(tag, frame(b"RPC.HEALTH", b"%d" % tag, b""))[1] == b"UP", kind
-    place.engine.end(held)
-    place.engine.at_once = True
+    deployment.interpreter.end(running)
+    deployment.interpreter.at_once = True
     assert good.read(2)[1] == b"OK" and good.ask(3, good.call(3))[1] == b"OK"
     again = good.ask(4, good.call(4, b"record", b"true"))
     assert again[1] == b"OK" and again[3] == b"made of true"
@@ -401,43 +405,43 @@
     assert "Traceback" not in leave(process)
 
 
-def test_noise_from_routers_and_interpreter_leaves_the_server_serving(place: Place) -> None:
-    process = place.start()
-    good, lots = place.ready(), random.Random(7)
+def test_noise_from_clients_and_interpreter_leaves_the_server_serving(deployment: Deployment) -> None:
+    process = deployment.start()
+    good, lots = deployment.ready(), random.Random(7)
     whole = good.call(1)
     for _ in range(60):
-        noise = place.router()
+        noise = deployment.client()
         start = lots.randrange(len(whole))
         with contextlib.suppress(OSError):  # it may be closed half-way through
             noise.send(whole[:start] + lots.randbytes(lots.randrange(40)) + whole[start:])
             noise.send(lots.randbytes(200))
         noise.sock.close()
-    assert place.engine.link is not None
+    assert deployment.interpreter.link is not None
     for _ in range(3):
         with contextlib.suppress(OSError):
-            place.engine.link.sendall(b"\0 VALUE\r\n")
+            deployment.interpreter.link.sendall(b"\0 VALUE\r\n")
         time.sleep(0.05)
     assert good.ask(9, good.call(9))[1] == b"OK"
     good.sock.close()
     assert "Traceback" not in leave(process)
 
 
-def test_a_router_that_does_not_read_stalls_nobody(place: Place) -> None:
-    place.start()
-    good, deaf = place.ready(), place.router()
+def test_a_client_that_does_not_read_stalls_nobody(deployment: Deployment) -> None:
+    deployment.start()
+    good, deaf = deployment.ready(), deployment.client()
     deaf.sock.settimeout(0.2)
     with contextlib.suppress(TimeoutError):
         for tag in range(1, 200_000):
             deaf.send(frame(b"RPC.HEALTH", b"%d" % tag, b""))
     assert good.ask(1, good.call(1))[1] == b"OK"
     deaf.sock.settimeout(PATIENCE)
-    for told in range(1, tag):  # once it reads, it gets all that it is owed
-        assert deaf.read(told)[1] == b"UP"
+    for number in range(1, tag):  # once it reads, it gets all that it is owed
+        assert deaf.read(number)[1] == b"UP"
 
 
-def test_half_a_close_still_gets_its_answer_and_leaves_no_connection(place: Place) -> None:
-    process = place.start()
-    good, half = place.ready(), place.router()
+def test_half_a_close_still_gets_its_answer_and_leaves_no_connection(deployment: Deployment) -> None:
+    process = deployment.start()
+    good, half = deployment.ready(), deployment.client()
     half.send(half.call(1))
     half.sock.shutdown(socket.SHUT_WR)
     assert half.read(1)[1] == b"OK" and half.ended()
@@ -448,34 +452,34 @@
 
 
 @pytest.fixture
-def narrow(tmp_path: Path) -> Iterator[Place]:
-    place = Place(tmp_path, limits={"sockets": 28, "memory_mb": 32})  # room for 16 connections
-    yield place
-    place.end()
+def narrow(tmp_path: Path) -> Iterator[Deployment]:
+    deployment = Deployment(tmp_path, limits={"sockets": 28, "memory_mb": 32})  # room for 16 connections
+    yield deployment
+    deployment.end()
 
 
-def test_a_full_table_closes_unused_connections_for_newcomers(narrow: Place) -> None:
+def test_a_full_table_closes_unused_connections_for_newcomers(narrow: Deployment) -> None:
     narrow.start()
     peers = [narrow.ready() for _ in range(16)]
-    narrow.engine.at_once = False
+    narrow.interpreter.at_once = False
     peers[0].send(peers[0].call(1))
-    last = narrow.router()
+    last = narrow.client()
     last.send(last.call(1))
-    wait_until(lambda: len(narrow.engine.core.running) == 2)
+    wait_until(lambda: len(narrow.interpreter.core.running) == 2)
     assert peers[1].ended()  # though it was heard and would have stayed
-    for name in list(narrow.engine.core.running):
-        narrow.engine.end(name)
+    for name in list(narrow.interpreter.core.running):
+        narrow.interpreter.end(name)
     assert peers[0].read(1)[1] == last.read(1)[1] == b"OK"
 
 
-def test_crowds_that_say_nothing_are_closed_and_keep_no_router_out(narrow: Place) -> None:
+def test_many_that_send_nothing_are_closed_and_keep_no_client_out(narrow: Deployment) -> None:
     process = narrow.start()
     kept = narrow.ready()
-    crowd = [narrow.router() for _ in range(60)]
-    half = narrow.router()
+    crowd = [narrow.client() for _ in range(60)]
+    half = narrow.client()
     half.send(half.call(1)[:-9])
     began = time.monotonic()
-    late = narrow.router()
+    late = narrow.client()
     assert late.ask(1, late.call(1))[1] == kept.ask(1, kept.call(1))[1] == b"OK"
     assert all(peer.ended() for peer in (*crowd, half)) and time.monotonic() < began + PATIENCE
     kept.send(kept.call(2))
@@ -509,12 +513,12 @@
     ],
 )
 def test_a_faulty_key_is_named(tmp_path: Path, key: str, changes: dict[str, Any]) -> None:
-    place = Place(tmp_path, **changes)
-    process = place.start()
+    deployment = Deployment(tmp_path, **changes)
+    process = deployment.start()
     try:
         _, text = process.communicate(timeout=PATIENCE)
     finally:
-        place.end()
+        deployment.end()
     assert process.returncode == 2 and text.startswith(f"sablewheel: {key}: ") and text.count("\n") == 1
 
 
@@ -528,31 +532,31 @@
 ODD: list[Any] = [None, "", "x", "x:1", -1, 0.5, 1e400, 10**30, True, [], [[]], [{}], ["x"], {}, {"x": []}]
 
 
-def test_any_odd_value_anywhere_is_taken_or_named(place: Place) -> None:
-    place.told["settings"]["extra"] |= {"class-calls": [False, False], "class-skip-worth": [0.5]}
-    for path in list(paths(place.told)):
+def test_any_odd_value_anywhere_is_taken_or_named(deployment: Deployment) -> None:
+    deployment.config["settings"]["extra"] |= {"class-calls": [False, False], "class-skip-worth": [0.5]}
+    for path in list(paths(deployment.config)):
         for odd in ODD:
-            told = json.loads(json.dumps(place.told))
-            inner = told
+            config = json.loads(json.dumps(deployment.config))
+            inner = config
             for key in path[:-1]:
                 inner = inner[key]
             inner[path[-1]] = odd
-            place.file.write_text(json.dumps(told))
+            deployment.file.write_text(json.dumps(config))
             with contextlib.suppress(configuration.FaultyKeyError):
-                configuration.placement_settings({"RELAY_CONFIG": str(place.file)})
+                configuration.placement_settings({"RELAY_CONFIG": str(deployment.file)})
 
 
-def test_no_file_no_json_and_an_address_in_use_are_told_in_a_line(place: Place) -> None:
+def test_no_file_no_json_and_an_address_in_use_are_reported_in_a_line(deployment: Deployment) -> None:
     for text, said in ((None, "RELAY_CONFIG: "), ("{", "RELAY_CONFIG: ")):
-        environment = {"RELAY_CONFIG": str(place.file)}
+        environment = {"RELAY_CONFIG": str(deployment.file)}
         if text is not None:
-            place.file.write_text(text)
+            deployment.file.write_text(text)
         with pytest.raises(configuration.FaultyKeyError) as fault:
             configuration.placement_settings(environment)
         assert str(fault.value).startswith(said)
-    place.start()
-    place.ready()
-    second = place.start()
+    deployment.start()
+    deployment.ready()
+    second = deployment.start()
     _, text = second.communicate(timeout=PATIENCE)
     assert second.returncode == 1 and text.startswith("sablewheel: listen: ") and text.count("\n") == 1
 
@@ -577,15 +581,15 @@
     assert form.format(record).endswith(said)
 
 
-def test_new_settings_are_taken_under_load_and_the_way_back_is_the_same(place: Place) -> None:
+def test_new_settings_are_taken_under_load_and_the_way_back_is_the_same(deployment: Deployment) -> None:
     """The move's switch: new settings without a restart, what was taken in answered once, and back again."""
-    process = place.start()
-    peer = place.ready()
-    place.engine.at_once = False
+    process = deployment.start()
+    peer = deployment.ready()
+    deployment.interpreter.at_once = False
     tags = iter(range(500, 600))
 
-    def told(settings: dict[str, Any]) -> None:
-        place.file.write_text(json.dumps(place.told | {"settings": settings}))
+    def write_configuration(settings: dict[str, Any]) -> None:
+        deployment.file.write_text(json.dumps(deployment.config | {"settings": settings}))
         process.send_signal(signal.SIGHUP)
         peer.ask(tag := next(tags), frame(b"RPC.HEALTH", b"%d" % tag, b""))
 
@@ -598,11 +602,11 @@
     faulty["classes"][0]["repeat"] = "odd"
     for number, settings in enumerate([moved, renamed, faulty, SETTINGS], start=1):
         peer.send(peer.call(number))
-        wait_until(lambda: place.engine.core.running)
-        told(settings)
-        place.engine.end(next(iter(place.engine.core.running)))
+        wait_until(lambda: deployment.interpreter.core.running)
+        write_configuration(settings)
+        deployment.interpreter.end(next(iter(deployment.interpreter.core.running)))
         assert peer.read(number)[1] == b"OK"
-    place.engine.at_once = True
+    deployment.interpreter.at_once = True
     assert peer.ask(9, peer.call(9))[1] == b"OK"
     peer.sock.settimeout(0.3)
     with contextlib.suppress(TimeoutError):
@@ -627,11 +631,13 @@
 def test_the_gauges_are_found_by_name_and_runnable_is_absent_by_default(
     tmp_path: Path, gauges: list[str], places: tuple[int | None, ...]
 ) -> None:
-    place = Place(tmp_path)
-    told = json.loads(json.dumps(place.told))
-    told["settings"]["extra"]["gauges"] = gauges
-    place.file.write_text(json.dumps(told))
+    deployment = Deployment(tmp_path)
+    config = json.loads(json.dumps(deployment.config))
+    config["settings"]["extra"]["gauges"] = gauges
+    deployment.file.write_text(json.dumps(config))
     try:
-        assert configuration.placement_settings({"RELAY_CONFIG": str(place.file)}).gauge_indexes == places
+        assert (
+            configuration.placement_settings({"RELAY_CONFIG": str(deployment.file)}).gauge_indexes == places
+        )
     finally:
-        place.end()
+        deployment.end()
--- a/tests/test_propagated_deadlines.py
+++ b/tests/test_propagated_deadlines.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from simulated_server import Town, call
+from simulated_server import SimulatedServer, call
 from test_serving import SERVER_SETTINGS
 
 from sablewheel.overload.interface import Cancellation, RequestClass, ServerSettings
@@ -14,26 +14,26 @@
 TOLD = replace(SERVER_SETTINGS, deadline_propagated=True, marks_retries=True)
 
 
-def ask(town: Town, tag: int, fields: bytes, request_class: bytes = b"lookup") -> None:
+def ask(server: SimulatedServer, tag: int, fields: bytes, request_class: bytes = b"lookup") -> None:
     """One call with these fields more, in a round of its own."""
-    data = call(tag, b"%016x" % tag, request_class, town.now, b"body")
+    data = call(tag, b"%016x" % tag, request_class, server.now, b"body")
     at = data.index(b"$", data.index(request_class))
     size, rest = data[at + 1 :].split(b"\r\n", 1)
     old, tail = rest[: int(size)], rest[int(size) :]
-    town.router.feed(data[:at] + b"$%d\r\n" % (int(size) + len(fields)) + old + fields + tail)
-    town.scheduler.run_ready()
-    town.dispatch.end_round()
-    town.settle()
+    server.client.feed(data[:at] + b"$%d\r\n" % (int(size) + len(fields)) + old + fields + tail)
+    server.scheduler.run_ready()
+    server.dispatcher.end_round()
+    server.settle()
 
 
-def answers(town: Town) -> dict[int, list[bytes]]:
+def answers(server: SimulatedServer) -> dict[int, list[bytes]]:
     """What was said by now, by tag, also before `settle` took it."""
-    return {int(words[0]): words for words in town.answers.feed(town.router.taken())}
+    return {int(words[0]): words for words in server.answers.feed(server.client.taken())}
 
 
-def keep(town: Town, said: dict[int, list[bytes]]) -> None:
+def keep(server: SimulatedServer, said: dict[int, list[bytes]]) -> None:
     """Take the answers as they come, each once."""
-    real = town.answers.feed
+    real = server.answers.feed
 
     def feed(data: bytes) -> list[list[bytes]]:
         found = real(data)
@@ -42,7 +42,7 @@
             said[int(words[0])] = words
         return found
 
-    town.answers.feed = feed  # type: ignore[method-assign]
+    server.answers.feed = feed  # type: ignore[method-assign]
 
 
 @pytest.mark.parametrize("halting", [Cancellation.DISCARDS_WORK, Cancellation.UNSUPPORTED])
@@ -50,52 +50,52 @@
     halting: Cancellation,
 ) -> None:
     """The made-up site mostly-keyed lost 2,029 requests on a calm day: `allow` was not read."""
-    town, said = Town(replace(TOLD, cancellation=halting)), {}  # type: ignore[var-annotated]
-    keep(town, said)
+    server, said = SimulatedServer(replace(TOLD, cancellation=halting)), {}  # type: ignore[var-annotated]
+    keep(server, said)
     for tag in (1, 2, 3):  # two run, one waits for a core
-        ask(town, tag, b",allow=700")
-    assert len(town.interpreter.running) == 2
-    town.wait(0.69 + TOLD.answer_slack_s)
+        ask(server, tag, b",allow=700")
+    assert len(server.interpreter.running) == 2
+    server.wait(0.69 + TOLD.answer_slack_s)
     assert set(said) == {1, 2, 3} and not {words[1] for words in said.values()} & {b"OK"}
 
 
 def test_a_caller_that_waits_longer_is_not_given_up_before() -> None:
-    town, said = Town(TOLD), {}  # type: ignore[var-annotated]
-    keep(town, said)
-    ask(town, 1, b",allow=9000,dup=1")
-    town.wait(6.0)
+    server, said = SimulatedServer(TOLD), {}  # type: ignore[var-annotated]
+    keep(server, said)
+    ask(server, 1, b",allow=9000,dup=1")
+    server.wait(6.0)
     assert not said
-    town.end(b"%016x" % 1)
-    town.settle()
+    server.end(b"%016x" % 1)
+    server.settle()
     assert said[1][1] == b"OK"
 
 
 def test_the_wait_counts_from_the_request_not_from_its_reading_or_the_start() -> None:
-    town, said = Town(TOLD), {}  # type: ignore[var-annotated]
-    keep(town, said)
-    controller, town.dispatch._controller = town.dispatch._controller, None
-    ask(town, 1, b",allow=3000")
-    ask(town, 2, b",allow=400")
-    town.wait(0.5)
+    server, said = SimulatedServer(TOLD), {}  # type: ignore[var-annotated]
+    keep(server, said)
+    controller, server.dispatcher._controller = server.dispatcher._controller, None
+    ask(server, 1, b",allow=3000")
+    ask(server, 2, b",allow=400")
+    server.wait(0.5)
     assert set(said) == {2}  # given up before the start
-    town.wait(0.5)
-    town.dispatch._controller = controller
-    town.dispatch.recovery_finished()
-    town.settle()
-    assert town.interpreter.running
-    town.wait(1.99 + TOLD.answer_slack_s)
+    server.wait(0.5)
+    server.dispatcher._controller = controller
+    server.dispatcher.recovery_finished()
+    server.settle()
+    assert server.interpreter.running
+    server.wait(1.99 + TOLD.answer_slack_s)
     assert set(said) == {1, 2}
 
 
 def test_where_the_settings_do_not_say_so_the_field_is_not_heeded() -> None:
-    town, said = Town(SERVER_SETTINGS), {}  # type: ignore[var-annotated]
-    keep(town, said)
-    ask(town, 1, b",allow=300")
-    town.wait(1.0)
+    server, said = SimulatedServer(SERVER_SETTINGS), {}  # type: ignore[var-annotated]
+    keep(server, said)
+    ask(server, 1, b",allow=300")
+    server.wait(1.0)
     assert not said
 
 
-def test_further_tries_and_the_work_foretold_reach_the_decision() -> None:
+def test_retries_and_cost_hints_reach_the_decision() -> None:
     server_settings = ServerSettings(
         request_classes=(
             RequestClass(SERVER_SETTINGS.request_classes[0].idempotency, 1.0, 4.0),
@@ -111,9 +111,9 @@
         deadline_propagated=True,
         marks_retries=True,
     )
-    town = Town(server_settings)
-    ask(town, 1, b",allow=2000,dup=2,effort=412.5")
-    (request,) = town.dispatch._open_requests._exchanges
+    server = SimulatedServer(server_settings)
+    ask(server, 1, b",allow=2000,dup=2,effort=412.5")
+    (request,) = server.dispatcher._open_requests._exchanges
     assert request.is_retry and request.cost_hint == 0.4125
     assert request.remaining_s == pytest.approx(2.0, abs=0.01)
 
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -44,7 +44,7 @@
     ),
     st.binary(max_size=60),
 )
-def test_noise_is_refused_or_waited_for(which: int, pieces: list[bytes], tail: bytes) -> None:
+def test_noise_is_rejected_or_waited_for(which: int, pieces: list[bytes], tail: bytes) -> None:
     new, _ = feeds()[which]
     with contextlib.suppress(resp.ProtocolError, interpreter.ProtocolError):
         new()(b"".join(pieces) + tail)
--- a/tests/test_result_store.py
+++ b/tests/test_result_store.py
@@ -15,7 +15,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
-from simulated_server import Town, Try
+from simulated_server import Attempt, SimulatedServer
 from test_usage_metering import SERVER_SETTINGS, SlowBridge
 
 from sablewheel.command.main import main
@@ -286,7 +286,7 @@
     boot: float = 50_000.0
 
 
-class RecallTown(Town):
+class RecallTown(SimulatedServer):
     """The routing layer with recall over a made disk; `restart` is a kill and a new start."""
 
     def __init__(
@@ -299,7 +299,7 @@
         outlived = before is not None and plan.interpreter_outlives
         if before is not None:
             self.scheduler.clock.now = before.now
-            self.tries = before.tries
+            self.attempts = before.attempts
             if outlived:
                 self.interpreter = before.interpreter
             else:
@@ -319,23 +319,23 @@
             b"inc%05d" % len(disk.files.names()),
             request_classes,
             NO_OBSERVER,
-            lambda one: self.dispatch.run_ended(one, Outcome.NEVER_STARTED, 0.0, b""),
+            lambda one: self.dispatcher.run_ended(one, Outcome.NEVER_STARTED, 0.0, b""),
             lambda: None,
             self.failures.append,
             self.counts.append,
             self.moment,
         )
         bridge.work()
-        self.server.observer = self.recorder
-        self.dispatch._result_store = self.recorder
-        self.dispatch._duplicate_checks._result_store = self.recorder
+        self.listener.observer = self.recorder
+        self.dispatcher._result_store = self.recorder
+        self.dispatcher._duplicate_checks._result_store = self.recorder
         # The town greeted its interpreter before: what a start would have told is told now.
         born = self.now - (5000.0 if outlived or before is None else 0.0)
         from sablewheel.overload import interface
 
         recalled = self.recorder.recover_keys(born, self.idempotency_keys)
-        self.dispatch._events[:0] = [interface.KeyRecovered(request, life) for request, life in recalled]
-        self.client.adopt(*self.recorder.runs_to_adopt())
+        self.dispatcher._events[:0] = [interface.KeyRecovered(request, life) for request, life in recalled]
+        self.interpreter_client.adopt(*self.recorder.runs_to_adopt())
         if outlived:
             missed = b"".join(self.interpreter.notices[self.recorder.last_notice :])
             if self.link is not None and missed:
@@ -356,21 +356,21 @@
 
     def restart(self, crash: random.Random | None = None) -> RecallTown:
         """Killed: what was not synced may be gone, connections are, tries without an answer are lost."""
-        for one in self.tries:
+        for one in self.attempts:
             one.cancelled = one.cancelled or not one.answers
         if crash is not None:
             self.disk.files = self.disk.files.crash(crash)
-        for one in self.tries:
+        for one in self.attempts:
             one.tag = -abs(one.tag)
         return RecallTown(self.patch, self.disk, self, **self.more)
 
-    def call(self, request_class: bytes, idempotency_key: bytes = b"", ago: float = 0.0) -> Try:
+    def call(self, request_class: bytes, idempotency_key: bytes = b"", ago: float = 0.0) -> Attempt:
         one = super().call(request_class, idempotency_key, ago)
         self.answers = self.answers or Parser()
         return one
 
 
-def run_one(town: RecallTown, idempotency_key: bytes = b"label") -> Try:
+def run_one(town: RecallTown, idempotency_key: bytes = b"label") -> Attempt:
     one = town.call(b"record", idempotency_key)
     town.settle()
     town.end(one.name)
@@ -378,7 +378,7 @@
     return one
 
 
-def word(one: Try) -> bytes:
+def word(one: Attempt) -> bytes:
     return one.answers[0][1] if one.answers else b""
 
 
@@ -462,12 +462,12 @@
     town = RecallTown(monkeypatch, Disk(MadeFiles()))
     run_one(town)
     town = town.restart()
-    copy = Try(len(town.tries) + 1, b"%016x" % 99, b"record", b"", town.now)
+    copy = Attempt(len(town.attempts) + 1, b"%016x" % 99, b"record", b"", town.now)
     copy.body = b"another body"
-    town.tries.append(copy)
+    town.attempts.append(copy)
     from simulated_server import call
 
-    town.router.feed(call(copy.tag, copy.name, b"record", town.now, copy.body, b"label"))
+    town.client.feed(call(copy.tag, copy.name, b"record", town.now, copy.body, b"label"))
     town.settle()
     assert word(copy) == b"FAILED" and len(town.interpreter.applied) == 1
 
@@ -539,8 +539,8 @@
                     town.call(b"record", b"%d" % chance.randrange(6))
                 case 3 | 4 if town.interpreter.running:
                     town.end(chance.choice(list(town.interpreter.running)))
-                case 5 if town.tries and town.tries[-1].tag > 0:
-                    town.cancel(town.tries[-1])
+                case 5 if town.attempts and town.attempts[-1].tag > 0:
+                    town.cancel(town.attempts[-1])
                 case 6:
                     town.bridge.open = chance.random() < 0.7
                 case 7 if chance.random() < 0.5:
@@ -549,7 +549,7 @@
                 case _:
                     town.wait(chance.uniform(0.0, 0.3))
             town.settle()
-            for one in town.tries:
+            for one in town.attempts:
                 if word(one) == b"OK":
                     assert held.setdefault(one.idempotency_key, one.answers[0][3]) == one.answers[0][3]
         assert kills
@@ -587,7 +587,7 @@
     refused.settle()
     assert not unknown.answers and not refused.recorder._store
     cold = RecallTown(monkeypatch, disk, town, unreadable=Unreadable.COLD, cold=Start.STRICT)
-    for one in cold.tries:
+    for one in cold.attempts:
         one.cancelled = True
     unknown = cold.call(b"record", b"never seen")
     cold.settle()
--- a/tests/test_scheduler_races.py
+++ b/tests/test_scheduler_races.py
@@ -107,27 +107,27 @@
     assert all(later >= sooner + 0.01 for sooner, later in pairwise(turns))
 
 
-def test_a_core_whose_ring_faults_is_rung_again(scheduler: Scheduler) -> None:
+def test_a_wakeup_that_faults_is_called_again(scheduler: Scheduler) -> None:
     """A fault before it told its next wake: nobody would ring it any more."""
-    rung: list[float] = []
+    fired_at: list[float] = []
 
     def ring() -> None:
-        rung.append(scheduler.clock.now)
-        if len(rung) == 2:
+        fired_at.append(scheduler.clock.now)
+        if len(fired_at) == 2:
             scheduler.stop()
         fault()
 
     Wakeup(scheduler, lambda: scheduler.clock.now, ring).set(scheduler.clock.now)
     play(scheduler)
-    assert len(rung) == 2 and rung[1] - rung[0] >= 0.1  # and a lasting fault does not spin
+    assert len(fired_at) == 2 and fired_at[1] - fired_at[0] >= 0.1  # and a lasting fault does not spin
 
 
-def test_a_core_that_told_its_wake_before_a_fault_is_rung_then(scheduler: Scheduler) -> None:
-    rung: list[float] = []
+def test_a_wakeup_set_before_a_fault_is_called_then(scheduler: Scheduler) -> None:
+    fired_at: list[float] = []
 
     def ring() -> None:
-        rung.append(scheduler.clock.now)
-        if len(rung) == 2:
+        fired_at.append(scheduler.clock.now)
+        if len(fired_at) == 2:
             return scheduler.stop()
         wake.set(scheduler.clock.now + 0.01)
         fault()
@@ -135,7 +135,7 @@
     wake = Wakeup(scheduler, lambda: scheduler.clock.now, ring)
     wake.set(scheduler.clock.now)
     play(scheduler)
-    assert len(rung) == 2 and rung[1] - rung[0] < 0.1
+    assert len(fired_at) == 2 and fired_at[1] - fired_at[0] < 0.1
 
 
 # -- signals
@@ -204,7 +204,9 @@
 
 
 @pytest.mark.parametrize("forgotten_first", [True, False])
-def test_a_wait_that_ends_twice_in_a_round_is_told_once(scheduler: Scheduler, forgotten_first: bool) -> None:
+def test_a_wait_that_ends_twice_in_a_round_is_reported_once(
+    scheduler: Scheduler, forgotten_first: bool
+) -> None:
     """Its time is over and the descriptor goes, both due in one round, in either order."""
     [(one, other)] = sockets(1)
     told: list[object] = []
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -1,4 +1,4 @@
-"""Signals, requests and the end that cross: real processes and sockets, the moment held by a seam.
+"""Signals, requests and the end that cross: real processes and sockets, the moment fixed by a hook.
 
 A stopped process (SIGSTOP) reads all that came meanwhile in one round; a child's own script puts the other
 event between two given lines. No test waits in the hope that something happens.
@@ -20,7 +20,7 @@
 
 import pytest
 from simulated_server import call, frame
-from test_program import PATIENCE, SETTINGS, Peer, Place, wait_until
+from test_program import PATIENCE, SETTINGS, ClientConnection, Deployment, wait_until
 
 from sablewheel.protocol import naming
 from sablewheel.transport import listening_socket
@@ -32,14 +32,14 @@
 
 
 @pytest.fixture
-def place(tmp_path: Path) -> Iterator[Place]:
-    place = Place(tmp_path, stop_ms=600)
-    yield place
-    place.end()
+def deployment(tmp_path: Path) -> Iterator[Deployment]:
+    deployment = Deployment(tmp_path, stop_ms=600)
+    yield deployment
+    deployment.end()
 
 
 @contextlib.contextmanager
-def held(process: subprocess.Popen[str]) -> Iterator[None]:
+def suspended(process: subprocess.Popen[str]) -> Iterator[None]:
     """Whatever comes meanwhile is there in the process's next round, all at once."""
     process.send_signal(signal.SIGSTOP)
     os.waitid(os.P_PID, process.pid, os.WSTOPPED | os.WNOWAIT)
@@ -55,7 +55,7 @@
     return text
 
 
-def alone(peer: Peer, tag: int) -> bytes:
+def alone(peer: ClientConnection, tag: int) -> bytes:
     """The one final answer to it, and nothing else but a farewell up to the end of the connection."""
     word = peer.read(tag)[1]
     with contextlib.suppress(ConnectionResetError):
@@ -65,16 +65,16 @@
     return word
 
 
-def child(place: Place, script: str) -> subprocess.Popen[str]:
+def child(deployment: Deployment, script: str) -> subprocess.Popen[str]:
     """The program with a seam of the test's in it."""
-    place.file.write_text(json.dumps(place.told))
+    deployment.file.write_text(json.dumps(deployment.config))
     process = subprocess.Popen(
         [sys.executable, "-c", SCRIPT + script + "\nsys.exit(start.main())\n"],
-        env={**os.environ, "RELAY_CONFIG": str(place.file)},
+        env={**os.environ, "RELAY_CONFIG": str(deployment.file)},
         stderr=subprocess.PIPE,
         text=True,
     )
-    place.processes.append(process)
+    deployment.processes.append(process)
     return process
 
 
@@ -89,14 +89,14 @@
 """
 
 
-# -- told to leave before the interpreter is up
+# -- shutdown before the interpreter is up
 
 
-def test_all_that_wait_for_the_start_are_refused_when_it_is_left(place: Place) -> None:
+def test_all_that_wait_for_the_start_are_rejected_when_it_is_left(deployment: Deployment) -> None:
     """Read and waiting, half read, in the machine's buffer, on a connection that was not taken yet."""
-    place.engine.core.up = False
-    process = place.start()
-    read, half, unread = (place.router() for _ in range(3))
+    deployment.interpreter.core.up = False
+    process = deployment.start()
+    read, half, unread = (deployment.client() for _ in range(3))
     for peer in (read, half, unread):
         assert peer.ask(999, HEALTH)[1] == b"DOWN"
     read.send(read.call(1) + HEALTH)
@@ -104,24 +104,24 @@
     half.send(HEALTH + whole[:-9])
     read.read(999)
     half.read(999)
-    with held(process):
+    with suspended(process):
         half.send(whole[-9:])
         unread.send(unread.call(1))
-        waiting = place.router()
+        waiting = deployment.client()
         waiting.send(waiting.call(1))
         process.send_signal(signal.SIGTERM)
     for peer in (read, half, unread, waiting):
         assert peer.read(1)[1] == b"BUSY"
         peer.sock.close()
     text = ended(process)
-    assert "denied_draining=4" in text and not place.engine.core.applied
+    assert "denied_draining=4" in text and not deployment.interpreter.core.applied
 
 
-def test_nothing_open_and_the_interpreter_not_up_it_ends_at_once(place: Place) -> None:
-    place.told["stop_ms"] = 60_000
-    place.engine.core.up = False
-    process = place.start()
-    peer = place.router()
+def test_nothing_open_and_the_interpreter_not_up_it_ends_at_once(deployment: Deployment) -> None:
+    deployment.config["stop_ms"] = 60_000
+    deployment.interpreter.core.up = False
+    process = deployment.start()
+    peer = deployment.client()
     assert peer.ask(999, HEALTH)[1] == b"DOWN"
     peer.sock.close()
     process.send_signal(signal.SIGTERM)
@@ -129,11 +129,11 @@
 
 
 @pytest.mark.parametrize("first", ["greeting", "notice"])
-def test_the_greeting_and_the_notice_in_one_round(place: Place, first: str) -> None:
+def test_the_greeting_and_the_shutdown_notice_in_one_round(deployment: Deployment, first: str) -> None:
     """Whichever is seen first: what waited has its one answer, and the server is not up any more."""
     calls = ["greeted(self, *values)", "application[0]._on_shutdown_notice()"]
     process = child(
-        place,
+        deployment,
         f"""
 application, greeted, init = [], Dispatcher.interpreter_ready, Application.__init__
 def remembering(self, *values):
@@ -148,41 +148,41 @@
 Application.__init__, Dispatcher.interpreter_ready, Dispatcher.shutdown_notice = remembering, both, noticed
 """,
     )
-    place.engine.core.up = False
-    peer = place.router()
+    deployment.interpreter.core.up = False
+    peer = deployment.client()
     peer.send(peer.call(1) + HEALTH)
     assert peer.read(999)[1] == b"DOWN"
-    wait_until(lambda: place.engine.link is not None)
-    assert place.engine.link is not None
-    place.engine.core.up = True
-    place.engine.link.sendall(b"BANNER steady 5000\r\n")
+    wait_until(lambda: deployment.interpreter.link is not None)
+    assert deployment.interpreter.link is not None
+    deployment.interpreter.core.up = True
+    deployment.interpreter.link.sendall(b"BANNER steady 5000\r\n")
     assert peer.read(1)[1] == (b"OK" if first == "greeting" else b"BUSY")
-    health = place.router() if first == "greeting" else peer
+    health = deployment.client() if first == "greeting" else peer
     assert health.ask(999, HEALTH)[1] == b"DOWN"
     health.sock.close()
     peer.sock.close()
     assert ended(process).count("the controller has notice") == 1
-    assert len(place.engine.core.applied) == (first == "greeting")
+    assert len(deployment.interpreter.core.applied) == (first == "greeting")
 
 
-def test_an_interpreter_that_comes_up_while_it_is_left_runs_nothing(place: Place) -> None:
-    place.engine.core.up = False
-    process = place.start()
-    peer = place.router()
+def test_an_interpreter_that_comes_up_while_it_is_left_runs_nothing(deployment: Deployment) -> None:
+    deployment.interpreter.core.up = False
+    process = deployment.start()
+    peer = deployment.client()
     peer.send(peer.call(1) + HEALTH)
     assert peer.read(999)[1] == b"DOWN"
-    wait_until(lambda: place.engine.link is not None)
+    wait_until(lambda: deployment.interpreter.link is not None)
     process.send_signal(signal.SIGTERM)
     assert peer.read(1)[1] == b"BUSY" and peer.read(0)[1] == b"BYE"
-    place.engine.core.up = True
-    assert place.engine.link is not None
-    place.engine.link.sendall(b"BANNER steady 5000\r\n")
+    deployment.interpreter.core.up = True
+    assert deployment.interpreter.link is not None
+    deployment.interpreter.link.sendall(b"BANNER steady 5000\r\n")
     assert peer.ask(999, HEALTH)[1] == b"DOWN"  # in time or not: it never says that it is up
     peer.send(peer.call(2))
     assert peer.read(2)[1] == b"BUSY"
     peer.sock.close()
     ended(process)
-    assert not place.engine.core.applied
+    assert not deployment.interpreter.core.applied
 
 
 # -- the last instant
@@ -207,14 +207,14 @@
     settings["safety"] |= {"answer-slack-s": slack, "drain-grace-s": 0.05}
     settings["extra"]["halt"] = halt
     settings["tick-s"] = tick
-    place = Place(tmp_path, stop_ms=stop_ms, settings=settings)
-    process = place.start()
+    deployment = Deployment(tmp_path, stop_ms=stop_ms, settings=settings)
+    process = deployment.start()
     try:
-        peer, other = place.ready(), place.router()
-        place.engine.at_once = False
+        peer, other = deployment.ready(), deployment.client()
+        deployment.interpreter.at_once = False
         peer.send(peer.call(1) + peer.call(2, b"record", b"ab"))
-        wait_until(lambda: len(place.engine.core.running) == 2)
-        with held(process):
+        wait_until(lambda: len(deployment.interpreter.core.running) == 2)
+        with suspended(process):
             other.send(other.call(1, b"record", b"ab") + other.call(2))
             process.send_signal(signal.SIGTERM)
         assert {peer.read(1)[1], peer.read(2)[1], other.read(1)[1]} == {b"FAILED"}
@@ -222,20 +222,20 @@
         peer.sock.close()
         ended(process)
     finally:
-        place.end()
+        deployment.end()
 
 
 @pytest.mark.parametrize("ends", [True, False])
-def test_what_is_read_after_the_last_answers_is_refused(place: Place, ends: bool) -> None:
+def test_what_is_read_after_the_last_answers_is_rejected(deployment: Deployment, ends: bool) -> None:
     """A run ends and a request comes between the last answers and the end: no second answer, and no run.
 
     While the run goes on, a request of its name fails: a refusal would say that what it names never ran.
     """
-    place.told["settings"]["safety"]["answer-slack-s"] = 0.0
-    place.told["settings"]["tick-s"] = 0.0
-    place.told["settings"]["extra"]["halt"] = "off"
+    deployment.config["settings"]["safety"]["answer-slack-s"] = 0.0
+    deployment.config["settings"]["tick-s"] = 0.0
+    deployment.config["settings"]["extra"]["halt"] = "off"
     process = child(
-        place,
+        deployment,
         """
 answer_all = Application._answer_all
 def slow(self):
@@ -246,15 +246,15 @@
 Application._answer_all = slow
 """,
     )
-    peer, other = place.ready(), place.router()
-    place.engine.at_once = False
+    peer, other = deployment.ready(), deployment.client()
+    deployment.interpreter.at_once = False
     name = b"%016x" % 77
     peer.send(call(1, name, b"lookup", time.time(), b"body"))
-    wait_until(lambda: place.engine.core.running)
+    wait_until(lambda: deployment.interpreter.core.running)
     process.send_signal(signal.SIGTERM)
     os.waitid(os.P_PID, process.pid, os.WSTOPPED | os.WNOWAIT)
     if ends:
-        place.engine.end(name)
+        deployment.interpreter.end(name)
     else:
         other.send(call(3, name, b"lookup", time.time(), b"body"))
     # It came to the machine within the grace, so that alone would let it run.
@@ -263,31 +263,31 @@
     assert peer.read(1)[1] == b"FAILED" and peer.read(2)[1] == b"BUSY"
     if not ends:
         assert other.read(3)[1] == b"FAILED"
-        place.engine.end(name)
+        deployment.interpreter.end(name)
     other.sock.close()
     peer.sock.close()
     ended(process)
-    assert len(place.engine.core.applied) == 1
+    assert len(deployment.interpreter.core.applied) == 1
 
 
-def test_who_waits_for_what_is_remembered_is_answered_before_the_end(place: Place) -> None:
+def test_who_waits_for_what_is_remembered_is_answered_before_the_end(deployment: Deployment) -> None:
     """It may be a repeat of what ran before the start: so it fails, and it is not rejected."""
-    process = child(place, "from sablewheel.serving import hooks; hooks.NullResultStore.ready = False")
-    peer = place.ready()
+    process = child(deployment, "from sablewheel.serving import hooks; hooks.NullResultStore.ready = False")
+    peer = deployment.ready()
     peer.send(peer.call(1, b"record", b"ab"))
     assert peer.ask(999, HEALTH)[1] == b"UP"
     process.send_signal(signal.SIGTERM)
     assert alone(peer, 1) == b"FAILED"
     peer.sock.close()
     ended(process)
-    assert not place.engine.core.applied
+    assert not deployment.interpreter.core.applied
 
 
-def test_a_pause_beyond_the_stop_answers_all_that_came_meanwhile(place: Place) -> None:
+def test_a_pause_beyond_the_stop_answers_all_that_came_meanwhile(deployment: Deployment) -> None:
     """Stopped past its time to leave: what runs, what was written, and who stood before the door."""
-    place.told["stop_ms"] = 100
+    deployment.config["stop_ms"] = 100
     process = child(
-        place,
+        deployment,
         """
 leave = Application._on_shutdown_notice
 def paused(self):
@@ -296,21 +296,21 @@
 Application._on_shutdown_notice = paused
 """,
     )
-    peer, other = place.ready(), place.router()
-    place.engine.at_once = False
+    peer, other = deployment.ready(), deployment.client()
+    deployment.interpreter.at_once = False
     peer.send(peer.call(1))
-    wait_until(lambda: place.engine.core.running)
+    wait_until(lambda: deployment.interpreter.core.running)
     process.send_signal(signal.SIGTERM)
     os.waitid(os.P_PID, process.pid, os.WSTOPPED | os.WNOWAIT)
     time.sleep(0.12)
     other.send(other.call(2))
-    late = place.router()
+    late = deployment.client()
     late.send(late.call(3))
     process.send_signal(signal.SIGCONT)
     assert peer.read(1)[1] == b"FAILED"
     assert {other.read(2)[1], late.read(3)[1]} <= {b"FAILED", b"BUSY"}
     ended(process)
-    assert len(place.engine.core.applied) == 1
+    assert len(deployment.interpreter.core.applied) == 1
 
 
 # -- signals
@@ -326,35 +326,39 @@
         (False, ("SIGHUP", "SIGINT", "SIGTERM", "SIGUSR1")),
     ],
 )
-def test_signals_of_one_round_end_it_in_order(place: Place, up: bool, numbers: tuple[str, ...]) -> None:
-    place.engine.core.up = up
-    process = place.start()
-    peer = place.ready() if up else place.router()
-    place.engine.at_once = False
+def test_signals_of_one_round_end_it_in_order(
+    deployment: Deployment, up: bool, numbers: tuple[str, ...]
+) -> None:
+    deployment.interpreter.core.up = up
+    process = deployment.start()
+    peer = deployment.ready() if up else deployment.client()
+    deployment.interpreter.at_once = False
     peer.send(peer.call(1) + HEALTH)
     assert peer.read(999)[1] == (b"UP" if up else b"DOWN")
-    with held(process):
+    with suspended(process):
         for number in numbers:
             process.send_signal(getattr(signal, number))
     if up:
-        wait_until(lambda: place.engine.core.running)
-        place.engine.end(next(iter(place.engine.core.running)))
+        wait_until(lambda: deployment.interpreter.core.running)
+        deployment.interpreter.end(next(iter(deployment.interpreter.core.running)))
     assert peer.read(1)[1] == (b"OK" if up else b"BUSY")
     peer.sock.close()
     assert ("configuration read anew" in ended(process)) == ("SIGHUP" in numbers)
 
 
-def test_told_to_leave_within_the_hand_over_to_a_moved_interpreter(place: Place) -> None:
+def test_notified_to_shut_down_within_the_hand_over_to_a_moved_interpreter(deployment: Deployment) -> None:
     """The hang-up moves the interpreter to where nobody answers, and the notice comes before it does."""
-    process = place.start()
-    peer = place.ready()
-    place.engine.at_once = False
+    process = deployment.start()
+    peer = deployment.ready()
+    deployment.interpreter.at_once = False
     peer.send(peer.call(1))
-    wait_until(lambda: place.engine.core.running)
+    wait_until(lambda: deployment.interpreter.core.running)
     with socket.create_server(("127.0.0.1", 0)) as mute:  # takes the link, and says nothing
         mute.settimeout(PATIENCE)
-        place.file.write_text(json.dumps(place.told | {"vm": f"127.0.0.1:{mute.getsockname()[1]}"}))
-        with held(process):
+        deployment.file.write_text(
+            json.dumps(deployment.config | {"vm": f"127.0.0.1:{mute.getsockname()[1]}"})
+        )
+        with suspended(process):
             process.send_signal(signal.SIGHUP)
             process.send_signal(signal.SIGTERM)
         mute.accept()[0].close()
@@ -363,10 +367,10 @@
 
 
 @pytest.mark.parametrize("number", ["SIGTERM", "SIGHUP", "SIGINT", "SIGUSR1"])
-def test_a_signal_in_the_midst_of_the_exit_changes_nothing(place: Place, number: str) -> None:
+def test_a_signal_in_the_midst_of_the_exit_changes_nothing(deployment: Deployment, number: str) -> None:
     """The interpreter gives signals back their default before the modules go: a late one must not kill it."""
     process = child(
-        place,
+        deployment,
         f"""
 class Late:
     def __del__(self, tell=os.kill, me=os.getpid(), number=signal.{number}):
@@ -380,9 +384,9 @@
 
 
 @pytest.mark.parametrize("number", ["SIGTERM", "SIGHUP"])
-def test_a_signal_between_the_open_door_and_the_handlers_waits(place: Place, number: str) -> None:
+def test_a_signal_between_the_open_socket_and_the_handlers_waits(deployment: Deployment, number: str) -> None:
     process = child(
-        place,
+        deployment,
         f"""
 prepare = Application.prepare
 def prepared(self):
@@ -393,30 +397,30 @@
 """,
     )
     if number == "SIGHUP":
-        place.ready().sock.close()
+        deployment.ready().sock.close()
         process.send_signal(signal.SIGTERM)
     text = ended(process)
     assert ("configuration read anew" in text) == (number == "SIGHUP")
 
 
-def test_a_hang_up_is_taken_where_it_was_ignored_up_to_the_start(place: Place) -> None:
+def test_a_sighup_is_taken_where_it_was_ignored_up_to_the_start(deployment: Deployment) -> None:
     """A shell may ignore it on the way to `exec`: nothing is told before the configuration is read."""
-    place.file.write_text(json.dumps(place.told))
+    deployment.file.write_text(json.dumps(deployment.config))
     process = subprocess.Popen(
         ["sh", "-c", f"trap '' HUP USR1; kill -HUP $$; exec {sys.executable} -m sablewheel"],
-        env={**os.environ, "RELAY_CONFIG": str(place.file)},
+        env={**os.environ, "RELAY_CONFIG": str(deployment.file)},
         stderr=subprocess.PIPE,
         text=True,
     )
-    place.processes.append(process)
-    place.ready().sock.close()
-    with held(process):
+    deployment.processes.append(process)
+    deployment.ready().sock.close()
+    with suspended(process):
         process.send_signal(signal.SIGHUP)
         process.send_signal(signal.SIGTERM)
     assert ended(process).count("configuration read anew") == 1
 
 
-# -- the door
+# -- the listening socket
 
 
 class Crossed:
@@ -442,113 +446,116 @@
         return getattr(self.sock, name)
 
 
-class Door:
-    """A real listener with a room of our own."""
+class ListeningSocketHarness:
+    """A real listening socket whose capacity the test sets."""
 
     def __init__(self) -> None:
-        self.taken: list[Stream] = []
-        self.most = 99
+        self.accepted: list[Stream] = []
+        self.max_connections = 99
         self.scheduler = Scheduler(Clock())
         here = ("127.0.0.1", 0)
-        self.listener = Listener(self.scheduler, here, self.room, self.taken.append, self.crowd)
+        self.listener = Listener(self.scheduler, here, self.has_capacity, self.accepted.append, self.on_full)
         self.sock = self.listener._socket = Crossed(self.listener._socket)  # type: ignore[assignment]
         self.address = self.sock.getsockname()
-        self.crowds = 0
-        self.made: list[socket.socket] = []
+        self.times_full = 0
+        self.clients: list[socket.socket] = []
 
-    def room(self) -> bool:
-        return len(self.taken) < self.most
+    def has_capacity(self) -> bool:
+        return len(self.accepted) < self.max_connections
 
-    def crowd(self) -> None:
-        self.crowds += 1
+    def on_full(self) -> None:
+        self.times_full += 1
 
     def client(self, most: float = PATIENCE) -> None:
-        """One that connects and writes its request; it is kept if the machine accepted it."""
+        """Connect and write a request; the client is noted if the kernel accepted it."""
         with contextlib.suppress(OSError):
-            self.made.append(socket.create_connection(self.address, timeout=most))
-            self.made[-1].sendall(b"ticket")
+            self.clients.append(socket.create_connection(self.address, timeout=most))
+            self.clients[-1].sendall(b"ticket")
 
     def answer(self) -> list[bytes]:
-        """Every client that was accepted gets an answer; what each was told."""
-        for stream in self.taken:
+        """Answer every client that was accepted; returns what each client received."""
+        for stream in self.accepted:
             stream.write(b"told")
             stream.flush()
-        told = []
-        for one in self.made:
-            one.settimeout(PATIENCE)
+        answers = []
+        for client in self.clients:
+            client.settimeout(PATIENCE)
             try:
-                told.append(one.recv(9))
+                answers.append(client.recv(9))
             except ConnectionResetError:
-                told.append(b"lost")
-            one.close()
-        return told
+                answers.append(b"lost")
+            client.close()
+        return answers
 
 
 @pytest.fixture
-def door() -> Iterator[Door]:
-    door = Door()
-    yield door
-    for stream in door.taken:
+def harness() -> Iterator[ListeningSocketHarness]:
+    harness = ListeningSocketHarness()
+    yield harness
+    for stream in harness.accepted:
         stream.close()
-    door.listener.close()
+    harness.listener.close()
 
 
-def test_who_connects_behind_the_last_look_at_the_line_is_taken(door: Door) -> None:
-    door.client()
-    door.sock.empty.append(door.client)
-    assert door.listener.close_if_queue_empty() and door.listener.close_if_queue_empty()
-    assert door.answer() == [b"told", b"told"]
+def test_who_connects_behind_the_last_check_of_the_queue_is_taken(harness: ListeningSocketHarness) -> None:
+    harness.client()
+    harness.sock.empty.append(harness.client)
+    assert harness.listener.close_if_queue_empty() and harness.listener.close_if_queue_empty()
+    assert harness.answer() == [b"told", b"told"]
     with pytest.raises(ConnectionRefusedError):
-        socket.create_connection(door.address, timeout=PATIENCE)
+        socket.create_connection(harness.address, timeout=PATIENCE)
 
 
-def test_who_connects_as_the_door_closes_is_not_accepted_and_lost(door: Door) -> None:
-    door.sock.closing.append(lambda: door.client(0.05))
-    assert door.listener.close_if_queue_empty()
-    assert door.answer() == []
+def test_who_connects_as_the_socket_closes_is_not_accepted_and_lost(harness: ListeningSocketHarness) -> None:
+    harness.sock.closing.append(lambda: harness.client(0.05))
+    assert harness.listener.close_if_queue_empty()
+    assert harness.answer() == []
 
 
-def test_where_there_is_no_filter_the_door_closes_all_the_same(
-    door: Door, monkeypatch: pytest.MonkeyPatch
+def test_where_there_is_no_filter_the_socket_closes_all_the_same(
+    harness: ListeningSocketHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(listening_socket, "SO_ATTACH_FILTER", 99)
-    door.sock.empty.append(door.client)
-    assert door.listener.close_if_queue_empty() and door.answer() == [b"told"]
+    harness.sock.empty.append(harness.client)
+    assert harness.listener.close_if_queue_empty() and harness.answer() == [b"told"]
 
 
-def test_a_full_table_keeps_the_door_open_for_those_before_it(door: Door) -> None:
-    door.most = 1
+def test_a_full_table_keeps_the_socket_open_for_queued_connections(harness: ListeningSocketHarness) -> None:
+    harness.max_connections = 1
     for _ in range(3):
-        door.client()
-    assert not door.listener.close_if_queue_empty() and door.crowds == 1 and len(door.taken) == 1
-    door.most = 3
-    assert door.listener.close_if_queue_empty() and door.answer() == [b"told"] * 3
+        harness.client()
+    assert (
+        not harness.listener.close_if_queue_empty() and harness.times_full == 1 and len(harness.accepted) == 1
+    )
+    harness.max_connections = 3
+    assert harness.listener.close_if_queue_empty() and harness.answer() == [b"told"] * 3
 
 
-def test_a_full_table_and_nobody_before_it_is_no_reason_to_stay_open(door: Door) -> None:
-    door.most = 0
-    assert door.listener.close_if_queue_empty() and not door.crowds
+def test_a_full_table_and_an_empty_queue_is_no_reason_to_stay_open(harness: ListeningSocketHarness) -> None:
+    harness.max_connections = 0
+    assert harness.listener.close_if_queue_empty() and not harness.times_full
 
 
-def test_a_drain_with_a_full_table_answers_those_in_the_line(tmp_path: Path) -> None:
+def test_a_drain_with_a_full_table_answers_queued_connections(tmp_path: Path) -> None:
     """The grace ends while routers wait in the machine's line: they are let in as connections go."""
-    place = Place(tmp_path, stop_ms=1500, limits={"sockets": 16, "memory_mb": 32})  # room for 4 connections
-    place.told["settings"]["safety"]["drain-grace-s"] = 0.0
-    process = place.start()
+    # room for 4 connections
+    deployment = Deployment(tmp_path, stop_ms=1500, limits={"sockets": 16, "memory_mb": 32})
+    deployment.config["settings"]["safety"]["drain-grace-s"] = 0.0
+    process = deployment.start()
     try:
-        peers = [place.ready() for _ in range(4)]
-        place.engine.at_once = False
+        peers = [deployment.ready() for _ in range(4)]
+        deployment.interpreter.at_once = False
         for peer in peers:
             peer.send(peer.call(1))
-        wait_until(lambda: len(place.engine.core.running) == 4)
-        with held(process):
-            late = place.router()
+        wait_until(lambda: len(deployment.interpreter.core.running) == 4)
+        with suspended(process):
+            late = deployment.client()
             late.send(late.call(1))
             process.send_signal(signal.SIGTERM)
         assert peers[0].read(0)[1] == b"BYE"
-        place.engine.at_once = True
-        for name in list(place.engine.core.running):
-            place.engine.end(name)
+        deployment.interpreter.at_once = True
+        for name in list(deployment.interpreter.core.running):
+            deployment.interpreter.end(name)
         for peer in peers:
             assert peer.read(1)[1] == b"OK"
             peer.sock.close()
@@ -556,14 +563,14 @@
         late.sock.close()
         ended(process)
     finally:
-        place.end()
+        deployment.end()
 
 
-def test_an_address_that_is_still_held_is_waited_for(place: Place) -> None:
+def test_an_address_that_is_still_held_is_waited_for(deployment: Deployment) -> None:
     """A predecessor that leaves has its door open for a while yet: that must not end the newcomer."""
-    host, port = place.address
+    host, port = deployment.address
     process = child(
-        place,
+        deployment,
         f"""
 import socket
 old = socket.create_server(({host!r}, {port}))
@@ -574,20 +581,20 @@
 """,
     )
     try:
-        peer = place.ready()
+        peer = deployment.ready()
     except ConnectionResetError:  # it lay in the predecessor's line as that closed its door
-        peer = place.ready()
+        peer = deployment.ready()
     assert peer.ask(1, peer.call(1))[1] == b"OK"
     peer.sock.close()
     process.send_signal(signal.SIGTERM)
     ended(process)
 
 
-def test_told_to_leave_while_the_address_is_held_it_leaves(place: Place) -> None:
-    place.told["stop_ms"] = 60_000
-    host, port = place.address
+def test_notified_to_shut_down_while_the_address_is_held_it_leaves(deployment: Deployment) -> None:
+    deployment.config["stop_ms"] = 60_000
+    host, port = deployment.address
     process = child(
-        place,
+        deployment,
         f"""
 import socket
 old = socket.create_server(({host!r}, {port}))
@@ -600,34 +607,36 @@
 # -- reports
 
 
-@pytest.mark.parametrize(("every", "told"), [(60.0, 1), (0.05, 2)])
-def test_the_notice_is_reported_at_once_and_once_more(place: Place, every: float, told: int) -> None:
+@pytest.mark.parametrize(("every", "reports"), [(60.0, 1), (0.05, 2)])
+def test_the_shutdown_notice_is_reported_at_once_and_once_more(
+    deployment: Deployment, every: float, reports: int
+) -> None:
     """Reports keep a server on the list, whatever they say: one that leaves is silent soon."""
     process = child(
-        place, f"from sablewheel.program import application; application.REPORT_INTERVAL_S = {every}"
+        deployment, f"from sablewheel.program import application; application.REPORT_INTERVAL_S = {every}"
     )
-    peer = place.ready()
-    while every < 1.0 and place.names.recv(64) != b"renew n3 yes":
+    peer = deployment.ready()
+    while every < 1.0 and deployment.name_service.recv(64) != b"renew n3 yes":
         pass  # of the time before it was up
-    place.engine.at_once = False
+    deployment.interpreter.at_once = False
     peer.send(peer.call(1))
-    wait_until(lambda: place.engine.core.running)
+    wait_until(lambda: deployment.interpreter.core.running)
     process.send_signal(signal.SIGTERM)
     assert peer.read(1)[1] == b"FAILED" and peer.read(0)[1] == b"BYE"
     peer.sock.close()
     ended(process)
     words = []
-    place.names.setblocking(False)
+    deployment.name_service.setblocking(False)
     with contextlib.suppress(BlockingIOError):
         while True:
-            words.append(place.names.recv(64))
+            words.append(deployment.name_service.recv(64))
     before = [b"renew n3 no"] if every > 1.0 else [word for word in words if word == b"renew n3 yes"]
-    assert words == before + [b"renew n3 no"] * told
+    assert words == before + [b"renew n3 no"] * reports
 
 
-def test_reports_go_on_over_errors_of_the_socket(place: Place) -> None:
+def test_reports_go_on_over_errors_of_the_socket(deployment: Deployment) -> None:
     process = child(
-        place,
+        deployment,
         """
 from sablewheel.program import application
 from sablewheel.transport import datagram
@@ -647,7 +656,7 @@
 datagram.DatagramSender.__init__ = failing
 """,
     )
-    assert place.names.recv(64).startswith(b"renew n3 ")
+    assert deployment.name_service.recv(64).startswith(b"renew n3 ")
     process.send_signal(signal.SIGTERM)
     assert "reports_failed=3" in ended(process)
 
@@ -681,19 +690,21 @@
 
 
 @pytest.mark.parametrize("method", ["shutdown_notice", "close_if_queue_empty"])
-def test_a_fault_on_the_way_out_still_answers_all_and_ends_before_the_stop(place: Place, method: str) -> None:
-    place.file.write_text(json.dumps(place.told | {"stop_ms": 900}))
+def test_a_fault_on_the_way_out_still_answers_all_and_ends_before_the_stop(
+    deployment: Deployment, method: str
+) -> None:
+    deployment.file.write_text(json.dumps(deployment.config | {"stop_ms": 900}))
     process = subprocess.Popen(
         [sys.executable, "-c", FAULTY, method],
-        env={**os.environ, "RELAY_CONFIG": str(place.file)},
+        env={**os.environ, "RELAY_CONFIG": str(deployment.file)},
         stderr=subprocess.PIPE,
         text=True,
     )
-    place.processes.append(process)
-    peer = place.ready()
-    place.engine.at_once = False
+    deployment.processes.append(process)
+    peer = deployment.ready()
+    deployment.interpreter.at_once = False
     peer.send(peer.call(1))
-    wait_until(lambda: place.engine.core.running)
+    wait_until(lambda: deployment.interpreter.core.running)
     began = time.monotonic()
     process.send_signal(signal.SIGTERM)
     assert peer.read(1)[1] == b"FAILED"
@@ -702,17 +713,18 @@
     assert "a fault of ours" in text
 
 
-def test_a_fault_in_one_report_is_not_the_end_of_the_reports(place: Place) -> None:
-    place.file.write_text(json.dumps(place.told))
+def test_a_fault_in_one_report_is_not_the_end_of_the_reports(deployment: Deployment) -> None:
+    deployment.file.write_text(json.dumps(deployment.config))
     process = subprocess.Popen(
         [sys.executable, "-c", FAULTY, "report"],
-        env={**os.environ, "RELAY_CONFIG": str(place.file)},
+        env={**os.environ, "RELAY_CONFIG": str(deployment.file)},
         stderr=subprocess.PIPE,
         text=True,
     )
-    place.processes.append(process)
-    assert [place.names.recv(64).split()[1] for _ in range(5)] == [b"n3"] * 5  # the third never went out
-    place.ready().sock.close()
+    deployment.processes.append(process)
+    # the third never went out
+    assert [deployment.name_service.recv(64).split()[1] for _ in range(5)] == [b"n3"] * 5
+    deployment.ready().sock.close()
     process.send_signal(signal.SIGTERM)
     _, text = process.communicate(timeout=PATIENCE)
     assert process.returncode == 0 and "a fault of ours" in text
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("read_between", [False, True])
 @pytest.mark.parametrize("step", [5.0, 3600.0, -5.0, -3600.0])
-def test_a_stamp_is_read_by_the_setting_under_which_it_was_made(
+def test_a_timestamp_is_read_by_the_setting_under_which_it_was_made(
     monkeypatch: pytest.MonkeyPatch, step: float, read_between: bool
 ) -> None:
     made = MadeTime(monkeypatch)
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("step", [3600.0, -3600.0])
-def test_a_stamp_by_a_clock_that_was_not_stepped_along_is_still_understood(
+def test_a_timestamp_by_a_clock_that_was_not_stepped_along_is_still_understood(
     monkeypatch: pytest.MonkeyPatch, step: float
 ) -> None:
     made = MadeTime(monkeypatch)
@@ -122,15 +122,15 @@
     assert clock.to_unix(clock.now) == pytest.approx(made.unix)
 
 
-def test_timers_ring_in_order_never_early_and_not_once_cancelled() -> None:
-    scheduler, rung = Scheduler(Clock()), []
+def test_timers_fire_in_order_never_early_and_not_once_cancelled() -> None:
+    scheduler, fired = Scheduler(Clock()), []
     started = scheduler.clock.now
     for span in (0.05, 0.01, 0.03):
-        scheduler.after(span, lambda span=span: rung.append((span, scheduler.clock.now)))  # type: ignore[misc]
-    scheduler.after(0.02, lambda: rung.append((0.02, 0.0))).cancel()
+        scheduler.after(span, lambda span=span: fired.append((span, scheduler.clock.now)))  # type: ignore[misc]
+    scheduler.after(0.02, lambda: fired.append((0.02, 0.0))).cancel()
     play(scheduler, most=0.1)
-    assert [span for span, _ in rung] == [0.01, 0.03, 0.05]
-    assert all(now >= started + span for span, now in rung)
+    assert [span for span, _ in fired] == [0.01, 0.03, 0.05]
+    assert all(now >= started + span for span, now in fired)
 
 
 def test_both_directions_of_a_descriptor_have_a_waiter_each(
@@ -236,9 +236,9 @@
 
 def test_a_read_takes_no_more_memory_than_what_came() -> None:
     scheduler, peaks = Scheduler(Clock()), []
-    with socket.create_server(("127.0.0.1", 0)) as door:
-        two = socket.create_connection(door.getsockname())
-        stream = Stream(scheduler, door.accept()[0])
+    with socket.create_server(("127.0.0.1", 0)) as listening_socket:
+        two = socket.create_connection(listening_socket.getsockname())
+        stream = Stream(scheduler, listening_socket.accept()[0])
 
     def reader() -> None:
         for _ in range(3):
@@ -262,7 +262,7 @@
     assert seen == [None]
 
 
-def test_a_mailbox_holds_what_1024_say_at_once_as_far_as_the_kernel_allows() -> None:
+def test_a_datagram_socket_holds_what_1024_send_at_once_as_far_as_the_kernel_allows() -> None:
     allowed = int(Path("/proc/sys/net/core/rmem_max").read_text())
     scheduler, got = Scheduler(Clock()), list[bytes]()
     box = DatagramSocket(scheduler, ("127.0.0.1", 0), 1000, lambda data, _: got.append(data))
--- a/tests/test_usage_metering.py
+++ b/tests/test_usage_metering.py
@@ -21,7 +21,7 @@
 import pytest
 from click.testing import CliRunner
 from fake_disk import MadeFiles
-from simulated_server import Town
+from simulated_server import SimulatedServer
 
 from sablewheel.command.main import main
 from sablewheel.overload.interface import (
@@ -78,7 +78,7 @@
 # -- the keeper in the server, on a made clock and a made disk
 
 
-class KeptTown(Town):
+class KeptTown(SimulatedServer):
     """The routing layer with a keeper; commits happen at once, on a disk that may fail."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, answers: Answers = Answers.AFTER_ENTRY) -> None:
@@ -92,7 +92,7 @@
         self.keeper = Keeper(
             self.scheduler, background, plan, "n1", INCARNATION, names, lambda: 0.5, self.counts.append
         )
-        self.server.observer = self.keeper
+        self.listener.observer = self.keeper
         self.bridge: SlowBridge = self.keeper._bridge  # type: ignore[assignment]
 
     def settle(self, deliver: bool = True) -> None:
@@ -244,8 +244,8 @@
                     town.call(b"record" if label else b"lookup", label)
                 case 3 | 4 if town.interpreter.running:
                     town.end(chance.choice(list(town.interpreter.running)))
-                case 5 if town.tries:
-                    town.cancel(chance.choice(town.tries))
+                case 5 if town.attempts:
+                    town.cancel(chance.choice(town.attempts))
                 case 6:
                     town.bridge.open = chance.random() < 0.6
                 case _:
@@ -255,10 +255,10 @@
         town.wait(6.0)
         entries = town.entries()
         names = [one.name.hex().encode() for one in entries]
-        assert sorted(names) == sorted(one.name for one in town.tries)
+        assert sorted(names) == sorted(one.name for one in town.attempts)
         words = {b"OK": pb.COMPLETED, b"BUSY": pb.DENIED, b"FAILED": pb.TERMINATED}
         outcome = dict(zip(names, (one.outcome for one in entries), strict=True))
-        for one in town.tries:
+        for one in town.attempts:
             assert outcome[one.name] == (words[one.answers[0][1]] if one.answers else pb.GONE)
         runs = [one.run or one.name for one in entries if one.billed]
         assert len(runs) == len(set(runs))
@@ -496,7 +496,7 @@
         self.thread.join(10)
 
 
-class Peer:
+class ClientConnection:
     """A server's end of an export."""
 
     def __init__(self, door: Door) -> None:
@@ -536,12 +536,12 @@
 
 def test_blocks_are_acknowledged_known_again_and_asked_for_after_a_restore(door: Door) -> None:
     some = sealed_blocks("n1", 3)
-    peer = Peer(door)
+    peer = ClientConnection(door)
     assert not peer.greet().welcome.have
     for one in some[:2]:
         heard = peer.send(one)
         assert heard is not None and heard.acknowledged.number == one.number
-    again = Peer(door)
+    again = ClientConnection(door)
     (have,) = again.greet().welcome.have
     assert (have.number, have.digest) == (2, some[1].digest)
     heard = again.send(some[0])  # of a server that never heard the acknowledgement
@@ -566,7 +566,7 @@
 def test_what_is_no_export_is_refused_by_name_and_the_rest_goes_on(
     door: Door, data: bytes, fault: str
 ) -> None:
-    good, bad = Peer(door), Peer(door)
+    good, bad = ClientConnection(door), ClientConnection(door)
     good.greet()
     bad.socket.sendall(data)
     heard = bad.hear()
@@ -585,11 +585,11 @@
         (Sealed(INCARNATION, 1, 2, some[0].data, b"x" * 32), "digest"),
         (sealed_blocks("n2", 1)[0], "server"),
     ):
-        peer = Peer(door)
+        peer = ClientConnection(door)
         peer.greet()
         heard = peer.send(bad)
         assert heard is not None and heard.refused.fault == fault
-    peer = Peer(door)
+    peer = ClientConnection(door)
     peer.greet()
     assert peer.send(some[0]) is not None and peer.send(some[1]) is not None
     data = forged.SerializeToString()
@@ -600,7 +600,7 @@
 
 
 def test_two_servers_of_one_name_are_told_and_neither_loses_anything(door: Door) -> None:
-    one, other = Peer(door), Peer(door)
+    one, other = ClientConnection(door), ClientConnection(door)
     one.greet(incarnation=b"incarn01")
     other.greet(incarnation=b"incarn02")
     for peer, incarnation in ((one, b"incarn01"), (other, b"incarn02")):
@@ -614,12 +614,12 @@
     lock = sqlite3.connect(door.plan.book, isolation_level=None)
     assert door.collector is not None
     lock.execute("begin immediate")
-    peer = Peer(door)
+    peer = ClientConnection(door)
     peer.greet()
     heard = peer.send(some[0])
     assert heard is not None and heard.refused.fault == "book"
     lock.execute("rollback")
-    peer = Peer(door)
+    peer = ClientConnection(door)
     peer.greet()
     heard = peer.send(some[0])
     assert heard is not None and heard.acknowledged.number == 1
@@ -628,7 +628,7 @@
 def test_use_of_a_customer_that_nobody_named_is_posted_and_told(tmp_path: Path) -> None:
     door = Door(tmp_path / "named.sqlite", customers=frozenset({"acme"}))
     try:
-        peer = Peer(door)
+        peer = ClientConnection(door)
         peer.greet()
         peer.send(sealed_blocks("n1", 1)[0])
         book = Book(door.plan.book, read_only=True)
@@ -642,7 +642,7 @@
 
 def test_a_hole_is_noted_and_the_chain_goes_on_behind_it(door: Door) -> None:
     some = sealed_blocks("n1", 4)
-    peer = Peer(door)
+    peer = ClientConnection(door)
     peer.greet()
     peer.send(some[0])
     peer.tell(lost=pb.Lost(incarnation=INCARNATION, through=2, reason="damaged on disk"))
@@ -782,6 +782,6 @@
 
 def test_time_is_bounded(door: Door) -> None:
     """A peer that connects and says nothing is closed, and holds nobody up."""
-    silent = Peer(door)
+    silent = ClientConnection(door)
     begun = time.monotonic()
     assert silent.hear() is None and time.monotonic() - begun < 9
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -28,7 +28,9 @@
 
 
 @pytest.mark.parametrize("seconds", STEPS)
-def test_a_run_under_way_a_repeat_and_a_new_request_are_served_over_a_step(rig: Rig, seconds: float) -> None:
+def test_a_run_under_way_a_duplicate_and_a_new_request_are_served_over_a_step(
+    rig: Rig, seconds: float
+) -> None:
     installation = Installation(rig, 0.5, shifted=True)
     client = installation.client
     first = client.ask(2, KEYED)
