--- a/sablewheel/feature_policy/service.py
+++ b/sablewheel/feature_policy/service.py
@@ -22,7 +22,7 @@
 from ..serving.exchange import Exchange
 from ..serving.listener import RequestHandler
 from ..transport.scheduler import Scheduler
-from ..transport.wakeup import Wake
+from ..transport.wakeup import Wakeup
 from . import codec, policy_bundle
 from .applying import settings
 from .host_capabilities import HostCapabilities
@@ -109,7 +109,7 @@
         self._announced_to_listeners: tuple[int, dict[str, frozenset[str]]] = (0, {})
         self._broken: dict[str, float] = {}  # when the last link to each broke
         self._next_peer_index = 0
-        self._wake = Wake(scheduler, clock, self._timer_fired, 0.005)
+        self._wake = Wakeup(scheduler, clock, self._timer_fired, 0.005)
         self._process: subprocess.Popen[bytes] | None = None
         self._process_output: IO[bytes] | None = None
         self._process_deadline_s = 0.0
@@ -372,6 +372,6 @@
         else:
             self._policies.reject(exchange, route)
 
-    def gone(self, exchange: Exchange) -> None:
+    def cancelled(self, exchange: Exchange) -> None:
         """Pass on that nobody waits for the answer any more."""
-        self._inner.gone(exchange)
+        self._inner.cancelled(exchange)
--- a/sablewheel/replication/pending_answers.py
+++ b/sablewheel/replication/pending_answers.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ..serving.delayed_answers import DUE_SPARE
+from ..serving.delayed_answers import DEADLINE_MARGIN_S
 from ..serving.exchange import Caller, Exchange, RequestObserver
 from ..transport.scheduler import Scheduler
 
@@ -59,7 +59,7 @@
             return self._observer.completed(exchange, result, caller)
         answer, now = PendingAnswer(exchange, result, caller), self._scheduler.clock.now
         answers.append(answer)
-        remaining_s = max(exchange.request.deadline - DUE_SPARE - now, 0.0)
+        remaining_s = max(exchange.request.deadline - DEADLINE_MARGIN_S - now, 0.0)
         wait_s = min(self._max_answer_wait_s, remaining_s)
         self._scheduler.after(wait_s, lambda: self._on_timeout(answers, answer))
 
--- a/sablewheel/replication/remote_outcomes.py
+++ b/sablewheel/replication/remote_outcomes.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from ..overload.interface import Client, Request
-from ..serving.exchange import Caller, Exchange, Place
+from ..serving.exchange import Caller, Exchange, ExchangeState
 from ..transport.scheduler import Scheduler
 from .entries import AnswerStatus, Entry, OutcomeStatus, State
 from .messages import Answer
@@ -41,7 +41,7 @@
     def detach(self, exchange: Exchange, key: bytes, group: bytes) -> WaitingRequests:
         """Take a request and those coalesced with it from the controller: waiting takes no core."""
         requests = []
-        for waiting in [exchange, *exchange.joined]:
+        for waiting in [exchange, *exchange.attached_duplicates]:
             caller = waiting.detach()
             if caller is not None:
                 requests.append((waiting, caller))
@@ -91,9 +91,9 @@
             self._count("replication_unknown")
         for exchange, caller in requests:
             if outcome is not None and outcome.status is OutcomeStatus.SUCCEEDED:
-                exchange.place, exchange.first = Place.JOINED, _remote_run(exchange)
+                exchange.state, exchange.original = ExchangeState.ATTACHED, _remote_run(exchange)
                 exchange.observer.completed(exchange, outcome.result, caller)
-                exchange.place, exchange.first = Place.OVER, None
+                exchange.state, exchange.original = ExchangeState.FINISHED, None
                 self._count("replication_answered_from_outcome")
             else:
                 exchange.observer.failed(exchange)
--- a/sablewheel/replication/replica_runner.py
+++ b/sablewheel/replication/replica_runner.py
@@ -8,7 +8,7 @@
 
 from ..membership.view import View
 from ..transport.scheduler import Scheduler
-from ..transport.wakeup import Wake
+from ..transport.wakeup import Wakeup
 from . import codec
 from .messages import (
     Answer,
@@ -93,7 +93,7 @@
         self._clock, self._count, self._outcomes = clock, count, outcomes
         self._last_ref = 0
         self._on_answer: dict[int, OnAnswer] = {}
-        self._wake = Wake(scheduler, clock, self._on_timer)
+        self._wake = Wakeup(scheduler, clock, self._on_timer)
         self._is_open = True
         # A member that leaves still pushes the outcomes of its runs.
         connections.on(FRAME_KIND, self._on_frame, parted=True)
--- a/sablewheel/replication/service.py
+++ b/sablewheel/replication/service.py
@@ -17,9 +17,9 @@
 
 from ..membership.view import View
 from ..overload.interface import Idempotency, Outcome, Request, RequestClass
-from ..serving.delayed_answers import DUE_SPARE
-from ..serving.exchange import Caller, Exchange, Place, RequestObserver, digest
-from ..serving.hooks import Memory
+from ..serving.delayed_answers import DEADLINE_MARGIN_S
+from ..serving.exchange import Caller, Exchange, ExchangeState, RequestObserver, digest
+from ..serving.hooks import ResultStore
 from ..serving.idempotency_keys import IdempotencyTable
 from ..transport.scheduler import Scheduler
 from .context import IDEMPOTENCY_KEYS
@@ -65,7 +65,7 @@
         plan: ReplicationPlan,
         name: str,
         incarnation: int,
-        result_store: Memory,
+        result_store: ResultStore,
         observer: RequestObserver,
         never_started: Run,
         count: Callable[[str], None],
@@ -101,23 +101,23 @@
         """Whether the result store is."""
         return self._result_store.ready
 
-    def recalled(self, born: float, idempotency_keys: IdempotencyTable) -> list[tuple[Request, float]]:
+    def recover_keys(self, born: float, idempotency_keys: IdempotencyTable) -> list[tuple[Request, float]]:
         """What the result store recovered."""
-        return self._result_store.recalled(born, idempotency_keys)
+        return self._result_store.recover_keys(born, idempotency_keys)
 
-    def adopted(self) -> tuple[list[Exchange], int]:
+    def runs_to_adopt(self) -> tuple[list[Exchange], int]:
         """What the result store adopted."""
-        return self._result_store.adopted()
+        return self._result_store.runs_to_adopt()
 
-    def may_not_run(self, exchange: Exchange) -> bool:
+    def may_have_run(self, exchange: Exchange) -> bool:
         """Whether the result store forbids the run."""
-        return self._result_store.may_not_run(exchange)
+        return self._result_store.may_have_run(exchange)
 
     def prepare(self, exchange: Exchange) -> None:
         """Set for the controller how long a claim will take, or when to retry if there can be none."""
         self._result_store.prepare(exchange)
         key, request = exchange.idempotency_key, exchange.request
-        if key is None or exchange.first is not None:
+        if key is None or exchange.original is not None:
             return
         group, _ = self.group_of(exchange)
         if not self.reachable(group):
@@ -132,9 +132,9 @@
         """Whether a majority of a group's replicas may answer."""
         return self.replica.is_reachable(group, self._clock(), self._plan.reject_after_s)
 
-    def remember(self, exchange: Exchange) -> None:
+    def reserve(self, exchange: Exchange) -> None:
         """Pass on to the result store."""
-        self._result_store.remember(exchange)
+        self._result_store.reserve(exchange)
 
     def release(self, exchange: Exchange) -> None:
         """Pass on to the result store."""
@@ -160,7 +160,7 @@
             lambda answer: self._on_claim_answer(pending, answer),
         )
 
-    def ended(self, exchange: Exchange, outcome: Outcome, result: bytes) -> None:
+    def run_ended(self, exchange: Exchange, outcome: Outcome, result: bytes) -> None:
         """Store the outcome of a run, or release its claim if it never started."""
         key = exchange.idempotency_key
         if key is not None and self._won.get(key) is exchange:
@@ -174,7 +174,7 @@
                     self._runner.step(CompleteClaim(key, OutcomeStatus.SUCCEEDED, result))
                 else:
                     self._runner.step(CompleteClaim(key, OutcomeStatus.FAILED, b""))
-        self._result_store.ended(exchange, outcome, result)
+        self._result_store.run_ended(exchange, outcome, result)
 
     # -- observer
 
@@ -190,9 +190,9 @@
         """Pass on to the observer."""
         self._observer.failed(exchange)
 
-    def gone(self, exchange: Exchange) -> None:
+    def cancelled(self, exchange: Exchange) -> None:
         """Pass on to the observer."""
-        self._observer.gone(exchange)
+        self._observer.cancelled(exchange)
 
     # -- answers to claims
 
@@ -211,7 +211,9 @@
     def _on_claim_won(self, key: bytes, pending: PendingClaim) -> None:
         exchange = pending.exchange
         self._claim_times.append(self._clock() - pending.started_at)
-        if exchange.place is not Place.RUNNING or (exchange.closed and not exchange.joined):
+        if exchange.state is not ExchangeState.RUNNING or (
+            exchange.closed and not exchange.attached_duplicates
+        ):
             self._runner.step(ReleaseClaim(key))  # nobody waits for it any more
             return self._end_unstarted(exchange)
         if not self.may_begin(exchange, pending.started_at):
@@ -225,7 +227,7 @@
         if entry.digest and entry.digest != digest(exchange.request_class, exchange.body):
             self._count("replication_differs")
             return self._fail(exchange)
-        deadline = exchange.request.deadline - DUE_SPARE
+        deadline = exchange.request.deadline - DEADLINE_MARGIN_S
         waiting = self._remote_outcomes.detach(exchange, key, self.group_of(exchange)[0])
         self._end_unstarted(exchange)
         self._remote_outcomes.wait_for(waiting, entry, deadline)
@@ -240,18 +242,18 @@
 
     def _reject(self, exchange: Exchange) -> None:
         """Reject a request that never runs here, and those coalesced with it."""
-        for waiting in [exchange, *exchange.joined]:
+        for waiting in [exchange, *exchange.attached_duplicates]:
             waiting.reject(RETRY_AFTER_S, False)
         self._end_unstarted(exchange)
 
     def _fail(self, exchange: Exchange) -> None:
         """Answer a request that never runs here, and those coalesced with it, with an error."""
-        for waiting in [exchange, *exchange.joined]:
+        for waiting in [exchange, *exchange.attached_duplicates]:
             waiting.fail()
         self._end_unstarted(exchange)
 
     def _end_unstarted(self, exchange: Exchange) -> None:
-        if exchange.place is Place.RUNNING:
+        if exchange.state is ExchangeState.RUNNING:
             self._never_started(exchange)
 
     # -- forwarding
--- a/sablewheel/result_store/recorder.py
+++ b/sablewheel/result_store/recorder.py
@@ -13,14 +13,14 @@
 from pathlib import Path
 
 from ..overload.interface import Idempotency, Outcome, Request, RequestClass, Stage
-from ..serving.delayed_answers import Held, Holding
-from ..serving.exchange import Caller, Exchange, Place, RequestObserver, digest
+from ..serving.delayed_answers import DelayedAnswer, DelayedAnswers
+from ..serving.exchange import Caller, Exchange, ExchangeState, RequestObserver, digest
 from ..serving.idempotency_keys import IdempotencyTable
 from ..storage.group_commit import GroupCommitLog
 from ..storage.health import DiskState
 from ..transport.background import Background
 from ..transport.scheduler import Scheduler
-from ..transport.worker_thread import Bridge
+from ..transport.worker_thread import WorkerThread
 from . import result_store_pb2 as pb
 from .clock_readings import ClockReading, read_clocks
 from .codec import encode_outcome
@@ -48,7 +48,7 @@
         self,
         scheduler: Scheduler,
         background: Background,
-        bridge: Bridge | None,
+        bridge: WorkerThread | None,
         plan: ResultStorePlan,
         incarnation: bytes,
         request_classes: dict[bytes, RequestClass],
@@ -84,7 +84,7 @@
         self.started_at = scheduler.clock.now
         self._table = KeyedRunTable(plan.max_runs, plan.max_bytes)
         self._planner = CompactionPlanner(plan.segment_bytes)
-        self._holding = Holding(scheduler, plan.max_answer_delay_s, self._release_answer)
+        self._holding = DelayedAnswers(scheduler, plan.max_answer_delay_s, self._release_answer)
         self._run_log = RunLog(
             scheduler,
             plan.commit_interval_s,
@@ -151,7 +151,7 @@
         )
         self._run_log.open(store)
 
-    def recalled(self, born: float, idempotency_keys: IdempotencyTable) -> list[tuple[Request, float]]:
+    def recover_keys(self, born: float, idempotency_keys: IdempotencyTable) -> list[tuple[Request, float]]:
         """Put the recovered runs into the idempotency table once the interpreter is up.
 
         A run without an outcome is waited for where the interpreter survived the earlier incarnation of the
@@ -180,18 +180,18 @@
                 self._count("recall_unknown")
             exchange = finished_exchange(run, request_class)
             if run.state is RunState.INTENDED:
-                exchange.place = Place.RUNNING
+                exchange.state = ExchangeState.RUNNING
                 self._adopted[run.request_name] = exchange
                 self._count("recall_adopted")
             remaining_s = run.expires_at - now
-            idempotency_keys.remember(exchange, now, remaining_s)
+            idempotency_keys.reserve(exchange, now, remaining_s)
             if run.state is RunState.SUCCEEDED:
-                idempotency_keys.keep(exchange, run.result)
+                idempotency_keys.store_result(exchange, run.result)
             recalled.append((exchange.request, remaining_s))
             self._count("recall_labels")
         return recalled
 
-    def adopted(self) -> tuple[list[Exchange], int]:
+    def runs_to_adopt(self) -> tuple[list[Exchange], int]:
         """Return the runs that the interpreter may still end, and the last notice that was read."""
         return list(self._adopted.values()), self.last_notice
 
@@ -207,7 +207,7 @@
 
     # -- before a run
 
-    def may_not_run(self, exchange: Exchange) -> bool:
+    def may_have_run(self, exchange: Exchange) -> bool:
         """Whether a keyed request without a stored original may have run in an earlier incarnation."""
         rule, request = self._plan.cold_start, exchange.request
         is_recovered = self._run_log.store is not None and not self._is_damaged
@@ -237,7 +237,7 @@
         if request.key_capacity_in_s:
             self._count("recall_no_room")
 
-    def remember(self, exchange: Exchange) -> None:
+    def reserve(self, exchange: Exchange) -> None:
         """Store a keyed request's intent at once, so that its commit passes while it waits for a core."""
         request, idempotency_key = exchange.request, exchange.idempotency_key
         if self._run_log.store is None or idempotency_key is None or not _is_keyed(exchange):
@@ -260,7 +260,7 @@
             return
         if not self._run_log.cancel_intent(run):
             outcome = pb.Outcome(
-                label=run.idempotency_key, name=run.request_name, how=pb.NEVER, notice=exchange.notice
+                label=run.idempotency_key, name=run.request_name, how=pb.NEVER, notice=exchange.notice_number
             )
             self._run_log.add_outcome(outcome)
         self._table.remove(run.idempotency_key, run.request_name)
@@ -283,9 +283,9 @@
     def _let_run(self, waiting_run: WaitingRun) -> None:
         """Start a run whose intent is durable; if nobody waits for it any more it does not begin."""
         exchange = waiting_run.exchange
-        if exchange.place is not Place.RUNNING:
+        if exchange.state is not ExchangeState.RUNNING:
             return
-        if exchange.closed and not exchange.joined:
+        if exchange.closed and not exchange.attached_duplicates:
             self._count("recall_not_begun")
             self._never_begun(exchange)
         else:
@@ -293,7 +293,7 @@
 
     # -- after a run
 
-    def ended(self, exchange: Exchange, outcome: Outcome, result: bytes) -> None:
+    def run_ended(self, exchange: Exchange, outcome: Outcome, result: bytes) -> None:
         """Store the outcome of a keyed run, or that it never began."""
         self._adopted.pop(exchange.name, None)
         idempotency_key = exchange.idempotency_key
@@ -316,7 +316,7 @@
         if run is None:
             return False
         message = encode_outcome(run)
-        message.notice = exchange.notice
+        message.notice = exchange.notice_number
         if state is RunState.SUCCEEDED:
             message.result = result
         self._run_log.add_outcome(message)
@@ -332,7 +332,7 @@
             self._count("recall_answers_ahead")
             self._inner.completed(exchange, result, caller)
         else:
-            self._holding.hold(run_log.outcome_count, exchange, result, caller)
+            self._holding.delay(run_log.outcome_count, exchange, result, caller)
 
     def rejected(self, exchange: Exchange) -> None:
         """Pass on a rejection."""
@@ -342,11 +342,11 @@
         """Pass on a final error."""
         self._inner.failed(exchange)
 
-    def gone(self, exchange: Exchange) -> None:
+    def cancelled(self, exchange: Exchange) -> None:
         """Pass on that nobody waits for the answer any more."""
-        self._inner.gone(exchange)
+        self._inner.cancelled(exchange)
 
-    def _release_answer(self, answer: Held, ahead: bool) -> None:
+    def _release_answer(self, answer: DelayedAnswer, ahead: bool) -> None:
         """Pass on a delayed answer; `ahead` if its outcome is not durable yet."""
         if ahead:
             self._count("recall_answers_ahead")
@@ -362,7 +362,7 @@
     def _on_disk_changed(self, disk: DiskState) -> None:
         self._count(f"recall_disk_{disk.value}")
         if disk in (DiskState.FULL, DiskState.FAILING):
-            self._holding.let_all_go()
+            self._holding.release_all()
 
     def _expire(self, now: float) -> None:
         for run in self._table.expire(now):
@@ -393,7 +393,7 @@
 
     def close(self) -> None:
         """Let all delayed answers leave, write what is left and close the folder."""
-        self._holding.let_all_go()
+        self._holding.release_all()
         self._run_log.close()
 
     def gauges(self) -> dict[str, object]:
--- a/sablewheel/result_store/startup.py
+++ b/sablewheel/result_store/startup.py
@@ -8,10 +8,10 @@
 from pathlib import Path
 
 from ..overload.interface import Client, Outcome, Request, RequestClass, Stage
-from ..serving.exchange import Exchange, Place
+from ..serving.exchange import Exchange, ExchangeState
 from ..storage import log as durable
 from ..storage.files import DiskFiles
-from ..transport.worker_thread import Bridge
+from ..transport.worker_thread import WorkerThread
 from . import result_store_pb2 as pb
 from .codec import LOG_KIND
 from .keyed_runs import KeyedRun, RunState
@@ -35,7 +35,7 @@
 
 
 def read_folder_in_background(
-    bridge: Bridge,
+    bridge: WorkerThread,
     plan: ResultStorePlan,
     folder: Path,
     incarnation: bytes,
@@ -78,7 +78,7 @@
         request.outcome = Outcome.ERROR if run.state is RunState.FAILED else Outcome.SUCCEEDED
     request_class_name = run.request_class.encode()
     exchange = Exchange(run.request_name, request_class_name, b"", 0, run.idempotency_key, request, None)
-    exchange.place = Place.OVER
+    exchange.state = ExchangeState.FINISHED
     exchange.digest = run.request_digest
     exchange.billed = is_over
     return exchange
--- a/sablewheel/session_affinity/open_requests.py
+++ b/sablewheel/session_affinity/open_requests.py
@@ -7,7 +7,7 @@
 
 from ..overload.interface import Outcome, Request
 from ..serving.exchange import Caller, Exchange, RequestObserver
-from ..serving.hooks import Memory
+from ..serving.hooks import ResultStore
 from ..serving.idempotency_keys import IdempotencyTable
 
 
@@ -61,7 +61,7 @@
 class SessionResultStore:
     """A result store that also follows the runs of open requests, in front of another one."""
 
-    def __init__(self, inner: Memory, open_requests: OpenRequests) -> None:
+    def __init__(self, inner: ResultStore, open_requests: OpenRequests) -> None:
         """Pass everything on to `inner`."""
         self._inner, self._open_requests = inner, open_requests
 
@@ -70,25 +70,25 @@
         """Whether all results of earlier incarnations are known."""
         return self._inner.ready
 
-    def recalled(self, born: float, idempotency_keys: IdempotencyTable) -> list[tuple[Request, float]]:
+    def recover_keys(self, born: float, idempotency_keys: IdempotencyTable) -> list[tuple[Request, float]]:
         """Fill the idempotency table from the inner store."""
-        return self._inner.recalled(born, idempotency_keys)
+        return self._inner.recover_keys(born, idempotency_keys)
 
-    def adopted(self) -> tuple[list[Exchange], int]:
+    def runs_to_adopt(self) -> tuple[list[Exchange], int]:
         """Return the runs of an earlier incarnation that may still end."""
-        return self._inner.adopted()
+        return self._inner.runs_to_adopt()
 
-    def may_not_run(self, exchange: Exchange) -> bool:
+    def may_have_run(self, exchange: Exchange) -> bool:
         """Whether the request may have run in an earlier incarnation."""
-        return self._inner.may_not_run(exchange)
+        return self._inner.may_have_run(exchange)
 
     def prepare(self, exchange: Exchange) -> None:
         """Prepare the request for a run."""
         self._inner.prepare(exchange)
 
-    def remember(self, exchange: Exchange) -> None:
+    def reserve(self, exchange: Exchange) -> None:
         """Reserve the request's idempotency key."""
-        self._inner.remember(exchange)
+        self._inner.reserve(exchange)
 
     def release(self, exchange: Exchange) -> None:
         """Release the idempotency key of a request that will not run."""
@@ -99,9 +99,9 @@
         self._open_requests.begin(exchange)
         self._inner.before_run(exchange, run)
 
-    def ended(self, exchange: Exchange, outcome: Outcome, result: bytes) -> None:
+    def run_ended(self, exchange: Exchange, outcome: Outcome, result: bytes) -> None:
         """Record the end of a run."""
-        self._inner.ended(exchange, outcome, result)
+        self._inner.run_ended(exchange, outcome, result)
         self._open_requests.end(exchange)
 
 
@@ -127,7 +127,7 @@
         self._open_requests.answer(exchange)
         self._inner.failed(exchange)
 
-    def gone(self, exchange: Exchange) -> None:
+    def cancelled(self, exchange: Exchange) -> None:
         """Record that nobody waits for the answer any more."""
         self._open_requests.answer(exchange)
-        self._inner.gone(exchange)
+        self._inner.cancelled(exchange)
--- a/sablewheel/session_affinity/session_router.py
+++ b/sablewheel/session_affinity/session_router.py
@@ -20,10 +20,10 @@
 from ..overload.interface import Idempotency, Tenant
 from ..replication.service import ReplicationService
 from ..serving.exchange import Exchange, RequestObserver
-from ..serving.hooks import Memory
+from ..serving.hooks import ResultStore
 from ..serving.listener import RequestHandler
 from ..transport.scheduler import Scheduler
-from ..transport.wakeup import Wake
+from ..transport.wakeup import Wakeup
 from .binding_register import BindingRegister
 from .codec import FRAME_LIFETIME_S, FRAME_TYPE, BadPacketError, decode, encode
 from .effects import (
@@ -75,7 +75,7 @@
         links: Links,
         forward: Forward,
         keeper: ReplicationService,
-        result_store: Memory,
+        result_store: ResultStore,
         observer: RequestObserver,
         tenants: dict[bytes, Tenant],
         warmth: Callable[[], float],
@@ -124,7 +124,7 @@
         self._last_ref = 0
         self._undecided: dict[int, Exchange] = {}
         self._has_left = self._closed = False
-        self._wake = Wake(scheduler, clock, self._on_timer)
+        self._wake = Wakeup(scheduler, clock, self._on_timer)
         self._connect()
 
     def _connect(self) -> None:
@@ -176,10 +176,10 @@
                 else:
                     self._forward.serve(exchange)
 
-    def gone(self, exchange: Exchange) -> None:
+    def cancelled(self, exchange: Exchange) -> None:
         """Pass on that nobody waits any more; an undecided request is dropped when it is decided."""
         if exchange not in self._undecided.values():
-            self._handler.gone(exchange)
+            self._handler.cancelled(exchange)
 
     @property
     def _handler(self) -> RequestHandler:
--- a/sablewheel/storage/group_commit.py
+++ b/sablewheel/storage/group_commit.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from ..transport.scheduler import Scheduler
-from ..transport.worker_thread import Bridge
+from ..transport.worker_thread import WorkerThread
 from .health import DiskHealth, DiskState
 from .log import CommitError, Log, LogPosition
 
@@ -39,7 +39,7 @@
     def __init__(
         self,
         scheduler: Scheduler,
-        bridge: Bridge,
+        bridge: WorkerThread,
         records: Log,
         slow_after_s: float,
         on_durable: Callable[[int], None],
--- a/sablewheel/usage_metering/recorder.py
+++ b/sablewheel/usage_metering/recorder.py
@@ -14,15 +14,15 @@
 from typing import Any
 
 from ..overload.interface import Tenant
-from ..serving.delayed_answers import Held, Holding
-from ..serving.exchange import Caller, Exchange, Place
+from ..serving.delayed_answers import DelayedAnswer, DelayedAnswers
+from ..serving.exchange import Caller, Exchange, ExchangeState
 from ..storage import log as durable
 from ..storage.files import DiskFiles
 from ..storage.group_commit import GroupCommitLog
 from ..storage.health import DiskState
 from ..transport.background import Background
 from ..transport.scheduler import Scheduler
-from ..transport.worker_thread import Bridge
+from ..transport.worker_thread import WorkerThread
 from . import usage_metering_pb2 as pb
 from .aggregation import EntryBuffer
 from .blocks import SealedBlock
@@ -83,19 +83,19 @@
         names: dict[Tenant, str],
         chance: Callable[[], float],
         count: Callable[[str], None],
-        bridge: Bridge | None = None,
+        bridge: WorkerThread | None = None,
     ) -> None:
         self._scheduler, self._plan, self._count, self._names = scheduler, plan, count, names
         self._entries_buffer = EntryBuffer(
             server, incarnation, Periods(plan.calendar), plan.entries_most, plan.totals_most
         )
-        self._held = Holding(scheduler, plan.hold_most, self._release)
+        self._held = DelayedAnswers(scheduler, plan.hold_most, self._release)
         self._fences: deque[tuple[int, int]] = deque()  # record number, last sequence in it
         self._durable_sequence = self._marked = 0
         self._cut_at = scheduler.clock.now
         self._leaving = False
         self._store: GroupCommitLog | None = None
-        self._bridge: Bridge | None = None
+        self._bridge: WorkerThread | None = None
         self._shared = bridge is not None  # then its owner closes it, behind all who use it
         self._sender: ExportSender | None = None
         self._tracks: dict[bytes, str] = {}
@@ -107,7 +107,7 @@
             records = durable.Log(DiskFiles(plan.folder), KIND, incarnation, plan.disk_bytes_most)
             self.recovery = records.recover(predecessors.note_block)
             self._log_recovery(predecessors)
-            self._bridge = bridge or Bridge(scheduler)
+            self._bridge = bridge or WorkerThread(scheduler)
             self._store = GroupCommitLog(
                 scheduler, self._bridge, records, SLOW_COMMIT_S, self._fenced, self._disk_changed
             )
@@ -144,7 +144,9 @@
 
     def completed(self, exchange: Exchange, result: bytes, caller: Caller) -> None:
         """Record a completed request; its answer may wait until the entry is durable."""
-        first = exchange.first if exchange.place is Place.JOINED else None  # whose result it gets
+        first = (
+            exchange.original if exchange.state is ExchangeState.ATTACHED else None
+        )  # whose result it gets
         run = first if first is not None else exchange
         billed, run.billed = not run.billed, True
         sequence = self._note(exchange, pb.COMPLETED, run if billed else None, len(result), first)
@@ -156,7 +158,7 @@
             if self._waits:
                 self._count("ledger_answers_ahead")
             return caller.completed(exchange, result)
-        self._held.hold(sequence, exchange, result, caller)
+        self._held.delay(sequence, exchange, result, caller)
         wait = self._cut_at + self._plan.commit_every - self._scheduler.clock.now
         if len(self._held) == 1 and wait > 0:
             self._scheduler.after(wait, lambda: None)  # a round to commit in
@@ -169,7 +171,7 @@
         """Record a failed request."""
         self._note(exchange, pb.TERMINATED)
 
-    def gone(self, exchange: Exchange) -> None:
+    def cancelled(self, exchange: Exchange) -> None:
         """Record a request that its caller has cancelled."""
         self._note(exchange, pb.GONE)
 
@@ -194,7 +196,7 @@
             outcome=outcome,
             ended_us=round(self._scheduler.clock.to_unix(now) * 1e6),
             arrived_us=round(self._scheduler.clock.to_unix(ticket.arrived_at) * 1e6),
-            run_us=round(billed.took * 1e6) if billed is not None else 0,
+            run_us=round(billed.run_time_s * 1e6) if billed is not None else 0,
             asked_bytes=len(exchange.body),
             answer_bytes=answer_bytes,
             goal_kept=outcome == pb.COMPLETED and now - ticket.arrived_at <= goal,
@@ -267,7 +269,7 @@
             self._durable_sequence = self._fences.popleft()[1]
         self._held.durable(self._durable_sequence)
 
-    def _release(self, one: Held, ahead: bool) -> None:
+    def _release(self, one: DelayedAnswer, ahead: bool) -> None:
         if ahead:
             self._count("ledger_answers_ahead")
         one.caller.completed(one.exchange, one.result)
@@ -275,7 +277,7 @@
     def _disk_changed(self, disk: DiskState) -> None:
         self._count(f"ledger_disk_{disk.value}")
         if disk in (DiskState.FULL, DiskState.FAILING):
-            self._held.let_all_go()
+            self._held.release_all()
 
     # -- the end
 
@@ -295,7 +297,7 @@
 
     def close(self, most: float) -> None:
         """The last instant: write what can be written; what can't is told in the log, by tenant."""
-        self._held.let_all_go()
+        self._held.release_all()
         if self._store is not None and self._bridge is not None:
             self._seal_durably(self._store)
             self._store.close()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -9,7 +9,7 @@
 from types import SimpleNamespace
 
 import pytest
-from simulated_server import Town
+from simulated_server import SimulatedServer
 from test_serving import SERVER_SETTINGS
 
 from sablewheel.experiments.fleet import Block
@@ -31,9 +31,10 @@
 from sablewheel.overload.interface import Client
 from sablewheel.program import application, configuration
 from sablewheel.program import feature_file as features
-from sablewheel.program.feature_registry import Parts
+from sablewheel.program.feature_set import FeatureSet
+from sablewheel.program.feature_settings.collector import CollectorSection
 from sablewheel.protocol import resp
-from sablewheel.serving.listener import ROUTERS_TIMES
+from sablewheel.serving.client_table import CLIENTS_PER_EXPECTED
 from sablewheel.transport.scheduler import Clock, Scheduler
 from sablewheel.usage_metering.collector import Collector
 from sablewheel.usage_metering.plan import CollectorPlan
@@ -42,57 +43,57 @@
 ENTRY_BYTES = 256  # a router remembered: its object, its number and its place in the table
 
 
-def heard(town: Town, number: int) -> Client:
-    asked = resp.Asked(
+def heard(server: SimulatedServer, number: int) -> Client:
+    asked = resp.RequestMessage(
         tag=1,
         name=b"a",
         request_class=b"lookup",
-        router=b"%d" % number,
+        client=b"%d" % number,
         tenant=b"acme",
-        since=town.now,
-        kb=10.0,
+        arrived_at_unix=server.now,
+        memory_kb=10.0,
         idempotency_key=None,
         subject=None,
         body=b"",
-        until=None,
-        again=False,
-        estimate=None,
+        deadline_unix=None,
+        is_retry=False,
+        cost_hint_s=None,
     )
-    return town.server.request(asked).client
+    return server.listener.make_request(asked).client
 
 
 def test_1024_routers_are_remembered_whatever_the_settings_tell_and_an_entry_is_small() -> None:
-    town = Town(SERVER_SETTINGS)
-    empty = len(town.server._routers)
+    server = SimulatedServer(SERVER_SETTINGS)
+    empty = len(server.listener._clients)
     tracemalloc.start()
     try:
         before = tracemalloc.get_traced_memory()[0]
-        first = [heard(town, 10**18 + place) for place in range(LEAST - empty)]
+        first = [heard(server, 10**18 + place) for place in range(LEAST - empty)]
         took = tracemalloc.get_traced_memory()[0] - before
     finally:
         tracemalloc.stop()
     assert took < LEAST * ENTRY_BYTES, took
-    assert heard(town, 10**18) is first[0]  # the table is full to the border and nobody had to go
-    assert heard(town, 7) is not first[0] and heard(town, 10**18) is first[0]
-    assert heard(town, 10**18 + 1) is not first[1]  # one past the border: who was heard longest ago went
-    assert len(town.server._routers) == LEAST
+    assert heard(server, 10**18) is first[0]  # the table is full to the border and nobody had to go
+    assert heard(server, 7) is not first[0] and heard(server, 10**18) is first[0]
+    assert heard(server, 10**18 + 1) is not first[1]  # one past the border: who was heard longest ago went
+    assert len(server.listener._clients) == LEAST
 
 
 def test_more_routers_are_remembered_where_the_settings_or_the_descriptors_allow_more() -> None:
-    town = Town(SERVER_SETTINGS)
-    town.server.expect(3000)
-    first = heard(town, 1)
-    for number in range(2, ROUTERS_TIMES * 3000 + 1):
-        heard(town, number)
-    assert heard(town, 1) is first and len(town.server._routers) == ROUTERS_TIMES * 3000
-    town.server.expect(1)  # a new configuration tells of one
-    heard(town, 1)
-    assert len(town.server._routers) == LEAST
-    town.server._connections_most = 1500
-    town.server.expect(1)
+    server = SimulatedServer(SERVER_SETTINGS)
+    server.listener.expect_clients(3000)
+    first = heard(server, 1)
+    for number in range(2, CLIENTS_PER_EXPECTED * 3000 + 1):
+        heard(server, number)
+    assert heard(server, 1) is first and len(server.listener._clients) == CLIENTS_PER_EXPECTED * 3000
+    server.listener.expect_clients(1)  # a new configuration tells of one
+    heard(server, 1)
+    assert len(server.listener._clients) == LEAST
+    server.listener._max_connections = 1500
+    server.listener.expect_clients(1)
     for number in range(2, 2000):
-        heard(town, number)
-    assert len(town.server._routers) == 1500
+        heard(server, number)
+    assert len(server.listener._clients) == 1500
 
 
 # -- membership: who starts at once, who joins at once, who is heard of at once
@@ -232,19 +233,19 @@
         f"version: 1\nmembership:\n  listen: {host}:7700\n  zone: a\n  region: b\n  seeds: [{host}:7700]\n"
         f"forwarding:\n  listen: {host}:7702\n"
     )
-    monkeypatch.setattr(application, "SHARE_EVERY", 0.01)
+    monkeypatch.setattr(application, "CONNECTION_LIMIT_INTERVAL_S", 0.01)
     one = application.Application(
         configuration.placement_settings({"RELAY_CONFIG": str(told)}), features.read(on)
     )
-    assert one._server._connections_most == 1004 - 64
-    parts = one._feature
-    assert isinstance(parts, Parts)
+    assert one._request_listener._max_connections == 1004 - 64
+    parts = one._features
+    assert isinstance(parts, FeatureSet)
     for needs, left in ((460, 544), (2048, 502), (64, 940)):
-        parts._sockets[:] = [lambda needs=needs: needs]  # type: ignore[misc]
+        parts._descriptors[:] = [lambda needs=needs: needs]  # type: ignore[misc]
         one._scheduler.after(0.05, one._scheduler.stop)
         one._scheduler.run()
         one._scheduler._stopped = False
-        assert one._server._connections_most == left
+        assert one._request_listener._max_connections == left
     one._listener.close()
     parts.close(0.0)
     block.close()
@@ -252,7 +253,7 @@
 
 def test_the_collector_takes_1024_servers_and_as_many_more_that_are_new_in_their_place() -> None:
     plan = CollectorPlan(Path("book"), ("127.0.0.1", 1))
-    assert features.CollectorSection(book="book", listen="127.0.0.1:1").plan().connections_most == (
+    assert CollectorSection(book="book", listen="127.0.0.1:1").plan().connections_most == (
         plan.connections_most
     )
     crowd = SimpleNamespace(connections=dict.fromkeys(range(2 * LEAST - 1)), _plan=plan)
--- a/tests/test_replication_service.py
+++ b/tests/test_replication_service.py
@@ -31,7 +31,7 @@
 from sablewheel.replication.placement import Site
 from sablewheel.replication.plan import ReplicationPlan, Settings
 from sablewheel.replication.service import ReplicationService
-from sablewheel.serving.exchange import Caller, Exchange, Place
+from sablewheel.serving.exchange import Caller, Exchange, ExchangeState
 from sablewheel.serving.hooks import NO_RESULT_STORE
 from sablewheel.transport.scheduler import Scheduler
 
@@ -131,17 +131,19 @@
         self.counts[name] += 1
 
     def completed(self, exchange: Exchange, result: bytes, caller: Caller) -> None:
-        self.billed.append(exchange.place is not Place.JOINED or not getattr(exchange.first, "billed", False))
+        self.billed.append(
+            exchange.state is not ExchangeState.ATTACHED or not getattr(exchange.original, "billed", False)
+        )
         caller.completed(exchange, result)
 
     def rejected(self, exchange: Exchange) -> None: ...
     def failed(self, exchange: Exchange) -> None: ...
-    def gone(self, exchange: Exchange) -> None: ...
+    def cancelled(self, exchange: Exchange) -> None: ...
 
     def never_started(self, name: str) -> Callable[[Exchange], None]:
         def end_unstarted(exchange: Exchange) -> None:
-            exchange.place = Place.OVER
-            self.services[name].ended(exchange, Ended.NEVER_STARTED, b"")
+            exchange.state = ExchangeState.FINISHED
+            self.services[name].run_ended(exchange, Ended.NEVER_STARTED, b"")
 
         return end_unstarted
 
@@ -158,19 +160,19 @@
         if request.key_capacity_in_s:
             exchange.reject(request.key_capacity_in_s, False)
             return exchange, caller
-        exchange.place = Place.RUNNING
+        exchange.state = ExchangeState.RUNNING
         self.services[name].before_run(exchange, lambda one: self.runs.append((name, one)))
         return exchange, caller
 
     def end_run(self, result: bytes = b"result", outcome: Ended = Ended.SUCCEEDED) -> None:
         """End the run that began last, as the dispatcher does."""
         name, exchange = self.runs[-1]
-        self.services[name].ended(exchange, outcome, result)
+        self.services[name].run_ended(exchange, outcome, result)
         if outcome is Ended.SUCCEEDED:
             exchange.complete(result)
         else:
             exchange.fail()
-        exchange.place = Place.OVER
+        exchange.state = ExchangeState.FINISHED
 
     def disconnect(self, name: str, is_cut: bool = True) -> None:
         self.connections[name].is_cut = is_cut
@@ -264,7 +266,7 @@
 def test_a_request_discarded_before_its_claim_is_won_releases_the_key() -> None:
     fleet = Servers()
     exchange, _ = fleet.send_request("a")
-    exchange.discard()
+    exchange.cancel()
     fleet.time.run(0.3)
     assert not fleet.runs
     fleet.send_request("b")
--- a/tests/test_result_store.py
+++ b/tests/test_result_store.py
@@ -13,7 +13,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
-from simulated_server import Town, Try
+from simulated_server import Attempt, SimulatedServer
 from test_usage_metering import SERVER_SETTINGS, SlowBridge
 
 from sablewheel.command.main import main
@@ -296,7 +296,7 @@
     boot: float = 50_000.0
 
 
-class ResultStoreTown(Town):
+class ResultStoreTown(SimulatedServer):
     """The serving layer with a result store over a fake disk; `restart` is a kill and a new start."""
 
     def __init__(
@@ -313,7 +313,7 @@
         outlived = before is not None and plan.interpreter_survives
         if before is not None:
             self.scheduler.clock.now = before.now
-            self.tries = before.tries
+            self.attempts = before.attempts
             if outlived:
                 self.interpreter = before.interpreter
             else:
@@ -333,22 +333,23 @@
             b"inc%05d" % len(disk.files.names()),
             request_classes,
             NO_OBSERVER,
-            lambda one: self.dispatch.ended(one, Outcome.NEVER_STARTED, 0.0, b""),
+            lambda one: self.dispatcher.run_ended(one, Outcome.NEVER_STARTED, 0.0, b""),
             lambda: None,
             self.failures.append,
             self.counts.append,
             self.moment,
         )
         bridge.work()
-        self.server.observer = self.recorder
-        self.dispatch._memory = self.recorder
+        self.listener.observer = self.recorder
+        self.dispatcher._result_store = self.recorder
+        self.dispatcher._duplicate_checks._result_store = self.recorder
         # The town greeted its interpreter before: what a start would have told is told now.
         born = self.now - (5000.0 if outlived or before is None else 0.0)
         from sablewheel.overload import interface
 
-        recalled = self.recorder.recalled(born, self.idempotency_keys)
-        self.dispatch._events[:0] = [interface.KeyRecovered(request, life) for request, life in recalled]
-        self.client.adopt(*self.recorder.adopted())
+        recalled = self.recorder.recover_keys(born, self.idempotency_keys)
+        self.dispatcher._events[:0] = [interface.KeyRecovered(request, life) for request, life in recalled]
+        self.interpreter_client.adopt(*self.recorder.runs_to_adopt())
         if outlived:
             missed = b"".join(self.interpreter.notices[self.recorder.last_notice :])
             if self.link is not None and missed:
@@ -369,21 +370,21 @@
 
     def restart(self, crash: random.Random | None = None) -> ResultStoreTown:
         """Killed: what was not synced may be gone, connections are, tries without an answer are lost."""
-        for one in self.tries:
+        for one in self.attempts:
             one.cancelled = one.cancelled or not one.answers
         if crash is not None:
             self.disk.files = self.disk.files.crash(crash)
-        for one in self.tries:
+        for one in self.attempts:
             one.tag = -abs(one.tag)
         return ResultStoreTown(self.patch, self.disk, self, **self.more)
 
-    def call(self, request_class: bytes, idempotency_key: bytes = b"", ago: float = 0.0) -> Try:
+    def call(self, request_class: bytes, idempotency_key: bytes = b"", ago: float = 0.0) -> Attempt:
         one = super().call(request_class, idempotency_key, ago)
         self.answers = self.answers or Parser()
         return one
 
 
-def run_one(town: ResultStoreTown, idempotency_key: bytes = b"label") -> Try:
+def run_one(town: ResultStoreTown, idempotency_key: bytes = b"label") -> Attempt:
     one = town.call(b"record", idempotency_key)
     town.settle()
     town.end(one.name)
@@ -391,7 +392,7 @@
     return one
 
 
-def word(one: Try) -> bytes:
+def word(one: Attempt) -> bytes:
     return one.answers[0][1] if one.answers else b""
 
 
@@ -475,12 +476,12 @@
     town = ResultStoreTown(monkeypatch, Disk(FakeFiles()))
     run_one(town)
     town = town.restart()
-    copy = Try(len(town.tries) + 1, b"%016x" % 99, b"record", b"", town.now)
+    copy = Attempt(len(town.attempts) + 1, b"%016x" % 99, b"record", b"", town.now)
     copy.body = b"another body"
-    town.tries.append(copy)
+    town.attempts.append(copy)
     from simulated_server import call
 
-    town.router.feed(call(copy.tag, copy.name, b"record", town.now, copy.body, b"label"))
+    town.client.feed(call(copy.tag, copy.name, b"record", town.now, copy.body, b"label"))
     town.settle()
     assert word(copy) == b"FAILED" and len(town.interpreter.applied) == 1
 
@@ -539,8 +540,8 @@
 def test_random_kills_and_lost_writes_never_run_an_idempotency_key_twice(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What Town checks after each step (no second run in the window, no rejection of what ran, one answer in
-    time) holds over kills at any moment, with unsynced writes lost, torn or reordered.
+    """What SimulatedServer checks after each step (no second run in the window, no rejection of what ran, one
+    answer in time) holds over kills at any moment, with unsynced writes lost, torn or reordered.
     """
     for seed in range(14):
         chance = random.Random(seed)
@@ -555,8 +556,8 @@
                     town.call(b"record", b"%d" % chance.randrange(6))
                 case 3 | 4 if town.interpreter.running:
                     town.end(chance.choice(list(town.interpreter.running)))
-                case 5 if town.tries and town.tries[-1].tag > 0:
-                    town.cancel(town.tries[-1])
+                case 5 if town.attempts and town.attempts[-1].tag > 0:
+                    town.cancel(town.attempts[-1])
                 case 6:
                     town.bridge.open = chance.random() < 0.7
                 case 7 if chance.random() < 0.5:
@@ -565,7 +566,7 @@
                 case _:
                     town.wait(chance.uniform(0.0, 0.3))
             town.settle()
-            for one in town.tries:
+            for one in town.attempts:
                 if word(one) == b"OK":
                     assert held.setdefault(one.idempotency_key, one.answers[0][3]) == one.answers[0][3]
         assert kills
@@ -605,7 +606,7 @@
     cold = ResultStoreTown(
         monkeypatch, disk, town, unreadable=UnreadableFolderRule.COLD, cold_start=ColdStartRule.STRICT
     )
-    for one in cold.tries:
+    for one in cold.attempts:
         one.cancelled = True
     unknown = cold.call(b"record", b"never seen")
     cold.settle()
--- a/tests/test_scheduler_races.py
+++ b/tests/test_scheduler_races.py
@@ -16,7 +16,7 @@
 from test_transport import play as play_for
 
 from sablewheel.transport.scheduler import READABLE, Clock, Scheduler
-from sablewheel.transport.wakeup import Wake
+from sablewheel.transport.wakeup import Wakeup
 
 MOST = 2.0  # no test waits longer
 
@@ -107,35 +107,35 @@
     assert all(later >= sooner + 0.01 for sooner, later in pairwise(turns))
 
 
-def test_a_core_whose_ring_faults_is_rung_again(scheduler: Scheduler) -> None:
+def test_a_wakeup_that_faults_is_called_again(scheduler: Scheduler) -> None:
     """A fault before it told its next wake: nobody would ring it any more."""
-    rung: list[float] = []
+    fired_at: list[float] = []
 
     def ring() -> None:
-        rung.append(scheduler.clock.now)
-        if len(rung) == 2:
+        fired_at.append(scheduler.clock.now)
+        if len(fired_at) == 2:
             scheduler.stop()
         fault()
 
-    Wake(scheduler, lambda: scheduler.clock.now, ring).set(scheduler.clock.now)
+    Wakeup(scheduler, lambda: scheduler.clock.now, ring).set(scheduler.clock.now)
     play(scheduler)
-    assert len(rung) == 2 and rung[1] - rung[0] >= 0.1  # and a lasting fault does not spin
+    assert len(fired_at) == 2 and fired_at[1] - fired_at[0] >= 0.1  # and a lasting fault does not spin
 
 
-def test_a_core_that_told_its_wake_before_a_fault_is_rung_then(scheduler: Scheduler) -> None:
-    rung: list[float] = []
+def test_a_wakeup_set_before_a_fault_is_called_then(scheduler: Scheduler) -> None:
+    fired_at: list[float] = []
 
     def ring() -> None:
-        rung.append(scheduler.clock.now)
-        if len(rung) == 2:
+        fired_at.append(scheduler.clock.now)
+        if len(fired_at) == 2:
             return scheduler.stop()
         wake.set(scheduler.clock.now + 0.01)
         fault()
 
-    wake = Wake(scheduler, lambda: scheduler.clock.now, ring)
+    wake = Wakeup(scheduler, lambda: scheduler.clock.now, ring)
     wake.set(scheduler.clock.now)
     play(scheduler)
-    assert len(rung) == 2 and rung[1] - rung[0] < 0.1
+    assert len(fired_at) == 2 and fired_at[1] - fired_at[0] < 0.1
 
 
 # -- signals
@@ -143,10 +143,10 @@
 
 def test_a_signal_that_finds_the_pipe_full_is_not_lost(scheduler: Scheduler, signals: int) -> None:
     scheduler.on_signal(signals, scheduler.stop)
-    assert scheduler._wake_up is not None
+    assert scheduler._signal_pipe is not None
     with pytest.raises(BlockingIOError):
         while True:
-            os.write(scheduler._wake_up[1], b"\0" * 65536)
+            os.write(scheduler._signal_pipe[1], b"\0" * 65536)
     os.kill(os.getpid(), signals)
     scheduler.after(0.5, lambda: pytest.fail("the signal was lost"))
     scheduler.on_fault = scheduler.stop
@@ -204,7 +204,9 @@
 
 
 @pytest.mark.parametrize("forgotten_first", [True, False])
-def test_a_wait_that_ends_twice_in_a_round_is_told_once(scheduler: Scheduler, forgotten_first: bool) -> None:
+def test_a_wait_that_ends_twice_in_a_round_is_reported_once(
+    scheduler: Scheduler, forgotten_first: bool
+) -> None:
     """Its time is over and the descriptor goes, both due in one round, in either order."""
     [(one, other)] = sockets(1)
     told: list[object] = []
--- a/tests/test_session_router.py
+++ b/tests/test_session_router.py
@@ -17,7 +17,7 @@
 from sablewheel.replication.plan import ReplicationPlan
 from sablewheel.replication.plan import Settings as ReplicaSettings
 from sablewheel.replication.service import ReplicationService
-from sablewheel.serving.exchange import NO_OBSERVER, Exchange, Place
+from sablewheel.serving.exchange import NO_OBSERVER, Exchange, ExchangeState
 from sablewheel.serving.hooks import NO_RESULT_STORE
 from sablewheel.session_affinity.codec import FRAME_TYPE
 from sablewheel.session_affinity.events import PolicyActivated
@@ -125,18 +125,18 @@
         self.counts[what] += 1
 
     def arrived(self, exchange: Exchange) -> None:
-        exchange.place = Place.RUNNING
+        exchange.state = ExchangeState.RUNNING
         self.router.result_store.before_run(exchange, self.running.append)
 
-    def gone(self, exchange: Exchange) -> None: ...
+    def cancelled(self, exchange: Exchange) -> None: ...
 
     def never_begun(self, exchange: Exchange) -> None:
-        self.router.result_store.ended(exchange, Outcome.NEVER_STARTED, b"")
+        self.router.result_store.run_ended(exchange, Outcome.NEVER_STARTED, b"")
 
     def end(self, exchange: Exchange) -> None:
         self.running.remove(exchange)
-        self.router.result_store.ended(exchange, Outcome.SUCCEEDED, b"done")
-        exchange.place = Place.OVER
+        self.router.result_store.run_ended(exchange, Outcome.SUCCEEDED, b"done")
+        exchange.state = ExchangeState.FINISHED
         exchange.complete(b"done")
 
 
@@ -248,8 +248,8 @@
 def test_a_request_abandoned_during_its_owner_lookup_is_not_run() -> None:
     fleet = ThreeServers()
     exchange, told = fleet.bring("a", b"lookup")
-    assert exchange.discard()
-    fleet.servers["a"].handler.gone(exchange)
+    assert exchange.cancel()
+    fleet.servers["a"].handler.cancelled(exchange)
     fleet.time.run(1.0)
     assert fleet.running() == {} and told.answers == [] and fleet.servers["a"].router.settled()
 
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -20,7 +20,7 @@
 from sablewheel.storage.health import DiskHealth, DiskState
 from sablewheel.storage.log import LOG_START, CommitError, Log
 from sablewheel.transport.scheduler import Clock, Scheduler
-from sablewheel.transport.worker_thread import Bridge
+from sablewheel.transport.worker_thread import WorkerThread
 
 KIND = b"test"
 
@@ -285,7 +285,7 @@
     durable_numbers: list[int] = []
     states: list[DiskState] = []
     store = GroupCommitLog(
-        scheduler, Bridge(scheduler), open_log(files), 0.1, durable_numbers.append, states.append
+        scheduler, WorkerThread(scheduler), open_log(files), 0.1, durable_numbers.append, states.append
     )
     scheduler.after_round.append(store.flush)
     numbers: list[int | None] = []
@@ -316,7 +316,9 @@
 
 def test_append_returns_none_when_too_much_is_pending() -> None:
     scheduler, files = Scheduler(Clock()), FakeFiles()
-    store = GroupCommitLog(scheduler, Bridge(scheduler), open_log(files), 0.1, lambda _: None, lambda _: None)
+    store = GroupCommitLog(
+        scheduler, WorkerThread(scheduler), open_log(files), 0.1, lambda _: None, lambda _: None
+    )
     big = b"x" * (1 << 19)
     assert store.append(big) == 1 and store.append(big) == 2
     assert store.append(big) is None
--- a/tests/test_usage_metering.py
+++ b/tests/test_usage_metering.py
@@ -21,7 +21,7 @@
 import pytest
 from click.testing import CliRunner
 from fake_disk import FakeFiles
-from simulated_server import Town
+from simulated_server import SimulatedServer
 
 from sablewheel.command.main import main
 from sablewheel.overload.interface import (
@@ -36,7 +36,7 @@
 from sablewheel.storage.files import DiskFiles
 from sablewheel.storage.log import Log
 from sablewheel.transport.background import Background
-from sablewheel.transport.periodic import SAVED_MOST, PeriodicScheduler, PeriodicTask
+from sablewheel.transport.periodic import MAX_BUDGET_S, PeriodicScheduler, PeriodicTask
 from sablewheel.transport.scheduler import Clock, Scheduler
 from sablewheel.usage_metering import blocks, collecting, export, reports, statement
 from sablewheel.usage_metering import recorder as usage_recorder
@@ -78,21 +78,21 @@
 # -- the recorder in the server, on a made clock and a made disk
 
 
-class KeptTown(Town):
+class KeptTown(SimulatedServer):
     """The routing layer with a recorder; commits happen at once, on a disk that may fail."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, answers: Answers = Answers.AFTER_ENTRY) -> None:
         super().__init__(SERVER_SETTINGS)
         self.files = FakeFiles()
         monkeypatch.setattr(usage_recorder, "DiskFiles", lambda _: self.files)
-        monkeypatch.setattr(usage_recorder, "Bridge", SlowBridge)
+        monkeypatch.setattr(usage_recorder, "WorkerThread", SlowBridge)
         plan = LedgerPlan(Depth.DURABLE, Path("made"), answers, commit_every=0.0, entries_most=50)
         background = Background(self.scheduler, lambda: 0)
         names = {SERVER_SETTINGS.tenants[0]: "acme"}
         self.usage_recorder = UsageRecorder(
             self.scheduler, background, plan, "n1", INCARNATION, names, lambda: 0.5, self.counts.append
         )
-        self.server.observer = self.usage_recorder
+        self.listener.observer = self.usage_recorder
         self.bridge: SlowBridge = self.usage_recorder._bridge  # type: ignore[assignment]
 
     def settle(self, deliver: bool = True) -> None:
@@ -244,8 +244,8 @@
                     town.call(b"record" if label else b"lookup", label)
                 case 3 | 4 if town.interpreter.running:
                     town.end(chance.choice(list(town.interpreter.running)))
-                case 5 if town.tries:
-                    town.cancel(chance.choice(town.tries))
+                case 5 if town.attempts:
+                    town.cancel(chance.choice(town.attempts))
                 case 6:
                     town.bridge.open = chance.random() < 0.6
                 case _:
@@ -255,10 +255,10 @@
         town.wait(6.0)
         entries = town.entries()
         names = [one.name.hex().encode() for one in entries]
-        assert sorted(names) == sorted(one.name for one in town.tries)
+        assert sorted(names) == sorted(one.name for one in town.attempts)
         words = {b"OK": pb.COMPLETED, b"BUSY": pb.DENIED, b"FAILED": pb.TERMINATED}
         outcome = dict(zip(names, (one.outcome for one in entries), strict=True))
-        for one in town.tries:
+        for one in town.attempts:
             assert outcome[one.name] == (words[one.answers[0][1]] if one.answers else pb.GONE)
         runs = [one.run or one.name for one in entries if one.billed]
         assert len(runs) == len(set(runs))
@@ -502,7 +502,7 @@
         self.thread.join(10)
 
 
-class Peer:
+class ClientConnection:
     """A server's end of an export."""
 
     def __init__(self, door: Door) -> None:
@@ -542,12 +542,12 @@
 
 def test_blocks_are_acknowledged_known_again_and_asked_for_after_a_restore(door: Door) -> None:
     some = sealed_blocks("n1", 3)
-    peer = Peer(door)
+    peer = ClientConnection(door)
     assert not peer.greet().welcome.have
     for one in some[:2]:
         last_received_at = peer.send(one)
         assert last_received_at is not None and last_received_at.acknowledged.number == one.number
-    again = Peer(door)
+    again = ClientConnection(door)
     (have,) = again.greet().welcome.have
     assert (have.number, have.digest) == (2, some[1].digest)
     last_received_at = again.send(some[0])  # of a server that never received the acknowledgement
@@ -572,7 +572,7 @@
 def test_what_is_no_export_is_refused_by_name_and_the_rest_goes_on(
     door: Door, data: bytes, fault: str
 ) -> None:
-    good, bad = Peer(door), Peer(door)
+    good, bad = ClientConnection(door), ClientConnection(door)
     good.greet()
     bad.socket.sendall(data)
     last_received_at = bad.hear()
@@ -591,11 +591,11 @@
         (SealedBlock(INCARNATION, 1, 2, some[0].data, b"x" * 32), "digest"),
         (sealed_blocks("n2", 1)[0], "server"),
     ):
-        peer = Peer(door)
+        peer = ClientConnection(door)
         peer.greet()
         last_received_at = peer.send(bad)
         assert last_received_at is not None and last_received_at.refused.fault == fault
-    peer = Peer(door)
+    peer = ClientConnection(door)
     peer.greet()
     assert peer.send(some[0]) is not None and peer.send(some[1]) is not None
     data = forged.SerializeToString()
@@ -606,7 +606,7 @@
 
 
 def test_two_servers_of_one_name_are_told_and_neither_loses_anything(door: Door) -> None:
-    one, other = Peer(door), Peer(door)
+    one, other = ClientConnection(door), ClientConnection(door)
     one.greet(incarnation=b"incarn01")
     other.greet(incarnation=b"incarn02")
     for peer, incarnation in ((one, b"incarn01"), (other, b"incarn02")):
@@ -620,12 +620,12 @@
     lock = sqlite3.connect(door.plan.book, isolation_level=None)
     assert door.collector is not None
     lock.execute("begin immediate")
-    peer = Peer(door)
+    peer = ClientConnection(door)
     peer.greet()
     last_received_at = peer.send(some[0])
     assert last_received_at is not None and last_received_at.refused.fault == "book"
     lock.execute("rollback")
-    peer = Peer(door)
+    peer = ClientConnection(door)
     peer.greet()
     last_received_at = peer.send(some[0])
     assert last_received_at is not None and last_received_at.acknowledged.number == 1
@@ -634,7 +634,7 @@
 def test_use_of_a_customer_that_nobody_named_is_posted_and_told(tmp_path: Path) -> None:
     door = Door(tmp_path / "named.sqlite", customers=frozenset({"acme"}))
     try:
-        peer = Peer(door)
+        peer = ClientConnection(door)
         peer.greet()
         peer.send(sealed_blocks("n1", 1)[0])
         journal = Journal(door.plan.book, read_only=True)
@@ -648,7 +648,7 @@
 
 def test_a_hole_is_noted_and_the_chain_goes_on_behind_it(door: Door) -> None:
     some = sealed_blocks("n1", 4)
-    peer = Peer(door)
+    peer = ClientConnection(door)
     peer.greet()
     peer.send(some[0])
     peer.send_frame(lost=pb.Lost(incarnation=INCARNATION, through=2, reason="damaged on disk"))
@@ -680,18 +680,18 @@
         periodic_scheduler.want(high, now)
         periodic_task = periodic_scheduler.choose(now, busy)
         if periodic_task is not None:
-            assert not busy or now - periodic_task.wanted_since >= periodic_task.starved
+            assert not busy or now - periodic_task.wanted_since >= periodic_task.max_wait_s
             took[periodic_task.name] += 0.001
             periodic_scheduler.done(periodic_task, now, 0.001, more=True)
-    assert 0.9 * 2.0 <= took["high"] <= 0.1 * 20 + SAVED_MOST + 0.001
-    assert 4.0 <= took["low"] <= 0.5 * 20 + SAVED_MOST + 0.001
+    assert 0.9 * 2.0 <= took["high"] <= 0.1 * 20 + MAX_BUDGET_S + 0.001
+    assert 4.0 <= took["low"] <= 0.5 * 20 + MAX_BUDGET_S + 0.001
 
 
 def test_a_starved_chore_has_its_step_in_spite_of_tickets() -> None:
-    periodic_scheduler, periodic_task = PeriodicScheduler(), PeriodicTask("one", 1, 0.5, starved=0.25)
+    periodic_scheduler, periodic_task = PeriodicScheduler(), PeriodicTask("one", 1, 0.5, max_wait_s=0.25)
     periodic_scheduler.add(periodic_task)
     periodic_scheduler.want(periodic_task, 10.0)
-    assert periodic_scheduler.choose(10.2, busy=True) is None and periodic_scheduler.again_in(
+    assert periodic_scheduler.choose(10.2, busy=True) is None and periodic_scheduler.next_step_in_s(
         10.2, busy=True
     ) == pytest.approx(0.05)
     assert periodic_scheduler.choose(10.3, busy=True) is periodic_task
@@ -788,6 +788,6 @@
 
 def test_time_is_bounded(door: Door) -> None:
     """A peer that connects and says nothing is closed, and holds nobody up."""
-    silent = Peer(door)
+    silent = ClientConnection(door)
     begun = time.monotonic()
     assert silent.hear() is None and time.monotonic() - begun < 9
