--- a/sablewheel/program/application.py
+++ b/sablewheel/program/application.py
@@ -76,55 +76,35 @@
         self.phase = Phase.WAITING
         self._placement_settings = placement_settings
         self._counters = Counters()
-        self._scheduler = scheduler = Scheduler(Clock())
+        self._scheduler = Scheduler(Clock())
+        self._scheduler.on_fault = lambda: self._counters.count("faults")
         self._server_status = ServerStatus()
         self._stop_at = 0.0
         self._listener_closed = False
         self._start_failed = False
-        count = self._counters.count
-        scheduler.on_fault = lambda: count("faults")
         self._features = self._build_features(features)
-        self._dispatcher = Dispatcher(
-            scheduler,
-            placement_settings.server_settings,
-            placement_settings.seed,
-            placement_settings.gauge_indexes,
-            self._server_status,
-            self._idempotency_table(),
-            self._on_interpreter_ready,
-            self._features.result_store,
-        )
-        self._request_listener = RequestListener(
-            scheduler,
-            placement_settings.request_classes,
-            placement_settings.tenants,
-            self._server_status,
-            self._features.handler(self._dispatcher),
-            count,
-            self._max_client_connections(),
-            self._features.observer,
-            placement_settings.server_settings.clients,
-        )
+        self._dispatcher = self._build_dispatcher()
+        self._request_listener = self._build_request_listener()
         if features is not None and features.any:
-            scheduler.every(CONNECTION_LIMIT_INTERVAL_S, self._limit_connections)
+            self._scheduler.every(CONNECTION_LIMIT_INTERVAL_S, self._limit_connections)
         self._name_service = DatagramSender(placement_settings.naming)
         # The last that may fail: a start that is repeated must not find its own socket listening.
         self._listener = Listener(
-            scheduler,
+            self._scheduler,
             placement_settings.listen,
             self._request_listener.has_capacity,
             self._request_listener.accepted,
             self._request_listener.evict_unused,
         )
         self._interpreter = InterpreterClient(
-            scheduler,
+            self._scheduler,
             self._connector(placement_settings.interpreter),
             self._dispatcher,
-            count,
+            self._counters.count,
             self._features.last_notice,
         )
         self._dispatcher.attach(self._request_listener, self._interpreter)
-        self._reloader = ConfigurationReloader(scheduler, self._apply_configuration)
+        self._reloader = ConfigurationReloader(self._scheduler, self._apply_configuration)
 
     def _build_features(self, features: Features | None) -> Feature:
         if features is None or not features.any:
@@ -143,11 +123,36 @@
             self._retune,
         )
 
-    def _idempotency_table(self) -> IdempotencyTable:
-        return IdempotencyTable(
+    def _build_dispatcher(self) -> Dispatcher:
+        placement_settings = self._placement_settings
+        idempotency_keys = IdempotencyTable(
             self._longest_timeout_s(),
-            self._placement_settings.server_settings.answer_slack_s,
-            self._placement_settings.memory_bytes // RESULT_MEMORY_DIVISOR,
+            placement_settings.server_settings.answer_slack_s,
+            placement_settings.memory_bytes // RESULT_MEMORY_DIVISOR,
+        )
+        return Dispatcher(
+            self._scheduler,
+            placement_settings.server_settings,
+            placement_settings.seed,
+            placement_settings.gauge_indexes,
+            self._server_status,
+            idempotency_keys,
+            self._on_interpreter_ready,
+            self._features.result_store,
+        )
+
+    def _build_request_listener(self) -> RequestListener:
+        placement_settings = self._placement_settings
+        return RequestListener(
+            self._scheduler,
+            placement_settings.request_classes,
+            placement_settings.tenants,
+            self._server_status,
+            self._features.handler(self._dispatcher),
+            self._counters.count,
+            self._max_client_connections(),
+            self._features.observer,
+            placement_settings.server_settings.clients,
         )
 
     def _longest_timeout_s(self) -> float:
--- a/tests/test_close_races.py
+++ b/tests/test_close_races.py
@@ -47,14 +47,14 @@
 
 
 class RequestHandler:
-    """Holds what arrived until the test answers it."""
+    """Retains what arrived until the test answers it."""
 
     def __init__(self) -> None:
-        self.held: list[Exchange] = []
+        self.pending: list[Exchange] = []
         self.left: list[Exchange] = []
 
     def arrived(self, exchange: Exchange) -> None:
-        self.held.append(exchange)
+        self.pending.append(exchange)
 
     def cancelled(self, exchange: Exchange) -> None:
         self.left.append(exchange)
@@ -90,14 +90,14 @@
         self.peers: list[socket.socket] = []
 
     def peer(self) -> socket.socket:
-        """A router's connection, through the kernel's line; whether it is taken is the server's affair."""
+        """Connect as a client; whether the connection is accepted is up to the server."""
         sock = socket.create_connection(self.address, timeout=PATIENCE)
         sock.setblocking(False)
         self.peers.append(sock)
         return sock
 
     def turn(self, until: Callable[[], object]) -> None:
-        """Rounds until it is so, at most for a while."""
+        """Run rounds until the condition holds; fails after a while."""
         came: list[bool] = []
 
         def look() -> None:
@@ -253,10 +253,10 @@
     """A close over bytes that came after the last look at them reset the connection: the answer was lost."""
     peer = harness.peer()
     peer.send(harness.call(1))
-    harness.turn(lambda: harness.handler.held)
+    harness.turn(lambda: harness.handler.pending)
     connection = harness.connection(peer)
     crossing(connection.stream, lambda: peer.sendall(harness.call(2)))
-    harness.handler.held[0].complete(b"made" * 1000)
+    harness.handler.pending[0].complete(b"made" * 1000)
     harness.request_listener.announce_close()
     harness.request_listener.flush()  # the router has not read it by then
     harness.ahead(2.0)
@@ -264,7 +264,7 @@
     harness.turn(lambda: "connections_crossed" in harness.counts)
     said, over = words(peer)
     assert [one[:2] for one in said] == [[b"1", b"OK"], [b"0", b"BYE"]] and over
-    assert len(harness.handler.held) == 1, "what came after the shutdown was run"
+    assert len(harness.handler.pending) == 1, "what came after the shutdown was run"
     peer.close()
     harness.turn(lambda: not harness.request_listener.connections)
 
@@ -276,8 +276,8 @@
     one, two = harness.peer(), harness.peer()
     one.send(harness.call(1))
     two.send(harness.call(2))
-    harness.turn(lambda: len(harness.handler.held) == 2)
-    for exchange in harness.handler.held:
+    harness.turn(lambda: len(harness.handler.pending) == 2)
+    for exchange in harness.handler.pending:
         exchange.complete(b"made" * 1000)
     harness.request_listener.flush()
     two.send(harness.call(3))  # has come, is not read yet
@@ -285,14 +285,14 @@
     wait_until(lambda: harness.connection(two).stream.unread)
     crossing(last.stream, lambda: one.sendall(harness.call(4)))
     harness.request_listener.stop_reading()
-    harness.turn(lambda: len(harness.handler.held) == 3)
-    harness.handler.held[2].reject(0.0, False)
+    harness.turn(lambda: len(harness.handler.pending) == 3)
+    harness.handler.pending[2].reject(0.0, False)
     harness.request_listener.flush()
     harness.turn(lambda: "connections_crossed" in harness.counts)
     said, over = words(one)
     assert [frame[1] for frame in said] == [b"OK"] and over
     assert [frame[1] for frame in words(two)[0]] == [b"OK", b"BUSY"]
-    assert len(harness.handler.held) == 3
+    assert len(harness.handler.pending) == 3
 
 
 def test_a_client_that_stays_after_the_shutdown_is_closed_in_a_while(harness: ListenerHarness) -> None:
@@ -382,14 +382,14 @@
     one, two = harness.peer(), harness.peer()
     one.send(harness.call(1) + harness.call(2))
     two.send(harness.call(3))
-    harness.turn(lambda: len(harness.handler.held) == 3)
-    held = {exchange.name: exchange for exchange in harness.handler.held}
-    held[b"%016x" % 1].complete(b"x" * 4096)
+    harness.turn(lambda: len(harness.handler.pending) == 3)
+    pending = {exchange.name: exchange for exchange in harness.handler.pending}
+    pending[b"%016x" % 1].complete(b"x" * 4096)
     one.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     one.close()  # a reset, as the answer is queued
     harness.turn(lambda: harness.handler.left)
     assert [exchange.name for exchange in harness.handler.left] == [b"%016x" % 2]
-    held[b"%016x" % 3].complete(b"made")
+    pending[b"%016x" % 3].complete(b"made")
     harness.turn(
         lambda: len(harness.request_listener.connections) == 1 and not harness.request_listener._with_answers
     )
@@ -406,7 +406,7 @@
     late = harness.call(1)
     harness.clock.now -= 1.1  # the round began before the request was made
     connection._receive(late)
-    assert len(harness.handler.held) == 1 and "frames_faulty" not in harness.counts
+    assert len(harness.handler.pending) == 1 and "frames_faulty" not in harness.counts
 
 
 # -- a full table
@@ -441,10 +441,10 @@
             for sock in idle:
                 if closes and sock.fileno() >= 0 and ended(sock):
                     sock.close()
-            return bool(harness.handler.held) and harness.counts.count("checks_in") == most * asked + 1
+            return bool(harness.handler.pending) and harness.counts.count("checks_in") == most * asked + 1
 
         harness.turn(served)
-        harness.handler.held[0].complete(b"made")
+        harness.handler.pending[0].complete(b"made")
         harness.request_listener.flush()
         assert words(asking)[0][0][1] == b"OK" and words(check)[0][0][1] == b"UP"
         assert harness.counts.count("connections_crowded_out") <= 4, "more went than were in the way"
@@ -458,17 +458,17 @@
         busy = [harness.peer() for _ in range(4)]
         for tag, sock in enumerate(busy, 1):
             sock.send(harness.call(tag))
-        harness.turn(lambda: len(harness.handler.held) == 4)
+        harness.turn(lambda: len(harness.handler.pending) == 4)
         late = harness.peer()
         late.send(harness.call(9))
         harness.ahead(1.0)
         harness.turn(lambda: harness.listener is not None)
         harness.request_listener.evict_unused()
         assert len(harness.request_listener.connections) == 4
-        harness.handler.held[0].complete(b"made")
+        harness.handler.pending[0].complete(b"made")
         harness.request_listener.flush()
         harness.ahead(0.2)
-        harness.turn(lambda: len(harness.handler.held) == 5)
+        harness.turn(lambda: len(harness.handler.pending) == 5)
         assert words(busy[0])[0][0][1] == b"OK"
         assert "connections_crowded_out" in harness.counts and not harness.handler.left
     finally:
@@ -492,11 +492,11 @@
 
     harness.turn(stuffed)
     good.send(harness.call(1))
-    harness.turn(lambda: harness.handler.held)
+    harness.turn(lambda: harness.handler.pending)
     assert len(harness.request_listener.connections) == 2
     harness.ahead(max(request_class.timeout_s for request_class in SERVER_SETTINGS.request_classes) + 2.0)
     harness.turn(lambda: "connections_stuck" in harness.counts)
-    assert [one.open for one in harness.request_listener.connections] == [{1: harness.handler.held[0]}]
+    assert [one.open for one in harness.request_listener.connections] == [{1: harness.handler.pending[0]}]
 
 
 def test_one_reset_before_it_was_taken_is_no_sign_of_a_full_table(
@@ -540,7 +540,7 @@
         harness.ahead(0.2)
         late = harness.peer()
         late.send(harness.call(1))
-        harness.turn(lambda: harness.handler.held)
+        harness.turn(lambda: harness.handler.pending)
         assert faults == [True]
     finally:
         finish(harness)
@@ -570,12 +570,12 @@
         process = deployment.start()
         peer = deployment.ready()
         crowd = [deployment.client() for _ in range(limit)]  # as while discovery is down and nothing lapses
-        held = Path(f"/proc/{process.pid}/fd")
+        pending = Path(f"/proc/{process.pid}/fd")
         most = 0
         for tag, one in enumerate(crowd, 1):
             with contextlib.suppress(OSError):
                 one.send(frame(b"RPC.HEALTH", b"%d" % tag, b""))
-            most = max(most, len(list(held.iterdir())))
+            most = max(most, len(list(pending.iterdir())))
         deployment.file.write_text(
             json.dumps(deployment.config | {"vm": f"127.0.0.1:{new.listening_socket.getsockname()[1]}"})
         )
@@ -583,7 +583,7 @@
 
         def moved() -> bool:
             nonlocal most
-            most = max(most, len(list(held.iterdir())))
+            most = max(most, len(list(pending.iterdir())))
             return new.link is not None
 
         wait_until(moved)
--- a/tests/test_dependency_calls.py
+++ b/tests/test_dependency_calls.py
@@ -28,8 +28,8 @@
     return server.interpreter.notices[-1]
 
 
-def stand_at_call(server: SimulatedServer, one: Attempt) -> None:
-    notice(server, b"AWAIT %d " + one.name, b"a question\r\nof any bytes \0")
+def stand_at_call(server: SimulatedServer, attempt: Attempt) -> None:
+    notice(server, b"AWAIT %d " + attempt.name, b"a question\r\nof any bytes \0")
 
 
 @pytest.fixture
@@ -38,10 +38,10 @@
 
 
 def test_a_run_at_a_call_is_answered_at_once_and_all_others_end(server: SimulatedServer) -> None:
-    one, other = server.call(b"lookup"), server.call(b"record", b"a")
+    attempt, other = server.call(b"lookup"), server.call(b"record", b"a")
     server.settle()
-    stand_at_call(server, one)
-    assert [words[1] for words in one.answers] == [b"FAILED"]
+    stand_at_call(server, attempt)
+    assert [words[1] for words in attempt.answers] == [b"FAILED"]
     server.end(other.name)
     server.settle()
     assert [words[1] for words in other.answers] == [b"OK"]
@@ -53,11 +53,11 @@
 ) -> None:
     controller = server.dispatcher._controller
     assert controller is not None
-    one = server.call(b"lookup")
+    attempt = server.call(b"lookup")
     server.settle()
-    stand_at_call(server, one)
+    stand_at_call(server, attempt)
     assert controller.on_cores == 0
-    server.end(one.name, b"interrupted")
+    server.end(attempt.name, b"interrupted")
     server.settle()
     assert controller.kb == 0 and not controller.running and server.dispatcher.open_count == 0
 
@@ -71,14 +71,14 @@
     server.end(first.name, b"interrupted")
     late = server.call(b"record", b"a")
     server.wait(0.2)  # the town checks the rules at each step
-    assert [[words[1] for words in one.answers] for one in (first, early, late)] == [[b"FAILED"]] * 3
+    assert [[words[1] for words in attempt.answers] for attempt in (first, early, late)] == [[b"FAILED"]] * 3
     assert len(server.interpreter.applied) == 1
 
 
 def test_the_next_link_does_not_bring_the_call_again(server: SimulatedServer) -> None:
-    one, other = server.call(b"lookup"), server.call(b"lookup")
+    attempt, other = server.call(b"lookup"), server.call(b"lookup")
     server.settle()
-    stand_at_call(server, one)
+    stand_at_call(server, attempt)
     server.cut(lost=False)
     server.wait(0.2)
     server.end(other.name)
@@ -88,30 +88,30 @@
 
 
 def test_a_call_notified_while_the_link_was_down_is_read_with_the_next(server: SimulatedServer) -> None:
-    one = server.call(b"lookup")
+    attempt = server.call(b"lookup")
     server.settle()
     server.linked = False
     server.cut(lost=False)
     server.settle()
-    server.interpreter.notices.append(b"AWAIT 1 %b 2\r\nhi\r\n" % one.name)
+    server.interpreter.notices.append(b"AWAIT 1 %b 2\r\nhi\r\n" % attempt.name)
     server.linked = True
     server.wait(0.6)
-    assert [words[1] for words in one.answers] == [b"FAILED"]
+    assert [words[1] for words in attempt.answers] == [b"FAILED"]
 
 
 @pytest.mark.parametrize("cancelled", [False, True])
 def test_a_call_of_a_run_that_nobody_waits_for_is_nothing(server: SimulatedServer, cancelled: bool) -> None:
-    one = server.call(b"lookup")
+    attempt = server.call(b"lookup")
     server.settle()
     if cancelled:
-        server.cancel(one)
+        server.cancel(attempt)
         server.settle()
     else:
-        server.end(one.name)
+        server.end(attempt.name)
         server.settle()
-    answers = list(one.answers)
-    stand_at_call(server, one)
-    assert one.answers == answers and server.counts.count("links") == 1
+    answers = list(attempt.answers)
+    stand_at_call(server, attempt)
+    assert attempt.answers == answers and server.counts.count("links") == 1
 
 
 @pytest.mark.parametrize(
@@ -126,13 +126,13 @@
 def test_a_notice_of_an_unknown_word_costs_nothing_but_itself(
     server: SimulatedServer, words: bytes, following: bytes | None
 ) -> None:
-    one = server.call(b"lookup")
+    attempt = server.call(b"lookup")
     server.settle()
     notice(server, words, following)
     server.wait(0.2)
-    server.end(one.name)
+    server.end(attempt.name)
     server.settle()
-    assert [words[1] for words in one.answers] == [b"OK"]
+    assert [words[1] for words in attempt.answers] == [b"OK"]
     assert server.counts.count("links") == 3 and server.counts.count("notices_passed_over") == 1
     server.cut(lost=False)
     server.wait(0.2)
@@ -140,14 +140,14 @@
 
 
 def test_one_in_the_same_bytes_as_an_end_takes_nothing_of_it_along(server: SimulatedServer) -> None:
-    one, other = server.call(b"lookup"), server.call(b"lookup")
+    attempt, other = server.call(b"lookup"), server.call(b"lookup")
     server.settle()
     assert server.link is not None
-    end = server.interpreter.end(one.name)
+    end = server.interpreter.end(attempt.name)
     server.interpreter.notices.append(b"NOVEL 2 level 3\r\n")
     server.link.feed(end + server.interpreter.notices[-1] + server.interpreter.end(other.name))
     server.wait(0.2)
-    assert [words[1] for words in one.answers + other.answers] == [b"OK", b"OK"]
+    assert [words[1] for words in attempt.answers + other.answers] == [b"OK", b"OK"]
     assert server.counts.count("links") == 3 and server.counts.count("runs_worked") == 2
 
 
@@ -157,15 +157,17 @@
 def test_what_is_unreadable_once_is_read_again_and_nothing_is_passed_over(
     server: SimulatedServer, garbled: bytes
 ) -> None:
-    one = server.call(b"lookup")
+    attempt = server.call(b"lookup")
     server.settle()
     for _ in range(1 if garbled.startswith(b"VALUE") else 3):
         assert server.link is not None
         server.link.feed(garbled)
         server.wait(0.2)
-    server.end(one.name)
+    server.end(attempt.name)
     server.settle()
-    assert [words[1] for words in one.answers] == [b"OK"] and not server.counts.count("notices_passed_over")
+    assert [words[1] for words in attempt.answers] == [b"OK"] and not server.counts.count(
+        "notices_passed_over"
+    )
 
 
 def test_the_program_counts_on_no_call_and_the_simulator_s_adapter_does(tmp_path: Path) -> None:
--- a/tests/test_internal_errors.py
+++ b/tests/test_internal_errors.py
@@ -45,9 +45,9 @@
 
 def test_a_fault_in_a_decision_still_lets_out_what_was_decided_before() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
-    one = server.call(b"lookup")
+    attempt = server.call(b"lookup")
     server.settle()
-    server.end(one.name)
+    server.end(attempt.name)
     server.scheduler.run_ready()  # its answer is queued
     controller = server.dispatcher._controller
     assert controller is not None
@@ -60,17 +60,17 @@
     with pytest.raises(RuntimeError):
         server.dispatcher.end_round()
     controller.decide = real  # type: ignore[method-assign]
-    said = server.answers.feed(server.client.taken())
-    assert [words[1] for words in said if words[0] == b"1"] == [b"OK"]
+    answers = server.answers.feed(server.client.taken())
+    assert [words[1] for words in answers if words[0] == b"1"] == [b"OK"]
 
 
 def test_one_that_failed_by_a_fault_is_never_answered_again() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
-    one = server.call(b"lookup")
+    attempt = server.call(b"lookup")
     server.settle()
     exchange = next(iter(server.dispatcher._open_requests._exchanges.values()))
     server.dispatcher._fail_after_internal_error(exchange)
     server.settle()
-    server.end(one.name)  # its run was under way all the same
+    server.end(attempt.name)  # its run was under way all the same
     server.settle()
-    assert [words[1] for words in one.answers] == [b"FAILED"]
+    assert [words[1] for words in attempt.answers] == [b"FAILED"]
--- a/tests/test_interpreter_link_races.py
+++ b/tests/test_interpreter_link_races.py
@@ -54,30 +54,30 @@
 def test_a_run_lost_just_before_a_break_is_resent_though_a_query_behind_it_was_answered() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     obeying(server, answers_questions_only)
-    one = server.call(b"lookup")
+    attempt = server.call(b"lookup")
     server.settle()
     recover(server)
     broken(server, lost=False)
-    assert one.name in server.interpreter.running
+    assert attempt.name in server.interpreter.running
 
 
 @pytest.mark.parametrize("lost", [False, True])
 def test_a_keyed_run_that_a_break_leaves_unconfirmed_is_never_resent(lost: bool) -> None:
     """If it was read its end counts; if not, its caller has an error in time, and it keeps no core."""
     server = SimulatedServer(SERVER_SETTINGS)
-    one = server.call(b"record", b"a")
+    attempt = server.call(b"record", b"a")
     server.settle(deliver=False)
     broken(server, lost)
     repeat = server.call(b"record", b"a")
     server.settle()
-    assert [name for name, *_ in server.interpreter.applied] == ([] if lost else [one.name])
+    assert [name for name, *_ in server.interpreter.applied] == ([] if lost else [attempt.name])
     assert server.counts.count("runs_unconfirmed") == 1
     if not lost:
-        server.end(one.name)
+        server.end(attempt.name)
         server.settle()
-        assert one.answers[0][1] == repeat.answers[0][1] == b"OK"
+        assert attempt.answers[0][1] == repeat.answers[0][1] == b"OK"
     server.wait(9.0)
-    assert {one.answers[0][1], repeat.answers[0][1]} == ({b"FAILED"} if lost else {b"OK"})
+    assert {attempt.answers[0][1], repeat.answers[0][1]} == ({b"FAILED"} if lost else {b"OK"})
     assert server.dispatcher.open_count == 0 and not server.interpreter_client._runs
 
 
@@ -88,8 +88,8 @@
     broken(server, lost=True)
     others = [server.call(b"record", b"other%d" % number) for number in range(SERVER_SETTINGS.cores)]
     server.settle()
-    assert set(server.interpreter.running) == {one.name for one in others}
-    assert not any(one.answers for one in lost)
+    assert set(server.interpreter.running) == {attempt.name for attempt in others}
+    assert not any(attempt.answers for attempt in lost)
 
 
 def test_no_keyed_command_is_written_to_a_link_on_which_nothing_is_received() -> None:
@@ -149,15 +149,15 @@
 
 def test_a_run_whose_end_can_not_be_read_gives_its_place_back() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
-    one = server.call(b"record", b"a")
+    attempt = server.call(b"record", b"a")
     server.settle()
-    del server.interpreter.running[one.name]
+    del server.interpreter.running[attempt.name]
     for _ in range(2):
         assert server.link is not None
-        server.link.feed(b"VALUE 1 %b succeeded 250 0\r\n\r\n" % one.name)
+        server.link.feed(b"VALUE 1 %b succeeded 250 0\r\n\r\n" % attempt.name)
         server.wait(0.1)
     assert server.counts.count("notices_passed_over") == 1
-    assert one.answers[0][1] == b"FAILED" and server.dispatcher.open_count == 0
+    assert attempt.answers[0][1] == b"FAILED" and server.dispatcher.open_count == 0
 
 
 def test_unconfirmed_runs_count_against_what_the_cores_survive_until_they_are_given_up() -> None:
@@ -182,22 +182,22 @@
     server = SimulatedServer(SERVER_SETTINGS)
     assert server.link is not None
     server.link.takes = False
-    one = server.call(b"record", b"a")
+    attempt = server.call(b"record", b"a")
     server.settle(deliver=False)
     broken(server, lost=True)
-    assert one.name in server.interpreter.running and not server.counts.count("runs_unconfirmed")
+    assert attempt.name in server.interpreter.running and not server.counts.count("runs_unconfirmed")
 
 
 def test_an_end_that_comes_after_its_run_was_given_up_belongs_to_no_run() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
-    one = server.call(b"record", b"a")
+    attempt = server.call(b"record", b"a")
     server.settle(deliver=False)
     broken(server, lost=False)
     server.wait(5.5)
     repeat = server.call(b"record", b"a")  # within the window of six seconds
     server.wait(3.0)
-    assert one.answers[0][1] == repeat.answers[0][1] == b"FAILED" and server.dispatcher.open_count == 0
-    server.end(one.name)
+    assert attempt.answers[0][1] == repeat.answers[0][1] == b"FAILED" and server.dispatcher.open_count == 0
+    server.end(attempt.name)
     server.settle()
     assert len(server.interpreter.applied) == 1 and server.counts.count("ends_unknown") == 1
 
@@ -206,14 +206,14 @@
     """The interpreter read a run and two questions at once, as after a stall, and broke the link then."""
     server = SimulatedServer(SERVER_SETTINGS)
     links, server.links = server.links, []
-    one = server.call(b"lookup")
+    attempt = server.call(b"lookup")
     server.wait(0.5)
     obeying(server, answers_questions_only)
     server.links = links
     server.settle()
     recover(server)
     broken(server, lost=False)
-    assert one.name in server.interpreter.running
+    assert attempt.name in server.interpreter.running
 
 
 def test_queries_that_are_never_answered_are_kept_track_of_within_a_bound() -> None:
@@ -228,7 +228,7 @@
 def test_a_link_left_before_it_greeted_proves_nothing_of_the_one_that_broke_before_it() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     obeying(server, answers_questions_only)
-    one = server.call(b"lookup")
+    attempt = server.call(b"lookup")
     server.settle()
     recover(server)
     server.interpreter.up = False
@@ -236,36 +236,36 @@
     server.interpreter_client.connect_to(server._connect)
     server.interpreter.up = True
     server.wait(0.1)
-    assert server.counts.count("links") == 3 and one.name in server.interpreter.running
+    assert server.counts.count("links") == 3 and attempt.name in server.interpreter.running
 
 
 def test_a_run_long_known_to_be_read_is_not_resent() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
-    one = server.call(b"record", b"a")
+    attempt = server.call(b"record", b"a")
     server.settle()
     server.wait(0.5)
     broken(server, lost=False)
     assert server.counts.count("links") == 2 and not server.counts.count("runs_sent_again")
-    assert one.name in server.interpreter.running
+    assert attempt.name in server.interpreter.running
 
 
 def test_a_run_resent_and_lost_again_is_sent_a_third_time() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
-    one = server.call(b"lookup")
+    attempt = server.call(b"lookup")
     server.settle(deliver=False)
     obeying(server, answers_questions_only)
     broken(server, lost=True)
     recover(server)
     broken(server, lost=False)
-    assert one.name in server.interpreter.running and server.counts.count("runs_sent_again") == 2
+    assert attempt.name in server.interpreter.running and server.counts.count("runs_sent_again") == 2
 
 
 @pytest.mark.parametrize("answered", [False, True])
 def test_a_cancellation_lost_with_a_break_is_asked_for_again(answered: bool) -> None:
     server = SimulatedServer(SERVER_SETTINGS)
-    one = server.call(b"lookup")
+    attempt = server.call(b"lookup")
     server.settle()
-    server.cancel(one)
+    server.cancel(attempt)
     obeying(server, answers_questions_only)
     server.settle(deliver=answered)
     recover(server)
@@ -276,7 +276,7 @@
 def test_a_run_rejected_as_it_is_resent_may_have_run() -> None:
     """It ran on the old link, and is not taken for one that never began. A keyed one is not sent again."""
     server = SimulatedServer(SERVER_SETTINGS)
-    one, keyed = server.call(b"lookup"), server.call(b"record", b"a")
+    attempt, keyed = server.call(b"lookup"), server.call(b"record", b"a")
     server.settle(deliver=False)
     server.cut(lost=False)
     obeying(
@@ -290,8 +290,8 @@
     repeat = server.call(b"record", b"a")
     server.settle()
     assert len(server.interpreter.applied) == 2 and server.counts.count("commands_rejected") == 1
-    assert one.answers[0][1] == b"FAILED" and server.counts.count("runs_error") == 1
-    server.end(one.name)
+    assert attempt.answers[0][1] == b"FAILED" and server.counts.count("runs_error") == 1
+    server.end(attempt.name)
     server.end(keyed.name)
     server.settle()
     assert keyed.answers[0][1] == repeat.answers[0][1] == b"OK"
@@ -304,27 +304,27 @@
 @pytest.mark.parametrize("size", [1, 7, 40, -1])
 def test_a_notice_cut_in_two_by_a_break_counts_once_whole(size: int) -> None:
     server = SimulatedServer(SERVER_SETTINGS)
-    one = server.call(b"lookup")
+    attempt = server.call(b"lookup")
     server.settle()
     assert server.link is not None
-    notice = server.interpreter.end(one.name)
+    notice = server.interpreter.end(attempt.name)
     server.link.feed(notice[:size])
     server.settle()
-    assert not one.answers
+    assert not attempt.answers
     broken(server, lost=False)
-    assert one.answers[0][3] == b"made of " + one.body
+    assert attempt.answers[0][3] == b"made of " + attempt.body
     server.link.feed(notice)  # and twice under one number, behind the break
     server.settle()
-    assert len(one.answers) == 1 and not server.counts.count("ends_unknown")
+    assert len(attempt.answers) == 1 and not server.counts.count("ends_unknown")
 
 
 def test_an_answer_that_comes_as_its_cancellation_goes_out_and_the_link_breaks_is_the_end() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
-    one = server.call(b"lookup")
+    attempt = server.call(b"lookup")
     server.settle()
-    server.cancel(one)
+    server.cancel(attempt)
     server.settle(deliver=False)  # the stop is under way
-    server.interpreter.end(one.name)  # and the end as well
+    server.interpreter.end(attempt.name)  # and the end as well
     broken(server, lost=True)
     assert server.dispatcher.open_count == 0 and not server.counts.count("ends_unknown")
 
@@ -340,9 +340,9 @@
     server.scheduler.run_ready()  # connected; waits until the old link has read all
     server.interpreter_client.connect_to(lambda: server._connect() if reachable else None)
     server.wait(0.5)
-    one = server.call(b"record", b"a")
+    attempt = server.call(b"record", b"a")
     server.settle()
-    assert one.name in server.interpreter.running and sum(link.open for link in server.links) == 1
+    assert attempt.name in server.interpreter.running and sum(link.open for link in server.links) == 1
     reachable = True
     server.wait(1.0)
     assert server.counts.count("links") == 3 and sum(link.open for link in server.links) == 1
@@ -367,9 +367,9 @@
     server.scheduler.run_ready()
     server.interpreter_client.connect_to(server._connect)
     server.wait(0.5)
-    one = server.call(b"lookup")
+    attempt = server.call(b"lookup")
     server.settle()
-    assert one.name in server.interpreter.running
+    assert attempt.name in server.interpreter.running
     assert len(made) == 1 and not made[0].open and not made[0].written
     assert sum(link.open for link in server.links) == 1
 
@@ -411,7 +411,7 @@
 
 def test_a_new_address_that_takes_links_and_ends_them_is_tried_until_it_greets() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
-    one = server.call(b"record", b"a")
+    attempt = server.call(b"record", b"a")
     server.settle()
     tried: list[FakeStream] = []
 
@@ -424,10 +424,10 @@
 
     server.interpreter_client.connect_to(ending)
     server.wait(0.5)
-    assert len(tried) == 3 and one.name in server.interpreter.running
-    server.end(one.name)
+    assert len(tried) == 3 and attempt.name in server.interpreter.running
+    server.end(attempt.name)
     server.settle()
-    assert one.answers[0][1] == b"OK"
+    assert attempt.answers[0][1] == b"OK"
 
 
 def test_a_fault_in_making_a_link_is_survived() -> None:
@@ -441,9 +441,9 @@
 
     server.interpreter_client.connect_to(faulty)
     server.wait(0.5)
-    one = server.call(b"lookup")
+    attempt = server.call(b"lookup")
     server.settle()
-    assert one.name in server.interpreter.running and server.counts.count("links") == 2
+    assert attempt.name in server.interpreter.running and server.counts.count("links") == 2
     assert server.counts.count("faults") == 2
 
 
@@ -461,7 +461,7 @@
 
 def test_a_new_link_that_is_taken_but_never_greeted_is_opened_again() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
-    one = server.call(b"record", b"a")
+    attempt = server.call(b"record", b"a")
     server.settle()
     server.interpreter.up = False  # takes links, says nothing
     server.cut(lost=False)
@@ -472,7 +472,7 @@
     assert server.counts.count("links") == 3 and server.counts.count("links_silent") == 1
     two = server.call(b"lookup")
     server.settle()
-    assert set(server.interpreter.running) == {one.name, two.name}
+    assert set(server.interpreter.running) == {attempt.name, two.name}
 
 
 def test_a_link_that_dies_between_the_greeting_and_the_first_answer_is_opened_again() -> None:
@@ -483,9 +483,9 @@
     assert server.counts.count("links") == 2
     recover(server)
     server.wait(1.0)
-    one = server.call(b"lookup")
+    attempt = server.call(b"lookup")
     server.settle()
-    assert server.counts.count("links") == 3 and one.name in server.interpreter.running
+    assert server.counts.count("links") == 3 and attempt.name in server.interpreter.running
 
 
 def test_for_how_long_no_link_has_stood_is_known_also_while_links_are_made_and_not_greeted() -> None:
@@ -530,7 +530,7 @@
     def _connect(self) -> Stream | None:
         if not self.linked:
             return None
-        self.links = [one for one in self.links if one.open] + [Link(self.scheduler)]
+        self.links = [link for link in self.links if link.open] + [Link(self.scheduler)]
         return self.links[-1]
 
     def end(self, name: bytes, how: bytes = b"success") -> None:
--- a/tests/test_propagated_deadlines.py
+++ b/tests/test_propagated_deadlines.py
@@ -11,7 +11,7 @@
 from sablewheel.overload.interface import Cancellation, RequestClass, ServerSettings
 from sablewheel.protocol import resp
 
-TOLD = replace(SERVER_SETTINGS, deadline_propagated=True, marks_retries=True)
+PROPAGATED = replace(SERVER_SETTINGS, deadline_propagated=True, marks_retries=True)
 
 
 def ask(server: SimulatedServer, tag: int, fields: bytes, request_class: bytes = b"lookup") -> None:
@@ -31,68 +31,68 @@
     return {int(words[0]): words for words in server.answers.feed(server.client.taken())}
 
 
-def keep(server: SimulatedServer, said: dict[int, list[bytes]]) -> None:
+def record_answers(server: SimulatedServer, answers: dict[int, list[bytes]]) -> None:
     """Take the answers as they come, each once."""
     real = server.answers.feed
 
     def feed(data: bytes) -> list[list[bytes]]:
         found = real(data)
         for words in found:
-            assert int(words[0]) not in said, "answered twice"
-            said[int(words[0])] = words
+            assert int(words[0]) not in answers, "answered twice"
+            answers[int(words[0])] = words
         return found
 
     server.answers.feed = feed  # type: ignore[method-assign]
 
 
-@pytest.mark.parametrize("halting", [Cancellation.DISCARDS_WORK, Cancellation.UNSUPPORTED])
+@pytest.mark.parametrize("cancellation", [Cancellation.DISCARDS_WORK, Cancellation.UNSUPPORTED])
 def test_a_caller_that_waits_less_than_its_request_class_allows_is_answered_in_its_own_time(
-    halting: Cancellation,
+    cancellation: Cancellation,
 ) -> None:
     """The made-up site mostly-keyed lost 2,029 requests on a calm day: `allow` was not read."""
-    server, said = SimulatedServer(replace(TOLD, cancellation=halting)), {}  # type: ignore[var-annotated]
-    keep(server, said)
+    server, answers = SimulatedServer(replace(PROPAGATED, cancellation=cancellation)), {}  # type: ignore[var-annotated]
+    record_answers(server, answers)
     for tag in (1, 2, 3):  # two run, one waits for a core
         ask(server, tag, b",allow=700")
     assert len(server.interpreter.running) == 2
-    server.wait(0.69 + TOLD.answer_slack_s)
-    assert set(said) == {1, 2, 3} and not {words[1] for words in said.values()} & {b"OK"}
+    server.wait(0.69 + PROPAGATED.answer_slack_s)
+    assert set(answers) == {1, 2, 3} and not {words[1] for words in answers.values()} & {b"OK"}
 
 
 def test_a_caller_that_waits_longer_is_not_given_up_before() -> None:
-    server, said = SimulatedServer(TOLD), {}  # type: ignore[var-annotated]
-    keep(server, said)
+    server, answers = SimulatedServer(PROPAGATED), {}  # type: ignore[var-annotated]
+    record_answers(server, answers)
     ask(server, 1, b",allow=9000,dup=1")
     server.wait(6.0)
-    assert not said
+    assert not answers
     server.end(b"%016x" % 1)
     server.settle()
-    assert said[1][1] == b"OK"
+    assert answers[1][1] == b"OK"
 
 
 def test_the_wait_counts_from_the_request_not_from_its_reading_or_the_start() -> None:
-    server, said = SimulatedServer(TOLD), {}  # type: ignore[var-annotated]
-    keep(server, said)
+    server, answers = SimulatedServer(PROPAGATED), {}  # type: ignore[var-annotated]
+    record_answers(server, answers)
     controller, server.dispatcher._controller = server.dispatcher._controller, None
     ask(server, 1, b",allow=3000")
     ask(server, 2, b",allow=400")
     server.wait(0.5)
-    assert set(said) == {2}  # given up before the start
+    assert set(answers) == {2}  # given up before the start
     server.wait(0.5)
     server.dispatcher._controller = controller
     server.dispatcher.recovery_finished()
     server.settle()
     assert server.interpreter.running
-    server.wait(1.99 + TOLD.answer_slack_s)
-    assert set(said) == {1, 2}
+    server.wait(1.99 + PROPAGATED.answer_slack_s)
+    assert set(answers) == {1, 2}
 
 
 def test_where_the_settings_do_not_say_so_the_field_is_not_heeded() -> None:
-    server, said = SimulatedServer(SERVER_SETTINGS), {}  # type: ignore[var-annotated]
-    keep(server, said)
+    server, answers = SimulatedServer(SERVER_SETTINGS), {}  # type: ignore[var-annotated]
+    record_answers(server, answers)
     ask(server, 1, b",allow=300")
     server.wait(1.0)
-    assert not said
+    assert not answers
 
 
 def test_retries_and_cost_hints_reach_the_decision() -> None:
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -59,7 +59,7 @@
     server = SimulatedServer(SERVER_SETTINGS)
     for step, which in steps:
         deliver = True
-        running, tries = list(server.interpreter.running), server.attempts
+        running, attempts = list(server.interpreter.running), server.attempts
         match step:
             case "read":
                 server.call(b"lookup", ago=0.4 * which)
@@ -70,8 +70,8 @@
                 server.call(b"record", b"label%d" % which)
                 server.cancel(first)
                 server.call(b"record", b"label%d" % which)
-            case "cancel" if tries:
-                server.cancel(tries[-1 - which % len(tries)])
+            case "cancel" if attempts:
+                server.cancel(attempts[-1 - which % len(attempts)])
             case "end" | "fail" if running:
                 server.end(running[which % len(running)], b"success" if step == "end" else b"failure")
             case "wait":
@@ -108,17 +108,19 @@
         server.settle()
     server.wait(server.stop - server.now - 0.01 if server.stop > server.now else 0.0)
     server.check()
-    assert all(one.answers or one.cancelled for one in server.attempts), "not answered before the stop"
+    assert all(attempt.answers or attempt.cancelled for attempt in server.attempts), (
+        "not answered before the stop"
+    )
 
 
 def test_a_run_ends_with_its_result_and_what_is_advertised() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
-    one = server.call(b"lookup")
+    attempt = server.call(b"lookup")
     server.settle()
-    assert server.interpreter.running[one.name] == (b"lookup", one.body)
-    server.end(one.name)
+    assert server.interpreter.running[attempt.name] == (b"lookup", attempt.body)
+    server.end(attempt.name)
     server.settle()
-    assert one.answers == [[b"1", b"OK", b"", b"made of " + one.body]]
+    assert attempt.answers == [[b"1", b"OK", b"", b"made of " + attempt.body]]
 
 
 def test_duplicates_get_the_result_of_the_original_whether_they_come_before_or_after_its_end() -> None:
@@ -142,7 +144,7 @@
     server.settle()
     after = server.call(b"record", b"a")
     server.settle()
-    assert [one.answers[0][1] for one in (first, during, after)] == [b"FAILED"] * 3
+    assert [attempt.answers[0][1] for attempt in (first, during, after)] == [b"FAILED"] * 3
 
 
 @pytest.mark.parametrize("room", [True, False])
@@ -165,7 +167,7 @@
         server.settle()
     else:
         server.wait(SERVER_SETTINGS.request_classes[1].timeout_s)
-    assert [one[1] for one in again.answers] == [b"OK" if room else b"FAILED"]
+    assert [words[1] for words in again.answers] == [b"OK" if room else b"FAILED"]
     assert first.name not in server.interpreter.running
 
 
@@ -187,16 +189,16 @@
 def test_cached_results_have_a_bound_in_bytes() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     server.idempotency_keys._max_result_bytes = 100
-    tries = [server.call(b"record", b"label%d" % which) for which in range(10)]
-    for one in tries:
+    attempts = [server.call(b"record", b"label%d" % which) for which in range(10)]
+    for attempt in attempts:
         server.settle()
-        if one.name in server.interpreter.running:
-            server.end(one.name)
+        if attempt.name in server.interpreter.running:
+            server.end(attempt.name)
     server.settle()
     assert server.idempotency_keys._cached_bytes <= 100
-    late = [server.call(b"record", one.idempotency_key) for one in (tries[0], tries[-1])]
+    late = [server.call(b"record", attempt.idempotency_key) for attempt in (attempts[0], attempts[-1])]
     server.settle()
-    assert [one.answers[0][1] for one in late] == [b"FAILED", b"OK"]
+    assert [attempt.answers[0][1] for attempt in late] == [b"FAILED", b"OK"]
     assert len(server.interpreter.applied) == 10
 
 
@@ -208,9 +210,9 @@
     server.interpreter.up = True
     assert server.link is not None
     server.link.feed(b"BANNER booting 0\r\n")
-    one = server.call(b"lookup")
+    attempt = server.call(b"lookup")
     server.settle()
-    assert one.name in server.interpreter.running
+    assert attempt.name in server.interpreter.running
 
 
 def test_a_broken_link_loses_no_end_and_applies_nothing_keyed_twice() -> None:
@@ -248,18 +250,18 @@
     """The end crosses what the server sends on the new link; only a safe class may be begun once more."""
     server = SimulatedServer(SERVER_SETTINGS)
     keyed = request_class == b"record"
-    one = server.call(request_class, b"a" if keyed else b"")
+    attempt = server.call(request_class, b"a" if keyed else b"")
     server.settle(deliver=False)
     server.cut(lost=False)  # the command arrives, the answer to the fence behind it does not
     feed = server.interpreter.feed
 
     def feed_and_end(data: bytes) -> bytes:
-        said = feed(data)
-        return said + server.interpreter.end(one.name) if data.startswith(b"TOP") else said
+        answers = feed(data)
+        return answers + server.interpreter.end(attempt.name) if data.startswith(b"TOP") else answers
 
     server.interpreter.feed = feed_and_end  # type: ignore[method-assign]
     server.wait(0.1)
-    assert one.answers == [[b"1", b"OK", b"", b"made of " + one.body]]
+    assert attempt.answers == [[b"1", b"OK", b"", b"made of " + attempt.body]]
     again = 0 if keyed else 1
     assert server.counts.count("runs_sent_again") == server.counts.count("ends_unknown") == again
     assert len(server.interpreter.applied) == 1 + again and not server.interpreter.running
@@ -267,46 +269,46 @@
 
 def test_an_unreadable_notice_opens_the_link_again() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
-    one = server.call(b"lookup")
+    attempt = server.call(b"lookup")
     server.settle()
     assert server.link is not None
     server.link.feed(b"VALUE x y z\r\n")
     server.wait(0.5)
-    server.end(one.name)
+    server.end(attempt.name)
     server.settle()
-    assert one.answers[0][1] == b"OK" and server.counts.count("links") == 2
+    assert attempt.answers[0][1] == b"OK" and server.counts.count("links") == 2
 
 
 def test_rejected_and_empty_runs_end_their_requests() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
-    one, two = server.call(b"lookup"), server.call(b"lookup")
+    attempt, two = server.call(b"lookup"), server.call(b"lookup")
     server.settle()
     assert server.link is not None
-    server.link.feed(b"ERROR APPLY %b\r\n" % one.name)
+    server.link.feed(b"ERROR APPLY %b\r\n" % attempt.name)
     server.end(two.name, b"nothing")
     server.settle()
-    assert [each.answers[0][1] for each in (one, two)] == [b"FAILED", b"FAILED"]
+    assert [each.answers[0][1] for each in (attempt, two)] == [b"FAILED", b"FAILED"]
     assert server.dispatcher.open_count == 0
 
 
 def test_more_than_32_open_are_failed_and_a_tag_used_twice_ends_its_connection() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
-    tries = [server.call(b"lookup") for _ in range(33)]
+    attempts = [server.call(b"lookup") for _ in range(33)]
     server.settle()
-    assert sum(bool(one.answers) and one.answers[0][1] == b"FAILED" for one in tries) == 1
+    assert sum(bool(attempt.answers) and attempt.answers[0][1] == b"FAILED" for attempt in attempts) == 1
     server.client.feed(call(1, b"%016x" % 255, b"lookup", server.now, b""))
     server.settle()
-    tries[0].cancelled = True  # no answer could tell which of the two is meant
+    attempts[0].cancelled = True  # no answer could tell which of the two is meant
     late = server.call(b"lookup")
     late.cancelled = True
     server.settle()
-    assert not tries[0].answers and not late.answers and server.client.open
+    assert not attempts[0].answers and not late.answers and server.client.open
     while server.interpreter.running:  # what was taken before it is owed its answers, and then the end comes
         assert server.client.open
         server.end(next(iter(server.interpreter.running)))
         server.settle()
     server.wait(5.0)
-    assert all(len(one.answers) == 1 for one in tries[1:]) and not late.answers
+    assert all(len(attempt.answers) == 1 for attempt in attempts[1:]) and not late.answers
     assert not server.client.open and not server.dispatcher.open_count
 
 
@@ -330,11 +332,11 @@
 def test_unused_connections_get_a_close_announcement() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     server.listener.set_idle_timeout(1.0)
-    one = server.call(b"lookup")
+    attempt = server.call(b"lookup")
     server.wait(2.0)
-    assert server.listener.connections and one.name in server.interpreter.running
+    assert server.listener.connections and attempt.name in server.interpreter.running
     connection = next(iter(server.listener.connections))
-    server.end(one.name)
+    server.end(attempt.name)
     server.wait(2.0)
     assert connection.close_announced
     server.wait(2.0)
@@ -343,11 +345,11 @@
 
 def test_timers_count_from_the_opening_even_if_that_is_long_past() -> None:
     server = SimulatedServer(SERVER_SETTINGS)  # its interpreter has been up for five seconds
-    one = server.call(b"lookup")
+    attempt = server.call(b"lookup")
     server.settle()
     server.drain(0.5)
     server.wait(0.45)
-    assert one.answers[0][1] == b"FAILED"
+    assert attempt.answers[0][1] == b"FAILED"
 
 
 def test_a_request_whose_caller_leaves_in_the_same_read_takes_no_core() -> None:
@@ -355,27 +357,27 @@
     for which in range(20):
         server.cancel(server.call(b"record", b"label%d" % which))
         server.settle()
-    one = server.call(b"lookup")
+    attempt = server.call(b"lookup")
     server.settle()
-    assert [name for name, *_ in server.interpreter.applied] == [one.name]
+    assert [name for name, *_ in server.interpreter.applied] == [attempt.name]
 
 
 def test_an_internal_error_costs_one_connection_or_one_link() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
-    one = server.call(b"lookup")
+    attempt = server.call(b"lookup")
     server.settle()
 
     def fault(*_: object) -> None:
         raise RuntimeError("a fault of ours")
 
     server.dispatcher.run_ended = fault  # type: ignore[method-assign, assignment]
-    server.end(one.name)
+    server.end(attempt.name)
     server.wait(1.0)
     assert server.counts.count("links") == 2 and server.link is not None and server.link.open
     del server.dispatcher.run_ended
     server.listener.handler = type("Faulty", (), {"arrived": fault, "gone": lambda *_: None})()
-    said = server.ask(call(99, b"%016x" % 255, b"lookup", server.now, b""))
-    assert [words[:2] for words in said] == [[b"99", b"FAILED"]]
+    answers = server.ask(call(99, b"%016x" % 255, b"lookup", server.now, b""))
+    assert [words[:2] for words in answers] == [[b"99", b"FAILED"]]
     assert server.counts.count("faults") == 2  # the link's and the request's
     assert server.ask(frame(b"RPC.HEALTH", b"100", b""))[0][1] == b"UP"  # the others on it go on
 
@@ -411,21 +413,21 @@
     server.link.feed(b"BANNER steady 10\r\n")
     server.scheduler.run_ready()
     server.interpreter_client._check_link()
-    one = server.call(b"lookup")
+    attempt = server.call(b"lookup")
     server.settle()
-    assert one.name in server.interpreter.running
+    assert attempt.name in server.interpreter.running
 
 
 def test_a_cancellation_asked_for_while_there_is_no_link_goes_out_with_the_next() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
-    one = server.call(b"lookup")
+    attempt = server.call(b"lookup")
     server.settle()
     server.linked = False
     server.cut(lost=False)
     server.wait(0.3)
-    server.cancel(one)
+    server.cancel(attempt)
     server.settle()
-    assert one.name in server.interpreter.running
+    assert attempt.name in server.interpreter.running
     server.linked = True
     server.wait(1.0)
     assert not server.interpreter.running and server.dispatcher.open_count == 0
@@ -451,40 +453,40 @@
     server.interpreter.end(ended.name)  # told by the old link, as it is left
     server.wait(0.2)
     assert [name for name, *_ in server.interpreter.applied] == [
-        one.name for one in (ended, under_way, meanwhile)
+        attempt.name for attempt in (ended, under_way, meanwhile)
     ]
     assert ended.answers[0][1] == b"OK" and not server.counts.count("runs_sent_again")
-    assert server.counts.count("links") == 2 and sum(one.open for one in server.links) == 1
+    assert server.counts.count("links") == 2 and sum(link.open for link in server.links) == 1
 
 
 def test_an_interpreter_that_cannot_be_had_at_its_new_address_is_kept_at_the_old() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     server.interpreter_client.connect_to(lambda: None)
-    one = server.call(b"record", b"a")
+    attempt = server.call(b"record", b"a")
     server.wait(1.0)
-    server.end(one.name)
+    server.end(attempt.name)
     server.settle()
-    assert one.answers[0][1] == b"OK" and server.counts.count("links") == 1
+    assert attempt.answers[0][1] == b"OK" and server.counts.count("links") == 1
     server.interpreter_client.connect_to(server._connect)
     server.interpreter_client.connect_to(server._connect)  # twice at once: the last word counts
     server.wait(0.5)
     two = server.call(b"lookup")
     server.settle()
-    assert two.name in server.interpreter.running and sum(one.open for one in server.links) == 1
+    assert two.name in server.interpreter.running and sum(link.open for link in server.links) == 1
 
 
 def test_an_idempotency_key_with_another_body_or_request_class_is_failed_and_the_true_one_unharmed() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     first = server.call(b"record", b"a")
     server.settle()
-    said = []
+    answers = []
     for tag in (900, 901):  # while the first runs, and after its end
         copy = call(tag, b"%016x" % tag, b"record", server.now, b"another body", b"a")
-        said += [words[:2] for words in server.ask(copy) if int(words[0]) >= 900]
+        answers += [words[:2] for words in server.ask(copy) if int(words[0]) >= 900]
         if tag == 900:
             server.end(first.name)
             server.settle()
-    assert said == [[b"900", b"FAILED"], [b"901", b"FAILED"]]
+    assert answers == [[b"900", b"FAILED"], [b"901", b"FAILED"]]
     again = server.call(b"record", b"a")
     server.settle()
     assert first.answers[0][1] == again.answers[0][1] == b"OK" and server.dispatcher.open_count == 0
@@ -492,18 +494,18 @@
 
 def test_the_id_of_an_open_request_is_rejected_and_the_original_unharmed() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
-    tries = [server.call(b"record", b"a"), server.call(b"record", b"a")]  # one runs, one has joined it
-    tries += [server.call(b"lookup") for _ in range(4)]  # one runs, the others are held
+    attempts = [server.call(b"record", b"a"), server.call(b"record", b"a")]  # one runs, one has joined it
+    attempts += [server.call(b"lookup") for _ in range(4)]  # one runs, the others are held
     server.settle()
     open_before = server.dispatcher.open_count
-    for place, one in enumerate(tries):
-        said = server.ask(call(900 + place, one.name, one.request_class, server.now, b"", b"b"))
-        assert [words[:2] for words in said] == [[b"%d" % (900 + place), b"FAILED"]]
+    for place, attempt in enumerate(attempts):
+        answers = server.ask(call(900 + place, attempt.name, attempt.request_class, server.now, b"", b"b"))
+        assert [words[:2] for words in answers] == [[b"%d" % (900 + place), b"FAILED"]]
     assert server.dispatcher.open_count == open_before
     while server.interpreter.running:
         server.end(next(iter(server.interpreter.running)))
         server.settle()
-    assert all(one.answers[0][1] == b"OK" for one in tries)
+    assert all(attempt.answers[0][1] == b"OK" for attempt in attempts)
 
 
 def test_a_run_that_the_interpreter_does_not_know_leaves_no_trace() -> None:
@@ -530,8 +532,8 @@
         call(900 + place, b"%016x" % place, b"lookup", server.now - ago, b"")
         for place, ago in enumerate((-1e6, -2.0, 61.0, 1e6))
     ]
-    said = server.ask(b"".join(calls))
-    assert [words[1] for words in said] == [b"FAILED"] * 4 and not server.dispatcher.open_count
+    answers = server.ask(b"".join(calls))
+    assert [words[1] for words in answers] == [b"FAILED"] * 4 and not server.dispatcher.open_count
 
 
 def test_a_frame_that_does_not_end_ends_its_connection_and_one_that_asked_once_may_stay() -> None:
@@ -561,9 +563,9 @@
         stream.feed(frame(b"RPC.HEALTH", b"1", b""))
         server.wait(0.1)
     server.wait(6.0)
-    assert [one.open for one in (server.client, *streams)] == [False] * 21 + [True] * 10
+    assert [stream.open for stream in (server.client, *streams)] == [False] * 21 + [True] * 10
     server.wait(60.0)
-    assert sum(one.open for one in streams) == 10
+    assert sum(stream.open for stream in streams) == 10
 
 
 def test_nothing_grows_with_new_ids_idempotency_keys_clients_and_connections() -> None:
@@ -590,8 +592,8 @@
             if place in (2500, 3999):
                 gc.collect()
                 ours = [tracemalloc.Filter(True, "*/sablewheel/*"), tracemalloc.Filter(False, "*/tests/*")]
-                kept = tracemalloc.take_snapshot().filter_traces(ours).statistics("lineno")
-                sizes.append(sum(one.size for one in kept))
+                statistics = tracemalloc.take_snapshot().filter_traces(ours).statistics("lineno")
+                sizes.append(sum(statistic.size for statistic in statistics))
     finally:
         tracemalloc.stop()
     controller = server.dispatcher._controller
@@ -603,14 +605,14 @@
 def test_a_link_that_is_open_but_silent_is_opened_again() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     server.links.clear()  # nothing that is written arrives any more, and nothing comes
-    one, keyed = server.call(b"lookup"), server.call(b"record", b"a")
+    attempt, keyed = server.call(b"lookup"), server.call(b"record", b"a")
     server.wait(2.5)
     assert server.counts.count("links") == 1 and not server.interpreter.running
     server.wait(1.0)
-    assert server.counts.count("links") == 2 and set(server.interpreter.running) == {one.name}
-    server.end(one.name)
+    assert server.counts.count("links") == 2 and set(server.interpreter.running) == {attempt.name}
+    server.end(attempt.name)
     server.wait(9.0)
-    assert one.answers[0][1] == b"OK" and keyed.answers[0][1] == b"FAILED"
+    assert attempt.answers[0][1] == b"OK" and keyed.answers[0][1] == b"FAILED"
 
 
 def test_a_full_table_evicts_the_idle_but_not_one_with_a_request_unread() -> None:
@@ -625,19 +627,19 @@
     server.wait(1.0)
     first.reader = None  # a request has come on the oldest connection, the reader's turn has not
     server.call(b"lookup")
-    staying = [one for one in others if one.open]
+    staying = [stream for stream in others if stream.open]
     assert len(staying) >= 5
     server.listener.evict_unused()  # forty connections, a part in eight: five may go
     server.listener.evict_unused()  # those on their way count: no more go than are in the way
     server.scheduler.run_ready()
-    assert first.open and sum(not one.open for one in staying) == min(5, len(staying))
+    assert first.open and sum(not stream.open for stream in staying) == min(5, len(staying))
 
 
 @pytest.mark.parametrize("limit", [1.0, 0.0])
 def test_rejections_are_counted_by_reason_and_those_without_advice_apart(limit: float) -> None:
     server = SimulatedServer(replace(SERVER_SETTINGS, memory_kb=0.01, max_retry_after_s=limit))
-    one = server.call(b"lookup")
+    attempt = server.call(b"lookup")
     server.settle()
-    assert one.answers[0][1] == b"BUSY"
+    assert attempt.answers[0][1] == b"BUSY"
     alone = {} if limit else {"denied_without_advice": 1}
     assert server.dispatcher.outcomes.rejections == {"denied_memory": 1, **alone}
