--- a/sablewheel/experiments/affinity_server.py
+++ b/sablewheel/experiments/affinity_server.py
@@ -41,7 +41,7 @@
             version = FILE.read_text().strip()
         if version and version != self._version and self._fleet.view is not None:
             self._version = version
-            self._fleet.judge(Fact(placer.ACTIVE, f"{version}:"))
+            self._fleet.report_fact(Fact(placer.ACTIVE, f"{version}:"))
         if not self._closed:
             self._scheduler.after(LOOK_EVERY, self._look)
 
--- a/sablewheel/experiments/fleet.py
+++ b/sablewheel/experiments/fleet.py
@@ -14,8 +14,8 @@
 from typing import Any
 
 from ..membership import codec
-from ..membership.messages import Told
-from ..membership.probes import ask
+from ..membership.messages import StatusReply
+from ..membership.status_client import query_status
 from .rig import PATIENCE, Process, Rig, RigError, free_port
 
 PORT = 7700  # of each member's membership, on a loopback address of its own
@@ -160,10 +160,10 @@
     def running(self) -> list[str]:
         return [name for name in self.names if name in self.processes and self.processes[name].alive]
 
-    def told(self, name: str, within: float = 1.0) -> Told | None:
+    def told(self, name: str, within: float = 1.0) -> StatusReply | None:
         """What the member answers a tool, on its own address and past the relay; None if nothing."""
         try:
-            return ask((self.host(name), PORT), within)[1]
+            return query_status((self.host(name), PORT), within)[1]
         except (OSError, codec.BadPacketError):
             return None
 
--- a/sablewheel/experiments/made_net.py
+++ b/sablewheel/experiments/made_net.py
@@ -8,10 +8,10 @@
 import random
 from dataclasses import dataclass, field, replace
 
-from ..membership.events import Got, Note, Send, Tick
+from ..membership.events import LogLine, MessageReceived, Send, TimerFired
 from ..membership.node import Node
 from ..membership.plan import Settings
-from ..membership.view import Member, Proposal, Says, View
+from ..membership.view import Member, Metadata, Proposal, View
 
 
 @dataclass
@@ -28,7 +28,7 @@
     stopped: dict[str, float] = field(default_factory=dict)  # name -> until
     dead: set[str] = field(default_factory=set)
     queue: list[tuple[float, int, str, object]] = field(default_factory=list)
-    notes: list[tuple[float, str, Note]] = field(default_factory=list)
+    notes: list[tuple[float, str, LogLine]] = field(default_factory=list)
     seeds: dict[str, tuple[str, ...]] = field(default_factory=dict)
     turn: int = 0
     steps: int = 0
@@ -37,7 +37,7 @@
     def __post_init__(self) -> None:
         self.chance = random.Random(self.seed)
 
-    def add(self, name: str, zone: str = "z1", says: Says = ()) -> Node:
+    def add(self, name: str, zone: str = "z1", says: Metadata = ()) -> Node:
         address = f"127.0.0.1:{7000 + len(self.names)}"
         self.names[address] = name
         seeds = ("127.0.0.1:7000", "127.0.0.1:7001")  # the first two; the first founds the view
@@ -53,7 +53,7 @@
         """A new process under the old name and address, its clock off by so much; the old one is dead."""
         old = self.nodes[name]
         incarnation = int((self.now + clock) * 1000) + 7200_000
-        me = replace(old.me, incarnation=incarnation)
+        me = replace(old.local_member, incarnation=incarnation)
         chance = random.Random(f"{self.seed}-{name}-{self.now}")
         self.nodes[name] = Node(me, self.seeds[name], self.settings, chance, self.now)
         self.dead.discard(name)
@@ -61,10 +61,10 @@
         self._wake(name)
 
     def _wake(self, name: str) -> None:
-        at = self.nodes[name].wake_at
+        at = self.nodes[name].next_wakeup
         if at < self.pending.get(name, float("inf")):
             self.pending[name] = at
-            self._push(at, name, Tick())
+            self._push(at, name, TimerFired())
 
     def _push(self, at: float, name: str, what: object) -> None:
         self.turn += 1
@@ -83,12 +83,12 @@
             if name in self.dead:
                 continue
             if name in self.stopped and at < self.stopped[name]:
-                if isinstance(what, Tick):
+                if isinstance(what, TimerFired):
                     self.pending[name] = self.stopped[name]
                     at = self.stopped[name]
-                self._push(at if isinstance(what, Tick) else self.stopped[name], name, what)
+                self._push(at if isinstance(what, TimerFired) else self.stopped[name], name, what)
                 continue  # a stopped process takes it when it goes on
-            if isinstance(what, Tick):
+            if isinstance(what, TimerFired):
                 if self.pending.get(name) != at:
                     continue  # a later wake took its place
                 del self.pending[name]
@@ -97,7 +97,7 @@
             for effect in node.step(at, what):  # type: ignore[arg-type]
                 if isinstance(effect, Send):
                     self._carry(name, effect)
-                elif isinstance(effect, Note):
+                elif isinstance(effect, LogLine):
                     self.notes.append((at, name, effect))
             self._wake(name)
         self.now = until
@@ -106,7 +106,7 @@
         to = self.names.get(send.address)
         if to is None or (sender, to) in self.cut or self.chance.random() < self.loss:
             return
-        self._push(self.now + self.chance.uniform(0.001, 0.01), to, Got(send.message, "x"))
+        self._push(self.now + self.chance.uniform(0.001, 0.01), to, MessageReceived(send.message, "x"))
 
     def kill(self, name: str) -> None:
         self.dead.add(name)
@@ -117,7 +117,7 @@
 
     def removals(self, of: str) -> int:
         return sum(
-            1 for _, _, note in self.notes if note.what == "view" and f"remove:{of}@" in str(note.fields)
+            1 for _, _, note in self.notes if note.message == "view" and f"remove:{of}@" in str(note.fields)
         )
 
     # -- large fleets
@@ -129,15 +129,15 @@
 
         def grow(view: View, cut: Proposal) -> View:
             if (view.epoch, cut) not in grown:
-                grown[(view.epoch, cut)] = view.then(cut)
+                grown[(view.epoch, cut)] = view.apply(cut)
             return grown[(view.epoch, cut)]
 
         for member in members:
             self.names[member.address] = member.name
             chance = random.Random(f"{self.seed}-{member.name}")
             node = Node(member, ("a00000",), self.settings, chance, self.now)
-            node.grow = grow
-            probe_at = self.now + chance.uniform(0, self.settings.period)
-            node.begin_with(view, probe_at, self.now + chance.uniform(0, self.settings.sync_every))
+            node.apply_changes = grow
+            probe_at = self.now + chance.uniform(0, self.settings.period_s)
+            node.start_with_view(view, probe_at, self.now + chance.uniform(0, self.settings.sync_interval_s))
             self.nodes[member.name] = node
             self._wake(member.name)
--- a/sablewheel/experiments/member.py
+++ b/sablewheel/experiments/member.py
@@ -12,10 +12,10 @@
 
 from ..membership import service as shell
 from ..membership.node import Node
-from ..membership.plan import BROKEN, Mode, Settings
+from ..membership.plan import FAULTY_VARIANTS, Mode, Settings
 from ..membership.view import Member
 
-BASELINES = {one.value: one for one in Mode if one is not Mode.OURS}
+BASELINES = {one.value: one for one in Mode if one is not Mode.CONSENSUS}
 
 
 class Odd(Node):
@@ -27,10 +27,10 @@
         kind = sys.argv[1]
         if kind in BASELINES:
             settings = replace(settings, mode=BASELINES[kind])
-        elif kind in BROKEN:
-            settings = replace(settings, broken=kind)
+        elif kind in FAULTY_VARIANTS:
+            settings = replace(settings, injected_fault=kind)
         else:
-            raise SystemExit(f"{kind!r} is none of {', '.join([*BASELINES, *BROKEN])}")
+            raise SystemExit(f"{kind!r} is none of {', '.join([*BASELINES, *FAULTY_VARIANTS])}")
         super().__init__(me, seeds, settings, chance, now)
 
 
--- a/sablewheel/experiments/membership.py
+++ b/sablewheel/experiments/membership.py
@@ -18,21 +18,22 @@
 from contextlib import closing
 from dataclasses import dataclass, field
 
-from ..membership.plan import BROKEN, Settings
+from ..membership.plan import FAULTY_VARIANTS as BROKEN
+from ..membership.plan import Settings
 from .fleet import Block, Fleet, Seen
 from .rig import Rig, RigError
 from .verdict import Verdict
 
 __all__ = ["BROKEN", "run"]
 
-PERIOD = Settings().period
+PERIOD = Settings().period_s
 BASELINES = ("heartbeat", "swim")
 UP_WITHIN = 40.0  # for all processes to start and to agree
 OUT_WITHIN = 15.0  # for a dead member to be out of every view
 AGAIN_WITHIN = 25.0  # for one that was out to be in again
 LOAD_MOST = 1.2  # times the load a member of a fleet of half the size
 DETECT_MOST = 1.5  # times the faster baseline
-SHORT = Settings().heartbeat_timeout - PERIOD  # the longest silence that the heartbeats' timeout bears
+SHORT = Settings().heartbeat_timeout_s - PERIOD  # the longest silence that the heartbeats' timeout bears
 DEAF = SHORT
 GOING_ON = 2.0  # seconds over which members go on, one by one, after a stop of all
 ALONE = ("added", "removed")
--- a/sablewheel/experiments/membership_model.py
+++ b/sablewheel/experiments/membership_model.py
@@ -15,11 +15,11 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from ..membership.events import Event, Got, Note, Send, Tick
+from ..membership.events import Event, LogLine, MessageReceived, Send, TimerFired
 from ..membership.messages import Alert, Message
 from ..membership.node import Node
 from ..membership.plan import Settings
-from ..membership.view import Change, Kind, Member, View
+from ..membership.view import Change, ChangeKind, Member, View
 from .verdict import Verdict
 
 BROKEN = ("ignores-refutation",)
@@ -32,17 +32,17 @@
 class Deaf(Node):
     """Broken on purpose: hears of a refutation, and goes on suspecting and reporting."""
 
-    def _alive(self, now: float, name: str, incarnation: int) -> None:
-        suspicions = dict(self.suspicions.held)
-        alerts = {key: dict(those) for key, those in self.reports.alerts.items()}
-        super()._alive(now, name, incarnation)
-        self.suspicions.held, self.reports.alerts = suspicions, alerts
+    def _handle_alive(self, now: float, name: str, incarnation: int) -> None:
+        suspicions = dict(self.suspicions.by_name)
+        alerts = {key: dict(those) for key, those in self.cut_detector.alerts.items()}
+        super()._handle_alive(now, name, incarnation)
+        self.suspicions.by_name, self.cut_detector.alerts = suspicions, alerts
 
-    def _alert(self, now: float, alert: Alert) -> None:
-        held = self.roster.raised.pop(alert.member.name, None)
-        super()._alert(now, alert)
+    def _handle_alert(self, now: float, alert: Alert) -> None:
+        held = self.member_table.raised_incarnations.pop(alert.member.name, None)
+        super()._handle_alert(now, alert)
         if held is not None:
-            self.roster.raised[alert.member.name] = held
+            self.member_table.raised_incarnations[alert.member.name] = held
 
 
 @dataclass
@@ -61,24 +61,28 @@
                 to = effect.address.removeprefix("at-")
                 if to != name:
                     self.way.append((name, to, effect.message))
-            elif isinstance(effect, Note):
+            elif isinstance(effect, LogLine):
                 self._look(node, effect)
         del self.way[:-ON_WAY_MOST]
 
-    def _look(self, node: Node, note: Note) -> None:
-        if note.what == "proposed" and node.voting.agreement is not None:
-            for change in node.voting.agreement.own or ():
+    def _look(self, node: Node, note: LogLine) -> None:
+        if note.message == "proposed" and node.voting.consensus is not None:
+            for change in node.voting.consensus.own_proposal or ():
                 self._refuted(node, change, "votes")
-        if note.what == "alert" and note.fields["by"] == node.me.name and not note.fields["join"]:
-            said = node.reports.alerts[(str(note.fields["member"]), False)][node.me.name]
-            self._refuted(node, Change(Kind.REMOVE, said), "reports")
+        if (
+            note.message == "alert"
+            and note.fields["by"] == node.local_member.name
+            and not note.fields["join"]
+        ):
+            said = node.cut_detector.alerts[(str(note.fields["member"]), False)][node.local_member.name]
+            self._refuted(node, Change(ChangeKind.REMOVE, said), "reports")
 
     def _refuted(self, node: Node, change: Change, does: str) -> None:
         member = change.member
-        if change.kind is Kind.REMOVE and node.knows(member.name) > member.incarnation:
+        if change.kind is ChangeKind.REMOVE and node.known_incarnation(member.name) > member.incarnation:
             self.wrong = (
-                f"{node.me.name} {does} that {member.name}@{member.incarnation} is gone, and knows it at "
-                f"{node.knows(member.name)}"
+                f"{node.local_member.name} {does} that {member.name}@{member.incarnation} is gone, "
+                f"and knows it at {node.known_incarnation(member.name)}"
             )
 
     def check(self) -> str:
@@ -96,49 +100,49 @@
         """Do it; how it reads in a trace."""
         what, _, which = action.partition(" ")
         if what == "ring":
-            self.now = max(self.now, self.nodes[which].wake_at)
-            self.step(which, Tick())
+            self.now = max(self.now, self.nodes[which].next_wakeup)
+            self.step(which, TimerFired())
             return f"{self.now:6.2f} timer of {which}"
         sender, to, message = self.way.pop(int(which))
         self.now += 0.001
-        self.step(to, Got(message, self.nodes[sender].me.address))
+        self.step(to, MessageReceived(message, self.nodes[sender].local_member.address))
         return f"{self.now:6.2f} {sender} -> {to}: {message.body}"
 
     def key(self) -> bytes:
         """What decides how it goes on, but for chance; times by how far they are from now."""
         seen = []
         for node in self.nodes.values():
-            probe, agreement = node.detector.probe, node.voting.agreement
+            probe, agreement = node.failure_detector.probe, node.voting.consensus
             seen.append(
                 (
                     node.view.names if node.view else None,
                     node.view.epoch if node.view else 0,
-                    node.me.incarnation,
-                    node.detector.health,
-                    sorted(node.roster.raised.items()),
+                    node.local_member.incarnation,
+                    node.failure_detector.health_score,
+                    sorted(node.member_table.raised_incarnations.items()),
                     sorted(
                         (
                             n,
                             s.incarnation,
-                            sorted(s.by),
-                            s.probed_since,
+                            sorted(s.suspected_by),
+                            s.confirmed_by_own_probe,
                             s.faulty,
-                            round(self.now - s.since, 1),
+                            round(self.now - s.started_at, 1),
                         )
-                        for n, s in node.suspicions.held.items()
+                        for n, s in node.suspicions.by_name.items()
                     ),
                     sorted(
                         (k, sorted((by, m.incarnation) for by, m in those.items()))
-                        for k, those in node.reports.alerts.items()
+                        for k, those in node.cut_detector.alerts.items()
                     ),
-                    (probe.target, probe.asked, probe.nacks) if probe else None,
+                    (probe.target, probe.helpers_asked, probe.nacks) if probe else None,
                     sorted(map(repr, agreement.votes.items())) if agreement else None,
-                    repr(agreement.promised) if agreement else None,
-                    [(repr(one.item), one.left) for one in node.gossip.news],
-                    round(node.wake_at - self.now, 1),
-                    node.reports.waits(self.now),
-                    node.suspicions.unheard(),
-                    node.detector.unanswered(),
+                    repr(agreement.promised_ballot) if agreement else None,
+                    [(repr(one.update), one.transmissions_left) for one in node.gossip.pending],
+                    round(node.next_wakeup - self.now, 1),
+                    node.cut_detector.pending_waits(self.now),
+                    node.suspicions.names_unheard_since_pause(),
+                    node.failure_detector.unanswered_names(),
                 )
             )
         way = [(sender, to, repr(message.body)) for sender, to, message in self.way]
@@ -151,7 +155,7 @@
             if self.way:
                 self.act("deliver 0")
             else:
-                first = min(NAMES, key=lambda name: self.nodes[name].wake_at)
+                first = min(NAMES, key=lambda name: self.nodes[name].next_wakeup)
                 self.act(f"ring {first}")
         views = {node.view for node in self.nodes.values()}
         if len(views) != 1 or (view := views.pop()) is None or view.names != NAMES:
@@ -162,13 +166,15 @@
 
 
 def _start(kind: type[Node]) -> State:
-    settings = Settings(period=0.5, vote_timeout=1.0, join_every=0.5, found_after=1.0, sync_every=2.0)
+    settings = Settings(
+        period_s=0.5, vote_timeout_s=1.0, join_interval_s=0.5, found_delay_s=1.0, sync_interval_s=2.0
+    )
     members = [Member(name, f"at-{name}", incarnation=1) for name in NAMES]
     view = View(1, tuple(members))
     nodes = {}
     for member in members:
         node = kind(member, ("at-a", "at-b", "at-c"), settings, random.Random(member.name), 0.0)
-        node.begin_with(view)
+        node.start_with_view(view)
         nodes[member.name] = node
     return State(nodes)
 
@@ -188,7 +194,7 @@
             if state.way:
                 state.act("deliver 0")
             else:
-                state.act("ring " + min("ab", key=lambda name: state.nodes[name].wake_at))
+                state.act("ring " + min("ab", key=lambda name: state.nodes[name].next_wakeup))
         state.way = [one for one in state.way if "c" not in one[:2]]
         found[idempotency_key] = state
     return found
--- a/sablewheel/experiments/membership_size.py
+++ b/sablewheel/experiments/membership_size.py
@@ -28,7 +28,7 @@
     """Seconds until `share()` of the members is at least `done`; inf past `within`."""
     begun = net.now
     while net.now < begun + within:
-        net.run(net.now + SETTINGS.period / 5)
+        net.run(net.now + SETTINGS.period_s / 5)
         if share() >= done:
             return net.now - begun
     return math.inf
@@ -41,14 +41,17 @@
     net.stand(n)
     net.loss = 0.01
     net.run(net.now + 1.0)
-    before = sum(node.counts.get("sent", 0) for node in net.nodes.values())
+    before = sum(node.counters.get("sent", 0) for node in net.nodes.values())
     net.run(net.now + CALM)
-    sent = sum(node.counts.get("sent", 0) for node in net.nodes.values()) - before
+    sent = sum(node.counters.get("sent", 0) for node in net.nodes.values()) - before
     # A rumour: one member raises its incarnation, as a refutation does.
     teller = net.nodes["m00001"]
-    teller.refute_for_all()
+    teller.refute_suspicion()
     rumour = _until(
-        net, SPREAD, 60.0, lambda: sum(node.knows("m00001") >= 2 for node in net.nodes.values()) / n
+        net,
+        SPREAD,
+        60.0,
+        lambda: sum(node.known_incarnation("m00001") >= 2 for node in net.nodes.values()) / n,
     )
     # One in a hundred pauses, each at its own time, and a member dies among them.
     names = sorted(net.nodes)
@@ -66,11 +69,11 @@
     net.run(net.now + 6.0)
     return {
         "messages_a_member_a_second": sent / n / CALM,
-        "rumour_rounds": rumour / SETTINGS.period,
+        "rumour_rounds": rumour / SETTINGS.period_s,
         "out_s": out,
         "healthy_removed": max(n - 1 - len(node.members) for node in alive),
         "views": len({node.view for node in alive}),
-        "suspicions": sum(node.counts.get("suspicions", 0) for node in alive),
+        "suspicions": sum(node.counters.get("suspicions", 0) for node in alive),
         "took": time.perf_counter() - begun,
     }
 
@@ -89,7 +92,7 @@
         )
         ratio = figures["messages_a_member_a_second"] / base
         verdict.check(f"{n}: messages a member stay flat", ratio <= LOAD_MOST, f"{ratio:.3f}")
-        limit = OUT_MOST * SETTINGS.suspicion_least * SETTINGS.period
+        limit = OUT_MOST * SETTINGS.min_suspicion_periods * SETTINGS.period_s
         verdict.check(
             f"{n}: the dead is out of nearly every view",
             figures["out_s"] <= limit,
--- a/sablewheel/experiments/policy_fleet.py
+++ b/sablewheel/experiments/policy_fleet.py
@@ -30,14 +30,14 @@
 TRANSLATES_FOR = 1.0
 FOUND_LEAST = 4  # more than half of these fleets: what starts anew behind a cut founds nothing of its own
 SETTINGS = Settings(
-    period=0.25,
-    probe_timeout=0.1,
-    vote_timeout=0.5,
-    sync_every=1.0,
-    found_after=1.0,
-    found_least=FOUND_LEAST,
-    join_every=0.3,
-    settle=1.0,
+    period_s=0.25,
+    probe_timeout_s=0.1,
+    vote_timeout_s=0.5,
+    sync_interval_s=1.0,
+    found_delay_s=1.0,
+    min_founders=FOUND_LEAST,
+    join_interval_s=0.3,
+    max_settle_s=1.0,
 )
 RULES = Rules(dwell_down=2.0, dwell_up=10.0, rest=5.0, settle=1.0, stagger=2.0)
 EVERY = (1 << 12) - 1  # the codes of all features but rank-order
@@ -77,16 +77,16 @@
 
     @property
     def wake_at(self) -> float:
-        return min(self.node.wake_at, self.rollout.wake_at)
+        return min(self.node.next_wakeup, self.rollout.wake_at)
 
     def step(self, now: float, event: Any) -> list[Any]:
         match event:
             case ("node", sender, message):
-                return self._node(now, events.Got(message, sender))
+                return self._node(now, events.MessageReceived(message, sender))
             case ("policy", sender, message):
                 return self._rollout(now, Heard(sender, message))
             case "tick":
-                found = self._node(now, events.Tick()) if now >= self.node.wake_at else []
+                found = self._node(now, events.TimerFired()) if now >= self.node.next_wakeup else []
                 return [*found, *self._rollout(now, Ring())] if now >= self.rollout.wake_at else found
         return self._rollout(now, event)
 
@@ -96,7 +96,7 @@
             match effect:
                 case events.Send(address, message):
                     found.append(Carried(address, ("node", message)))
-                case events.Viewed(view):
+                case events.ViewInstalled(view):
                     found += self._rollout(now, Viewed(view))
         return found
 
@@ -107,7 +107,7 @@
                 case Send(to, message):
                     found.append(Carried(to, ("policy", message)))
                 case Judge(fact):
-                    found += self._node(now, events.Judge(fact))
+                    found += self._node(now, events.FactReported(fact))
                 case _:
                     found.append(effect)
         return found
--- a/sablewheel/feature_policy/rollout.py
+++ b/sablewheel/feature_policy/rollout.py
@@ -269,7 +269,7 @@
         self._abilities = {}
         for one in view.members:
             try:
-                self._abilities[one.name] = ability.read(one.said("class"))
+                self._abilities[one.name] = ability.read(one.metadata_value("class"))
             except AbilityError:
                 self._count("classes_bad")  # it says none that we know: it can run nothing for us
         self._next_offer = min(self._next_offer, now + 0.1)
@@ -559,7 +559,7 @@
     # -- documents and new classes
 
     def _rank(self) -> int:
-        return self.view.places.get(self.me, 0) if self.view is not None else 0
+        return self.view.positions.get(self.me, 0) if self.view is not None else 0
 
     def _classes(self) -> tuple[Ability, ...]:
         return tuple(sorted(set(self._abilities.values())))
--- a/sablewheel/feature_policy/service.py
+++ b/sablewheel/feature_policy/service.py
@@ -61,9 +61,9 @@
     """Membership, as it is needed here."""
 
     @property
-    def me(self) -> str: ...
+    def node_name(self) -> str: ...
     def on_view(self, callback: Callable[[View], None]) -> None: ...
-    def judge(self, fact: Fact) -> None: ...
+    def report_fact(self, fact: Fact) -> None: ...
 
 
 class Links(Protocol):
@@ -90,7 +90,7 @@
     ) -> None:
         self._scheduler, self._plan, self._fleet, self._links = scheduler, plan, fleet, links
         self._tenants, self._changed, self._clock = tenants, changed, clock
-        self.rollout = Rollout(fleet.me, own, plan.rules, plan.broken)
+        self.rollout = Rollout(fleet.node_name, own, plan.rules, plan.broken)
         self._view: View | None = None
         self._applied: Apply | None = None
         self._names: dict[Tenant | None, str] = {}
@@ -154,7 +154,7 @@
 
     def route(self, exchange: Exchange) -> Route:
         """Where it may be served; of a request that a peer passed on, the zone where it came in counts."""
-        zone = self._zone(getattr(exchange.caller, "sender", self._fleet.me))
+        zone = self._zone(getattr(exchange.caller, "sender", self._fleet.node_name))
         key = (exchange.request_class, exchange.request.tenant, zone)
         found = self._routes.get(key)
         if found is None:
@@ -172,7 +172,7 @@
             return None
         now = self._clock()
         well = [one for one in route.others if now >= self._broken.get(one, -inf) + SHUN] or route.others
-        near = [one for one in well if self._zone(one) == self._zone(self._fleet.me)]
+        near = [one for one in well if self._zone(one) == self._zone(self._fleet.node_name)]
         those = near or well
         self._turn += 1
         return those[self._turn % len(those)]
@@ -264,7 +264,7 @@
                 sent = self._links.send(to, KIND, codec.encode(message), SEND_WITHIN)
                 self._count("sent" if sent else "unsent")
             case Judge(fact):
-                self._fleet.judge(fact)
+                self._fleet.report_fact(fact)
             case Apply():
                 self._applied = effect
                 self._changed()
--- a/sablewheel/feature_policy/translating.py
+++ b/sablewheel/feature_policy/translating.py
@@ -43,7 +43,7 @@
     """Print what a document would come to for the fleet of a running member."""
     from ..membership.codec import BadPacketError
     from ..membership.plan import address_of
-    from ..membership.probes import ask
+    from ..membership.status_client import query_status
 
     place = address_of(member)
     if place is None:
@@ -51,12 +51,12 @@
         return 2
     try:
         text = Path(file).read_text(encoding="utf-8")
-        told = ask(place, 3.0)[1]
+        told = query_status(place, 3.0)[1]
     except (OSError, UnicodeDecodeError, BadPacketError) as trouble:
         print(f"{file}, {member}: {trouble}", file=sys.stderr)
         return 1
     members = told.view.members if told.view is not None else ()
-    said = [one.said("class") for one in members if one.said("class")]
+    said = [one.metadata_value("class") for one in members if one.metadata_value("class")]
     answer = done({"text": text, "file": file, "classes": sorted(set(said))})
     if "faults" in answer:
         print("\n".join(answer["faults"]), file=sys.stderr)
--- a/sablewheel/forwarding/peer_connections.py
+++ b/sablewheel/forwarding/peer_connections.py
@@ -154,7 +154,7 @@
         self._epoch = view.epoch
         me = view.get(self.name)
         self._incarnation = me.incarnation if me is not None and me.incarnation >= self._born else None
-        reached = [(one, address_of(one.said(SAYS))) for one in view.members]
+        reached = [(one, address_of(one.metadata_value(SAYS))) for one in view.members]
         self._addresses = {one.name: (one.incarnation, at) for one, at in reached if at is not None}
         for wire in list(self._wires):
             known = self._addresses.get(wire.peer)
--- a/sablewheel/membership/codec.py
+++ b/sablewheel/membership/codec.py
@@ -12,55 +12,57 @@
 
 from . import membership_pb2 as pb
 from .messages import (
-    FAST,
+    FAST_BALLOT,
     Accept,
     Accepted,
     Ack,
     Alert,
     Alive,
-    Ask,
     Ballot,
     Body,
     Digest,
     Envelope,
+    FactReport,
+    GossipUpdate,
     Join,
-    Judgement,
     Leave,
     MemberState,
     Message,
     Nack,
-    News,
     Ping,
-    PingReq,
+    PingRequest,
     Prepare,
     Promise,
+    StatusReply,
+    StatusRequest,
     Suspect,
     Sync,
-    Told,
     Vote,
     Votes,
 )
-from .view import Change, Fact, Kind, Member, Proposal, View, proposal
+from .view import Change, ChangeKind, Fact, Member, Proposal, View, proposal
 
 VERSION = 1
-PACKET_MOST = 60_000  # under a UDP datagram's 65,507 bytes on IPv4
-NAME_MOST = 128
-FRAME_MOST = 4 << 20  # full state over TCP; about 40,000 members that say nothing, 1,700 that say the most
-LENGTH = struct.Struct(">I")
+MAX_PACKET_BYTES = 60_000  # under a UDP datagram's 65,507 bytes on IPv4
+MAX_NAME_CHARACTERS = 128
+MAX_FRAME_BYTES = (
+    4 << 20
+)  # full state over TCP; about 40,000 members that say nothing, 1,700 that say the most
+FRAME_LENGTH = struct.Struct(">I")
 
 
 class BadPacketError(ValueError):
     """Not one of ours, or not whole; the reason is its text."""
 
 
-def encode(message: Message, most: int = PACKET_MOST) -> bytes:
+def encode(message: Message, most: int = MAX_PACKET_BYTES) -> bytes:
     packet = pb.Packet(version=VERSION, sender=message.envelope.sender, epoch=message.envelope.epoch)
     body = message.body
     match body:
         case Ping(seq, news):
             packet.ping.seq = seq
             packet.ping.news.extend(_news_out(one) for one in news)
-        case PingReq(seq, target, address):
+        case PingRequest(seq, target, address):
             packet.ping_req.CopyFrom(pb.PingReq(seq=seq, target=target, address=address))
         case Ack(seq, of, incarnation, news):
             packet.ack.CopyFrom(pb.Ack(seq=seq, of=of, incarnation=incarnation))
@@ -91,7 +93,7 @@
             packet.accept.CopyFrom(pb.Accept(ballot=_ballot_out(ballot), value=_proposal_out(value)))
         case Accepted(ballot, value):
             packet.accepted.CopyFrom(pb.Accepted(ballot=_ballot_out(ballot), value=_proposal_out(value)))
-        case Ask(nonce):
+        case StatusRequest(nonce):
             packet.ask.nonce = nonce
         case Votes(tallies):
             for cut, bits in tallies:
@@ -100,12 +102,12 @@
                 tally.voters = bits.to_bytes((bits.bit_length() + 7) // 8, "little")
         case Digest(value):
             packet.digest.value = value
-        case Told(view, states, health, counts):
+        case StatusReply(view, states, health, counts):
             packet.told.CopyFrom(pb.Told(has_view=view is not None, health=health))
             if view is not None:
                 packet.told.view.CopyFrom(_view_out(view))
             packet.told.states.extend(
-                pb.MemberState(name=s.name, state=s.state, for_s=s.for_s, incarnation=s.incarnation)
+                pb.MemberState(name=s.name, state=s.state, for_s=s.in_view_s, incarnation=s.incarnation)
                 for s in states
             )
             packet.told.counts.extend(pb.Count(name=name, count=count) for name, count in counts)
@@ -117,18 +119,18 @@
 
 def frame(message: Message) -> bytes:
     """For TCP: the length in four bytes, then the packet."""
-    data = encode(message, FRAME_MOST)
-    return LENGTH.pack(len(data)) + data
+    data = encode(message, MAX_FRAME_BYTES)
+    return FRAME_LENGTH.pack(len(data)) + data
 
 
 def frame_length(head: bytes) -> int:
-    length = int(LENGTH.unpack(head)[0])
-    if length > FRAME_MOST:
-        raise BadPacketError(f"a frame of {length} bytes, over {FRAME_MOST}")
+    length = int(FRAME_LENGTH.unpack(head)[0])
+    if length > MAX_FRAME_BYTES:
+        raise BadPacketError(f"a frame of {length} bytes, over {MAX_FRAME_BYTES}")
     return length
 
 
-def decode(data: bytes, most: int = PACKET_MOST) -> Message:
+def decode(data: bytes, most: int = MAX_PACKET_BYTES) -> Message:
     if len(data) > most:
         raise BadPacketError(f"{len(data)} bytes, over {most}")
     packet = pb.Packet()
@@ -152,7 +154,7 @@
             return Ping(packet.ping.seq, tuple(_news_in(one) for one in packet.ping.news))
         case "ping_req":
             one = packet.ping_req
-            return PingReq(one.seq, _name(one.target, "target"), one.address)
+            return PingRequest(one.seq, _name(one.target, "target"), one.address)
         case "ack":
             ack = packet.ack
             news = tuple(_news_in(one) for one in ack.news)
@@ -181,7 +183,7 @@
         case "accepted":
             return Accepted(_ballot_in(packet.accepted.ballot), _proposal_in(packet.accepted.value))
         case "ask":
-            return Ask(packet.ask.nonce)
+            return StatusRequest(packet.ask.nonce)
         case "votes":
             return Votes(
                 tuple(
@@ -197,13 +199,13 @@
             told = packet.told
             states = tuple(MemberState(s.name, s.state, s.for_s, s.incarnation) for s in told.states)
             counts = tuple((one.name, one.count) for one in told.counts)
-            return Told(_view_in(told.view) if told.has_view else None, states, told.health, counts)
+            return StatusReply(_view_in(told.view) if told.has_view else None, states, told.health, counts)
     raise BadPacketError(f"unknown body {which}")
 
 
 def _name(text: str, field: str) -> str:
-    if not text or len(text) > NAME_MOST:
-        raise BadPacketError(f"{field}: a name of 1 to {NAME_MOST} characters is wanted")
+    if not text or len(text) > MAX_NAME_CHARACTERS:
+        raise BadPacketError(f"{field}: a name of 1 to {MAX_NAME_CHARACTERS} characters is wanted")
     return text
 
 
@@ -214,7 +216,7 @@
         zone=member.zone,
         region=member.region,
         incarnation=member.incarnation,
-        says=[pb.Said(key=key, value=value) for key, value in member.says],
+        says=[pb.Said(key=key, value=value) for key, value in member.metadata],
     )
 
 
@@ -244,20 +246,20 @@
 
 
 def _change_out(one: Change) -> pb.Change:
-    if one.kind is Kind.FACT:
+    if one.kind is ChangeKind.FACT:
         return pb.Change(fact=pb.Fact(key=one.fact.key, value=one.fact.value))
-    return pb.Change(join=one.kind is Kind.JOIN, member=_member_out(one.member))
+    return pb.Change(join=one.kind is ChangeKind.JOIN, member=_member_out(one.member))
 
 
 def _change_in(one: pb.Change) -> Change:
     if one.HasField("fact"):
-        return Change(Kind.FACT, fact=_fact_in(one.fact))
-    return Change(Kind.JOIN if one.join else Kind.REMOVE, _member_in(one.member))
+        return Change(ChangeKind.FACT, fact=_fact_in(one.fact))
+    return Change(ChangeKind.JOIN if one.join else ChangeKind.REMOVE, _member_in(one.member))
 
 
 def _fact_in(one: pb.Fact) -> Fact:
-    if len(one.value) > NAME_MOST:
-        raise BadPacketError(f"fact: a value of at most {NAME_MOST} characters is wanted")
+    if len(one.value) > MAX_NAME_CHARACTERS:
+        raise BadPacketError(f"fact: a value of at most {MAX_NAME_CHARACTERS} characters is wanted")
     return Fact(_name(one.key, "fact"), one.value)
 
 
@@ -270,23 +272,23 @@
 
 
 def _ballot_in(one: pb.Ballot) -> Ballot:
-    return (one.round, one.by) if one.round else FAST
+    return (one.round, one.by) if one.round else FAST_BALLOT
 
 
-def _news_out(item: News) -> pb.News:
+def _news_out(item: GossipUpdate) -> pb.News:
     match item:
         case Alive(name, incarnation):
             return pb.News(alive=pb.Alive(name=name, incarnation=incarnation))
         case Suspect(name, incarnation, by):
             return pb.News(suspect=pb.Suspect(name=name, incarnation=incarnation, by=by))
-        case Judgement(epoch, by, turn, fact):
+        case FactReport(epoch, by, turn, fact):
             told = pb.Fact(key=fact.key, value=fact.value)
             return pb.News(judgement=pb.Judgement(epoch=epoch, by=by, turn=turn, fact=told))
         case Alert(epoch, by, join, member):
             return pb.News(alert=pb.Alert(epoch=epoch, by=by, join=join, member=_member_out(member)))
 
 
-def _news_in(one: pb.News) -> News:
+def _news_in(one: pb.News) -> GossipUpdate:
     match one.WhichOneof("item"):
         case "alive":
             return Alive(_name(one.alive.name, "alive"), one.alive.incarnation)
@@ -295,7 +297,7 @@
             return Suspect(_name(sus.name, "suspect"), sus.incarnation, _name(sus.by, "by"))
         case "judgement":
             said = one.judgement
-            return Judgement(said.epoch, _name(said.by, "by"), said.turn, _fact_in(said.fact))
+            return FactReport(said.epoch, _name(said.by, "by"), said.turn, _fact_in(said.fact))
         case "alert":
             alert = one.alert
             return Alert(alert.epoch, _name(alert.by, "by"), alert.join, _member_in(alert.member))
--- a/sablewheel/membership/events.py
+++ b/sablewheel/membership/events.py
@@ -15,44 +15,44 @@
 
 
 @dataclass(frozen=True)
-class Note:
+class LogLine:
     """One structured log line: what was decided, with its evidence."""
 
-    what: str
+    message: str
     fields: dict[str, object]
 
 
 @dataclass(frozen=True)
-class Viewed:
+class ViewInstalled:
     """This view was installed: each is told once, in their order."""
 
     view: View
 
 
 @dataclass(frozen=True)
-class Tick:
+class TimerFired:
     """Timers: the shell calls at `Node.wake_at` or sooner."""
 
 
 @dataclass(frozen=True)
-class Got:
+class MessageReceived:
     """A message came from `address`, the packet's source; used only for who is not known yet."""
 
     message: Message
-    address: str = ""
+    source_address: str = ""
 
 
 @dataclass(frozen=True)
-class Part:
+class LeaveRequested:
     """SIGTERM: say so to all, then stop."""
 
 
 @dataclass(frozen=True)
-class Judge:
+class FactReported:
     """What this member holds to be due of a fact; the fleet's value is `View.fact`."""
 
     fact: Fact
 
 
-Event = Tick | Got | Part | Judge
-Effect = Send | Note | Viewed
+Event = TimerFired | MessageReceived | LeaveRequested | FactReported
+Effect = Send | LogLine | ViewInstalled
--- a/sablewheel/membership/gossip.py
+++ b/sablewheel/membership/gossip.py
@@ -6,82 +6,86 @@
 from collections.abc import Hashable, Iterable
 from dataclasses import dataclass
 
-from .member_table import Roster
-from .messages import Alert, Alive, Judgement, News, Suspect
+from .member_table import MemberTable
+from .messages import Alert, Alive, FactReport, GossipUpdate, Suspect
 from .plan import Mode, Settings
 
-NEWS_KEPT = 1024  # rumours held at once, or two of each member where that is more
+MIN_PENDING_UPDATES_CAPACITY = 1024  # rumours held at once, or two of each member where that is more
 
 
 @dataclass(eq=False)
-class Rumour:
+class PendingUpdate:
     """News on its way, and how many more messages carry it."""
 
-    item: News
-    left: int
+    update: GossipUpdate
+    transmissions_left: int
 
 
 class Gossip:
     """SWIM's dissemination; every message of it carries who sends it, alive."""
 
-    def __init__(self, roster: Roster, settings: Settings) -> None:
-        self._roster, self._settings = roster, settings
-        self.news: list[Rumour] = []  # the freshest first
-        self._of: dict[Hashable, list[Rumour]] = {}  # the same by what they are of
+    def __init__(self, roster: MemberTable, settings: Settings) -> None:
+        self._member_table, self._settings = roster, settings
+        self.pending: list[PendingUpdate] = []  # the freshest first
+        self._pending_by_subject: dict[Hashable, list[PendingUpdate]] = {}  # the same by what they are of
 
-    def spread(self, item: News) -> None:
+    def disseminate(self, item: GossipUpdate) -> None:
         if self._settings.mode is Mode.HEARTBEAT:
             return
-        size = max(len(self._roster.known()), 1)
-        times = self._settings.retransmit * math.ceil(math.log10(size + 1))
-        over = {one for one in self._of.get(_subject(item), ()) if _same_subject(one.item, item)}
+        size = max(len(self._member_table.known_names()), 1)
+        times = self._settings.retransmit_factor * math.ceil(math.log10(size + 1))
+        over = {
+            one for one in self._pending_by_subject.get(_subject(item), ()) if _same_subject(one.update, item)
+        }
         if over:
-            self.news = [one for one in self.news if one not in over]
-            self._forget(over)
-        rumour = Rumour(item, max(times, 1))
-        self.news.insert(0, rumour)
-        self._of.setdefault(_subject(item), []).append(rumour)
+            self.pending = [one for one in self.pending if one not in over]
+            self._remove_from_index(over)
+        rumour = PendingUpdate(item, max(times, 1))
+        self.pending.insert(0, rumour)
+        self._pending_by_subject.setdefault(_subject(item), []).append(rumour)
         # Guards the list against a flood of rumours: the oldest go, and full-state exchange heals the loss.
-        most = max(NEWS_KEPT, 2 * size)
-        if len(self.news) > most:
-            self._forget(self.news[most:])
-            del self.news[most:]
+        most = max(MIN_PENDING_UPDATES_CAPACITY, 2 * size)
+        if len(self.pending) > most:
+            self._remove_from_index(self.pending[most:])
+            del self.pending[most:]
 
-    def load(self, first: News | None = None) -> tuple[News, ...]:
+    def updates_for_message(self, first: GossipUpdate | None = None) -> tuple[GossipUpdate, ...]:
         """For one message: `first` if there is any, then the freshest news, each so many times."""
-        chosen: list[News] = [first] if first is not None else []
-        for one in sorted(self.news, key=lambda one: -one.left):
-            if len(chosen) >= self._settings.news_most:
+        chosen: list[GossipUpdate] = [first] if first is not None else []
+        for one in sorted(self.pending, key=lambda one: -one.transmissions_left):
+            if len(chosen) >= self._settings.max_updates_per_message:
                 break
-            chosen.append(one.item)
-            one.left -= 1
-        over = [one for one in self.news if one.left <= 0]
+            chosen.append(one.update)
+            one.transmissions_left -= 1
+        over = [one for one in self.pending if one.transmissions_left <= 0]
         if over:
-            self.news = [one for one in self.news if one.left > 0]
-            self._forget(over)
-        chosen.append(Alive(self._roster.me.name, self._roster.me.incarnation))
+            self.pending = [one for one in self.pending if one.transmissions_left > 0]
+            self._remove_from_index(over)
+        chosen.append(
+            Alive(self._member_table.local_member.name, self._member_table.local_member.incarnation)
+        )
         return tuple(chosen)
 
-    def _forget(self, over: Iterable[Rumour]) -> None:
+    def _remove_from_index(self, over: Iterable[PendingUpdate]) -> None:
         for one in over:
-            those = self._of[_subject(one.item)]
+            those = self._pending_by_subject[_subject(one.update)]
             those.remove(one)
             if not those:
-                del self._of[_subject(one.item)]
+                del self._pending_by_subject[_subject(one.update)]
 
 
-def _subject(item: News) -> Hashable:
+def _subject(item: GossipUpdate) -> Hashable:
     """What an item is of: none takes the place of one of another subject."""
     match item:
         case Alive(name, _) | Suspect(name, _, _):
             return name
         case Alert(epoch, by, join, member):
             return (epoch, by, join, member.name)
-        case Judgement(_, by, _, fact):
+        case FactReport(_, by, _, fact):
             return (by, fact.key)
 
 
-def _same_subject(one: News, other: News) -> bool:
+def _same_subject(one: GossipUpdate, other: GossipUpdate) -> bool:
     match one, other:
         case Suspect(a, incarnation, by), Suspect(b, incarnation2, by2):
             return a == b and (incarnation < incarnation2 or by == by2)
@@ -91,6 +95,6 @@
             return a == b and incarnation <= incarnation2
         case Alert(epoch, by, join, member), Alert(epoch2, by2, join2, member2):
             return (epoch, by, join, member.name) == (epoch2, by2, join2, member2.name)
-        case Judgement(_, by, _, fact), Judgement(_, by2, _, fact2):
+        case FactReport(_, by, _, fact), FactReport(_, by2, _, fact2):
             return (by, fact.key) == (by2, fact2.key)
     return False
--- a/sablewheel/membership/leaving.py
+++ b/sablewheel/membership/leaving.py
@@ -4,39 +4,39 @@
 
 import math
 
-from .member_table import Roster
+from .member_table import MemberTable
 from .messages import Leave
 from .outbox import Outbox
 from .plan import Settings
 
-AGAIN = 2  # times that it is said after the first
+LEAVE_RETRANSMISSIONS = 2  # times that it is said after the first
 
 
 class Leaving:
     """`begun` once the notice came; nothing else is done after it."""
 
-    def __init__(self, roster: Roster, out: Outbox, settings: Settings) -> None:
-        self._roster, self._out, self._settings = roster, out, settings
-        self.begun = False
-        self._left = 0
-        self._at = math.inf
+    def __init__(self, roster: MemberTable, out: Outbox, settings: Settings) -> None:
+        self._member_table, self._outbox, self._settings = roster, out, settings
+        self.has_started = False
+        self._retransmissions_left = 0
+        self._next_send_at = math.inf
 
-    def begin(self, now: float) -> None:
+    def start(self, now: float) -> None:
         """The notice, perhaps not the first."""
-        if self._roster.view is not None or not self._roster.ours:
-            if not self.begun:
-                self._out.note("leaving", epoch=self._roster.epoch)
-            self._out.broadcast(Leave(self._roster.me))
-        if not self.begun:
-            self.begun, self._left = True, AGAIN
-        self._at = now + self._settings.probe_timeout
-
-    def ring(self, now: float) -> None:
-        if self._left and now >= self._at:
-            self._left -= 1
-            self._at = now + self._settings.probe_timeout
-            self._out.broadcast(Leave(self._roster.me))
+        if self._member_table.view is not None or not self._member_table.uses_consensus:
+            if not self.has_started:
+                self._outbox.log("leaving", epoch=self._member_table.epoch)
+            self._outbox.broadcast(Leave(self._member_table.local_member))
+        if not self.has_started:
+            self.has_started, self._retransmissions_left = True, LEAVE_RETRANSMISSIONS
+        self._next_send_at = now + self._settings.probe_timeout_s
+
+    def run_timers(self, now: float) -> None:
+        if self._retransmissions_left and now >= self._next_send_at:
+            self._retransmissions_left -= 1
+            self._next_send_at = now + self._settings.probe_timeout_s
+            self._outbox.broadcast(Leave(self._member_table.local_member))
 
     @property
-    def wake_at(self) -> float:
-        return self._at if self._left else math.inf
+    def next_wakeup(self) -> float:
+        return self._next_send_at if self._retransmissions_left else math.inf
--- a/sablewheel/membership/messages.py
+++ b/sablewheel/membership/messages.py
@@ -11,7 +11,7 @@
 from .view import Fact, Member, Proposal, View
 
 Ballot = tuple[int, str]  # round, coordinator; round 0 is the fast round, where every member votes alone
-FAST: Ballot = (0, "")
+FAST_BALLOT: Ballot = (0, "")
 
 
 @dataclass(frozen=True)
@@ -28,7 +28,7 @@
 
     name: str
     incarnation: int
-    by: str
+    suspected_by: str
 
 
 @dataclass(frozen=True)
@@ -36,22 +36,22 @@
     """News: observer `by` reports a change of `change.member` for the view at `epoch`."""
 
     epoch: int
-    by: str
-    join: bool
+    observer: str
+    is_join: bool
     member: Member
 
 
 @dataclass(frozen=True)
-class Judgement:
+class FactReport:
     """News: `by` holds that `fact` is due, for the view at `epoch`; its latest by `turn` counts."""
 
     epoch: int
-    by: str
-    turn: int
+    reporter: str
+    sequence: int
     fact: Fact
 
 
-News = Alive | Suspect | Alert | Judgement
+GossipUpdate = Alive | Suspect | Alert | FactReport
 
 
 @dataclass(frozen=True)
@@ -66,15 +66,15 @@
 class Ping:
     """A probe: answer with `Ack` to the sender."""
 
-    seq: int
-    news: tuple[News, ...] = ()
+    sequence: int
+    updates: tuple[GossipUpdate, ...] = ()
 
 
 @dataclass(frozen=True)
-class PingReq:
+class PingRequest:
     """Probe `target` for me and tell me; `seq` is mine."""
 
-    seq: int
+    sequence: int
     target: str
     address: str
 
@@ -83,17 +83,17 @@
 class Ack:
     """The answer to a probe; `of` is the member that was probed, who may not be the sender."""
 
-    seq: int
-    of: str
+    sequence: int
+    target: str
     incarnation: int
-    news: tuple[News, ...] = ()
+    updates: tuple[GossipUpdate, ...] = ()
 
 
 @dataclass(frozen=True)
 class Nack:
     """A helper asked to probe got no answer itself: the asker's own link is not the only one at fault."""
 
-    seq: int
+    sequence: int
 
 
 @dataclass(frozen=True)
@@ -101,7 +101,7 @@
     """A member that is not in the view asks to be let in; seeds pass it on to its observers."""
 
     member: Member
-    relayed: bool = False
+    is_relayed: bool = False
 
 
 @dataclass(frozen=True)
@@ -117,7 +117,7 @@
 
     view: View | None
     incarnations: tuple[tuple[str, int], ...] = ()
-    reply: bool = False
+    is_reply: bool = False
 
 
 @dataclass(frozen=True)
@@ -149,7 +149,7 @@
 @dataclass(frozen=True)
 class Promise:
     ballot: Ballot
-    voted: Ballot
+    accepted_ballot: Ballot
     value: Proposal | None
 
 
@@ -166,7 +166,7 @@
 
 
 @dataclass(frozen=True)
-class Ask:
+class StatusRequest:
     """From a tool, not a member, over TCP only: `Told` on the same connection, whatever the epoch."""
 
     nonce: int = 0
@@ -178,25 +178,25 @@
 
     name: str
     state: str  # alive, suspect or faulty (its suspicion ran out; the view has not changed yet)
-    for_s: float
+    in_view_s: float
     incarnation: int
 
 
 @dataclass(frozen=True)
-class Told:
+class StatusReply:
     """What a tool is told: the view, each member's state, the local health, and counters."""
 
     view: View | None
     states: tuple[MemberState, ...] = ()
-    health: int = 0
-    counts: tuple[tuple[str, int], ...] = ()
+    health_score: int = 0
+    counters: tuple[tuple[str, int], ...] = ()
 
 
-Round = Vote | Prepare | Promise | Accept | Accepted  # what belongs to one epoch's agreement alone
+RoundMessage = Vote | Prepare | Promise | Accept | Accepted  # what belongs to one epoch's agreement alone
 
 Body = (
     Ping
-    | PingReq
+    | PingRequest
     | Ack
     | Nack
     | Join
@@ -207,13 +207,33 @@
     | Promise
     | Accept
     | Accepted
-    | Ask
-    | Told
+    | StatusRequest
+    | StatusReply
     | Digest
     | Votes
 )
 
 
+COUNTER_NAMES: dict[type[Body], str] = {
+    Ping: "ping",
+    PingRequest: "pingreq",
+    Ack: "ack",
+    Nack: "nack",
+    Join: "join",
+    Leave: "leave",
+    Sync: "sync",
+    Vote: "vote",
+    Prepare: "prepare",
+    Promise: "promise",
+    Accept: "accept",
+    Accepted: "accepted",
+    StatusRequest: "ask",
+    StatusReply: "told",
+    Digest: "digest",
+    Votes: "votes",
+}
+
+
 @dataclass(frozen=True)
 class Message:
     envelope: Envelope
--- a/sablewheel/membership/node.py
+++ b/sablewheel/membership/node.py
@@ -17,39 +17,39 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from .detector import Detector
-from .events import Effect, Event, Got, Judge, Part, Tick, Viewed
+from .cut_detector import CutDetector
+from .detector import FailureDetector
+from .events import Effect, Event, FactReported, LeaveRequested, MessageReceived, TimerFired, ViewInstalled
+from .fact_reports import FactReports
 from .gossip import Gossip
+from .heartbeat_baseline import HeartbeatBaseline
 from .joining import Joining
-from .judgements import Judgements
 from .leaving import Leaving
-from .member_table import Roster
+from .member_table import MemberTable
 from .messages import (
     Ack,
     Alert,
     Alive,
-    Ask,
     Digest,
+    FactReport,
+    GossipUpdate,
     Join,
-    Judgement,
     Leave,
     MemberState,
     Message,
     Nack,
-    News,
     Ping,
-    PingReq,
-    Round,
+    PingRequest,
+    RoundMessage,
+    StatusReply,
+    StatusRequest,
     Suspect,
     Sync,
-    Told,
     Votes,
 )
 from .outbox import Outbox
 from .plan import Mode, Settings
-from .reports import Reports
-from .round_trip_baseline import Baseline
-from .suspicions import Suspicions
+from .suspicions import SuspicionTable
 from .view import Member, Proposal, View, changes_text, fingerprint
 from .voting import Voting
 
@@ -61,193 +61,213 @@
         self, me: Member, seeds: tuple[str, ...], settings: Settings, chance: random.Random, now: float
     ) -> None:
         self.settings = settings
-        self.grow: Callable[[View, Proposal], View] = View.then  # a simulation has its members share views
-        roster = self.roster = Roster(me, settings, now)
-        out = self.out = Outbox(roster)
+        self.apply_changes: Callable[[View, Proposal], View] = (
+            View.apply
+        )  # a simulation has its members share views
+        roster = self.member_table = MemberTable(me, settings, now)
+        out = self.outbox = Outbox(roster)
         self.gossip = Gossip(roster, settings)
-        self.suspicions = Suspicions(roster, self.gossip, out, settings)
-        self.detector = Detector(
-            roster, self.suspicions, self.gossip, out, settings, chance, now, self._blame
+        self.suspicions = SuspicionTable(roster, self.gossip, out, settings)
+        self.failure_detector = FailureDetector(
+            roster, self.suspicions, self.gossip, out, settings, chance, now, self._handle_failure
         )
-        self.baseline = Baseline(roster, out, settings, now, self._blame)
-        self.reports = Reports(roster, self.suspicions, self.gossip, out, settings)
-        self.judgements = Judgements(roster, self.gossip, out)
-        self.voting = Voting(roster, out, settings, chance, self._grow)
+        self.heartbeat_baseline = HeartbeatBaseline(roster, out, settings, now, self._handle_failure)
+        self.cut_detector = CutDetector(roster, self.suspicions, self.gossip, out, settings)
+        self.fact_reports = FactReports(roster, self.gossip, out)
+        self.voting = Voting(roster, out, settings, chance, self._apply_decision)
         self.joining = Joining(roster, out, settings, chance, seeds, now)
         self.leaving = Leaving(roster, out, settings)
-        self._last = now
-        self._due = now  # when the shell was to call next: far later means this process was stopped
+        self._last_step_at = now
+        self._expected_step_at = (
+            now  # when the shell was to call next: far later means this process was stopped
+        )
 
     # -- what the shell asks
 
     @property
-    def me(self) -> Member:
-        return self.roster.me
+    def local_member(self) -> Member:
+        return self.member_table.local_member
 
     @property
     def view(self) -> View | None:
-        return self.roster.view
+        return self.member_table.view
 
     @property
     def members(self) -> tuple[str, ...]:
         """Who this member holds to be in: the agreed view, or a baseline's own set."""
-        return self.roster.members()
+        return self.member_table.member_names()
 
     @property
-    def counts(self) -> dict[str, int]:
-        return self.out.counts
+    def counters(self) -> dict[str, int]:
+        return self.outbox.counters
 
-    def begin_with(self, view: View, probe_at: float | None = None, sync_at: float | None = None) -> None:
+    def start_with_view(
+        self, view: View, probe_at: float | None = None, sync_at: float | None = None
+    ) -> None:
         """A fleet that stands already, for simulations and tests."""
-        self._install(self._last, view, "given")
-        self.out.begin()
-        self.detector.next_probe = probe_at if probe_at is not None else self.detector.next_probe
-        self.joining.next_sync = sync_at if sync_at is not None else self.joining.next_sync
+        self._install_view(self._last_step_at, view, "given")
+        self.outbox.start_step()
+        self.failure_detector.next_probe_at = (
+            probe_at if probe_at is not None else self.failure_detector.next_probe_at
+        )
+        self.joining.next_sync_at = sync_at if sync_at is not None else self.joining.next_sync_at
 
-    def refute_for_all(self) -> None:
+    def refute_suspicion(self) -> None:
         """As if this member had been suspected: a rumour of its own, for simulations and tests."""
-        self.detector.refute(self.me.incarnation)
-        self.out.begin()
+        self.failure_detector.refute(self.local_member.incarnation)
+        self.outbox.start_step()
 
-    def knows(self, name: str) -> int:
+    def known_incarnation(self, name: str) -> int:
         """The highest incarnation known of a member."""
-        return self.roster.knows(name)
+        return self.member_table.known_incarnation(name)
 
-    def told(self, now: float) -> Told:
+    def status(self, now: float) -> StatusReply:
         """What a tool is shown."""
         states = []
         for name in self.members:
-            one = self.suspicions.held.get(name)
+            one = self.suspicions.by_name.get(name)
             state = "alive" if one is None else "faulty" if one.faulty else "suspect"
-            states.append(MemberState(name, state, now - self.roster.since(name), self.knows(name)))
-        return Told(self.view, tuple(states), self.detector.health, tuple(sorted(self.counts.items())))
+            states.append(
+                MemberState(
+                    name, state, now - self.member_table.joined_at(name), self.known_incarnation(name)
+                )
+            )
+        return StatusReply(
+            self.view, tuple(states), self.failure_detector.health_score, tuple(sorted(self.counters.items()))
+        )
 
     @property
-    def wake_at(self) -> float:
+    def next_wakeup(self) -> float:
         """When the shell is to call at the latest."""
-        if self.leaving.begun:
-            return max(self.leaving.wake_at, self._last + 0.001)
-        ours, view = self.roster.ours, self.view
+        if self.leaving.has_started:
+            return max(self.leaving.next_wakeup, self._last_step_at + 0.001)
+        ours, view = self.member_table.uses_consensus, self.view
         if ours and view is None:
-            times = [self.joining.next_join, *self.detector.relays_end()]
+            times = [self.joining.next_join_at, *self.failure_detector.relay_deadlines()]
         else:
             beats = self.settings.mode is Mode.HEARTBEAT
-            times = self.baseline.wakes() if beats else [*self.detector.wakes(), self.joining.next_sync]
+            times = (
+                self.heartbeat_baseline.wakeup_times()
+                if beats
+                else [*self.failure_detector.wakeup_times(), self.joining.next_sync_at]
+            )
             if view is None:
-                times.append(self.joining.next_join)
-            times += self.suspicions.wakes() + self.voting.wakes()
+                times.append(self.joining.next_join_at)
+            times += self.suspicions.wakeup_times() + self.voting.wakeup_times()
             if not self.voting.has_voted:
-                times += self.reports.wakes()
+                times += self.cut_detector.wakeup_times()
         # Never sooner than a millisecond on: guards the shell against a busy loop on a timer left behind.
-        return max(min(times), self._last + 0.001)
+        return max(min(times), self._last_step_at + 0.001)
 
     def step(self, now: float, event: Event) -> list[Effect]:
         """What to do because of `event`, and of the timers that are due at `now`."""
-        self.out.begin()
-        late = now - self._due
-        self._last = now
-        if late > max(2 * self.settings.period, 1.0) and self.roster.ours and self.view:
-            self.detector.paused(now, late)
-            self.out.note("paused", seconds=round(late, 3))
+        self.outbox.start_step()
+        late = now - self._expected_step_at
+        self._last_step_at = now
+        if late > max(2 * self.settings.period_s, 1.0) and self.member_table.uses_consensus and self.view:
+            self.failure_detector.handle_pause(now, late)
+            self.outbox.log("paused", seconds=round(late, 3))
         match event:
-            case Got(message, address):
-                self._got(now, message, address)
-            case Part():
-                self.leaving.begin(now)
-                self._leave(now, self.me)  # votes for its own removal while it is there
-            case Judge(fact):
-                if not self.leaving.begun and self.judgements.judge(fact):
-                    self.reports.stir()
-            case Tick():
+            case MessageReceived(message, address):
+                self._handle_message(now, message, address)
+            case LeaveRequested():
+                self.leaving.start(now)
+                self._handle_leave(now, self.local_member)  # votes for its own removal while it is there
+            case FactReported(fact):
+                if not self.leaving.has_started and self.fact_reports.report(fact):
+                    self.cut_detector.mark_changed()
+            case TimerFired():
                 pass
-        if self.leaving.begun:
-            self.leaving.ring(now)
+        if self.leaving.has_started:
+            self.leaving.run_timers(now)
         else:
-            self._timers(now)
-        self._due = self.wake_at
-        return self.out.effects
+            self._run_timers(now)
+        self._expected_step_at = self.next_wakeup
+        return self.outbox.effects
 
     # -- timers
 
-    def _timers(self, now: float) -> None:
-        self.detector.end_relays(now)
-        if not self.roster.ours:
-            self.joining.greet(now)
+    def _run_timers(self, now: float) -> None:
+        self.failure_detector.expire_relays(now)
+        if not self.member_table.uses_consensus:
+            self.joining.announce_to_seeds(now)
         elif self.view is None:
-            return self._ask_in(now)
+            return self._request_join(now)
         if self.settings.mode is Mode.HEARTBEAT:
-            return self.baseline.beat(now)
-        self.detector.ring(now)
-        self.joining.compare(now)
-        if self.roster.ours:
-            self._propose(now)
-            self.voting.ring(now)
-
-    def _ask_in(self, now: float) -> None:
-        others = self.joining.ask_in(now)
+            return self.heartbeat_baseline.run_timers(now)
+        self.failure_detector.run_timers(now)
+        self.joining.send_digest(now)
+        if self.member_table.uses_consensus:
+            self._propose_if_due(now)
+            self.voting.run_timers(now)
+
+    def _request_join(self, now: float) -> None:
+        others = self.joining.request_join(now)
         if others is not None:
             # Its epoch is the founder's clock, so that a fleet founded anew goes above any view that a
             # survivor still holds.
-            view = View(max(self.me.incarnation, 1), tuple(sorted([self.me, *others])))
-            self._install(now, view, "founded")
+            view = View(max(self.local_member.incarnation, 1), tuple(sorted([self.local_member, *others])))
+            self._install_view(now, view, "founded")
             for member in others:
-                self.out.send_to(member.address, self.joining.state(True))
+                self.outbox.send_to(member.address, self.joining.full_state(True))
 
     # -- opinions, reports, and what follows from them
 
-    def _blame(self, now: float, name: str, incarnation: int) -> None:
+    def _handle_failure(self, now: float, name: str, incarnation: int) -> None:
         """This member's opinion is that `name` is gone: the baselines act on it alone, ours alerts."""
-        if not self.roster.ours:
-            return self.baseline.remove(name, incarnation)
+        if not self.member_table.uses_consensus:
+            return self.heartbeat_baseline.remove(name, incarnation)
         member = self.view.get(name) if self.view is not None else None
         if self.view is None or member is None:
             return
-        self.reports.stir()  # a cut goes by this member's own opinion as well
-        if name in self.roster.subjects() or self.settings.broken == "one-observer":
-            said = replace(member.silent, incarnation=incarnation)
-            self._alert(now, Alert(self.view.epoch, self.me.name, False, said))
-
-    def _alert(self, now: float, alert: Alert) -> None:
-        if alert.member.name == self.me.name and not alert.join and not self.leaving.begun:
-            if alert.epoch == self.roster.epoch and self.view is not None:
-                self.detector.refute(alert.member.incarnation)  # it is here: no vote for its own removal
-        elif self.reports.take(now, alert):
-            self._propose(now)
-
-    def _alive(self, now: float, name: str, incarnation: int) -> None:
+        self.cut_detector.mark_changed()  # a cut goes by this member's own opinion as well
+        if name in self.member_table.subjects() or self.settings.injected_fault == "one-observer":
+            said = replace(member.without_metadata, incarnation=incarnation)
+            self._handle_alert(now, Alert(self.view.epoch, self.local_member.name, False, said))
+
+    def _handle_alert(self, now: float, alert: Alert) -> None:
+        if alert.member.name == self.local_member.name and not alert.is_join and not self.leaving.has_started:
+            if alert.epoch == self.member_table.epoch and self.view is not None:
+                self.failure_detector.refute(
+                    alert.member.incarnation
+                )  # it is here: no vote for its own removal
+        elif self.cut_detector.record_alert(now, alert):
+            self._propose_if_due(now)
+
+    def _handle_alive(self, now: float, name: str, incarnation: int) -> None:
         """Word that another member lives, at this incarnation at least."""
-        if name == self.me.name:
+        if name == self.local_member.name:
             return
-        if not self.roster.ours:
-            self.baseline.heard(now, name, incarnation)
-        if self.roster.raise_to(name, incarnation):
-            if self.suspicions.refuted(name, incarnation):
-                self.reports.stir()
-            self.reports.refuted(name, incarnation)
-            self.gossip.spread(Alive(name, incarnation))
-
-    def _propose(self, now: float) -> None:
-        if self.view is None or self.voting.has_voted or not self.reports.due(now):
+        if not self.member_table.uses_consensus:
+            self.heartbeat_baseline.message_received(now, name, incarnation)
+        if self.member_table.raise_incarnation(name, incarnation):
+            if self.suspicions.clear_refuted(name, incarnation):
+                self.cut_detector.mark_changed()
+            self.cut_detector.clear_refuted(name, incarnation)
+            self.gossip.disseminate(Alive(name, incarnation))
+
+    def _propose_if_due(self, now: float) -> None:
+        if self.view is None or self.voting.has_voted or not self.cut_detector.is_evaluation_due(now):
             return
-        cut = self.reports.cut(now, self.judgements.agreed())
+        cut = self.cut_detector.evaluate(now, self.fact_reports.agreed_changes())
         if cut is not None:
             self.voting.propose(now, cut)
 
-    def _grow(self, now: float, cut: Proposal) -> None:
+    def _apply_decision(self, now: float, cut: Proposal) -> None:
         assert self.view is not None
-        self._install(now, self.grow(self.view, cut), cut)
+        self._install_view(now, self.apply_changes(self.view, cut), cut)
 
-    def _install(self, now: float, view: View, cause: Proposal | str, sender: str = "") -> None:
+    def _install_view(self, now: float, view: View, cause: Proposal | str, sender: str = "") -> None:
         """A view that was agreed, founded or learnt takes the place of the one that is held."""
-        old, me = self.view, self.me.name
-        self.roster.hold(now, view)
-        self.out.effects.append(Viewed(view))
-        for part in (self.reports, self.judgements, self.voting):
+        old, me = self.view, self.local_member.name
+        self.member_table.install_view(now, view)
+        self.outbox.effects.append(ViewInstalled(view))
+        for part in (self.cut_detector, self.fact_reports, self.voting):
             part.clear()
-        self.joining.viewed()
-        self.suspicions.keep(view)
-        self.detector.begin_round()
-        self.out.note(
+        self.joining.handle_view_installed()
+        self.suspicions.retain_members(view)
+        self.failure_detector.restart_probe_round()
+        self.outbox.log(
             "view",
             epoch=view.epoch,
             members=len(view.members),
@@ -256,103 +276,103 @@
             changes=cause if isinstance(cause, str) else changes_text(cause),
             was=old.epoch if old is not None else 0,
         )
-        self.out.count("views")
+        self.outbox.count("views")
         if old is not None and me in old and me not in view:
-            self.out.note("left out", epoch=view.epoch)  # removed while paused or cut off: ask in again
-            self.joining.left_out(now, old, view, sender in view)
-            self.roster.left_out()
-            return self.detector.left_out()
+            self.outbox.log("left out", epoch=view.epoch)  # removed while paused or cut off: ask in again
+            self.joining.handle_removal(now, old, view, sender in view)
+            self.member_table.handle_removal()
+            return self.failure_detector.handle_removal()
         if not isinstance(cause, str):
-            self.joining.welcome(cause)
-        if not self.leaving.begun and self.judgements.say_again():
-            self.reports.stir()
+            self.joining.send_view_to_joiners(cause)
+        if not self.leaving.has_started and self.fact_reports.repeat_reports():
+            self.cut_detector.mark_changed()
         # Faulty opinions that still stand are said again for the new epoch.
-        for name, one in self.suspicions.held.items():
-            if one.faulty and one.probed_since:
-                self._blame(now, name, one.incarnation)
+        for name, one in self.suspicions.by_name.items():
+            if one.faulty and one.confirmed_by_own_probe:
+                self._handle_failure(now, name, one.incarnation)
 
-    def _leave(self, now: float, member: Member) -> None:
+    def _handle_leave(self, now: float, member: Member) -> None:
         """A member says that it leaves: who is not in the view, or came back since, does not."""
         if self.view is None or member.name not in self.view:
             return
-        if not self.roster.ours:
-            return self.roster.local.discard(member.name)
-        known = self.roster.incarnation(member.name)
-        if known > member.incarnation or not self.reports.left(member):
+        if not self.member_table.uses_consensus:
+            return self.member_table.baseline_members.discard(member.name)
+        known = self.member_table.incarnation(member.name)
+        if known > member.incarnation or not self.cut_detector.record_leave(member):
             return  # of an older self, or said before
         if member.incarnation > known:
-            self.roster.raised[member.name] = member.incarnation
-        self.out.note("left", member=member.name)
-        self._propose(now)
+            self.member_table.raised_incarnations[member.name] = member.incarnation
+        self.outbox.log("left", member=member.name)
+        self._propose_if_due(now)
 
     # -- messages
 
-    def _got(self, now: float, message: Message, address: str) -> None:
+    def _handle_message(self, now: float, message: Message, address: str) -> None:
         sender, epoch, body = message.envelope.sender, message.envelope.epoch, message.body
-        self.out.count("received")
-        if sender == self.me.name or isinstance(body, Ask | Told):
+        self.outbox.count("received")
+        if sender == self.local_member.name or isinstance(body, StatusRequest | StatusReply):
             return
-        if not self.roster.ours:
-            self._alive(now, sender, max(self.roster.incarnation(sender), 0))
+        if not self.member_table.uses_consensus:
+            self._handle_alive(now, sender, max(self.member_table.incarnation(sender), 0))
         elif not isinstance(body, Sync):
-            self.joining.lag(now, sender, epoch, address)
-        self.detector.heard(now, sender)
+            self.joining.request_newer_view(now, sender, epoch, address)
+        self.failure_detector.message_received(now, sender)
         match body:
             case Ping(seq, news):
-                self._take_news(now, news)
+                self._handle_updates(now, news)
                 if seq:
-                    self.detector.answer(sender, seq, address)
+                    self.failure_detector.answer_ping(sender, seq, address)
             case Ack(_, of, incarnation, news):
-                self._take_news(now, news)
-                self._alive(now, of, incarnation)
-                self.detector.heard(now, of)
-                self.detector.acked(body)
-            case PingReq():
-                self.detector.relay(now, sender, body)
+                self._handle_updates(now, news)
+                self._handle_alive(now, of, incarnation)
+                self.failure_detector.message_received(now, of)
+                self.failure_detector.handle_ack(body)
+            case PingRequest():
+                self.failure_detector.relay_probe(now, sender, body)
             case Nack(seq):
-                self.detector.nacked(seq)
+                self.failure_detector.handle_nack(seq)
             case Join(member, relayed):
-                self._joined(now, member, relayed)
+                self._handle_join(now, member, relayed)
             case Leave(member):
-                self._leave(now, member)
+                self._handle_leave(now, member)
             case Digest(value):
-                self.joining.compared(sender, value, address)
+                self.joining.handle_digest(sender, value, address)
             case Sync():
-                self._synced(now, body, sender)
-            case Votes() if self.roster.ours:
-                self.voting.take_passed(now, sender, epoch, body)
-            case _ if isinstance(body, Round):
-                if self.roster.ours and self.view is not None and epoch == self.view.epoch:
-                    self.voting.take(now, sender, body)
-
-    def _take_news(self, now: float, items: tuple[News, ...]) -> None:
+                self._handle_sync(now, body, sender)
+            case Votes() if self.member_table.uses_consensus:
+                self.voting.handle_relayed_votes(now, sender, epoch, body)
+            case _ if isinstance(body, RoundMessage):
+                if self.member_table.uses_consensus and self.view is not None and epoch == self.view.epoch:
+                    self.voting.handle_round_message(now, sender, body)
+
+    def _handle_updates(self, now: float, items: tuple[GossipUpdate, ...]) -> None:
         for item in items:
             match item:
                 case Alive(name, incarnation):
-                    self._alive(now, name, incarnation)
+                    self._handle_alive(now, name, incarnation)
                 case Suspect(name, incarnation, by):
                     if self.settings.mode is not Mode.HEARTBEAT:
-                        self.detector.suspect(now, name, incarnation, by)
+                        self.failure_detector.suspect(now, name, incarnation, by)
                 case Alert():
-                    self._alert(now, item)
-                case Judgement():
-                    if self.judgements.take(item):
-                        self.reports.stir()
-
-    def _joined(self, now: float, member: Member, relayed: bool) -> None:
-        if not self.roster.ours:
-            self.roster.addresses[member.name] = member.address
-            return self._alive(now, member.name, member.incarnation)
-        report = self.joining.joined(now, member, relayed)
+                    self._handle_alert(now, item)
+                case FactReport():
+                    if self.fact_reports.record(item):
+                        self.cut_detector.mark_changed()
+
+    def _handle_join(self, now: float, member: Member, relayed: bool) -> None:
+        if not self.member_table.uses_consensus:
+            self.member_table.addresses[member.name] = member.address
+            return self._handle_alive(now, member.name, member.incarnation)
+        report = self.joining.handle_join(now, member, relayed)
         if report is not None:
-            self._alert(now, report)
+            self._handle_alert(now, report)
 
-    def _synced(self, now: float, sync: Sync, sender: str) -> None:
+    def _handle_sync(self, now: float, sync: Sync, sender: str) -> None:
         for name, incarnation in sync.incarnations:
-            if name != self.me.name:
-                self._alive(now, name, incarnation)
-            elif incarnation > self.me.incarnation:
-                self.detector.refute(incarnation)  # an older self's: above it, never the same
-        view = self.joining.synced(now, sync, sender)
+            if name != self.local_member.name:
+                self._handle_alive(now, name, incarnation)
+            elif incarnation > self.local_member.incarnation:
+                self.failure_detector.refute(incarnation)  # an older self's: above it, never the same
+        view = self.joining.handle_sync(now, sync, sender)
         if view is not None:
-            self._install(now, view, f"synced from {sender}", sender)
+            self._install_view(now, view, f"synced from {sender}", sender)
--- a/sablewheel/membership/plan.py
+++ b/sablewheel/membership/plan.py
@@ -5,18 +5,20 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from .view import Says
+from .view import Metadata
 
 Address = tuple[str, int]
 
-BROKEN = ("no-suspicion", "no-incarnation", "one-observer", "one-at-a-time")
-BROKEN_SLOWLY = ("no-grace",)  # told from ours by more stops than a trial of real processes has time for
+FAULTY_VARIANTS = ("no-suspicion", "no-incarnation", "one-observer", "one-at-a-time")
+SLOW_FAULTY_VARIANTS = (
+    "no-grace",
+)  # told from ours by more stops than a trial of real processes has time for
 
 
 class Mode(Enum):
     """Ours, and the two baselines that the trial holds it against in the same run."""
 
-    OURS = "ours"
+    CONSENSUS = "ours"
     SWIM = "swim"  # SWIM without Lifeguard and without observers: each member removes on its own timeout
     HEARTBEAT = "heartbeat"  # all-to-all heartbeats with a fixed timeout
 
@@ -25,28 +27,30 @@
 class Settings:
     """Every period and bound; docs/membership.md says what each does."""
 
-    period: float = 0.5
-    probe_timeout: float = 0.2
-    indirect: int = 3
+    period_s: float = 0.5
+    probe_timeout_s: float = 0.2
+    indirect_probes: int = 3
     observers: int = 5
-    high: int = 3
-    low: int = 1
-    suspicion_least: float = 5.0  # periods; what a pause or a cut may last without a removal, about
-    suspicion_stretch: float = 6.0  # the longest suspicion, as a multiple of the least
+    high_watermark: int = 3
+    low_watermark: int = 1
+    min_suspicion_periods: float = 5.0  # periods; what a pause or a cut may last without a removal, about
+    max_suspicion_ratio: float = 6.0  # the longest suspicion, as a multiple of the least
     confirmations: int = 3  # independent suspicions after which the least applies
-    health_most: int = 8
-    retransmit: int = 3  # news goes out this many times log10(n + 1), rounded up
-    news_most: int = 16  # news items in one message
-    sync_every: float = 5.0
-    vote_timeout: float = 2.0
-    vote_direct: int = 64  # members up to which votes go from each to all; in larger views they go by gossip
-    settle: float = 3.0  # the longest that a subject between the marks holds a proposal back
-    join_every: float = 1.0
-    found_after: float = 3.0
-    found_least: int = 1  # members without a view, the founder among them, that a first view needs
-    heartbeat_timeout: float = 3.0  # the baseline's: the least that bears the same pause as ours
-    mode: Mode = Mode.OURS
-    broken: str = ""
+    max_health_score: int = 8
+    retransmit_factor: int = 3  # news goes out this many times log10(n + 1), rounded up
+    max_updates_per_message: int = 16  # news items in one message
+    sync_interval_s: float = 5.0
+    vote_timeout_s: float = 2.0
+    max_direct_vote_members: int = (
+        64  # members up to which votes go from each to all; in larger views they go by gossip
+    )
+    max_settle_s: float = 3.0  # the longest that a subject between the marks holds a proposal back
+    join_interval_s: float = 1.0
+    found_delay_s: float = 3.0
+    min_founders: int = 1  # members without a view, the founder among them, that a first view needs
+    heartbeat_timeout_s: float = 3.0  # the baseline's: the least that bears the same pause as ours
+    mode: Mode = Mode.CONSENSUS
+    injected_fault: str = ""
 
 
 @dataclass(frozen=True)
@@ -59,7 +63,7 @@
     region: str
     seeds: tuple[str, ...]
     settings: Settings = field(default_factory=Settings)
-    says: Says = ()  # what the member tells the fleet of itself; parts that build on membership add to it
+    metadata: Metadata = ()  # features that build on membership add to it
 
 
 def address_of(text: str) -> Address | None:
--- a/sablewheel/membership/view.py
+++ b/sablewheel/membership/view.py
@@ -12,17 +12,23 @@
 from enum import Enum
 from functools import cached_property, lru_cache
 
-SAYS_MOST = 8  # pairs that a member says of itself
-SAYS_KEY_MOST = 32  # bytes of a key
-SAYS_VALUE_MOST = 200  # bytes of a value
-SAYS_LONG_MOST = {"class": 600}  # keys whose values may be longer: a hardware class is a small document
-SAYS_CUT_MOST = 12_000  # bytes said by all who join in one proposal: four proposals must fit a datagram
-JOINS_CUT_MOST = 24_000  # bytes of all who join in one proposal, about 300; the rest come by the next views
-CUT_MOST = 48_000  # bytes of a proposal's members: alone it must fit a datagram
-MEMBER_BYTES = 48  # in a packet, beside its texts
-SAID_BYTES = 12
-
-Says = tuple[tuple[str, str], ...]
+MAX_METADATA_PAIRS = 8  # pairs that a member says of itself
+MAX_METADATA_KEY_BYTES = 32  # bytes of a key
+MAX_METADATA_VALUE_BYTES = 200  # bytes of a value
+MAX_LONG_METADATA_VALUE_BYTES = {
+    "class": 600
+}  # keys whose values may be longer: a hardware class is a small document
+MAX_PROPOSAL_METADATA_BYTES = (
+    12_000  # bytes said by all who join in one proposal: four proposals must fit a datagram
+)
+MAX_PROPOSAL_JOIN_BYTES = (
+    24_000  # bytes of all who join in one proposal, about 300; the rest come by the next views
+)
+MAX_PROPOSAL_BYTES = 48_000  # bytes of a proposal's members: alone it must fit a datagram
+MEMBER_OVERHEAD_BYTES = 48  # in a packet, beside its texts
+METADATA_PAIR_OVERHEAD_BYTES = 12
+
+Metadata = tuple[tuple[str, str], ...]
 
 
 @dataclass(frozen=True, order=True)
@@ -38,43 +44,45 @@
     zone: str = ""
     region: str = ""
     incarnation: int = 0
-    says: Says = ()
+    metadata: Metadata = ()
 
     def __post_init__(self) -> None:
-        if not self.says:
+        if not self.metadata:
             return
-        keys = [key for key, _ in self.says]
-        if len(keys) > SAYS_MOST or len(set(keys)) != len(keys) or keys != sorted(keys):
-            raise ValueError(f"{self.name} says: at most {SAYS_MOST} pairs are wanted, once a key, in order")
-        for key, value in self.says:
-            if not 0 < len(key.encode()) <= SAYS_KEY_MOST:
-                raise ValueError(f"{self.name} says: a key of 1 to {SAYS_KEY_MOST} bytes is wanted")
-            most = SAYS_LONG_MOST.get(key, SAYS_VALUE_MOST)
-            if len(value.encode()) > most:
-                raise ValueError(f"{self.name} says {key}: at most {most} bytes are wanted")
-
-    def said(self, key: str) -> str:
+        keys = [key for key, _ in self.metadata]
+        if len(keys) > MAX_METADATA_PAIRS or len(set(keys)) != len(keys) or keys != sorted(keys):
+            raise ValueError(
+                f"{self.name} says: at most {MAX_METADATA_PAIRS} pairs are wanted, once a key, in order"
+            )
+        for key, value in self.metadata:
+            if not 0 < len(key.encode()) <= MAX_METADATA_KEY_BYTES:
+                raise ValueError(f"{self.name} says: a key of 1 to {MAX_METADATA_KEY_BYTES} bytes is wanted")
+            max_value_bytes = MAX_LONG_METADATA_VALUE_BYTES.get(key, MAX_METADATA_VALUE_BYTES)
+            if len(value.encode()) > max_value_bytes:
+                raise ValueError(f"{self.name} says {key}: at most {max_value_bytes} bytes are wanted")
+
+    def metadata_value(self, key: str) -> str:
         """What it says of itself under this key; empty if nothing."""
-        return next((value for one, value in self.says if one == key), "")
+        return next((value for one, value in self.metadata if one == key), "")
 
     @property
-    def silent(self) -> Member:
+    def without_metadata(self) -> Member:
         """The same without what it says: a removal need not carry it."""
-        return replace(self, says=()) if self.says else self
+        return replace(self, metadata=()) if self.metadata else self
 
     @property
-    def bytes_most(self) -> int:
+    def max_encoded_bytes(self) -> int:
         """What it takes in a packet, at most."""
         texts = (self.name, self.address, self.zone, self.region)
-        said = self.says_bytes + SAID_BYTES * len(self.says)
-        return MEMBER_BYTES + sum(len(one.encode()) for one in texts) + said
+        said = self.metadata_bytes + METADATA_PAIR_OVERHEAD_BYTES * len(self.metadata)
+        return MEMBER_OVERHEAD_BYTES + sum(len(one.encode()) for one in texts) + said
 
     @property
-    def says_bytes(self) -> int:
-        return sum(len(key.encode()) + len(value.encode()) for key, value in self.says)
+    def metadata_bytes(self) -> int:
+        return sum(len(key.encode()) + len(value.encode()) for key, value in self.metadata)
 
 
-class Kind(Enum):
+class ChangeKind(Enum):
     JOIN = "join"
     REMOVE = "remove"
     FACT = "fact"
@@ -88,20 +96,20 @@
     value: str
 
 
-NOBODY = Member("", "")
-NOTHING = Fact("", "")
+NO_MEMBER = Member("", "")
+NO_FACT = Fact("", "")
 
 
 @dataclass(frozen=True)
 class Change:
     """One member in or out of the view, or one fact."""
 
-    kind: Kind
-    member: Member = NOBODY
-    fact: Fact = NOTHING
+    kind: ChangeKind
+    member: Member = NO_MEMBER
+    fact: Fact = NO_FACT
 
     @property
-    def order(self) -> tuple[str, str, str, int, str]:
+    def sort_key(self) -> tuple[str, str, str, int, str]:
         return (self.member.name, self.fact.key, self.kind.value, self.member.incarnation, self.fact.value)
 
 
@@ -111,16 +119,16 @@
 def proposal(changes: set[Change] | list[Change]) -> Proposal:
     """The canonical form: one change a name or fact, sorted, so that equal cuts compare equal."""
     by_name: dict[tuple[str, str], Change] = {}
-    for one in sorted(changes, key=lambda one: one.order):
+    for one in sorted(changes, key=lambda one: one.sort_key):
         by_name[one.member.name, one.fact.key] = one
-    return tuple(sorted(by_name.values(), key=lambda one: one.order))
+    return tuple(sorted(by_name.values(), key=lambda one: one.sort_key))
 
 
 def changes_text(changes: Proposal) -> str:
     """For log lines: one word a change."""
     return " ".join(
         f"fact:{one.fact.key}={one.fact.value or '-'}"
-        if one.kind is Kind.FACT
+        if one.kind is ChangeKind.FACT
         else f"{one.kind.value}:{one.member.name}@{one.member.incarnation}"
         for one in changes
     )
@@ -147,29 +155,29 @@
         return tuple(one.name for one in self.members)
 
     @cached_property
-    def places(self) -> dict[str, int]:
+    def positions(self) -> dict[str, int]:
         """Each name's number in the view's order, the same on every member."""
         return {one.name: place for place, one in enumerate(self.members)}
 
     def get(self, name: str) -> Member | None:
-        place = self.places.get(name)
+        place = self.positions.get(name)
         return self.members[place] if place is not None else None
 
     def __contains__(self, name: object) -> bool:
-        return name in self.places
+        return name in self.positions
 
     def fact(self, key: str) -> str:
         """The agreed value; empty if there is none."""
         return next((one.value for one in self.facts if one.key == key), "")
 
-    def then(self, changes: Proposal) -> View:
+    def apply(self, changes: Proposal) -> View:
         """The view of the next epoch: what is removed goes, what joins comes or replaces an older self."""
         kept = {one.name: one for one in self.members}
         facts = {one.key: one for one in self.facts}
         for change in changes:
-            if change.kind is Kind.FACT:
+            if change.kind is ChangeKind.FACT:
                 facts[change.fact.key] = change.fact
-            elif change.kind is Kind.REMOVE:
+            elif change.kind is ChangeKind.REMOVE:
                 known = kept.get(change.member.name)
                 if known is not None and known.incarnation <= change.member.incarnation:
                     del kept[change.member.name]
@@ -183,7 +191,7 @@
     """A short digest of who is in at which epoch, to compare views across members in logs and trials."""
     text = f"{view.epoch}|" + "|".join(one.name for one in view.members)
     text += "".join(f"|{one.key}={one.value}" for one in view.facts)
-    text += "".join(f"|{one.name}:{key}={value}" for one in view.members for key, value in one.says)
+    text += "".join(f"|{one.name}:{key}={value}" for one in view.members for key, value in one.metadata)
     return hashlib.blake2b(text.encode(), digest_size=6).hexdigest()
 
 
--- a/sablewheel/membership/voting.py
+++ b/sablewheel/membership/voting.py
@@ -5,16 +5,19 @@
 import random
 from collections.abc import Callable
 
-from .consensus import Agreement, Out
-from .member_table import Roster
-from .messages import Round, Vote, Votes
+from .consensus import ConsensusInstance, OutgoingMessage
+from .member_table import MemberTable
+from .messages import RoundMessage, Vote, Votes
 from .outbox import Outbox
 from .plan import Settings
-from .view import Kind, Proposal, changes_text
+from .view import ChangeKind, Proposal, changes_text
 
-VOTES_FANOUT, VOTES_EVERY = 4, 5  # whom votes are passed on to, and how often in a period, in a large view
-TALLIES_MOST = 4  # proposals in one message of votes
-TALLIES_BYTES_MOST = 52_000  # of their members: past it the most voted for goes with fewer others
+VOTES_FANOUT, VOTE_ROUNDS_PER_PERIOD = (
+    4,
+    5,
+)  # whom votes are passed on to, and how often in a period, in a large view
+MAX_TALLIES_PER_MESSAGE = 4  # proposals in one message of votes
+MAX_TALLIES_BYTES = 52_000  # of their members: past it the most voted for goes with fewer others
 
 
 class Voting:
@@ -22,135 +25,139 @@
 
     def __init__(
         self,
-        roster: Roster,
+        roster: MemberTable,
         out: Outbox,
         settings: Settings,
         chance: random.Random,
         decide: Callable[[float, Proposal], None],
     ) -> None:
-        self._roster, self._out, self._settings, self._chance = roster, out, settings, chance
-        self._decide = decide
-        self.agreement: Agreement | None = None
-        self._voted_at = self._next_votes = 0.0
-        self._rounds = 0
-        self._last: tuple[int, Votes] | None = None  # the epoch it ended, for who is still at it
+        self._member_table, self._outbox, self._settings, self._random = roster, out, settings, chance
+        self._on_decision = decide
+        self.consensus: ConsensusInstance | None = None
+        self._voted_at = self._next_vote_gossip_at = 0.0
+        self._classic_rounds = 0
+        self._last_decision: tuple[int, Votes] | None = None  # the epoch it ended, for who is still at it
 
     @property
     def has_voted(self) -> bool:
         """Whether this member's fast vote of the epoch is cast."""
-        return self.agreement is not None and self.agreement.has_voted
+        return self.consensus is not None and self.consensus.has_voted
 
     def propose(self, now: float, cut: Proposal) -> None:
-        agreement = self._of_epoch()
+        agreement = self._current_consensus()
         self._voted_at = now
-        size, removed = len(agreement.acceptors), sum(one.kind is Kind.REMOVE for one in cut)
-        if size - removed < agreement.fast_quorum and self._settings.broken != "one-at-a-time":
+        size, removed = len(agreement.acceptors), sum(one.kind is ChangeKind.REMOVE for one in cut)
+        if size - removed < agreement.fast_quorum and self._settings.injected_fault != "one-at-a-time":
             # Those who stay are too few to decide it fast: there is nothing to wait for.
-            self._voted_at -= self._settings.vote_timeout - self._settings.period / 2
-        self._out.note("proposed", epoch=agreement.epoch, changes=changes_text(cut))
-        self._carry(now, agreement.propose(cut))
+            self._voted_at -= self._settings.vote_timeout_s - self._settings.period_s / 2
+        self._outbox.log("proposed", epoch=agreement.epoch, changes=changes_text(cut))
+        self._send_all(now, agreement.propose(cut))
 
-    def take(self, now: float, sender: str, body: Round) -> None:
+    def handle_round_message(self, now: float, sender: str, body: RoundMessage) -> None:
         """A vote, or a message of a classic round, of the epoch that is held."""
-        agreement = self._of_epoch()
+        agreement = self._current_consensus()
         if isinstance(body, Vote) and not agreement.votes:
             self._voted_at = now
-        self._carry(now, agreement.take(sender, body))
+        self._send_all(now, agreement.handle(sender, body))
 
-    def take_passed(self, now: float, sender: str, epoch: int, votes: Votes) -> None:
+    def handle_relayed_votes(self, now: float, sender: str, epoch: int, votes: Votes) -> None:
         """Votes that a member of a large view passes on."""
-        view = self._roster.view
+        view = self._member_table.view
         if view is None:
             return
         if epoch < view.epoch:
-            if self._last is not None and self._last[0] == epoch:
-                self._out.send(sender, self._last[1], epoch=epoch)  # it is still at what was decided here
+            if self._last_decision is not None and self._last_decision[0] == epoch:
+                self._outbox.send(
+                    sender, self._last_decision[1], epoch=epoch
+                )  # it is still at what was decided here
         elif epoch == view.epoch:
-            agreement = self._of_epoch()
+            agreement = self._current_consensus()
             if not agreement.votes:
-                self._voted_at = self._next_votes = now
-            for cut, bits in votes.tallies[:TALLIES_MOST]:
-                agreement.merge(cut, bits)
-            self._look(now)
+                self._voted_at = self._next_vote_gossip_at = now
+            for cut, bits in votes.tallies[:MAX_TALLIES_PER_MESSAGE]:
+                agreement.merge_votes(cut, bits)
+            self._check_decision(now)
 
     def clear(self) -> None:
         """Of an epoch that is over."""
-        self.agreement = None
+        self.consensus = None
 
     # -- timers
 
-    def wakes(self) -> list[float]:
-        if not self._open():
+    def wakeup_times(self) -> list[float]:
+        if not self._is_undecided():
             return []
-        times = [self._voted_at + self._settings.vote_timeout * (1 + self._rounds)]
-        return [*times, self._next_votes] if self._roster.large else times
+        times = [self._voted_at + self._settings.vote_timeout_s * (1 + self._classic_rounds)]
+        return [*times, self._next_vote_gossip_at] if self._member_table.is_large else times
 
-    def ring(self, now: float) -> None:
-        self._pass_on(now)
-        self._fall_back(now)
+    def run_timers(self, now: float) -> None:
+        self._gossip_votes(now)
+        self._start_classic_round_if_due(now)
 
-    def _open(self) -> bool:
-        agreement = self.agreement
+    def _is_undecided(self) -> bool:
+        agreement = self.consensus
         return agreement is not None and agreement.decided is None and bool(agreement.votes)
 
-    def _pass_on(self, now: float) -> None:
+    def _gossip_votes(self, now: float) -> None:
         """In a large view the votes that this member knows go to a few others again and again, so that a
         decision costs each some messages a round of about log n, not one from each to each."""
-        if self.agreement is None or not self._open() or not self._roster.large:
+        if self.consensus is None or not self._is_undecided() or not self._member_table.is_large:
             return
-        if now >= self._next_votes:
-            self._next_votes = now + self._settings.period / VOTES_EVERY
-            tallies = _fitting(sorted(self.agreement.votes.items(), key=lambda one: -one[1].bit_count()))
-            for name in self._roster.some(self._chance, VOTES_FANOUT):
-                self._out.send(name, Votes(tuple(tallies)))
+        if now >= self._next_vote_gossip_at:
+            self._next_vote_gossip_at = now + self._settings.period_s / VOTE_ROUNDS_PER_PERIOD
+            tallies = _fitting(sorted(self.consensus.votes.items(), key=lambda one: -one[1].bit_count()))
+            for name in self._member_table.random_names(self._random, VOTES_FANOUT):
+                self._outbox.send(name, Votes(tuple(tallies)))
 
-    def _fall_back(self, now: float) -> None:
+    def _start_classic_round_if_due(self, now: float) -> None:
         """No fast decision in time: a classic round, coordinators spread apart by chance."""
-        if self.agreement is None or not self._open():
+        if self.consensus is None or not self._is_undecided():
             return
-        if now < self._voted_at + self._settings.vote_timeout * (1 + self._rounds):
+        if now < self._voted_at + self._settings.vote_timeout_s * (1 + self._classic_rounds):
             return
-        self._rounds += 1
-        self._voted_at = now + self._chance.uniform(0, self._settings.vote_timeout)
-        self._out.note("classic round", epoch=self.agreement.epoch, round=self._rounds)
-        self._carry(now, self.agreement.classic(self._rounds))
+        self._classic_rounds += 1
+        self._voted_at = now + self._random.uniform(0, self._settings.vote_timeout_s)
+        self._outbox.log("classic round", epoch=self.consensus.epoch, round=self._classic_rounds)
+        self._send_all(now, self.consensus.start_classic_round(self._classic_rounds))
 
     # -- the epoch's agreement
 
-    def _of_epoch(self) -> Agreement:
-        view = self._roster.view
+    def _current_consensus(self) -> ConsensusInstance:
+        view = self._member_table.view
         assert view is not None
-        if self.agreement is None or self.agreement.epoch != view.epoch:
-            self.agreement = Agreement(view.epoch, view.names, self._roster.me.name, view.places)
-            self._rounds = 0
-        return self.agreement
-
-    def _carry(self, now: float, outs: list[Out]) -> None:
+        if self.consensus is None or self.consensus.epoch != view.epoch:
+            self.consensus = ConsensusInstance(
+                view.epoch, view.names, self._member_table.local_member.name, view.positions
+            )
+            self._classic_rounds = 0
+        return self.consensus
+
+    def _send_all(self, now: float, outs: list[OutgoingMessage]) -> None:
         for to, body in outs:
-            if to is None and isinstance(body, Vote) and self._roster.large:
-                self._next_votes = now  # passed on with what others voted
+            if to is None and isinstance(body, Vote) and self._member_table.is_large:
+                self._next_vote_gossip_at = now  # passed on with what others voted
             elif to is None:
-                self._out.broadcast(body)
-            elif to != self._roster.me.name:
-                self._out.send(to, body)
-        self._look(now)
+                self._outbox.broadcast(body)
+            elif to != self._member_table.local_member.name:
+                self._outbox.send(to, body)
+        self._check_decision(now)
 
-    def _look(self, now: float) -> None:
-        agreement, view = self.agreement, self._roster.view
+    def _check_decision(self, now: float) -> None:
+        agreement, view = self.consensus, self._member_table.view
         if agreement is None or agreement.decided is None or view is None or agreement.epoch != view.epoch:
             return
-        if self._roster.large and agreement.decided in agreement.votes:
+        if self._member_table.is_large and agreement.decided in agreement.votes:
             decision = Votes(((agreement.decided, agreement.votes[agreement.decided]),))
-            self._last = (view.epoch, decision)
-        self._decide(now, agreement.decided)
+            self._last_decision = (view.epoch, decision)
+        self._on_decision(now, agreement.decided)
 
 
 def _fitting(tallies: list[tuple[Proposal, int]]) -> list[tuple[Proposal, int]]:
     """The first ones, as many as fit a datagram; the first in any case. Guards a vote against proposals of
     many members that differ: a message that is too large would not be sent at all, and nothing decided."""
-    room, kept = TALLIES_BYTES_MOST, list[tuple[Proposal, int]]()
-    for cut, bits in tallies[:TALLIES_MOST]:
-        room -= sum(one.member.bytes_most for one in cut) + bits.bit_length() // 8
+    room, kept = MAX_TALLIES_BYTES, list[tuple[Proposal, int]]()
+    for cut, bits in tallies[:MAX_TALLIES_PER_MESSAGE]:
+        room -= sum(one.member.max_encoded_bytes for one in cut) + bits.bit_length() // 8
         if kept and room < 0:
             break
         kept.append((cut, bits))
--- a/sablewheel/program/feature_registry.py
+++ b/sablewheel/program/feature_registry.py
@@ -39,7 +39,7 @@
     from ..feature_policy.service import Policies
     from ..forwarding.peer_connections import Links
     from ..forwarding.service import Forward
-    from ..membership.service import Fleet
+    from ..membership.service import MembershipService
     from ..replication.service import Keeper
 
 
@@ -64,7 +64,7 @@
     observer: RequestObserver = NO_OBSERVER
     memory: Memory = NO_RESULT_STORE
     says: tuple[tuple[str, str], ...] = ()  # what all features together have this member say of itself
-    fleet: Fleet | None = None  # by membership
+    fleet: MembershipService | None = None  # by membership
     links: Links | None = None  # by forwarding
     forward: Forward | None = None  # by forwarding; who places requests sets its placer
     policies: Policies | None = None  # by policy: who may serve what, `on_active`, and the placer above
@@ -166,11 +166,11 @@
 
 
 def _membership(feature_context: FeatureContext, plan: MembershipPlan) -> Part:
-    from ..membership.service import Fleet
+    from ..membership.service import MembershipService
 
     placement_settings = feature_context.placement_settings
     with _listening("membership", plan.listen):
-        fleet = Fleet(
+        fleet = MembershipService(
             feature_context.scheduler,
             plan,
             placement_settings.name,
@@ -194,14 +194,14 @@
 
     fleet, placement_settings = feature_context.fleet, feature_context.placement_settings
     assert fleet is not None  # the section needs membership's
-    born = fleet.node.me.incarnation
+    born = fleet.node.local_member.incarnation
     # At least half of the connections there may be stays for routers.
     settings = replace(
         plan.links, links_most=min(plan.links.links_most, placement_settings.connections_most // 2)
     )
     with _listening("forwarding", plan.listen):
         links = feature_context.links = Links(
-            feature_context.scheduler, plan.listen, settings, fleet.me, born
+            feature_context.scheduler, plan.listen, settings, fleet.node_name, born
         )
     forward = feature_context.forward = Forward(
         feature_context.scheduler,
@@ -288,7 +288,7 @@
         links,
         replace(plan, settings=settings),
         placement_settings.name,
-        fleet.node.me.incarnation,
+        fleet.node.local_member.incarnation,
         feature_context.memory,
         feature_context.observer,
         feature_context.never_begun,
--- a/sablewheel/replication/service.py
+++ b/sablewheel/replication/service.py
@@ -421,7 +421,8 @@
 
     def view(self, view: View) -> None:
         sites = tuple(
-            Site(one.name, one.incarnation, one.zone, _weight(one.said("weight"))) for one in view.members
+            Site(one.name, one.incarnation, one.zone, _weight(one.metadata_value("weight")))
+            for one in view.members
         )
         gone = tuple(
             (fact.key.removeprefix(GONE), int(fact.value))
--- a/sablewheel/session_affinity/session_router.py
+++ b/sablewheel/session_affinity/session_router.py
@@ -14,7 +14,7 @@
 
 from ..forwarding.peer_connections import Links
 from ..forwarding.service import Forward, Guest
-from ..membership.service import Fleet
+from ..membership.service import MembershipService
 from ..membership.view import View
 from ..overload.interface import Idempotency, Outcome, Request, Tenant
 from ..replication.messages import Answer
@@ -88,7 +88,7 @@
         self,
         scheduler: Scheduler,
         plan: AffinityPlan,
-        fleet: Fleet,
+        fleet: MembershipService,
         links: Links,
         forward: Forward,
         keeper: Keeper,
@@ -109,7 +109,7 @@
         self.flow_of: Callable[[Exchange], str] = lambda exchange: exchange.request_class.decode(
             "utf-8", "replace"
         )
-        self.sessions = Sessions(fleet.me, fleet.node.me.incarnation, plan.settings, clock())
+        self.sessions = Sessions(fleet.node_name, fleet.node.local_member.incarnation, plan.settings, clock())
         self.sessions.step(clock(), Active(1))
         self._inner: RequestHandler | None = None
         self._refs = 0
@@ -306,10 +306,10 @@
             return
         capacity = 0.0 if self._leaving else self._capacity
         mine = Load(len(self.sessions.owned), min(max(self._warmth(), 0.01), 1.0), capacity)
-        self._loads[self._fleet.me] = mine
+        self._loads[self._fleet.node_name] = mine
         data = codec.encode(mine)
         for name in self._fleet.view.names if self._fleet.view is not None else ():
-            if name != self._fleet.me:
+            if name != self._fleet.node_name:
                 self._links.send(name, KIND, data, LOADS_EVERY)
         self._step(Loads(self._loads))
         self._scheduler.after(LOADS_EVERY, self._tell_loads)
@@ -399,7 +399,7 @@
     def _tell_loads_once(self) -> None:
         data = codec.encode(Load(len(self.sessions.owned), 1.0, 0.0))
         for name in self._fleet.view.names if self._fleet.view is not None else ():
-            if name != self._fleet.me:
+            if name != self._fleet.node_name:
                 self._links.send(name, KIND, data, WITHIN)
 
     def _leave(self) -> None:
--- a/tests/stories/test_membership_stories.py
+++ b/tests/stories/test_membership_stories.py
@@ -10,7 +10,7 @@
 from pytest_bdd import given, parsers, scenarios, then, when
 
 from sablewheel.experiments.made_net import Net
-from sablewheel.membership.events import Part, Send
+from sablewheel.membership.events import LeaveRequested, Send
 from sablewheel.membership.plan import Settings
 
 scenarios("membership.feature")
@@ -33,7 +33,7 @@
         found: dict[int, set[str]] = {}
         for at, _, note in self.net.notes:
             names = re.findall(rf"\b{kind}:(\w+)@", str(note.fields.get("changes", "")))
-            if note.what == "view" and at >= since and names:
+            if note.message == "view" and at >= since and names:
                 found[int(str(note.fields["epoch"]))] = set(names)
         return found
 
@@ -54,7 +54,7 @@
     net.run(net.now + 20.0)
     story = Story(net, net.now)
     assert story.hold(story.living) == {tuple(sorted(net.nodes))}
-    story.was = {name: node.me.incarnation for name, node in net.nodes.items()}
+    story.was = {name: node.local_member.incarnation for name, node in net.nodes.items()}
     return story
 
 
@@ -123,7 +123,7 @@
 
 @when(parsers.re(r"(?P<name>s\d+) is told to leave"))
 def told_to_leave(story: Story, name: str) -> None:
-    for effect in story.net.nodes[name].step(story.net.now, Part()):
+    for effect in story.net.nodes[name].step(story.net.now, LeaveRequested()):
         if isinstance(effect, Send):
             story.net._carry(name, effect)
     story.net.kill(name)  # what it still says later is lost: the first word must do
@@ -209,12 +209,12 @@
     for node in story.net.nodes.values():
         assert node.view is not None
         for member in node.view.members:
-            assert member.said("link") == f"10.0.0.{member.name.removeprefix('s')}:7800"
+            assert member.metadata_value("link") == f"10.0.0.{member.name.removeprefix('s')}:7800"
 
 
 def test_stories_fail_where_a_part_is_broken() -> None:
     """The checks can fail: those who are cut off together go apart where cuts do not wait for each other."""
-    broken = Net(Settings(broken="one-at-a-time"), seed=8)
+    broken = Net(Settings(injected_fault="one-at-a-time"), seed=8)
     for place in range(8):
         broken.add(f"s{place}")
         broken.run(broken.now + 0.3)
--- a/tests/test_feature_policy_service.py
+++ b/tests/test_feature_policy_service.py
@@ -48,7 +48,7 @@
     def __init__(self) -> None:
         self.now = 100.0
         self.timers: list[tuple[float, Callable[[], None]]] = []
-        self.me, self.judged, self.sent = "m0", dict[str, str](), list[tuple[str, Any]]()
+        self.node_name, self.reported_facts, self.sent = "m0", dict[str, str](), list[tuple[str, Any]]()
         self.viewed: Callable[[View], None] = lambda view: None
         self.handler: Callable[[str, bytes], None] = lambda sender, payload: None
         self.broken: Callable[[str], None] = lambda peer: None
@@ -66,8 +66,8 @@
     def on_view(self, callback: Callable[[View], None]) -> None:
         self.viewed = callback
 
-    def judge(self, fact: Fact) -> None:
-        self.judged[fact.key] = fact.value
+    def report_fact(self, fact: Fact) -> None:
+        self.reported_facts[fact.key] = fact.value
 
     def send(self, to: str, kind: str, payload: bytes, within: float) -> bool:
         self.sent.append((to, codec.decode(payload)))
@@ -159,11 +159,13 @@
     assert ask(made, b"pay") == ([], [(0.0, False)])  # before there is a view nobody knows
     world.install(1, {"m0": "rich", "m1": "diskless", "m2": "rich"})
     assert ask(made, b"pay") == ([b"pay"], [])
-    world.until(lambda: STAGED in world.judged)
-    name = world.judged[STAGED]
+    world.until(lambda: STAGED in world.reported_facts)
+    name = world.reported_facts[STAGED]
     assert {to for to, message in world.sent if message == Offer(name)} == {"m1", "m2"}
     world.install(2, {"m0": "rich", "m1": "diskless", "m2": "rich"}, staged=name)
-    world.install(3, {"m0": "rich", "m1": "diskless", "m2": "rich"}, active=world.judged[ACTIVE], staged=name)
+    world.install(
+        3, {"m0": "rich", "m1": "diskless", "m2": "rich"}, active=world.reported_facts[ACTIVE], staged=name
+    )
     assert changed and heard == [(0, {}), (4, {"pay": frozenset({"m0", "m2"})})]
     server_settings = ServerSettings((REQUEST_CLASS,), 2, 1e6, 1.0, cancellation=Cancellation.DISCARDS_WORK)
     assert made.server_settings(server_settings).cancellation is Cancellation.UNSUPPORTED
@@ -184,10 +186,10 @@
     file.write_text(POLICY)
     given, _ = policies(giver, "rich", file)
     fleet = {"m0": "diskless", "m1": "rich", "m2": "rich"}
-    giver.me = "m1"
+    giver.node_name = "m1"
     given.rollout.me = "m1"
     giver.install(1, fleet)
-    giver.until(lambda: STAGED in giver.judged)
+    giver.until(lambda: STAGED in giver.reported_facts)
     bundle = next(iter(given.rollout.bundles.values()))
     assert isinstance(bundle, Bundle)
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -18,7 +18,7 @@
 from sablewheel.experiments.fleet import PORT, Block, Fleet
 from sablewheel.experiments.rig import Rig
 from sablewheel.membership import codec
-from sablewheel.membership.messages import Ask, Envelope, Message, Nack
+from sablewheel.membership.messages import Envelope, Message, Nack, StatusRequest
 from sablewheel.program.feature_file import FaultyFeaturesError, read
 
 WITHIN = 20.0
@@ -110,7 +110,7 @@
         b"\xff" * 40,
         whole[:-1],
         whole.replace(b"\x08\x01", b"\x08\x07", 1),
-        codec.encode(Message(Envelope("stranger", 1), Ask())),
+        codec.encode(Message(Envelope("stranger", 1), StatusRequest())),
     ]
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as out:
         for packet in bad:
@@ -121,7 +121,7 @@
     until, counts = time.monotonic() + WITHIN, Counter[str]()
     while time.monotonic() < until and (counts["packets_bad"] < len(bad) + 2 or not counts["frames_cut"]):
         told = fleet.told("m1")
-        counts = Counter(dict(told.counts) if told is not None else {})
+        counts = Counter(dict(told.counters) if told is not None else {})
         time.sleep(0.05)
     assert counts["packets_bad"] == len(bad) + 2 and counts["frames_cut"] >= 1
     assert "faults" not in counts and fleet.agreed(fleet.names)
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -388,7 +388,9 @@
         self.view = View(1, tuple(self.member(name) for name in sorted(names)))
 
     def member(self, name: str, incarnation: int = 1) -> Member:
-        return Member(name, "", incarnation=incarnation, says=(("link", f"127.0.0.1:{self.ports[name]}"),))
+        return Member(
+            name, "", incarnation=incarnation, metadata=(("link", f"127.0.0.1:{self.ports[name]}"),)
+        )
 
     def start(self, name: str) -> Links:
         links = Links(self.scheduler, ("127.0.0.1", self.ports[name]), self.settings, name, 1)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -19,14 +19,14 @@
 from sablewheel.forwarding.peer_connections import Links
 from sablewheel.forwarding.plan import LinkSettings
 from sablewheel.membership import codec
-from sablewheel.membership.detector import RELAYED_MOST
-from sablewheel.membership.events import Got, Send, Tick
-from sablewheel.membership.gossip import NEWS_KEPT
-from sablewheel.membership.messages import Alive, Envelope, Message, Nack, PingReq, Vote, Votes
+from sablewheel.membership.cut_detector import CutDetector
+from sablewheel.membership.cut_detector import _fitting as fitting
+from sablewheel.membership.detector import MAX_RELAYED_PROBES
+from sablewheel.membership.events import MessageReceived, Send, TimerFired
+from sablewheel.membership.gossip import MIN_PENDING_UPDATES_CAPACITY
+from sablewheel.membership.messages import Alive, Envelope, Message, Nack, PingRequest, Vote, Votes
 from sablewheel.membership.plan import Settings
-from sablewheel.membership.reports import Reports
-from sablewheel.membership.reports import _fitting as fitting
-from sablewheel.membership.view import Change, Kind, Member, View, proposal
+from sablewheel.membership.view import Change, ChangeKind, Member, View, proposal
 from sablewheel.membership.voting import _fitting as votes_fitting
 from sablewheel.overload.interface import Client
 from sablewheel.program import application, configuration
@@ -122,13 +122,13 @@
     standing: int, many: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     judged: list[str] = []
-    stable = Reports._stable
+    stable = CutDetector._stable_changes
 
-    def counted(reports: Reports, gone: set[str]) -> list[Change]:
-        judged.append(reports._roster.me.name)
+    def counted(reports: CutDetector, gone: set[str]) -> list[Change]:
+        judged.append(reports._member_table.local_member.name)
         return stable(reports, gone)
 
-    monkeypatch.setattr(Reports, "_stable", counted)
+    monkeypatch.setattr(CutDetector, "_stable_changes", counted)
     net = Net(Settings(), 3)
     for place in range(standing):
         net.add(f"m{place:04}")
@@ -150,11 +150,11 @@
         ]
 
     for size in (12, 128):
-        joins = [Change(Kind.JOIN, one) for one in members("j", LEAST, size)]
-        goes = [Change(Kind.REMOVE, one) for one in members("r", LEAST // 2 - 1, size)]
+        joins = [Change(ChangeKind.JOIN, one) for one in members("j", LEAST, size)]
+        goes = [Change(ChangeKind.REMOVE, one) for one in members("r", LEAST // 2 - 1, size)]
         some, cut = fitting(joins), fitting(joins + goes)
-        assert 0 < len(some) < LEAST and {one.kind for one in some} == {Kind.JOIN}
-        assert sum(one.kind is Kind.REMOVE for one in cut) == min(len(goes), len(fitting(goes)))
+        assert 0 < len(some) < LEAST and {one.kind for one in some} == {ChangeKind.JOIN}
+        assert sum(one.kind is ChangeKind.REMOVE for one in cut) == min(len(goes), len(fitting(goes)))
         assert len(goes) == len(fitting(goes)) or size == 128
         codec.encode(Message(Envelope("m", 1), Vote(proposal(cut))))
         bits = (1 << LEAST) - 1
@@ -166,23 +166,26 @@
 
 
 def test_1024_rumours_and_1024_probes_for_others_are_kept_at_once_and_more_in_a_larger_fleet() -> None:
-    assert min(NEWS_KEPT, RELAYED_MOST) >= LEAST
+    assert min(MIN_PENDING_UPDATES_CAPACITY, MAX_RELAYED_PROBES) >= LEAST
     net = Net(Settings(), 1)
     net.stand(2 * LEAST)
     node = net.nodes["m00000"]
     for place in range(1, 2 * LEAST):
-        node.gossip.spread(Alive(f"m{place:05}", 2))
-    assert len(node.gossip.news) == 2 * LEAST - 1  # one of each other, none pushed out
-    node.gossip.spread(Alive("m00001", 3))
-    assert len(node.gossip.news) == 2 * LEAST - 1  # the newer took the older's place
-    for seq in range(RELAYED_MOST + 1):
-        body = PingReq(seq, "m00007", "")
-        node.step(net.now, Got(Message(Envelope(f"m{seq % LEAST + 1:05}", 1), body), "x"))
-    assert len(node.detector.relayed) == RELAYED_MOST and node.counts["relays_refused"] == 1
-    sent = node.step(net.now + 1.0, Tick())
+        node.gossip.disseminate(Alive(f"m{place:05}", 2))
+    assert len(node.gossip.pending) == 2 * LEAST - 1  # one of each other, none pushed out
+    node.gossip.disseminate(Alive("m00001", 3))
+    assert len(node.gossip.pending) == 2 * LEAST - 1  # the newer took the older's place
+    for seq in range(MAX_RELAYED_PROBES + 1):
+        body = PingRequest(seq, "m00007", "")
+        node.step(net.now, MessageReceived(Message(Envelope(f"m{seq % LEAST + 1:05}", 1), body), "x"))
+    assert (
+        len(node.failure_detector.relayed_probes) == MAX_RELAYED_PROBES
+        and node.counters["relays_refused"] == 1
+    )
+    sent = node.step(net.now + 1.0, TimerFired())
     bodies = [one.message.body for one in sent if isinstance(one, Send)]
-    nacks = [body.seq for body in bodies if isinstance(body, Nack)]
-    assert nacks == list(range(RELAYED_MOST)) and not node.detector.relayed
+    nacks = [body.sequence for body in bodies if isinstance(body, Nack)]
+    assert nacks == list(range(MAX_RELAYED_PROBES)) and not node.failure_detector.relayed_probes
 
 
 # -- links, the descriptors that they take, and the ledger's collector
@@ -194,7 +197,9 @@
 
     def fleet(many: int) -> View:
         says = (("link", "127.0.0.1:9"),)
-        return View(1, tuple(Member(f"m{place:04}", "", incarnation=1, says=says) for place in range(many)))
+        return View(
+            1, tuple(Member(f"m{place:04}", "", incarnation=1, metadata=says) for place in range(many))
+        )
 
     for many, room in ((0, 64), (3, 64), (32, 64), (60, 120), (230, 460), (LEAST, 2 * LEAST)):
         links.view(fleet(many))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -15,40 +15,40 @@
 from sablewheel.membership import codec
 from sablewheel.membership import membership_pb2 as pb
 from sablewheel.membership import service as shell
-from sablewheel.membership.consensus import Agreement
-from sablewheel.membership.detector import RELAYED_MOST
-from sablewheel.membership.events import Got, Judge, Part, Send
-from sablewheel.membership.gossip import NEWS_KEPT
-from sablewheel.membership.member_table import JOINERS_MOST
+from sablewheel.membership.consensus import ConsensusInstance
+from sablewheel.membership.cut_detector import CutDetector
+from sablewheel.membership.detector import MAX_RELAYED_PROBES
+from sablewheel.membership.events import FactReported, LeaveRequested, MessageReceived, Send
+from sablewheel.membership.gossip import MIN_PENDING_UPDATES_CAPACITY
+from sablewheel.membership.member_table import MAX_JOINERS
 from sablewheel.membership.messages import (
     Accept,
     Accepted,
     Ack,
     Alert,
     Alive,
-    Ask,
     Body,
     Digest,
     Envelope,
+    FactReport,
     Join,
-    Judgement,
     Leave,
     Message,
     Nack,
     Ping,
-    PingReq,
+    PingRequest,
     Prepare,
     Promise,
+    StatusRequest,
     Suspect,
     Sync,
     Vote,
     Votes,
 )
 from sablewheel.membership.node import Node
-from sablewheel.membership.plan import BROKEN, MembershipPlan, Mode, Settings
-from sablewheel.membership.reports import Reports
-from sablewheel.membership.service import Fleet
-from sablewheel.membership.view import Change, Fact, Kind, Member, View, fingerprint, proposal, rings
+from sablewheel.membership.plan import FAULTY_VARIANTS, MembershipPlan, Mode, Settings
+from sablewheel.membership.service import MembershipService
+from sablewheel.membership.view import Change, ChangeKind, Fact, Member, View, fingerprint, proposal, rings
 from sablewheel.transport.scheduler import Clock, Scheduler
 
 
@@ -70,7 +70,7 @@
 
 @pytest.mark.parametrize("direct", [64, 2])  # votes from each to all, or passed on by gossip
 def test_a_crash_is_detected_by_all_and_agreed_once(direct: int) -> None:
-    net = started(7, Settings(vote_direct=direct))
+    net = started(7, Settings(max_direct_vote_members=direct))
     net.kill("m3")
     at = net.now
     net.run(at + 30.0)
@@ -129,7 +129,7 @@
 def test_a_leave_is_said_and_agreed_at_once() -> None:
     net = started(5)
     left = net.nodes["m4"]
-    for effect in left.step(net.now, Part()):
+    for effect in left.step(net.now, LeaveRequested()):
         if isinstance(effect, Send):
             net._carry("m4", effect)
     net.kill("m4")
@@ -168,7 +168,7 @@
 @pytest.mark.parametrize("clock", [-3600.0, 0.0, 3600.0])
 def test_a_member_that_starts_anew_never_takes_its_older_self_for_its_own(clock: float) -> None:
     net = started(5)
-    old = net.nodes["m3"].me.incarnation
+    old = net.nodes["m3"].local_member.incarnation
     net.kill("m3")
     net.restart("m3", clock)
     epoch = net.nodes["m0"].view.epoch  # type: ignore[union-attr]
@@ -180,12 +180,12 @@
     assert view is not None and view.epoch > epoch  # in the epoch of its older self it could vote twice
     net.run(net.now + 10.0)
     assert len({node.view for node in net.nodes.values()}) == 1
-    assert net.nodes["m3"].me.incarnation > old
+    assert net.nodes["m3"].local_member.incarnation > old
 
 
 @pytest.mark.parametrize("mode", Mode)
 def test_a_member_sleeps_between_its_timers_also_while_it_has_no_view(mode: Mode) -> None:
-    net = Net(Settings(mode=mode, found_least=9))
+    net = Net(Settings(mode=mode, min_founders=9))
     for place in range(3):
         net.add(f"m{place}")
     steps = net.count_steps(10.0)
@@ -204,8 +204,12 @@
     net.run(net.now + 30.0)
     views = {node.view for node in net.nodes.values()}
     assert len(views) == 1 and (view := views.pop()) is not None
-    assert [one.said("link") for one in view.members] == [f"127.0.0.1:{7800 + place}" for place in range(5)]
-    assert {one.said("class") for one in view.members} == {"{}" * 300} and view.members[0].said("x") == ""
+    assert [one.metadata_value("link") for one in view.members] == [
+        f"127.0.0.1:{7800 + place}" for place in range(5)
+    ]
+    assert {one.metadata_value("class") for one in view.members} == {"{}" * 300} and view.members[
+        0
+    ].metadata_value("x") == ""
 
 
 def test_many_who_join_at_once_and_say_much_are_let_in_though_no_vote_may_hold_them_all() -> None:
@@ -215,17 +219,19 @@
         net.add(f"m{place}", says=says)
     net.run(net.now + 30.0)
     assert {len(view) for view in net.views().values()} == {25}
-    cuts = [str(note.fields["changes"]).count("join:") for _, _, note in net.notes if note.what == "proposed"]
+    cuts = [
+        str(note.fields["changes"]).count("join:") for _, _, note in net.notes if note.message == "proposed"
+    ]
     assert 4 < max(cuts) <= 7  # of 1,616 bytes each, under 12,000
 
 
 def test_more_than_a_member_may_say_is_refused_also_in_a_packet() -> None:
-    member = Member("m1", "127.0.0.1:1", says=(("class", "x" * 600), ("link", "y" * 200)))
+    member = Member("m1", "127.0.0.1:1", metadata=(("class", "x" * 600), ("link", "y" * 200)))
     packet = codec.encode(Message(Envelope("m1", 1), Join(member)))
     assert codec.decode(packet).body == Join(member)
     silent = pb.Packet.FromString(packet)  # of a member that knows nothing of it
     silent.join.member.ClearField("says")
-    assert codec.decode(silent.SerializeToString()).body == Join(member.silent)
+    assert codec.decode(silent.SerializeToString()).body == Join(member.without_metadata)
     for says in (
         (("link", "y" * 201),),
         (("class", "x" * 601),),
@@ -236,14 +242,14 @@
         tuple((f"k{place}", "") for place in range(9)),
     ):
         with pytest.raises(ValueError, match="m1 says"):
-            Member("m1", "127.0.0.1:1", says=says)
+            Member("m1", "127.0.0.1:1", metadata=says)
     with pytest.raises(codec.BadPacketError, match="m1 says clasp: at most 200 bytes"):
         codec.decode(packet.replace(b"class", b"clasp"))  # 600 bytes are for a class alone
 
 
 def test_each_view_is_told_once_in_order_whatever_a_callback_does(caplog: pytest.LogCaptureFixture) -> None:
     scheduler = Scheduler(Clock())
-    settings = Settings(found_after=0.05, join_every=0.05, sync_every=0.1, vote_timeout=0.2)
+    settings = Settings(found_delay_s=0.05, join_interval_s=0.05, sync_interval_s=0.1, vote_timeout_s=0.2)
     heard: list[str] = []
     late: list[int] = []
     block = Block()  # addresses that are this test's alone
@@ -252,11 +258,11 @@
     plans = [
         MembershipPlan((host, PORT), f"{host}:{PORT}", "z", "r", seeds, settings, says) for host in hosts
     ]
-    first = Fleet(scheduler, plans[0], "m0", 1, says=(("link", "here"),))
+    first = MembershipService(scheduler, plans[0], "m0", 1, says=(("link", "here"),))
 
     def judges(view: View) -> None:
         heard.append(f"first {view.epoch}")
-        first.judge(Fact("n", str(len(view.members))))
+        first.report_fact(Fact("n", str(len(view.members))))
 
     def faulty(view: View) -> None:
         raise ZeroDivisionError
@@ -269,14 +275,14 @@
 
     for callback in (judges, faulty, last):
         first.on_view(callback)
-    assert first.me == "m0" and first.view is None and heard == []
+    assert first.node_name == "m0" and first.view is None and heard == []
     with pytest.raises(ValueError):
-        first.judge(Fact("x" * 129, ""))
-    second: list[Fleet] = []
+        first.report_fact(Fact("x" * 129, ""))
+    second: list[MembershipService] = []
 
     def joins() -> None:
-        second.append(Fleet(scheduler, plans[1], "m1", 1))
-        second[0].on_view(lambda view: second[0].judge(Fact("n", str(len(view.members)))))
+        second.append(MembershipService(scheduler, plans[1], "m1", 1))
+        second[0].on_view(lambda view: second[0].report_fact(Fact("n", str(len(view.members)))))
 
     timers = [scheduler.after(0.4, joins), scheduler.after(10.0, scheduler.stop)]
     scheduler.run()
@@ -287,7 +293,7 @@
         timer.cancel()
     view = first.view
     assert view is not None and view.names == ("m0", "m1") and view.fact("n") == "2"
-    assert view.members[0].says == (("a", "1"), ("link", "here"))
+    assert view.members[0].metadata == (("a", "1"), ("link", "here"))
     epochs = [int(line.split()[1]) for line in heard if line.startswith("first")]
     assert epochs == list(range(epochs[0], view.epoch + 1)) and len(epochs) >= 3
     assert heard == [f"{who} {epoch}" for epoch in epochs for who in ("first", "last")]
@@ -300,19 +306,22 @@
     node = net.nodes["m0"]
     view = node.view
     assert view is not None
-    for place in range(max(JOINERS_MOST, NEWS_KEPT, RELAYED_MOST) + 500):
+    for place in range(max(MAX_JOINERS, MIN_PENDING_UPDATES_CAPACITY, MAX_RELAYED_PROBES) + 500):
         member = Member(f"x{place}", "127.0.0.1:9", incarnation=1)
         news = (Alert(view.epoch, "m1", True, member), Alive(f"y{place}", 1), Suspect(f"z{place}", 1, "m1"))
-        for body in (Join(member, True), Ping(0, news), PingReq(place, "m2", "?")):
-            node.step(net.now, Got(Message(Envelope("m1", view.epoch), body)))
-    assert len(node.reports.alerts) == JOINERS_MOST and len(node.gossip.news) == NEWS_KEPT
-    assert len(node.detector.relayed) == RELAYED_MOST
-    assert set(node.roster.raised) <= set(view.names) and not node.suspicions.held
+        for body in (Join(member, True), Ping(0, news), PingRequest(place, "m2", "?")):
+            node.step(net.now, MessageReceived(Message(Envelope("m1", view.epoch), body)))
+    assert (
+        len(node.cut_detector.alerts) == MAX_JOINERS
+        and len(node.gossip.pending) == MIN_PENDING_UPDATES_CAPACITY
+    )
+    assert len(node.failure_detector.relayed_probes) == MAX_RELAYED_PROBES
+    assert set(node.member_table.raised_incarnations) <= set(view.names) and not node.suspicions.by_name
 
 
 def judge(net: Net, names: list[str], value: str) -> None:
     for name in names:
-        for effect in net.nodes[name].step(net.now, Judge(Fact("zone/z1", value))):
+        for effect in net.nodes[name].step(net.now, FactReported(Fact("zone/z1", value))):
             if isinstance(effect, Send):
                 net._carry(name, effect)
         net._wake(name)
@@ -337,7 +346,7 @@
     assert {node.view.facts for node in net.nodes.values() if node.view} == {()}
     by_epoch: dict[int, set[str]] = {}
     for _, _, note in net.notes:
-        if note.what == "view":
+        if note.message == "view":
             by_epoch.setdefault(int(str(note.fields["epoch"])), set()).add(str(note.fields["fingerprint"]))
     assert all(len(prints) == 1 for prints in by_epoch.values())
 
@@ -368,11 +377,11 @@
     assert all(set(net.views()[name]) == set(majority) for name in majority)
 
 
-@pytest.mark.parametrize("broken", ["", *BROKEN[:3]])
+@pytest.mark.parametrize("broken", ["", *FAULTY_VARIANTS[:3]])
 def test_short_pauses_and_a_deaf_spell_remove_the_healthy_only_where_a_part_is_broken(broken: str) -> None:
     removed = 0
     for seed in (1, 2, 3, 4):
-        net = started(7, Settings(broken=broken), seed=seed)
+        net = started(7, Settings(injected_fault=broken), seed=seed)
         names = [f"m{place}" for place in range(7)]
         for name in ("m2", "m5"):
             net.stopped[name] = net.now + 2.0
@@ -396,7 +405,7 @@
     seen = {
         int(str(note.fields["epoch"])): str(note.fields["changes"])
         for at, _, note in net.notes
-        if note.what == "view" and at >= since and "synced" not in str(note.fields["changes"])
+        if note.message == "view" and at >= since and "synced" not in str(note.fields["changes"])
     }
     return [seen[epoch] for epoch in sorted(seen)]
 
@@ -405,7 +414,7 @@
 def test_those_cut_off_together_go_in_one_view_and_come_back_in_one_or_two(broken: str) -> None:
     out, back = [], []
     for seed in range(1, 9):
-        net = started(8, Settings(broken=broken), seed)
+        net = started(8, Settings(injected_fault=broken), seed)
         gone = random.Random(seed).sample(list(net.nodes), 3)  # the seeds among them in some
         at = net.now
         split(net, gone)
@@ -460,8 +469,10 @@
 def test_a_stop_common_to_all_takes_nobody_out_however_unevenly_they_go_on(broken: str) -> None:
     removed = 0
     # 20 s and 2 s at the usual period; then 4 s, and periods of a fifth: longer than the longest suspicion.
-    quick = Settings(period=0.1, probe_timeout=0.04, vote_timeout=0.5, sync_every=1.0, broken=broken)
-    for settings, spread, seeds in ((Settings(broken=broken), 2.0, 3), (quick, 4.0, 10)):
+    quick = Settings(
+        period_s=0.1, probe_timeout_s=0.04, vote_timeout_s=0.5, sync_interval_s=1.0, injected_fault=broken
+    )
+    for settings, spread, seeds in ((Settings(injected_fault=broken), 2.0, 3), (quick, 4.0, 10)):
         for seed in range(1, 1 + seeds):
             net = started(8, settings, seed)
             stall(net, 20.0, spread, seed)
@@ -497,7 +508,7 @@
     base = started(7, Settings(mode=Mode.HEARTBEAT))
     base.stopped["m2"] = base.now + 3.0
     base.run(base.now + 20.0)
-    assert any(note.what == "removed" and note.fields["member"] == "m2" for _, _, note in base.notes)
+    assert any(note.message == "removed" and note.fields["member"] == "m2" for _, _, note in base.notes)
 
 
 def test_observers_are_known_from_the_view_alone_and_never_the_subject() -> None:
@@ -513,7 +524,7 @@
 
 def test_a_view_holds_each_name_once() -> None:
     view = View(1, (Member("a", "x"), Member("b", "y")))
-    later = view.then(proposal([Change(Kind.JOIN, Member("a", "x", incarnation=5))]))
+    later = view.apply(proposal([Change(ChangeKind.JOIN, Member("a", "x", incarnation=5))]))
     assert later.names == ("a", "b") and later.get("a").incarnation == 5  # type: ignore[union-attr]
     with pytest.raises(ValueError):
         View(1, (Member("a", "x"), Member("a", "y")))
@@ -521,33 +532,33 @@
 
 def test_fast_votes_decide_and_a_classic_round_keeps_what_a_fast_quorum_chose() -> None:
     names = tuple(f"m{place}" for place in range(7))
-    one = proposal([Change(Kind.REMOVE, Member("m6", "x"))])
-    other = proposal([Change(Kind.REMOVE, Member("m5", "x"))])
-    agreements = {name: Agreement(1, names, name) for name in names}
+    one = proposal([Change(ChangeKind.REMOVE, Member("m6", "x"))])
+    other = proposal([Change(ChangeKind.REMOVE, Member("m5", "x"))])
+    agreements = {name: ConsensusInstance(1, names, name) for name in names}
     for voter in names[:6]:
         for name in names:
-            agreements[name].take(voter, Vote(one))
+            agreements[name].handle(voter, Vote(one))
     assert {agreements[name].decided for name in names} == {one}
     # A coordinator that saw no vote, with promises of a majority among which the one odd vote stands, still
     # picks the value that six chose fast.
-    late = Agreement(1, names, "m0")
-    prepare = late.classic(1)[0][1]
+    late = ConsensusInstance(1, names, "m0")
+    prepare = late.start_classic_round(1)[0][1]
     accepts: list[Body] = []
     for name, voted in [("m6", other), ("m1", one), ("m2", one), ("m3", one)]:
-        acceptor = Agreement(1, names, name)
+        acceptor = ConsensusInstance(1, names, name)
         acceptor.propose(voted)
-        for to, promise in acceptor.take("m0", prepare):
+        for to, promise in acceptor.handle("m0", prepare):
             assert to == "m0"
-            accepts += [body for _, body in late.take(name, promise) if isinstance(body, Accept)]
+            accepts += [body for _, body in late.handle(name, promise) if isinstance(body, Accept)]
     assert [body.value for body in accepts if isinstance(body, Accept)] == [one]
 
 
 def test_no_two_values_are_decided_at_one_epoch_under_any_order() -> None:
     names = tuple(f"m{place}" for place in range(5))
-    values = [proposal([Change(Kind.REMOVE, Member(f"m{place}", "x"))]) for place in (3, 4)]
+    values = [proposal([Change(ChangeKind.REMOVE, Member(f"m{place}", "x"))]) for place in (3, 4)]
     for seed in range(200):
         chance = random.Random(seed)
-        agreements = {name: Agreement(1, names, name) for name in names}
+        agreements = {name: ConsensusInstance(1, names, name) for name in names}
         inbox: list[tuple[str, str, Body]] = []
         for name in names:
             for to, body in agreements[name].propose(chance.choice(values)):
@@ -555,7 +566,7 @@
                     [(name, one, body) for one in names if one != name] if to is None else [(name, to, body)]
                 )
         for name in chance.sample(names, 2):
-            for to, body in agreements[name].classic(1 + chance.randrange(3)):
+            for to, body in agreements[name].start_classic_round(1 + chance.randrange(3)):
                 inbox += (
                     [(name, one, body) for one in names if one != name] if to is None else [(name, to, body)]
                 )
@@ -565,7 +576,7 @@
             sender, to, body = inbox.pop(chance.randrange(len(inbox)))
             if chance.random() < 0.2:
                 continue  # lost
-            for again, sent in agreements[to].take(sender, body):
+            for again, sent in agreements[to].handle(sender, body):
                 targets = [one for one in names if one != to] if again is None else [again]
                 inbox += [(to, one, sent) for one in targets]
         decided = {one.decided for one in agreements.values() if one.decided is not None}
@@ -574,12 +585,12 @@
 
 def test_every_message_goes_through_the_codec_and_bad_packets_are_refused() -> None:
     member = Member("m1", "127.0.0.1:1", "z", "r", 7)
-    cut = proposal([Change(Kind.REMOVE, member), Change(Kind.FACT, fact=Fact("zone/z1", "out"))])
+    cut = proposal([Change(ChangeKind.REMOVE, member), Change(ChangeKind.FACT, fact=Fact("zone/z1", "out"))])
     news = (
         Alive("m1", 3),
         Suspect("m2", 1, "m1"),
         Alert(2, "m3", True, member),
-        Judgement(4, "m1", 3, Fact("zone/z1", "out")),
+        FactReport(4, "m1", 3, Fact("zone/z1", "out")),
     )
     view = View(3, (member, Member("m2", "127.0.0.1:2")), (Fact("zone/z1", "out"),))
     bodies: list[Body] = [
@@ -589,9 +600,9 @@
         Accept((3, "x"), cut),
         Accepted((3, "x"), cut),
         Vote(cut),
-        Ask(5),
+        StatusRequest(5),
         Ping(1, news),
-        PingReq(2, "m2", "127.0.0.1:2"),
+        PingRequest(2, "m2", "127.0.0.1:2"),
         Ack(1, "m2", 4, news),
         Nack(3),
         Join(member, True),
@@ -670,7 +681,7 @@
     monkeypatch.setattr(codec, "frame", encodes)
     host = f"127.{block.second}.0.1"
     plan = MembershipPlan((host, PORT), f"{host}:{PORT}", "z", "r", (f"{host}:{PORT}",))
-    fleet = Fleet(scheduler, plan, "m0", 1, lambda: now[0])
+    fleet = MembershipService(scheduler, plan, "m0", 1, lambda: now[0])
     view = View(1, tuple(Member(f"m{place:04}", "127.0.0.1:9", incarnation=1) for place in range(MANY)))
 
     def ask(first: int, past: int, reply: bool = True) -> None:
@@ -686,31 +697,31 @@
     ask(0, MANY)
     ask(0, 9)  # as soon again: a later one takes the place of one that waits
     rounds()
-    assert len(Taken.got) == MANY and len(encoded) == 1 and fleet._framed is None
-    assert 1 < Taken.most <= shell.FRAMES_OUT_MOST and Taken.open_now == 0
-    ask(0, shell.FRAMES_WAITING_MOST + 7)
-    assert shell.FRAMES_WAITING_MOST >= MANY and fleet.gauges()["members_frames_dropped"] == 7
-    now[0] += shell.FRAME_WITHIN + 0.1  # whoever asked has asked again since
+    assert len(Taken.got) == MANY and len(encoded) == 1 and fleet._last_encoded_frame is None
+    assert 1 < Taken.most <= shell.MAX_CONCURRENT_FRAMES_OUT and Taken.open_now == 0
+    ask(0, shell.MAX_QUEUED_FRAMES + 7)
+    assert shell.MAX_QUEUED_FRAMES >= MANY and fleet.gauges()["members_frames_dropped"] == 7
+    now[0] += shell.FRAME_TIMEOUT_S + 0.1  # whoever asked has asked again since
     rounds()
-    assert len(Taken.got) == MANY and fleet.gauges()["members_frames_aged"] == shell.FRAMES_WAITING_MOST
+    assert len(Taken.got) == MANY and fleet.gauges()["members_frames_aged"] == shell.MAX_QUEUED_FRAMES
     fleet.close()
     block.close()
 
 
 def asks(node: Node, now: float, name: str, address: str) -> None:
     member = Member(name, address, incarnation=1)
-    node.step(now, Got(Message(Envelope(name, 0), Join(member)), "x"))
+    node.step(now, MessageReceived(Message(Envelope(name, 0), Join(member)), "x"))
 
 
 def test_a_seed_is_heard_behind_more_askers_than_there_is_room_for_and_the_silent_make_room() -> None:
     seeds = ("127.0.0.1:7000", "127.0.0.1:7001", "127.0.0.1:7002")
     node = Node(Member("s0", seeds[0], incarnation=1), seeds, Settings(), random.Random(1), 0.0)
-    for place in range(JOINERS_MOST + 10):
+    for place in range(MAX_JOINERS + 10):
         asks(node, 0.5, f"x{place}", "127.0.0.1:9")
-    held = node.joining._viewless
-    assert JOINERS_MOST >= MANY and len(held) == JOINERS_MOST and node.counts["joins_refused"] == 10
+    held = node.joining._members_without_view
+    assert MAX_JOINERS >= MANY and len(held) == MAX_JOINERS and node.counters["joins_refused"] == 10
     asks(node, 1.0, "s1", seeds[1])
-    assert "s1" in held and len(held) == JOINERS_MOST and "x0" not in held
+    assert "s1" in held and len(held) == MAX_JOINERS and "x0" not in held
     asks(node, 1.0, "late", "127.0.0.1:9")
     assert "late" not in held  # all others asked just now
     asks(node, 4.0, "late", "127.0.0.1:9")  # but the seed, all were silent for long
@@ -721,23 +732,23 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     judged: list[str] = []
-    stable = Reports._stable
+    stable = CutDetector._stable_changes
 
-    def counted(reports: Reports, gone: set[str]) -> list[Change]:
-        judged.append(reports._roster.me.name)
+    def counted(reports: CutDetector, gone: set[str]) -> list[Change]:
+        judged.append(reports._member_table.local_member.name)
         return stable(reports, gone)
 
-    monkeypatch.setattr(Reports, "_stable", counted)
+    monkeypatch.setattr(CutDetector, "_stable_changes", counted)
     net = started(20)
     net.kill("m3")
     net.run(net.now + 1.5)
-    doubting = [name for name, node in net.nodes.items() if name != "m3" and node.suspicions.held]
+    doubting = [name for name, node in net.nodes.items() if name != "m3" and node.suspicions.by_name]
     assert len(doubting) > 10
     judged.clear()
     for place in range(40):
         net.add(f"x{place}")
     net.run(net.now + 0.4)  # less than a period: they gather
-    reported = [len(net.nodes[name].reports.alerts) for name in doubting]
+    reported = [len(net.nodes[name].cut_detector.alerts) for name in doubting]
     assert min(reported) >= 40 and judged == []
     net.run(net.now + 20.0)
     views = set(net.views().values())
--- a/tests/test_session_router.py
+++ b/tests/test_session_router.py
@@ -85,8 +85,8 @@
             clock=clock,
         )
         self.fleet = SimpleNamespace(
-            me=name,
-            node=SimpleNamespace(me=SimpleNamespace(incarnation=1)),
+            node_name=name,
+            node=SimpleNamespace(local_member=SimpleNamespace(incarnation=1)),
             view=view,
             on_view=self.on_view,
             leave=self.leave,
