--- a/sablewheel/experiments/membership_model.py
+++ b/sablewheel/experiments/membership_model.py
@@ -32,15 +32,15 @@
 class Deaf(Node):
     """Broken on purpose: hears of a refutation, and goes on suspecting and reporting."""
 
-    def _handle_alive(self, now: float, name: str, incarnation: int) -> None:
+    def handle_alive(self, now: float, name: str, incarnation: int) -> None:
         suspicions = dict(self.suspicions.by_name)
         alerts = {key: dict(those) for key, those in self.cut_detector.alerts.items()}
-        super()._handle_alive(now, name, incarnation)
+        super().handle_alive(now, name, incarnation)
         self.suspicions.by_name, self.cut_detector.alerts = suspicions, alerts
 
-    def _handle_alert(self, now: float, alert: Alert) -> None:
+    def handle_alert(self, now: float, alert: Alert) -> None:
         held = self.member_table.raised_incarnations.pop(alert.member.name, None)
-        super()._handle_alert(now, alert)
+        super().handle_alert(now, alert)
         if held is not None:
             self.member_table.raised_incarnations[alert.member.name] = held
 
--- a/sablewheel/membership/codec.py
+++ b/sablewheel/membership/codec.py
@@ -1,29 +1,24 @@
-"""Membership's messages as datagrams or frames (protobuf, `membership.proto`), bounded and checked coming in.
+"""Encodes membership messages as datagrams and frames (protobuf, `membership.proto`), bounded and checked.
 
-A packet that is too large, of another version, garbled or foreign raises `BadPacketError` with what was
-wrong; the shell counts it and drops it, and nothing else happens.
+A packet that is too large, of another version, malformed or foreign raises `BadPacketError` with the reason.
 """
 
 from __future__ import annotations
 
 import struct
+from collections.abc import Callable
+from typing import Any
 
 from google.protobuf.message import DecodeError
 
 from . import membership_pb2 as pb
 from .messages import (
-    FAST_BALLOT,
     Accept,
     Accepted,
     Ack,
-    Alert,
-    Alive,
-    Ballot,
     Body,
     Digest,
     Envelope,
-    FactReport,
-    GossipUpdate,
     Join,
     Leave,
     MemberState,
@@ -35,104 +30,85 @@
     Promise,
     StatusReply,
     StatusRequest,
-    Suspect,
     Sync,
     Vote,
     Votes,
 )
-from .view import Change, ChangeKind, Fact, Member, Proposal, View, proposal
+from .value_codec import (
+    MAX_NAME_CHARACTERS,
+    BadPacketError,
+    decode_ballot,
+    decode_member,
+    decode_name,
+    decode_proposal,
+    decode_update,
+    decode_view,
+    encode_ballot,
+    encode_member,
+    encode_proposal,
+    encode_update,
+    encode_view,
+)
+
+__all__ = [
+    "FRAME_LENGTH",
+    "MAX_FRAME_BYTES",
+    "MAX_NAME_CHARACTERS",
+    "MAX_PACKET_BYTES",
+    "BadPacketError",
+    "decode",
+    "encode",
+    "encode_frame",
+    "frame_length",
+]
 
 VERSION = 1
 MAX_PACKET_BYTES = 60_000  # under a UDP datagram's 65,507 bytes on IPv4
-MAX_NAME_CHARACTERS = 128
-MAX_FRAME_BYTES = (
-    4 << 20
-)  # full state over TCP; about 40,000 members that say nothing, 1,700 that say the most
+MAX_FRAME_BYTES = 4 << 20  # full state over TCP: 40,000 members without metadata, 1,700 with the most
+MAX_DIGEST_BYTES = 32
 FRAME_LENGTH = struct.Struct(">I")
 
 
-class BadPacketError(ValueError):
-    """Not one of ours, or not whole; the reason is its text."""
+def encode(message: Message, max_bytes: int = MAX_PACKET_BYTES) -> bytes:
+    """Encode a message.
 
-
-def encode(message: Message, most: int = MAX_PACKET_BYTES) -> bytes:
+    Raises:
+        BadPacketError: The packet is larger than `max_bytes`.
+    """
     packet = pb.Packet(version=VERSION, sender=message.envelope.sender, epoch=message.envelope.epoch)
-    body = message.body
-    match body:
-        case Ping(seq, news):
-            packet.ping.seq = seq
-            packet.ping.news.extend(_news_out(one) for one in news)
-        case PingRequest(seq, target, address):
-            packet.ping_req.CopyFrom(pb.PingReq(seq=seq, target=target, address=address))
-        case Ack(seq, of, incarnation, news):
-            packet.ack.CopyFrom(pb.Ack(seq=seq, of=of, incarnation=incarnation))
-            packet.ack.news.extend(_news_out(one) for one in news)
-        case Nack(seq):
-            packet.nack.seq = seq
-        case Join(member, relayed):
-            packet.join.CopyFrom(pb.Join(member=_member_out(member), relayed=relayed))
-        case Leave(member):
-            packet.leave.member.CopyFrom(_member_out(member))
-        case Sync(view, incarnations, reply):
-            packet.sync.reply = reply
-            packet.sync.has_view = view is not None
-            if view is not None:
-                packet.sync.view.CopyFrom(_view_out(view))
-            packet.sync.incarnations.extend(pb.Incarnation(name=n, incarnation=i) for n, i in incarnations)
-        case Vote(cut):
-            packet.vote.proposal.CopyFrom(_proposal_out(cut))
-        case Prepare(ballot):
-            packet.prepare.ballot.CopyFrom(_ballot_out(ballot))
-        case Promise(ballot, voted, value):
-            packet.promise.ballot.CopyFrom(_ballot_out(ballot))
-            packet.promise.voted.CopyFrom(_ballot_out(voted))
-            packet.promise.has_value = value is not None
-            if value is not None:
-                packet.promise.value.CopyFrom(_proposal_out(value))
-        case Accept(ballot, value):
-            packet.accept.CopyFrom(pb.Accept(ballot=_ballot_out(ballot), value=_proposal_out(value)))
-        case Accepted(ballot, value):
-            packet.accepted.CopyFrom(pb.Accepted(ballot=_ballot_out(ballot), value=_proposal_out(value)))
-        case StatusRequest(nonce):
-            packet.ask.nonce = nonce
-        case Votes(tallies):
-            for cut, bits in tallies:
-                tally = packet.votes.tallies.add()
-                tally.proposal.CopyFrom(_proposal_out(cut))
-                tally.voters = bits.to_bytes((bits.bit_length() + 7) // 8, "little")
-        case Digest(value):
-            packet.digest.value = value
-        case StatusReply(view, states, health, counts):
-            packet.told.CopyFrom(pb.Told(has_view=view is not None, health=health))
-            if view is not None:
-                packet.told.view.CopyFrom(_view_out(view))
-            packet.told.states.extend(
-                pb.MemberState(name=s.name, state=s.state, for_s=s.in_view_s, incarnation=s.incarnation)
-                for s in states
-            )
-            packet.told.counts.extend(pb.Count(name=name, count=count) for name, count in counts)
+    _ENCODERS[type(message.body)](packet, message.body)
     data = packet.SerializeToString()
-    if len(data) > most:
-        raise BadPacketError(f"{len(data)} bytes, over {most}")
+    if len(data) > max_bytes:
+        raise BadPacketError(f"{len(data)} bytes, over {max_bytes}")
     return data
 
 
-def frame(message: Message) -> bytes:
-    """For TCP: the length in four bytes, then the packet."""
+def encode_frame(message: Message) -> bytes:
+    """Encode a message for TCP: the length in four bytes, then the packet."""
     data = encode(message, MAX_FRAME_BYTES)
     return FRAME_LENGTH.pack(len(data)) + data
 
 
-def frame_length(head: bytes) -> int:
-    length = int(FRAME_LENGTH.unpack(head)[0])
+def frame_length(header: bytes) -> int:
+    """Return the length of the packet that follows a frame's header.
+
+    Raises:
+        BadPacketError: The frame is too large.
+    """
+    length = int(FRAME_LENGTH.unpack(header)[0])
     if length > MAX_FRAME_BYTES:
         raise BadPacketError(f"a frame of {length} bytes, over {MAX_FRAME_BYTES}")
     return length
 
 
-def decode(data: bytes, most: int = MAX_PACKET_BYTES) -> Message:
-    if len(data) > most:
-        raise BadPacketError(f"{len(data)} bytes, over {most}")
+def decode(data: bytes, max_bytes: int = MAX_PACKET_BYTES) -> Message:
+    """Decode a packet.
+
+    Raises:
+        BadPacketError: The packet is too large, of another version, malformed or out of bounds.
+    """
+    if len(data) > max_bytes:
+        raise BadPacketError(f"{len(data)} bytes, over {max_bytes}")
     packet = pb.Packet()
     try:
         packet.ParseFromString(data)
@@ -140,165 +116,226 @@
         raise BadPacketError(f"garbled: {error}") from None
     if packet.version != VERSION:
         raise BadPacketError(f"version {packet.version}, this member speaks {VERSION}")
-    which = packet.WhichOneof("body")
-    if which is None:
+    body_name = packet.WhichOneof("body")
+    if body_name is None:
         raise BadPacketError("no body")
-    _name(packet.sender, "sender")
-    envelope = Envelope(packet.sender, packet.epoch)
-    return Message(envelope, _body(packet, which))
-
-
-def _body(packet: pb.Packet, which: str) -> Body:
-    match which:
-        case "ping":
-            return Ping(packet.ping.seq, tuple(_news_in(one) for one in packet.ping.news))
-        case "ping_req":
-            one = packet.ping_req
-            return PingRequest(one.seq, _name(one.target, "target"), one.address)
-        case "ack":
-            ack = packet.ack
-            news = tuple(_news_in(one) for one in ack.news)
-            return Ack(ack.seq, _name(ack.of, "of"), ack.incarnation, news)
-        case "nack":
-            return Nack(packet.nack.seq)
-        case "join":
-            return Join(_member_in(packet.join.member), packet.join.relayed)
-        case "leave":
-            return Leave(_member_in(packet.leave.member))
-        case "sync":
-            sync = packet.sync
-            view = _view_in(sync.view) if sync.has_view else None
-            pairs = tuple((_name(one.name, "name"), one.incarnation) for one in sync.incarnations)
-            return Sync(view, pairs, sync.reply)
-        case "vote":
-            return Vote(_proposal_in(packet.vote.proposal))
-        case "prepare":
-            return Prepare(_ballot_in(packet.prepare.ballot))
-        case "promise":
-            promise = packet.promise
-            value = _proposal_in(promise.value) if promise.has_value else None
-            return Promise(_ballot_in(promise.ballot), _ballot_in(promise.voted), value)
-        case "accept":
-            return Accept(_ballot_in(packet.accept.ballot), _proposal_in(packet.accept.value))
-        case "accepted":
-            return Accepted(_ballot_in(packet.accepted.ballot), _proposal_in(packet.accepted.value))
-        case "ask":
-            return StatusRequest(packet.ask.nonce)
-        case "votes":
-            return Votes(
-                tuple(
-                    (_proposal_in(one.proposal), int.from_bytes(one.voters, "little"))
-                    for one in packet.votes.tallies
-                )
-            )
-        case "digest":
-            if len(packet.digest.value) > 32:
-                raise BadPacketError("digest: at most 32 bytes are wanted")
-            return Digest(packet.digest.value)
-        case "told":
-            told = packet.told
-            states = tuple(MemberState(s.name, s.state, s.for_s, s.incarnation) for s in told.states)
-            counts = tuple((one.name, one.count) for one in told.counts)
-            return StatusReply(_view_in(told.view) if told.has_view else None, states, told.health, counts)
-    raise BadPacketError(f"unknown body {which}")
-
-
-def _name(text: str, field: str) -> str:
-    if not text or len(text) > MAX_NAME_CHARACTERS:
-        raise BadPacketError(f"{field}: a name of 1 to {MAX_NAME_CHARACTERS} characters is wanted")
-    return text
-
-
-def _member_out(member: Member) -> pb.Member:
-    return pb.Member(
-        name=member.name,
-        address=member.address,
-        zone=member.zone,
-        region=member.region,
-        incarnation=member.incarnation,
-        says=[pb.Said(key=key, value=value) for key, value in member.metadata],
+    sender = decode_name(packet.sender, "sender")
+    body = _DECODERS[body_name](getattr(packet, body_name))
+    return Message(Envelope(sender, packet.epoch), body)
+
+
+# -- encoders: each sets its body in the packet
+
+
+def _encode_ping(packet: pb.Packet, body: Ping) -> None:
+    packet.ping.seq = body.sequence
+    packet.ping.news.extend(encode_update(update) for update in body.updates)
+
+
+def _encode_ping_request(packet: pb.Packet, body: PingRequest) -> None:
+    encoded = pb.PingReq(seq=body.sequence, target=body.target, address=body.address)
+    packet.ping_req.CopyFrom(encoded)
+
+
+def _encode_ack(packet: pb.Packet, body: Ack) -> None:
+    packet.ack.CopyFrom(pb.Ack(seq=body.sequence, of=body.target, incarnation=body.incarnation))
+    packet.ack.news.extend(encode_update(update) for update in body.updates)
+
+
+def _encode_nack(packet: pb.Packet, body: Nack) -> None:
+    packet.nack.seq = body.sequence
+
+
+def _encode_join(packet: pb.Packet, body: Join) -> None:
+    packet.join.CopyFrom(pb.Join(member=encode_member(body.member), relayed=body.is_relayed))
+
+
+def _encode_leave(packet: pb.Packet, body: Leave) -> None:
+    packet.leave.member.CopyFrom(encode_member(body.member))
+
+
+def _encode_sync(packet: pb.Packet, body: Sync) -> None:
+    packet.sync.reply = body.is_reply
+    packet.sync.has_view = body.view is not None
+    if body.view is not None:
+        packet.sync.view.CopyFrom(encode_view(body.view))
+    packet.sync.incarnations.extend(
+        pb.Incarnation(name=name, incarnation=incarnation) for name, incarnation in body.incarnations
     )
 
 
-def _member_in(one: pb.Member) -> Member:
-    says = tuple((said.key, said.value) for said in one.says)
-    try:
-        return Member(_name(one.name, "member"), one.address, one.zone, one.region, one.incarnation, says)
-    except ValueError as error:
-        raise BadPacketError(f"member: {error}") from None
+def _encode_vote(packet: pb.Packet, body: Vote) -> None:
+    packet.vote.proposal.CopyFrom(encode_proposal(body.proposal))
 
 
-def _view_out(view: View) -> pb.View:
-    facts = [pb.Fact(key=one.key, value=one.value) for one in view.facts]
-    return pb.View(epoch=view.epoch, members=[_member_out(one) for one in view.members], facts=facts)
+def _encode_votes(packet: pb.Packet, body: Votes) -> None:
+    for proposal, voters in body.tallies:
+        tally = packet.votes.tallies.add()
+        tally.proposal.CopyFrom(encode_proposal(proposal))
+        tally.voters = voters.to_bytes((voters.bit_length() + 7) // 8, "little")
 
 
-def _view_in(one: pb.View) -> View:
-    try:
-        facts = tuple(_fact_in(fact) for fact in one.facts)
-        return View(one.epoch, tuple(_member_in(member) for member in one.members), facts)
-    except ValueError as error:
-        raise BadPacketError(f"view: {error}") from None
+def _encode_prepare(packet: pb.Packet, body: Prepare) -> None:
+    packet.prepare.ballot.CopyFrom(encode_ballot(body.ballot))
+
+
+def _encode_promise(packet: pb.Packet, body: Promise) -> None:
+    packet.promise.ballot.CopyFrom(encode_ballot(body.ballot))
+    packet.promise.voted.CopyFrom(encode_ballot(body.accepted_ballot))
+    packet.promise.has_value = body.value is not None
+    if body.value is not None:
+        packet.promise.value.CopyFrom(encode_proposal(body.value))
+
+
+def _encode_accept(packet: pb.Packet, body: Accept) -> None:
+    ballot, value = encode_ballot(body.ballot), encode_proposal(body.value)
+    packet.accept.CopyFrom(pb.Accept(ballot=ballot, value=value))
 
 
-def _proposal_out(cut: Proposal) -> pb.Proposal:
-    return pb.Proposal(changes=[_change_out(one) for one in cut])
+def _encode_accepted(packet: pb.Packet, body: Accepted) -> None:
+    ballot, value = encode_ballot(body.ballot), encode_proposal(body.value)
+    packet.accepted.CopyFrom(pb.Accepted(ballot=ballot, value=value))
 
 
-def _change_out(one: Change) -> pb.Change:
-    if one.kind is ChangeKind.FACT:
-        return pb.Change(fact=pb.Fact(key=one.fact.key, value=one.fact.value))
-    return pb.Change(join=one.kind is ChangeKind.JOIN, member=_member_out(one.member))
+def _encode_status_request(packet: pb.Packet, body: StatusRequest) -> None:
+    packet.ask.nonce = body.nonce
 
 
-def _change_in(one: pb.Change) -> Change:
-    if one.HasField("fact"):
-        return Change(ChangeKind.FACT, fact=_fact_in(one.fact))
-    return Change(ChangeKind.JOIN if one.join else ChangeKind.REMOVE, _member_in(one.member))
+def _encode_status_reply(packet: pb.Packet, body: StatusReply) -> None:
+    packet.told.CopyFrom(pb.Told(has_view=body.view is not None, health=body.health_score))
+    if body.view is not None:
+        packet.told.view.CopyFrom(encode_view(body.view))
+    packet.told.states.extend(
+        pb.MemberState(
+            name=state.name, state=state.state, for_s=state.in_view_s, incarnation=state.incarnation
+        )
+        for state in body.states
+    )
+    packet.told.counts.extend(pb.Count(name=name, count=count) for name, count in body.counters)
+
+
+def _encode_digest(packet: pb.Packet, body: Digest) -> None:
+    packet.digest.value = body.value
+
+
+_ENCODERS: dict[type[Body], Callable[[pb.Packet, Any], None]] = {
+    Ping: _encode_ping,
+    PingRequest: _encode_ping_request,
+    Ack: _encode_ack,
+    Nack: _encode_nack,
+    Join: _encode_join,
+    Leave: _encode_leave,
+    Sync: _encode_sync,
+    Vote: _encode_vote,
+    Votes: _encode_votes,
+    Prepare: _encode_prepare,
+    Promise: _encode_promise,
+    Accept: _encode_accept,
+    Accepted: _encode_accepted,
+    StatusRequest: _encode_status_request,
+    StatusReply: _encode_status_reply,
+    Digest: _encode_digest,
+}
+
+
+# -- decoders: each takes its body of the packet
 
 
-def _fact_in(one: pb.Fact) -> Fact:
-    if len(one.value) > MAX_NAME_CHARACTERS:
-        raise BadPacketError(f"fact: a value of at most {MAX_NAME_CHARACTERS} characters is wanted")
-    return Fact(_name(one.key, "fact"), one.value)
+def _decode_ping(encoded: pb.Ping) -> Body:
+    return Ping(encoded.seq, tuple(decode_update(update) for update in encoded.news))
 
 
-def _proposal_in(one: pb.Proposal) -> Proposal:
-    return proposal([_change_in(change) for change in one.changes])
+def _decode_ping_request(encoded: pb.PingReq) -> Body:
+    return PingRequest(encoded.seq, decode_name(encoded.target, "target"), encoded.address)
 
 
-def _ballot_out(ballot: Ballot) -> pb.Ballot:
-    return pb.Ballot(round=ballot[0], by=ballot[1])
+def _decode_ack(encoded: pb.Ack) -> Body:
+    updates = tuple(decode_update(update) for update in encoded.news)
+    return Ack(encoded.seq, decode_name(encoded.of, "of"), encoded.incarnation, updates)
 
 
-def _ballot_in(one: pb.Ballot) -> Ballot:
-    return (one.round, one.by) if one.round else FAST_BALLOT
+def _decode_nack(encoded: pb.Nack) -> Body:
+    return Nack(encoded.seq)
 
 
-def _news_out(item: GossipUpdate) -> pb.News:
-    match item:
-        case Alive(name, incarnation):
-            return pb.News(alive=pb.Alive(name=name, incarnation=incarnation))
-        case Suspect(name, incarnation, by):
-            return pb.News(suspect=pb.Suspect(name=name, incarnation=incarnation, by=by))
-        case FactReport(epoch, by, turn, fact):
-            told = pb.Fact(key=fact.key, value=fact.value)
-            return pb.News(judgement=pb.Judgement(epoch=epoch, by=by, turn=turn, fact=told))
-        case Alert(epoch, by, join, member):
-            return pb.News(alert=pb.Alert(epoch=epoch, by=by, join=join, member=_member_out(member)))
+def _decode_join(encoded: pb.Join) -> Body:
+    return Join(decode_member(encoded.member), encoded.relayed)
 
 
-def _news_in(one: pb.News) -> GossipUpdate:
-    match one.WhichOneof("item"):
-        case "alive":
-            return Alive(_name(one.alive.name, "alive"), one.alive.incarnation)
-        case "suspect":
-            sus = one.suspect
-            return Suspect(_name(sus.name, "suspect"), sus.incarnation, _name(sus.by, "by"))
-        case "judgement":
-            said = one.judgement
-            return FactReport(said.epoch, _name(said.by, "by"), said.turn, _fact_in(said.fact))
-        case "alert":
-            alert = one.alert
-            return Alert(alert.epoch, _name(alert.by, "by"), alert.join, _member_in(alert.member))
-    raise BadPacketError("news without an item")
+def _decode_leave(encoded: pb.Leave) -> Body:
+    return Leave(decode_member(encoded.member))
+
+
+def _decode_sync(encoded: pb.Sync) -> Body:
+    view = decode_view(encoded.view) if encoded.has_view else None
+    incarnations = tuple((decode_name(one.name, "name"), one.incarnation) for one in encoded.incarnations)
+    return Sync(view, incarnations, encoded.reply)
+
+
+def _decode_vote(encoded: pb.Vote) -> Body:
+    return Vote(decode_proposal(encoded.proposal))
+
+
+def _decode_votes(encoded: pb.Votes) -> Body:
+    return Votes(
+        tuple(
+            (decode_proposal(tally.proposal), int.from_bytes(tally.voters, "little"))
+            for tally in encoded.tallies
+        )
+    )
+
+
+def _decode_prepare(encoded: pb.Prepare) -> Body:
+    return Prepare(decode_ballot(encoded.ballot))
+
+
+def _decode_promise(encoded: pb.Promise) -> Body:
+    value = decode_proposal(encoded.value) if encoded.has_value else None
+    return Promise(decode_ballot(encoded.ballot), decode_ballot(encoded.voted), value)
+
+
+def _decode_accept(encoded: pb.Accept) -> Body:
+    return Accept(decode_ballot(encoded.ballot), decode_proposal(encoded.value))
+
+
+def _decode_accepted(encoded: pb.Accepted) -> Body:
+    return Accepted(decode_ballot(encoded.ballot), decode_proposal(encoded.value))
+
+
+def _decode_status_request(encoded: pb.Ask) -> Body:
+    return StatusRequest(encoded.nonce)
+
+
+def _decode_status_reply(encoded: pb.Told) -> Body:
+    view = decode_view(encoded.view) if encoded.has_view else None
+    states = tuple(
+        MemberState(state.name, state.state, state.for_s, state.incarnation) for state in encoded.states
+    )
+    counters = tuple((counter.name, counter.count) for counter in encoded.counts)
+    return StatusReply(view, states, encoded.health, counters)
+
+
+def _decode_digest(encoded: pb.Digest) -> Body:
+    if len(encoded.value) > MAX_DIGEST_BYTES:
+        raise BadPacketError(f"digest: at most {MAX_DIGEST_BYTES} bytes are wanted")
+    return Digest(encoded.value)
+
+
+_DECODERS: dict[str, Callable[[Any], Body]] = {
+    "ping": _decode_ping,
+    "ping_req": _decode_ping_request,
+    "ack": _decode_ack,
+    "nack": _decode_nack,
+    "join": _decode_join,
+    "leave": _decode_leave,
+    "sync": _decode_sync,
+    "vote": _decode_vote,
+    "votes": _decode_votes,
+    "prepare": _decode_prepare,
+    "promise": _decode_promise,
+    "accept": _decode_accept,
+    "accepted": _decode_accepted,
+    "ask": _decode_status_request,
+    "told": _decode_status_reply,
+    "digest": _decode_digest,
+}
--- a/sablewheel/membership/consensus.py
+++ b/sablewheel/membership/consensus.py
@@ -1,11 +1,10 @@
-"""Agreement on the next view: Fast Paxos for one epoch, and classic rounds when the fast one decides nothing.
-
-Pure: messages in, messages out. In the fast round every member votes for its own proposal; a proposal with
-a fast quorum (n - (n-1)//4 of n) is decided in one step, as in Rapid, since members that saw the same
-reports hold equal proposals. Otherwise a coordinator runs classic rounds with majority quorums; it picks the
-value that a fast quorum may have chosen (one with F + Q - n votes among Q promises can be the only one), so
-that two members never decide two views at one epoch. With no majority reachable nothing is decided and the
-view stands.
+"""Consensus on the next view: Fast Paxos for one epoch, with classic rounds when the fast round fails.
+
+Pure: messages in, messages out. In the fast round every member votes for its own proposal; a proposal with a
+fast quorum (n - (n-1)//4 of n) is decided in one step, as in Rapid, since members that saw the same alerts
+hold equal proposals. Otherwise a coordinator runs classic rounds with majority quorums. It picks the value
+that a fast quorum may have chosen (only one can have F + Q - n votes among Q promises), so that two members
+never decide two views at one epoch. Without a reachable majority nothing is decided and the view stands.
 """
 
 from __future__ import annotations
@@ -20,48 +19,55 @@
 
 
 class ConsensusInstance:
-    """One epoch's decision; `acceptors` are the members of the view at that epoch."""
+    """The decision of one epoch; `acceptors` are the members of its view."""
 
     def __init__(
-        self, epoch: int, acceptors: tuple[str, ...], me: str, places: Mapping[str, int] | None = None
+        self,
+        epoch: int,
+        acceptors: tuple[str, ...],
+        node_name: str,
+        positions: Mapping[str, int] | None = None,
     ) -> None:
-        self.epoch, self.acceptors, self.node_name = epoch, acceptors, me
-        self._positions = places or {name: place for place, name in enumerate(acceptors)}
-        n = len(acceptors)
-        self.fast_quorum = n - (n - 1) // 4
-        self.classic_quorum = n // 2 + 1
-        self.votes: dict[Proposal, int] = {}  # who voted for each in the fast round, a bit an acceptor
+        self.epoch, self.acceptors, self.node_name = epoch, acceptors, node_name
+        self._positions = positions or {name: position for position, name in enumerate(acceptors)}
+        acceptor_count = len(acceptors)
+        self.fast_quorum = acceptor_count - (acceptor_count - 1) // 4
+        self.classic_quorum = acceptor_count // 2 + 1
+        self.votes: dict[Proposal, int] = {}  # of the fast round: a bit mask of acceptors
         self.promised_ballot: Ballot = FAST_BALLOT
         self.accepted_ballot: Ballot = FAST_BALLOT
         self.accepted_value: Proposal | None = None
         self.accepted_by_ballot: dict[Ballot, dict[str, Proposal]] = {}
-        self.own_ballot: Ballot | None = None  # mine, as coordinator
+        self.own_ballot: Ballot | None = None  # as coordinator
         self.promises: dict[str, tuple[Ballot, Proposal | None]] = {}
         self.accept_sent = False
         self.decided: Proposal | None = None
         self.own_proposal: Proposal | None = None
 
     def propose(self, proposal: Proposal) -> list[OutgoingMessage]:
-        """My fast vote, once, and only while I have promised no classic round."""
+        """Cast the fast vote, once, and only before a classic round is promised."""
         if self.own_proposal is None:
             self.own_proposal = proposal
         if self.node_name not in self._positions or self.has_voted or self.promised_ballot != FAST_BALLOT:
             return []
         self.accepted_ballot, self.accepted_value = FAST_BALLOT, proposal
-        return [(None, Vote(proposal)), *self.handle(self.node_name, Vote(proposal))]
+        return self._broadcast(Vote(proposal))
 
     @property
     def has_voted(self) -> bool:
         """Whether this member's fast vote is cast."""
-        place = self._positions.get(self.node_name)
-        return place is not None and any(bits >> place & 1 for bits in self.votes.values())
-
-    def merge_votes(self, proposal: Proposal, bits: int) -> bool:
-        """Fast votes for a proposal, heard of; whether any was news. Each acceptor's first counts alone."""
-        known = 0
-        for held in self.votes.values():
-            known |= held
-        new = bits & ~known & ((1 << len(self.acceptors)) - 1)
+        position = self._positions.get(self.node_name)
+        return position is not None and any(voters >> position & 1 for voters in self.votes.values())
+
+    def merge_votes(self, proposal: Proposal, voters: int) -> bool:
+        """Add fast votes, a bit mask of acceptors; return whether any was new.
+
+        Only the first vote of each acceptor counts.
+        """
+        counted = 0
+        for known_voters in self.votes.values():
+            counted |= known_voters
+        new = voters & ~counted & ((1 << len(self.acceptors)) - 1)
         if not new:
             return False
         self.votes[proposal] = self.votes.get(proposal, 0) | new
@@ -70,7 +76,7 @@
         return True
 
     def handle(self, sender: str, body: Body) -> list[OutgoingMessage]:
-        """A message of this epoch from `sender`; what to send because of it."""
+        """Handle a message of this epoch and return what to send in response."""
         if sender not in self._positions or self.decided is not None:
             return []
         match body:
@@ -79,49 +85,54 @@
             case Prepare(ballot) if ballot > self.promised_ballot:
                 self.promised_ballot = ballot
                 return self._reply(sender, Promise(ballot, self.accepted_ballot, self.accepted_value))
-            case Promise(ballot, voted, value) if ballot == self.own_ballot and not self.accept_sent:
-                self.promises[sender] = (voted, value)
-                if len(self.promises) >= self.classic_quorum and (chosen := self._safe_value()) is not None:
-                    self.accept_sent = True
-                    return [
-                        (None, Accept(ballot, chosen)),
-                        *self.handle(self.node_name, Accept(ballot, chosen)),
-                    ]
+            case Promise() if body.ballot == self.own_ballot and not self.accept_sent:
+                return self._handle_promise(sender, body)
             case Accept(ballot, value) if ballot >= self.promised_ballot:
                 self.promised_ballot = self.accepted_ballot = ballot
                 self.accepted_value = value
-                return [
-                    (None, Accepted(ballot, value)),
-                    *self.handle(self.node_name, Accepted(ballot, value)),
-                ]
+                return self._broadcast(Accepted(ballot, value))
             case Accepted(ballot, value):
-                those = self.accepted_by_ballot.setdefault(ballot, {})
-                those[sender] = value
-                if len(those) >= self.classic_quorum:
+                by_acceptor = self.accepted_by_ballot.setdefault(ballot, {})
+                by_acceptor[sender] = value
+                if len(by_acceptor) >= self.classic_quorum:
                     self.decided = value
         return []
 
-    def start_classic_round(self, round_: int) -> list[OutgoingMessage]:
-        """Coordinate a classic round above any seen; my own promise is taken at once."""
-        round_ = max(round_, self.promised_ballot[0] + 1)
-        self.own_ballot, self.promises, self.accept_sent = (round_, self.node_name), {}, False
-        return [(None, Prepare(self.own_ballot)), *self.handle(self.node_name, Prepare(self.own_ballot))]
+    def start_classic_round(self, min_round: int) -> list[OutgoingMessage]:
+        """Coordinate a classic round above any seen."""
+        round_number = max(min_round, self.promised_ballot[0] + 1)
+        self.own_ballot, self.promises, self.accept_sent = (round_number, self.node_name), {}, False
+        return self._broadcast(Prepare(self.own_ballot))
+
+    def _handle_promise(self, sender: str, promise: Promise) -> list[OutgoingMessage]:
+        self.promises[sender] = (promise.accepted_ballot, promise.value)
+        if len(self.promises) < self.classic_quorum:
+            return []
+        value = self._safe_value()
+        if value is None:
+            return []
+        self.accept_sent = True
+        return self._broadcast(Accept(promise.ballot, value))
+
+    def _broadcast(self, body: Body) -> list[OutgoingMessage]:
+        """Return a message to all and this member's own responses to it."""
+        return [(None, body), *self.handle(self.node_name, body)]
 
-    def _reply(self, sender: str, body: Body) -> list[OutgoingMessage]:
+    def _reply(self, sender: str, promise: Promise) -> list[OutgoingMessage]:
         if sender == self.node_name:
-            return self.handle(self.node_name, body) if isinstance(body, Promise) else []
-        return [(sender, body)]
+            return self.handle(self.node_name, promise)
+        return [(sender, promise)]
 
     def _safe_value(self) -> Proposal | None:
-        """A value that no earlier decision can contradict."""
+        """Return a value that contradicts no earlier decision."""
         classic = [
-            (voted, value) for voted, value in self.promises.values() if voted != FAST_BALLOT and value
+            (ballot, value) for ballot, value in self.promises.values() if ballot != FAST_BALLOT and value
         ]
         if classic:
-            return max(classic, key=lambda one: one[0])[1]  # of one ballot there is one value
-        fast = Counter(value for voted, value in self.promises.values() if value is not None)
+            return max(classic, key=lambda accepted: accepted[0])[1]  # there is one value per ballot
+        fast = Counter(value for _, value in self.promises.values() if value is not None)
         if fast:
-            # One with F + Q - n votes here is the most voted for, since any other has n - F at most: so the
-            # most voted for keeps a fast decision, and where there was none any value will do.
-            return min(fast.items(), key=lambda item: (-item[1], repr(item[0])))[0]
+            # A value with F + Q - n votes here has the most, since any other has n - F at most: so the one
+            # with the most votes keeps a fast decision, and where there was none any value will do.
+            return min(fast.items(), key=lambda counted: (-counted[1], repr(counted[0])))[0]
         return self.own_proposal
--- a/sablewheel/membership/events.py
+++ b/sablewheel/membership/events.py
@@ -1,4 +1,4 @@
-"""What happens to a member, and what it wants done: events and effects of `Node.step`, as plain values."""
+"""Events and effects of `Node.step`, as plain values."""
 
 from __future__ import annotations
 
@@ -10,13 +10,15 @@
 
 @dataclass(frozen=True)
 class Send:
+    """Send a message to an address."""
+
     address: str
     message: Message
 
 
 @dataclass(frozen=True)
 class LogLine:
-    """One structured log line: what was decided, with its evidence."""
+    """Write a structured log line."""
 
     message: str
     fields: dict[str, object]
@@ -24,19 +26,19 @@
 
 @dataclass(frozen=True)
 class ViewInstalled:
-    """This view was installed: each is told once, in their order."""
+    """Announce a view that was installed; each view once, in order."""
 
     view: View
 
 
 @dataclass(frozen=True)
 class TimerFired:
-    """Timers: the shell calls at `Node.wake_at` or sooner."""
+    """The time `Node.next_wakeup` has come, or an earlier one."""
 
 
 @dataclass(frozen=True)
 class MessageReceived:
-    """A message came from `address`, the packet's source; used only for who is not known yet."""
+    """A message arrived; `source_address`, the packet's source, is used for unknown senders only."""
 
     message: Message
     source_address: str = ""
@@ -44,12 +46,12 @@
 
 @dataclass(frozen=True)
 class LeaveRequested:
-    """SIGTERM: say so to all, then stop."""
+    """The process is asked to shut down: announce the leave to all members."""
 
 
 @dataclass(frozen=True)
 class FactReported:
-    """What this member holds to be due of a fact; the fleet's value is `View.fact`."""
+    """This member's own value of a fact; the fleet's value is `View.fact`."""
 
     fact: Fact
 
--- a/sablewheel/membership/fact_reports.py
+++ b/sablewheel/membership/fact_reports.py
@@ -1,29 +1,36 @@
-"""Who holds which fact to be due, and what more than half hold: a minority changes nothing. Pure."""
+"""Facts that members report, and the values that more than half of the view agree on. Pure."""
 
 from __future__ import annotations
 
 from collections import Counter
+from dataclasses import dataclass
 
 from .gossip import Gossip
 from .member_table import MemberTable
 from .messages import FactReport, Ping
 from .outbox import Outbox
-from .view import Change, ChangeKind, Fact
+from .view import Change, ChangeKind, Fact, View
 
-MAX_FACTS = 256  # keys that members may hold judgements on
+MAX_FACTS = 256  # keys that members may report
+
+
+@dataclass(frozen=True)
+class _ReportedValue:
+    sequence: int
+    value: str
 
 
 class FactReports:
-    """This member's own, kept for its life, and everybody's for the view that is held."""
+    """This member's own values, and every member's reports for the current view."""
 
-    def __init__(self, roster: MemberTable, gossip: Gossip, out: Outbox) -> None:
-        self._member_table, self._gossip, self._outbox = roster, gossip, out
-        self._local_values: dict[str, str] = {}  # by fact
-        self._reports_by_fact: dict[str, dict[str, tuple[int, str]]] = {}  # by fact and member: turn, value
+    def __init__(self, member_table: MemberTable, gossip: Gossip, outbox: Outbox) -> None:
+        self._member_table, self._gossip, self._outbox = member_table, gossip, outbox
+        self._local_values: dict[str, str] = {}  # by key
+        self._reports: dict[str, dict[str, _ReportedValue]] = {}  # by key, then reporter
         self._last_sequence = 0
 
     def report(self, fact: Fact) -> bool:
-        """Its own judgement, said when it is another than before and for each new view; whether said."""
+        """Set this member's value of a fact; return whether it was sent, which an unchanged one is not."""
         if self._local_values.get(fact.key) == fact.value:
             return False
         if fact.key not in self._local_values and len(self._local_values) >= MAX_FACTS:
@@ -33,50 +40,57 @@
         return self._send_report(fact)
 
     def repeat_reports(self) -> bool:
-        """For a view that is new; whether anything was said."""
+        """Send all own values for a new view; return whether any was sent."""
         return any([self._send_report(Fact(key, value)) for key, value in self._local_values.items()])
 
     def _send_report(self, fact: Fact) -> bool:
-        view, me = self._member_table.view, self._member_table.local_member.name
+        view, local_name = self._member_table.view, self._member_table.local_member.name
         if view is None:
             return False
-        if view.fact(fact.key) == fact.value and me not in self._reports_by_fact.get(fact.key, {}):
-            return False  # the fleet holds the same, and nobody was told otherwise
+        if view.fact(fact.key) == fact.value and local_name not in self._reports.get(fact.key, {}):
+            return False  # the fleet agrees, and no other value was reported
         self._last_sequence += 1
-        said = FactReport(view.epoch, me, self._last_sequence, fact)
-        taken = self.record(said)
-        self._outbox.broadcast(Ping(0, (said,)))
-        return taken
+        report = FactReport(view.epoch, local_name, self._last_sequence, fact)
+        recorded = self.record(report)
+        self._outbox.broadcast(Ping(0, (report,)))
+        return recorded
 
-    def record(self, said: FactReport) -> bool:
-        """A judgement of any member's; whether it was news."""
+    def record(self, report: FactReport) -> bool:
+        """Record the report of any member; return whether it was news."""
         view = self._member_table.view
-        if view is None or said.epoch != view.epoch or said.reporter not in view:
+        if view is None or report.epoch != view.epoch or report.reporter not in view:
             return False
-        if said.fact.key not in self._reports_by_fact and len(self._reports_by_fact) >= MAX_FACTS:
+        fact = report.fact
+        if fact.key not in self._reports and len(self._reports) >= MAX_FACTS:
             self._outbox.count("facts_refused")
             return False
-        those = self._reports_by_fact.setdefault(said.fact.key, {})
-        if said.reporter in those and those[said.reporter][0] >= said.sequence:
+        by_reporter = self._reports.setdefault(fact.key, {})
+        previous = by_reporter.get(report.reporter)
+        if previous is not None and previous.sequence >= report.sequence:
             return False
-        those[said.reporter] = (said.sequence, said.fact.value)
-        self._gossip.disseminate(said)
-        count = sum(value == said.fact.value for _, value in those.values())
+        by_reporter[report.reporter] = _ReportedValue(report.sequence, fact.value)
+        self._gossip.disseminate(report)
+        count = sum(reported.value == fact.value for reported in by_reporter.values())
         self._outbox.log(
-            "judged", fact=said.fact.key, value=said.fact.value or "-", by=said.reporter, count=count
+            "fact reported", fact=fact.key, value=fact.value or "-", by=report.reporter, count=count
         )
         return True
 
     def agreed_changes(self) -> list[Change]:
-        """Facts that more than half of the view hold to be due."""
-        view, found = self._member_table.view, list[Change]()
-        for key, those in self._reports_by_fact.items() if view is not None else ():
-            assert view is not None
-            value, many = Counter(value for _, value in those.values()).most_common(1)[0]
-            if many > len(view.members) // 2 and value != view.fact(key):
-                found.append(Change(ChangeKind.FACT, fact=Fact(key, value)))
-        return found
+        """Return the facts with a value that more than half of the view report and the view does not have."""
+        view = self._member_table.view
+        if view is None:
+            return []
+        facts = (self._majority_fact(view, key) for key in self._reports)
+        return [Change(ChangeKind.FACT, fact=fact) for fact in facts if fact is not None]
+
+    def _majority_fact(self, view: View, key: str) -> Fact | None:
+        counts = Counter(reported.value for reported in self._reports[key].values())
+        value, count = counts.most_common(1)[0]
+        if count <= len(view.members) // 2 or value == view.fact(key):
+            return None
+        return Fact(key, value)
 
     def clear(self) -> None:
-        """Of an epoch that is over."""
-        self._reports_by_fact.clear()
+        """Drop the reports for the previous view."""
+        self._reports.clear()
--- a/sablewheel/membership/gossip.py
+++ b/sablewheel/membership/gossip.py
@@ -1,4 +1,4 @@
-"""News on its way: each item rides on so many messages that are sent anyway, the freshest first. Pure."""
+"""Dissemination by piggybacking, as in SWIM: each update rides on a bounded number of messages. Pure."""
 
 from __future__ import annotations
 
@@ -10,91 +10,92 @@
 from .messages import Alert, Alive, FactReport, GossipUpdate, Suspect
 from .plan import Mode, Settings
 
-MIN_PENDING_UPDATES_CAPACITY = 1024  # rumours held at once, or two of each member where that is more
+MIN_PENDING_UPDATES_CAPACITY = 1024  # updates pending at once, or two per member where that is more
 
 
 @dataclass(eq=False)
 class PendingUpdate:
-    """News on its way, and how many more messages carry it."""
+    """An update and the number of messages that will still carry it."""
 
     update: GossipUpdate
     transmissions_left: int
 
 
 class Gossip:
-    """SWIM's dissemination; every message of it carries who sends it, alive."""
+    """The pending updates; every message also carries that its sender is alive."""
 
-    def __init__(self, roster: MemberTable, settings: Settings) -> None:
-        self._member_table, self._settings = roster, settings
-        self.pending: list[PendingUpdate] = []  # the freshest first
-        self._pending_by_subject: dict[Hashable, list[PendingUpdate]] = {}  # the same by what they are of
+    def __init__(self, member_table: MemberTable, settings: Settings) -> None:
+        self._member_table, self._settings = member_table, settings
+        self.pending: list[PendingUpdate] = []  # newest first
+        self._pending_by_subject: dict[Hashable, list[PendingUpdate]] = {}
 
-    def disseminate(self, item: GossipUpdate) -> None:
+    def disseminate(self, update: GossipUpdate) -> None:
+        """Queue an update and drop the pending ones that it supersedes."""
         if self._settings.mode is Mode.HEARTBEAT:
             return
-        size = max(len(self._member_table.known_names()), 1)
-        times = self._settings.retransmit_factor * math.ceil(math.log10(size + 1))
-        over = {
-            one for one in self._pending_by_subject.get(_subject(item), ()) if _same_subject(one.update, item)
+        member_count = max(len(self._member_table.known_names()), 1)
+        transmissions = self._settings.retransmit_factor * math.ceil(math.log10(member_count + 1))
+        subject = _subject(update)
+        superseded = {
+            pending
+            for pending in self._pending_by_subject.get(subject, ())
+            if _is_superseded(pending.update, update)
         }
-        if over:
-            self.pending = [one for one in self.pending if one not in over]
-            self._remove_from_index(over)
-        rumour = PendingUpdate(item, max(times, 1))
-        self.pending.insert(0, rumour)
-        self._pending_by_subject.setdefault(_subject(item), []).append(rumour)
-        # Guards the list against a flood of rumours: the oldest go, and full-state exchange heals the loss.
-        most = max(MIN_PENDING_UPDATES_CAPACITY, 2 * size)
-        if len(self.pending) > most:
-            self._remove_from_index(self.pending[most:])
-            del self.pending[most:]
+        if superseded:
+            self.pending = [pending for pending in self.pending if pending not in superseded]
+            self._remove_from_index(superseded)
+        added = PendingUpdate(update, max(transmissions, 1))
+        self.pending.insert(0, added)
+        self._pending_by_subject.setdefault(subject, []).append(added)
+        # Bounded against a flood of updates: the oldest are dropped, and full-state sync repairs the loss.
+        capacity = max(MIN_PENDING_UPDATES_CAPACITY, 2 * member_count)
+        if len(self.pending) > capacity:
+            self._remove_from_index(self.pending[capacity:])
+            del self.pending[capacity:]
 
     def updates_for_message(self, first: GossipUpdate | None = None) -> tuple[GossipUpdate, ...]:
-        """For one message: `first` if there is any, then the freshest news, each so many times."""
+        """Return what one message carries: `first` if given, then the least transmitted updates."""
         chosen: list[GossipUpdate] = [first] if first is not None else []
-        for one in sorted(self.pending, key=lambda one: -one.transmissions_left):
+        for pending in sorted(self.pending, key=lambda pending: -pending.transmissions_left):
             if len(chosen) >= self._settings.max_updates_per_message:
                 break
-            chosen.append(one.update)
-            one.transmissions_left -= 1
-        over = [one for one in self.pending if one.transmissions_left <= 0]
-        if over:
-            self.pending = [one for one in self.pending if one.transmissions_left > 0]
-            self._remove_from_index(over)
-        chosen.append(
-            Alive(self._member_table.local_member.name, self._member_table.local_member.incarnation)
-        )
+            chosen.append(pending.update)
+            pending.transmissions_left -= 1
+        exhausted = [pending for pending in self.pending if pending.transmissions_left <= 0]
+        if exhausted:
+            self.pending = [pending for pending in self.pending if pending.transmissions_left > 0]
+            self._remove_from_index(exhausted)
+        local = self._member_table.local_member
+        chosen.append(Alive(local.name, local.incarnation))
         return tuple(chosen)
 
-    def _remove_from_index(self, over: Iterable[PendingUpdate]) -> None:
-        for one in over:
-            those = self._pending_by_subject[_subject(one.update)]
-            those.remove(one)
-            if not those:
-                del self._pending_by_subject[_subject(one.update)]
+    def _remove_from_index(self, removed: Iterable[PendingUpdate]) -> None:
+        for pending in removed:
+            subject = _subject(pending.update)
+            of_subject = self._pending_by_subject[subject]
+            of_subject.remove(pending)
+            if not of_subject:
+                del self._pending_by_subject[subject]
 
 
-def _subject(item: GossipUpdate) -> Hashable:
-    """What an item is of: none takes the place of one of another subject."""
-    match item:
+def _subject(update: GossipUpdate) -> Hashable:
+    """Return what an update is about; it supersedes only updates of the same subject."""
+    match update:
         case Alive(name, _) | Suspect(name, _, _):
             return name
-        case Alert(epoch, by, join, member):
-            return (epoch, by, join, member.name)
-        case FactReport(_, by, _, fact):
-            return (by, fact.key)
-
-
-def _same_subject(one: GossipUpdate, other: GossipUpdate) -> bool:
-    match one, other:
-        case Suspect(a, incarnation, by), Suspect(b, incarnation2, by2):
-            return a == b and (incarnation < incarnation2 or by == by2)
-        case ((Alive(a, _) | Suspect(a, _, _)), Alive(b, _)):
-            return a == b
-        case Alive(a, incarnation), Suspect(b, incarnation2, _):
-            return a == b and incarnation <= incarnation2
-        case Alert(epoch, by, join, member), Alert(epoch2, by2, join2, member2):
-            return (epoch, by, join, member.name) == (epoch2, by2, join2, member2.name)
-        case FactReport(_, by, _, fact), FactReport(_, by2, _, fact2):
-            return (by, fact.key) == (by2, fact2.key)
+        case Alert(epoch, observer, is_join, member):
+            return (epoch, observer, is_join, member.name)
+        case FactReport(_, reporter, _, fact):
+            return (reporter, fact.key)
+
+
+def _is_superseded(old: GossipUpdate, new: GossipUpdate) -> bool:
+    """Return whether `new` takes the place of `old`, which has the same subject."""
+    match old, new:
+        case Suspect(), Suspect():
+            return old.incarnation < new.incarnation or old.suspected_by == new.suspected_by
+        case Alive(), Suspect():
+            return old.incarnation <= new.incarnation
+        case ((Alive() | Suspect()), Alive()) | (Alert(), Alert()) | (FactReport(), FactReport()):
+            return True
     return False
--- a/sablewheel/membership/leaving.py
+++ b/sablewheel/membership/leaving.py
@@ -1,4 +1,4 @@
-"""The way out: said three times in all, a probe's timeout apart, since one datagram may be lost. Pure."""
+"""Leaving the fleet, announced repeatedly as a datagram may be lost. Pure."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from .outbox import Outbox
 from .plan import Settings
 
-LEAVE_RETRANSMISSIONS = 2  # times that it is said after the first
+LEAVE_RETRANSMISSIONS = 2
 
 
 class Leaving:
-    """`begun` once the notice came; nothing else is done after it."""
+    """Once `has_started`, the member does nothing else on its timers."""
 
-    def __init__(self, roster: MemberTable, out: Outbox, settings: Settings) -> None:
-        self._member_table, self._outbox, self._settings = roster, out, settings
+    def __init__(self, member_table: MemberTable, outbox: Outbox, settings: Settings) -> None:
+        self._member_table, self._outbox, self._settings = member_table, outbox, settings
         self.has_started = False
         self._retransmissions_left = 0
         self._next_send_at = math.inf
 
     def start(self, now: float) -> None:
-        """The notice, perhaps not the first."""
+        """Announce the leave; a repeated call announces it again."""
         if self._member_table.view is not None or not self._member_table.uses_consensus:
             if not self.has_started:
                 self._outbox.log("leaving", epoch=self._member_table.epoch)
@@ -32,6 +32,7 @@
         self._next_send_at = now + self._settings.probe_timeout_s
 
     def run_timers(self, now: float) -> None:
+        """Announce the leave again, when it is due."""
         if self._retransmissions_left and now >= self._next_send_at:
             self._retransmissions_left -= 1
             self._next_send_at = now + self._settings.probe_timeout_s
@@ -39,4 +40,5 @@
 
     @property
     def next_wakeup(self) -> float:
+        """When the leave is announced again; infinity if it is not."""
         return self._next_send_at if self._retransmissions_left else math.inf
--- a/sablewheel/membership/member_table.py
+++ b/sablewheel/membership/member_table.py
@@ -1,6 +1,6 @@
-"""Whom this member knows, as whom and where: the agreed view, and the little that differs from it. Pure.
+"""The members that this one knows: the agreed view, and what is known beyond it. Pure.
 
-What is kept outside the view is bounded and does not grow with the fleet.
+State outside the view is bounded and does not grow with the fleet.
 """
 
 from __future__ import annotations
@@ -9,126 +9,129 @@
 from dataclasses import replace
 
 from .plan import Mode, Settings
-from .view import Member, View, rings
+from .rings import rings
+from .view import Member, View
 
-MAX_JOINERS = 2048  # names that are not in the view and wait for their observers: a whole fleet at its start
+MAX_JOINERS = 2048  # names outside the view that wait for their observers: a whole fleet at its start
 
 
 class MemberTable:
-    """`view` is None until this member is let in (or founds the first view)."""
+    """`view` is None until this member is admitted or founds the first view."""
 
-    def __init__(self, me: Member, settings: Settings, now: float) -> None:
-        self.local_member, self.settings = me, settings
+    def __init__(self, local_member: Member, settings: Settings, now: float) -> None:
+        self.local_member, self.settings = local_member, settings
         self.view: View | None = None
-        self.raised_incarnations: dict[
-            str, int
-        ] = {}  # incarnations above the view's (the baselines': all that are known)
-        self.addresses: dict[str, str] = {}  # of those that are not in the view
-        self.baseline_members: set[str] = set()  # the baselines' own view: whom this member holds to be in
-        self._observers_by_subject: dict[
-            str, tuple[str, ...]
-        ] = {}  # observers of subjects, for the view that is held
-        self._local_subjects: tuple[str, ...] | None = (
-            None  # whom this member watches, in the view that is held
-        )
-        self._joined_at: dict[str, float] = {}  # when those came in that came after this one
+        self.raised_incarnations: dict[str, int] = {}  # above the view's; in a baseline all that are known
+        self.addresses: dict[str, str] = {}  # of names outside the view
+        self.baseline_members: set[str] = set()  # in a baseline, the members as this one alone decided
+        self._observers_by_subject: dict[str, tuple[str, ...]] = {}  # in the current view
+        self._local_subjects: tuple[str, ...] | None = None  # in the current view
+        self._joined_at: dict[str, float] = {}  # of members that joined after this one
         self._local_joined_at = now
 
     @property
     def uses_consensus(self) -> bool:
-        """Whether this is the product, and no baseline of the trial."""
+        """Whether this member runs the product's protocol and not a baseline."""
         return self.settings.mode is Mode.CONSENSUS
 
     @property
     def epoch(self) -> int:
+        """The epoch of the current view; 0 without a view."""
         return self.view.epoch if self.view is not None else 0
 
     @property
     def is_large(self) -> bool:
-        """Whether the view is past the size up to which votes go from each to all."""
+        """Whether the view is too large for votes from each member to all."""
         return self.view is not None and len(self.view.members) > self.settings.max_direct_vote_members
 
-    # -- who
+    # -- names
 
     def known_names(self) -> tuple[str, ...]:
-        """Everybody who may be spoken with, this member among them."""
+        """Return every member that messages may be sent to, and this one, sorted."""
         if not self.uses_consensus:
             return tuple(sorted(set(self.addresses) | {self.local_member.name}))
         return self.view.names if self.view is not None else ()
 
     def member_names(self) -> tuple[str, ...]:
-        """Who this member holds to be in: the agreed view, or a baseline's own set."""
-        return (
-            self.known_names()
-            if self.uses_consensus
-            else tuple(sorted(self.baseline_members | {self.local_member.name}))
-        )
+        """Return the members by the agreed view, or by a baseline's own decisions, sorted."""
+        if self.uses_consensus:
+            return self.known_names()
+        return tuple(sorted(self.baseline_members | {self.local_member.name}))
 
     def other_names(self) -> list[str]:
-        return [one for one in self.known_names() if one != self.local_member.name]
+        """Return the known names without this member's."""
+        return [name for name in self.known_names() if name != self.local_member.name]
 
     def is_known(self, name: str) -> bool:
+        """Return whether messages may be sent to a member, or it is this one."""
         if not self.uses_consensus:
             return name in self.addresses or name == self.local_member.name
         return self.view is not None and name in self.view
 
-    def random_names(self, chance: random.Random, many: int, *but: str) -> list[str]:
-        """So many others at random, none of `but`."""
+    def random_names(self, rng: random.Random, count: int, *excluded: str) -> list[str]:
+        """Draw up to `count` other names."""
         known = self.known_names()
-        drawn = chance.sample(known, min(many + len(but) + 1, len(known)))
-        return [one for one in drawn if one != self.local_member.name and one not in but][:many]
+        drawn = rng.sample(known, min(count + len(excluded) + 1, len(known)))
+        return [name for name in drawn if name != self.local_member.name and name not in excluded][:count]
 
     def joined_at(self, name: str) -> float:
-        """When a member came in, as far as this one was there."""
+        """Return when a member joined; at the earliest when this member did."""
         return self._joined_at.get(name, self._local_joined_at)
 
     # -- incarnations
 
-    def incarnation(self, name: str, raised: bool = True) -> int:
-        """The highest known of another member; -1 for nobody."""
+    def incarnation(self, name: str) -> int:
+        """Return the highest known incarnation of another member; -1 if it is unknown."""
+        return max(self._view_incarnation(name), self.raised_incarnations.get(name, -1))
+
+    def _view_incarnation(self, name: str) -> int:
         member = self.view.get(name) if self.view is not None else None
-        held = member.incarnation if member is not None else -1
-        return max(held, self.raised_incarnations.get(name, -1)) if raised else held
+        return member.incarnation if member is not None else -1
 
     def known_incarnation(self, name: str) -> int:
-        """The highest incarnation known of anybody, this member among them."""
+        """Return the highest known incarnation of any member, this one included."""
         return self.local_member.incarnation if name == self.local_member.name else self.incarnation(name)
 
     def raise_incarnation(self, name: str, incarnation: int) -> bool:
-        """Word of another member's incarnation; whether it was news."""
+        """Record another member's incarnation and return whether it was news."""
         if incarnation <= self.incarnation(name):
             return False
         if self.uses_consensus and (self.view is None or name not in self.view):
-            return False  # guards the table against names that nobody agreed on
+            return False  # bounds the table: anybody may send any name
         self.raised_incarnations[name] = incarnation
         return True
 
     def incarnations(self) -> tuple[tuple[str, int], ...]:
-        """Of those above the view's, and of this member itself."""
-        return tuple(
-            sorted(
-                {**self.raised_incarnations, self.local_member.name: self.local_member.incarnation}.items()
-            )
+        """Return the incarnations above the view's and this member's own, sorted by name."""
+        local = {self.local_member.name: self.local_member.incarnation}
+        return tuple(sorted({**self.raised_incarnations, **local}.items()))
+
+    def knows_newer_than(self, incarnations: dict[str, int]) -> bool:
+        """Return whether this member knows an incarnation above both the view's and the ones given."""
+        return any(
+            incarnation > max(incarnations.get(name, -1), self._view_incarnation(name))
+            for name, incarnation in self.incarnations()
         )
 
-    # -- where
+    # -- addresses
 
     def address(self, name: str) -> str:
+        """Return a member's address; empty if it is unknown."""
         member = self.view.get(name) if self.view is not None else None
         return member.address if member is not None else self.addresses.get(name, "")
 
     def remember_address(self, name: str, address: str) -> None:
-        """Where one is reached that is not in the view; bounded."""
+        """Record the address of a name outside the view, within the table's bound."""
         if name in self.addresses or len(self.addresses) < MAX_JOINERS:
             self.addresses[name] = address
 
-    # -- who watches whom
+    # -- observers
 
     def observers(self, subject: str) -> tuple[str, ...]:
-        """Of a member, or of one who would join, in the view that is held."""
+        """Return the observers of a member or a joiner in the current view."""
         names = self.known_names()
         if self.settings.injected_fault == "one-observer":
-            return tuple(one for one in names if one != subject)
+            return tuple(name for name in names if name != subject)
         if subject not in self._observers_by_subject:
             if len(self._observers_by_subject) > len(names) + 2 * MAX_JOINERS:
                 self._observers_by_subject.clear()
@@ -136,43 +139,45 @@
         return self._observers_by_subject[subject]
 
     def subjects(self) -> tuple[str, ...]:
-        """Whom this member watches."""
+        """Return the members that this one observes."""
         if self.view is None:
             return ()
         if self._local_subjects is None:
-            self._local_subjects = rings(self.view.names, self.settings.observers).subjects(
-                self.local_member.name
-            )
+            view_rings = rings(self.view.names, self.settings.observers)
+            self._local_subjects = view_rings.subjects(self.local_member.name)
         return self._local_subjects
 
     # -- a new view
 
     def install_view(self, now: float, view: View) -> None:
-        """Take a view; what was kept beside the old one and is in it, or for nobody, goes."""
-        old, self.view = self.view, view
-        if old is None:
-            self._joined_at, self._local_joined_at = {}, now
-        else:
-            self._joined_at = {name: when for name, when in self._joined_at.items() if name in view}
-            self._joined_at |= {one.name: now for one in view.members if one.name not in old}
+        """Replace the view and drop what was recorded beyond the old one and no longer applies."""
+        previous, self.view = self.view, view
+        self._update_join_times(now, previous, view)
         self.raised_incarnations = {
-            name: one
-            for name, one in self.raised_incarnations.items()
-            if name in view and one > self.incarnation(name, False)
+            name: incarnation
+            for name, incarnation in self.raised_incarnations.items()
+            if name in view and incarnation > self._view_incarnation(name)
         }
-        for member in old.members if old is not None else ():
-            if member.name not in view:  # it may ask for the view that it is not in
+        for member in previous.members if previous is not None else ():
+            if member.name not in view:  # it may ask for the view that it was removed from
                 self.addresses[member.name] = member.address
-        self.addresses = {name: one for name, one in self.addresses.items() if name not in view}
+        self.addresses = {name: address for name, address in self.addresses.items() if name not in view}
         for name in list(self.addresses)[:-MAX_JOINERS]:
             del self.addresses[name]
         self._observers_by_subject.clear()
         self._local_subjects = None
-        mine = view.get(self.local_member.name)
-        if mine is not None and mine.incarnation > self.local_member.incarnation:
-            self.local_member = replace(self.local_member, incarnation=mine.incarnation)
+        local = view.get(self.local_member.name)
+        if local is not None and local.incarnation > self.local_member.incarnation:
+            self.local_member = replace(self.local_member, incarnation=local.incarnation)
+
+    def _update_join_times(self, now: float, previous: View | None, view: View) -> None:
+        if previous is None:
+            self._joined_at, self._local_joined_at = {}, now
+            return
+        self._joined_at = {name: joined_at for name, joined_at in self._joined_at.items() if name in view}
+        self._joined_at |= {member.name: now for member in view.members if member.name not in previous}
 
     def handle_removal(self) -> None:
-        """The view that is held is without this member: it is in none, and comes back as somebody newer."""
+        """Drop the view, which no longer has this member; it rejoins with a higher incarnation."""
         self.view = None
         self.local_member = replace(self.local_member, incarnation=self.local_member.incarnation + 1)
--- a/sablewheel/membership/messages.py
+++ b/sablewheel/membership/messages.py
@@ -1,7 +1,7 @@
-"""What members say to each other, as plain values; `codec` turns them into bytes and back.
+"""Messages between members as plain values; `codec.py` translates them to and from bytes.
 
-Every message names its sender and the epoch of the view it holds, so a member that is behind learns it from
-any packet and asks for the view.
+Every message carries its sender and the epoch of the sender's view, so a member that is behind learns so from
+any message and asks for the view.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 
 from .view import Fact, Member, Proposal, View
 
-Ballot = tuple[int, str]  # round, coordinator; round 0 is the fast round, where every member votes alone
+Ballot = tuple[int, str]  # round and coordinator; in round 0, the fast round, every member votes on its own
 FAST_BALLOT: Ballot = (0, "")
 
 
 @dataclass(frozen=True)
 class Alive:
-    """News: `name` is alive at `incarnation`; a higher incarnation refutes any suspicion below it."""
+    """Update: a member is alive at an incarnation, which refutes suspicions of lower ones."""
 
     name: str
     incarnation: int
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Suspect:
-    """News: `by` could not reach `name` at `incarnation`, directly or through others."""
+    """Update: `suspected_by` could not reach a member, neither directly nor through helpers."""
 
     name: str
     incarnation: int
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class Alert:
-    """News: observer `by` reports a change of `change.member` for the view at `epoch`."""
+    """Update: an observer reports that `member` joins or failed, for the view at `epoch`."""
 
     epoch: int
     observer: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class FactReport:
-    """News: `by` holds that `fact` is due, for the view at `epoch`; its latest by `turn` counts."""
+    """Update: a member's own value of a fact, for the view at `epoch`; its highest sequence counts."""
 
     epoch: int
     reporter: str
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True)
 class Envelope:
-    """What every message carries besides its own fields."""
+    """The fields that every message carries."""
 
     sender: str
     epoch: int
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True)
 class Ping:
-    """A probe: answer with `Ack` to the sender."""
+    """A probe, answered with an `Ack` unless its sequence is 0."""
 
     sequence: int
     updates: tuple[GossipUpdate, ...] = ()
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True)
 class PingRequest:
-    """Probe `target` for me and tell me; `seq` is mine."""
+    """A request for an indirect probe of `target`; the sequence is the requester's."""
 
     sequence: int
     target: str
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True)
 class Ack:
-    """The answer to a probe; `of` is the member that was probed, who may not be the sender."""
+    """The answer to a probe; `target` is the member that was probed, which may not be the sender."""
 
     sequence: int
     target: str
@@ -91,14 +91,14 @@
 
 @dataclass(frozen=True)
 class Nack:
-    """A helper asked to probe got no answer itself: the asker's own link is not the only one at fault."""
+    """A helper's own probe failed too, so the fault is not the requester's link alone."""
 
     sequence: int
 
 
 @dataclass(frozen=True)
 class Join:
-    """A member that is not in the view asks to be let in; seeds pass it on to its observers."""
+    """A member outside the view asks for admission; seeds relay it to its observers."""
 
     member: Member
     is_relayed: bool = False
@@ -106,14 +106,14 @@
 
 @dataclass(frozen=True)
 class Leave:
-    """Said on the way out: not detected, but taken as every observer's report."""
+    """An announced leave, which counts as the alert of every observer."""
 
     member: Member
 
 
 @dataclass(frozen=True)
 class Sync:
-    """Full state, to heal what gossip lost: the sender's view and what it knows of incarnations."""
+    """The sender's full state: its view and the incarnations it knows."""
 
     view: View | None
     incarnations: tuple[tuple[str, int], ...] = ()
@@ -122,32 +122,36 @@
 
 @dataclass(frozen=True)
 class Digest:
-    """Of the sender's full state: who holds another answers with a `Sync`; the same costs a datagram."""
+    """A digest of the sender's full state; a member with another digest answers with a `Sync`."""
 
     value: bytes
 
 
 @dataclass(frozen=True)
 class Vote:
-    """Fast round: the sender's proposal for the view after `epoch`."""
+    """Fast round: the sender's proposal for the next view."""
 
     proposal: Proposal
 
 
 @dataclass(frozen=True)
 class Votes:
-    """Fast round in a large view: proposals, each with who is known to have voted for it, a bit a member."""
+    """Fast round in a large view: proposals, each with a bit mask of the members known to vote for it."""
 
     tallies: tuple[tuple[Proposal, int], ...]
 
 
 @dataclass(frozen=True)
 class Prepare:
+    """Classic round, phase 1: the coordinator asks for promises."""
+
     ballot: Ballot
 
 
 @dataclass(frozen=True)
 class Promise:
+    """Classic round, phase 1: an acceptor's promise, with what it accepted last."""
+
     ballot: Ballot
     accepted_ballot: Ballot
     value: Proposal | None
@@ -155,36 +159,40 @@
 
 @dataclass(frozen=True)
 class Accept:
+    """Classic round, phase 2: the coordinator asks to accept a value."""
+
     ballot: Ballot
     value: Proposal
 
 
 @dataclass(frozen=True)
 class Accepted:
+    """Classic round, phase 2: an acceptor accepted a value."""
+
     ballot: Ballot
     value: Proposal
 
 
 @dataclass(frozen=True)
 class StatusRequest:
-    """From a tool, not a member, over TCP only: `Told` on the same connection, whatever the epoch."""
+    """A tool asks for the status, over TCP; answered on the same connection."""
 
     nonce: int = 0
 
 
 @dataclass(frozen=True)
 class MemberState:
-    """One member as the one asked holds it: `for_s` is how long it has been in the view."""
+    """One member as the answering one knows it."""
 
     name: str
-    state: str  # alive, suspect or faulty (its suspicion ran out; the view has not changed yet)
+    state: str  # alive, suspect, or faulty: its suspicion expired, and the view has not changed yet
     in_view_s: float
     incarnation: int
 
 
 @dataclass(frozen=True)
 class StatusReply:
-    """What a tool is told: the view, each member's state, the local health, and counters."""
+    """The view, each member's state, the local health score (0 is healthy), and counters."""
 
     view: View | None
     states: tuple[MemberState, ...] = ()
@@ -192,7 +200,7 @@
     counters: tuple[tuple[str, int], ...] = ()
 
 
-RoundMessage = Vote | Prepare | Promise | Accept | Accepted  # what belongs to one epoch's agreement alone
+RoundMessage = Vote | Prepare | Promise | Accept | Accepted  # of one epoch's consensus
 
 Body = (
     Ping
@@ -213,7 +221,6 @@
     | Votes
 )
 
-
 COUNTER_NAMES: dict[type[Body], str] = {
     Ping: "ping",
     PingRequest: "pingreq",
@@ -236,5 +243,7 @@
 
 @dataclass(frozen=True)
 class Message:
+    """A message with its envelope."""
+
     envelope: Envelope
     body: Body
--- a/sablewheel/membership/outbox.py
+++ b/sablewheel/membership/outbox.py
@@ -1,4 +1,4 @@
-"""What one step wants done, gathered as it goes: messages by name or address, notes and counts. Pure."""
+"""Collects the effects of one step: messages by name or address, log lines and counters. Pure."""
 
 from __future__ import annotations
 
@@ -8,36 +8,39 @@
 
 
 class Outbox:
-    """`effects` are those of the step that is under way; `counts` go on for the member's life."""
+    """`effects` belong to the current step; `counters` last as long as the member."""
 
-    def __init__(self, roster: MemberTable) -> None:
-        self._member_table = roster
+    def __init__(self, member_table: MemberTable) -> None:
+        self._member_table = member_table
         self.effects: list[Effect] = []
         self.counters: dict[str, int] = {}
 
     def start_step(self) -> None:
+        """Discard the effects of the previous step."""
         self.effects = []
 
     def broadcast(self, body: Body) -> None:
+        """Send to every other known member."""
         for name in self._member_table.other_names():
             self.send(name, body)
 
-    def send(self, name: str, body: Body, fallback: str = "", epoch: int | None = None) -> None:
-        """To a member by name, or to `fallback` if nobody knows where it is; else to nobody."""
-        address = self._member_table.address(name) or fallback
+    def send(self, name: str, body: Body, fallback_address: str = "", epoch: int | None = None) -> None:
+        """Send to a member by name, or to the fallback address if the name is unknown; else to nobody."""
+        address = self._member_table.address(name) or fallback_address
         if address:
-            self.send_to(address, body, epoch)
+            self.send_to_address(address, body, epoch)
 
-    def send_to(self, address: str, body: Body, epoch: int | None = None) -> None:
-        """With the epoch of the view that is held, or that of an earlier one that the message is about."""
-        envelope = Envelope(
-            self._member_table.local_member.name, self._member_table.epoch if epoch is None else epoch
-        )
+    def send_to_address(self, address: str, body: Body, epoch: int | None = None) -> None:
+        """Send with the current epoch, or with that of an earlier view that the message is about."""
+        current_epoch = self._member_table.epoch
+        envelope = Envelope(self._member_table.local_member.name, current_epoch if epoch is None else epoch)
         self.effects.append(Send(address, Message(envelope, body)))
         self.count("sent")
 
-    def log(self, what: str, **fields: object) -> None:
-        self.effects.append(LogLine(what, fields))
+    def log(self, message: str, **fields: object) -> None:
+        """Write a log line."""
+        self.effects.append(LogLine(message, fields))
 
     def count(self, name: str) -> None:
+        """Increment a counter."""
         self.counters[name] = self.counters.get(name, 0) + 1
--- a/sablewheel/membership/plan.py
+++ b/sablewheel/membership/plan.py
@@ -1,4 +1,4 @@
-"""What membership is set to, as plain values; all spans are seconds."""
+"""Settings of membership as plain values; all durations are in seconds."""
 
 from __future__ import annotations
 
@@ -12,20 +12,22 @@
 FAULTY_VARIANTS = ("no-suspicion", "no-incarnation", "one-observer", "one-at-a-time")
 SLOW_FAULTY_VARIANTS = (
     "no-grace",
-)  # told from ours by more stops than a trial of real processes has time for
+)  # found only by more pauses than an experiment with processes has time for
+
+MAX_PORT = 65_535
 
 
 class Mode(Enum):
-    """Ours, and the two baselines that the trial holds it against in the same run."""
+    """The protocol that a member runs: the product's, or a baseline that the experiments compare it with."""
 
     CONSENSUS = "ours"
-    SWIM = "swim"  # SWIM without Lifeguard and without observers: each member removes on its own timeout
+    SWIM = "swim"  # without Lifeguard and observers: each member removes others on its own timeout
     HEARTBEAT = "heartbeat"  # all-to-all heartbeats with a fixed timeout
 
 
 @dataclass(frozen=True)
 class Settings:
-    """Every period and bound; docs/membership.md says what each does."""
+    """Timeouts and bounds of the protocol; `docs/membership.md` describes each of them."""
 
     period_s: float = 0.5
     probe_timeout_s: float = 0.2
@@ -33,29 +35,30 @@
     observers: int = 5
     high_watermark: int = 3
     low_watermark: int = 1
-    min_suspicion_periods: float = 5.0  # periods; what a pause or a cut may last without a removal, about
-    max_suspicion_ratio: float = 6.0  # the longest suspicion, as a multiple of the least
-    confirmations: int = 3  # independent suspicions after which the least applies
+    min_suspicion_periods: float = 5.0  # about how long a pause or a partition lasts without a removal
+    max_suspicion_ratio: float = 6.0  # the longest suspicion, as a multiple of the shortest
+    confirmations: int = 3  # independent suspicions after which the shortest suspicion applies
     max_health_score: int = 8
-    retransmit_factor: int = 3  # news goes out this many times log10(n + 1), rounded up
-    max_updates_per_message: int = 16  # news items in one message
+    retransmit_factor: int = 3  # an update is sent this many times log10(n + 1), rounded up
+    max_updates_per_message: int = 16
     sync_interval_s: float = 5.0
     vote_timeout_s: float = 2.0
-    max_direct_vote_members: int = (
-        64  # members up to which votes go from each to all; in larger views they go by gossip
-    )
-    max_settle_s: float = 3.0  # the longest that a subject between the marks holds a proposal back
+    max_direct_vote_members: int = 64  # above this size votes travel by gossip, not from each to all
+    max_settle_s: float = 3.0  # the longest that a subject between the watermarks delays a proposal
     join_interval_s: float = 1.0
     found_delay_s: float = 3.0
-    min_founders: int = 1  # members without a view, the founder among them, that a first view needs
-    heartbeat_timeout_s: float = 3.0  # the baseline's: the least that bears the same pause as ours
+    min_founders: int = 1  # members without a view, the founder included, that a first view needs
+    heartbeat_timeout_s: float = 3.0  # of the baseline: the least that tolerates the same pause
     mode: Mode = Mode.CONSENSUS
     injected_fault: str = ""
 
 
 @dataclass(frozen=True)
 class MembershipPlan:
-    """`advertise` is where others reach this member, which may not be where it listens."""
+    """Configuration of one member.
+
+    `advertise` is where other members reach this one, which may differ from where it listens.
+    """
 
     listen: Address
     advertise: str
@@ -67,11 +70,13 @@
 
 
 def address_of(text: str) -> Address | None:
-    """ADDRESS:PORT as it stands in a packet; None if it is none, since a packet may say anything."""
+    """Parse "IPv4:PORT" as it stands in a packet; None if it is not an address."""
     host, colon, port = text.rpartition(":")
-    if not (colon and port.isascii() and port.isdigit() and len(port) < 6 and 0 < int(port) < 65536):
+    if not (colon and port.isascii() and port.isdigit() and len(port) < 6 and 0 < int(port) <= MAX_PORT):
         return None
-    parts = host.split(".")
-    if len(parts) != 4 or not all(one.isascii() and one.isdigit() and len(one) < 4 for one in parts):
+    octets = host.split(".")
+    if len(octets) != 4 or not all(
+        octet.isascii() and octet.isdigit() and len(octet) < 4 for octet in octets
+    ):
         return None
-    return (host, int(port)) if all(int(one) < 256 for one in parts) else None
+    return (host, int(port)) if all(int(octet) < 256 for octet in octets) else None
--- a/sablewheel/membership/service.py
+++ b/sablewheel/membership/service.py
@@ -1,7 +1,7 @@
-"""Membership in the server: datagrams, frames and timers become the node's events, and its effects go out.
+"""Membership in the server: passes events to the node and carries out its effects.
 
-Decides nothing. Datagrams carry all but the full state, which goes over TCP, a frame a connection: it may be
-larger than a datagram, and it heals what datagrams lost. A tool asks on the same port, over TCP as well.
+Datagrams carry all messages but the full state, which is sent over TCP since it may be larger than a
+datagram. Status requests of tools arrive over TCP on the same port.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from ..transport.datagram import Mailbox
 from ..transport.scheduler import Scheduler
-from ..transport.stream import Listener, Stream, connect
+from ..transport.stream import Listener, Stream
 from ..transport.wakeup import Wake
 from . import codec
 from .events import (
@@ -28,25 +28,22 @@
     TimerFired,
     ViewInstalled,
 )
+from .frame_sender import FRAME_TIMEOUT_S, FrameSender
 from .messages import COUNTER_NAMES, Envelope, Message, StatusRequest, Sync
 from .node import Node
 from .plan import Address, MembershipPlan, address_of
 from .view import Fact, Member, Metadata, View, fingerprint
 
-MAX_CONCURRENT_FRAMES_OUT = (
-    8  # full states on their way at once, each with a descriptor; more wait their turn
-)
-MAX_QUEUED_FRAMES = 2048  # one to each member, and each who joins; past it the next exchange heals the loss
-MAX_CONCURRENT_FRAMES_IN = 32  # at once; more wait in the kernel's line
-FRAME_TIMEOUT_S = 2.0  # from connecting to the last byte, each way
-VIEW_LOG_MESSAGES = ("view", "left out", "removed", "added", "leaving", "paused", "classic round")
+MAX_CONCURRENT_FRAMES_IN = 32  # more wait in the kernel's accept queue
+SEND_POLL_INTERVAL_S = 0.005  # while a status reply is being sent
+VIEW_LOG_MESSAGES = ("view", "removed from view", "removed", "added", "leaving", "paused", "classic round")
 
 log = logging.getLogger(__name__)
-views = logging.getLogger(f"{__name__}.view")  # bounded apart: a storm of suspicions must not hide a view
+view_log = logging.getLogger(f"{__name__}.view")  # rate-limited apart: suspicions must not crowd out views
 
 
 class MembershipService:
-    """This server's part in its fleet."""
+    """This server's membership of the fleet."""
 
     def __init__(
         self,
@@ -55,28 +52,28 @@
         name: str,
         seed: int,
         clock: Callable[[], float] = time.monotonic,
-        says: Metadata = (),
+        metadata: Metadata = (),
     ) -> None:
-        """`says` goes with the plan's: pairs of key and value; ValueError past the bounds of `Member`."""
-        self._scheduler, self._plan, self._clock = scheduler, plan, clock
+        """Start the member; `metadata` is added to the plan's.
+
+        Raises:
+            ValueError: The metadata exceeds the bounds of `Member`.
+            OSError: The address cannot be listened on.
+        """
+        self._scheduler, self._clock = scheduler, clock
         self._counters: dict[str, int] = {}
         incarnation = round(scheduler.clock.now * 1000)
-        told = tuple(sorted(plan.metadata + tuple(says)))
-        me = Member(name, plan.advertise, plan.zone, plan.region, incarnation, told)
-        chance = random.Random(f"{seed}-{name}-{incarnation}")
-        # The node's clock is the machine's steady one: a clock that is set moves no timeout.
-        self.node = Node(me, plan.seeds, plan.settings, chance, clock())
+        all_metadata = tuple(sorted(plan.metadata + tuple(metadata)))
+        local_member = Member(name, plan.advertise, plan.zone, plan.region, incarnation, all_metadata)
+        rng = random.Random(f"{seed}-{name}-{incarnation}")
+        # The node runs on the steady clock, so that setting the wall clock moves no timeout.
+        self.node = Node(local_member, plan.seeds, plan.settings, rng, clock())
         self._wakeup = Wake(scheduler, clock, self._handle_timer)
-        self._frames_out = self._frames_in = 0
-        self._queued_frames: dict[tuple[Address, bool], tuple[Message, float]] = {}  # frames, and until when
-        self._last_encoded_frame: tuple[Message, bytes] | None = (
-            None  # the last frame's bytes, while others wait
-        )
+        self._frame_sender = FrameSender(scheduler, plan.listen[0], clock, self._count)
+        self._frames_in = 0
         self._open = True
         self._view_callbacks: list[Callable[[View], None]] = []
-        self._views_to_announce: deque[View] = (
-            deque()
-        )  # installed, and not told yet; what is told may install more
+        self._views_to_announce: deque[View] = deque()  # a callback may cause a further view
         self._last_announced_view: View | None = None
         self._announcing = False
         self._socket = Mailbox(scheduler, plan.listen, codec.MAX_PACKET_BYTES, self._handle_datagram)
@@ -93,7 +90,7 @@
             raise
         scheduler.spawn(self._step, TimerFired())
 
-    # -- what the program and other features ask
+    # -- the interface to the program and other features
 
     @property
     def node_name(self) -> str:
@@ -102,57 +99,65 @@
 
     @property
     def view(self) -> View | None:
-        """The agreed view; None until this member is let in."""
+        """The agreed view; None until this member is admitted."""
         return self.node.view
 
     def on_view(self, callback: Callable[[View], None]) -> None:
-        """Each view this member installs, once and in order, and at once the last one if there is one.
+        """Call back for the latest view, if there is one, and for each that is installed, once and in order.
 
-        One that it is not in itself is told too: it was left out, and holds no view until it is let in again.
-        A fault in a callback is logged and counted (`members_faults`), and the others still hear.
+        This includes a view without this member, which was removed and has no view until it is admitted
+        again. An exception of a callback is logged and counted (`members_faults`); the other callbacks still
+        run.
         """
         self._view_callbacks.append(callback)
         if self._last_announced_view is not None:
             self._call_view_callback(callback, self._last_announced_view)
 
     def report_fact(self, fact: Fact) -> None:
-        """What this member holds to be due; the fleet's value is `View.fact`. ValueError past the bounds."""
-        if not 0 < len(fact.key) <= codec.MAX_NAME_CHARACTERS or len(fact.value) > codec.MAX_NAME_CHARACTERS:
-            raise ValueError(
-                f"fact {fact.key!r}: over {codec.MAX_NAME_CHARACTERS} characters, or without a key"
-            )
+        """Report this member's own value of a fact; the fleet's value is `View.fact`.
+
+        Raises:
+            ValueError: The key is empty, or the key or the value too long.
+        """
+        max_characters = codec.MAX_NAME_CHARACTERS
+        if not 0 < len(fact.key) <= max_characters or len(fact.value) > max_characters:
+            raise ValueError(f"fact {fact.key!r}: over {max_characters} characters, or without a key")
         self._step(FactReported(fact))
 
     def leave(self) -> None:
-        """The notice to leave: said at once, while what is open is still answered."""
+        """Announce that this member leaves; requests in progress are still answered."""
         self._step(LeaveRequested())
 
     def close(self) -> None:
+        """Close the sockets and cancel the timers."""
         self._open = False
+        self._frame_sender.close()
         self._wakeup.cancel()
         self._socket.close()
         self._listener.close()
 
     def gauges(self) -> dict[str, object]:
+        """Return the values and counters of membership for the metrics."""
         node, view = self.node, self.node.view
-        told: dict[str, object] = {
+        values: dict[str, object] = {
             "members": len(node.members),
             "members_epoch": view.epoch if view is not None else 0,
             "members_view": fingerprint(view) if view is not None else "-",
             "members_suspected": len(node.suspicions.by_name),
             "members_health": node.failure_detector.health_score,
         }
-        counts = {**node.counters, **self._counters}
-        return told | {f"members_{name}": count for name, count in sorted(counts.items())}
+        return values | {f"members_{name}": count for name, count in self._all_counters()}
 
-    # -- events in
+    def _all_counters(self) -> tuple[tuple[str, int], ...]:
+        return tuple(sorted({**self.node.counters, **self._counters}.items()))
+
+    # -- events
 
     def _step(self, event: Event) -> None:
         if not self._open:
             return
         try:
-            effects = self.node.step(self._clock(), event)
-            for effect in effects:
+            for effect in self.node.step(self._clock(), event):
                 match effect:
                     case Send():
                         self._send(effect)
@@ -161,15 +166,15 @@
                     case LogLine():
                         self._write_log_line(effect)
         except Exception:
-            # A fault of ours in here must not take the server's requests along.
+            # A programming error here must not stop the server from serving requests.
             self._count("faults")
-            log.exception("membership step ended by a fault")
+            log.exception("membership step failed")
         self._wakeup.set(self.node.next_wakeup)
         self._announce_views()
 
     def _announce_views(self) -> None:
         if self._announcing:
-            return  # by whoever began: a callback that judges, or waits, must not turn the order round
+            return  # a callback that reports a fact, or waits, must not change the order of the views
         self._announcing = True
         try:
             while self._views_to_announce:
@@ -184,100 +189,63 @@
             callback(view)
         except Exception:
             self._count("faults")
-            log.exception("callback of a view ended by a fault", extra={"pairs": {"epoch": view.epoch}})
+            log.exception("view callback failed", extra={"pairs": {"epoch": view.epoch}})
 
     def _handle_timer(self) -> None:
         self._step(TimerFired())
 
-    def _handle_datagram(self, data: bytes, source: tuple[str, int]) -> None:
+    def _handle_datagram(self, data: bytes, source: Address) -> None:
         self._count("bytes_in", len(data))
         try:
             message = codec.decode(data)
-        except codec.BadPacketError as trouble:
-            return self._drop_packet(str(trouble), source)
+        except codec.BadPacketError as error:
+            self._drop_packet(str(error), source)
+            return
         if isinstance(message.body, StatusRequest | Sync):
-            return self._drop_packet(
-                "belongs to TCP", source
-            )  # a forged source must not fetch a large answer
+            self._drop_packet("belongs to TCP", source)  # a forged source must not cause a large answer
+            return
         self._handle_message(message, source)
 
-    def _handle_message(self, message: Message, source: tuple[str, int]) -> None:
+    def _handle_message(self, message: Message, source: Address) -> None:
         self._count(f"in_{COUNTER_NAMES[type(message.body)]}")
         self._step(MessageReceived(message, f"{source[0]}:{source[1]}"))
 
-    def _drop_packet(self, reason: str, source: tuple[str, int]) -> None:
+    def _drop_packet(self, reason: str, source: Address) -> None:
         self._count("packets_bad")
-        pairs = {"from": f"{source[0]}:{source[1]}", "reason": reason}
-        log.warning("packet dropped", extra={"pairs": pairs})
+        log.warning("packet dropped", extra={"pairs": {"from": f"{source[0]}:{source[1]}", "reason": reason}})
 
-    # -- effects out
+    # -- effects
 
     def _send(self, effect: Send) -> None:
         address = address_of(effect.address)
-        kind = COUNTER_NAMES[type(effect.message.body)]
+        body = effect.message.body
         if address is None:
-            return self._count("unsent")
-        if isinstance(effect.message.body, Sync):
-            return self._queue_frame(effect.message, effect.message.body.is_reply, address)
+            self._count("unsent")
+        elif isinstance(body, Sync):
+            self._frame_sender.send(effect.message, address, body.is_reply)
+        else:
+            self._send_datagram(effect.message, address)
+
+    def _send_datagram(self, message: Message, address: Address) -> None:
         try:
-            data = codec.encode(effect.message)
+            data = codec.encode(message)
         except codec.BadPacketError:
-            return self._count("unsent")  # an address or a view of absurd size: not worth a fall
+            self._count("unsent")  # larger than a datagram
+            return
         if self._socket.send(data, address):
-            self._count(f"out_{kind}")
+            self._count(f"out_{COUNTER_NAMES[type(message.body)]}")
             self._count("bytes_out", len(data))
         else:
             self._count("unsent")
 
-    def _queue_frame(self, message: Message, reply: bool, address: Address) -> None:
-        """Whoever founds a fleet, or lets many in, has a frame for each of them at once."""
-        place = address, reply  # a later one takes the place of one that waits
-        if place not in self._queued_frames and len(self._queued_frames) >= MAX_QUEUED_FRAMES:
-            return self._count("frames_dropped")
-        self._queued_frames[place] = message, self._clock() + FRAME_TIMEOUT_S
-        if self._frames_out < MAX_CONCURRENT_FRAMES_OUT:
-            self._frames_out += 1
-            self._scheduler.spawn(self._send_frames)
-
-    def _send_frames(self) -> None:
-        """One after the other, while any wait; who was not reached in time asks again anyway."""
-        try:
-            while self._open and self._queued_frames:
-                place = next(iter(self._queued_frames))
-                message, due = self._queued_frames.pop(place)
-                if self._clock() > due:
-                    self._count("frames_aged")
-                else:
-                    self._send_frame(message, place[0])
-        finally:
-            self._frames_out -= 1
-            if not self._frames_out:
-                self._last_encoded_frame = None
+    def _write_log_line(self, line: LogLine) -> None:
+        logger = view_log if line.message in VIEW_LOG_MESSAGES else log
+        logger.info(line.message, extra={"pairs": line.fields})
 
-    def _send_frame(self, message: Message, address: Address) -> None:
-        stream = None
-        try:
-            stream = connect(self._scheduler, address, FRAME_TIMEOUT_S, self._plan.listen[0])
-            if stream is None:
-                return self._count("frames_failed")
-            limit = self._scheduler.after(FRAME_TIMEOUT_S, stream.close)
-            if self._last_encoded_frame is None or self._last_encoded_frame[0] != message:
-                self._last_encoded_frame = (
-                    message,
-                    codec.frame(message),
-                )  # a large view is dear, and many get the same
-            data = self._last_encoded_frame[1]
-            self._count("out_sync")
-            self._count("bytes_out", len(data))
-            stream.write(data)
-            stream.flush()
-            stream.read()  # the other side closes once it has it all
-            limit.cancel()
-        except codec.BadPacketError:
-            self._count("unsent")  # a view of absurd size: not worth a fall
-        finally:
-            if stream is not None:
-                stream.close()
+    def _count(self, name: str, amount: int = 1) -> None:
+        self._counters[name] = self._counters.get(name, 0) + amount
+
+    # -- connections
 
     def _handle_connection_limit(self) -> None:
         self._count("frames_crowded")
@@ -287,43 +255,46 @@
         self._scheduler.spawn(self._serve_connection, stream)
 
     def _serve_connection(self, stream: Stream) -> None:
-        """One frame of one connection, within a bounded time; a tool has its answer on it."""
-        limit = self._scheduler.after(FRAME_TIMEOUT_S, stream.close)
+        """Read one frame within `FRAME_TIMEOUT_S`, and answer it if it is a status request."""
+        timeout = self._scheduler.after(FRAME_TIMEOUT_S, stream.close)
         try:
-            data = bytearray()
-            while len(data) < 4 or len(data) < 4 + codec.frame_length(bytes(data[:4])):
-                got = stream.read()
-                if not got:
-                    return self._count("frames_cut")
-                data += got
+            data = self._read_frame(stream)
+            if data is None:
+                self._count("frames_cut")
+                return
             self._count("bytes_in", len(data))
-            message = codec.decode(bytes(data[4:]), codec.MAX_FRAME_BYTES)
+            message = codec.decode(data[codec.FRAME_LENGTH.size :], codec.MAX_FRAME_BYTES)
             match message.body:
                 case StatusRequest():
-                    told = self.node.status(self._clock())
-                    told = replace(
-                        told, counters=tuple(sorted({**self.node.counters, **self._counters}.items()))
-                    )
-                    epoch = told.view.epoch if told.view is not None else 0
-                    answer = Message(Envelope(self.node.local_member.name, epoch), told)
-                    stream.write(codec.frame(answer))
-                    stream.flush()
-                    while stream.open and not stream.all_sent:
-                        self._scheduler.sleep(0.005)
+                    self._send_status(stream)
                 case Sync():
                     self._handle_message(message, ("", 0))
                 case _:
                     self._drop_packet("belongs to a datagram", ("tcp", 0))
-        except codec.BadPacketError as trouble:
-            self._drop_packet(str(trouble), ("tcp", 0))
+        except codec.BadPacketError as error:
+            self._drop_packet(str(error), ("tcp", 0))
         finally:
-            limit.cancel()
+            timeout.cancel()
             self._frames_in -= 1
             stream.close()
 
-    def _write_log_line(self, note: LogLine) -> None:
-        to = views if note.message in VIEW_LOG_MESSAGES else log
-        to.info(note.message, extra={"pairs": note.fields})
-
-    def _count(self, name: str, many: int = 1) -> None:
-        self._counters[name] = self._counters.get(name, 0) + many
+    def _read_frame(self, stream: Stream) -> bytes | None:
+        """Return a frame with its header; None if the connection ends before."""
+        header_size = codec.FRAME_LENGTH.size
+        data = bytearray()
+        while len(data) < header_size or len(data) < header_size + codec.frame_length(
+            bytes(data[:header_size])
+        ):
+            received = stream.read()
+            if not received:
+                return None
+            data += received
+        return bytes(data)
+
+    def _send_status(self, stream: Stream) -> None:
+        status = replace(self.node.status(self._clock()), counters=self._all_counters())
+        epoch = status.view.epoch if status.view is not None else 0
+        stream.write(codec.encode_frame(Message(Envelope(self.node_name, epoch), status)))
+        stream.flush()
+        while stream.open and not stream.all_sent:
+            self._scheduler.sleep(SEND_POLL_INTERVAL_S)
--- a/sablewheel/membership/status_client.py
+++ b/sablewheel/membership/status_client.py
@@ -1,4 +1,4 @@
-"""A tool's question to a running server, over TCP; blocking, for commands and trials, not for the server."""
+"""A blocking client that asks a running server for its membership status, for commands and experiments."""
 
 from __future__ import annotations
 
@@ -6,18 +6,27 @@
 
 from . import codec
 from .messages import Envelope, Message, StatusReply, StatusRequest
+from .plan import Address
 
+CLIENT_NAME = "members"
 
-def query_status(address: tuple[str, int], within: float) -> tuple[str, StatusReply]:
-    """Who answered, and what; raises OSError or BadPacketError."""
-    with socket.create_connection(address, within) as peer:
-        peer.settimeout(within)
-        peer.sendall(codec.frame(Message(Envelope("members", 0), StatusRequest())))
-        with peer.makefile("rb") as answer:
-            head = answer.read(4)
-            if len(head) < 4:
+
+def query_status(address: Address, timeout_s: float) -> tuple[str, StatusReply]:
+    """Return the name of the member at an address and its status.
+
+    Raises:
+        OSError: The server cannot be reached or does not answer in time.
+        BadPacketError: The answer is no status.
+    """
+    with socket.create_connection(address, timeout_s) as connection:
+        connection.settimeout(timeout_s)
+        request = Message(Envelope(CLIENT_NAME, 0), StatusRequest())
+        connection.sendall(codec.encode_frame(request))
+        with connection.makefile("rb") as answer:
+            header = answer.read(codec.FRAME_LENGTH.size)
+            if len(header) < codec.FRAME_LENGTH.size:
                 raise codec.BadPacketError("the connection closed before the answer")
-            message = codec.decode(answer.read(codec.frame_length(head)), codec.MAX_FRAME_BYTES)
+            message = codec.decode(answer.read(codec.frame_length(header)), codec.MAX_FRAME_BYTES)
     if not isinstance(message.body, StatusReply):
         raise codec.BadPacketError(f"{type(message.body).__name__} instead of an answer")
     return message.envelope.sender, message.body
--- a/sablewheel/membership/voting.py
+++ b/sablewheel/membership/voting.py
@@ -1,4 +1,4 @@
-"""The vote on the next view: what `Agreement` says, carried in time, passed on in large views. Pure."""
+"""Voting on the next view: runs the consensus instance of the epoch and relays votes in large views. Pure."""
 
 from __future__ import annotations
 
@@ -12,153 +12,162 @@
 from .plan import Settings
 from .view import ChangeKind, Proposal, changes_text
 
-VOTES_FANOUT, VOTE_ROUNDS_PER_PERIOD = (
-    4,
-    5,
-)  # whom votes are passed on to, and how often in a period, in a large view
-MAX_TALLIES_PER_MESSAGE = 4  # proposals in one message of votes
-MAX_TALLIES_BYTES = 52_000  # of their members: past it the most voted for goes with fewer others
+VOTE_GOSSIP_FANOUT = 4  # members that the votes are relayed to at a time, in a large view
+VOTE_GOSSIPS_PER_PERIOD = 5
+MAX_TALLIES_PER_MESSAGE = 4
+MAX_TALLIES_BYTES = 52_000  # of the proposals in a message; a datagram holds little more
+
+Tally = tuple[Proposal, int]  # a proposal and the bit mask of its voters
 
 
 class Voting:
-    """`decide(now, proposal)` hears what was agreed, once an epoch."""
+    """`on_decision(now, proposal)` is called with what was decided, once per epoch."""
 
     def __init__(
         self,
-        roster: MemberTable,
-        out: Outbox,
+        member_table: MemberTable,
+        outbox: Outbox,
         settings: Settings,
-        chance: random.Random,
-        decide: Callable[[float, Proposal], None],
+        rng: random.Random,
+        on_decision: Callable[[float, Proposal], None],
     ) -> None:
-        self._member_table, self._outbox, self._settings, self._random = roster, out, settings, chance
-        self._on_decision = decide
+        self._member_table, self._outbox, self._settings, self._rng = member_table, outbox, settings, rng
+        self._on_decision = on_decision
         self.consensus: ConsensusInstance | None = None
-        self._voted_at = self._next_vote_gossip_at = 0.0
+        self._round_started_at = self._next_vote_gossip_at = 0.0
         self._classic_rounds = 0
-        self._last_decision: tuple[int, Votes] | None = None  # the epoch it ended, for who is still at it
+        self._last_decision: tuple[int, Votes] | None = None  # an epoch and its votes, for members behind
 
     @property
     def has_voted(self) -> bool:
         """Whether this member's fast vote of the epoch is cast."""
         return self.consensus is not None and self.consensus.has_voted
 
-    def propose(self, now: float, cut: Proposal) -> None:
-        agreement = self._current_consensus()
-        self._voted_at = now
-        size, removed = len(agreement.acceptors), sum(one.kind is ChangeKind.REMOVE for one in cut)
-        if size - removed < agreement.fast_quorum and self._settings.injected_fault != "one-at-a-time":
-            # Those who stay are too few to decide it fast: there is nothing to wait for.
-            self._voted_at -= self._settings.vote_timeout_s - self._settings.period_s / 2
-        self._outbox.log("proposed", epoch=agreement.epoch, changes=changes_text(cut))
-        self._send_all(now, agreement.propose(cut))
+    def propose(self, now: float, proposal: Proposal) -> None:
+        """Vote for a proposal in the fast round."""
+        consensus = self._current_consensus()
+        self._round_started_at = now
+        remaining = len(consensus.acceptors) - sum(change.kind is ChangeKind.REMOVE for change in proposal)
+        if remaining < consensus.fast_quorum and self._settings.injected_fault != "one-at-a-time":
+            # The remaining members cannot decide the fast round, so a classic round follows soon.
+            self._round_started_at -= self._settings.vote_timeout_s - self._settings.period_s / 2
+        self._outbox.log("proposed", epoch=consensus.epoch, changes=changes_text(proposal))
+        self._send_all(now, consensus.propose(proposal))
 
     def handle_round_message(self, now: float, sender: str, body: RoundMessage) -> None:
-        """A vote, or a message of a classic round, of the epoch that is held."""
-        agreement = self._current_consensus()
-        if isinstance(body, Vote) and not agreement.votes:
-            self._voted_at = now
-        self._send_all(now, agreement.handle(sender, body))
+        """Handle a vote or a message of a classic round of the current epoch."""
+        consensus = self._current_consensus()
+        if isinstance(body, Vote) and not consensus.votes:
+            self._round_started_at = now
+        self._send_all(now, consensus.handle(sender, body))
 
     def handle_relayed_votes(self, now: float, sender: str, epoch: int, votes: Votes) -> None:
-        """Votes that a member of a large view passes on."""
+        """Handle votes that a member of a large view relays."""
         view = self._member_table.view
         if view is None:
             return
         if epoch < view.epoch:
             if self._last_decision is not None and self._last_decision[0] == epoch:
-                self._outbox.send(
-                    sender, self._last_decision[1], epoch=epoch
-                )  # it is still at what was decided here
+                self._outbox.send(sender, self._last_decision[1], epoch=epoch)  # it has not decided yet
         elif epoch == view.epoch:
-            agreement = self._current_consensus()
-            if not agreement.votes:
-                self._voted_at = self._next_vote_gossip_at = now
-            for cut, bits in votes.tallies[:MAX_TALLIES_PER_MESSAGE]:
-                agreement.merge_votes(cut, bits)
+            consensus = self._current_consensus()
+            if not consensus.votes:
+                self._round_started_at = self._next_vote_gossip_at = now
+            for proposal, voters in votes.tallies[:MAX_TALLIES_PER_MESSAGE]:
+                consensus.merge_votes(proposal, voters)
             self._check_decision(now)
 
     def clear(self) -> None:
-        """Of an epoch that is over."""
+        """Drop the consensus of the previous epoch."""
         self.consensus = None
 
     # -- timers
 
     def wakeup_times(self) -> list[float]:
+        """Return when a classic round starts and when votes are relayed."""
         if not self._is_undecided():
             return []
-        times = [self._voted_at + self._settings.vote_timeout_s * (1 + self._classic_rounds)]
+        times = [self._classic_round_at()]
         return [*times, self._next_vote_gossip_at] if self._member_table.is_large else times
 
     def run_timers(self, now: float) -> None:
+        """Relay votes and start a classic round, when they are due."""
         self._gossip_votes(now)
         self._start_classic_round_if_due(now)
 
+    def _classic_round_at(self) -> float:
+        return self._round_started_at + self._settings.vote_timeout_s * (1 + self._classic_rounds)
+
     def _is_undecided(self) -> bool:
-        agreement = self.consensus
-        return agreement is not None and agreement.decided is None and bool(agreement.votes)
+        consensus = self.consensus
+        return consensus is not None and consensus.decided is None and bool(consensus.votes)
 
     def _gossip_votes(self, now: float) -> None:
-        """In a large view the votes that this member knows go to a few others again and again, so that a
-        decision costs each some messages a round of about log n, not one from each to each."""
+        """Relay the known votes of a large view to a few members, again and again.
+
+        So a decision costs each member about log n messages and not one from each to each.
+        """
         if self.consensus is None or not self._is_undecided() or not self._member_table.is_large:
             return
         if now >= self._next_vote_gossip_at:
-            self._next_vote_gossip_at = now + self._settings.period_s / VOTE_ROUNDS_PER_PERIOD
-            tallies = _fitting(sorted(self.consensus.votes.items(), key=lambda one: -one[1].bit_count()))
-            for name in self._member_table.random_names(self._random, VOTES_FANOUT):
+            self._next_vote_gossip_at = now + self._settings.period_s / VOTE_GOSSIPS_PER_PERIOD
+            most_voted_first = sorted(self.consensus.votes.items(), key=lambda tally: -tally[1].bit_count())
+            tallies = fit_tallies(most_voted_first)
+            for name in self._member_table.random_names(self._rng, VOTE_GOSSIP_FANOUT):
                 self._outbox.send(name, Votes(tuple(tallies)))
 
     def _start_classic_round_if_due(self, now: float) -> None:
-        """No fast decision in time: a classic round, coordinators spread apart by chance."""
-        if self.consensus is None or not self._is_undecided():
-            return
-        if now < self._voted_at + self._settings.vote_timeout_s * (1 + self._classic_rounds):
+        """Start a classic round if the fast one did not decide in time; coordinators spread at random."""
+        if self.consensus is None or not self._is_undecided() or now < self._classic_round_at():
             return
         self._classic_rounds += 1
-        self._voted_at = now + self._random.uniform(0, self._settings.vote_timeout_s)
+        self._round_started_at = now + self._rng.uniform(0, self._settings.vote_timeout_s)
         self._outbox.log("classic round", epoch=self.consensus.epoch, round=self._classic_rounds)
         self._send_all(now, self.consensus.start_classic_round(self._classic_rounds))
 
-    # -- the epoch's agreement
+    # -- the consensus of the epoch
 
     def _current_consensus(self) -> ConsensusInstance:
         view = self._member_table.view
         assert view is not None
         if self.consensus is None or self.consensus.epoch != view.epoch:
-            self.consensus = ConsensusInstance(
-                view.epoch, view.names, self._member_table.local_member.name, view.positions
-            )
+            local_name = self._member_table.local_member.name
+            self.consensus = ConsensusInstance(view.epoch, view.names, local_name, view.positions)
             self._classic_rounds = 0
         return self.consensus
 
-    def _send_all(self, now: float, outs: list[OutgoingMessage]) -> None:
-        for to, body in outs:
-            if to is None and isinstance(body, Vote) and self._member_table.is_large:
-                self._next_vote_gossip_at = now  # passed on with what others voted
-            elif to is None:
+    def _send_all(self, now: float, messages: list[OutgoingMessage]) -> None:
+        for recipient, body in messages:
+            if recipient is None and isinstance(body, Vote) and self._member_table.is_large:
+                self._next_vote_gossip_at = now  # relayed with the other votes
+            elif recipient is None:
                 self._outbox.broadcast(body)
-            elif to != self._member_table.local_member.name:
-                self._outbox.send(to, body)
+            elif recipient != self._member_table.local_member.name:
+                self._outbox.send(recipient, body)
         self._check_decision(now)
 
     def _check_decision(self, now: float) -> None:
-        agreement, view = self.consensus, self._member_table.view
-        if agreement is None or agreement.decided is None or view is None or agreement.epoch != view.epoch:
+        consensus, view = self.consensus, self._member_table.view
+        if consensus is None or view is None or consensus.epoch != view.epoch:
             return
-        if self._member_table.is_large and agreement.decided in agreement.votes:
-            decision = Votes(((agreement.decided, agreement.votes[agreement.decided]),))
-            self._last_decision = (view.epoch, decision)
-        self._on_decision(now, agreement.decided)
-
-
-def _fitting(tallies: list[tuple[Proposal, int]]) -> list[tuple[Proposal, int]]:
-    """The first ones, as many as fit a datagram; the first in any case. Guards a vote against proposals of
-    many members that differ: a message that is too large would not be sent at all, and nothing decided."""
-    room, kept = MAX_TALLIES_BYTES, list[tuple[Proposal, int]]()
-    for cut, bits in tallies[:MAX_TALLIES_PER_MESSAGE]:
-        room -= sum(one.member.max_encoded_bytes for one in cut) + bits.bit_length() // 8
-        if kept and room < 0:
+        decided = consensus.decided
+        if decided is None:
+            return
+        if self._member_table.is_large and decided in consensus.votes:
+            self._last_decision = (view.epoch, Votes(((decided, consensus.votes[decided]),)))
+        self._on_decision(now, decided)
+
+
+def fit_tallies(tallies: list[Tally]) -> list[Tally]:
+    """Return the first tallies, as many as fit a datagram and at least one.
+
+    A message that is too large would not be sent at all, and nothing would be decided.
+    """
+    bytes_left = MAX_TALLIES_BYTES
+    fitting: list[Tally] = []
+    for proposal, voters in tallies[:MAX_TALLIES_PER_MESSAGE]:
+        bytes_left -= sum(change.member.max_encoded_bytes for change in proposal) + voters.bit_length() // 8
+        if fitting and bytes_left < 0:
             break
-        kept.append((cut, bits))
-    return kept
+        fitting.append((proposal, voters))
+    return fitting
--- a/sablewheel/program/feature_registry.py
+++ b/sablewheel/program/feature_registry.py
@@ -175,7 +175,7 @@
             plan,
             placement_settings.name,
             placement_settings.seed,
-            says=feature_context.says,
+            metadata=feature_context.says,
         )
     feature_context.fleet = fleet
     feature_context.leave = fleet.leave
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -19,15 +19,14 @@
 from sablewheel.forwarding.peer_connections import Links
 from sablewheel.forwarding.plan import LinkSettings
 from sablewheel.membership import codec
-from sablewheel.membership.cut_detector import CutDetector
-from sablewheel.membership.cut_detector import _fitting as fitting
-from sablewheel.membership.detector import MAX_RELAYED_PROBES
+from sablewheel.membership.cut_detector import CutDetector, fit_changes
 from sablewheel.membership.events import MessageReceived, Send, TimerFired
 from sablewheel.membership.gossip import MIN_PENDING_UPDATES_CAPACITY
 from sablewheel.membership.messages import Alive, Envelope, Message, Nack, PingRequest, Vote, Votes
 from sablewheel.membership.plan import Settings
-from sablewheel.membership.view import Change, ChangeKind, Member, View, proposal
-from sablewheel.membership.voting import _fitting as votes_fitting
+from sablewheel.membership.probe_relay import MAX_RELAYED_PROBES
+from sablewheel.membership.view import Change, ChangeKind, Member, View, canonical_proposal
+from sablewheel.membership.voting import fit_tallies
 from sablewheel.overload.interface import Client
 from sablewheel.program import application, configuration
 from sablewheel.program import feature_file as features
@@ -152,17 +151,19 @@
     for size in (12, 128):
         joins = [Change(ChangeKind.JOIN, one) for one in members("j", LEAST, size)]
         goes = [Change(ChangeKind.REMOVE, one) for one in members("r", LEAST // 2 - 1, size)]
-        some, cut = fitting(joins), fitting(joins + goes)
+        some, cut = fit_changes(joins), fit_changes(joins + goes)
         assert 0 < len(some) < LEAST and {one.kind for one in some} == {ChangeKind.JOIN}
-        assert sum(one.kind is ChangeKind.REMOVE for one in cut) == min(len(goes), len(fitting(goes)))
-        assert len(goes) == len(fitting(goes)) or size == 128
-        codec.encode(Message(Envelope("m", 1), Vote(proposal(cut))))
+        assert sum(one.kind is ChangeKind.REMOVE for one in cut) == min(len(goes), len(fit_changes(goes)))
+        assert len(goes) == len(fit_changes(goes)) or size == 128
+        codec.encode(Message(Envelope("m", 1), Vote(canonical_proposal(cut))))
         bits = (1 << LEAST) - 1
-        tallies = votes_fitting([(proposal(part), bits) for part in (cut, goes[1:] + joins, some, joins[:9])])
-        assert tallies and tallies[0][0] == proposal(cut)
+        tallies = fit_tallies(
+            [(canonical_proposal(part), bits) for part in (cut, goes[1:] + joins, some, joins[:9])]
+        )
+        assert tallies and tallies[0][0] == canonical_proposal(cut)
         codec.encode(Message(Envelope("m", 1), Votes(tuple(tallies))))
-    few = [(proposal(joins[place : place + 2]), 1) for place in range(6)]
-    assert votes_fitting(few) == few[:4]
+    few = [(canonical_proposal(joins[place : place + 2]), 1) for place in range(6)]
+    assert fit_tallies(few) == few[:4]
 
 
 def test_1024_rumours_and_1024_probes_for_others_are_kept_at_once_and_more_in_a_larger_fleet() -> None:
@@ -179,13 +180,12 @@
         body = PingRequest(seq, "m00007", "")
         node.step(net.now, MessageReceived(Message(Envelope(f"m{seq % LEAST + 1:05}", 1), body), "x"))
     assert (
-        len(node.failure_detector.relayed_probes) == MAX_RELAYED_PROBES
-        and node.counters["relays_refused"] == 1
+        len(node.failure_detector.relay.probes) == MAX_RELAYED_PROBES and node.counters["relays_refused"] == 1
     )
     sent = node.step(net.now + 1.0, TimerFired())
     bodies = [one.message.body for one in sent if isinstance(one, Send)]
     nacks = [body.sequence for body in bodies if isinstance(body, Nack)]
-    assert nacks == list(range(MAX_RELAYED_PROBES)) and not node.failure_detector.relayed_probes
+    assert nacks == list(range(MAX_RELAYED_PROBES)) and not node.failure_detector.relay.probes
 
 
 # -- links, the descriptors that they take, and the ledger's collector
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -12,12 +12,10 @@
 from sablewheel.experiments.made_net import Net
 from sablewheel.experiments.membership_model import Deaf, explore, starts
 from sablewheel.experiments.membership_report import NAMES, by_size, draw
-from sablewheel.membership import codec
+from sablewheel.membership import codec, frame_sender
 from sablewheel.membership import membership_pb2 as pb
-from sablewheel.membership import service as shell
 from sablewheel.membership.consensus import ConsensusInstance
 from sablewheel.membership.cut_detector import CutDetector
-from sablewheel.membership.detector import MAX_RELAYED_PROBES
 from sablewheel.membership.events import FactReported, LeaveRequested, MessageReceived, Send
 from sablewheel.membership.gossip import MIN_PENDING_UPDATES_CAPACITY
 from sablewheel.membership.member_table import MAX_JOINERS
@@ -47,8 +45,10 @@
 )
 from sablewheel.membership.node import Node
 from sablewheel.membership.plan import FAULTY_VARIANTS, MembershipPlan, Mode, Settings
+from sablewheel.membership.probe_relay import MAX_RELAYED_PROBES
+from sablewheel.membership.rings import rings
 from sablewheel.membership.service import MembershipService
-from sablewheel.membership.view import Change, ChangeKind, Fact, Member, View, fingerprint, proposal, rings
+from sablewheel.membership.view import Change, ChangeKind, Fact, Member, View, canonical_proposal, fingerprint
 from sablewheel.transport.scheduler import Clock, Scheduler
 
 
@@ -258,7 +258,7 @@
     plans = [
         MembershipPlan((host, PORT), f"{host}:{PORT}", "z", "r", seeds, settings, says) for host in hosts
     ]
-    first = MembershipService(scheduler, plans[0], "m0", 1, says=(("link", "here"),))
+    first = MembershipService(scheduler, plans[0], "m0", 1, metadata=(("link", "here"),))
 
     def judges(view: View) -> None:
         heard.append(f"first {view.epoch}")
@@ -298,7 +298,7 @@
     assert epochs == list(range(epochs[0], view.epoch + 1)) and len(epochs) >= 3
     assert heard == [f"{who} {epoch}" for epoch in epochs for who in ("first", "last")]
     assert late == [view.epoch]
-    assert first.gauges()["members_faults"] == len(epochs) and "ended by a fault" in caplog.text
+    assert first.gauges()["members_faults"] == len(epochs) and "view callback failed" in caplog.text
 
 
 def test_floods_of_joiners_rumours_and_probes_for_others_are_bounded() -> None:
@@ -315,7 +315,7 @@
         len(node.cut_detector.alerts) == MAX_JOINERS
         and len(node.gossip.pending) == MIN_PENDING_UPDATES_CAPACITY
     )
-    assert len(node.failure_detector.relayed_probes) == MAX_RELAYED_PROBES
+    assert len(node.failure_detector.relay.probes) == MAX_RELAYED_PROBES
     assert set(node.member_table.raised_incarnations) <= set(view.names) and not node.suspicions.by_name
 
 
@@ -524,7 +524,7 @@
 
 def test_a_view_holds_each_name_once() -> None:
     view = View(1, (Member("a", "x"), Member("b", "y")))
-    later = view.apply(proposal([Change(ChangeKind.JOIN, Member("a", "x", incarnation=5))]))
+    later = view.apply(canonical_proposal([Change(ChangeKind.JOIN, Member("a", "x", incarnation=5))]))
     assert later.names == ("a", "b") and later.get("a").incarnation == 5  # type: ignore[union-attr]
     with pytest.raises(ValueError):
         View(1, (Member("a", "x"), Member("a", "y")))
@@ -532,8 +532,8 @@
 
 def test_fast_votes_decide_and_a_classic_round_keeps_what_a_fast_quorum_chose() -> None:
     names = tuple(f"m{place}" for place in range(7))
-    one = proposal([Change(ChangeKind.REMOVE, Member("m6", "x"))])
-    other = proposal([Change(ChangeKind.REMOVE, Member("m5", "x"))])
+    one = canonical_proposal([Change(ChangeKind.REMOVE, Member("m6", "x"))])
+    other = canonical_proposal([Change(ChangeKind.REMOVE, Member("m5", "x"))])
     agreements = {name: ConsensusInstance(1, names, name) for name in names}
     for voter in names[:6]:
         for name in names:
@@ -555,7 +555,7 @@
 
 def test_no_two_values_are_decided_at_one_epoch_under_any_order() -> None:
     names = tuple(f"m{place}" for place in range(5))
-    values = [proposal([Change(ChangeKind.REMOVE, Member(f"m{place}", "x"))]) for place in (3, 4)]
+    values = [canonical_proposal([Change(ChangeKind.REMOVE, Member(f"m{place}", "x"))]) for place in (3, 4)]
     for seed in range(200):
         chance = random.Random(seed)
         agreements = {name: ConsensusInstance(1, names, name) for name in names}
@@ -585,7 +585,9 @@
 
 def test_every_message_goes_through_the_codec_and_bad_packets_are_refused() -> None:
     member = Member("m1", "127.0.0.1:1", "z", "r", 7)
-    cut = proposal([Change(ChangeKind.REMOVE, member), Change(ChangeKind.FACT, fact=Fact("zone/z1", "out"))])
+    cut = canonical_proposal(
+        [Change(ChangeKind.REMOVE, member), Change(ChangeKind.FACT, fact=Fact("zone/z1", "out"))]
+    )
     news = (
         Alive("m1", 3),
         Suspect("m2", 1, "m1"),
@@ -671,14 +673,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     scheduler, block, encoded, now = Scheduler(Clock()), Block(), list[Message](), [100.0]
-    frame = codec.frame
+    frame = codec.encode_frame
 
     def encodes(message: Message) -> bytes:
         encoded.append(message)
         return frame(message)
 
-    monkeypatch.setattr(shell, "connect", lambda *_: Taken(scheduler))
-    monkeypatch.setattr(codec, "frame", encodes)
+    monkeypatch.setattr(frame_sender, "connect", lambda *_: Taken(scheduler))
+    monkeypatch.setattr(codec, "encode_frame", encodes)
     host = f"127.{block.second}.0.1"
     plan = MembershipPlan((host, PORT), f"{host}:{PORT}", "z", "r", (f"{host}:{PORT}",))
     fleet = MembershipService(scheduler, plan, "m0", 1, lambda: now[0])
@@ -697,13 +699,13 @@
     ask(0, MANY)
     ask(0, 9)  # as soon again: a later one takes the place of one that waits
     rounds()
-    assert len(Taken.got) == MANY and len(encoded) == 1 and fleet._last_encoded_frame is None
-    assert 1 < Taken.most <= shell.MAX_CONCURRENT_FRAMES_OUT and Taken.open_now == 0
-    ask(0, shell.MAX_QUEUED_FRAMES + 7)
-    assert shell.MAX_QUEUED_FRAMES >= MANY and fleet.gauges()["members_frames_dropped"] == 7
-    now[0] += shell.FRAME_TIMEOUT_S + 0.1  # whoever asked has asked again since
+    assert len(Taken.got) == MANY and len(encoded) == 1 and not fleet._frame_sender.has_cached_frame
+    assert 1 < Taken.most <= frame_sender.MAX_CONCURRENT_FRAMES_OUT and Taken.open_now == 0
+    ask(0, frame_sender.MAX_QUEUED_FRAMES + 7)
+    assert frame_sender.MAX_QUEUED_FRAMES >= MANY and fleet.gauges()["members_frames_dropped"] == 7
+    now[0] += frame_sender.FRAME_TIMEOUT_S + 0.1  # whoever asked has asked again since
     rounds()
-    assert len(Taken.got) == MANY and fleet.gauges()["members_frames_aged"] == shell.MAX_QUEUED_FRAMES
+    assert len(Taken.got) == MANY and fleet.gauges()["members_frames_aged"] == frame_sender.MAX_QUEUED_FRAMES
     fleet.close()
     block.close()
 
