--- a/sablewheel/experiments/forwarder.py
+++ b/sablewheel/experiments/forwarder.py
@@ -16,31 +16,32 @@
 
 from ..forwarding import frames
 from ..forwarding import service as forward
-from ..forwarding.forwarding_state import Broken, Effect, Event, Passing, Tick
+from ..forwarding.events import ConnectionLost, Effect, Event, TimerFired
+from ..forwarding.forwarding_state import ForwardingState
 from ..membership.view import View
 from ..serving.exchange import Exchange
 
 SHARE = 0.7  # of requests that go to a peer
 
 
-class Spread(forward.Forward):
+class Spread(forward.ForwardingService):
     """Its own placer: any member of the view, as it is agreed right now."""
 
     def __init__(self, *values: Any, **more: Any) -> None:
         super().__init__(*values, **more)
         self.placer = self
         self._others: list[str] = []
-        self._chance = random.Random(self._number)
-        self._admitted = open(sys.argv[2], "a", buffering=1)  # noqa: SIM115  kept until the end
+        self._chance = random.Random(self._last_number)
+        self._admitted_file = open(sys.argv[2], "a", buffering=1)  # noqa: SIM115  kept until the end
 
-    def view(self, view: View) -> None:
-        super().view(view)
-        self._others = [one for one in view.names if one != self._links.name]
+    def handle_view(self, view: View) -> None:
+        super().handle_view(view)
+        self._others = [one for one in view.names if one != self._connections.node_name]
 
     def _serve_here(self, exchange: Exchange) -> None:
         """The trial holds what the controller is told of a guest against what its router knows."""
-        if isinstance(exchange.caller, forward.Guest):
-            self._admitted.write(f"{exchange.name.decode()} {exchange.request.arrived_at:.6f}\n")
+        if isinstance(exchange.caller, forward.ForwardedCaller):
+            self._admitted_file.write(f"{exchange.name.decode()} {exchange.request.arrived_at:.6f}\n")
         super()._serve_here(exchange)
 
     def place(self, exchange: Exchange) -> str | None:
@@ -52,39 +53,39 @@
 def twice() -> None:
     """An non-idempotent request goes again after a break."""
 
-    def again(self: Passing, number: int) -> list[Effect]:
-        return [self._back(0.0, number, self.out.pop(number))]
+    def again(self: ForwardingState, number: int) -> list[Effect]:
+        return [self._return(0.0, number, self.forwarded.pop(number))]
 
-    Passing._may_have_run = again  # type: ignore[method-assign]
+    ForwardingState._fail_uncertain = again  # type: ignore[method-assign]
 
 
 def no_shrink() -> None:
     """Requests are taken for as young as they were when they left."""
 
-    def hop(self: frames.Hops, now: float, sent: float) -> float:
+    def transit_s(self: frames.TransitTimeEstimator, now: float, sent_at: float) -> float:
         return 0.0
 
-    frames.Hops.hop = hop  # type: ignore[method-assign]
+    frames.TransitTimeEstimator.transit_s = transit_s  # type: ignore[method-assign]
 
 
 def no_return() -> None:
     """What a broken link or a peer that stands still has is waited for to the end."""
-    step = Passing.step
+    step = ForwardingState.step
 
-    def waiting(self: Passing, now: float, event: Event) -> list[Effect]:
-        if isinstance(event, Broken):
+    def waiting(self: ForwardingState, now: float, event: Event) -> list[Effect]:
+        if isinstance(event, ConnectionLost):
             return []
-        if isinstance(event, Tick):
-            for one in self.out.values():
-                one.taken_by = float("inf")
+        if isinstance(event, TimerFired):
+            for one in self.forwarded.values():
+                one.ack_deadline = float("inf")
         return step(self, now, event)
 
-    Passing.step = waiting  # type: ignore[method-assign]
+    ForwardingState.step = waiting  # type: ignore[method-assign]
 
 
 VARIANTS = {"spread": lambda: None, "twice": twice, "no-shrink": no_shrink, "no-return": no_return}
 
 if __name__ == "__main__":
     VARIANTS[sys.argv[1]]()
-    setattr(forward, "Forward", Spread)  # noqa: B010  the program imports it from there when it is switched on
+    setattr(forward, "ForwardingService", Spread)  # noqa: B010  the program imports it from there when it is switched on
     runpy.run_module("sablewheel", run_name="__main__")
--- a/sablewheel/feature_policy/service.py
+++ b/sablewheel/feature_policy/service.py
@@ -17,6 +17,7 @@
 from math import inf
 from typing import IO, Protocol
 
+from ..forwarding.errors import SendError
 from ..membership.view import Fact, View
 from ..overload.interface import ServerSettings, Tenant
 from ..serving.exchange import Exchange
@@ -69,9 +70,9 @@
 class Links(Protocol):
     """The forward path's links, as they are needed here."""
 
-    def send(self, to: str, kind: str, payload: bytes, within: float) -> bool: ...
-    def on(self, kind: str, handler: Callable[[str, bytes], None]) -> None: ...
-    def on_broken(self, callback: Callable[[str], None]) -> None: ...
+    def send(self, peer_name: str, message_type: str, payload: bytes, *, expires_in_s: float) -> None: ...
+    def register_handler(self, message_type: str, handler: Callable[[str, bytes], None]) -> None: ...
+    def on_connection_lost(self, callback: Callable[[str], None]) -> None: ...
 
 
 class Policies:
@@ -106,8 +107,8 @@
         self._job_until = 0.0
         self._open = True
         self.counts: dict[str, int] = {}
-        links.on(KIND, self._heard)
-        links.on_broken(lambda peer: self._broken.update({peer: clock()}))
+        links.register_handler(KIND, self._heard)
+        links.on_connection_lost(lambda peer: self._broken.update({peer: clock()}))
         fleet.on_view(self._viewed)
         if plan.file is not None:
             self._wish(only_first=True)
@@ -261,8 +262,12 @@
     def _carry_out(self, effect: Effect) -> None:
         match effect:
             case Send(to, message):
-                sent = self._links.send(to, KIND, codec.encode(message), SEND_WITHIN)
-                self._count("sent" if sent else "unsent")
+                try:
+                    self._links.send(to, KIND, codec.encode(message), expires_in_s=SEND_WITHIN)
+                except SendError:
+                    self._count("unsent")
+                else:
+                    self._count("sent")
             case Judge(fact):
                 self._fleet.report_fact(fact)
             case Apply():
--- a/sablewheel/forwarding/forwarding_state.py
+++ b/sablewheel/forwarding/forwarding_state.py
@@ -1,381 +1,323 @@
-"""Requests passed on, pure: one hop, one outcome each, whatever happens to the peer or the link.
+"""Forwarded requests: one hop and one outcome each, whatever happens to the peer or the connection. Pure.
 
-Each member is both sides. Of what it passed on it knows the peer and the time that is left; of what it took
-in, whose it is. The rule when the link breaks or the peer does not say that it has the request goes by
-idempotency:
+Each member is both sides: it knows the peer and the deadline of each request that it forwarded, and the
+origin of each that it admitted. If the connection is lost or the peer does not acknowledge a request, its
+idempotency decides:
 
-- idempotent: back to its own server, which may run it or pass it to another, while its time lasts
-- keyed: its owner is asked whether it may run again, who knows what became of it; unless one says yes it
-  ends in an error, as it may have run
-- non-idempotent: an error, once the first may have arrived; never a second sending
+- idempotent: it returns to its own server, which may run it or forward it again until the deadline
+- keyed: its owner, which knows what became of it, is asked whether it may run again; unless one says yes it
+fails,
+  as it may have run
+- non-idempotent: it fails if it may have arrived; it is never sent twice
 
-What was surely never sent, or was refused, may go anywhere. A request that was taken in is the receiver's own
-and goes no further: only `Wanted` passes on, and nobody calls it for one taken in.
+A request that was certainly never sent, or was refused, may go anywhere. An admitted request belongs to the
+receiver and goes no further: only `ForwardRequested` forwards, and nobody calls it for an admitted request.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict
+from collections.abc import Callable
 from dataclasses import dataclass, field
 from math import inf
-from typing import TypeAlias
+from typing import Any
 
 from ..overload.interface import Idempotency
-from .messages import Answer, Cancel, Final, Message, Pass, Passed, Refused, Taken
-from .plan import PassSettings
-
-Key = tuple[str, int]  # whose it is, and its number there
-
+from .events import (
+    AbandonRequest,
+    AdmitRequest,
+    AskOwner,
+    CallerGone,
+    ConnectionLost,
+    DeliverAnswer,
+    Effect,
+    Event,
+    ForwardRequested,
+    Key,
+    MessageReceived,
+    RequestFinished,
+    RequestNotSent,
+    RerunDecided,
+    ReturnRequest,
+    Send,
+    ShutdownStarted,
+    TimerFired,
+)
+from .messages import Acknowledged, Answer, Cancel, FinalStatus, ForwardRequest, Message, Refused
+from .plan import ForwardingSettings
+
+MIN_REMAINING_SLACKS = 2  # a request with less remaining time than so many answer slacks is not forwarded
 
 # The counters keep the names that alerts and dashboards know.
 ANSWER_COUNTERS = {
-    Final.COMPLETED: "answer_completed",
-    Final.REJECTED: "answer_denied",
-    Final.FAILED: "answer_terminated",
+    FinalStatus.COMPLETED: "answer_completed",
+    FinalStatus.REJECTED: "answer_denied",
+    FinalStatus.FAILED: "answer_terminated",
 }
 
 
-@dataclass(frozen=True, slots=True)
-class Wanted:
-    """A request of ours is to go to a peer; `tried` are those it cannot go to any more. The number is new."""
-
-    number: int
-    to: str
-    idempotency: Idempotency
-    request: Passed
-    age: float
-    left: float
-    tried: frozenset[str] = frozenset()
-
-
-@dataclass(frozen=True, slots=True)
-class Gone:
-    """Nobody waits for one of ours any more."""
-
-    number: int
-
-
-@dataclass(frozen=True, slots=True)
-class Unsent:
-    """One that was to go never left this machine."""
-
-    number: int
-
-
-@dataclass(frozen=True, slots=True)
-class Judged:
-    """The owner's word on one that was `Unsure`: whether it may run again."""
-
-    number: int
-    again: bool
-
-
-@dataclass(frozen=True, slots=True)
-class Broken:
-    """A link to this peer is lost, with what was under way on it."""
-
-    peer: str
-
-
-@dataclass(frozen=True, slots=True)
-class Got:
-    """`hop`: how long it was on its way, at least."""
-
-    sender: str
-    message: Message
-    hop: float = 0.0
-
-
-@dataclass(frozen=True, slots=True)
-class Over:
-    """One that was taken in has its answer; None: it can't be served here and never ran."""
-
-    key: Key
-    answer: Answer | None
-
-
-@dataclass(frozen=True, slots=True)
-class Leaving:
-    """This member leaves: it takes in no more, so that requests are served where they came."""
-
-
-@dataclass(frozen=True, slots=True)
-class Tick:
-    pass
-
-
-@dataclass(frozen=True, slots=True)
-class Send:
-    """Worth nothing after `within` seconds."""
-
-    to: str
-    message: Message
-    within: float
-
-
-@dataclass(frozen=True, slots=True)
-class Back:
-    """One of ours is at home again and never ran, or may run again: `tried` need not be asked."""
-
-    number: int
-    tried: frozenset[str]
-
-
-@dataclass(frozen=True, slots=True)
-class Answered:
-    """The one answer of one of ours; `here`: it is this member's own word, not the peer's."""
-
-    number: int
-    answer: Answer
-    here: bool
-
-
-@dataclass(frozen=True, slots=True)
-class Unsure:
-    """One with an idempotency key may have run; ask who owns it and tell `Judged`."""
-
-    number: int
-
-
-@dataclass(frozen=True, slots=True)
-class Admit:
-    """Let a peer's request in as our own; it is as old as that."""
-
-    key: Key
-    request: Passed
-    age: float
-
-
-@dataclass(frozen=True, slots=True)
-class Abandon:
-    """Nobody waits any more for one that was taken in."""
-
-    key: Key
-
-
-Event: TypeAlias = Wanted | Gone | Unsent | Judged | Broken | Got | Over | Leaving | Tick
-Effect: TypeAlias = Send | Back | Answered | Unsure | Admit | Abandon
-
-
 @dataclass(slots=True)
-class Out:
-    """One of ours at a peer."""
+class ForwardedRequest:
+    """A request of this member at a peer."""
 
-    to: str
+    peer: str
     idempotency: Idempotency
-    due: float
-    taken_by: float  # inf once the peer said that it has it
+    deadline: float
+    ack_deadline: float  # inf once the peer acknowledged it
     tried: frozenset[str]
-    asked: bool = False  # the owner is being asked
+    owner_asked: bool = False
 
 
 @dataclass
-class Passing:
-    """Invariant: a number in `out` has had no outcome yet, and one that is not gets none any more."""
+class ForwardingState:
+    """The state of both sides.
 
-    settings: PassSettings = field(default_factory=PassSettings)
-    out: dict[int, Out] = field(default_factory=dict)
-    taken_in: dict[Key, float] = field(default_factory=dict)  # and when its time is up
-    doubted: dict[str, float] = field(default_factory=dict)  # peers, and until when
-    counts: dict[str, int] = field(default_factory=dict)
-    leaving: bool = False
+    A number in `forwarded` has had no outcome yet, and one that is not there gets none any more.
+    """
+
+    settings: ForwardingSettings = field(default_factory=ForwardingSettings)
+    forwarded: dict[int, ForwardedRequest] = field(default_factory=dict)
+    admitted: dict[Key, float] = field(default_factory=dict)  # with their deadlines
+    backed_off_peers: dict[str, float] = field(default_factory=dict)  # and until when
+    counters: dict[str, int] = field(default_factory=dict)
+    is_shutting_down: bool = False
 
     def __post_init__(self) -> None:
-        self._recent: OrderedDict[Key, None] = OrderedDict()
-        self._in_of: dict[str, int] = {}
-        self.wake_at = inf  # never later than something is due; may be sooner
+        self._recent_keys: OrderedDict[Key, None] = OrderedDict()  # of finished requests of peers
+        self._admitted_per_peer: dict[str, int] = {}
+        self.wake_at = inf  # never later than the next timer; may be earlier
 
     def step(self, now: float, event: Event) -> list[Effect]:
-        match event:
-            case Wanted():
-                return self._wanted(now, event)
-            case Got(sender, message, hop):
-                self.doubted.pop(sender, None)
-                return self._got(now, sender, message, max(hop, 0.0))
-            case Over(key, answer):
-                return self._over(now, key, answer)
-            case Gone(number):
-                if (one := self.out.pop(number, None)) is None:
-                    return []
-                self._count("gone")
-                return [Send(one.to, Cancel(number), max(one.due - now, 0.0))]
-            case Unsent(number):
-                if (one := self.out.pop(number, None)) is None:
-                    return []
-                self._count("unsent")
-                self._doubt(now, one.to)
-                return [self._back(now, number, one)]
-            case Judged(number, again):
-                one = self.out.get(number)
-                if one is None or not one.asked:
-                    return []
-                del self.out[number]
-                return [self._back(now, number, one) if again else self._error(number)]
-            case Broken(peer):
-                return self._broken(now, peer)
-            case Leaving():
-                self.leaving = True
-                return []
-            case Tick():
-                return self._tick(now)
-
-    # -- ours at peers
-
-    def _wanted(self, now: float, event: Wanted) -> list[Effect]:
-        to, settings = event.to, self.settings
-        doubted = self.doubted.get(to, -inf) > now or to in event.tried
-        if doubted or len(self.out) >= settings.out_most or event.left <= 2 * settings.spare:
+        """Handle an event and return the effects."""
+        return _EVENT_HANDLERS[type(event)](self, now, event)
+
+    # -- this member's requests at peers
+
+    def _handle_forward_requested(self, now: float, event: ForwardRequested) -> list[Effect]:
+        peer, settings = event.peer, self.settings
+        is_ruled_out = self.backed_off_peers.get(peer, -inf) > now or peer in event.tried
+        is_full = len(self.forwarded) >= settings.max_forwarded
+        is_late = event.remaining_s <= MIN_REMAINING_SLACKS * settings.answer_slack_s
+        if is_ruled_out or is_full or is_late:
             self._count("not_passed")
-            return [Back(event.number, event.tried | {to})]
-        due = now + event.left - settings.spare
-        taken_by = min(now + settings.taken_within, due)
-        self.out[event.number] = Out(to, event.idempotency, due, taken_by, event.tried)
-        self._wake(taken_by)
+            return [ReturnRequest(event.number, event.tried | {peer})]
+        deadline = now + event.remaining_s - settings.answer_slack_s
+        ack_deadline = min(now + settings.ack_timeout_s, deadline)
+        self.forwarded[event.number] = ForwardedRequest(
+            peer, event.idempotency, deadline, ack_deadline, event.tried
+        )
+        self._schedule(ack_deadline)
         self._count("passed")
-        return [Send(to, Pass(event.number, event.request, event.age, event.left), event.left)]
+        message = ForwardRequest(event.number, event.request, event.age_s, event.remaining_s)
+        return [Send(peer, message, event.remaining_s)]
+
+    def _handle_caller_gone(self, now: float, event: CallerGone) -> list[Effect]:
+        request = self.forwarded.pop(event.number, None)
+        if request is None:
+            return []
+        self._count("gone")
+        return [Send(request.peer, Cancel(event.number), max(request.deadline - now, 0.0))]
+
+    def _handle_not_sent(self, now: float, event: RequestNotSent) -> list[Effect]:
+        request = self.forwarded.pop(event.number, None)
+        if request is None:
+            return []
+        self._count("unsent")
+        self._back_off(now, request.peer)
+        return [self._return(now, event.number, request)]
+
+    def _handle_rerun_decided(self, now: float, event: RerunDecided) -> list[Effect]:
+        number = event.number
+        request = self.forwarded.get(number)
+        if request is None or not request.owner_asked:
+            return []
+        del self.forwarded[number]
+        return [self._return(now, number, request) if event.may_run_again else self._fail(number)]
 
-    def _back(self, now: float, number: int, one: Out) -> Effect:
-        """It may go anywhere, if there is time."""
-        if now >= one.due:
-            return self._error(number)
+    def _return(self, now: float, number: int, request: ForwardedRequest) -> Effect:
+        """Return a request that may go anywhere, unless its deadline has passed."""
+        if now >= request.deadline:
+            return self._fail(number)
         self._count("back")
-        return Back(number, one.tried | {one.to})
+        return ReturnRequest(number, request.tried | {request.peer})
 
-    def _error(self, number: int) -> Effect:
+    def _fail(self, number: int) -> Effect:
         self._count("ended_in_error")
-        return Answered(number, Answer(number, Final.FAILED), True)
-
-    def _in_doubt(self, now: float, number: int, one: Out) -> list[Effect]:
-        """It may have arrived, and no answer will come."""
-        if one.idempotency is Idempotency.IDEMPOTENT:
-            del self.out[number]
-            return [self._back(now, number, one)]
-        if one.idempotency is Idempotency.KEYED:
-            one.asked = True
-            one.taken_by = inf
-            return [Unsure(number)]
-        return self._may_have_run(number)
-
-    def _may_have_run(self, number: int) -> list[Effect]:
-        """An non-idempotent request that was sent: an error, whatever became of it."""
-        del self.out[number]
-        return [self._error(number)]
-
-    def _broken(self, now: float, peer: str) -> list[Effect]:
-        self._doubt(now, peer)
+        return DeliverAnswer(number, Answer(number, FinalStatus.FAILED), True)
+
+    def _handle_uncertain(self, now: float, number: int, request: ForwardedRequest) -> list[Effect]:
+        """Handle a request that may have arrived and will get no answer."""
+        if request.idempotency is Idempotency.IDEMPOTENT:
+            del self.forwarded[number]
+            return [self._return(now, number, request)]
+        if request.idempotency is Idempotency.KEYED:
+            request.owner_asked = True
+            request.ack_deadline = inf
+            return [AskOwner(number)]
+        return self._fail_uncertain(number)
+
+    def _fail_uncertain(self, number: int) -> list[Effect]:
+        """Fail a non-idempotent request that was sent, whatever became of it."""
+        del self.forwarded[number]
+        return [self._fail(number)]
+
+    def _handle_connection_lost(self, now: float, event: ConnectionLost) -> list[Effect]:
+        peer = event.peer
+        self._back_off(now, peer)
         effects: list[Effect] = []
-        for number, one in list(self.out.items()):
-            if one.to == peer and not one.asked:
-                effects += self._in_doubt(now, number, one)
-        for key in [key for key in self.taken_in if key[0] == peer]:
+        for number, request in list(self.forwarded.items()):
+            if request.peer == peer and not request.owner_asked:
+                effects += self._handle_uncertain(now, number, request)
+        for key in [key for key in self.admitted if key[0] == peer]:
             self._close(key)
             self._count("abandoned")
-            effects.append(Abandon(key))
+            effects.append(AbandonRequest(key))
         return effects
 
-    def _tick(self, now: float) -> list[Effect]:
+    # -- timers
+
+    def _handle_timer(self, now: float, event: TimerFired) -> list[Effect]:
+        del event
         effects: list[Effect] = []
-        wake = inf
-        for number, one in list(self.out.items()):
-            if one.due <= now:
-                del self.out[number]
-                effects += [Send(one.to, Cancel(number), self.settings.doubt), self._error(number)]
-                continue
-            if one.taken_by <= now:
-                # Not even taken: the peer or the link stands still. Only what harms nothing goes elsewhere
-                # now, all else waits for its answer, or for the link to break.
-                one.taken_by = inf
-                self._count("not_taken")
-                self._doubt(now, one.to)
-                if one.idempotency is Idempotency.IDEMPOTENT:
-                    effects.append(Send(one.to, Cancel(number), max(one.due - now, 0.0)))
-                    effects += self._in_doubt(now, number, one)
-                    continue
-            wake = min(wake, one.due, one.taken_by)
-        for key in [key for key, due in self.taken_in.items() if due <= now]:
-            self._close(key)  # its own server has given it up by now
+        for number, request in list(self.forwarded.items()):
+            if request.deadline <= now:
+                effects += self._time_out(number, request)
+            elif request.ack_deadline <= now:
+                effects += self._handle_missing_ack(now, number, request)
+        for key in [key for key, deadline in self.admitted.items() if deadline <= now]:
+            self._close(key)  # its own server has failed it by now
             self._count("overdue")
-            effects.append(Abandon(key))
-        self.doubted = {peer: until for peer, until in self.doubted.items() if until > now}
-        self.wake_at = min([wake, *self.taken_in.values()])
+            effects.append(AbandonRequest(key))
+        self.backed_off_peers = {peer: until for peer, until in self.backed_off_peers.items() if until > now}
+        waiting = (min(request.deadline, request.ack_deadline) for request in self.forwarded.values())
+        self.wake_at = min([inf, *waiting, *self.admitted.values()])
         return effects
 
-    # -- what peers say
+    def _time_out(self, number: int, request: ForwardedRequest) -> list[Effect]:
+        del self.forwarded[number]
+        return [Send(request.peer, Cancel(number), self.settings.peer_backoff_s), self._fail(number)]
+
+    def _handle_missing_ack(self, now: float, number: int, request: ForwardedRequest) -> list[Effect]:
+        """Handle a request that its peer did not acknowledge in time.
+
+        The peer or the connection is stalled. An idempotent request goes elsewhere; any other waits for its
+        answer or for the loss of the connection.
+        """
+        request.ack_deadline = inf
+        self._count("not_taken")
+        self._back_off(now, request.peer)
+        if request.idempotency is not Idempotency.IDEMPOTENT:
+            return []
+        cancel = Send(request.peer, Cancel(number), max(request.deadline - now, 0.0))
+        return [cancel, *self._handle_uncertain(now, number, request)]
+
+    # -- messages of peers
 
-    def _got(self, now: float, sender: str, message: Message, hop: float) -> list[Effect]:
-        if isinstance(message, Pass):
-            return self._pass(now, (sender, message.number), message, hop)
+    def _handle_message(self, now: float, event: MessageReceived) -> list[Effect]:
+        sender, message = event.sender, event.message
+        self.backed_off_peers.pop(sender, None)
+        if isinstance(message, ForwardRequest):
+            return self._handle_forwarded(now, (sender, message.number), message, max(event.transit_s, 0.0))
         if isinstance(message, Cancel):
-            return self._cancelled((sender, message.number))
-        one = self.out.get(message.number)
-        if one is None or one.to != sender:
-            self._count("late" if not isinstance(message, Taken) else "late_taken")
+            return self._handle_cancel((sender, message.number))
+        return self._handle_response(now, sender, message)
+
+    def _handle_response(self, now: float, sender: str, message: Message) -> list[Effect]:
+        number = message.number
+        request = self.forwarded.get(number)
+        if request is None or request.peer != sender:
+            self._count("late_taken" if isinstance(message, Acknowledged) else "late")
             return []
         match message:
-            case Taken():
-                one.taken_by = inf
-                return []
-            case Refused(number):
-                del self.out[number]
+            case Acknowledged():
+                request.ack_deadline = inf
+            case Refused():
+                del self.forwarded[number]
                 self._count("refused")
-                return [self._back(now, number, one)]
-            case Answer(number):
-                del self.out[number]
+                return [self._return(now, number, request)]
+            case Answer():
+                del self.forwarded[number]
                 self._count(ANSWER_COUNTERS[message.final])
-                return [Answered(number, message, False)]
+                return [DeliverAnswer(number, message, False)]
+        return []
 
-    # -- theirs here
+    # -- requests of peers
 
-    def _pass(self, now: float, key: Key, message: Pass, hop: float) -> list[Effect]:
+    def _handle_forwarded(
+        self, now: float, key: Key, message: ForwardRequest, transit_s: float
+    ) -> list[Effect]:
         sender, number = key
-        if key in self.taken_in or key in self._recent:
+        if key in self.admitted or key in self._recent_keys:
             self._count("doubles")
             return []
-        left = message.left - hop
-        full = self._in_of.get(sender, 0) >= self.settings.in_most
-        if self.leaving or full or left <= self.settings.spare:
+        answer_slack_s = self.settings.answer_slack_s
+        remaining_s = message.remaining_s - transit_s
+        is_full = self._admitted_per_peer.get(sender, 0) >= self.settings.max_admitted_per_peer
+        if self.is_shutting_down or is_full or remaining_s <= answer_slack_s:
             self._count("declined")
-            self._note(key)
-            return [Send(sender, Refused(number), max(left, self.settings.spare))]
-        self.taken_in[key] = now + left
-        self._in_of[sender] = self._in_of.get(sender, 0) + 1
-        self._wake(now + left)
+            self._remember(key)
+            return [Send(sender, Refused(number), max(remaining_s, answer_slack_s))]
+        self.admitted[key] = now + remaining_s
+        self._admitted_per_peer[sender] = self._admitted_per_peer.get(sender, 0) + 1
+        self._schedule(now + remaining_s)
         self._count("taken_in")
-        return [Send(sender, Taken(number), left), Admit(key, message.request, message.age + hop)]
+        admit = AdmitRequest(key, message.request, message.age_s + transit_s)
+        return [Send(sender, Acknowledged(number), remaining_s), admit]
 
-    def _cancelled(self, key: Key) -> list[Effect]:
-        if key not in self.taken_in:
-            self._note(key)  # it may come yet, and is over already
+    def _handle_cancel(self, key: Key) -> list[Effect]:
+        if key not in self.admitted:
+            self._remember(key)  # the request may arrive after its cancellation
             return []
         self._close(key)
         self._count("cancelled")
-        return [Abandon(key)]
+        return [AbandonRequest(key)]
 
-    def _over(self, now: float, key: Key, answer: Answer | None) -> list[Effect]:
-        due = self.taken_in.get(key)
-        if due is None:
+    def _handle_finished(self, now: float, event: RequestFinished) -> list[Effect]:
+        key, answer = event.key, event.answer
+        deadline = self.admitted.get(key)
+        if deadline is None:
             return []
         self._close(key)
         self._count("answered" if answer is not None else "unservable")
-        return [Send(key[0], answer or Refused(key[1]), max(due - now, 0.0))]
+        return [Send(key[0], answer or Refused(key[1]), max(deadline - now, 0.0))]
+
+    def _handle_shutdown(self, now: float, event: ShutdownStarted) -> list[Effect]:
+        del now, event
+        self.is_shutting_down = True
+        return []
 
     def _close(self, key: Key) -> None:
-        del self.taken_in[key]
-        self._in_of[key[0]] -= 1
-        if not self._in_of[key[0]]:
-            del self._in_of[key[0]]
-        self._note(key)
+        del self.admitted[key]
+        self._admitted_per_peer[key[0]] -= 1
+        if not self._admitted_per_peer[key[0]]:
+            del self._admitted_per_peer[key[0]]
+        self._remember(key)
 
-    def _note(self, key: Key) -> None:
-        self._recent[key] = None
-        while len(self._recent) > self.settings.recent_most:
-            self._recent.popitem(last=False)
+    def _remember(self, key: Key) -> None:
+        self._recent_keys[key] = None
+        while len(self._recent_keys) > self.settings.max_recent_numbers:
+            self._recent_keys.popitem(last=False)
 
-    def _doubt(self, now: float, peer: str) -> None:
-        self.doubted[peer] = now + self.settings.doubt
+    # -- small helpers
 
-    def _wake(self, when: float) -> None:
-        self.wake_at = min(self.wake_at, when)
+    def _back_off(self, now: float, peer: str) -> None:
+        self.backed_off_peers[peer] = now + self.settings.peer_backoff_s
+
+    def _schedule(self, wake_at: float) -> None:
+        self.wake_at = min(self.wake_at, wake_at)
 
     def _count(self, name: str) -> None:
-        self.counts[name] = self.counts.get(name, 0) + 1
+        self.counters[name] = self.counters.get(name, 0) + 1
+
+
+_EVENT_HANDLERS: dict[type[Event], Callable[[ForwardingState, float, Any], list[Effect]]] = {
+    ForwardRequested: ForwardingState._handle_forward_requested,
+    MessageReceived: ForwardingState._handle_message,
+    RequestFinished: ForwardingState._handle_finished,
+    CallerGone: ForwardingState._handle_caller_gone,
+    RequestNotSent: ForwardingState._handle_not_sent,
+    RerunDecided: ForwardingState._handle_rerun_decided,
+    ConnectionLost: ForwardingState._handle_connection_lost,
+    ShutdownStarted: ForwardingState._handle_shutdown,
+    TimerFired: ForwardingState._handle_timer,
+}
--- a/sablewheel/forwarding/messages.py
+++ b/sablewheel/forwarding/messages.py
@@ -1,6 +1,7 @@
-"""What peers say to each other of a request that is passed on, and its bytes. Pure.
+"""Messages between peers about a forwarded request, and their encoding. Pure.
 
-Numbers are the sender's own and never come twice, over its lives as well: they begin with its incarnation.
+Request numbers are the sender's own and never repeat, not even over restarts: they start with its
+incarnation.
 """
 
 from __future__ import annotations
@@ -14,15 +15,15 @@
 
 from . import forwarding_pb2 as pb
 
-NAME_MOST = 64  # bytes of a request's name, its request class's, its tenant's, its idempotency key
-SPAN_MOST = 86400.0
+MAX_NAME_BYTES = 64  # of a request's name, its class's, its tenant's, its idempotency key
+MAX_DURATION_S = 86400.0
 
 
 class BadMessageError(ValueError):
-    """What came is no message; the text names the field."""
+    """A payload is no message; the text names the field."""
 
 
-class Final(Enum):
+class FinalStatus(Enum):
     """How a request ended."""
 
     COMPLETED = 1
@@ -31,49 +32,49 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Passed:
-    """What goes along of a request; the idempotency key only where a repeat joins its first."""
+class RequestData:
+    """The request itself; the idempotency key only of a keyed one."""
 
     name: bytes
     request_class: bytes
     body: bytes
     tenant: bytes
     idempotency_key: bytes | None
-    kb: float
+    memory_kb: float
     subject: str | None
     session: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Pass:
-    """A request goes over: `age` since it reached the first machine, `left` until nobody waits."""
+class ForwardRequest:
+    """Forwards a request: `age_s` since it reached the first server, `remaining_s` until its deadline."""
 
     number: int
-    request: Passed
-    age: float
-    left: float
+    request: RequestData
+    age_s: float
+    remaining_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
-    """It has come."""
+class Acknowledged:
+    """The request arrived and was admitted."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """It is not taken and will never run here."""
+    """The request was not admitted and will never run at the sender."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Its one answer."""
+    """The one answer to a request."""
 
     number: int
-    final: Final
+    final: FinalStatus
     result: bytes = b""
     retry_after_s: float = 0.0
     no_retry_elsewhere: bool = False
@@ -81,99 +82,116 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Nobody waits for it any more."""
+    """The caller no longer waits for the request."""
 
     number: int
 
 
-Message: TypeAlias = Pass | Taken | Refused | Answer | Cancel
+Message: TypeAlias = ForwardRequest | Acknowledged | Refused | Answer | Cancel
 
 
 # The protobuf enumeration keeps the names of the first version of the format.
-_KINDS = {
-    Final.COMPLETED: pb.Answer.COMPLETED,
-    Final.REJECTED: pb.Answer.DENIED,
-    Final.FAILED: pb.Answer.TERMINATED,
+_FINAL_CODES = {
+    FinalStatus.COMPLETED: pb.Answer.COMPLETED,
+    FinalStatus.REJECTED: pb.Answer.DENIED,
+    FinalStatus.FAILED: pb.Answer.TERMINATED,
 }
 
 
 def encode(message: Message) -> bytes:
-    number = message.number
+    """Encode a message as the payload of a frame."""
+    packet = pb.TicketMessage(number=message.number)
     match message:
-        case Pass(_, one, age, left):
-            told = pb.Pass(
-                name=one.name,
-                track=one.request_class,
-                body=one.body,
-                customer=one.tenant,
-                label=one.idempotency_key or b"",
-                kb=one.kb,
-                subject=one.subject or "",
-                session=one.session,
-                age=age,
-                left=left,
-            )
-            return pb.TicketMessage(number=number, passed=told).SerializeToString()
-        case Taken():
-            return pb.TicketMessage(number=number, taken=pb.Taken()).SerializeToString()
+        case ForwardRequest():
+            packet.passed.CopyFrom(_encode_request(message))
+        case Acknowledged():
+            packet.taken.SetInParent()
         case Refused():
-            return pb.TicketMessage(number=number, refused=pb.Refused()).SerializeToString()
+            packet.refused.SetInParent()
         case Cancel():
-            return pb.TicketMessage(number=number, cancel=pb.Cancel()).SerializeToString()
-        case Answer(_, final, result, retry_after_s, no_retry_elsewhere):
+            packet.cancel.SetInParent()
+        case Answer():
             answer = pb.Answer(
-                kind=_KINDS[final], result=result, come_back=retry_after_s, nowhere=no_retry_elsewhere
+                kind=_FINAL_CODES[message.final],
+                result=message.result,
+                come_back=message.retry_after_s,
+                nowhere=message.no_retry_elsewhere,
             )
-            return pb.TicketMessage(number=number, answer=answer).SerializeToString()
+            packet.answer.CopyFrom(answer)
+    return packet.SerializeToString()
+
+
+def _encode_request(message: ForwardRequest) -> pb.Pass:
+    request = message.request
+    return pb.Pass(
+        name=request.name,
+        track=request.request_class,
+        body=request.body,
+        customer=request.tenant,
+        label=request.idempotency_key or b"",
+        kb=request.memory_kb,
+        subject=request.subject or "",
+        session=request.session,
+        age=message.age_s,
+        left=message.remaining_s,
+    )
 
 
 def decode(data: bytes) -> Message:
-    """The message of a payload; raises `BadMessageError` and nothing else."""
+    """Decode the payload of a frame.
+
+    Raises:
+        BadMessageError: It is malformed or a field is out of bounds.
+    """
     try:
-        told = pb.TicketMessage.FromString(data)
+        packet = pb.TicketMessage.FromString(data)
     except DecodeError:
         raise BadMessageError("not a message") from None
-    number = told.number
-    match told.WhichOneof("body"):
+    number = packet.number
+    match packet.WhichOneof("body"):
         case "passed":
-            return Pass(number, *_pass_in(told.passed))
+            return _decode_request(number, packet.passed)
         case "taken":
-            return Taken(number)
+            return Acknowledged(number)
         case "refused":
             return Refused(number)
         case "cancel":
             return Cancel(number)
         case "answer":
-            answer = told.answer
-            if answer.kind not in (one.value for one in Final):
-                raise BadMessageError(f"answer: no such kind: {answer.kind}")
-            span = _span(answer.come_back, "come_back")
-            return Answer(number, Final(answer.kind), answer.result, span, answer.nowhere)
+            return _decode_answer(number, packet.answer)
     raise BadMessageError("a message of no kind that this version knows")
 
 
-def _pass_in(told: pb.Pass) -> tuple[Passed, float, float]:
+def _decode_answer(number: int, answer: pb.Answer) -> Answer:
+    if answer.kind not in (status.value for status in FinalStatus):
+        raise BadMessageError(f"answer: no such kind: {answer.kind}")
+    retry_after_s = _bounded(answer.come_back, "come_back")
+    return Answer(number, FinalStatus(answer.kind), answer.result, retry_after_s, answer.nowhere)
+
+
+def _decode_request(number: int, encoded: pb.Pass) -> ForwardRequest:
     for field in ("name", "track", "customer", "label"):
-        if len(getattr(told, field)) > NAME_MOST or (field in ("name", "track") and not getattr(told, field)):
-            raise BadMessageError(f"{field}: 1 to {NAME_MOST} bytes are wanted")
-    if len(told.session) > NAME_MOST:
-        raise BadMessageError(f"session: at most {NAME_MOST} characters are wanted")
-    if len(told.subject) > NAME_MOST:
-        raise BadMessageError(f"subject: at most {NAME_MOST} characters are wanted")
-    request = Passed(
-        told.name,
-        told.track,
-        told.body,
-        told.customer,
-        told.label or None,
-        _span(told.kb, "kb"),
-        told.subject or None,
-        told.session,
+        value = getattr(encoded, field)
+        if len(value) > MAX_NAME_BYTES or (field in ("name", "track") and not value):
+            raise BadMessageError(f"{field}: 1 to {MAX_NAME_BYTES} bytes are wanted")
+    for field in ("session", "subject"):
+        if len(getattr(encoded, field)) > MAX_NAME_BYTES:
+            raise BadMessageError(f"{field}: at most {MAX_NAME_BYTES} characters are wanted")
+    request = RequestData(
+        encoded.name,
+        encoded.track,
+        encoded.body,
+        encoded.customer,
+        encoded.label or None,
+        _bounded(encoded.kb, "kb"),
+        encoded.subject or None,
+        encoded.session,
     )
-    return request, _span(told.age, "age"), _span(told.left, "left")
+    age_s, remaining_s = _bounded(encoded.age, "age"), _bounded(encoded.left, "left")
+    return ForwardRequest(number, request, age_s, remaining_s)
 
 
-def _span(value: float, field: str) -> float:
-    if not (isfinite(value) and 0 <= value <= SPAN_MOST):
-        raise BadMessageError(f"{field}: 0 to {SPAN_MOST:g} is wanted, got {value:g}")
+def _bounded(value: float, field: str) -> float:
+    if not (isfinite(value) and 0 <= value <= MAX_DURATION_S):
+        raise BadMessageError(f"{field}: 0 to {MAX_DURATION_S:g} is wanted, got {value:g}")
     return value
--- a/sablewheel/forwarding/peer_connections.py
+++ b/sablewheel/forwarding/peer_connections.py
@@ -1,491 +1,447 @@
-"""One TCP connection to each peer that is needed, made on demand; frames of any kind for who asked for them.
+"""One TCP connection to each peer that is needed, made on demand; frames are dispatched by message type.
 
-Frames are unreliable: what a broken link had under way is lost, what is too old is dropped, and a full queue
-takes nothing. `send` blocks nobody. Who is not in the agreed view under the incarnation that it says is not
-listened to; one that has left the view is heard for a short while longer, on the link it had, by those who
-only want back what they gave it. Decides nothing about what it carries.
+Frames are unreliable: those in transit on a lost connection are lost, expired ones are dropped, and a full
+queue refuses more. `send` never blocks. Only members of the agreed view are listened to, under the agreed
+incarnation; one that left the view is listened to for a short while longer, on its existing connection, by
+handlers that expect answers from it.
 """
 
 from __future__ import annotations
 
 import logging
 import time
-from collections import deque
 from collections.abc import Callable
+from dataclasses import dataclass
+from typing import NoReturn
 
-from ..membership.plan import address_of
 from ..membership.view import View
 from ..transport.scheduler import Scheduler
-from ..transport.stream import Listener, Stream, connect
+from ..transport.stream import Listener, Stream
 from . import forwarding_pb2 as pb
-from .frames import BadFrameError, Frames, Hops, frame
-from .plan import Address, LinkSettings
-
-WINDOW = 65_536  # bytes handed to a connection beyond what it has sent; past it one accepted reads no more
-LINKS_LEAST = 64  # connections there is room for in any view, small or not there yet
-LINKS_EACH = 2  # a member: two that reach for each other at once have both for a moment
-LOOK = 0.005  # while a connection takes no more
-SAYS = "link"  # under which a member says where its links are reached
+from .connection import Connection, Peer, QueuedFrame
+from .errors import (
+    FrameTooLargeError,
+    PeerUnavailableError,
+    PeerUnknownError,
+    SendError,
+    SendQueueFullError,
+)
+from .frames import BadFrameError, encode_frame
+from .handshake import Handshake
+from .plan import Address, ConnectionSettings
+
+MAX_UNSENT_BYTES = 65_536  # handed to a stream beyond what it has sent
+MIN_CONNECTION_LIMIT = 64  # connections allowed with any view
+CONNECTIONS_PER_MEMBER = 2  # two members that connect to each other at once have both for a moment
+WRITE_RETRY_INTERVAL_S = 0.005  # while a stream takes no more
+PAUSE_RATIO = 0.5  # of `max_silence_s`: a ping round later than that means that this process was paused
 
 log = logging.getLogger(__name__)
-Handler = Callable[[str, bytes], None]
-
-
-class Queued:
-    """A frame that waits for its connection."""
-
-    __slots__ = ("data", "due", "unsent")
-
-    def __init__(self, data: bytes, due: float, unsent: Callable[[], None] | None) -> None:
-        self.data, self.due, self.unsent = data, due, unsent
-
-
-class Wire:
-    """One connection whose hellos are through."""
+FrameHandler = Callable[[str, bytes], None]
 
-    def __init__(
-        self, stream: Stream, frames: Frames, peer: str, incarnation: int, made_here: bool, now: float
-    ) -> None:
-        self.stream, self.peer, self.incarnation, self.made_here = stream, peer, incarnation, made_here
-        self.hops, self.frames = Hops(), frames
-        self.heard = now
-        self.handed = 0  # bytes since all was sent
-        self.parted: float | None = None  # the peer left the view, and until when it is still heard
 
+@dataclass(frozen=True)
+class _Registration:
+    handler: FrameHandler
+    accept_departed: bool
 
-class Peer:
-    """What is queued for one peer, and how it is reached."""
 
-    def __init__(self, name: str, rest: float) -> None:
-        self.name, self.rest = name, rest
-        self.queue: deque[Queued] = deque()
-        self.bytes = 0
-        self.wire: Wire | None = None  # what goes out goes out here
-        self.connecting = False
-        self.not_before = 0.0
+class PeerConnections:
+    """This member's connections to its peers.
 
-
-class Links:
-    """This member's links. It speaks as the view has it, under the incarnation that was agreed; a view that
-    still has an earlier self of it, from before `born`, gives it no links.
+    A view that still has an earlier process of this member, from before `started_incarnation`, gives it none.
     """
 
     def __init__(
         self,
         scheduler: Scheduler,
         listen: Address,
-        settings: LinkSettings,
-        name: str,
-        born: int,
+        settings: ConnectionSettings,
+        node_name: str,
+        started_incarnation: int,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._scheduler, self._settings, self._clock = scheduler, settings, clock
-        self.name, self._born = name, born
-        self._incarnation: int | None = None  # None: not in the view
-        self._host = listen[0] if listen[0] != "0.0.0.0" else ""
+        self.node_name = node_name
+        source_host = listen[0] if listen[0] != "0.0.0.0" else ""
+        self._handshake = Handshake(
+            scheduler,
+            settings,
+            node_name,
+            started_incarnation,
+            source_host,
+            clock,
+            self._count,
+            self._handle_bad_frame,
+        )
         self._peers: dict[str, Peer] = {}
-        self._wires: dict[Wire, None] = {}
-        self._guests = 0  # connections that have not said hello yet
-        self._handlers: dict[str, tuple[Handler, bool]] = {}
-        self._on_broken: list[Callable[[str], None]] = []
-        self._addresses: dict[str, tuple[int, Address]] = {}  # who may be spoken with: incarnation, where
-        self._epoch = 0
-        self._dirty: dict[Peer, None] = {}
-        self._beating = self._looking = False
-        self._beat_at = 0.0
+        self._connections: dict[Connection, None] = {}
+        self._unidentified_count = 0  # accepted connections in their handshake
+        self._handlers: dict[str, _Registration] = {}
+        self._loss_callbacks: list[Callable[[str], None]] = []
+        self._peers_to_flush: dict[Peer, None] = {}
+        self._pinging = self._write_retry_set = False
+        self._last_ping_round_at = 0.0
         self._open = True
-        self.counts: dict[str, int] = {}
-        self.hop = 0.0  # of the frame that a handler is called with, seconds, never less than it was
+        self.counters: dict[str, int] = {}
+        self.last_transit_s = 0.0  # of the frame that a handler is called with, never underestimated
         self._listener = Listener(
-            scheduler, listen, self._room, self._accepted, lambda: self._count("crowded")
+            scheduler, listen, self._has_capacity, self._handle_accepted, lambda: self._count("crowded")
         )
 
-    # -- what features ask
+    # -- the interface to features
 
-    def on(self, kind: str, handler: Handler, parted: bool = False) -> None:
-        """Frames of a kind go to `handler(member's name, payload)`; `parted`: also those of a member that has
-        just left the view."""
-        if kind in self._handlers:
-            raise ValueError(f"kind {kind!r} has its handler")
-        self._handlers[kind] = (handler, parted)
+    def register_handler(
+        self, message_type: str, handler: FrameHandler, accept_departed: bool = False
+    ) -> None:
+        """Call `handler(peer_name, payload)` for frames of a type.
 
-    def on_broken(self, callback: Callable[[str], None]) -> None:
-        """A connection to a member is lost, with what was under way on it."""
-        self._on_broken.append(callback)
+        Args:
+            message_type: The type, which must not have a handler yet.
+            handler: Called with each frame.
+            accept_departed: Also for frames of a member that has just left the view.
+        """
+        if message_type in self._handlers:
+            raise ValueError(f"kind {message_type!r} has its handler")
+        self._handlers[message_type] = _Registration(handler, accept_departed)
 
-    def send(
-        self, to: str, kind: str, payload: bytes, within: float, unsent: Callable[[], None] | None = None
-    ) -> bool:
-        """Queue a frame that is worth nothing after `within` seconds; False: refused here and now.
+    def on_connection_lost(self, callback: Callable[[str], None]) -> None:
+        """Call back with a peer's name when a connection to it is lost, with the frames in transit."""
+        self._loss_callbacks.append(callback)
 
-        `unsent` is called in a later round if it is sure that no byte of it left.
+    def send(
+        self,
+        peer_name: str,
+        message_type: str,
+        payload: bytes,
+        *,
+        expires_in_s: float,
+        on_not_sent: Callable[[], None] | None = None,
+    ) -> None:
+        """Queue a frame for a peer; it is dropped if it is not sent within `expires_in_s`.
+
+        Args:
+            peer_name: The recipient.
+            message_type: Selects the handler at the recipient.
+            payload: The content.
+            expires_in_s: The frame's lifetime in seconds.
+            on_not_sent: Called in a later round if the frame is dropped before any byte of it is sent.
+
+        Raises:
+            PeerUnknownError: The peer or this member is not in the view.
+            PeerUnavailableError: The peer could not be reached a moment ago.
+            FrameTooLargeError: The frame is too large.
+            SendQueueFullError: The peer's queue is full.
         """
-        now, peer = self._clock(), self._peers.get(to)
-        known = to in self._addresses and self._incarnation is not None
-        known = known or (peer is not None and peer.wire is not None)
-        if not self._open or not known or to == self.name:
-            return self._refuse("refused_unknown")
-        if peer is None:
-            peer = self._peers[to] = Peer(to, self._settings.rest_first)
-        if peer.wire is None and not peer.connecting and now < peer.not_before:
-            return self._refuse("refused_resting")
-        told = pb.Frame(sent=now, data=pb.Data(kind=kind, payload=payload, within=max(within, 0.0)))
-        data = frame(told)
-        settings = self._settings
-        if len(data) > settings.frame_most:
-            return self._refuse("refused_large")
-        if len(peer.queue) >= settings.queue_frames or peer.bytes + len(data) > settings.queue_bytes:
-            return self._refuse("refused_full")
-        peer.queue.append(Queued(data, now + within, unsent))
-        peer.bytes += len(data)
-        self._dirty[peer] = None
-        if peer.wire is None and not peer.connecting:
-            if not self._room():
-                self._drop_queue(peer, "refused_links")
-                return True  # told by `unsent`, as it is with any connection that is not made
+        now = self._clock()
+        peer = self._peer_for_sending(peer_name, now)
+        data_message = pb.Data(kind=message_type, payload=payload, within=max(expires_in_s, 0.0))
+        data = encode_frame(pb.Frame(sent=now, data=data_message))
+        self._check_queue(peer, len(data))
+        peer.push(QueuedFrame(data, now + expires_in_s, on_not_sent))
+        self._peers_to_flush[peer] = None
+        if peer.connection is not None or peer.connecting:
+            return
+        if self._has_capacity():
             peer.connecting = True
-            self._scheduler.spawn(self._reach, peer)
-        return True
+            self._scheduler.spawn(self._connect, peer)
+        else:
+            self._drop_queue(peer, "refused_links")
+
+    def _peer_for_sending(self, peer_name: str, now: float) -> Peer:
+        peer = self._peers.get(peer_name)
+        is_member = peer_name in self._handshake.peers and self._handshake.in_view
+        is_connected = peer is not None and peer.connection is not None
+        if not self._open or not (is_member or is_connected) or peer_name == self.node_name:
+            self._refuse("refused_unknown", PeerUnknownError(peer_name))
+        if peer is None:
+            peer = self._peers[peer_name] = Peer(peer_name, self._settings.initial_retry_delay_s)
+        if peer.connection is None and not peer.connecting and now < peer.retry_at:
+            self._refuse("refused_resting", PeerUnavailableError(peer_name))
+        return peer
 
-    def view(self, view: View) -> None:
-        """Who may be spoken with from now on: the members of the agreed view, where they say that they are
-        reached."""
+    def _check_queue(self, peer: Peer, frame_bytes: int) -> None:
+        settings = self._settings
+        if frame_bytes > settings.max_frame_bytes:
+            self._refuse("refused_large", FrameTooLargeError(f"{frame_bytes} bytes to {peer.name}"))
+        is_full = len(peer.queue) >= settings.max_queued_frames
+        if is_full or peer.queued_bytes + frame_bytes > settings.max_queued_bytes:
+            self._refuse("refused_full", SendQueueFullError(peer.name))
+
+    def handle_view(self, view: View) -> None:
+        """Adopt a view: its members are the peers from now on."""
         now = self._clock()
-        self._epoch = view.epoch
-        me = view.get(self.name)
-        self._incarnation = me.incarnation if me is not None and me.incarnation >= self._born else None
-        reached = [(one, address_of(one.metadata_value(SAYS))) for one in view.members]
-        self._addresses = {one.name: (one.incarnation, at) for one, at in reached if at is not None}
-        for wire in list(self._wires):
-            known = self._addresses.get(wire.peer)
-            if known is not None and known[0] == wire.incarnation:
-                wire.parted = None
+        self._handshake.install_view(view)
+        members = self._handshake.peers
+        for connection in list(self._connections):
+            known = members.get(connection.peer)
+            if known is not None and known[0] == connection.incarnation:
+                connection.departed_until = None
             elif known is not None:
-                self._lose(wire, "stale")  # a new self stands in its place
-            elif wire.parted is None:
-                wire.parted = now + self._settings.linger
+                self._close_connection(connection, "stale")  # the peer restarted
+            elif connection.departed_until is None:
+                connection.departed_until = now + self._settings.departed_linger_s
         for peer in list(self._peers.values()):
-            if peer.name not in self._addresses and peer.wire is None and not peer.connecting:
+            if peer.name not in members and peer.connection is None and not peer.connecting:
                 self._drop_queue(peer, "dropped_parted")
                 del self._peers[peer.name]
 
-    def linked(self, name: str) -> bool:
-        """Whether there is a link to it right now."""
-        peer = self._peers.get(name)
-        return peer is not None and peer.wire is not None
+    def is_connected(self, peer_name: str) -> bool:
+        """Return whether there is a connection to a peer."""
+        peer = self._peers.get(peer_name)
+        return peer is not None and peer.connection is not None
 
     @property
-    def room_for(self) -> int:
-        """Connections there may be by now: as many as the members of the view need, within the bound."""
-        return min(self._settings.links_most, max(LINKS_LEAST, LINKS_EACH * len(self._addresses)))
+    def max_connections(self) -> int:
+        """The current limit of connections: as many as the view needs, within the bound of the settings."""
+        needed = CONNECTIONS_PER_MEMBER * len(self._handshake.peers)
+        return min(self._settings.max_connections, max(MIN_CONNECTION_LIMIT, needed))
 
     @property
-    def quiet(self) -> bool:
-        """Whether all that was sent has left this machine."""
+    def all_sent(self) -> bool:
+        """Whether everything that was queued has left this process."""
         return not any(peer.queue for peer in self._peers.values()) and all(
-            wire.stream.all_sent for wire in self._wires
+            connection.stream.all_sent for connection in self._connections
         )
 
-    def end_round(self) -> None:
-        """All that was queued goes out, connection by connection."""
-        if not self._dirty:
+    def flush(self) -> None:
+        """Write the queued frames to their connections, at the end of a round."""
+        if not self._peers_to_flush:
             return
-        dirty, self._dirty = self._dirty, {}
-        for peer in dirty:
-            if peer.wire is not None:
-                self._write(peer, peer.wire)
+        peers, self._peers_to_flush = self._peers_to_flush, {}
+        for peer in peers:
+            if peer.connection is not None:
+                self._write(peer, peer.connection)
 
     def close(self) -> None:
+        """Say goodbye on all connections and close them."""
         self._open = False
         self._listener.close()
-        for wire in list(self._wires):
-            wire.stream.write(frame(pb.Frame(sent=self._clock(), bye=pb.Bye())))
-            wire.stream.flush()
-            wire.stream.close()
-        self._wires.clear()
+        for connection in list(self._connections):
+            self._write_at_once(connection, pb.Frame(sent=self._clock(), bye=pb.Bye()))
+            connection.stream.close()
+        self._connections.clear()
         self._peers.clear()
 
     def gauges(self) -> dict[str, object]:
-        told: dict[str, object] = {
-            "links": len(self._wires),
+        """Return the values and counters of the connections for the metrics."""
+        values: dict[str, object] = {
+            "links": len(self._connections),
             "links_queued": sum(len(peer.queue) for peer in self._peers.values()),
         }
-        return told | {f"links_{name}": count for name, count in sorted(self.counts.items())}
+        return values | {f"links_{name}": count for name, count in sorted(self.counters.items())}
 
-    # -- out
+    # -- sending
 
-    def _write(self, peer: Peer, wire: Wire) -> None:
-        now, stream = self._clock(), wire.stream
+    def _write(self, peer: Peer, connection: Connection) -> None:
+        now, stream = self._clock(), connection.stream
         if stream.all_sent:
-            wire.handed = 0
-        while peer.queue and wire.handed < WINDOW:
-            one = peer.queue.popleft()
-            peer.bytes -= len(one.data)
-            if now > one.due:
-                self._not_sent(one, "dropped_aged")
+            connection.unsent_bytes = 0
+        while peer.queue and connection.unsent_bytes < MAX_UNSENT_BYTES:
+            frame = peer.pop()
+            if now > frame.expires_at:
+                self._drop_frame(frame, "dropped_aged")
                 continue
             self._count("frames_out")
-            wire.handed += len(one.data)
-            stream.write(one.data)
+            connection.unsent_bytes += len(frame.data)
+            stream.write(frame.data)
         stream.flush()
         if not stream.open:
-            self._scheduler.spawn(self._lose, wire, "closed")  # the round is over for what would follow
+            # Spawned, since the loss callbacks must not run while the round ends.
+            self._scheduler.spawn(self._close_connection, connection, "closed")
         elif peer.queue:
-            self._dirty[peer] = None
-            if not self._looking:  # the connection takes no more for now
-                self._looking = True
-                self._scheduler.after(LOOK, self._look)
-
-    def _look(self) -> None:
-        self._looking = False  # the end of this round writes on
-
-    def _not_sent(self, one: Queued, why: str) -> None:
-        self._count(why)
-        if one.unsent is not None:
-            self._scheduler.spawn(one.unsent)
-
-    def _drop_queue(self, peer: Peer, why: str) -> None:
-        queue, peer.queue = peer.queue, deque()
-        peer.bytes = 0
-        for one in queue:
-            self._not_sent(one, why)
-
-    def _reach(self, peer: Peer) -> None:
-        """Make the connection that is needed, once; what waited for it is told if there is none."""
-        wire = None
+            self._peers_to_flush[peer] = None
+            if not self._write_retry_set:
+                self._write_retry_set = True
+                self._scheduler.after(WRITE_RETRY_INTERVAL_S, self._retry_writes)
+
+    def _retry_writes(self) -> None:
+        self._write_retry_set = False  # the flush at the end of this round continues
+
+    def _write_at_once(self, connection: Connection, message: pb.Frame) -> None:
+        connection.stream.write(encode_frame(message))
+        connection.stream.flush()
+
+    def _drop_frame(self, frame: QueuedFrame, reason: str) -> None:
+        self._count(reason)
+        if frame.on_not_sent is not None:
+            self._scheduler.spawn(frame.on_not_sent)
+
+    def _drop_queue(self, peer: Peer, reason: str) -> None:
+        for frame in peer.pop_all():
+            self._drop_frame(frame, reason)
+
+    # -- making connections
+
+    def _connect(self, peer: Peer) -> None:
+        """Connect to a peer once; if it fails the queued frames are dropped."""
+        connection = None
         try:
-            known = self._addresses.get(peer.name)
-            if known is not None and peer.wire is None:
-                wire = self._greet(peer.name, *known)
+            if peer.name in self._handshake.peers and peer.connection is None:
+                connection = self._handshake.connect(peer.name)
         finally:
             peer.connecting = False
-            if wire is None and peer.wire is None:
-                peer.not_before = self._clock() + peer.rest
-                peer.rest = min(2 * peer.rest, self._settings.rest_last)
+            if connection is None and peer.connection is None:
+                peer.retry_at = self._clock() + peer.retry_delay_s
+                peer.retry_delay_s = min(2 * peer.retry_delay_s, self._settings.max_retry_delay_s)
                 self._drop_queue(peer, "dropped_unreached")
-        if wire is not None:
-            self._serve(wire)
-
-    def _greet(self, name: str, incarnation: int, address: Address) -> Wire | None:
-        """A connection on which both have said who they are; None: not within its time."""
-        begun, within = self._clock(), self._settings.connect_within
-        stream = connect(self._scheduler, address, within, self._host)
-        if stream is None:
-            self._count("connects_failed")
-            return None
-        limit = self._scheduler.after(max(begun + within - self._clock(), 0.0), stream.close)
-        frames = Frames()
-        stream.write(frame(self._hello(name, None)))
-        stream.flush()
-        try:
-            told = self._next(stream, frames)
-            now = self._clock()
-            if told is None or told.WhichOneof("body") != "hello" or not told.hello.HasField("echo"):
-                self._count("connects_refused")
-            elif not self._valid(told.hello) or (told.hello.name, told.hello.incarnation) != (
-                name,
-                incarnation,
-            ):
-                self._count("connects_foreign")
-            else:
-                wire = Wire(stream, frames, name, incarnation, True, now)
-                wire.hops.echoed(now, told.hello.echo.of, told.hello.echo.got)
-                echo = pb.Echo(of=told.sent, got=now)
-                stream.write(frame(pb.Frame(sent=now, echo=echo)))
-                stream.flush()
-                return wire
-        except BadFrameError as trouble:
-            self._bad(name, trouble)
-        finally:
-            limit.cancel()
-        stream.close()
-        return None
+        if connection is not None:
+            self._run_connection(connection)
 
-    # -- in
+    def _has_capacity(self) -> bool:
+        return len(self._connections) + self._unidentified_count < self.max_connections
 
-    def _room(self) -> bool:
-        return len(self._wires) + self._guests < self.room_for
+    def _handle_accepted(self, stream: Stream) -> None:
+        self._unidentified_count += 1
+        self._scheduler.spawn(self._accept, stream)
 
-    def _accepted(self, stream: Stream) -> None:
-        self._guests += 1
-        self._scheduler.spawn(self._welcome, stream)
-
-    def _welcome(self, stream: Stream) -> None:
-        """Who connects says who it is, within its time, or goes."""
-        limit = self._scheduler.after(self._settings.connect_within, stream.close)
-        wire, frames = None, Frames()
+    def _accept(self, stream: Stream) -> None:
         try:
-            told = self._next(stream, frames)
-            if told is None:
-                self._count("hellos_missing")
-            elif told.WhichOneof("body") != "hello" or not self._valid(told.hello):
-                self._count("hellos_refused")
-            else:
-                hello, got = told.hello, self._clock()
-                stream.write(frame(self._hello(hello.name, pb.Echo(of=told.sent, got=got))))
-                stream.flush()
-                told = self._next(stream, frames)
-                if told is None or told.WhichOneof("body") != "echo":
-                    self._count("hellos_unanswered")  # it does not take us for whom it wants
-                elif self._valid(hello):
-                    now = self._clock()
-                    wire = Wire(stream, frames, hello.name, hello.incarnation, False, now)
-                    wire.hops.echoed(now, told.echo.of, told.echo.got)
-        except BadFrameError as trouble:
-            self._bad("", trouble)
+            connection = self._handshake.accept(stream)
         finally:
-            self._guests -= 1
-            limit.cancel()
-            if wire is None:
-                stream.close()
-        if wire is not None:
-            self._serve(wire)
-
-    def _next(self, stream: Stream, frames: Frames) -> pb.Frame | None:
-        data: bytes = b""
-        while True:
-            for told in frames.feed(data):
-                return told
-            data = stream.read()
-            if not data:
-                return None
+            self._unidentified_count -= 1
+        if connection is not None:
+            self._run_connection(connection)
 
-    def _valid(self, hello: pb.Hello) -> bool:
-        """Whether it is a member under that incarnation, who means this one."""
-        known = self._addresses.get(hello.name)
-        known_here = known is not None and known[0] == hello.incarnation and hello.name != self.name
-        return known_here and hello.to == self.name and self._incarnation is not None
+    # -- connections
 
-    def _hello(self, to: str, echo: pb.Echo | None) -> pb.Frame:
-        told = pb.Hello(
-            name=self.name, incarnation=self._incarnation or 0, epoch=self._epoch, to=to, echo=echo
-        )
-        return pb.Frame(sent=self._clock(), hello=told)
-
-    # -- a wire's life
-
-    def _serve(self, wire: Wire) -> None:
-        """Read until the end; then what was under way is lost."""
-        frames = wire.frames
-        frames.most = self._settings.frame_most
-        if not self._open or not wire.stream.open:
-            return wire.stream.close()
-        peer = self._peers.setdefault(wire.peer, Peer(wire.peer, self._settings.rest_first))
-        for old in [one for one in self._wires if one.peer == wire.peer and not one.made_here]:
-            if not wire.made_here:
-                self._lose(old, "replaced")  # the peer would not connect anew if it still had that one
-        self._wires[wire] = None
-        peer.wire, peer.rest = wire, self._settings.rest_first
-        self._dirty[peer] = None
-        self._count("made")
-        log.info("link", extra={"pairs": {"peer": wire.peer, "by": "us" if wire.made_here else "them"}})
-        if not self._beating:
-            self._beating, self._beat_at = True, self._clock()
-            self._scheduler.after(self._settings.ping_every, self._beat)
+    def _run_connection(self, connection: Connection) -> None:
+        """Read from a connection until it ends."""
+        if not self._open or not connection.stream.open:
+            connection.stream.close()
+            return
+        connection.reader.max_frame_bytes = self._settings.max_frame_bytes
+        self._add_connection(connection)
         reason = "closed"
         try:
-            data: bytes = b""
-            while True:
-                for told in frames.feed(data):
-                    if wire not in self._wires or not self._take(wire, told):
-                        return
-                data = wire.stream.read()
-                if not data:
-                    return
-                wire.heard = self._clock()
-        except BadFrameError as trouble:
+            self._read_frames(connection)
+        except BadFrameError as error:
             reason = "bad"
-            self._bad(wire.peer, trouble)
+            self._handle_bad_frame(connection.peer, error)
         finally:
-            self._lose(wire, reason)
+            self._close_connection(connection, reason)
+
+    def _add_connection(self, connection: Connection) -> None:
+        initial_retry_delay_s = self._settings.initial_retry_delay_s
+        peer = self._peers.setdefault(connection.peer, Peer(connection.peer, initial_retry_delay_s))
+        incoming = [
+            other for other in self._connections if other.peer == connection.peer and not other.is_outgoing
+        ]
+        for old in incoming:
+            if not connection.is_outgoing:
+                self._close_connection(old, "replaced")  # the peer would not connect again if it still had it
+        self._connections[connection] = None
+        peer.connection, peer.retry_delay_s = connection, initial_retry_delay_s
+        self._peers_to_flush[peer] = None
+        self._count("made")
+        opened_by = "us" if connection.is_outgoing else "them"
+        log.info("peer connected", extra={"pairs": {"peer": connection.peer, "by": opened_by}})
+        if not self._pinging:
+            self._pinging, self._last_ping_round_at = True, self._clock()
+            self._scheduler.after(self._settings.ping_interval_s, self._ping_connections)
 
-    def _take(self, wire: Wire, told: pb.Frame) -> bool:
-        """One frame; False: the other side takes its leave."""
+    def _read_frames(self, connection: Connection) -> None:
+        data: bytes = b""
+        while True:
+            for message in connection.reader.feed(data):
+                if connection not in self._connections or not self._handle_frame(connection, message):
+                    return
+            data = connection.stream.read()
+            if not data:
+                return
+            connection.last_received_at = self._clock()
+
+    def _handle_frame(self, connection: Connection, message: pb.Frame) -> bool:
+        """Handle a frame; return False for a goodbye."""
         now = self._clock()
-        match told.WhichOneof("body"):
+        match message.WhichOneof("body"):
             case "ping":
-                wire.stream.write(frame(pb.Frame(sent=now, echo=pb.Echo(of=told.sent, got=now))))
-                wire.stream.flush()
+                echo = pb.Echo(of=message.sent, got=now)
+                self._write_at_once(connection, pb.Frame(sent=now, echo=echo))
             case "echo":
-                wire.hops.echoed(now, told.echo.of, told.echo.got)
+                connection.transit_times.record_echo(now, message.echo.of, message.echo.got)
             case "data":
-                self._hand_over(wire, told, now)
+                self._deliver(connection, message, now)
             case "bye":
                 return False
             case _:
                 raise BadFrameError("a hello on a link that stands")
         return True
 
-    def _hand_over(self, wire: Wire, told: pb.Frame, now: float) -> None:
-        data = told.data
-        handler, parted = self._handlers.get(data.kind, (None, False))
-        hop = wire.hops.hop(now, told.sent)
-        if handler is None:
-            return self._count("frames_unknown")
-        if wire.parted is not None and not parted:
-            return self._count("frames_parted")
-        if not hop <= data.within:
-            return self._count("frames_aged")
+    def _deliver(self, connection: Connection, message: pb.Frame, now: float) -> None:
+        data = message.data
+        registration = self._handlers.get(data.kind)
+        transit_s = connection.transit_times.transit_s(now, message.sent)
+        if registration is None:
+            self._count("frames_unknown")
+            return
+        if connection.departed_until is not None and not registration.accept_departed:
+            self._count("frames_parted")
+            return
+        if not transit_s <= data.within:
+            self._count("frames_aged")
+            return
         self._count("frames_in")
-        self.hop = hop
+        self.last_transit_s = transit_s
         try:
-            handler(wire.peer, data.payload)
+            registration.handler(connection.peer, data.payload)
         except Exception:
-            # A fault of ours with one frame must not take the link along, and with it all that is under way.
+            # A programming error in one handler must not end the connection, which others use too.
             self._count("faults")
-            log.exception("frame's handler ended by a fault")
+            log.exception("frame handler failed")
 
-    def _lose(self, wire: Wire, why: str) -> None:
-        wire.stream.close()
-        if wire not in self._wires:
+    def _close_connection(self, connection: Connection, reason: str) -> None:
+        connection.stream.close()
+        if connection not in self._connections:
             return
-        del self._wires[wire]
-        self._count(f"lost_{why}")
-        log.info("link lost", extra={"pairs": {"peer": wire.peer, "reason": why}})
-        peer = self._peers.get(wire.peer)
-        if peer is not None and peer.wire is wire:
-            others = [one for one in self._wires if one.peer == wire.peer]
-            peer.wire = others[-1] if others else None
-            if peer.wire is None:
-                self._drop_queue(peer, "dropped_broken")
-                if wire.peer not in self._addresses and not peer.connecting:
-                    del self._peers[wire.peer]
-        for callback in self._on_broken:
-            callback(wire.peer)
-
-    def _beat(self) -> None:
-        """Pings out; a link without a word for too long is broken, unless it was us who stood still."""
+        del self._connections[connection]
+        self._count(f"lost_{reason}")
+        log.info("peer connection lost", extra={"pairs": {"peer": connection.peer, "reason": reason}})
+        peer = self._peers.get(connection.peer)
+        if peer is not None and peer.connection is connection:
+            self._use_other_connection(peer)
+        for callback in self._loss_callbacks:
+            callback(connection.peer)
+
+    def _use_other_connection(self, peer: Peer) -> None:
+        others = [connection for connection in self._connections if connection.peer == peer.name]
+        peer.connection = others[-1] if others else None
+        if peer.connection is None:
+            self._drop_queue(peer, "dropped_broken")
+            if peer.name not in self._handshake.peers and not peer.connecting:
+                del self._peers[peer.name]
+
+    def _ping_connections(self) -> None:
+        """Ping all connections, and close those silent for too long unless this process was paused itself."""
         now, settings = self._clock(), self._settings
-        late = now - self._beat_at > settings.ping_every + 0.5 * settings.silent_most
-        self._beat_at = now
-        for wire in list(self._wires):
-            if late:
-                wire.heard = now
-            if now > wire.heard + settings.silent_most:
-                self._lose(wire, "silent")
-            elif wire.parted is not None and now > wire.parted:
-                self._lose(wire, "parted")
+        max_interval_s = settings.ping_interval_s + PAUSE_RATIO * settings.max_silence_s
+        was_paused = now - self._last_ping_round_at > max_interval_s
+        self._last_ping_round_at = now
+        for connection in list(self._connections):
+            if was_paused:
+                connection.last_received_at = now
+            if now > connection.last_received_at + settings.max_silence_s:
+                self._close_connection(connection, "silent")
+            elif connection.departed_until is not None and now > connection.departed_until:
+                self._close_connection(connection, "parted")
             else:
-                wire.stream.write(frame(pb.Frame(sent=now, ping=pb.Ping())))
-                wire.stream.flush()
+                self._write_at_once(connection, pb.Frame(sent=now, ping=pb.Ping()))
         for peer in self._peers.values():
-            while peer.queue and peer.queue[0].due < now:
-                one = peer.queue.popleft()
-                peer.bytes -= len(one.data)
-                self._not_sent(one, "dropped_aged")
-        self._beating = bool(self._wires)
-        if self._beating:
-            self._scheduler.after(settings.ping_every, self._beat)
+            while peer.queue and peer.queue[0].expires_at < now:
+                self._drop_frame(peer.pop(), "dropped_aged")
+        self._pinging = bool(self._connections)
+        if self._pinging:
+            self._scheduler.after(settings.ping_interval_s, self._ping_connections)
 
-    # -- small things
+    # -- counters and logs
 
-    def _refuse(self, why: str) -> bool:
-        self._count(why)
-        return False
+    def _refuse(self, counter: str, error: SendError) -> NoReturn:
+        self._count(counter)
+        raise error
 
-    def _bad(self, peer: str, trouble: BadFrameError) -> None:
+    def _handle_bad_frame(self, peer: str, error: BadFrameError) -> None:
         self._count("frames_bad")
-        log.warning("bad frame", extra={"pairs": {"peer": peer, "reason": trouble}})
+        log.warning("bad frame", extra={"pairs": {"peer": peer, "reason": error}})
 
     def _count(self, name: str) -> None:
-        self.counts[name] = self.counts.get(name, 0) + 1
+        self.counters[name] = self.counters.get(name, 0) + 1
--- a/sablewheel/forwarding/plan.py
+++ b/sablewheel/forwarding/plan.py
@@ -1,4 +1,4 @@
-"""What the forward path is set to, as plain values; all spans are seconds."""
+"""Settings of connections between peers and of request forwarding, as plain values."""
 
 from __future__ import annotations
 
@@ -8,38 +8,40 @@
 
 
 @dataclass(frozen=True)
-class LinkSettings:
-    """The bounds of links; docs/forwarding.md says what each does."""
-
-    frame_most: int = 1 << 20  # bytes of one frame
-    queue_frames: int = 1024  # a peer, not yet handed to its connection
-    queue_bytes: int = 4 << 20
-    links_most: int = 2048  # connections, both ways; below it as many as the view needs
-    connect_within: float = 0.5  # to the end of the hello
-    ping_every: float = 0.2
-    silent_most: float = 0.8  # without a word, while pinged: the link counts as broken
-    rest_first: float = 0.05  # between two tries to reach a peer, doubling
-    rest_last: float = 0.5
-    linger: float = 3.0  # an old link to a peer that left the view still brings what was passed back
+class ConnectionSettings:
+    """Bounds and timeouts of connections; `docs/forwarding.md` describes each of them."""
+
+    max_frame_bytes: int = 1 << 20
+    max_queued_frames: int = 1024  # per peer, not yet handed to its connection
+    max_queued_bytes: int = 4 << 20  # per peer
+    max_connections: int = 2048  # in both directions; below it as many as the view needs
+    connect_timeout_s: float = 0.5  # to the end of the handshake
+    ping_interval_s: float = 0.2
+    max_silence_s: float = 0.8  # of a connection that is pinged, before it counts as lost
+    initial_retry_delay_s: float = 0.05  # between two attempts to reach a peer, doubling
+    max_retry_delay_s: float = 0.5
+    departed_linger_s: float = (
+        3.0  # how long a peer that left the view may still return what it was forwarded
+    )
 
 
 @dataclass(frozen=True)
-class PassSettings:
-    """The bounds of passing requests."""
+class ForwardingSettings:
+    """Bounds and timeouts of forwarded requests."""
 
-    out_most: int = 4096  # passed on and not yet answered
-    in_most: int = 1024  # taken in of one peer and not yet answered
-    recent_most: int = 8192  # numbers of passes that are over, against doubles
-    taken_within: float = 0.25  # a peer says so soon that it has a request, or it is in doubt
-    doubt: float = 0.5  # nothing goes to a peer in doubt for so long, unless it is heard
-    spare: float = 0.02  # an answer leaves so long before its request's time is up
+    max_forwarded: int = 4096  # without an answer
+    max_admitted_per_peer: int = 1024  # without an answer
+    max_recent_numbers: int = 8192  # of finished requests, to detect duplicates
+    ack_timeout_s: float = 0.25  # a peer that does not acknowledge a request within it is backed off from
+    peer_backoff_s: float = 0.5  # nothing is forwarded to such a peer for as long, unless it sends something
+    answer_slack_s: float = 0.02  # an answer is sent so long before the request's deadline
 
 
 @dataclass(frozen=True)
 class ForwardingPlan:
-    """`advertise` is where peers reach this member's links, agreed with its membership."""
+    """Configuration; `advertise` is where peers connect to this member, published in its metadata."""
 
     listen: Address
     advertise: str
-    links: LinkSettings = field(default_factory=LinkSettings)
-    passing: PassSettings = field(default_factory=PassSettings)
+    connections: ConnectionSettings = field(default_factory=ConnectionSettings)
+    forwarding: ForwardingSettings = field(default_factory=ForwardingSettings)
--- a/sablewheel/forwarding/service.py
+++ b/sablewheel/forwarding/service.py
@@ -1,13 +1,13 @@
-"""Passing requests on, in the server: a handler in front of the dispatch, and the caller of what peers pass
-here.
+"""Request forwarding in the server: a handler in front of the dispatcher, and the caller of peers' requests.
 
-Decides nothing: whether and to whom a request goes says a placer, what becomes of it says `passing`. One that
-is away is this server's still, to its router: its answer, rejection or error comes back over the link and
-goes the same way as any other. One that came is admitted as if a router had sent it, so the controller here
-knows no difference; its caller is the peer.
+A placer decides whether and to whom a request is forwarded, `forwarding_state` what becomes of it. A
+forwarded request still belongs to this server: its answer, rejection or error returns over the connection and
+is sent to the client as any other. A request of a peer is admitted as if a client had sent it, so the
+controller sees no difference; its caller is the peer.
 
-A request that is away has no observer here: the server that runs it tells its own, so it is counted once. One
-that ends here after all, as its link broke, is told to ours.
+A forwarded request has no observer here: the server that runs it notifies its own, so that the request is
+counted once. One that ends here after all, as its connection was lost, is reported to the observer of this
+server.
 """
 
 from __future__ import annotations
@@ -15,6 +15,7 @@
 import logging
 import time
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Protocol
 
 from ..membership.view import View
@@ -23,344 +24,376 @@
 from ..serving.listener import RequestHandler
 from ..transport.scheduler import Scheduler
 from ..transport.wakeup import Wake
-from .forwarding_state import (
-    Abandon,
-    Admit,
-    Answered,
-    Back,
-    Broken,
+from .errors import SendError
+from .events import (
+    AbandonRequest,
+    AdmitRequest,
+    AskOwner,
+    CallerGone,
+    ConnectionLost,
+    DeliverAnswer,
     Effect,
     Event,
-    Gone,
-    Got,
-    Judged,
+    ForwardRequested,
     Key,
-    Leaving,
-    Over,
-    Passing,
+    MessageReceived,
+    RequestFinished,
+    RequestNotSent,
+    RerunDecided,
+    ReturnRequest,
     Send,
-    Tick,
-    Unsent,
-    Unsure,
-    Wanted,
+    ShutdownStarted,
+    TimerFired,
 )
+from .forwarding_state import ForwardingState
 from .messages import (
-    NAME_MOST,
-    SPAN_MOST,
+    MAX_DURATION_S,
+    MAX_NAME_BYTES,
     Answer,
     BadMessageError,
-    Final,
+    FinalStatus,
+    ForwardRequest,
     Message,
-    Pass,
-    Passed,
+    RequestData,
     decode,
     encode,
 )
-from .peer_connections import Links
+from .peer_connections import PeerConnections
 
-KIND = "ticket"
-TRIES_MOST = 2  # peers that one request is passed to, one after the other
-LIVES = 20  # bits of a number that count within one life; a life begins with its incarnation, in milliseconds
+MESSAGE_TYPE = "ticket"
+MAX_FORWARD_ATTEMPTS = 2  # peers that one request is forwarded to, one after the other
+SEQUENCE_BITS = 20  # of a request number, below the incarnation of this process in milliseconds
 
 log = logging.getLogger(__name__)
 
 
 class Placer(Protocol):
-    """Who decides whether a request is served here."""
+    """Decides which server serves a request."""
 
     def place(self, exchange: Exchange) -> str | None:
-        """The member that is to serve it; None: here. Asked again where the first said no, or is gone."""
+        """Return the member that is to serve it; None: this one.
+
+        Called again where the first member refused the request or is gone.
+        """
 
 
 class Owner(Protocol):
-    """Who knows what became of a keyed request that may have run on a peer."""
+    """Knows what became of a keyed request that may have run on a peer."""
 
     def may_run_again(self, exchange: Exchange, peer: str, told: Callable[[bool], None]) -> None:
-        """Call `told`, now or later and within the request's time: whether it is sure that it never ran."""
+        """Call `told`, now or before the request's deadline: whether it certainly never ran."""
 
 
-class Here:
-    """All requests are served where they came."""
+class ServeLocally:
+    """The placer of a server without one: all requests are served where they arrive."""
 
     def place(self, exchange: Exchange) -> str | None:
+        """Return None: serve the request here."""
         return None
 
 
-class Unknown:
-    """Nobody knows: it may have run."""
+class UnknownOwner:
+    """The owner of a server without one: any request may have run."""
 
     def may_run_again(self, exchange: Exchange, peer: str, told: Callable[[bool], None]) -> None:
+        """Answer no."""
         told(False)
 
 
-class Away:
-    """One of ours at a peer."""
-
-    __slots__ = ("exchange", "observer", "to")
+@dataclass(eq=False, slots=True)
+class RemoteRequest:
+    """A request of this server at a peer."""
 
-    def __init__(self, exchange: Exchange, to: str, observer: RequestObserver) -> None:
-        self.exchange, self.to, self.observer = exchange, to, observer
+    exchange: Exchange
+    peer: str
+    observer: RequestObserver
 
 
-class Guest:
-    """The caller of a request that a peer passed on."""
+class ForwardedCaller:
+    """The caller of a request that a peer forwarded."""
 
-    __slots__ = ("_forward", "key")
+    __slots__ = ("_service", "key")
 
-    def __init__(self, forward: Forward, key: Key) -> None:
-        self._forward, self.key = forward, key
+    def __init__(self, service: ForwardingService, key: Key) -> None:
+        self._service, self.key = service, key
 
     @property
     def sender(self) -> str:
-        """The peer that it came from."""
+        """The peer that forwarded the request."""
         return self.key[0]
 
     def completed(self, exchange: Exchange, result: bytes) -> None:
-        self._forward.over(self.key, Answer(self.key[1], Final.COMPLETED, result))
+        """Return the result to the peer."""
+        self._service.finish(self.key, Answer(self.key[1], FinalStatus.COMPLETED, result))
 
     def rejected(self, exchange: Exchange, retry_after_s: float, no_retry_elsewhere: bool) -> None:
-        retry_after_s = min(max(retry_after_s, 0.0), SPAN_MOST)
-        self._forward.over(
-            self.key, Answer(self.key[1], Final.REJECTED, b"", retry_after_s, no_retry_elsewhere)
-        )
+        """Return the rejection to the peer."""
+        retry_after_s = min(max(retry_after_s, 0.0), MAX_DURATION_S)
+        answer = Answer(self.key[1], FinalStatus.REJECTED, b"", retry_after_s, no_retry_elsewhere)
+        self._service.finish(self.key, answer)
 
     def failed(self, exchange: Exchange) -> None:
-        self._forward.over(self.key, Answer(self.key[1], Final.FAILED))
+        """Return the failure to the peer."""
+        self._service.finish(self.key, Answer(self.key[1], FinalStatus.FAILED))
 
 
-class Forward:
-    """This server's forward path. `placer` and `owner` are set by the features that know."""
+class ForwardingService:
+    """This server's forwarding; other features set `placer`, `owner` and the two handlers.
+
+    `forwarded_handler` handles the requests of peers, None: the inner handler. `returned_handler(exchange,
+    peer, tried)` decides on a request of this server that returned from a peer, None: it is placed again.
+    """
 
     def __init__(
         self,
         scheduler: Scheduler,
-        links: Links,
-        passing: Passing,
+        connections: PeerConnections,
+        state: ForwardingState,
         incarnation: int,
         request_classes: dict[bytes, RequestClass],
         tenants: dict[bytes, Tenant],
         observer: Callable[[], RequestObserver],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        self._scheduler, self._links, self._passing, self._clock = scheduler, links, passing, clock
+        self._scheduler, self._connections, self._state, self._clock = scheduler, connections, state, clock
         self._request_classes, self._tenants, self._observer = request_classes, tenants, observer
         self._tenant_names: dict[Tenant, bytes] = {}
-        self.placer: Placer = Here()
-        self.owner: Owner = Unknown()
-        self.guests: RequestHandler | None = (
-            None  # who is told of what peers pass here; None: the inner handler
-        )
-        # Who decides on one of ours that is back from a peer and may run again; with those not to be asked.
-        self.home: Callable[[Exchange, str, frozenset[str]], None] | None = None
+        self.placer: Placer = ServeLocally()
+        self.owner: Owner = UnknownOwner()
+        self.forwarded_handler: RequestHandler | None = None
+        self.returned_handler: Callable[[Exchange, str, frozenset[str]], None] | None = None
         self._inner: RequestHandler | None = None
-        self._number = incarnation << LIVES
-        self._away: dict[int, Away] = {}
+        self._last_number = incarnation << SEQUENCE_BITS
+        self._remote: dict[int, RemoteRequest] = {}
         self._numbers: dict[Exchange, int] = {}
-        self._names: set[bytes] = set()  # of those that are away
-        self._guests: dict[Key, Exchange] = {}
-        self._routers: dict[str, Client] = {}  # a peer is one, to the controller
-        self._wake = Wake(scheduler, clock, self._ring)
-        self.counts: dict[str, int] = {}
-        links.on(KIND, self._heard, parted=True)
-        links.on_broken(lambda peer: self._step(Broken(peer)))
+        self._remote_names: set[bytes] = set()
+        self._admitted: dict[Key, Exchange] = {}
+        self._peer_clients: dict[str, Client] = {}  # the controller knows each peer as a client
+        self._wakeup = Wake(scheduler, clock, self._handle_timer)
+        self.counters: dict[str, int] = {}
+        connections.register_handler(MESSAGE_TYPE, self._handle_payload, accept_departed=True)
+        connections.on_connection_lost(lambda peer: self._step(ConnectionLost(peer)))
 
-    # -- the seam: a handler in front of the dispatch
+    # -- the request handler in front of the dispatcher
 
     def handler(self, inner: RequestHandler) -> RequestHandler:
+        """Set the handler of requests that are served here, and return this one."""
         self._inner = inner
         return self
 
     def arrived(self, exchange: Exchange) -> None:
-        if exchange.name in self._names:
-            return exchange.fail()  # the name of an open request: as the dispatch would
-        to = self._place(exchange)
-        if to is None or not self.pass_on(exchange, to):
-            self._serve_here(exchange)
-
-    def _place(self, exchange: Exchange) -> str | None:
-        try:
-            return self.placer.place(exchange)
-        except Exception:
-            # A fault in who places must not cost the request: it can always be served where it came.
-            self._count("faults")
-            log.exception("ticket not placed, for a fault")
-            return None
+        """Forward a request or pass it to the inner handler."""
+        if exchange.name in self._remote_names:
+            exchange.fail()  # the name of an open request, which the dispatcher would fail too
+            return
+        self._place(exchange)
 
     def gone(self, exchange: Exchange) -> None:
+        """Cancel a request whose caller no longer waits for it."""
         number = self._numbers.get(exchange)
         if number is None:
             assert self._inner is not None
-            return self._inner.gone(exchange)
-        self._home(number)
-        self._step(Gone(number))
+            self._inner.gone(exchange)
+            return
+        self._take_back(number)
+        self._step(CallerGone(number))
+
+    # -- the interface to other features
 
-    def is_away(self, name: bytes) -> bool:
-        return name in self._names
+    def is_forwarded(self, name: bytes) -> bool:
+        """Return whether a request of this name is at a peer."""
+        return name in self._remote_names
 
-    def decline(self, exchange: Exchange) -> None:
-        """A guest goes back to the peer that passed it on: it never ran here and never will."""
+    def return_to_origin(self, exchange: Exchange) -> None:
+        """Return a peer's request, which never ran here and never will."""
         caller = exchange.detach()
-        if isinstance(caller, Guest):
-            self.over(caller.key, None)
+        if isinstance(caller, ForwardedCaller):
+            self.finish(caller.key, None)
 
     def serve(self, exchange: Exchange) -> None:
-        """Whoever held one back lets it in here."""
+        """Serve a request here."""
         self._serve_here(exchange)
 
-    def pass_on(self, exchange: Exchange, to: str, tried: frozenset[str] = frozenset()) -> bool:
-        """Hand a request that arrived here, and that nobody decided on yet, to a peer; False: it can't go."""
+    def forward_to(self, exchange: Exchange, peer: str, tried: frozenset[str] = frozenset()) -> bool:
+        """Forward a request that nobody has decided on yet; return whether it could be."""
         request = exchange.request
-        told = self._passed(exchange)
-        if told is None or to in tried:
+        data = self._request_data(exchange)
+        if data is None or peer in tried:
             return False
-        # Read anew: what this round took so far is no part of the hop, and would be lost from the age.
-        age = max(self._scheduler.clock.read() - request.arrived_at, 0.0)
-        left = request.request_class.timeout_s - age
-        if left <= 0:
+        # The clock is read anew: the time that this round took so far is part of the request's age.
+        age_s = max(self._scheduler.clock.read() - request.arrived_at, 0.0)
+        remaining_s = request.request_class.timeout_s - age_s
+        if remaining_s <= 0:
             return False
-        self._number += 1
-        number = self._number
-        self._away[number] = Away(exchange, to, exchange.observer)
+        self._last_number += 1
+        number = self._last_number
+        self._remote[number] = RemoteRequest(exchange, peer, exchange.observer)
         self._numbers[exchange] = number
-        self._names.add(exchange.name)
+        self._remote_names.add(exchange.name)
         exchange.observer = NO_OBSERVER
-        self._step(Wanted(number, to, request.request_class.idempotency, told, age, left, tried))
+        idempotency = request.request_class.idempotency
+        self._step(ForwardRequested(number, peer, idempotency, data, age_s, remaining_s, tried))
         return True
 
-    # -- what else the program asks
+    def start_shutdown(self) -> None:
+        """Admit no more requests of peers."""
+        self._step(ShutdownStarted())
 
-    def leaving(self) -> None:
-        self._step(Leaving())
-
-    def view(self, view: View) -> None:
-        for name in [name for name in self._routers if name not in view]:
-            if not any(key[0] == name for key in self._guests):
-                del self._routers[name]
+    def handle_view(self, view: View) -> None:
+        """Forget the peers that are not in a new view."""
+        for name in [name for name in self._peer_clients if name not in view]:
+            if not any(key[0] == name for key in self._admitted):
+                del self._peer_clients[name]
 
     @property
-    def settled(self) -> bool:
-        return not self._guests and not self._away
+    def is_idle(self) -> bool:
+        """Whether no request is forwarded or admitted."""
+        return not self._admitted and not self._remote
 
     def gauges(self) -> dict[str, object]:
-        told: dict[str, object] = {"forward_away": len(self._away), "forward_guests": len(self._guests)}
-        counts = {**self._passing.counts, **self.counts}
-        return told | {f"forward_{name}": count for name, count in sorted(counts.items())}
+        """Return the values and counters of forwarding for the metrics."""
+        values: dict[str, object] = {
+            "forward_away": len(self._remote),
+            "forward_guests": len(self._admitted),
+        }
+        counters = {**self._state.counters, **self.counters}
+        return values | {f"forward_{name}": count for name, count in sorted(counters.items())}
+
+    def finish(self, key: Key, answer: Answer | None) -> None:
+        """Send the answer of a peer's request; None: it is returned."""
+        self._admitted.pop(key, None)
+        self._step(RequestFinished(key, answer))
+
+    # -- placement
+
+    def _place(self, exchange: Exchange, tried: frozenset[str] = frozenset()) -> None:
+        peer = self._choose_server(exchange) if len(tried) < MAX_FORWARD_ATTEMPTS else None
+        if peer is None or not self.forward_to(exchange, peer, tried):
+            self._serve_here(exchange)
 
-    def over(self, key: Key, answer: Answer | None) -> None:
-        """A guest has its answer."""
-        self._guests.pop(key, None)
-        self._step(Over(key, answer))
+    def _choose_server(self, exchange: Exchange) -> str | None:
+        try:
+            return self.placer.place(exchange)
+        except Exception:
+            # A programming error in the placer must not cost the request: it can be served here.
+            self._count("faults")
+            log.exception("placing a request failed, serving it here")
+            return None
 
-    # -- events in, effects out
+    def _serve_here(self, exchange: Exchange) -> None:
+        assert self._inner is not None
+        self._inner.arrived(exchange)
+
+    # -- events and effects
 
-    def _heard(self, sender: str, payload: bytes) -> None:
+    def _handle_payload(self, sender: str, payload: bytes) -> None:
         try:
             message = decode(payload)
-        except BadMessageError as trouble:
+        except BadMessageError as error:
             self._count("bad")
-            log.warning("message dropped", extra={"pairs": {"from": sender, "reason": trouble}})
+            log.warning("message dropped", extra={"pairs": {"from": sender, "reason": error}})
             return
-        self._step(Got(sender, message, self._links.hop))
+        self._step(MessageReceived(sender, message, self._connections.last_transit_s))
+
+    def _handle_timer(self) -> None:
+        self._step(TimerFired())
 
     def _step(self, event: Event) -> None:
-        for effect in self._passing.step(self._clock(), event):
+        for effect in self._state.step(self._clock(), event):
             self._carry_out(effect)
-        self._wake.set(self._passing.wake_at)
-
-    def _ring(self) -> None:
-        self._step(Tick())
+        self._wakeup.set(self._state.wake_at)
 
     def _carry_out(self, effect: Effect) -> None:
         match effect:
-            case Send(to, message, within):
-                self._send(to, message, within)
-            case Admit(key, request, age):
-                self._admit(key, request, age)
-            case Abandon(key):
-                guest = self._guests.pop(key, None)
-                handler = self.guests or self._inner
-                if guest is not None and guest.discard() and handler is not None:
-                    handler.gone(guest)
-            case Answered(number, answer, here):
-                away = self._home(number)
-                if away is not None:
-                    self._answer(away, answer, here)
-            case Back(number, tried):
-                away = self._home(number)
-                if away is not None and not away.exchange.closed:
-                    away.exchange.observer = away.observer
-                    if self.home is not None:
-                        self.home(away.exchange, away.to, tried)
-                    else:
-                        self._again(away.exchange, tried)
-            case Unsure(number):
-                away = self._away.get(number)
-                if away is not None:
-                    self.owner.may_run_again(
-                        away.exchange, away.to, lambda again: self._step(Judged(number, again))
-                    )
-
-    def _send(self, to: str, message: Message, within: float) -> None:
-        """Whoever passes a request on hears if it is sure that it never left; the rest is best effort."""
+            case Send(peer, message, expires_in_s):
+                self._send(peer, message, expires_in_s)
+            case AdmitRequest(key, request, age_s):
+                self._admit(key, request, age_s)
+            case AbandonRequest(key):
+                self._abandon(key)
+            case DeliverAnswer(number, answer, is_local):
+                self._deliver_answer(number, answer, is_local)
+            case ReturnRequest(number, tried):
+                self._handle_returned(number, tried)
+            case AskOwner(number):
+                self._ask_owner(number)
+
+    def _send(self, peer: str, message: Message, expires_in_s: float) -> None:
+        """Send a message; only a forwarded request that certainly never left is reported."""
         number = message.number
-        unsent = (lambda: self._step(Unsent(number))) if isinstance(message, Pass) else None
-        if self._links.send(to, KIND, encode(message), within, unsent):
+        on_not_sent = None
+        if isinstance(message, ForwardRequest):
+            on_not_sent = self._not_sent_callback(number)
+        try:
+            self._connections.send(
+                peer, MESSAGE_TYPE, encode(message), expires_in_s=expires_in_s, on_not_sent=on_not_sent
+            )
+        except SendError:
+            if on_not_sent is not None:
+                on_not_sent()
+            elif isinstance(message, Answer) and message.result:
+                # The result is too large for a frame or the queue: an error is better than no answer.
+                self._count("results_unsent")
+                self._send(peer, Answer(number, FinalStatus.FAILED), expires_in_s)
+
+    def _not_sent_callback(self, number: int) -> Callable[[], None]:
+        return lambda: self._step(RequestNotSent(number))
+
+    # -- this server's requests
+
+    def _take_back(self, number: int) -> RemoteRequest | None:
+        remote = self._remote.pop(number, None)
+        if remote is not None:
+            del self._numbers[remote.exchange]
+            self._remote_names.discard(remote.exchange.name)
+        return remote
+
+    def _deliver_answer(self, number: int, answer: Answer, is_local: bool) -> None:
+        remote = self._take_back(number)
+        if remote is None:
             return
-        if unsent is not None:
-            unsent()
-        elif isinstance(message, Answer) and message.result:
-            # It ran, and its result is too much for a frame or the queue: an error is better than silence.
-            self._count("results_unsent")
-            self._send(to, Answer(number, Final.FAILED), within)
-
-    def _home(self, number: int) -> Away | None:
-        away = self._away.pop(number, None)
-        if away is not None:
-            del self._numbers[away.exchange]
-            self._names.discard(away.exchange.name)
-        return away
-
-    def _answer(self, away: Away, answer: Answer, here: bool) -> None:
-        exchange = away.exchange
-        if here:
-            exchange.observer = away.observer
+        exchange = remote.exchange
+        if is_local:
+            exchange.observer = remote.observer
         match answer.final:
-            case Final.COMPLETED:
+            case FinalStatus.COMPLETED:
                 exchange.complete(answer.result)
-            case Final.REJECTED:
+            case FinalStatus.REJECTED:
                 exchange.reject(answer.retry_after_s, answer.no_retry_elsewhere)
-            case Final.FAILED:
+            case FinalStatus.FAILED:
                 exchange.fail()
 
-    def _again(self, exchange: Exchange, tried: frozenset[str]) -> None:
-        to = self._place(exchange) if len(tried) < TRIES_MOST else None
-        if to is None or not self.pass_on(exchange, to, tried):
-            self._serve_here(exchange)
-
-    def _serve_here(self, exchange: Exchange) -> None:
-        assert self._inner is not None
-        self._inner.arrived(exchange)
-
-    def _passed(self, exchange: Exchange) -> Passed | None:
-        """What goes along; None: a name in it can't be told to a peer."""
+    def _handle_returned(self, number: int, tried: frozenset[str]) -> None:
+        remote = self._take_back(number)
+        if remote is None or remote.exchange.closed:
+            return
+        remote.exchange.observer = remote.observer
+        if self.returned_handler is not None:
+            self.returned_handler(remote.exchange, remote.peer, tried)
+        else:
+            self._place(remote.exchange, tried)
+
+    def _ask_owner(self, number: int) -> None:
+        remote = self._remote.get(number)
+        if remote is not None:
+            self.owner.may_run_again(
+                remote.exchange,
+                remote.peer,
+                lambda may_run_again: self._step(RerunDecided(number, may_run_again)),
+            )
+
+    def _request_data(self, exchange: Exchange) -> RequestData | None:
+        """Return what is sent of a request; None if a name in it cannot be sent."""
         request = exchange.request
-        tenant = b""
-        if request.tenant is not None:
-            if request.tenant not in self._tenant_names:  # new settings make new objects
-                self._tenant_names = {one: name for name, one in self._tenants.items()}
-            found = self._tenant_names.get(request.tenant)
-            if found is None:
-                return None
-            tenant = found
-        idempotency_key = (
-            exchange.idempotency_key if request.request_class.idempotency is Idempotency.KEYED else None
-        )
-        if (
-            max(len(exchange.name), len(exchange.request_class), len(tenant), len(idempotency_key or b""))
-            > NAME_MOST
-        ):
+        tenant = self._tenant_name(request.tenant) if request.tenant is not None else b""
+        if tenant is None:
+            return None
+        is_keyed = request.request_class.idempotency is Idempotency.KEYED
+        idempotency_key = exchange.idempotency_key if is_keyed else None
+        names = (exchange.name, exchange.request_class, tenant, idempotency_key or b"")
+        if max(len(name) for name in names) > MAX_NAME_BYTES:
             return None
-        return Passed(
+        return RequestData(
             exchange.name,
             exchange.request_class,
             exchange.body,
@@ -371,36 +404,50 @@
             exchange.session,
         )
 
-    def _admit(self, key: Key, told: Passed, age: float) -> None:
-        """A peer's request becomes ours; what this server does not know is declined, and never ran here."""
-        request_class, tenant = self._request_classes.get(told.request_class), self._tenants.get(told.tenant)
-        unknown = request_class is None or (tenant is None and bool(self._tenants))
-        if (
-            request_class is None
-            or unknown
-            or (request_class.idempotency is Idempotency.KEYED and not told.idempotency_key)
-        ):
+    def _tenant_name(self, tenant: Tenant) -> bytes | None:
+        if tenant not in self._tenant_names:  # reloaded settings bring new objects
+            self._tenant_names = {known: name for name, known in self._tenants.items()}
+        return self._tenant_names.get(tenant)
+
+    # -- requests of peers
+
+    def _admit(self, key: Key, data: RequestData, age_s: float) -> None:
+        """Admit a peer's request; one with names that are unknown here is returned, and never ran here."""
+        request_class, tenant = self._request_classes.get(data.request_class), self._tenants.get(data.tenant)
+        if request_class is None or not self._is_admissible(data, request_class, tenant):
             self._count("unknown_names")
-            return self._step(Over(key, None))
-        router = self._routers.setdefault(key[0], Client())
-        arrived = self._scheduler.clock.now - age
-        request = Request(request_class, router, tenant, arrived, told.kb, subject=told.subject)
+            self._step(RequestFinished(key, None))
+            return
+        client = self._peer_clients.setdefault(key[0], Client())
+        arrived_at = self._scheduler.clock.now - age_s
+        request = Request(request_class, client, tenant, arrived_at, data.memory_kb, subject=data.subject)
         exchange = Exchange(
-            told.name,
-            told.request_class,
-            told.body,
+            data.name,
+            data.request_class,
+            data.body,
             0,
-            told.idempotency_key,
+            data.idempotency_key,
             request,
-            Guest(self, key),
+            ForwardedCaller(self, key),
             self._observer(),
         )
-        exchange.session = told.session
-        self._guests[key] = exchange
-        if self.guests is not None:
-            self.guests.arrived(exchange)
+        exchange.session = data.session
+        self._admitted[key] = exchange
+        if self.forwarded_handler is not None:
+            self.forwarded_handler.arrived(exchange)
         else:
             self._serve_here(exchange)
 
+    def _is_admissible(self, data: RequestData, request_class: RequestClass, tenant: Tenant | None) -> bool:
+        if tenant is None and self._tenants:
+            return False
+        return request_class.idempotency is not Idempotency.KEYED or bool(data.idempotency_key)
+
+    def _abandon(self, key: Key) -> None:
+        exchange = self._admitted.pop(key, None)
+        handler = self.forwarded_handler or self._inner
+        if exchange is not None and exchange.discard() and handler is not None:
+            handler.gone(exchange)
+
     def _count(self, name: str) -> None:
-        self.counts[name] = self.counts.get(name, 0) + 1
+        self.counters[name] = self.counters.get(name, 0) + 1
--- a/sablewheel/program/feature_file.py
+++ b/sablewheel/program/feature_file.py
@@ -27,7 +27,7 @@
 from ruamel.yaml.error import MarkedYAMLError, YAMLError
 
 from ..feature_policy.plan import PolicyPlan, Rules
-from ..forwarding.plan import ForwardingPlan, LinkSettings, PassSettings
+from ..forwarding.plan import ConnectionSettings, ForwardingPlan, ForwardingSettings
 from ..membership.plan import MembershipPlan, Settings
 from ..replication.plan import ReplicationPlan
 from ..replication.plan import Settings as ReplicaSettings
@@ -373,23 +373,23 @@
 
     def plan(self) -> ForwardingPlan:
         host, _, port = self.listen.rpartition(":")
-        links = LinkSettings(
-            frame_most=self.frame_most_kb * 1024,
-            queue_frames=self.queue_frames,
-            queue_bytes=self.queue_kb * 1024,
-            links_most=self.links_most,
-            connect_within=self.connect_within_s,
-            ping_every=self.ping_every_s,
-            silent_most=self.silent_most_s,
-            rest_first=self.rest_first_s,
-            rest_last=self.rest_last_s,
-            linger=self.linger_s,
+        links = ConnectionSettings(
+            max_frame_bytes=self.frame_most_kb * 1024,
+            max_queued_frames=self.queue_frames,
+            max_queued_bytes=self.queue_kb * 1024,
+            max_connections=self.links_most,
+            connect_timeout_s=self.connect_within_s,
+            ping_interval_s=self.ping_every_s,
+            max_silence_s=self.silent_most_s,
+            initial_retry_delay_s=self.rest_first_s,
+            max_retry_delay_s=self.rest_last_s,
+            departed_linger_s=self.linger_s,
         )
-        passing = PassSettings(
-            out_most=self.out_most,
-            in_most=self.in_most,
-            taken_within=self.taken_within_s,
-            doubt=self.doubt_s,
+        passing = ForwardingSettings(
+            max_forwarded=self.out_most,
+            max_admitted_per_peer=self.in_most,
+            ack_timeout_s=self.taken_within_s,
+            peer_backoff_s=self.doubt_s,
         )
         return ForwardingPlan((host, int(port)), self.advertise or self.listen, links, passing)
 
--- a/sablewheel/program/feature_registry.py
+++ b/sablewheel/program/feature_registry.py
@@ -37,8 +37,8 @@
 if TYPE_CHECKING:
     from ..feature_policy.host_capabilities import Ability
     from ..feature_policy.service import Policies
-    from ..forwarding.peer_connections import Links
-    from ..forwarding.service import Forward
+    from ..forwarding.peer_connections import PeerConnections
+    from ..forwarding.service import ForwardingService
     from ..membership.service import MembershipService
     from ..replication.service import Keeper
 
@@ -65,8 +65,8 @@
     memory: Memory = NO_RESULT_STORE
     says: tuple[tuple[str, str], ...] = ()  # what all features together have this member say of itself
     fleet: MembershipService | None = None  # by membership
-    links: Links | None = None  # by forwarding
-    forward: Forward | None = None  # by forwarding; who places requests sets its placer
+    links: PeerConnections | None = None  # by forwarding
+    forward: ForwardingService | None = None  # by forwarding; who places requests sets its placer
     policies: Policies | None = None  # by policy: who may serve what, `on_active`, and the placer above
     replication: Keeper | None = None  # by replication; bindings and documents go through it
     leave: Callable[[], None] | None = None  # by membership; None where another tells the fleet in its time
@@ -188,38 +188,39 @@
 
 
 def _forwarding(feature_context: FeatureContext, plan: ForwardingPlan) -> Part:
-    from ..forwarding.forwarding_state import Passing
-    from ..forwarding.peer_connections import Links
-    from ..forwarding.service import Forward
+    from ..forwarding.forwarding_state import ForwardingState
+    from ..forwarding.peer_connections import PeerConnections
+    from ..forwarding.service import ForwardingService
 
     fleet, placement_settings = feature_context.fleet, feature_context.placement_settings
     assert fleet is not None  # the section needs membership's
     born = fleet.node.local_member.incarnation
     # At least half of the connections there may be stays for routers.
     settings = replace(
-        plan.links, links_most=min(plan.links.links_most, placement_settings.connections_most // 2)
+        plan.connections,
+        max_connections=min(plan.connections.max_connections, placement_settings.connections_most // 2),
     )
     with _listening("forwarding", plan.listen):
-        links = feature_context.links = Links(
+        links = feature_context.links = PeerConnections(
             feature_context.scheduler, plan.listen, settings, fleet.node_name, born
         )
-    forward = feature_context.forward = Forward(
+    forward = feature_context.forward = ForwardingService(
         feature_context.scheduler,
         links,
-        Passing(plan.passing),
+        ForwardingState(plan.forwarding),
         round(feature_context.scheduler.clock.now * 1000),
         placement_settings.request_classes,
         placement_settings.tenants,
         lambda: feature_context.observer,  # the outermost of all features, once they are made
     )
-    fleet.on_view(links.view)
-    fleet.on_view(forward.view)
+    fleet.on_view(links.handle_view)
+    fleet.on_view(forward.handle_view)
     return Part(
         handler=forward.handler,
-        sockets=lambda: links.room_for,
-        leaving=lambda: forward.leaving() if feature_context.leave is not None else None,
-        end_round=links.end_round,
-        settled=lambda: forward.settled and links.quiet,
+        sockets=lambda: links.max_connections,
+        leaving=lambda: forward.start_shutdown() if feature_context.leave is not None else None,
+        end_round=links.flush,
+        settled=lambda: forward.is_idle and links.all_sent,
         close=lambda _: links.close(),
         gauges=lambda: {**links.gauges(), **forward.gauges()},
     )
--- a/sablewheel/replication/service.py
+++ b/sablewheel/replication/service.py
@@ -19,6 +19,7 @@
 from math import inf
 from typing import Protocol
 
+from ..forwarding.errors import SendError
 from ..membership.view import View
 from ..overload.interface import Client, Idempotency, Outcome, Request, RequestClass
 from ..serving.delayed_answers import DUE_SPARE
@@ -69,8 +70,10 @@
 class Wires(Protocol):
     """Where frames go (forwarding's links)."""
 
-    def send(self, to: str, kind: str, payload: bytes, within: float) -> bool: ...
-    def on(self, kind: str, handler: Callable[[str, bytes], None], parted: bool = False) -> None: ...
+    def send(self, peer_name: str, message_type: str, payload: bytes, *, expires_in_s: float) -> None: ...
+    def register_handler(
+        self, message_type: str, handler: Callable[[str, bytes], None], accept_departed: bool = False
+    ) -> None: ...
 
 
 class Asked:
@@ -142,7 +145,9 @@
         self._wake = Wake(scheduler, clock, self._ring)
         self._open = True
         self._left_at = -inf
-        links.on(KIND, self._heard, parted=True)  # one that leaves still says what its runs became
+        links.register_handler(
+            KIND, self._heard, accept_departed=True
+        )  # one that leaves still says what its runs became
 
     # -- what the dispatch asks and tells
 
@@ -471,7 +476,9 @@
         within = PIECE_WITHIN if isinstance(message, Piece) else WITHIN
         data = codec.encode(message, *self._shape)
         self._count("replication_bytes_out_k" if len(data) > 1024 else "replication_frames_out")
-        if not self._links.send(to, KIND, data, within):
+        try:
+            self._links.send(to, KIND, data, expires_in_s=within)
+        except SendError:
             self._count("replication_unsent")
 
     # -- the end
--- a/sablewheel/session_affinity/session_router.py
+++ b/sablewheel/session_affinity/session_router.py
@@ -7,13 +7,15 @@
 
 from __future__ import annotations
 
+import contextlib
 import logging
 import time
 from collections import Counter
 from collections.abc import Callable
 
-from ..forwarding.peer_connections import Links
-from ..forwarding.service import Forward, Guest
+from ..forwarding.errors import SendError
+from ..forwarding.peer_connections import PeerConnections
+from ..forwarding.service import ForwardedCaller, ForwardingService
 from ..membership.service import MembershipService
 from ..membership.view import View
 from ..overload.interface import Idempotency, Outcome, Request, Tenant
@@ -89,8 +91,8 @@
         scheduler: Scheduler,
         plan: AffinityPlan,
         fleet: MembershipService,
-        links: Links,
-        forward: Forward,
+        links: PeerConnections,
+        forward: ForwardingService,
         keeper: Keeper,
         memory: Memory,
         observer: RequestObserver,
@@ -122,8 +124,8 @@
         self.counts: Counter[str] = Counter()
         keeper.group_of, keeper.may_begin, keeper.fenced = self._group_of, self._may_begin, self._fenced
         keeper.replica.binding_life = max(keeper.replica.binding_life, plan.settings.life)
-        forward.guests, forward.home = self, self._home
-        links.on(KIND, self._heard)
+        forward.forwarded_handler, forward.returned_handler = self, self._home
+        links.register_handler(KIND, self._heard)
         fleet.on_view(self._viewed)
         scheduler.after(LOADS_EVERY, self._tell_loads)
 
@@ -134,13 +136,13 @@
         return self
 
     def arrived(self, exchange: Exchange) -> None:
-        guest = exchange.caller if isinstance(exchange.caller, Guest) else None
+        guest = exchange.caller if isinstance(exchange.caller, ForwardedCaller) else None
         if guest is None:
             exchange.session = self._session(exchange) or ""
             if not exchange.session:
                 self.counts["without_session"] += 1
                 return self._handler.arrived(exchange)
-            if self._forward.is_away(exchange.name):
+            if self._forward.is_forwarded(exchange.name):
                 return exchange.fail()  # the name of an open request: as the dispatch would
         elif not exchange.session:
             return self._forward.serve(exchange)
@@ -310,7 +312,8 @@
         data = codec.encode(mine)
         for name in self._fleet.view.names if self._fleet.view is not None else ():
             if name != self._fleet.node_name:
-                self._links.send(name, KIND, data, LOADS_EVERY)
+                with contextlib.suppress(SendError):
+                    self._links.send(name, KIND, data, expires_in_s=LOADS_EVERY)
         self._step(Loads(self._loads))
         self._scheduler.after(LOADS_EVERY, self._tell_loads)
 
@@ -334,10 +337,9 @@
                 self._pass(ref, to)
             case Back(ref, sender, binding):
                 exchange = self._held.pop(ref)
-                self._links.send(
-                    sender, KIND, codec.encode(Told(binding)), WITHIN
-                )  # comes before the request
-                self._forward.decline(exchange)
+                with contextlib.suppress(SendError):  # arrives before the request
+                    self._links.send(sender, KIND, codec.encode(Told(binding)), expires_in_s=WITHIN)
+                self._forward.return_to_origin(exchange)
             case Reject(ref, retry_after_s, _):
                 exchange = self._held.pop(ref)
                 exchange.reject(retry_after_s, False)
@@ -354,7 +356,9 @@
             case Read(ref, key):
                 self._keeper.read(SESSIONS, key.encode(), lambda answer: self._register(ref, answer))
             case Send(to, message):
-                if not self._links.send(to, KIND, codec.encode(message), WITHIN):
+                try:
+                    self._links.send(to, KIND, codec.encode(message), expires_in_s=WITHIN)
+                except SendError:
                     self.counts["unsent"] += 1
             case Note(what, fields):
                 log.log(logging.INFO if what in LOUD else logging.WARNING, what, extra={"pairs": fields})
@@ -382,7 +386,7 @@
         exchange = self._held.pop(ref)
         if exchange.closed:
             return
-        if not self._forward.pass_on(exchange, to):
+        if not self._forward.forward_to(exchange, to):
             self._home(exchange, to, frozenset((to,)))
 
     # -- the end
@@ -400,12 +404,13 @@
         data = codec.encode(Load(len(self.sessions.owned), 1.0, 0.0))
         for name in self._fleet.view.names if self._fleet.view is not None else ():
             if name != self._fleet.node_name:
-                self._links.send(name, KIND, data, WITHIN)
+                with contextlib.suppress(SendError):
+                    self._links.send(name, KIND, data, expires_in_s=WITHIN)
 
     def _leave(self) -> None:
         if not self._left:
             self._left = True
-            self._forward.leaving()
+            self._forward.start_shutdown()
             self._fleet.leave()
 
     def settled(self) -> bool:
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -12,20 +12,20 @@
 
 import pytest
 
-from sablewheel.forwarding.forwarding_state import (
-    Admit,
-    Answered,
-    Back,
+from sablewheel.forwarding.events import (
+    AdmitRequest,
+    DeliverAnswer,
     Effect,
-    Got,
+    ForwardRequested,
     Key,
-    Over,
-    Passing,
+    MessageReceived,
+    RequestFinished,
+    ReturnRequest,
     Send,
-    Tick,
-    Wanted,
+    TimerFired,
 )
-from sablewheel.forwarding.messages import Answer, Final, Passed
+from sablewheel.forwarding.forwarding_state import ForwardingState
+from sablewheel.forwarding.messages import Answer, FinalStatus, RequestData
 from sablewheel.overload import interface
 from sablewheel.overload.controller import Controller
 from sablewheel.overload.interface import (
@@ -241,8 +241,8 @@
     """The senders are members of the view that pass requests on to the cold one; none hears what it says."""
 
     def __init__(self, server_settings: ServerSettings, members: int, flow: float, work: float) -> None:
-        self.cores = {f"m{number}": Passing() for number in range(members)}
-        self.cold = Passing()
+        self.cores = {f"m{number}": ForwardingState() for number in range(members)}
+        self.cold = ForwardingState()
         self.guests: dict[Request, Key] = {}
         self.routers = {name: Client() for name in self.cores}
         self.number = self.answered = 0
@@ -256,17 +256,20 @@
                 case interface.Run(request):
                     self.left[request] = self.work * self.draws.uniform(0.5, 1.5)
                 case interface.Reject(request, retry_after_s):
-                    self.over(request, Final.REJECTED, retry_after_s)
+                    self.over(request, FinalStatus.REJECTED, retry_after_s)
                 case interface.Fail(request):
-                    self.over(request, Final.FAILED)
+                    self.over(request, FinalStatus.FAILED)
         for request in ended:
-            self.over(request, Final.COMPLETED)
+            self.over(request, FinalStatus.COMPLETED)
 
-    def over(self, request: Request, final: Final, retry_after_s: float = 0.0) -> None:
+    def over(self, request: Request, final: FinalStatus, retry_after_s: float = 0.0) -> None:
         key = self.guests.pop(request, None)
         if key is not None:
-            self.served += final is Final.COMPLETED
-            self.carry("cold", self.cold.step(self.now, Over(key, Answer(key[1], final, b"", retry_after_s))))
+            self.served += final is FinalStatus.COMPLETED
+            self.carry(
+                "cold",
+                self.cold.step(self.now, RequestFinished(key, Answer(key[1], final, b"", retry_after_s))),
+            )
 
     def carry(self, name: str, effects: list[Effect]) -> list[interface.Event]:
         """What one core would have done, done; what came out of it for the cold one's controller."""
@@ -274,16 +277,16 @@
         for effect in effects:
             match effect:
                 case Send("cold", message):
-                    arrived += self.carry("cold", self.cold.step(self.now, Got(name, message)))
+                    arrived += self.carry("cold", self.cold.step(self.now, MessageReceived(name, message)))
                 case Send(to, message):
-                    self.carry(to, self.cores[to].step(self.now, Got(name, message)))
-                case Admit(key, told, age):
+                    self.carry(to, self.cores[to].step(self.now, MessageReceived(name, message)))
+                case AdmitRequest(key, told, age):
                     request_class, router = self.server_settings.request_classes[0], self.routers[key[0]]
-                    request = Request(request_class, router, None, self.now - age, told.kb)
+                    request = Request(request_class, router, None, self.now - age, told.memory_kb)
                     self.guests[request] = key
                     self.got.append(self.now)
                     arrived.append(interface.RequestArrived(request))
-                case Answered(number) | Back(number):
+                case DeliverAnswer(number) | ReturnRequest(number):
                     self.open.remove(number)  # once only
                     self.answered += 1
         return arrived
@@ -291,12 +294,12 @@
     def comers(self) -> list[interface.Event]:
         come: list[interface.Event] = []
         for name, core in self.cores.items():
-            self.carry(name, core.step(self.now, Tick()))
+            self.carry(name, core.step(self.now, TimerFired()))
             if self.draws.random() < self.flow * STEP / len(self.cores):
                 self.number += 1
                 self.open.add(self.number)
-                told = Passed(b"%d" % self.number, b"lookup", b"", b"", None, 10.0, None)
-                wanted = Wanted(self.number, "cold", Idempotency.IDEMPOTENT, told, 0.0, 4.5)
+                told = RequestData(b"%d" % self.number, b"lookup", b"", b"", None, 10.0, None)
+                wanted = ForwardRequested(self.number, "cold", Idempotency.IDEMPOTENT, told, 0.0, 4.5)
                 come += self.carry(name, core.step(self.now, wanted))
         return come
 
--- a/tests/test_feature_policy_service.py
+++ b/tests/test_feature_policy_service.py
@@ -69,14 +69,13 @@
     def report_fact(self, fact: Fact) -> None:
         self.reported_facts[fact.key] = fact.value
 
-    def send(self, to: str, kind: str, payload: bytes, within: float) -> bool:
-        self.sent.append((to, codec.decode(payload)))
-        return True
+    def send(self, peer_name: str, message_type: str, payload: bytes, *, expires_in_s: float) -> None:
+        self.sent.append((peer_name, codec.decode(payload)))
 
-    def on(self, kind: str, handler: Callable[[str, bytes], None]) -> None:
+    def register_handler(self, message_type: str, handler: Callable[[str, bytes], None]) -> None:
         self.handler = handler
 
-    def on_broken(self, callback: Callable[[str], None]) -> None:
+    def on_connection_lost(self, callback: Callable[[str], None]) -> None:
         self.broken = callback
 
     # what tests call
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -20,42 +20,49 @@
 from sablewheel.experiments.made_fleet import MadeFleet
 from sablewheel.experiments.rig import Rig, free_port
 from sablewheel.forwarding import forwarding_pb2 as pb
-from sablewheel.forwarding.forwarding_state import (
-    Abandon,
-    Admit,
-    Answered,
-    Back,
-    Broken,
+from sablewheel.forwarding.errors import (
+    FrameTooLargeError,
+    PeerUnavailableError,
+    PeerUnknownError,
+    SendError,
+    SendQueueFullError,
+)
+from sablewheel.forwarding.events import (
+    AbandonRequest,
+    AdmitRequest,
+    AskOwner,
+    CallerGone,
+    ConnectionLost,
+    DeliverAnswer,
     Effect,
-    Gone,
-    Got,
-    Judged,
-    Leaving,
-    Over,
-    Passing,
+    ForwardRequested,
+    MessageReceived,
+    RequestFinished,
+    RequestNotSent,
+    RerunDecided,
+    ReturnRequest,
     Send,
-    Tick,
-    Unsent,
-    Unsure,
-    Wanted,
+    ShutdownStarted,
+    TimerFired,
 )
-from sablewheel.forwarding.frames import Frames, Hops, frame
+from sablewheel.forwarding.forwarding_state import ForwardingState
+from sablewheel.forwarding.frames import FrameReader, TransitTimeEstimator, encode_frame
 from sablewheel.forwarding.messages import (
+    Acknowledged,
     Answer,
     BadMessageError,
     Cancel,
-    Final,
+    FinalStatus,
+    ForwardRequest,
     Message,
-    Pass,
-    Passed,
     Refused,
-    Taken,
+    RequestData,
     decode,
     encode,
 )
-from sablewheel.forwarding.peer_connections import Links
-from sablewheel.forwarding.plan import LinkSettings, PassSettings
-from sablewheel.forwarding.service import Forward
+from sablewheel.forwarding.peer_connections import PeerConnections
+from sablewheel.forwarding.plan import ConnectionSettings, ForwardingSettings
+from sablewheel.forwarding.service import ForwardingService
 from sablewheel.membership.view import Member, View
 from sablewheel.overload.interface import Client, Idempotency, Request, RequestClass
 from sablewheel.program.feature_file import FaultyFeaturesError, read
@@ -67,139 +74,154 @@
 
 def passed(
     name: bytes = b"n1", request_class: bytes = b"lookup", idempotency_key: bytes | None = None
-) -> Passed:
-    return Passed(name, request_class, b"body", b"", idempotency_key, 10.0, None)
+) -> RequestData:
+    return RequestData(name, request_class, b"body", b"", idempotency_key, 10.0, None)
 
 
 def wanted(
     number: int, idempotency: Idempotency = Idempotency.IDEMPOTENT, left: float = 2.0, to: str = "b"
-) -> Wanted:
-    return Wanted(number, to, idempotency, passed(b"%d" % number), 0.1, left)
+) -> ForwardRequested:
+    return ForwardRequested(number, to, idempotency, passed(b"%d" % number), 0.1, left)
 
 
 def done(number: int) -> Answer:
-    return Answer(number, Final.COMPLETED, b"result")
+    return Answer(number, FinalStatus.COMPLETED, b"result")
 
 
 # -- the rules, one by one
 
 
 def test_an_answer_comes_once_and_only_from_the_peer_that_has_the_request() -> None:
-    core = Passing()
+    core = ForwardingState()
     core.step(0.0, wanted(1))
-    assert core.step(0.1, Got("c", done(1))) == []
-    assert core.step(0.1, Got("b", done(1))) == [Answered(1, done(1), False)]
-    assert core.step(0.2, Got("b", done(1))) == core.step(9.0, Tick()) == core.step(9.0, Broken("b")) == []
-    assert core.counts["late"] == 2
+    assert core.step(0.1, MessageReceived("c", done(1))) == []
+    assert core.step(0.1, MessageReceived("b", done(1))) == [DeliverAnswer(1, done(1), False)]
+    assert (
+        core.step(0.2, MessageReceived("b", done(1)))
+        == core.step(9.0, TimerFired())
+        == core.step(9.0, ConnectionLost("b"))
+        == []
+    )
+    assert core.counters["late"] == 2
 
 
 @pytest.mark.parametrize(
     ("idempotency", "becomes"),
     [
-        (Idempotency.IDEMPOTENT, [Back(1, frozenset("b"))]),
-        (Idempotency.KEYED, [Unsure(1)]),
-        (Idempotency.NON_IDEMPOTENT, [Answered(1, Answer(1, Final.FAILED), True)]),
+        (Idempotency.IDEMPOTENT, [ReturnRequest(1, frozenset("b"))]),
+        (Idempotency.KEYED, [AskOwner(1)]),
+        (Idempotency.NON_IDEMPOTENT, [DeliverAnswer(1, Answer(1, FinalStatus.FAILED), True)]),
     ],
 )
 def test_a_broken_link_is_judged_by_idempotency(idempotency: Idempotency, becomes: list[Effect]) -> None:
-    core = Passing()
+    core = ForwardingState()
     core.step(0.0, wanted(1, idempotency))
-    core.step(0.1, Got("b", Taken(1)))
-    assert core.step(0.5, Broken("c")) == []
-    assert core.step(0.5, Broken("b")) == becomes
+    core.step(0.1, MessageReceived("b", Acknowledged(1)))
+    assert core.step(0.5, ConnectionLost("c")) == []
+    assert core.step(0.5, ConnectionLost("b")) == becomes
 
 
 def test_a_keyed_request_goes_as_its_owner_says() -> None:
     for again in (True, False):
-        core = Passing()
+        core = ForwardingState()
         core.step(0.0, wanted(1, Idempotency.KEYED))
-        core.step(0.1, Broken("b"))
-        told = core.step(0.2, Judged(1, again))
-        error = Answered(1, Answer(1, Final.FAILED), True)
-        assert told == [Back(1, frozenset("b")) if again else error]
-    core = Passing()
+        core.step(0.1, ConnectionLost("b"))
+        told = core.step(0.2, RerunDecided(1, again))
+        error = DeliverAnswer(1, Answer(1, FinalStatus.FAILED), True)
+        assert told == [ReturnRequest(1, frozenset("b")) if again else error]
+    core = ForwardingState()
     core.step(0.0, wanted(1, Idempotency.KEYED))
-    core.step(0.1, Broken("b"))  # the owner says nothing: an error when its time is up
-    assert Answered(1, Answer(1, Final.FAILED), True) in core.step(2.0, Tick())
+    core.step(0.1, ConnectionLost("b"))  # the owner says nothing: an error when its time is up
+    assert DeliverAnswer(1, Answer(1, FinalStatus.FAILED), True) in core.step(2.0, TimerFired())
 
 
 @pytest.mark.parametrize("idempotency", list(Idempotency))
-@pytest.mark.parametrize("event", [Unsent(1), Got("b", Refused(1))])
+@pytest.mark.parametrize("event", [RequestNotSent(1), MessageReceived("b", Refused(1))])
 def test_what_surely_never_ran_may_go_anywhere(idempotency: Idempotency, event: Any) -> None:
-    core = Passing()
+    core = ForwardingState()
     core.step(0.0, wanted(1, idempotency))
-    assert core.step(0.1, event) == [Back(1, frozenset("b"))]
+    assert core.step(0.1, event) == [ReturnRequest(1, frozenset("b"))]
 
 
 def test_only_a_idempotent_request_is_taken_back_when_the_peer_does_not_say_it_has_it() -> None:
-    core = Passing()
+    core = ForwardingState()
     for number, idempotency in enumerate(Idempotency, 1):
         core.step(0.0, wanted(number, idempotency))
-    assert core.wake_at <= PassSettings().taken_within
-    effects = core.step(core.wake_at, Tick())
-    assert [one for one in effects if not isinstance(one, Send)] == [Back(1, frozenset("b"))]
+    assert core.wake_at <= ForwardingSettings().ack_timeout_s
+    effects = core.step(core.wake_at, TimerFired())
+    assert [one for one in effects if not isinstance(one, Send)] == [ReturnRequest(1, frozenset("b"))]
     assert isinstance(effects[0], Send) and effects[0].message == Cancel(1)
-    assert core.step(0.3, wanted(9)) == [Back(9, frozenset("b"))]  # and the peer is in doubt
-    core.step(0.4, Got("b", Taken(2)))
+    assert core.step(0.3, wanted(9)) == [ReturnRequest(9, frozenset("b"))]  # and the peer is in doubt
+    core.step(0.4, MessageReceived("b", Acknowledged(2)))
     assert isinstance(core.step(0.4, wanted(10))[0], Send)  # until it is heard
 
 
 def test_every_request_has_its_answer_before_its_time_is_up() -> None:
-    core = Passing()
+    core = ForwardingState()
     for number, idempotency in enumerate(Idempotency, 1):
         core.step(0.0, wanted(number, idempotency, left=1.0))
-        core.step(0.1, Got("b", Taken(number)))
+        core.step(0.1, MessageReceived("b", Acknowledged(number)))
     assert core.wake_at < 1.0
-    told = [one for one in core.step(0.99, Tick()) if isinstance(one, Answered)]
-    assert {one.number for one in told} == {1, 2, 3} and not core.out
+    told = [one for one in core.step(0.99, TimerFired()) if isinstance(one, DeliverAnswer)]
+    assert {one.number for one in told} == {1, 2, 3} and not core.forwarded
 
 
 def test_the_budget_shrinks_by_the_hop_and_what_comes_too_late_is_refused() -> None:
-    core = Passing()
-    effects = core.step(5.0, Got("a", Pass(7, passed(), 0.2, 1.0), 0.3))
-    assert Admit(("a", 7), passed(), 0.5) in effects and core.taken_in["a", 7] == pytest.approx(5.7)
-    assert core.step(5.0, Got("a", Pass(8, passed(), 0.2, 1.0), 1.0))[0].message == Refused(8)  # type: ignore[union-attr]
-    assert core.step(5.8, Tick()) == [Abandon(("a", 7))]
+    core = ForwardingState()
+    effects = core.step(5.0, MessageReceived("a", ForwardRequest(7, passed(), 0.2, 1.0), 0.3))
+    assert AdmitRequest(("a", 7), passed(), 0.5) in effects and core.admitted["a", 7] == pytest.approx(5.7)
+    assert core.step(5.0, MessageReceived("a", ForwardRequest(8, passed(), 0.2, 1.0), 1.0))[
+        0
+    ].message == Refused(8)  # type: ignore[union-attr]
+    assert core.step(5.8, TimerFired()) == [AbandonRequest(("a", 7))]
 
 
 def test_a_double_is_not_taken_twice_and_a_cancel_may_overtake() -> None:
-    core = Passing(PassSettings(in_most=2))
-    assert len(core.step(0.0, Got("a", Pass(1, passed(), 0.0, 1.0)))) == 2
-    assert core.step(0.0, Got("a", Pass(1, passed(), 0.0, 1.0))) == []
-    assert core.step(0.1, Over(("a", 1), done(1)))[0].message == done(1)  # type: ignore[union-attr]
-    assert core.step(0.1, Got("a", Pass(1, passed(), 0.0, 1.0))) == []
-    assert core.step(0.1, Got("a", Cancel(2))) == core.step(0.1, Got("a", Pass(2, passed(), 0.0, 1.0))) == []
+    core = ForwardingState(ForwardingSettings(max_admitted_per_peer=2))
+    assert len(core.step(0.0, MessageReceived("a", ForwardRequest(1, passed(), 0.0, 1.0)))) == 2
+    assert core.step(0.0, MessageReceived("a", ForwardRequest(1, passed(), 0.0, 1.0))) == []
+    assert core.step(0.1, RequestFinished(("a", 1), done(1)))[0].message == done(1)  # type: ignore[union-attr]
+    assert core.step(0.1, MessageReceived("a", ForwardRequest(1, passed(), 0.0, 1.0))) == []
+    assert (
+        core.step(0.1, MessageReceived("a", Cancel(2)))
+        == core.step(0.1, MessageReceived("a", ForwardRequest(2, passed(), 0.0, 1.0)))
+        == []
+    )
     for number in (3, 4):
-        core.step(0.2, Got("a", Pass(number, passed(), 0.0, 1.0)))
-    assert core.step(0.2, Got("a", Pass(5, passed(), 0.0, 1.0)))[0].message == Refused(5)  # type: ignore[union-attr]
-    assert len(core.step(0.2, Got("c", Pass(5, passed(), 0.0, 1.0)))) == 2  # the bound is a peer's own
-    assert set(core.step(0.3, Broken("a"))) == {Abandon(("a", 3)), Abandon(("a", 4))}
-    assert core.step(0.3, Got("c", Cancel(5))) == [Abandon(("c", 5))]
+        core.step(0.2, MessageReceived("a", ForwardRequest(number, passed(), 0.0, 1.0)))
+    refusal = core.step(0.2, MessageReceived("a", ForwardRequest(5, passed(), 0.0, 1.0)))[0]
+    assert refusal.message == Refused(5)  # type: ignore[union-attr]
+    # The bound is a peer's own.
+    assert len(core.step(0.2, MessageReceived("c", ForwardRequest(5, passed(), 0.0, 1.0)))) == 2
+    assert set(core.step(0.3, ConnectionLost("a"))) == {AbandonRequest(("a", 3)), AbandonRequest(("a", 4))}
+    assert core.step(0.3, MessageReceived("c", Cancel(5))) == [AbandonRequest(("c", 5))]
 
 
 def test_a_member_that_leaves_takes_nothing_more_in_and_finishes_what_it_has() -> None:
-    core = Passing()
-    core.step(0.0, Got("a", Pass(1, passed(), 0.0, 1.0)))
-    core.step(0.1, Leaving())
-    assert core.step(0.1, Got("a", Pass(2, passed(), 0.0, 1.0))) == [Send("a", Refused(2), 1.0)]
-    assert core.step(0.2, Over(("a", 1), done(1)))[0].message == done(1)  # type: ignore[union-attr]
+    core = ForwardingState()
+    core.step(0.0, MessageReceived("a", ForwardRequest(1, passed(), 0.0, 1.0)))
+    core.step(0.1, ShutdownStarted())
+    assert core.step(0.1, MessageReceived("a", ForwardRequest(2, passed(), 0.0, 1.0))) == [
+        Send("a", Refused(2), 1.0)
+    ]
+    assert core.step(0.2, RequestFinished(("a", 1), done(1)))[0].message == done(1)  # type: ignore[union-attr]
 
 
 def test_a_caller_that_leaves_takes_its_request_along() -> None:
-    core = Passing()
+    core = ForwardingState()
     core.step(0.0, wanted(1))
-    assert [one.message for one in core.step(0.1, Gone(1)) if isinstance(one, Send)] == [Cancel(1)]
-    assert core.step(0.2, Got("b", done(1))) == []
+    assert [one.message for one in core.step(0.1, CallerGone(1)) if isinstance(one, Send)] == [Cancel(1)]
+    assert core.step(0.2, MessageReceived("b", done(1))) == []
 
 
 # -- a fleet in which everything goes wrong
 
 
-class Twice(Passing):
+class Twice(ForwardingState):
     """Broken: an non-idempotent request is sent again after a break."""
 
-    def _may_have_run(self, number: int) -> list[Effect]:
-        return [self._back(0.0, number, self.out.pop(number))]
+    def _fail_uncertain(self, number: int) -> list[Effect]:
+        return [self._return(0.0, number, self.forwarded.pop(number))]
 
 
 @dataclass
@@ -208,7 +230,7 @@
     start anew."""
 
     seed: int
-    make: Callable[[], Passing] = Passing
+    make: Callable[[], ForwardingState] = ForwardingState
 
     def play(self) -> None:
         self.runs, self.outcomes, self.natures = Counter[bytes](), Counter[int](), dict[int, Idempotency]()
@@ -217,7 +239,7 @@
         self.lost_with: set[int] = set()
         chance = random.Random(self.seed)
         names = ["a", "b", "c", "d"]
-        fleet = self.fleet = MadeFleet(Got, Tick(), self.seed, self.heard)
+        fleet = self.fleet = MadeFleet(MessageReceived, TimerFired(), self.seed, self.heard)
         for name in names:
             fleet.add(name, lambda _: self.make())
         for a in names:
@@ -238,7 +260,7 @@
             match chance.randrange(12):
                 case 0:
                     fleet.cut([name], [to], both=chance.random() < 0.5)
-                    fleet.tell(name, Broken(to))
+                    fleet.tell(name, ConnectionLost(to))
                 case 1:
                     fleet.heal()
                 case 2:
@@ -248,23 +270,23 @@
                     fleet.add(to, lambda _: self.make())
                     for one in names:
                         if one != to:
-                            fleet.tell(one, Broken(to))
+                            fleet.tell(one, ConnectionLost(to))
         fleet.heal()
         fleet.run(5.0)
 
     def heard(self, now: float, name: str, effect: Any) -> None:
         match effect:
-            case Admit(key, request, _):
+            case AdmitRequest(key, request, _):
                 self.runs[request.name] += 1
-                answer = Over(key, done(key[1]))
+                answer = RequestFinished(key, done(key[1]))
                 self.fleet.later(0.1, lambda: self.fleet.tell(name, answer))
-            case Back(number, _):
+            case ReturnRequest(number, _):
                 self.runs[b"%d" % number] += 1
                 self.out(now, number)
-            case Answered(number, _, _):
+            case DeliverAnswer(number, _, _):
                 self.out(now, number)
-            case Unsure(number):
-                self.fleet.tell(name, Judged(number, False))
+            case AskOwner(number):
+                self.fleet.tell(name, RerunDecided(number, False))
 
     def out(self, now: float, number: int) -> None:
         self.outcomes[number] += 1
@@ -304,13 +326,13 @@
 @pytest.mark.parametrize(
     "message",
     [
-        Pass(1 << 60, passed(idempotency_key=b"l" * 32), 0.25, 1.5),
-        Taken(1),
+        ForwardRequest(1 << 60, passed(idempotency_key=b"l" * 32), 0.25, 1.5),
+        Acknowledged(1),
         Refused(2),
         Cancel(3),
         done(4),
-        Answer(5, Final.REJECTED, b"", 1.5, True),
-        Answer(6, Final.FAILED),
+        Answer(5, FinalStatus.REJECTED, b"", 1.5, True),
+        Answer(6, FinalStatus.FAILED),
     ],
 )
 def test_messages_come_back_as_they_went(message: Message) -> None:
@@ -318,7 +340,7 @@
 
 
 def test_noise_is_a_bad_message_and_nothing_else() -> None:
-    lots, whole = random.Random(3), encode(Pass(1, passed(), 0.1, 1.0))
+    lots, whole = random.Random(3), encode(ForwardRequest(1, passed(), 0.1, 1.0))
     for _ in range(2000):
         data = bytearray(whole)
         for _ in range(lots.randrange(1, 5)):
@@ -336,13 +358,13 @@
 def test_a_hop_is_never_taken_for_shorter_than_it_was() -> None:
     lots = random.Random(5)
     for _ in range(200):
-        ahead, hops, now = lots.uniform(-1e6, 1e6), Hops(), 0.0
+        ahead, hops, now = lots.uniform(-1e6, 1e6), TransitTimeEstimator(), 0.0
         for _ in range(20):
             there, back = lots.uniform(0.0, 0.5), lots.uniform(0.0, 0.5)
-            hops.echoed(now + there + back, now, now + there + ahead)
+            hops.record_echo(now + there + back, now, now + there + ahead)
             now += 1.0
             true = lots.uniform(0.0, 2.0)
-            assert true - 1e-6 <= hops.hop(now + true, now + ahead) <= true + 0.5 + 1e-6
+            assert true - 1e-6 <= hops.transit_s(now + true, now + ahead) <= true + 0.5 + 1e-6
 
 
 # -- links over loopback
@@ -383,8 +405,8 @@
         self.ports = {name: free_port() for name in names}
         self.heard: list[tuple[str, str, bytes]] = []
         self.broken: list[tuple[str, str]] = []
-        self.links: dict[str, Links] = {}
-        self.settings = LinkSettings(**settings)  # type: ignore[arg-type]
+        self.links: dict[str, PeerConnections] = {}
+        self.settings = ConnectionSettings(**settings)  # type: ignore[arg-type]
         self.view = View(1, tuple(self.member(name) for name in sorted(names)))
 
     def member(self, name: str, incarnation: int = 1) -> Member:
@@ -392,12 +414,12 @@
             name, "", incarnation=incarnation, metadata=(("link", f"127.0.0.1:{self.ports[name]}"),)
         )
 
-    def start(self, name: str) -> Links:
-        links = Links(self.scheduler, ("127.0.0.1", self.ports[name]), self.settings, name, 1)
-        links.on("word", lambda sender, payload: self.heard.append((name, sender, payload)))
-        links.on_broken(lambda peer: self.broken.append((name, peer)))
-        links.view(self.view)
-        self.scheduler.after_round.append(links.end_round)
+    def start(self, name: str) -> PeerConnections:
+        links = PeerConnections(self.scheduler, ("127.0.0.1", self.ports[name]), self.settings, name, 1)
+        links.register_handler("word", lambda sender, payload: self.heard.append((name, sender, payload)))
+        links.on_connection_lost(lambda peer: self.broken.append((name, peer)))
+        links.handle_view(self.view)
+        self.scheduler.after_round.append(links.flush)
         self.links[name] = links
         return links
 
@@ -406,9 +428,25 @@
             one.close()
 
 
+def refusal(
+    links: PeerConnections,
+    peer_name: str,
+    message_type: str,
+    payload: bytes,
+    expires_in_s: float,
+    on_not_sent: Callable[[], None] | None = None,
+) -> type[SendError] | None:
+    """Send a frame; the type of the error if it is refused."""
+    try:
+        links.send(peer_name, message_type, payload, expires_in_s=expires_in_s, on_not_sent=on_not_sent)
+    except SendError as error:
+        return type(error)
+    return None
+
+
 def hello(name: str, to: str, incarnation: int = 1, version: int = 1) -> bytes:
     told = pb.Frame(sent=0.0, hello=pb.Hello(name=name, incarnation=incarnation, epoch=1, to=to))
-    data = bytearray(frame(told))
+    data = bytearray(encode_frame(told))
     if version != 1:
         told.version = version
         data[4:] = told.SerializeToString()
@@ -419,19 +457,21 @@
     def body(scheduler: Scheduler) -> None:
         net = Net(scheduler, "ab")
         a, b = net.start("a"), net.start("b")
-        assert not a.linked("b")
+        assert not a.is_connected("b")
         for number in range(500):
-            assert a.send("b", "word", b"%d" % number, 2.0) and b.send("a", "word", b"%d" % number, 2.0)
+            assert refusal(a, "b", "word", b"%d" % number, 2.0) is None
+            assert refusal(b, "a", "word", b"%d" % number, 2.0) is None
         wait(scheduler, lambda: len(net.heard) == 1000)
         for name in "ab":
             assert [int(one[2]) for one in net.heard if one[0] == name] == list(range(500))
-        assert a.quiet and 0.0 <= a.hop < 1.0 and not net.broken
-        assert not a.send("nobody", "word", b"", 1.0) and not a.send("a", "word", b"", 1.0)
-        assert not a.send("b", "word", b"x" * (1 << 20), 1.0)
-        a.send("b", "other", b"", 1.0)
-        wait(scheduler, lambda: b.counts.get("frames_unknown") == 1)
+        assert a.all_sent and 0.0 <= a.last_transit_s < 1.0 and not net.broken
+        assert refusal(a, "nobody", "word", b"", 1.0) is PeerUnknownError
+        assert refusal(a, "a", "word", b"", 1.0) is PeerUnknownError
+        assert refusal(a, "b", "word", b"x" * (1 << 20), 1.0) is FrameTooLargeError
+        a.send("b", "other", b"", expires_in_s=1.0)
+        wait(scheduler, lambda: b.counters.get("frames_unknown") == 1)
         net.close()
-        wait(scheduler, lambda: not b.linked("a"))
+        wait(scheduler, lambda: not b.is_connected("a"))
 
     play(body)
 
@@ -442,7 +482,7 @@
         (hello("x", "b"), "hellos_refused"),
         (hello("a", "b", incarnation=7), "hellos_refused"),
         (hello("a", "c"), "hellos_refused"),
-        (frame(pb.Frame(ping=pb.Ping())), "hellos_refused"),
+        (encode_frame(pb.Frame(ping=pb.Ping())), "hellos_refused"),
         (hello("a", "b", version=9), "frames_bad"),
         (b"\xff" * 64, "frames_bad"),
         (b"\0\0\0\5hello", "frames_bad"),
@@ -456,14 +496,14 @@
     what: bytes, counted: str
 ) -> None:
     def body(scheduler: Scheduler) -> None:
-        net = Net(scheduler, "abc", connect_within=0.2)
+        net = Net(scheduler, "abc", connect_timeout_s=0.2)
         b, c = net.start("b"), net.start("c")
-        assert c.send("b", "word", b"1", 2.0)
+        assert refusal(c, "b", "word", b"1", 2.0) is None
         wait(scheduler, lambda: len(net.heard) == 1)
         with socket.create_connection(("127.0.0.1", net.ports["b"])) as peer:
             peer.sendall(what)
-            wait(scheduler, lambda: b.counts.get(counted))
-            assert c.send("b", "word", b"2", 2.0)
+            wait(scheduler, lambda: b.counters.get(counted))
+            assert refusal(c, "b", "word", b"2", 2.0) is None
             wait(scheduler, lambda: len(net.heard) == 2)
             assert ("b", "c") not in net.broken and ("c", "b") not in net.broken
         net.close()
@@ -488,7 +528,7 @@
             return True
 
         wait(scheduler, came)
-        peer, frames, told = self.kept[-1], Frames(), list[pb.Frame]()
+        peer, frames, told = self.kept[-1], FrameReader(), list[pb.Frame]()
         peer.setblocking(False)
 
         def heard() -> bool:
@@ -500,27 +540,29 @@
 
         wait(scheduler, heard)
         echo = pb.Echo(of=told[0].sent, got=0.0)
-        peer.sendall(frame(pb.Frame(hello=pb.Hello(name=self.name, incarnation=1, to=to, echo=echo))))
+        peer.sendall(encode_frame(pb.Frame(hello=pb.Hello(name=self.name, incarnation=1, to=to, echo=echo))))
 
 
 def test_a_peer_that_does_not_read_fills_its_own_queue_only_and_counts_as_broken() -> None:
     def body(scheduler: Scheduler) -> None:
-        net = Net(scheduler, "abz", queue_bytes=1 << 20, silent_most=0.6)
+        net = Net(scheduler, "abz", max_queued_bytes=1 << 20, max_silence_s=0.6)
         a, _ = net.start("a"), net.start("b")
         deaf, unsent = Deaf(net, "z"), list[int]()
-        assert a.send("z", "word", b"x", 5.0)
+        assert refusal(a, "z", "word", b"x", 5.0) is None
         deaf.greet(scheduler, "a")
-        wait(scheduler, lambda: a.linked("z"))
+        wait(scheduler, lambda: a.is_connected("z"))
         taken = 0
         for _ in range(400):  # more than kernel, window and queue hold together
-            taken += a.send("z", "word", b"x" * 60_000, 5.0, lambda: unsent.append(1))
+            refused = refusal(a, "z", "word", b"x" * 60_000, 5.0, lambda: unsent.append(1))
+            assert refused in (None, SendQueueFullError)
+            taken += refused is None
             scheduler.sleep(0.0)
-        assert a.counts["refused_full"] > 0 and a._peers["z"].bytes <= 1 << 20
-        assert a.send("b", "word", b"fine", 1.0)
+        assert a.counters["refused_full"] > 0 and a._peers["z"].queued_bytes <= 1 << 20
+        assert refusal(a, "b", "word", b"fine", 1.0) is None
         wait(scheduler, lambda: ("b", "a", b"fine") in net.heard)
         wait(scheduler, lambda: ("a", "z") in net.broken)
-        assert a.counts["lost_silent"] == 1 and ("a", "b") not in net.broken
-        wait(scheduler, lambda: len(unsent) == a.counts["dropped_broken"] > 0)
+        assert a.counters["lost_silent"] == 1 and ("a", "b") not in net.broken
+        wait(scheduler, lambda: len(unsent) == a.counters["dropped_broken"] > 0)
         assert len(unsent) < taken  # what was handed over may have arrived, and nobody is told otherwise
         net.close()
 
@@ -531,11 +573,12 @@
     def body(scheduler: Scheduler) -> None:
         net, unsent = Net(scheduler, "ab"), list[int]()
         a = net.start("a")
-        assert a.send("b", "word", b"1", 5.0, lambda: unsent.append(1))
+        assert refusal(a, "b", "word", b"1", 5.0, lambda: unsent.append(1)) is None
         wait(scheduler, lambda: unsent == [1])
-        assert not a.send("b", "word", b"2", 5.0) and a.counts["refused_resting"] == 1
+        assert refusal(a, "b", "word", b"2", 5.0) is PeerUnavailableError
+        assert a.counters["refused_resting"] == 1
         net.start("b")
-        wait(scheduler, lambda: a.send("b", "word", b"3", 5.0))
+        wait(scheduler, lambda: refusal(a, "b", "word", b"3", 5.0) is None)
         wait(scheduler, lambda: net.heard == [("b", "a", b"3")])
         net.close()
 
@@ -544,19 +587,20 @@
 
 def test_a_new_self_takes_the_place_of_an_old_and_one_that_left_is_heard_for_what_it_owes() -> None:
     def body(scheduler: Scheduler) -> None:
-        net = Net(scheduler, "abc", linger=0.4)
+        net = Net(scheduler, "abc", departed_linger_s=0.4)
         a, b, c = (net.start(name) for name in "abc")
         owed: list[bytes] = []
-        a.on("owed", lambda _, payload: owed.append(payload), parted=True)
+        a.register_handler("owed", lambda _, payload: owed.append(payload), accept_departed=True)
         for one in (b, c):
-            assert one.send("a", "word", b"1", 2.0)
+            assert refusal(one, "a", "word", b"1", 2.0) is None
         wait(scheduler, lambda: len(net.heard) == 2)
-        a.view(View(2, (net.member("a"), net.member("b", 2))))  # b is a new self, c has left
+        a.handle_view(View(2, (net.member("a"), net.member("b", 2))))  # b is a new self, c has left
         assert ("a", "b") in net.broken and ("a", "c") not in net.broken
-        assert c.send("a", "owed", b"answer", 2.0) and c.send("a", "word", b"2", 2.0)
-        wait(scheduler, lambda: owed == [b"answer"] and a.counts.get("frames_parted") == 1)
+        assert refusal(c, "a", "owed", b"answer", 2.0) is None
+        assert refusal(c, "a", "word", b"2", 2.0) is None
+        wait(scheduler, lambda: owed == [b"answer"] and a.counters.get("frames_parted") == 1)
         wait(scheduler, lambda: ("a", "c") in net.broken)
-        assert len(net.heard) == 2 and a.counts["lost_parted"] == 1 and a.counts["lost_stale"] == 1
+        assert len(net.heard) == 2 and a.counters["lost_parted"] == 1 and a.counters["lost_stale"] == 1
         net.close()
 
     play(body)
@@ -568,13 +612,13 @@
         a, b = net.start("a"), net.start("b")
         early, later = (View(number, (net.member("a", number), net.member("b"))) for number in (0, 3))
         for one in (a, b):
-            one.view(early)  # the view has a as it was before its start
-        assert not a.send("b", "word", b"1", 1.0)
-        assert b.send("a", "word", b"2", 1.0)
-        wait(scheduler, lambda: a.counts.get("hellos_refused") and b.counts.get("connects_refused"))
+            one.handle_view(early)  # the view has a as it was before its start
+        assert refusal(a, "b", "word", b"1", 1.0) is PeerUnknownError
+        assert refusal(b, "a", "word", b"2", 1.0) is None
+        wait(scheduler, lambda: a.counters.get("hellos_refused") and b.counters.get("connects_refused"))
         for one in (a, b):
-            one.view(later)
-        assert a.send("b", "word", b"3", 1.0)
+            one.handle_view(later)
+        assert refusal(a, "b", "word", b"3", 1.0) is None
         wait(scheduler, lambda: net.heard == [("b", "a", b"3")])
         net.close()
 
@@ -631,12 +675,12 @@
 
 class Pair:
     def __init__(self, scheduler: Scheduler) -> None:
-        self.net = Net(scheduler, "ab", silent_most=0.6)
-        self.engines, self.forwards = dict[str, Engine](), dict[str, Forward]()
+        self.net = Net(scheduler, "ab", max_silence_s=0.6)
+        self.engines, self.forwards = dict[str, Engine](), dict[str, ForwardingService]()
         for place, name in enumerate("ab"):
             links = self.net.start(name)
-            forward = Forward(
-                scheduler, links, Passing(), place + 1, {**REQUEST_CLASSES}, {}, lambda: NO_OBSERVER
+            forward = ForwardingService(
+                scheduler, links, ForwardingState(), place + 1, {**REQUEST_CLASSES}, {}, lambda: NO_OBSERVER
             )
             self.engines[name] = Engine()
             forward.handler(self.engines[name])
@@ -694,7 +738,7 @@
                 wait(scheduler, lambda: pair.router.told)
                 assert pair.router.told == [told]
                 pair.router.told.clear()
-        assert not pair.engines["a"].open and all(one.settled for one in pair.forwards.values())
+        assert not pair.engines["a"].open and all(one.is_idle for one in pair.forwards.values())
 
     paired(body)
 
@@ -709,7 +753,7 @@
         assert exchange.discard()
         pair.forwards["a"].gone(exchange)
         wait(scheduler, lambda: pair.engines["b"].left == [guest])
-        assert pair.router.told == [("terminated",)] and pair.forwards["a"].settled
+        assert pair.router.told == [("terminated",)] and pair.forwards["a"].is_idle
 
     paired(body)
 
@@ -755,7 +799,7 @@
         pair.ask(b"lookup")
         pair.forwards["a"].placer = None  # type: ignore[assignment]  # a fault in who places costs no request
         pair.ask(b"lookup")
-        assert len(pair.engines["a"].open) == 3 and pair.forwards["a"].counts["faults"] == 1
+        assert len(pair.engines["a"].open) == 3 and pair.forwards["a"].counters["faults"] == 1
 
     paired(body)
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -16,8 +16,8 @@
 from sablewheel.experiments.made_net import Net
 from sablewheel.experiments.rig import free_port
 from sablewheel.feature_policy.host_capabilities import CATALOGUE
-from sablewheel.forwarding.peer_connections import Links
-from sablewheel.forwarding.plan import LinkSettings
+from sablewheel.forwarding.peer_connections import PeerConnections
+from sablewheel.forwarding.plan import ConnectionSettings
 from sablewheel.membership import codec
 from sablewheel.membership.cut_detector import CutDetector, fit_changes
 from sablewheel.membership.events import MessageReceived, Send, TimerFired
@@ -193,7 +193,7 @@
 
 def test_links_have_room_for_1024_members_both_ways_and_keep_no_more_than_the_view_needs() -> None:
     scheduler, port = Scheduler(Clock()), free_port()
-    links = Links(scheduler, ("127.0.0.1", port), LinkSettings(), "m0000", 1)
+    links = PeerConnections(scheduler, ("127.0.0.1", port), ConnectionSettings(), "m0000", 1)
 
     def fleet(many: int) -> View:
         says = (("link", "127.0.0.1:9"),)
@@ -202,18 +202,18 @@
         )
 
     for many, room in ((0, 64), (3, 64), (32, 64), (60, 120), (230, 460), (LEAST, 2 * LEAST)):
-        links.view(fleet(many))
-        assert links.room_for == room
-    links._guests = 2 * LEAST - 1
-    assert links._room()
-    links._guests = 2 * LEAST
-    assert not links._room()
-    links._guests = 0
-    links.view(fleet(60))
+        links.handle_view(fleet(many))
+        assert links.max_connections == room
+    links._unidentified_count = 2 * LEAST - 1
+    assert links._has_capacity()
+    links._unidentified_count = 2 * LEAST
+    assert not links._has_capacity()
+    links._unidentified_count = 0
+    links.handle_view(fleet(60))
     peers = [socket.create_connection(("127.0.0.1", port)) for _ in range(121)]
     scheduler.after(0.2, scheduler.stop)
     scheduler.run()
-    assert links._guests == 120  # one past them waits in the kernel's line
+    assert links._unidentified_count == 120  # one past them waits in the kernel's line
     for peer in peers:
         peer.close()
     links.close()
--- a/tests/test_replication_service.py
+++ b/tests/test_replication_service.py
@@ -21,6 +21,7 @@
 from sablewheel.experiments.forwarding import KEYS
 from sablewheel.experiments.replication import Replicas
 from sablewheel.experiments.rig import Rig
+from sablewheel.forwarding.errors import PeerUnavailableError
 from sablewheel.membership.view import Fact, Member, View
 from sablewheel.overload.interface import Client, Idempotency, Request, RequestClass
 from sablewheel.overload.interface import Outcome as Ended
@@ -74,14 +75,17 @@
         self.handler: Callable[[str, bytes], None] = lambda sender, payload: None
         all_of_them[name] = self
 
-    def on(self, kind: str, handler: Callable[[str, bytes], None], parted: bool = False) -> None:
+    def register_handler(
+        self, message_type: str, handler: Callable[[str, bytes], None], accept_departed: bool = False
+    ) -> None:
         self.handler = handler
 
-    def send(self, to: str, kind: str, payload: bytes, within: float) -> bool:
-        peer = self.others[to]
-        if not self.cut and not peer.cut:
+    def send(self, peer_name: str, message_type: str, payload: bytes, *, expires_in_s: float) -> None:
+        if self.cut:
+            raise PeerUnavailableError(peer_name)
+        peer = self.others[peer_name]
+        if not peer.cut:
             self.time.after(0.001, lambda: None if peer.cut else peer.handler(self.name, payload))
-        return not self.cut
 
 
 class Told:
--- a/tests/test_session_router.py
+++ b/tests/test_session_router.py
@@ -10,8 +10,9 @@
 import pytest
 from test_replication_service import Time, Told
 
-from sablewheel.forwarding.forwarding_state import Passing
-from sablewheel.forwarding.service import Forward
+from sablewheel.forwarding.errors import PeerUnavailableError
+from sablewheel.forwarding.forwarding_state import ForwardingState
+from sablewheel.forwarding.service import ForwardingService
 from sablewheel.membership.view import Fact, Member, View
 from sablewheel.overload.interface import Client, Idempotency, Outcome, Request, RequestClass, Tenant
 from sablewheel.replication.plan import ReplicationPlan
@@ -39,25 +40,32 @@
 class Wires:
     """Links that lose nothing but where they are cut."""
 
-    hop = 0.001
+    last_transit_s = 0.001
 
     def __init__(self, time: Time, name: str, all_of_them: dict[str, Wires]) -> None:
         self.time, self.name, self.others, self.cut = time, name, all_of_them, set[str]()
         self.handlers: dict[str, Callable[[str, bytes], None]] = {}
         all_of_them[name] = self
 
-    def on(self, kind: str, handler: Callable[[str, bytes], None], parted: bool = False) -> None:
-        self.handlers[kind] = handler
+    def register_handler(
+        self, message_type: str, handler: Callable[[str, bytes], None], accept_departed: bool = False
+    ) -> None:
+        self.handlers[message_type] = handler
 
-    def on_broken(self, told: Callable[[str], None]) -> None: ...
+    def on_connection_lost(self, callback: Callable[[str], None]) -> None: ...
 
     def send(
-        self, to: str, kind: str, data: bytes, within: float, unsent: Callable[[], None] | None = None
-    ) -> bool:
-        if to in self.cut:
-            return False
-        self.time.after(0.001, lambda: self.others[to].handlers[kind](self.name, data))
-        return True
+        self,
+        peer_name: str,
+        message_type: str,
+        payload: bytes,
+        *,
+        expires_in_s: float,
+        on_not_sent: Callable[[], None] | None = None,
+    ) -> None:
+        if peer_name in self.cut:
+            raise PeerUnavailableError(peer_name)
+        self.time.after(0.001, lambda: self.others[peer_name].handlers[message_type](self.name, payload))
 
 
 class Server:
@@ -68,8 +76,8 @@
         self.counts, self.running, self.left = Counter[str](), list[Exchange](), 0
         scheduler, clock = cast(Any, time), lambda: time.now
         links = cast(Any, self.links)
-        self.forward = Forward(
-            scheduler, links, Passing(), 1000, REQUEST_CLASSES, TENANTS, lambda: self.observer, clock
+        self.forward = ForwardingService(
+            scheduler, links, ForwardingState(), 1000, REQUEST_CLASSES, TENANTS, lambda: self.observer, clock
         )
         settings = ReplicaSettings(longest=9.0, cold_waits=False, slots=8)
         self.keeper = Keeper(
