--- a/sablewheel/experiments/made_net.py
+++ b/sablewheel/experiments/made_net.py
@@ -37,11 +37,11 @@
     def __post_init__(self) -> None:
         self.chance = random.Random(self.seed)
 
-    def add(self, name: str, zone: str = "z1", says: Metadata = ()) -> Node:
+    def add(self, name: str, zone: str = "z1", metadata: Metadata = ()) -> Node:
         address = f"127.0.0.1:{7000 + len(self.names)}"
         self.names[address] = name
         seeds = ("127.0.0.1:7000", "127.0.0.1:7001")  # the first two; the first founds the view
-        me = Member(name, address, zone, "r1", int(self.now * 1000) + 7200_000, says)
+        me = Member(name, address, zone, "r1", int(self.now * 1000) + 7200_000, metadata)
         node = Node(me, seeds, self.settings, random.Random(f"{self.seed}-{name}"), self.now)
         self.seeds[name] = seeds
         self.nodes[name] = node
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Membership between real processes on loopback, each link through the fault relay; every wait is bounded."""
+"""Membership between real processes on loopback, each connection through the fault relay."""
 
 from __future__ import annotations
 
@@ -47,14 +47,14 @@
     return {line.pairs["epoch"] for line in fleet.seen() if line.what == "view"}
 
 
-def test_a_killed_member_is_out_of_one_view_and_comes_back_cold(fleet: Fleet) -> None:
+def test_a_killed_member_is_removed_and_rejoins_after_a_restart(fleet: Fleet) -> None:
     fleet.processes["m2"].kill()
     assert fleet.wait_agreed(["m0", "m1", "m3", "m4"], WITHIN) is not None
     fleet.start("m2")
     assert fleet.wait_agreed(fleet.names, WITHIN) is not None
 
 
-def test_a_member_killed_and_started_at_once_is_its_new_self_in_the_view(fleet: Fleet) -> None:
+def test_a_member_restarted_at_once_joins_with_a_new_incarnation(fleet: Fleet) -> None:
     before = {one.name: one.incarnation for one in fleet.told("m0").states}  # type: ignore[union-attr]
     fleet.processes["m3"].kill()
     fleet.start("m3")
@@ -68,7 +68,7 @@
     pytest.fail(f"m3 is {now.get('m3')}, was {before['m3']}")
 
 
-def test_a_pause_past_the_suspicion_takes_one_out_who_asks_in_again_by_itself(fleet: Fleet) -> None:
+def test_a_member_paused_past_its_suspicion_is_removed_and_rejoins_by_itself(fleet: Fleet) -> None:
     fleet.stop("m4")
     try:
         assert fleet.wait_agreed(["m0", "m1", "m2", "m3"], WITHIN) is not None
@@ -77,7 +77,7 @@
     assert fleet.wait_agreed(fleet.names, WITHIN) is not None
 
 
-def test_a_one_sided_cut_changes_no_view(fleet: Fleet) -> None:
+def test_a_one_way_partition_changes_no_view(fleet: Fleet) -> None:
     before = epochs(fleet)
     fleet.relay.set(["m1"], ["m3"], cut=True)
     time.sleep(3.0)  # more than twice a suspicion
@@ -85,7 +85,7 @@
     assert epochs(fleet) == before and fleet.agreed(fleet.names)
 
 
-def test_a_minority_that_is_cut_off_changes_nothing(fleet: Fleet) -> None:
+def test_a_partitioned_minority_changes_no_view(fleet: Fleet) -> None:
     few, many = ["m1", "m4"], ["m0", "m2", "m3"]
     held = fleet.told("m1").view  # type: ignore[union-attr]
     for a, b in ((few, many), (many, few)):
@@ -127,7 +127,7 @@
     assert "faults" not in counts and fleet.agreed(fleet.names)
 
 
-def test_members_shows_the_view_of_a_running_server(fleet: Fleet) -> None:
+def test_the_members_command_shows_the_view_of_a_running_server(fleet: Fleet) -> None:
     place = f"{fleet.host('m0')}:{PORT}"
     shown = CliRunner().invoke(main, ["members", place])
     assert shown.exit_code == 0 and all(f"\n{name} " in shown.output for name in fleet.names)
@@ -142,7 +142,7 @@
     assert CliRunner().invoke(main, ["members", "nowhere"]).exit_code == 2
 
 
-def test_a_leave_is_said_not_detected(fleet: Fleet) -> None:
+def test_a_leave_is_announced_and_not_detected(fleet: Fleet) -> None:
     begun = time.time()
     assert fleet.processes["m4"].leave() == 0
     assert fleet.wait_agreed(["m0", "m1", "m2", "m3"], WITHIN) is not None
@@ -152,7 +152,7 @@
     assert fleet.wait_agreed(fleet.names, WITHIN) is not None
 
 
-def test_a_whole_fleet_started_anew_founds_a_view_above_the_one_that_a_survivor_holds(fleet: Fleet) -> None:
+def test_a_restarted_fleet_founds_a_view_above_that_of_a_surviving_member(fleet: Fleet) -> None:
     survivor, rest = "m4", ["m0", "m1", "m2", "m3"]
     for name in rest:
         fleet.processes[name].kill()
@@ -162,7 +162,7 @@
 
 
 @pytest.mark.parametrize("hours", [1.0, -1.0, 0.0])
-def test_a_clock_that_is_set_moves_no_timeout(fleet: Fleet, hours: float) -> None:
+def test_setting_the_wall_clock_moves_no_timeout(fleet: Fleet, hours: float) -> None:
     before = epochs(fleet)
     fleet.rig.shift(3600.0 * hours)
     time.sleep(2.0)  # more than a suspicion lasts
@@ -180,7 +180,7 @@
         ("listen: 127.0.0.1:7700\n  seeds: [127.0.0.1:7700]\n  perod-s: 1", "period-s may be meant"),
     ],
 )
-def test_faults_of_the_section_are_told_by_key(tmp_path: Path, text: str, says: str) -> None:
+def test_faults_of_the_section_are_reported_by_key(tmp_path: Path, text: str, says: str) -> None:
     file = tmp_path / "features.yaml"
     file.write_text(f"version: 1\nmembership:\n  {text}\n")
     with pytest.raises(FaultyFeaturesError, match=says):
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,5 +1,7 @@
-"""The forward path: passing by its rules on a made network, links over loopback with peers that misbehave,
-and requests passed between two desks. Every wait is bounded."""
+"""Forwarding: its rules in a simulated fleet, connections over loopback with faulty peers, and whole servers.
+
+Every wait is bounded.
+"""
 
 from __future__ import annotations
 
@@ -72,32 +74,34 @@
 PATIENCE = 5.0
 
 
-def passed(
+def request_data(
     name: bytes = b"n1", request_class: bytes = b"lookup", idempotency_key: bytes | None = None
 ) -> RequestData:
     return RequestData(name, request_class, b"body", b"", idempotency_key, 10.0, None)
 
 
-def wanted(
+def forward_requested(
     number: int, idempotency: Idempotency = Idempotency.IDEMPOTENT, left: float = 2.0, to: str = "b"
 ) -> ForwardRequested:
-    return ForwardRequested(number, to, idempotency, passed(b"%d" % number), 0.1, left)
+    return ForwardRequested(number, to, idempotency, request_data(b"%d" % number), 0.1, left)
 
 
-def done(number: int) -> Answer:
+def completed_answer(number: int) -> Answer:
     return Answer(number, FinalStatus.COMPLETED, b"result")
 
 
 # -- the rules, one by one
 
 
-def test_an_answer_comes_once_and_only_from_the_peer_that_has_the_request() -> None:
+def test_an_answer_is_delivered_once_and_only_from_the_peer_that_has_the_request() -> None:
     core = ForwardingState()
-    core.step(0.0, wanted(1))
-    assert core.step(0.1, MessageReceived("c", done(1))) == []
-    assert core.step(0.1, MessageReceived("b", done(1))) == [DeliverAnswer(1, done(1), False)]
+    core.step(0.0, forward_requested(1))
+    assert core.step(0.1, MessageReceived("c", completed_answer(1))) == []
+    assert core.step(0.1, MessageReceived("b", completed_answer(1))) == [
+        DeliverAnswer(1, completed_answer(1), False)
+    ]
     assert (
-        core.step(0.2, MessageReceived("b", done(1)))
+        core.step(0.2, MessageReceived("b", completed_answer(1)))
         == core.step(9.0, TimerFired())
         == core.step(9.0, ConnectionLost("b"))
         == []
@@ -113,127 +117,136 @@
         (Idempotency.NON_IDEMPOTENT, [DeliverAnswer(1, Answer(1, FinalStatus.FAILED), True)]),
     ],
 )
-def test_a_broken_link_is_judged_by_idempotency(idempotency: Idempotency, becomes: list[Effect]) -> None:
+def test_idempotency_decides_on_a_request_whose_connection_is_lost(
+    idempotency: Idempotency, becomes: list[Effect]
+) -> None:
     core = ForwardingState()
-    core.step(0.0, wanted(1, idempotency))
+    core.step(0.0, forward_requested(1, idempotency))
     core.step(0.1, MessageReceived("b", Acknowledged(1)))
     assert core.step(0.5, ConnectionLost("c")) == []
     assert core.step(0.5, ConnectionLost("b")) == becomes
 
 
-def test_a_keyed_request_goes_as_its_owner_says() -> None:
+def test_the_owner_decides_whether_a_keyed_request_runs_again() -> None:
     for again in (True, False):
         core = ForwardingState()
-        core.step(0.0, wanted(1, Idempotency.KEYED))
+        core.step(0.0, forward_requested(1, Idempotency.KEYED))
         core.step(0.1, ConnectionLost("b"))
         told = core.step(0.2, RerunDecided(1, again))
         error = DeliverAnswer(1, Answer(1, FinalStatus.FAILED), True)
         assert told == [ReturnRequest(1, frozenset("b")) if again else error]
     core = ForwardingState()
-    core.step(0.0, wanted(1, Idempotency.KEYED))
+    core.step(0.0, forward_requested(1, Idempotency.KEYED))
     core.step(0.1, ConnectionLost("b"))  # the owner says nothing: an error when its time is up
     assert DeliverAnswer(1, Answer(1, FinalStatus.FAILED), True) in core.step(2.0, TimerFired())
 
 
 @pytest.mark.parametrize("idempotency", list(Idempotency))
 @pytest.mark.parametrize("event", [RequestNotSent(1), MessageReceived("b", Refused(1))])
-def test_what_surely_never_ran_may_go_anywhere(idempotency: Idempotency, event: Any) -> None:
+def test_a_request_that_never_ran_returns_whatever_its_idempotency(
+    idempotency: Idempotency, event: Any
+) -> None:
     core = ForwardingState()
-    core.step(0.0, wanted(1, idempotency))
+    core.step(0.0, forward_requested(1, idempotency))
     assert core.step(0.1, event) == [ReturnRequest(1, frozenset("b"))]
 
 
-def test_only_a_idempotent_request_is_taken_back_when_the_peer_does_not_say_it_has_it() -> None:
+def test_only_an_idempotent_request_returns_when_the_peer_does_not_acknowledge_it() -> None:
     core = ForwardingState()
     for number, idempotency in enumerate(Idempotency, 1):
-        core.step(0.0, wanted(number, idempotency))
+        core.step(0.0, forward_requested(number, idempotency))
     assert core.wake_at <= ForwardingSettings().ack_timeout_s
     effects = core.step(core.wake_at, TimerFired())
     assert [one for one in effects if not isinstance(one, Send)] == [ReturnRequest(1, frozenset("b"))]
     assert isinstance(effects[0], Send) and effects[0].message == Cancel(1)
-    assert core.step(0.3, wanted(9)) == [ReturnRequest(9, frozenset("b"))]  # and the peer is in doubt
+    assert core.step(0.3, forward_requested(9)) == [ReturnRequest(9, frozenset("b"))]  # backed off
     core.step(0.4, MessageReceived("b", Acknowledged(2)))
-    assert isinstance(core.step(0.4, wanted(10))[0], Send)  # until it is heard
+    assert isinstance(core.step(0.4, forward_requested(10))[0], Send)  # until it sends something
 
 
-def test_every_request_has_its_answer_before_its_time_is_up() -> None:
+def test_every_request_is_answered_before_its_deadline() -> None:
     core = ForwardingState()
     for number, idempotency in enumerate(Idempotency, 1):
-        core.step(0.0, wanted(number, idempotency, left=1.0))
+        core.step(0.0, forward_requested(number, idempotency, left=1.0))
         core.step(0.1, MessageReceived("b", Acknowledged(number)))
     assert core.wake_at < 1.0
     told = [one for one in core.step(0.99, TimerFired()) if isinstance(one, DeliverAnswer)]
     assert {one.number for one in told} == {1, 2, 3} and not core.forwarded
 
 
-def test_the_budget_shrinks_by_the_hop_and_what_comes_too_late_is_refused() -> None:
+def test_the_remaining_time_shrinks_by_the_transit_and_a_late_request_is_refused() -> None:
     core = ForwardingState()
-    effects = core.step(5.0, MessageReceived("a", ForwardRequest(7, passed(), 0.2, 1.0), 0.3))
-    assert AdmitRequest(("a", 7), passed(), 0.5) in effects and core.admitted["a", 7] == pytest.approx(5.7)
-    assert core.step(5.0, MessageReceived("a", ForwardRequest(8, passed(), 0.2, 1.0), 1.0))[
+    effects = core.step(5.0, MessageReceived("a", ForwardRequest(7, request_data(), 0.2, 1.0), 0.3))
+    assert AdmitRequest(("a", 7), request_data(), 0.5) in effects and core.admitted["a", 7] == pytest.approx(
+        5.7
+    )
+    assert core.step(5.0, MessageReceived("a", ForwardRequest(8, request_data(), 0.2, 1.0), 1.0))[
         0
     ].message == Refused(8)  # type: ignore[union-attr]
     assert core.step(5.8, TimerFired()) == [AbandonRequest(("a", 7))]
 
 
-def test_a_double_is_not_taken_twice_and_a_cancel_may_overtake() -> None:
+def test_a_duplicate_is_admitted_once_and_a_cancel_may_overtake_its_request() -> None:
     core = ForwardingState(ForwardingSettings(max_admitted_per_peer=2))
-    assert len(core.step(0.0, MessageReceived("a", ForwardRequest(1, passed(), 0.0, 1.0)))) == 2
-    assert core.step(0.0, MessageReceived("a", ForwardRequest(1, passed(), 0.0, 1.0))) == []
-    assert core.step(0.1, RequestFinished(("a", 1), done(1)))[0].message == done(1)  # type: ignore[union-attr]
-    assert core.step(0.1, MessageReceived("a", ForwardRequest(1, passed(), 0.0, 1.0))) == []
+    assert len(core.step(0.0, MessageReceived("a", ForwardRequest(1, request_data(), 0.0, 1.0)))) == 2
+    assert core.step(0.0, MessageReceived("a", ForwardRequest(1, request_data(), 0.0, 1.0))) == []
+    assert core.step(0.1, RequestFinished(("a", 1), completed_answer(1)))[0].message == completed_answer(1)  # type: ignore[union-attr]
+    assert core.step(0.1, MessageReceived("a", ForwardRequest(1, request_data(), 0.0, 1.0))) == []
     assert (
         core.step(0.1, MessageReceived("a", Cancel(2)))
-        == core.step(0.1, MessageReceived("a", ForwardRequest(2, passed(), 0.0, 1.0)))
+        == core.step(0.1, MessageReceived("a", ForwardRequest(2, request_data(), 0.0, 1.0)))
         == []
     )
     for number in (3, 4):
-        core.step(0.2, MessageReceived("a", ForwardRequest(number, passed(), 0.0, 1.0)))
-    refusal = core.step(0.2, MessageReceived("a", ForwardRequest(5, passed(), 0.0, 1.0)))[0]
+        core.step(0.2, MessageReceived("a", ForwardRequest(number, request_data(), 0.0, 1.0)))
+    refusal = core.step(0.2, MessageReceived("a", ForwardRequest(5, request_data(), 0.0, 1.0)))[0]
     assert refusal.message == Refused(5)  # type: ignore[union-attr]
     # The bound is a peer's own.
-    assert len(core.step(0.2, MessageReceived("c", ForwardRequest(5, passed(), 0.0, 1.0)))) == 2
+    assert len(core.step(0.2, MessageReceived("c", ForwardRequest(5, request_data(), 0.0, 1.0)))) == 2
     assert set(core.step(0.3, ConnectionLost("a"))) == {AbandonRequest(("a", 3)), AbandonRequest(("a", 4))}
     assert core.step(0.3, MessageReceived("c", Cancel(5))) == [AbandonRequest(("c", 5))]
 
 
-def test_a_member_that_leaves_takes_nothing_more_in_and_finishes_what_it_has() -> None:
+def test_a_member_that_shuts_down_refuses_new_requests_and_finishes_admitted_ones() -> None:
     core = ForwardingState()
-    core.step(0.0, MessageReceived("a", ForwardRequest(1, passed(), 0.0, 1.0)))
+    core.step(0.0, MessageReceived("a", ForwardRequest(1, request_data(), 0.0, 1.0)))
     core.step(0.1, ShutdownStarted())
-    assert core.step(0.1, MessageReceived("a", ForwardRequest(2, passed(), 0.0, 1.0))) == [
+    assert core.step(0.1, MessageReceived("a", ForwardRequest(2, request_data(), 0.0, 1.0))) == [
         Send("a", Refused(2), 1.0)
     ]
-    assert core.step(0.2, RequestFinished(("a", 1), done(1)))[0].message == done(1)  # type: ignore[union-attr]
+    assert core.step(0.2, RequestFinished(("a", 1), completed_answer(1)))[0].message == completed_answer(1)  # type: ignore[union-attr]
 
 
-def test_a_caller_that_leaves_takes_its_request_along() -> None:
+def test_a_request_is_cancelled_when_its_caller_is_gone() -> None:
     core = ForwardingState()
-    core.step(0.0, wanted(1))
+    core.step(0.0, forward_requested(1))
     assert [one.message for one in core.step(0.1, CallerGone(1)) if isinstance(one, Send)] == [Cancel(1)]
-    assert core.step(0.2, MessageReceived("b", done(1))) == []
+    assert core.step(0.2, MessageReceived("b", completed_answer(1))) == []
 
 
 # -- a fleet in which everything goes wrong
 
 
-class Twice(ForwardingState):
-    """Broken: an non-idempotent request is sent again after a break."""
+class SendsTwice(ForwardingState):
+    """A faulty variant that sends a non-idempotent request again when its connection is lost."""
 
     def _fail_uncertain(self, number: int) -> list[Effect]:
         return [self._return(0.0, number, self.forwarded.pop(number))]
 
 
 @dataclass
-class Story:
-    """Four members that pass requests about, over links that drop, double and are cut; members pause and
-    start anew."""
+class RandomFleet:
+    """Four members that forward requests; links lose and duplicate messages, members pause and restart."""
 
     seed: int
     make: Callable[[], ForwardingState] = ForwardingState
 
-    def play(self) -> None:
-        self.runs, self.outcomes, self.natures = Counter[bytes](), Counter[int](), dict[int, Idempotency]()
+    def run(self) -> None:
+        self.runs, self.outcomes, self.idempotencies = (
+            Counter[bytes](),
+            Counter[int](),
+            dict[int, Idempotency](),
+        )
         self.due: dict[int, float] = {}
         self.late: list[int] = []
         self.lost_with: set[int] = set()
@@ -251,12 +264,16 @@
             fleet.run(0.02)
             name, to = chance.sample(names, 2)
             idempotency = chance.choice(list(Idempotency))
-            self.natures[number], self.origin[number], self.due[number] = idempotency, name, fleet.now + 1.0
+            self.idempotencies[number], self.origin[number], self.due[number] = (
+                idempotency,
+                name,
+                fleet.now + 1.0,
+            )
             paused = fleet.paused.get(name, 0.0) > fleet.now
             if paused:
                 self.lost_with.add(number)
             else:
-                fleet.tell(name, wanted(number, idempotency, 1.0, to))
+                fleet.tell(name, forward_requested(number, idempotency, 1.0, to))
             match chance.randrange(12):
                 case 0:
                     fleet.cut([name], [to], both=chance.random() < 0.5)
@@ -278,7 +295,7 @@
         match effect:
             case AdmitRequest(key, request, _):
                 self.runs[request.name] += 1
-                answer = RequestFinished(key, done(key[1]))
+                answer = RequestFinished(key, completed_answer(key[1]))
                 self.fleet.later(0.1, lambda: self.fleet.tell(name, answer))
             case ReturnRequest(number, _):
                 self.runs[b"%d" % number] += 1
@@ -297,25 +314,25 @@
     def second_runs(self) -> int:
         return sum(
             self.runs[b"%d" % number] > 1
-            for number, idempotency in self.natures.items()
+            for number, idempotency in self.idempotencies.items()
             if idempotency is not Idempotency.IDEMPOTENT
         )
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_each_request_has_one_outcome_and_what_may_not_run_twice_does_not(seed: int) -> None:
-    story = Story(seed)
-    story.play()
-    kept = set(story.natures) - story.lost_with
-    assert len(kept) > 50 and all(story.outcomes[number] == 1 for number in kept)
+def test_each_request_has_one_outcome_and_only_idempotent_ones_run_twice(seed: int) -> None:
+    story = RandomFleet(seed)
+    story.run()
+    counted = set(story.idempotencies) - story.lost_with
+    assert len(counted) > 50 and all(story.outcomes[number] == 1 for number in counted)
     assert max(story.outcomes.values()) == 1 and story.second_runs() == 0 and not story.late
 
 
-def test_a_second_sending_of_the_non_idempotent_is_seen_by_the_same_story() -> None:
+def test_the_random_fleet_detects_a_second_run_of_a_non_idempotent_request() -> None:
     second = 0
     for seed in range(6):
-        story = Story(seed, Twice)
-        story.play()
+        story = RandomFleet(seed, SendsTwice)
+        story.run()
         second += story.second_runs()
     assert second > 0
 
@@ -326,27 +343,27 @@
 @pytest.mark.parametrize(
     "message",
     [
-        ForwardRequest(1 << 60, passed(idempotency_key=b"l" * 32), 0.25, 1.5),
+        ForwardRequest(1 << 60, request_data(idempotency_key=b"l" * 32), 0.25, 1.5),
         Acknowledged(1),
         Refused(2),
         Cancel(3),
-        done(4),
+        completed_answer(4),
         Answer(5, FinalStatus.REJECTED, b"", 1.5, True),
         Answer(6, FinalStatus.FAILED),
     ],
 )
-def test_messages_come_back_as_they_went(message: Message) -> None:
+def test_the_codec_round_trips_every_message(message: Message) -> None:
     assert decode(encode(message)) == message
 
 
-def test_noise_is_a_bad_message_and_nothing_else() -> None:
-    lots, whole = random.Random(3), encode(ForwardRequest(1, passed(), 0.1, 1.0))
+def test_noise_raises_bad_message_error_only() -> None:
+    rng, whole = random.Random(3), encode(ForwardRequest(1, request_data(), 0.1, 1.0))
     for _ in range(2000):
         data = bytearray(whole)
-        for _ in range(lots.randrange(1, 5)):
-            data[lots.randrange(len(data))] = lots.randrange(256)
+        for _ in range(rng.randrange(1, 5)):
+            data[rng.randrange(len(data))] = rng.randrange(256)
         try:
-            decode(bytes(data[: lots.randrange(len(data) + 1)]))
+            decode(bytes(data[: rng.randrange(len(data) + 1)]))
         except BadMessageError:
             continue
     for bad in (float("nan"), float("inf"), -1.0):
@@ -355,15 +372,15 @@
             decode(told.SerializeToString())
 
 
-def test_a_hop_is_never_taken_for_shorter_than_it_was() -> None:
-    lots = random.Random(5)
+def test_a_transit_time_is_never_underestimated() -> None:
+    rng = random.Random(5)
     for _ in range(200):
-        ahead, hops, now = lots.uniform(-1e6, 1e6), TransitTimeEstimator(), 0.0
+        ahead, hops, now = rng.uniform(-1e6, 1e6), TransitTimeEstimator(), 0.0
         for _ in range(20):
-            there, back = lots.uniform(0.0, 0.5), lots.uniform(0.0, 0.5)
+            there, back = rng.uniform(0.0, 0.5), rng.uniform(0.0, 0.5)
             hops.record_echo(now + there + back, now, now + there + ahead)
             now += 1.0
-            true = lots.uniform(0.0, 2.0)
+            true = rng.uniform(0.0, 2.0)
             assert true - 1e-6 <= hops.transit_s(now + true, now + ahead) <= true + 0.5 + 1e-6
 
 
@@ -373,7 +390,7 @@
 Body = Callable[[Scheduler], None]
 
 
-def play(body: Body) -> None:
+def run_greenlet(body: Body) -> None:
     """Run `body` as a greenlet of a scheduler of its own."""
     scheduler, faults = Scheduler(Clock()), list[BaseException]()
 
@@ -453,7 +470,7 @@
     return bytes(data)
 
 
-def test_frames_go_both_ways_in_order_over_links_made_on_demand() -> None:
+def test_frames_arrive_in_order_over_connections_made_on_demand() -> None:
     def body(scheduler: Scheduler) -> None:
         net = Net(scheduler, "ab")
         a, b = net.start("a"), net.start("b")
@@ -473,7 +490,7 @@
         net.close()
         wait(scheduler, lambda: not b.is_connected("a"))
 
-    play(body)
+    run_greenlet(body)
 
 
 @pytest.mark.parametrize(
@@ -492,7 +509,7 @@
         (b"", "hellos_missing"),
     ],
 )
-def test_who_is_foreign_stale_garbled_or_silent_is_counted_and_harms_no_link(
+def test_a_foreign_stale_malformed_or_silent_peer_is_counted_and_harms_no_connection(
     what: bytes, counted: str
 ) -> None:
     def body(scheduler: Scheduler) -> None:
@@ -508,27 +525,27 @@
             assert ("b", "c") not in net.broken and ("c", "b") not in net.broken
         net.close()
 
-    play(body)
+    run_greenlet(body)
 
 
-class Deaf:
+class SilentPeer:
     """A peer that says hello as it should, and then neither reads nor says anything."""
 
     def __init__(self, net: Net, name: str) -> None:
         self.door = socket.create_server(("127.0.0.1", net.ports[name]))
         self.door.setblocking(False)
-        self.name, self.kept = name, list[socket.socket]()
+        self.name, self.accepted = name, list[socket.socket]()
 
     def greet(self, scheduler: Scheduler, to: str) -> None:
         def came() -> bool:
             try:
-                self.kept.append(self.door.accept()[0])
+                self.accepted.append(self.door.accept()[0])
             except BlockingIOError:
                 return False
             return True
 
         wait(scheduler, came)
-        peer, frames, told = self.kept[-1], FrameReader(), list[pb.Frame]()
+        peer, frames, told = self.accepted[-1], FrameReader(), list[pb.Frame]()
         peer.setblocking(False)
 
         def heard() -> bool:
@@ -543,11 +560,11 @@
         peer.sendall(encode_frame(pb.Frame(hello=pb.Hello(name=self.name, incarnation=1, to=to, echo=echo))))
 
 
-def test_a_peer_that_does_not_read_fills_its_own_queue_only_and_counts_as_broken() -> None:
+def test_a_peer_that_does_not_read_fills_only_its_own_queue_and_counts_as_lost() -> None:
     def body(scheduler: Scheduler) -> None:
         net = Net(scheduler, "abz", max_queued_bytes=1 << 20, max_silence_s=0.6)
         a, _ = net.start("a"), net.start("b")
-        deaf, unsent = Deaf(net, "z"), list[int]()
+        deaf, unsent = SilentPeer(net, "z"), list[int]()
         assert refusal(a, "z", "word", b"x", 5.0) is None
         deaf.greet(scheduler, "a")
         wait(scheduler, lambda: a.is_connected("z"))
@@ -566,10 +583,10 @@
         assert len(unsent) < taken  # what was handed over may have arrived, and nobody is told otherwise
         net.close()
 
-    play(body)
+    run_greenlet(body)
 
 
-def test_a_peer_that_is_not_reached_is_told_at_once_and_then_left_alone_for_a_while() -> None:
+def test_frames_to_an_unreachable_peer_are_dropped_and_then_refused_until_the_next_attempt() -> None:
     def body(scheduler: Scheduler) -> None:
         net, unsent = Net(scheduler, "ab"), list[int]()
         a = net.start("a")
@@ -582,10 +599,10 @@
         wait(scheduler, lambda: net.heard == [("b", "a", b"3")])
         net.close()
 
-    play(body)
+    run_greenlet(body)
 
 
-def test_a_new_self_takes_the_place_of_an_old_and_one_that_left_is_heard_for_what_it_owes() -> None:
+def test_a_restarted_peer_replaces_its_connection_and_a_departed_one_may_still_answer() -> None:
     def body(scheduler: Scheduler) -> None:
         net = Net(scheduler, "abc", departed_linger_s=0.4)
         a, b, c = (net.start(name) for name in "abc")
@@ -603,10 +620,10 @@
         assert len(net.heard) == 2 and a.counters["lost_parted"] == 1 and a.counters["lost_stale"] == 1
         net.close()
 
-    play(body)
+    run_greenlet(body)
 
 
-def test_a_member_speaks_under_the_agreed_incarnation_and_not_for_an_earlier_self() -> None:
+def test_a_member_uses_the_agreed_incarnation_and_not_that_of_an_earlier_process() -> None:
     def body(scheduler: Scheduler) -> None:
         net = Net(scheduler, "ab")
         a, b = net.start("a"), net.start("b")
@@ -622,13 +639,13 @@
         wait(scheduler, lambda: net.heard == [("b", "a", b"3")])
         net.close()
 
-    play(body)
+    run_greenlet(body)
 
 
-# -- requests between two desks
+# -- requests between two servers
 
 
-class Engine:
+class RecordingHandler:
     """A handler that keeps what arrives."""
 
     def __init__(self) -> None:
@@ -642,7 +659,7 @@
         self.left.append(exchange)
 
 
-class Asker:
+class RecordingCaller:
     """Whom answers reach."""
 
     def __init__(self) -> None:
@@ -665,7 +682,7 @@
 }
 
 
-class To:
+class FixedPlacer:
     def __init__(self, name: str | None) -> None:
         self.name = name
 
@@ -676,17 +693,19 @@
 class Pair:
     def __init__(self, scheduler: Scheduler) -> None:
         self.net = Net(scheduler, "ab", max_silence_s=0.6)
-        self.engines, self.forwards = dict[str, Engine](), dict[str, ForwardingService]()
+        self.handlers, self.forwards = dict[str, RecordingHandler](), dict[str, ForwardingService]()
         for place, name in enumerate("ab"):
             links = self.net.start(name)
             forward = ForwardingService(
                 scheduler, links, ForwardingState(), place + 1, {**REQUEST_CLASSES}, {}, lambda: NO_OBSERVER
             )
-            self.engines[name] = Engine()
-            forward.handler(self.engines[name])
-            forward.placer = To("b")  # on b as well: what was passed there must not go on
+            self.handlers[name] = RecordingHandler()
+            forward.handler(self.handlers[name])
+            forward.placer = FixedPlacer(
+                "b"
+            )  # on b as well: what was forwarded there must not be forwarded again
             self.forwards[name] = forward
-        self.scheduler, self.router, self.count = scheduler, Asker(), 0
+        self.scheduler, self.router, self.count = scheduler, RecordingCaller(), 0
 
     def ask(self, request_class: bytes, waited: float = 0.0) -> Exchange:
         self.count += 1
@@ -699,21 +718,21 @@
         self.forwards["a"].arrived(exchange)
         return exchange
 
-    def guest(self) -> Exchange:
-        wait(self.scheduler, lambda: self.engines["b"].open)
-        return self.engines["b"].open.pop()
+    def admitted_request(self) -> Exchange:
+        wait(self.scheduler, lambda: self.handlers["b"].open)
+        return self.handlers["b"].open.pop()
 
 
-def paired(body: Callable[[Scheduler, Pair], None]) -> None:
+def with_pair(body: Callable[[Scheduler, Pair], None]) -> None:
     def run(scheduler: Scheduler) -> None:
         pair = Pair(scheduler)
         body(scheduler, pair)
         pair.net.close()
 
-    play(run)
+    run_greenlet(run)
 
 
-def test_a_request_passed_on_is_admitted_there_and_answered_once_here() -> None:
+def test_a_forwarded_request_is_admitted_at_the_peer_and_answered_once_here() -> None:
     def body(scheduler: Scheduler, pair: Pair) -> None:
         answers: list[tuple[Callable[[Exchange], None], Any]] = [
             (lambda one: one.complete(b"made"), ("completed", b"made")),
@@ -723,88 +742,88 @@
         for request_class in REQUEST_CLASSES:
             for answer, told in answers:
                 exchange = pair.ask(request_class, waited=0.4)
-                guest = pair.guest()
-                assert (guest.name, guest.request_class, guest.body) == (
+                admitted_request = pair.admitted_request()
+                assert (admitted_request.name, admitted_request.request_class, admitted_request.body) == (
                     exchange.name,
                     request_class,
                     b"body",
                 )
                 assert (
-                    guest.idempotency_key == exchange.idempotency_key
-                    and guest.request.request_class is REQUEST_CLASSES[request_class]
+                    admitted_request.idempotency_key == exchange.idempotency_key
+                    and admitted_request.request.request_class is REQUEST_CLASSES[request_class]
                 )
-                assert guest.request.arrived_at <= exchange.request.arrived_at + 0.05
-                answer(guest)
+                assert admitted_request.request.arrived_at <= exchange.request.arrived_at + 0.05
+                answer(admitted_request)
                 wait(scheduler, lambda: pair.router.told)
                 assert pair.router.told == [told]
                 pair.router.told.clear()
-        assert not pair.engines["a"].open and all(one.is_idle for one in pair.forwards.values())
+        assert not pair.handlers["a"].open and all(one.is_idle for one in pair.forwards.values())
 
-    paired(body)
+    with_pair(body)
 
 
-def test_a_cancel_goes_along_and_an_open_name_is_not_taken_twice() -> None:
+def test_a_cancel_is_forwarded_and_the_name_of_an_open_request_is_refused() -> None:
     def body(scheduler: Scheduler, pair: Pair) -> None:
         exchange = pair.ask(b"stamp")
-        guest = pair.guest()
+        admitted_request = pair.admitted_request()
         pair.count -= 1
         pair.ask(b"stamp")  # a copy of its name
         assert pair.router.told == [("terminated",)]
         assert exchange.discard()
         pair.forwards["a"].gone(exchange)
-        wait(scheduler, lambda: pair.engines["b"].left == [guest])
+        wait(scheduler, lambda: pair.handlers["b"].left == [admitted_request])
         assert pair.router.told == [("terminated",)] and pair.forwards["a"].is_idle
 
-    paired(body)
+    with_pair(body)
 
 
-def test_what_no_frame_can_carry_is_served_here_and_a_result_too_large_ends_in_an_error() -> None:
+def test_a_request_too_large_to_send_is_served_here_and_a_result_too_large_fails() -> None:
     def body(scheduler: Scheduler, pair: Pair) -> None:
         pair.ask(b"stamp")
-        pair.guest().complete(b"x" * (2 << 20))
+        pair.admitted_request().complete(b"x" * (2 << 20))
         wait(scheduler, lambda: pair.router.told)
         assert pair.router.told == [("terminated",)]
         request = Request(REQUEST_CLASSES[b"stamp"], Client(), None, scheduler.clock.now, 10.0)
         long = Exchange(b"n" * 65, b"stamp", b"body", 1, None, request, pair.router)
         pair.forwards["a"].arrived(long)
-        assert pair.engines["a"].open == [long]
+        assert pair.handlers["a"].open == [long]
 
-    paired(body)
+    with_pair(body)
 
 
-def test_a_lost_link_ends_each_request_by_its_idempotency() -> None:
+def test_a_lost_connection_ends_each_request_by_its_idempotency() -> None:
     def body(scheduler: Scheduler, pair: Pair) -> None:
         asked = {request_class: pair.ask(request_class) for request_class in REQUEST_CLASSES}
-        wait(scheduler, lambda: len(pair.engines["b"].open) == 3)
+        wait(scheduler, lambda: len(pair.handlers["b"].open) == 3)
         pair.net.links["b"].close()
         wait(scheduler, lambda: len(pair.router.told) == 2)
         assert pair.router.told == [("terminated",)] * 2
-        assert pair.engines["a"].open == [asked[b"lookup"]]
-        late = pair.engines["b"].open[0]
+        assert pair.handlers["a"].open == [asked[b"lookup"]]
+        late = pair.handlers["b"].open[0]
         late.complete(b"too late")
         scheduler.sleep(0.05)
         assert len(pair.router.told) == 2
         pair.ask(b"stamp")  # nobody is reached: it never left, so it is served here
-        wait(scheduler, lambda: len(pair.engines["a"].open) == 2)
+        wait(scheduler, lambda: len(pair.handlers["a"].open) == 2)
 
-    paired(body)
+    with_pair(body)
 
 
-def test_what_a_peer_does_not_know_or_can_not_be_reached_in_time_is_served_here() -> None:
+def test_a_request_that_the_peer_does_not_know_is_served_here() -> None:
     def body(scheduler: Scheduler, pair: Pair) -> None:
         del pair.forwards["b"]._request_classes[b"record"]
         exchange = pair.ask(b"record")
-        wait(scheduler, lambda: pair.engines["a"].open == [exchange])
-        pair.forwards["a"].placer = To(None)
+        wait(scheduler, lambda: pair.handlers["a"].open == [exchange])
+        pair.forwards["a"].placer = FixedPlacer(None)
         pair.ask(b"lookup")
         pair.forwards["a"].placer = None  # type: ignore[assignment]  # a fault in who places costs no request
         pair.ask(b"lookup")
-        assert len(pair.engines["a"].open) == 3 and pair.forwards["a"].counters["faults"] == 1
+        assert len(pair.handlers["a"].open) == 3 and pair.forwards["a"].counters["faults"] == 1
 
-    paired(body)
+    with_pair(body)
 
 
-def test_two_servers_serve_each_other_s_requests_and_leave_in_order() -> None:
+def test_two_servers_serve_each_others_requests_and_shut_down_cleanly() -> None:
     with Rig(1) as rig, closing(Block()) as block:
         stage = Stage(rig, block.second, "spread", 0, 2, 1, keys=KEYS)
         for name in stage.names:
@@ -839,7 +858,7 @@
         ("forwarding:\n  listen: 127.0.0.1:7702\n  link-most: 64", "links-most may be meant"),
     ],
 )
-def test_faults_of_the_section_are_told_by_key(tmp_path: Path, text: str, says: str) -> None:
+def test_faults_of_the_section_are_reported_by_key(tmp_path: Path, text: str, says: str) -> None:
     file = tmp_path / "features.yaml"
     file.write_text(f"version: 1\n\n{text}\n")
     with pytest.raises(FaultyFeaturesError, match=says):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership's decisions in a network of our own: members crash, pause, lose messages, are cut one way."""
+"""Membership in a simulated network: members crash, pause, lose messages and are partitioned."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 from sablewheel.transport.scheduler import Clock, Scheduler
 
 
-def started(n: int, settings: Settings | None = None, seed: int = 1) -> Net:
+def start_fleet(n: int, settings: Settings | None = None, seed: int = 1) -> Net:
     net = Net(settings or Settings(), seed)
     for place in range(n):
         net.add(f"m{place}")
@@ -61,16 +61,16 @@
     return net
 
 
-def test_members_that_start_together_come_to_one_view() -> None:
-    net = started(7)
+def test_members_that_start_together_agree_on_one_view() -> None:
+    net = start_fleet(7)
     views = set(net.views().values())
     assert views == {tuple(f"m{place}" for place in range(7))}
     assert len({node.view.epoch for node in net.nodes.values() if node.view}) == 1
 
 
 @pytest.mark.parametrize("direct", [64, 2])  # votes from each to all, or passed on by gossip
-def test_a_crash_is_detected_by_all_and_agreed_once(direct: int) -> None:
-    net = started(7, Settings(max_direct_vote_members=direct))
+def test_all_members_detect_a_crash_and_agree_once(direct: int) -> None:
+    net = start_fleet(7, Settings(max_direct_vote_members=direct))
     net.kill("m3")
     at = net.now
     net.run(at + 30.0)
@@ -80,8 +80,8 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_ten_percent_loss_removes_nobody(seed: int) -> None:
-    net = started(7, seed=seed)
+def test_ten_percent_message_loss_removes_nobody(seed: int) -> None:
+    net = start_fleet(7, seed=seed)
     net.loss = 0.1
     net.run(net.now + 60.0)
     assert all(len(view) == 7 for view in net.views().values())
@@ -89,15 +89,15 @@
 
 
 def test_a_pause_shorter_than_the_suspicion_removes_nobody() -> None:
-    net = started(7)
+    net = start_fleet(7)
     net.stopped["m2"] = net.now + 1.5
     net.run(net.now + 30.0)
     assert net.removals("m2") == 0
     assert all(len(view) == 7 for view in net.views().values())
 
 
-def test_a_long_pause_is_removed_then_let_in_again() -> None:
-    net = started(7)
+def test_a_member_paused_for_long_is_removed_and_rejoins() -> None:
+    net = start_fleet(7)
     net.stopped["m2"] = net.now + 40.0
     net.run(net.now + 35.0)
     assert all("m2" not in view for name, view in net.views().items() if name != "m2")
@@ -106,16 +106,16 @@
     assert views == {tuple(f"m{place}" for place in range(7))}
 
 
-def test_a_one_sided_cut_changes_no_view() -> None:
-    net = started(7)
+def test_a_one_way_partition_changes_no_view() -> None:
+    net = start_fleet(7)
     epochs = {name: node.view.epoch for name, node in net.nodes.items() if node.view}
     net.cut.add(("m4", "m1"))  # m1 no longer hears m4; m4 hears m1
     net.run(net.now + 60.0)
     assert {name: node.view.epoch for name, node in net.nodes.items() if node.view} == epochs
 
 
-def test_a_link_that_flips_changes_at_most_one_view_the_same_everywhere() -> None:
-    net = started(7)
+def test_a_flapping_link_changes_the_view_at_most_once() -> None:
+    net = start_fleet(7)
     before = {node.view.epoch for node in net.nodes.values() if node.view}
     for _ in range(15):
         net.cut ^= {("m5", "m0"), ("m0", "m5")}
@@ -126,8 +126,8 @@
     assert len(after) == 1 and after.pop() - before.pop() <= 1
 
 
-def test_a_leave_is_said_and_agreed_at_once() -> None:
-    net = started(5)
+def test_an_announced_leave_is_agreed_at_once() -> None:
+    net = start_fleet(5)
     left = net.nodes["m4"]
     for effect in left.step(net.now, LeaveRequested()):
         if isinstance(effect, Send):
@@ -138,9 +138,9 @@
 
 
 @pytest.mark.parametrize("span", [3.5, 8.0])
-def test_one_who_hears_nobody_for_long_is_out_once_and_in_again_once(span: float) -> None:
+def test_a_member_that_receives_nothing_is_removed_once_and_rejoins_once(span: float) -> None:
     for seed in range(1, 7):
-        net = started(7, seed=seed)
+        net = start_fleet(7, seed=seed)
         names = [f"m{place}" for place in range(7)]
         epoch = net.nodes["m0"].view.epoch  # type: ignore[union-attr]
         net.cut = {(other, "m5") for other in names if other != "m5"}
@@ -152,8 +152,8 @@
         assert views.pop().epoch <= epoch + 2  # type: ignore[union-attr]
 
 
-def test_a_first_seed_that_starts_anew_while_cut_off_founds_nothing() -> None:
-    net = started(7)
+def test_a_first_seed_restarted_during_a_partition_founds_no_fleet() -> None:
+    net = start_fleet(7)
     rest = [f"m{place}" for place in range(1, 7)]
     net.kill("m0")
     net.cut = {("m0", one) for one in rest} | {(one, "m0") for one in rest}
@@ -166,8 +166,8 @@
 
 
 @pytest.mark.parametrize("clock", [-3600.0, 0.0, 3600.0])
-def test_a_member_that_starts_anew_never_takes_its_older_self_for_its_own(clock: float) -> None:
-    net = started(5)
+def test_a_restarted_member_does_not_vote_as_its_earlier_process(clock: float) -> None:
+    net = start_fleet(5)
     old = net.nodes["m3"].local_member.incarnation
     net.kill("m3")
     net.restart("m3", clock)
@@ -184,7 +184,7 @@
 
 
 @pytest.mark.parametrize("mode", Mode)
-def test_a_member_sleeps_between_its_timers_also_while_it_has_no_view(mode: Mode) -> None:
+def test_a_member_without_a_view_does_not_busy_loop(mode: Mode) -> None:
     net = Net(Settings(mode=mode, min_founders=9))
     for place in range(3):
         net.add(f"m{place}")
@@ -192,10 +192,10 @@
     assert steps < 10.0 * 3 * 60  # a busy loop would take a thousand a second
 
 
-def test_what_members_say_of_themselves_is_agreed_with_them_and_survives_a_removal() -> None:
+def test_metadata_is_agreed_and_survives_a_removal() -> None:
     net = Net(Settings(), 1)
     for place in range(5):
-        net.add(f"m{place}", says=(("class", "{}" * 300), ("link", f"127.0.0.1:{7800 + place}")))
+        net.add(f"m{place}", metadata=(("class", "{}" * 300), ("link", f"127.0.0.1:{7800 + place}")))
         net.run(net.now + 0.3)
     net.run(net.now + 20.0)
     net.stopped["m3"] = net.now + 30.0
@@ -212,11 +212,11 @@
     ].metadata_value("x") == ""
 
 
-def test_many_who_join_at_once_and_say_much_are_let_in_though_no_vote_may_hold_them_all() -> None:
-    net = started(5)
-    says = tuple((f"k{place}", "v" * 200) for place in range(8))
+def test_many_joiners_with_much_metadata_are_admitted_over_several_proposals() -> None:
+    net = start_fleet(5)
+    metadata = tuple((f"k{place}", "v" * 200) for place in range(8))
     for place in range(5, 25):
-        net.add(f"m{place}", says=says)
+        net.add(f"m{place}", metadata=metadata)
     net.run(net.now + 30.0)
     assert {len(view) for view in net.views().values()} == {25}
     cuts = [
@@ -225,14 +225,14 @@
     assert 4 < max(cuts) <= 7  # of 1,616 bytes each, under 12,000
 
 
-def test_more_than_a_member_may_say_is_refused_also_in_a_packet() -> None:
+def test_metadata_out_of_bounds_is_refused_also_in_a_packet() -> None:
     member = Member("m1", "127.0.0.1:1", metadata=(("class", "x" * 600), ("link", "y" * 200)))
     packet = codec.encode(Message(Envelope("m1", 1), Join(member)))
     assert codec.decode(packet).body == Join(member)
     silent = pb.Packet.FromString(packet)  # of a member that knows nothing of it
     silent.join.member.ClearField("says")
     assert codec.decode(silent.SerializeToString()).body == Join(member.without_metadata)
-    for says in (
+    for metadata in (
         (("link", "y" * 201),),
         (("class", "x" * 601),),
         (("", "x"),),
@@ -242,40 +242,40 @@
         tuple((f"k{place}", "") for place in range(9)),
     ):
         with pytest.raises(ValueError, match="m1 says"):
-            Member("m1", "127.0.0.1:1", metadata=says)
+            Member("m1", "127.0.0.1:1", metadata=metadata)
     with pytest.raises(codec.BadPacketError, match="m1 says clasp: at most 200 bytes"):
         codec.decode(packet.replace(b"class", b"clasp"))  # 600 bytes are for a class alone
 
 
-def test_each_view_is_told_once_in_order_whatever_a_callback_does(caplog: pytest.LogCaptureFixture) -> None:
+def test_view_callbacks_run_once_per_view_in_order_whatever_they_do(caplog: pytest.LogCaptureFixture) -> None:
     scheduler = Scheduler(Clock())
     settings = Settings(found_delay_s=0.05, join_interval_s=0.05, sync_interval_s=0.1, vote_timeout_s=0.2)
-    heard: list[str] = []
+    calls: list[str] = []
     late: list[int] = []
     block = Block()  # addresses that are this test's alone
     hosts = [f"127.{block.second}.0.{place}" for place in (1, 2)]
-    seeds, says = (f"{hosts[0]}:{PORT}",), (("a", "1"),)
+    seeds, metadata = (f"{hosts[0]}:{PORT}",), (("a", "1"),)
     plans = [
-        MembershipPlan((host, PORT), f"{host}:{PORT}", "z", "r", seeds, settings, says) for host in hosts
+        MembershipPlan((host, PORT), f"{host}:{PORT}", "z", "r", seeds, settings, metadata) for host in hosts
     ]
     first = MembershipService(scheduler, plans[0], "m0", 1, metadata=(("link", "here"),))
 
     def judges(view: View) -> None:
-        heard.append(f"first {view.epoch}")
+        calls.append(f"first {view.epoch}")
         first.report_fact(Fact("n", str(len(view.members))))
 
     def faulty(view: View) -> None:
         raise ZeroDivisionError
 
     def last(view: View) -> None:
-        heard.append(f"last {view.epoch}")
+        calls.append(f"last {view.epoch}")
         if len(view.members) == 2 and view.fact("n") == "2":
             first.on_view(lambda view: late.append(view.epoch))
             scheduler.stop()
 
     for callback in (judges, faulty, last):
         first.on_view(callback)
-    assert first.node_name == "m0" and first.view is None and heard == []
+    assert first.node_name == "m0" and first.view is None and calls == []
     with pytest.raises(ValueError):
         first.report_fact(Fact("x" * 129, ""))
     second: list[MembershipService] = []
@@ -294,22 +294,26 @@
     view = first.view
     assert view is not None and view.names == ("m0", "m1") and view.fact("n") == "2"
     assert view.members[0].metadata == (("a", "1"), ("link", "here"))
-    epochs = [int(line.split()[1]) for line in heard if line.startswith("first")]
+    epochs = [int(line.split()[1]) for line in calls if line.startswith("first")]
     assert epochs == list(range(epochs[0], view.epoch + 1)) and len(epochs) >= 3
-    assert heard == [f"{who} {epoch}" for epoch in epochs for who in ("first", "last")]
+    assert calls == [f"{who} {epoch}" for epoch in epochs for who in ("first", "last")]
     assert late == [view.epoch]
     assert first.gauges()["members_faults"] == len(epochs) and "view callback failed" in caplog.text
 
 
-def test_floods_of_joiners_rumours_and_probes_for_others_are_bounded() -> None:
-    net = started(5)
+def test_floods_of_joiners_gossip_updates_and_relayed_probes_are_bounded() -> None:
+    net = start_fleet(5)
     node = net.nodes["m0"]
     view = node.view
     assert view is not None
     for place in range(max(MAX_JOINERS, MIN_PENDING_UPDATES_CAPACITY, MAX_RELAYED_PROBES) + 500):
         member = Member(f"x{place}", "127.0.0.1:9", incarnation=1)
-        news = (Alert(view.epoch, "m1", True, member), Alive(f"y{place}", 1), Suspect(f"z{place}", 1, "m1"))
-        for body in (Join(member, True), Ping(0, news), PingRequest(place, "m2", "?")):
+        updates = (
+            Alert(view.epoch, "m1", True, member),
+            Alive(f"y{place}", 1),
+            Suspect(f"z{place}", 1, "m1"),
+        )
+        for body in (Join(member, True), Ping(0, updates), PingRequest(place, "m2", "?")):
             node.step(net.now, MessageReceived(Message(Envelope("m1", view.epoch), body)))
     assert (
         len(node.cut_detector.alerts) == MAX_JOINERS
@@ -319,7 +323,7 @@
     assert set(node.member_table.raised_incarnations) <= set(view.names) and not node.suspicions.by_name
 
 
-def judge(net: Net, names: list[str], value: str) -> None:
+def report_fact_on(net: Net, names: list[str], value: str) -> None:
     for name in names:
         for effect in net.nodes[name].step(net.now, FactReported(Fact("zone/z1", value))):
             if isinstance(effect, Send):
@@ -327,21 +331,21 @@
         net._wake(name)
 
 
-def test_a_fact_is_agreed_by_more_than_half_at_one_epoch_and_taken_back_the_same_way() -> None:
-    net = started(7)
+def test_a_fact_is_agreed_and_deleted_by_more_than_half_of_the_view() -> None:
+    net = start_fleet(7)
     names = [f"m{place}" for place in range(7)]
-    judge(net, names[:3], "out")
+    report_fact_on(net, names[:3], "out")
     net.run(net.now + 10.0)
     assert {node.view.fact("zone/z1") for node in net.nodes.values() if node.view} == {""}
     net.loss = 0.1
-    judge(net, names[3:5], "out")
+    report_fact_on(net, names[3:5], "out")
     net.run(net.now + 10.0)
     assert {node.view.fact("zone/z1") for node in net.nodes.values() if node.view} == {"out"}
     assert len({node.view for node in net.nodes.values()}) == 1
-    judge(net, names[:2], "")  # three still hold it to be out, and the other two never said anything
+    report_fact_on(net, names[:2], "")  # three still report it as out, and the other two never reported it
     net.run(net.now + 10.0)
     assert {node.view.fact("zone/z1") for node in net.nodes.values() if node.view} == {"out"}
-    judge(net, names, "")
+    report_fact_on(net, names, "")
     net.run(net.now + 10.0)
     assert {node.view.facts for node in net.nodes.values() if node.view} == {()}
     by_epoch: dict[int, set[str]] = {}
@@ -351,12 +355,12 @@
     assert all(len(prints) == 1 for prints in by_epoch.values())
 
 
-def test_a_minority_agrees_on_no_fact_and_learns_the_others_later() -> None:
-    net = started(7)
+def test_a_minority_agrees_on_no_fact_and_adopts_the_majority_value_later() -> None:
+    net = start_fleet(7)
     few, many = ["m0", "m1", "m2"], ["m3", "m4", "m5", "m6"]
     net.cut = {(a, b) for a in few for b in many} | {(b, a) for a in few for b in many}
-    judge(net, few, "out")
-    judge(net, many, "slow")
+    report_fact_on(net, few, "out")
+    report_fact_on(net, many, "slow")
     net.run(net.now + 5.0)
     assert {net.nodes[name].view.fact("zone/z1") for name in few} == {""}  # type: ignore[union-attr]
     assert {net.nodes[name].view.fact("zone/z1") for name in many} == {"slow"}  # type: ignore[union-attr]
@@ -367,7 +371,7 @@
 
 
 def test_a_minority_decides_nothing() -> None:
-    net = started(7)
+    net = start_fleet(7)
     epochs = {node.view.epoch for node in net.nodes.values() if node.view}
     minority, majority = ["m0", "m1", "m2"], ["m3", "m4", "m5", "m6"]
     net.cut = {(a, b) for a in minority for b in majority} | {(b, a) for a in minority for b in majority}
@@ -378,15 +382,15 @@
 
 
 @pytest.mark.parametrize("broken", ["", *FAULTY_VARIANTS[:3]])
-def test_short_pauses_and_a_deaf_spell_remove_the_healthy_only_where_a_part_is_broken(broken: str) -> None:
+def test_short_pauses_and_lost_messages_remove_healthy_members_only_in_faulty_variants(broken: str) -> None:
     removed = 0
     for seed in (1, 2, 3, 4):
-        net = started(7, Settings(injected_fault=broken), seed=seed)
+        net = start_fleet(7, Settings(injected_fault=broken), seed=seed)
         names = [f"m{place}" for place in range(7)]
         for name in ("m2", "m5"):
             net.stopped[name] = net.now + 2.0
             net.run(net.now + 15.0)
-        for name in ("m1", "m4"):  # hears nobody for a while, and is heard
+        for name in ("m1", "m4"):  # receives nothing for a while, and is received
             net.cut = {(other, name) for other in names if other != name}
             net.run(net.now + 2.6)
             net.cut = set()
@@ -395,7 +399,7 @@
     assert (removed > 0) == bool(broken)
 
 
-def split(net: Net, some: list[str]) -> None:
+def partition(net: Net, some: list[str]) -> None:
     rest = [name for name in net.nodes if name not in some]
     net.cut = {(a, b) for a in some for b in rest} | {(b, a) for a in some for b in rest}
 
@@ -411,13 +415,13 @@
 
 
 @pytest.mark.parametrize("broken", ["", "one-at-a-time"])
-def test_those_cut_off_together_go_in_one_view_and_come_back_in_one_or_two(broken: str) -> None:
+def test_members_partitioned_together_are_removed_in_one_view_and_rejoin_in_one_or_two(broken: str) -> None:
     out, back = [], []
     for seed in range(1, 9):
-        net = started(8, Settings(injected_fault=broken), seed)
+        net = start_fleet(8, Settings(injected_fault=broken), seed)
         gone = random.Random(seed).sample(list(net.nodes), 3)  # the seeds among them in some
         at = net.now
-        split(net, gone)
+        partition(net, gone)
         net.run(at + 25.0)
         out.append(len(changes(net, at)))
         net.cut, at = set(), net.now
@@ -432,8 +436,8 @@
 
 
 @pytest.mark.parametrize("seed", [2, 25])  # where the wait of a cut once ended a tenth of a second too soon
-def test_they_go_in_one_view_also_while_one_of_the_rest_is_just_back_from_a_pause(seed: int) -> None:
-    net, chance = started(7, seed=seed), random.Random(seed * 7)
+def test_partitioned_members_are_removed_in_one_view_while_another_recovers_from_a_pause(seed: int) -> None:
+    net, chance = start_fleet(7, seed=seed), random.Random(seed * 7)
     names = list(net.nodes)
     late = chance.choice(names[1:])
     net.stopped[late] = net.now + 9.0
@@ -443,30 +447,30 @@
         assert net.now < 60.0
     net.run(net.now + 0.2)
     at = net.now
-    split(net, chance.sample(names[1:], 3))
+    partition(net, chance.sample(names[1:], 3))
     net.run(at + 14.0)
     assert len(changes(net, at)) == 1
 
 
-def test_two_equal_halves_change_nothing_apart_nor_when_they_meet_again() -> None:
+def test_two_equal_halves_change_no_view_during_or_after_a_partition() -> None:
     for seed in (1, 2, 3):
-        net = started(8, seed=seed)
+        net = start_fleet(8, seed=seed)
         at = net.now
-        split(net, random.Random(seed).sample(list(net.nodes), 4))
+        partition(net, random.Random(seed).sample(list(net.nodes), 4))
         net.run(at + 25.0)
         net.cut = set()
         net.run(net.now + 20.0)
         assert changes(net, at) == [] and len({node.view for node in net.nodes.values()}) == 1
 
 
-def stall(net: Net, span: float, spread: float, seed: int) -> None:
+def pause_all(net: Net, span: float, spread: float, seed: int) -> None:
     """All stop at once, and go on one after another."""
     chance = random.Random(seed)
     net.stopped = {name: net.now + span + chance.uniform(0, spread) for name in net.nodes}
 
 
 @pytest.mark.parametrize("broken", ["", "no-grace"])
-def test_a_stop_common_to_all_takes_nobody_out_however_unevenly_they_go_on(broken: str) -> None:
+def test_a_pause_of_the_whole_fleet_removes_nobody_however_unevenly_it_resumes(broken: str) -> None:
     removed = 0
     # 20 s and 2 s at the usual period; then 4 s, and periods of a fifth: longer than the longest suspicion.
     quick = Settings(
@@ -474,19 +478,19 @@
     )
     for settings, spread, seeds in ((Settings(injected_fault=broken), 2.0, 3), (quick, 4.0, 10)):
         for seed in range(1, 1 + seeds):
-            net = started(8, settings, seed)
-            stall(net, 20.0, spread, seed)
+            net = start_fleet(8, settings, seed)
+            pause_all(net, 20.0, spread, seed)
             net.run(net.now + 35.0)
             removed += sum(net.removals(name) for name in net.nodes)
             assert len({node.view for node in net.nodes.values()}) == 1
     assert (removed > 0) == bool(broken)
 
 
-def test_who_dies_in_a_stop_common_to_all_is_out_soon_after_and_nobody_else() -> None:
+def test_only_the_member_that_crashes_in_a_pause_of_the_whole_fleet_is_removed() -> None:
     for seed in (1, 2, 3):
-        net = started(8, seed=seed)
+        net = start_fleet(8, seed=seed)
         at = net.now
-        stall(net, 20.0, 2.0, seed)
+        pause_all(net, 20.0, 2.0, seed)
         net.run(net.now + 10.0)
         net.kill("m3")
         net.run(net.now + 12.0 + 20.0)
@@ -494,24 +498,24 @@
         assert len({net.nodes[name].view for name in net.views()}) == 1
 
 
-def test_a_crash_soon_after_a_stop_common_to_all_is_found_as_ever() -> None:
-    net = started(8)
-    stall(net, 20.0, 2.0, 1)
-    net.run(net.now + 22.0 + 30.0)  # heard of all again, and well again
+def test_a_crash_after_a_pause_of_the_whole_fleet_is_detected_as_quickly() -> None:
+    net = start_fleet(8)
+    pause_all(net, 20.0, 2.0, 1)
+    net.run(net.now + 22.0 + 30.0)  # every member was heard from again, and is healthy
     at = net.now
     net.kill("m3")
     net.run(at + 6.0)
     assert [one.partition("@")[0] for one in changes(net, at)] == ["remove:m3"]
 
 
-def test_the_heartbeat_baseline_removes_the_healthy_where_ours_does_not() -> None:
-    base = started(7, Settings(mode=Mode.HEARTBEAT))
+def test_the_heartbeat_baseline_removes_a_paused_member() -> None:
+    base = start_fleet(7, Settings(mode=Mode.HEARTBEAT))
     base.stopped["m2"] = base.now + 3.0
     base.run(base.now + 20.0)
     assert any(note.message == "removed" and note.fields["member"] == "m2" for _, _, note in base.notes)
 
 
-def test_observers_are_known_from_the_view_alone_and_never_the_subject() -> None:
+def test_observers_follow_from_the_view_and_exclude_the_subject() -> None:
     names = tuple(f"m{place}" for place in range(16))
     for subject in names:
         watch = rings(names, 5).observers(subject)
@@ -530,7 +534,7 @@
         View(1, (Member("a", "x"), Member("a", "y")))
 
 
-def test_fast_votes_decide_and_a_classic_round_keeps_what_a_fast_quorum_chose() -> None:
+def test_a_classic_round_keeps_the_value_of_a_fast_quorum() -> None:
     names = tuple(f"m{place}" for place in range(7))
     one = canonical_proposal([Change(ChangeKind.REMOVE, Member("m6", "x"))])
     other = canonical_proposal([Change(ChangeKind.REMOVE, Member("m5", "x"))])
@@ -553,7 +557,7 @@
     assert [body.value for body in accepts if isinstance(body, Accept)] == [one]
 
 
-def test_no_two_values_are_decided_at_one_epoch_under_any_order() -> None:
+def test_an_epoch_decides_one_value_under_any_message_order() -> None:
     names = tuple(f"m{place}" for place in range(5))
     values = [canonical_proposal([Change(ChangeKind.REMOVE, Member(f"m{place}", "x"))]) for place in (3, 4)]
     for seed in range(200):
@@ -583,12 +587,12 @@
         assert len(decided) <= 1, seed
 
 
-def test_every_message_goes_through_the_codec_and_bad_packets_are_refused() -> None:
+def test_the_codec_round_trips_every_message_and_refuses_bad_packets() -> None:
     member = Member("m1", "127.0.0.1:1", "z", "r", 7)
     cut = canonical_proposal(
         [Change(ChangeKind.REMOVE, member), Change(ChangeKind.FACT, fact=Fact("zone/z1", "out"))]
     )
-    news = (
+    updates = (
         Alive("m1", 3),
         Suspect("m2", 1, "m1"),
         Alert(2, "m3", True, member),
@@ -603,9 +607,9 @@
         Accepted((3, "x"), cut),
         Vote(cut),
         StatusRequest(5),
-        Ping(1, news),
+        Ping(1, updates),
         PingRequest(2, "m2", "127.0.0.1:2"),
-        Ack(1, "m2", 4, news),
+        Ack(1, "m2", 4, updates),
         Nack(3),
         Join(member, True),
         Leave(member),
@@ -625,7 +629,7 @@
 
 
 @pytest.mark.parametrize("kind", [Node, Deaf])
-def test_in_no_order_of_things_does_a_refuted_suspicion_lead_to_a_removal(kind: type[Node]) -> None:
+def test_a_refuted_suspicion_leads_to_no_removal_in_any_order_of_events(kind: type[Node]) -> None:
     state = starts(kind)["it is about to run out"]
     states, settled, trace, wrong = explore(state, 4, 10_000, 10)
     if kind is Node:
@@ -634,7 +638,7 @@
         assert "and knows it at 2" in wrong and any("timer of" in one for one in trace)
 
 
-def test_the_report_draws_each_size_of_the_figures(tmp_path: Path) -> None:
+def test_the_report_draws_each_fleet_size(tmp_path: Path) -> None:
     figures = {f"{n}_{name}": 1.0 for n in (50, 200) for name in (*NAMES, "healthy_removed")}
     assert set(by_size(figures)) == {50, 200}
     draw(figures, tmp_path / "one.svg")
@@ -646,7 +650,7 @@
 MANY = 1024  # servers, in a large fleet
 
 
-class Taken:
+class FakeStream:
     """A connection that takes all it is given, after a moment."""
 
     open_now = most = 0
@@ -654,8 +658,8 @@
 
     def __init__(self, scheduler: Scheduler) -> None:
         self._scheduler = scheduler
-        Taken.open_now += 1
-        Taken.most = max(Taken.most, Taken.open_now)
+        FakeStream.open_now += 1
+        FakeStream.most = max(FakeStream.most, FakeStream.open_now)
 
     def write(self, data: bytes) -> None:
         self.got.append(data)
@@ -666,10 +670,10 @@
         return b""
 
     def close(self) -> None:
-        Taken.open_now -= 1
+        FakeStream.open_now -= 1
 
 
-def test_a_full_state_goes_to_1024_at_once_few_at_a_time_and_is_encoded_once(
+def test_a_full_state_for_1024_members_is_sent_a_few_at_a_time_and_encoded_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     scheduler, block, encoded, now = Scheduler(Clock()), Block(), list[Message](), [100.0]
@@ -679,7 +683,7 @@
         encoded.append(message)
         return frame(message)
 
-    monkeypatch.setattr(frame_sender, "connect", lambda *_: Taken(scheduler))
+    monkeypatch.setattr(frame_sender, "connect", lambda *_: FakeStream(scheduler))
     monkeypatch.setattr(codec, "encode_frame", encodes)
     host = f"127.{block.second}.0.1"
     plan = MembershipPlan((host, PORT), f"{host}:{PORT}", "z", "r", (f"{host}:{PORT}",))
@@ -699,59 +703,62 @@
     ask(0, MANY)
     ask(0, 9)  # as soon again: a later one takes the place of one that waits
     rounds()
-    assert len(Taken.got) == MANY and len(encoded) == 1 and not fleet._frame_sender.has_cached_frame
-    assert 1 < Taken.most <= frame_sender.MAX_CONCURRENT_FRAMES_OUT and Taken.open_now == 0
+    assert len(FakeStream.got) == MANY and len(encoded) == 1 and not fleet._frame_sender.has_cached_frame
+    assert 1 < FakeStream.most <= frame_sender.MAX_CONCURRENT_FRAMES_OUT and FakeStream.open_now == 0
     ask(0, frame_sender.MAX_QUEUED_FRAMES + 7)
     assert frame_sender.MAX_QUEUED_FRAMES >= MANY and fleet.gauges()["members_frames_dropped"] == 7
     now[0] += frame_sender.FRAME_TIMEOUT_S + 0.1  # whoever asked has asked again since
     rounds()
-    assert len(Taken.got) == MANY and fleet.gauges()["members_frames_aged"] == frame_sender.MAX_QUEUED_FRAMES
+    assert (
+        len(FakeStream.got) == MANY
+        and fleet.gauges()["members_frames_aged"] == frame_sender.MAX_QUEUED_FRAMES
+    )
     fleet.close()
     block.close()
 
 
-def asks(node: Node, now: float, name: str, address: str) -> None:
+def request_join(node: Node, now: float, name: str, address: str) -> None:
     member = Member(name, address, incarnation=1)
     node.step(now, MessageReceived(Message(Envelope(name, 0), Join(member)), "x"))
 
 
-def test_a_seed_is_heard_behind_more_askers_than_there_is_room_for_and_the_silent_make_room() -> None:
+def test_a_full_table_of_joiners_admits_a_seed_and_replaces_silent_joiners() -> None:
     seeds = ("127.0.0.1:7000", "127.0.0.1:7001", "127.0.0.1:7002")
     node = Node(Member("s0", seeds[0], incarnation=1), seeds, Settings(), random.Random(1), 0.0)
     for place in range(MAX_JOINERS + 10):
-        asks(node, 0.5, f"x{place}", "127.0.0.1:9")
-    held = node.joining._members_without_view
-    assert MAX_JOINERS >= MANY and len(held) == MAX_JOINERS and node.counters["joins_refused"] == 10
-    asks(node, 1.0, "s1", seeds[1])
-    assert "s1" in held and len(held) == MAX_JOINERS and "x0" not in held
-    asks(node, 1.0, "late", "127.0.0.1:9")
-    assert "late" not in held  # all others asked just now
-    asks(node, 4.0, "late", "127.0.0.1:9")  # but the seed, all were silent for long
+        request_join(node, 0.5, f"x{place}", "127.0.0.1:9")
+    joiners = node.joining._members_without_view
+    assert MAX_JOINERS >= MANY and len(joiners) == MAX_JOINERS and node.counters["joins_refused"] == 10
+    request_join(node, 1.0, "s1", seeds[1])
+    assert "s1" in joiners and len(joiners) == MAX_JOINERS and "x0" not in joiners
+    request_join(node, 1.0, "late", "127.0.0.1:9")
+    assert "late" not in joiners  # all others asked just now
+    request_join(node, 4.0, "late", "127.0.0.1:9")  # but the seed, all were silent for long
     assert node.view is not None and node.members == ("late", "s0", "s1")
 
 
-def test_while_joins_gather_reports_are_not_judged_one_by_one_though_another_is_suspected(
+def test_alerts_are_not_evaluated_one_by_one_while_joins_gather(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    judged: list[str] = []
+    evaluated: list[str] = []
     stable = CutDetector._stable_changes
 
     def counted(reports: CutDetector, gone: set[str]) -> list[Change]:
-        judged.append(reports._member_table.local_member.name)
+        evaluated.append(reports._member_table.local_member.name)
         return stable(reports, gone)
 
     monkeypatch.setattr(CutDetector, "_stable_changes", counted)
-    net = started(20)
+    net = start_fleet(20)
     net.kill("m3")
     net.run(net.now + 1.5)
-    doubting = [name for name, node in net.nodes.items() if name != "m3" and node.suspicions.by_name]
-    assert len(doubting) > 10
-    judged.clear()
+    suspecting = [name for name, node in net.nodes.items() if name != "m3" and node.suspicions.by_name]
+    assert len(suspecting) > 10
+    evaluated.clear()
     for place in range(40):
         net.add(f"x{place}")
     net.run(net.now + 0.4)  # less than a period: they gather
-    reported = [len(net.nodes[name].cut_detector.alerts) for name in doubting]
-    assert min(reported) >= 40 and judged == []
+    reported = [len(net.nodes[name].cut_detector.alerts) for name in suspecting]
+    assert min(reported) >= 40 and evaluated == []
     net.run(net.now + 20.0)
     views = set(net.views().values())
     assert len(views) == 1 and len(views.pop()) == 59
