--- a/sablewheel/forwarding/connection.py
+++ b/sablewheel/forwarding/connection.py
@@ -7,7 +7,8 @@
 from dataclasses import dataclass, field
 
 from ..transport.stream import Stream
-from .frames import FrameReader, TransitTimeEstimator
+from . import forwarding_pb2 as pb
+from .frames import FrameReader, TransitTimeEstimator, encode_frame
 
 
 @dataclass(slots=True)
@@ -33,6 +34,11 @@
     unsent_bytes: int = 0  # handed to the stream since it had sent everything
     departed_until: float | None = None  # set once the peer left the view: how long it is still listened to
 
+    def send_at_once(self, message: pb.Frame) -> None:
+        """Send a frame past the queue."""
+        self.stream.write(encode_frame(message))
+        self.stream.flush()
+
 
 @dataclass(eq=False)
 class Peer:
--- a/sablewheel/forwarding/peer_connections.py
+++ b/sablewheel/forwarding/peer_connections.py
@@ -26,14 +26,13 @@
     SendError,
     SendQueueFullError,
 )
+from .frame_writer import FrameWriter
 from .frames import BadFrameError, encode_frame
 from .handshake import Handshake
 from .plan import Address, ConnectionSettings
 
-MAX_UNSENT_BYTES = 65_536  # handed to a stream beyond what it has sent
 MIN_CONNECTION_LIMIT = 64  # connections allowed with any view
 CONNECTIONS_PER_MEMBER = 2  # two members that connect to each other at once have both for a moment
-WRITE_RETRY_INTERVAL_S = 0.005  # while a stream takes no more
 PAUSE_RATIO = 0.5  # of `max_silence_s`: a ping round later than that means that this process was paused
 
 log = logging.getLogger(__name__)
@@ -79,8 +78,8 @@
         self._unidentified_count = 0  # accepted connections in their handshake
         self._handlers: dict[str, _Registration] = {}
         self._loss_callbacks: list[Callable[[str], None]] = []
-        self._peers_to_flush: dict[Peer, None] = {}
-        self._pinging = self._write_retry_set = False
+        self._writer = FrameWriter(scheduler, clock, self._count, self._handle_stream_closed)
+        self._pinging = False
         self._last_ping_round_at = 0.0
         self._open = True
         self.counters: dict[str, int] = {}
@@ -139,14 +138,14 @@
         data = encode_frame(pb.Frame(sent=now, data=data_message))
         self._check_queue(peer, len(data))
         peer.push(QueuedFrame(data, now + expires_in_s, on_not_sent))
-        self._peers_to_flush[peer] = None
+        self._writer.mark(peer)
         if peer.connection is not None or peer.connecting:
             return
         if self._has_capacity():
             peer.connecting = True
             self._scheduler.spawn(self._connect, peer)
         else:
-            self._drop_queue(peer, "refused_links")
+            self._writer.drop_queue(peer, "refused_links")
 
     def _peer_for_sending(self, peer_name: str, now: float) -> Peer:
         peer = self._peers.get(peer_name)
@@ -183,7 +182,7 @@
                 connection.departed_until = now + self._settings.departed_linger_s
         for peer in list(self._peers.values()):
             if peer.name not in members and peer.connection is None and not peer.connecting:
-                self._drop_queue(peer, "dropped_parted")
+                self._writer.drop_queue(peer, "dropped_parted")
                 del self._peers[peer.name]
 
     def is_connected(self, peer_name: str) -> bool:
@@ -206,19 +205,14 @@
 
     def flush(self) -> None:
         """Write the queued frames to their connections, at the end of a round."""
-        if not self._peers_to_flush:
-            return
-        peers, self._peers_to_flush = self._peers_to_flush, {}
-        for peer in peers:
-            if peer.connection is not None:
-                self._write(peer, peer.connection)
+        self._writer.flush()
 
     def close(self) -> None:
         """Say goodbye on all connections and close them."""
         self._open = False
         self._listener.close()
         for connection in list(self._connections):
-            self._write_at_once(connection, pb.Frame(sent=self._clock(), bye=pb.Bye()))
+            connection.send_at_once(pb.Frame(sent=self._clock(), bye=pb.Bye()))
             connection.stream.close()
         self._connections.clear()
         self._peers.clear()
@@ -231,46 +225,6 @@
         }
         return values | {f"links_{name}": count for name, count in sorted(self.counters.items())}
 
-    # -- sending
-
-    def _write(self, peer: Peer, connection: Connection) -> None:
-        now, stream = self._clock(), connection.stream
-        if stream.all_sent:
-            connection.unsent_bytes = 0
-        while peer.queue and connection.unsent_bytes < MAX_UNSENT_BYTES:
-            frame = peer.pop()
-            if now > frame.expires_at:
-                self._drop_frame(frame, "dropped_aged")
-                continue
-            self._count("frames_out")
-            connection.unsent_bytes += len(frame.data)
-            stream.write(frame.data)
-        stream.flush()
-        if not stream.open:
-            # Spawned, since the loss callbacks must not run while the round ends.
-            self._scheduler.spawn(self._close_connection, connection, "closed")
-        elif peer.queue:
-            self._peers_to_flush[peer] = None
-            if not self._write_retry_set:
-                self._write_retry_set = True
-                self._scheduler.after(WRITE_RETRY_INTERVAL_S, self._retry_writes)
-
-    def _retry_writes(self) -> None:
-        self._write_retry_set = False  # the flush at the end of this round continues
-
-    def _write_at_once(self, connection: Connection, message: pb.Frame) -> None:
-        connection.stream.write(encode_frame(message))
-        connection.stream.flush()
-
-    def _drop_frame(self, frame: QueuedFrame, reason: str) -> None:
-        self._count(reason)
-        if frame.on_not_sent is not None:
-            self._scheduler.spawn(frame.on_not_sent)
-
-    def _drop_queue(self, peer: Peer, reason: str) -> None:
-        for frame in peer.pop_all():
-            self._drop_frame(frame, reason)
-
     # -- making connections
 
     def _connect(self, peer: Peer) -> None:
@@ -284,7 +238,7 @@
             if connection is None and peer.connection is None:
                 peer.retry_at = self._clock() + peer.retry_delay_s
                 peer.retry_delay_s = min(2 * peer.retry_delay_s, self._settings.max_retry_delay_s)
-                self._drop_queue(peer, "dropped_unreached")
+                self._writer.drop_queue(peer, "dropped_unreached")
         if connection is not None:
             self._run_connection(connection)
 
@@ -332,7 +286,7 @@
                 self._close_connection(old, "replaced")  # the peer would not connect again if it still had it
         self._connections[connection] = None
         peer.connection, peer.retry_delay_s = connection, initial_retry_delay_s
-        self._peers_to_flush[peer] = None
+        self._writer.mark(peer)
         self._count("made")
         opened_by = "us" if connection.is_outgoing else "them"
         log.info("peer connected", extra={"pairs": {"peer": connection.peer, "by": opened_by}})
@@ -357,7 +311,7 @@
         match message.WhichOneof("body"):
             case "ping":
                 echo = pb.Echo(of=message.sent, got=now)
-                self._write_at_once(connection, pb.Frame(sent=now, echo=echo))
+                connection.send_at_once(pb.Frame(sent=now, echo=echo))
             case "echo":
                 connection.transit_times.record_echo(now, message.echo.of, message.echo.got)
             case "data":
@@ -390,6 +344,9 @@
             self._count("faults")
             log.exception("frame handler failed")
 
+    def _handle_stream_closed(self, connection: Connection) -> None:
+        self._close_connection(connection, "closed")
+
     def _close_connection(self, connection: Connection, reason: str) -> None:
         connection.stream.close()
         if connection not in self._connections:
@@ -407,7 +364,7 @@
         others = [connection for connection in self._connections if connection.peer == peer.name]
         peer.connection = others[-1] if others else None
         if peer.connection is None:
-            self._drop_queue(peer, "dropped_broken")
+            self._writer.drop_queue(peer, "dropped_broken")
             if peer.name not in self._handshake.peers and not peer.connecting:
                 del self._peers[peer.name]
 
@@ -425,10 +382,9 @@
             elif connection.departed_until is not None and now > connection.departed_until:
                 self._close_connection(connection, "parted")
             else:
-                self._write_at_once(connection, pb.Frame(sent=now, ping=pb.Ping()))
+                connection.send_at_once(pb.Frame(sent=now, ping=pb.Ping()))
         for peer in self._peers.values():
-            while peer.queue and peer.queue[0].expires_at < now:
-                self._drop_frame(peer.pop(), "dropped_aged")
+            self._writer.drop_expired(peer, now)
         self._pinging = bool(self._connections)
         if self._pinging:
             self._scheduler.after(settings.ping_interval_s, self._ping_connections)
--- a/sablewheel/forwarding/service.py
+++ b/sablewheel/forwarding/service.py
@@ -16,7 +16,6 @@
 import time
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Protocol
 
 from ..membership.view import View
 from ..overload.interface import Client, Idempotency, Request, RequestClass, Tenant
@@ -59,6 +58,7 @@
     encode,
 )
 from .peer_connections import PeerConnections
+from .placement import Owner, Placer, ServeLocally, UnknownOwner
 
 MESSAGE_TYPE = "ticket"
 MAX_FORWARD_ATTEMPTS = 2  # peers that one request is forwarded to, one after the other
@@ -67,39 +67,6 @@
 log = logging.getLogger(__name__)
 
 
-class Placer(Protocol):
-    """Decides which server serves a request."""
-
-    def place(self, exchange: Exchange) -> str | None:
-        """Return the member that is to serve it; None: this one.
-
-        Called again where the first member refused the request or is gone.
-        """
-
-
-class Owner(Protocol):
-    """Knows what became of a keyed request that may have run on a peer."""
-
-    def may_run_again(self, exchange: Exchange, peer: str, told: Callable[[bool], None]) -> None:
-        """Call `told`, now or before the request's deadline: whether it certainly never ran."""
-
-
-class ServeLocally:
-    """The placer of a server without one: all requests are served where they arrive."""
-
-    def place(self, exchange: Exchange) -> str | None:
-        """Return None: serve the request here."""
-        return None
-
-
-class UnknownOwner:
-    """The owner of a server without one: any request may have run."""
-
-    def may_run_again(self, exchange: Exchange, peer: str, told: Callable[[bool], None]) -> None:
-        """Answer no."""
-        told(False)
-
-
 @dataclass(eq=False, slots=True)
 class RemoteRequest:
     """A request of this server at a peer."""
