--- a/sablewheel/feature_policy/host_capabilities.py
+++ b/sablewheel/feature_policy/host_capabilities.py
@@ -19,7 +19,7 @@
 
 from ..overload.interface import Cancellation, ServerSettings
 
-SAID_MOST = 200  # bytes: the bound of a value in `Member.says`
+SAID_MOST = 200  # bytes: the bound of a value in `Member.metadata`
 MEMORY_PART = 2  # features may take one part in so many of the program's memory
 CORES_PART = 4  # and of its cores
 DESCRIPTORS_PART = 4
--- a/sablewheel/membership/message_handler.py
+++ b/sablewheel/membership/message_handler.py
@@ -4,8 +4,13 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from typing import Any, Protocol
 
+from .cut_detector import CutDetector
+from .fact_reports import FactReports
+from .failure_detector import FailureDetector
+from .joining import Joining
+from .member_table import MemberTable
 from .messages import (
     Accept,
     Accepted,
@@ -32,10 +37,45 @@
     Vote,
     Votes,
 )
-from .plan import Mode
+from .outbox import Outbox
+from .plan import Mode, Settings
+from .state_sync import StateSync
+from .view import Member, Proposal, View
+from .voting import Voting
 
-if TYPE_CHECKING:
-    from .node import Node
+
+class MessageTarget(Protocol):
+    """The node as the handler of its messages needs it."""
+
+    settings: Settings
+    member_table: MemberTable
+    outbox: Outbox
+    failure_detector: FailureDetector
+    cut_detector: CutDetector
+    fact_reports: FactReports
+    voting: Voting
+    joining: Joining
+    state_sync: StateSync
+
+    @property
+    def local_member(self) -> Member:
+        """This member, with its current incarnation."""
+
+    @property
+    def view(self) -> View | None:
+        """The agreed view."""
+
+    def handle_alert(self, now: float, alert: Alert) -> None:
+        """Handle an alert of any observer."""
+
+    def handle_alive(self, now: float, name: str, incarnation: int) -> None:
+        """Handle news that a member is alive."""
+
+    def handle_leave(self, now: float, member: Member) -> None:
+        """Handle an announced leave."""
+
+    def install_view(self, now: float, view: View, cause: Proposal | str, sender: str = "") -> None:
+        """Replace the view."""
 
 
 @dataclass(frozen=True)
@@ -51,7 +91,7 @@
 class MessageHandler:
     """Handles the messages of one node."""
 
-    def __init__(self, node: Node) -> None:
+    def __init__(self, node: MessageTarget) -> None:
         self._node = node
 
     def handle(self, now: float, message: Message, address: str) -> None:
--- a/sablewheel/membership/service.py
+++ b/sablewheel/membership/service.py
@@ -62,10 +62,8 @@
         """
         self._scheduler, self._clock = scheduler, clock
         self._counters: dict[str, int] = {}
-        incarnation = round(scheduler.clock.now * 1000)
-        all_metadata = tuple(sorted(plan.metadata + tuple(metadata)))
-        local_member = Member(name, plan.advertise, plan.zone, plan.region, incarnation, all_metadata)
-        rng = random.Random(f"{seed}-{name}-{incarnation}")
+        local_member = _local_member(name, plan, metadata, scheduler.clock.now)
+        rng = random.Random(f"{seed}-{name}-{local_member.incarnation}")
         # The node runs on the steady clock, so that setting the wall clock moves no timeout.
         self.node = Node(local_member, plan.seeds, plan.settings, rng, clock())
         self._wakeup = Wake(scheduler, clock, self._handle_timer)
@@ -298,3 +296,10 @@
         stream.flush()
         while stream.open and not stream.all_sent:
             self._scheduler.sleep(SEND_POLL_INTERVAL_S)
+
+
+def _local_member(name: str, plan: MembershipPlan, metadata: Metadata, unix_time_s: float) -> Member:
+    """Return this process as a member; its incarnation is the Unix time in milliseconds."""
+    incarnation = round(unix_time_s * 1000)
+    all_metadata = tuple(sorted(plan.metadata + tuple(metadata)))
+    return Member(name, plan.advertise, plan.zone, plan.region, incarnation, all_metadata)
