--- a/sablewheel/experiments/affinity_server.py
+++ b/sablewheel/experiments/affinity_server.py
@@ -41,7 +41,7 @@
             version = FILE.read_text().strip()
         if version and version != self._version and self._fleet.view is not None:
             self._version = version
-            self._fleet.judge(Fact(session_router.ACTIVE_VERSION_FACT, f"{version}:"))
+            self._fleet.report_fact(Fact(session_router.ACTIVE_VERSION_FACT, f"{version}:"))
         if not self._closed:
             self._scheduler.after(LOOK_EVERY, self._look)
 
--- a/sablewheel/feature_policy/fleet_state.py
+++ b/sablewheel/feature_policy/fleet_state.py
@@ -73,7 +73,7 @@
         self.capabilities = {}
         for member in view.members:
             try:
-                self.capabilities[member.name] = host_capabilities.read(member.said("class"))
+                self.capabilities[member.name] = host_capabilities.read(member.metadata_value("class"))
             except HostCapabilitiesError:
                 self._output.count("classes_bad")  # it can run nothing that is known here
 
@@ -100,7 +100,7 @@
     @property
     def place(self) -> int:
         """This member's place in the view's order."""
-        return self.view.places.get(self.node_name, 0) if self.view is not None else 0
+        return self.view.positions.get(self.node_name, 0) if self.view is not None else 0
 
     @property
     def classes(self) -> tuple[HostCapabilities, ...]:
--- a/sablewheel/feature_policy/service.py
+++ b/sablewheel/feature_policy/service.py
@@ -17,6 +17,7 @@
 from math import inf
 from typing import IO, Protocol
 
+from ..forwarding.errors import SendError
 from ..membership.view import Fact, View
 from ..overload.interface import ServerSettings, Tenant
 from ..serving.exchange import Exchange
@@ -26,6 +27,7 @@
 from . import codec, policy_bundle
 from .applying import settings
 from .host_capabilities import HostCapabilities
+from .messages import Message
 from .plan import PolicyPlan
 from .policy import MAX_POLICY_BYTES
 from .policy_bundle import BundleError
@@ -60,26 +62,26 @@
     """Membership, as it is needed here."""
 
     @property
-    def me(self) -> str:
+    def node_name(self) -> str:
         """The name of this member."""
 
     def on_view(self, callback: Callable[[View], None]) -> None:
         """Call back with each view."""
 
-    def judge(self, fact: Fact) -> None:
+    def report_fact(self, fact: Fact) -> None:
         """Propose a fact."""
 
 
 class Links(Protocol):
     """The forward path's links, as they are needed here."""
 
-    def send(self, to: str, kind: str, payload: bytes, within: float) -> bool:
-        """Queue a frame for a peer; False if it can't be queued."""
+    def send(self, peer_name: str, message_type: str, payload: bytes, *, expires_in_s: float) -> None:
+        """Queue a frame for a peer; raises `SendError`."""
 
-    def on(self, kind: str, handler: Callable[[str, bytes], None]) -> None:
+    def register_handler(self, message_type: str, handler: Callable[[str, bytes], None]) -> None:
         """Call a handler with the frames of a kind."""
 
-    def on_broken(self, callback: Callable[[str], None]) -> None:
+    def on_connection_lost(self, callback: Callable[[str], None]) -> None:
         """Call back with the name of a peer whose connection broke."""
 
 
@@ -99,7 +101,7 @@
     ) -> None:
         self._scheduler, self._plan, self._fleet, self._links = scheduler, plan, fleet, links
         self._tenants, self._settings_changed, self._clock = tenants, changed, clock
-        self.rollout = Rollout(fleet.me, own_capabilities, plan.rules, plan.broken)
+        self.rollout = Rollout(fleet.node_name, own_capabilities, plan.rules, plan.broken)
         self._view: View | None = None
         self._applied: ApplyPlan | None = None
         self._names: dict[Tenant | None, str] = {}
@@ -115,8 +117,8 @@
         self._process_deadline_s = 0.0
         self._open = True
         self.counts: dict[str, int] = {}
-        links.on(KIND, self._frame_received)
-        links.on_broken(lambda peer: self._broken.update({peer: clock()}))
+        links.register_handler(KIND, self._frame_received)
+        links.on_connection_lost(lambda peer: self._broken.update({peer: clock()}))
         fleet.on_view(self._view_changed)
         if plan.file is not None:
             self._proposed_document(only_first=True)
@@ -169,7 +171,7 @@
 
     def route(self, exchange: Exchange) -> Route:
         """Where it may be served; of a request that a peer passed on, the zone where it came in counts."""
-        zone = self._zone(getattr(exchange.caller, "sender", self._fleet.me))
+        zone = self._zone(getattr(exchange.caller, "sender", self._fleet.node_name))
         key = (exchange.request_class, exchange.request.tenant, zone)
         found = self._routes.get(key)
         if found is None:
@@ -189,7 +191,7 @@
         well = [
             one for one in route.others if now >= self._broken.get(one, -inf) + AVOID_MEMBER_S
         ] or route.others
-        near = [one for one in well if self._zone(one) == self._zone(self._fleet.me)]
+        near = [one for one in well if self._zone(one) == self._zone(self._fleet.node_name)]
         those = near or well
         self._next_peer_index += 1
         return those[self._next_peer_index % len(those)]
@@ -279,10 +281,9 @@
     def _carry_out(self, effect: Effect) -> None:
         match effect:
             case Send(to, message):
-                sent = self._links.send(to, KIND, codec.encode(message), MESSAGE_EXPIRES_IN_S)
-                self._count("sent" if sent else "unsent")
+                self._send(to, message)
             case ProposeFact(fact):
-                self._fleet.judge(fact)
+                self._fleet.report_fact(fact)
             case ApplyPlan():
                 self._applied = effect
                 self._settings_changed()
@@ -291,6 +292,14 @@
             case LogEntry(what, fields):
                 (changes if what == "policy active" else log).info(what, extra={"pairs": fields})
 
+    def _send(self, to: str, message: Message) -> None:
+        try:
+            self._links.send(to, KIND, codec.encode(message), expires_in_s=MESSAGE_EXPIRES_IN_S)
+        except SendError:
+            self._count("unsent")
+        else:
+            self._count("sent")
+
     def _start(self, what: StartTranslation) -> None:
         """Start a translation in a process of its own.
 
--- a/sablewheel/membership/events.py
+++ b/sablewheel/membership/events.py
@@ -1,4 +1,4 @@
-"""What happens to a member, and what it wants done: events and effects of `Node.step`, as plain values."""
+"""Events and effects of `Node.step`, as plain values."""
 
 from __future__ import annotations
 
@@ -10,49 +10,51 @@
 
 @dataclass(frozen=True)
 class Send:
+    """Send a message to an address."""
+
     address: str
     message: Message
 
 
 @dataclass(frozen=True)
-class Note:
-    """One structured log line: what was decided, with its evidence."""
+class LogLine:
+    """Write a structured log line."""
 
-    what: str
+    message: str
     fields: dict[str, object]
 
 
 @dataclass(frozen=True)
-class Viewed:
-    """This view was installed: each is told once, in their order."""
+class ViewInstalled:
+    """Announce a view that was installed; each view once, in order."""
 
     view: View
 
 
 @dataclass(frozen=True)
-class Tick:
-    """Timers: the shell calls at `Node.wake_at` or sooner."""
+class TimerFired:
+    """The time `Node.next_wakeup` has come, or an earlier one."""
 
 
 @dataclass(frozen=True)
-class Got:
-    """A message came from `address`, the packet's source; used only for who is not known yet."""
+class MessageReceived:
+    """A message arrived; `source_address`, the packet's source, is used for unknown senders only."""
 
     message: Message
-    address: str = ""
+    source_address: str = ""
 
 
 @dataclass(frozen=True)
-class Part:
-    """SIGTERM: say so to all, then stop."""
+class LeaveRequested:
+    """The process is asked to shut down: announce the leave to all members."""
 
 
 @dataclass(frozen=True)
-class Judge:
-    """What this member holds to be due of a fact; the fleet's value is `View.fact`."""
+class FactReported:
+    """This member's own value of a fact; the fleet's value is `View.fact`."""
 
     fact: Fact
 
 
-Event = Tick | Got | Part | Judge
-Effect = Send | Note | Viewed
+Event = TimerFired | MessageReceived | LeaveRequested | FactReported
+Effect = Send | LogLine | ViewInstalled
--- a/sablewheel/membership/member_table.py
+++ b/sablewheel/membership/member_table.py
@@ -1,6 +1,6 @@
-"""Whom this member knows, as whom and where: the agreed view, and the little that differs from it. Pure.
+"""The members that this one knows: the agreed view, and what is known beyond it. Pure.
 
-What is kept outside the view is bounded and does not grow with the fleet.
+State outside the view is bounded and does not grow with the fleet.
 """
 
 from __future__ import annotations
@@ -9,154 +9,175 @@
 from dataclasses import replace
 
 from .plan import Mode, Settings
-from .view import Member, View, rings
+from .rings import rings
+from .view import Member, View
 
-JOINERS_MOST = 2048  # names that are not in the view and wait for their observers: a whole fleet at its start
+MAX_JOINERS = 2048  # names outside the view that wait for their observers: a whole fleet at its start
 
 
-class Roster:
-    """`view` is None until this member is let in (or founds the first view)."""
+class MemberTable:
+    """`view` is None until this member is admitted or founds the first view."""
 
-    def __init__(self, me: Member, settings: Settings, now: float) -> None:
-        self.me, self.settings = me, settings
+    def __init__(self, local_member: Member, settings: Settings, now: float) -> None:
+        self.local_member, self.settings = local_member, settings
         self.view: View | None = None
-        self.raised: dict[str, int] = {}  # incarnations above the view's (the baselines': all that are known)
-        self.addresses: dict[str, str] = {}  # of those that are not in the view
-        self.local: set[str] = set()  # the baselines' own view: whom this member holds to be in
-        self._watches: dict[str, tuple[str, ...]] = {}  # observers of subjects, for the view that is held
-        self._mine: tuple[str, ...] | None = None  # whom this member watches, in the view that is held
-        self._since: dict[str, float] = {}  # when those came in that came after this one
-        self._in_since = now
+        self.raised_incarnations: dict[str, int] = {}  # above the view's; in a baseline all that are known
+        self.addresses: dict[str, str] = {}  # of names outside the view
+        self.baseline_members: set[str] = set()  # in a baseline, the members as this one alone decided
+        self._observers_by_subject: dict[str, tuple[str, ...]] = {}  # in the current view
+        self._local_subjects: tuple[str, ...] | None = None  # in the current view
+        self._joined_at: dict[str, float] = {}  # of members that joined after this one
+        self._local_joined_at = now
 
     @property
-    def ours(self) -> bool:
-        """Whether this is the product, and no baseline of the trial."""
-        return self.settings.mode is Mode.OURS
+    def uses_consensus(self) -> bool:
+        """Whether this member runs the product's protocol and not a baseline."""
+        return self.settings.mode is Mode.CONSENSUS
 
     @property
     def epoch(self) -> int:
+        """The epoch of the current view; 0 without a view."""
         return self.view.epoch if self.view is not None else 0
 
     @property
-    def large(self) -> bool:
-        """Whether the view is past the size up to which votes go from each to all."""
-        return self.view is not None and len(self.view.members) > self.settings.vote_direct
+    def is_large(self) -> bool:
+        """Whether the view is too large for votes from each member to all."""
+        return self.view is not None and len(self.view.members) > self.settings.max_direct_vote_members
 
-    # -- who
+    # -- names
 
-    def known(self) -> tuple[str, ...]:
-        """Everybody who may be spoken with, this member among them."""
-        if not self.ours:
-            return tuple(sorted(set(self.addresses) | {self.me.name}))
+    def known_names(self) -> tuple[str, ...]:
+        """Return every member that messages may be sent to, and this one, sorted."""
+        if not self.uses_consensus:
+            return tuple(sorted(set(self.addresses) | {self.local_member.name}))
         return self.view.names if self.view is not None else ()
 
-    def members(self) -> tuple[str, ...]:
-        """Who this member holds to be in: the agreed view, or a baseline's own set."""
-        return self.known() if self.ours else tuple(sorted(self.local | {self.me.name}))
+    def member_names(self) -> tuple[str, ...]:
+        """Return the members by the agreed view, or by a baseline's own decisions, sorted."""
+        if self.uses_consensus:
+            return self.known_names()
+        return tuple(sorted(self.baseline_members | {self.local_member.name}))
 
-    def others(self) -> list[str]:
-        return [one for one in self.known() if one != self.me.name]
+    def other_names(self) -> list[str]:
+        """Return the known names without this member's."""
+        return [name for name in self.known_names() if name != self.local_member.name]
 
     def is_known(self, name: str) -> bool:
-        if not self.ours:
-            return name in self.addresses or name == self.me.name
+        """Return whether messages may be sent to a member, or it is this one."""
+        if not self.uses_consensus:
+            return name in self.addresses or name == self.local_member.name
         return self.view is not None and name in self.view
 
-    def some(self, chance: random.Random, many: int, *but: str) -> list[str]:
-        """So many others at random, none of `but`."""
-        known = self.known()
-        drawn = chance.sample(known, min(many + len(but) + 1, len(known)))
-        return [one for one in drawn if one != self.me.name and one not in but][:many]
+    def random_names(self, rng: random.Random, count: int, *excluded: str) -> list[str]:
+        """Draw up to `count` other names."""
+        known = self.known_names()
+        drawn = rng.sample(known, min(count + len(excluded) + 1, len(known)))
+        return [name for name in drawn if name != self.local_member.name and name not in excluded][:count]
 
-    def since(self, name: str) -> float:
-        """When a member came in, as far as this one was there."""
-        return self._since.get(name, self._in_since)
+    def joined_at(self, name: str) -> float:
+        """Return when a member joined; at the earliest when this member did."""
+        return self._joined_at.get(name, self._local_joined_at)
 
     # -- incarnations
 
-    def incarnation(self, name: str, raised: bool = True) -> int:
-        """The highest known of another member; -1 for nobody."""
+    def incarnation(self, name: str) -> int:
+        """Return the highest known incarnation of another member; -1 if it is unknown."""
+        return max(self._view_incarnation(name), self.raised_incarnations.get(name, -1))
+
+    def _view_incarnation(self, name: str) -> int:
         member = self.view.get(name) if self.view is not None else None
-        held = member.incarnation if member is not None else -1
-        return max(held, self.raised.get(name, -1)) if raised else held
+        return member.incarnation if member is not None else -1
 
-    def knows(self, name: str) -> int:
-        """The highest incarnation known of anybody, this member among them."""
-        return self.me.incarnation if name == self.me.name else self.incarnation(name)
+    def known_incarnation(self, name: str) -> int:
+        """Return the highest known incarnation of any member, this one included."""
+        return self.local_member.incarnation if name == self.local_member.name else self.incarnation(name)
 
-    def raise_to(self, name: str, incarnation: int) -> bool:
-        """Word of another member's incarnation; whether it was news."""
+    def raise_incarnation(self, name: str, incarnation: int) -> bool:
+        """Record another member's incarnation and return whether it was news."""
         if incarnation <= self.incarnation(name):
             return False
-        if self.ours and (self.view is None or name not in self.view):
-            return False  # guards the table against names that nobody agreed on
-        self.raised[name] = incarnation
+        if self.uses_consensus and (self.view is None or name not in self.view):
+            return False  # bounds the table: anybody may send any name
+        self.raised_incarnations[name] = incarnation
         return True
 
     def incarnations(self) -> tuple[tuple[str, int], ...]:
-        """Of those above the view's, and of this member itself."""
-        return tuple(sorted({**self.raised, self.me.name: self.me.incarnation}.items()))
+        """Return the incarnations above the view's and this member's own, sorted by name."""
+        local = {self.local_member.name: self.local_member.incarnation}
+        return tuple(sorted({**self.raised_incarnations, **local}.items()))
+
+    def knows_newer_than(self, incarnations: dict[str, int]) -> bool:
+        """Return whether this member knows an incarnation above both the view's and the ones given."""
+        return any(
+            incarnation > max(incarnations.get(name, -1), self._view_incarnation(name))
+            for name, incarnation in self.incarnations()
+        )
 
-    # -- where
+    # -- addresses
 
     def address(self, name: str) -> str:
+        """Return a member's address; empty if it is unknown."""
         member = self.view.get(name) if self.view is not None else None
         return member.address if member is not None else self.addresses.get(name, "")
 
-    def remember(self, name: str, address: str) -> None:
-        """Where one is reached that is not in the view; bounded."""
-        if name in self.addresses or len(self.addresses) < JOINERS_MOST:
+    def remember_address(self, name: str, address: str) -> None:
+        """Record the address of a name outside the view, within the table's bound."""
+        if name in self.addresses or len(self.addresses) < MAX_JOINERS:
             self.addresses[name] = address
 
-    # -- who watches whom
+    # -- observers
 
     def observers(self, subject: str) -> tuple[str, ...]:
-        """Of a member, or of one who would join, in the view that is held."""
-        names = self.known()
-        if self.settings.broken == "one-observer":
-            return tuple(one for one in names if one != subject)
-        if subject not in self._watches:
-            if len(self._watches) > len(names) + 2 * JOINERS_MOST:
-                self._watches.clear()
-            self._watches[subject] = rings(names, self.settings.observers).observers(subject)
-        return self._watches[subject]
+        """Return the observers of a member or a joiner in the current view."""
+        names = self.known_names()
+        if self.settings.injected_fault == "one-observer":
+            return tuple(name for name in names if name != subject)
+        if subject not in self._observers_by_subject:
+            if len(self._observers_by_subject) > len(names) + 2 * MAX_JOINERS:
+                self._observers_by_subject.clear()
+            self._observers_by_subject[subject] = rings(names, self.settings.observers).observers(subject)
+        return self._observers_by_subject[subject]
 
     def subjects(self) -> tuple[str, ...]:
-        """Whom this member watches."""
+        """Return the members that this one observes."""
         if self.view is None:
             return ()
-        if self._mine is None:
-            self._mine = rings(self.view.names, self.settings.observers).subjects(self.me.name)
-        return self._mine
+        if self._local_subjects is None:
+            view_rings = rings(self.view.names, self.settings.observers)
+            self._local_subjects = view_rings.subjects(self.local_member.name)
+        return self._local_subjects
 
     # -- a new view
 
-    def hold(self, now: float, view: View) -> None:
-        """Take a view; what was kept beside the old one and is in it, or for nobody, goes."""
-        old, self.view = self.view, view
-        if old is None:
-            self._since, self._in_since = {}, now
-        else:
-            self._since = {name: when for name, when in self._since.items() if name in view}
-            self._since |= {one.name: now for one in view.members if one.name not in old}
-        self.raised = {
-            name: one
-            for name, one in self.raised.items()
-            if name in view and one > self.incarnation(name, False)
+    def install_view(self, now: float, view: View) -> None:
+        """Replace the view and drop what was recorded beyond the old one and no longer applies."""
+        previous, self.view = self.view, view
+        self._update_join_times(now, previous, view)
+        self.raised_incarnations = {
+            name: incarnation
+            for name, incarnation in self.raised_incarnations.items()
+            if name in view and incarnation > self._view_incarnation(name)
         }
-        for member in old.members if old is not None else ():
-            if member.name not in view:  # it may ask for the view that it is not in
+        for member in previous.members if previous is not None else ():
+            if member.name not in view:  # it may ask for the view that it was removed from
                 self.addresses[member.name] = member.address
-        self.addresses = {name: one for name, one in self.addresses.items() if name not in view}
-        for name in list(self.addresses)[:-JOINERS_MOST]:
+        self.addresses = {name: address for name, address in self.addresses.items() if name not in view}
+        for name in list(self.addresses)[:-MAX_JOINERS]:
             del self.addresses[name]
-        self._watches.clear()
-        self._mine = None
-        mine = view.get(self.me.name)
-        if mine is not None and mine.incarnation > self.me.incarnation:
-            self.me = replace(self.me, incarnation=mine.incarnation)
-
-    def left_out(self) -> None:
-        """The view that is held is without this member: it is in none, and comes back as somebody newer."""
+        self._observers_by_subject.clear()
+        self._local_subjects = None
+        local = view.get(self.local_member.name)
+        if local is not None and local.incarnation > self.local_member.incarnation:
+            self.local_member = replace(self.local_member, incarnation=local.incarnation)
+
+    def _update_join_times(self, now: float, previous: View | None, view: View) -> None:
+        if previous is None:
+            self._joined_at, self._local_joined_at = {}, now
+            return
+        self._joined_at = {name: joined_at for name, joined_at in self._joined_at.items() if name in view}
+        self._joined_at |= {member.name: now for member in view.members if member.name not in previous}
+
+    def handle_removal(self) -> None:
+        """Drop the view, which no longer has this member; it rejoins with a higher incarnation."""
         self.view = None
-        self.me = replace(self.me, incarnation=self.me.incarnation + 1)
+        self.local_member = replace(self.local_member, incarnation=self.local_member.incarnation + 1)
--- a/sablewheel/membership/outbox.py
+++ b/sablewheel/membership/outbox.py
@@ -1,41 +1,46 @@
-"""What one step wants done, gathered as it goes: messages by name or address, notes and counts. Pure."""
+"""Collects the effects of one step: messages by name or address, log lines and counters. Pure."""
 
 from __future__ import annotations
 
-from .events import Effect, Note, Send
-from .member_table import Roster
+from .events import Effect, LogLine, Send
+from .member_table import MemberTable
 from .messages import Body, Envelope, Message
 
 
 class Outbox:
-    """`effects` are those of the step that is under way; `counts` go on for the member's life."""
+    """`effects` belong to the current step; `counters` last as long as the member."""
 
-    def __init__(self, roster: Roster) -> None:
-        self._roster = roster
+    def __init__(self, member_table: MemberTable) -> None:
+        self._member_table = member_table
         self.effects: list[Effect] = []
-        self.counts: dict[str, int] = {}
+        self.counters: dict[str, int] = {}
 
-    def begin(self) -> None:
+    def start_step(self) -> None:
+        """Discard the effects of the previous step."""
         self.effects = []
 
     def broadcast(self, body: Body) -> None:
-        for name in self._roster.others():
+        """Send to every other known member."""
+        for name in self._member_table.other_names():
             self.send(name, body)
 
-    def send(self, name: str, body: Body, fallback: str = "", epoch: int | None = None) -> None:
-        """To a member by name, or to `fallback` if nobody knows where it is; else to nobody."""
-        address = self._roster.address(name) or fallback
+    def send(self, name: str, body: Body, fallback_address: str = "", epoch: int | None = None) -> None:
+        """Send to a member by name, or to the fallback address if the name is unknown; else to nobody."""
+        address = self._member_table.address(name) or fallback_address
         if address:
-            self.send_to(address, body, epoch)
+            self.send_to_address(address, body, epoch)
 
-    def send_to(self, address: str, body: Body, epoch: int | None = None) -> None:
-        """With the epoch of the view that is held, or that of an earlier one that the message is about."""
-        envelope = Envelope(self._roster.me.name, self._roster.epoch if epoch is None else epoch)
+    def send_to_address(self, address: str, body: Body, epoch: int | None = None) -> None:
+        """Send with the current epoch, or with that of an earlier view that the message is about."""
+        current_epoch = self._member_table.epoch
+        envelope = Envelope(self._member_table.local_member.name, current_epoch if epoch is None else epoch)
         self.effects.append(Send(address, Message(envelope, body)))
         self.count("sent")
 
-    def note(self, what: str, **fields: object) -> None:
-        self.effects.append(Note(what, fields))
+    def log(self, message: str, **fields: object) -> None:
+        """Write a log line."""
+        self.effects.append(LogLine(message, fields))
 
     def count(self, name: str) -> None:
-        self.counts[name] = self.counts.get(name, 0) + 1
+        """Increment a counter."""
+        self.counters[name] = self.counters.get(name, 0) + 1
--- a/sablewheel/membership/voting.py
+++ b/sablewheel/membership/voting.py
@@ -1,157 +1,173 @@
-"""The vote on the next view: what `Agreement` says, carried in time, passed on in large views. Pure."""
+"""Voting on the next view: runs the consensus instance of the epoch and relays votes in large views. Pure."""
 
 from __future__ import annotations
 
 import random
 from collections.abc import Callable
 
-from .consensus import Agreement, Out
-from .member_table import Roster
-from .messages import Round, Vote, Votes
+from .consensus import ConsensusInstance, OutgoingMessage
+from .member_table import MemberTable
+from .messages import RoundMessage, Vote, Votes
 from .outbox import Outbox
 from .plan import Settings
-from .view import Kind, Proposal, changes_text
+from .view import ChangeKind, Proposal, changes_text
 
-VOTES_FANOUT, VOTES_EVERY = 4, 5  # whom votes are passed on to, and how often in a period, in a large view
-TALLIES_MOST = 4  # proposals in one message of votes
-TALLIES_BYTES_MOST = 52_000  # of their members: past it the most voted for goes with fewer others
+VOTE_GOSSIP_FANOUT = 4  # members that the votes are relayed to at a time, in a large view
+VOTE_GOSSIPS_PER_PERIOD = 5
+MAX_TALLIES_PER_MESSAGE = 4
+MAX_TALLIES_BYTES = 52_000  # of the proposals in a message; a datagram holds little more
+
+Tally = tuple[Proposal, int]  # a proposal and the bit mask of its voters
 
 
 class Voting:
-    """`decide(now, proposal)` hears what was agreed, once an epoch."""
+    """`on_decision(now, proposal)` is called with what was decided, once per epoch."""
 
     def __init__(
         self,
-        roster: Roster,
-        out: Outbox,
+        member_table: MemberTable,
+        outbox: Outbox,
         settings: Settings,
-        chance: random.Random,
-        decide: Callable[[float, Proposal], None],
+        rng: random.Random,
+        on_decision: Callable[[float, Proposal], None],
     ) -> None:
-        self._roster, self._out, self._settings, self._chance = roster, out, settings, chance
-        self._decide = decide
-        self.agreement: Agreement | None = None
-        self._voted_at = self._next_votes = 0.0
-        self._rounds = 0
-        self._last: tuple[int, Votes] | None = None  # the epoch it ended, for who is still at it
+        self._member_table, self._outbox, self._settings, self._rng = member_table, outbox, settings, rng
+        self._on_decision = on_decision
+        self.consensus: ConsensusInstance | None = None
+        self._round_started_at = self._next_vote_gossip_at = 0.0
+        self._classic_rounds = 0
+        self._last_decision: tuple[int, Votes] | None = None  # an epoch and its votes, for members behind
 
     @property
     def has_voted(self) -> bool:
         """Whether this member's fast vote of the epoch is cast."""
-        return self.agreement is not None and self.agreement.has_voted
-
-    def propose(self, now: float, cut: Proposal) -> None:
-        agreement = self._of_epoch()
-        self._voted_at = now
-        size, removed = len(agreement.acceptors), sum(one.kind is Kind.REMOVE for one in cut)
-        if size - removed < agreement.fast_quorum and self._settings.broken != "one-at-a-time":
-            # Those who stay are too few to decide it fast: there is nothing to wait for.
-            self._voted_at -= self._settings.vote_timeout - self._settings.period / 2
-        self._out.note("proposed", epoch=agreement.epoch, changes=changes_text(cut))
-        self._carry(now, agreement.propose(cut))
-
-    def take(self, now: float, sender: str, body: Round) -> None:
-        """A vote, or a message of a classic round, of the epoch that is held."""
-        agreement = self._of_epoch()
-        if isinstance(body, Vote) and not agreement.votes:
-            self._voted_at = now
-        self._carry(now, agreement.take(sender, body))
-
-    def take_passed(self, now: float, sender: str, epoch: int, votes: Votes) -> None:
-        """Votes that a member of a large view passes on."""
-        view = self._roster.view
+        return self.consensus is not None and self.consensus.has_voted
+
+    def propose(self, now: float, proposal: Proposal) -> None:
+        """Vote for a proposal in the fast round."""
+        consensus = self._current_consensus()
+        self._round_started_at = now
+        remaining = len(consensus.acceptors) - sum(change.kind is ChangeKind.REMOVE for change in proposal)
+        if remaining < consensus.fast_quorum and self._settings.injected_fault != "one-at-a-time":
+            # The remaining members cannot decide the fast round, so a classic round follows soon.
+            self._round_started_at -= self._settings.vote_timeout_s - self._settings.period_s / 2
+        self._outbox.log("proposed", epoch=consensus.epoch, changes=changes_text(proposal))
+        self._send_all(now, consensus.propose(proposal))
+
+    def handle_round_message(self, now: float, sender: str, body: RoundMessage) -> None:
+        """Handle a vote or a message of a classic round of the current epoch."""
+        consensus = self._current_consensus()
+        if isinstance(body, Vote) and not consensus.votes:
+            self._round_started_at = now
+        self._send_all(now, consensus.handle(sender, body))
+
+    def handle_relayed_votes(self, now: float, sender: str, epoch: int, votes: Votes) -> None:
+        """Handle votes that a member of a large view relays."""
+        view = self._member_table.view
         if view is None:
             return
         if epoch < view.epoch:
-            if self._last is not None and self._last[0] == epoch:
-                self._out.send(sender, self._last[1], epoch=epoch)  # it is still at what was decided here
+            if self._last_decision is not None and self._last_decision[0] == epoch:
+                self._outbox.send(sender, self._last_decision[1], epoch=epoch)  # it has not decided yet
         elif epoch == view.epoch:
-            agreement = self._of_epoch()
-            if not agreement.votes:
-                self._voted_at = self._next_votes = now
-            for cut, bits in votes.tallies[:TALLIES_MOST]:
-                agreement.merge(cut, bits)
-            self._look(now)
+            consensus = self._current_consensus()
+            if not consensus.votes:
+                self._round_started_at = self._next_vote_gossip_at = now
+            for proposal, voters in votes.tallies[:MAX_TALLIES_PER_MESSAGE]:
+                consensus.merge_votes(proposal, voters)
+            self._check_decision(now)
 
     def clear(self) -> None:
-        """Of an epoch that is over."""
-        self.agreement = None
+        """Drop the consensus of the previous epoch."""
+        self.consensus = None
 
     # -- timers
 
-    def wakes(self) -> list[float]:
-        if not self._open():
+    def wakeup_times(self) -> list[float]:
+        """Return when a classic round starts and when votes are relayed."""
+        if not self._is_undecided():
             return []
-        times = [self._voted_at + self._settings.vote_timeout * (1 + self._rounds)]
-        return [*times, self._next_votes] if self._roster.large else times
+        times = [self._classic_round_at()]
+        return [*times, self._next_vote_gossip_at] if self._member_table.is_large else times
 
-    def ring(self, now: float) -> None:
-        self._pass_on(now)
-        self._fall_back(now)
+    def run_timers(self, now: float) -> None:
+        """Relay votes and start a classic round, when they are due."""
+        self._gossip_votes(now)
+        self._start_classic_round_if_due(now)
 
-    def _open(self) -> bool:
-        agreement = self.agreement
-        return agreement is not None and agreement.decided is None and bool(agreement.votes)
+    def _classic_round_at(self) -> float:
+        return self._round_started_at + self._settings.vote_timeout_s * (1 + self._classic_rounds)
 
-    def _pass_on(self, now: float) -> None:
-        """In a large view the votes that this member knows go to a few others again and again, so that a
-        decision costs each some messages a round of about log n, not one from each to each."""
-        if self.agreement is None or not self._open() or not self._roster.large:
-            return
-        if now >= self._next_votes:
-            self._next_votes = now + self._settings.period / VOTES_EVERY
-            tallies = _fitting(sorted(self.agreement.votes.items(), key=lambda one: -one[1].bit_count()))
-            for name in self._roster.some(self._chance, VOTES_FANOUT):
-                self._out.send(name, Votes(tuple(tallies)))
-
-    def _fall_back(self, now: float) -> None:
-        """No fast decision in time: a classic round, coordinators spread apart by chance."""
-        if self.agreement is None or not self._open():
+    def _is_undecided(self) -> bool:
+        consensus = self.consensus
+        return consensus is not None and consensus.decided is None and bool(consensus.votes)
+
+    def _gossip_votes(self, now: float) -> None:
+        """Relay the known votes of a large view to a few members, again and again.
+
+        So a decision costs each member about log n messages and not one from each to each.
+        """
+        if self.consensus is None or not self._is_undecided() or not self._member_table.is_large:
             return
-        if now < self._voted_at + self._settings.vote_timeout * (1 + self._rounds):
+        if now >= self._next_vote_gossip_at:
+            self._next_vote_gossip_at = now + self._settings.period_s / VOTE_GOSSIPS_PER_PERIOD
+            most_voted_first = sorted(self.consensus.votes.items(), key=lambda tally: -tally[1].bit_count())
+            tallies = fit_tallies(most_voted_first)
+            for name in self._member_table.random_names(self._rng, VOTE_GOSSIP_FANOUT):
+                self._outbox.send(name, Votes(tuple(tallies)))
+
+    def _start_classic_round_if_due(self, now: float) -> None:
+        """Start a classic round if the fast one did not decide in time; coordinators spread at random."""
+        if self.consensus is None or not self._is_undecided() or now < self._classic_round_at():
             return
-        self._rounds += 1
-        self._voted_at = now + self._chance.uniform(0, self._settings.vote_timeout)
-        self._out.note("classic round", epoch=self.agreement.epoch, round=self._rounds)
-        self._carry(now, self.agreement.classic(self._rounds))
+        self._classic_rounds += 1
+        self._round_started_at = now + self._rng.uniform(0, self._settings.vote_timeout_s)
+        self._outbox.log("classic round", epoch=self.consensus.epoch, round=self._classic_rounds)
+        self._send_all(now, self.consensus.start_classic_round(self._classic_rounds))
 
-    # -- the epoch's agreement
+    # -- the consensus of the epoch
 
-    def _of_epoch(self) -> Agreement:
-        view = self._roster.view
+    def _current_consensus(self) -> ConsensusInstance:
+        view = self._member_table.view
         assert view is not None
-        if self.agreement is None or self.agreement.epoch != view.epoch:
-            self.agreement = Agreement(view.epoch, view.names, self._roster.me.name, view.places)
-            self._rounds = 0
-        return self.agreement
-
-    def _carry(self, now: float, outs: list[Out]) -> None:
-        for to, body in outs:
-            if to is None and isinstance(body, Vote) and self._roster.large:
-                self._next_votes = now  # passed on with what others voted
-            elif to is None:
-                self._out.broadcast(body)
-            elif to != self._roster.me.name:
-                self._out.send(to, body)
-        self._look(now)
-
-    def _look(self, now: float) -> None:
-        agreement, view = self.agreement, self._roster.view
-        if agreement is None or agreement.decided is None or view is None or agreement.epoch != view.epoch:
+        if self.consensus is None or self.consensus.epoch != view.epoch:
+            local_name = self._member_table.local_member.name
+            self.consensus = ConsensusInstance(view.epoch, view.names, local_name, view.positions)
+            self._classic_rounds = 0
+        return self.consensus
+
+    def _send_all(self, now: float, messages: list[OutgoingMessage]) -> None:
+        for recipient, body in messages:
+            if recipient is None and isinstance(body, Vote) and self._member_table.is_large:
+                self._next_vote_gossip_at = now  # relayed with the other votes
+            elif recipient is None:
+                self._outbox.broadcast(body)
+            elif recipient != self._member_table.local_member.name:
+                self._outbox.send(recipient, body)
+        self._check_decision(now)
+
+    def _check_decision(self, now: float) -> None:
+        consensus, view = self.consensus, self._member_table.view
+        if consensus is None or view is None or consensus.epoch != view.epoch:
             return
-        if self._roster.large and agreement.decided in agreement.votes:
-            decision = Votes(((agreement.decided, agreement.votes[agreement.decided]),))
-            self._last = (view.epoch, decision)
-        self._decide(now, agreement.decided)
-
-
-def _fitting(tallies: list[tuple[Proposal, int]]) -> list[tuple[Proposal, int]]:
-    """The first ones, as many as fit a datagram; the first in any case. Guards a vote against proposals of
-    many members that differ: a message that is too large would not be sent at all, and nothing decided."""
-    room, kept = TALLIES_BYTES_MOST, list[tuple[Proposal, int]]()
-    for cut, bits in tallies[:TALLIES_MOST]:
-        room -= sum(one.member.bytes_most for one in cut) + bits.bit_length() // 8
-        if kept and room < 0:
+        decided = consensus.decided
+        if decided is None:
+            return
+        if self._member_table.is_large and decided in consensus.votes:
+            self._last_decision = (view.epoch, Votes(((decided, consensus.votes[decided]),)))
+        self._on_decision(now, decided)
+
+
+def fit_tallies(tallies: list[Tally]) -> list[Tally]:
+    """Return the first tallies, as many as fit a datagram and at least one.
+
+    A message that is too large would not be sent at all, and nothing would be decided.
+    """
+    bytes_left = MAX_TALLIES_BYTES
+    fitting: list[Tally] = []
+    for proposal, voters in tallies[:MAX_TALLIES_PER_MESSAGE]:
+        bytes_left -= sum(change.member.max_encoded_bytes for change in proposal) + voters.bit_length() // 8
+        if fitting and bytes_left < 0:
             break
-        kept.append((cut, bits))
-    return kept
+        fitting.append((proposal, voters))
+    return fitting
--- a/sablewheel/program/feature_context.py
+++ b/sablewheel/program/feature_context.py
@@ -16,9 +16,9 @@
 
 if TYPE_CHECKING:
     from ..feature_policy.service import PolicyService
-    from ..forwarding.peer_connections import Links
-    from ..forwarding.service import Forward
-    from ..membership.service import Fleet
+    from ..forwarding.peer_connections import PeerConnections
+    from ..forwarding.service import ForwardingService
+    from ..membership.service import MembershipService
     from ..replication.service import ReplicationService
 
 
@@ -56,9 +56,9 @@
     observer: RequestObserver = NO_OBSERVER
     result_store: ResultStore = NO_RESULT_STORE
     metadata: tuple[tuple[str, str], ...] = ()
-    fleet: Fleet | None = None
-    links: Links | None = None
-    forward: Forward | None = None
+    fleet: MembershipService | None = None
+    links: PeerConnections | None = None
+    forward: ForwardingService | None = None
     policies: PolicyService | None = None
     replication: ReplicationService | None = None
     leave: Callable[[], None] | None = None
--- a/sablewheel/program/feature_registry.py
+++ b/sablewheel/program/feature_registry.py
@@ -130,16 +130,16 @@
 
 
 def _build_membership(feature_context: FeatureContext, plan: MembershipPlan) -> FeatureHooks:
-    from ..membership.service import Fleet
+    from ..membership.service import MembershipService
 
     placement_settings = feature_context.placement_settings
     with _listening("membership", plan.listen):
-        fleet = Fleet(
+        fleet = MembershipService(
             feature_context.scheduler,
             plan,
             placement_settings.name,
             placement_settings.seed,
-            says=feature_context.metadata,
+            metadata=feature_context.metadata,
         )
     feature_context.fleet = fleet
     feature_context.leave = fleet.leave
@@ -152,38 +152,39 @@
 
 
 def _build_forwarding(feature_context: FeatureContext, plan: ForwardingPlan) -> FeatureHooks:
-    from ..forwarding.forwarding_state import Passing
-    from ..forwarding.peer_connections import Links
-    from ..forwarding.service import Forward
+    from ..forwarding.forwarding_state import ForwardingState
+    from ..forwarding.peer_connections import PeerConnections
+    from ..forwarding.service import ForwardingService
 
     fleet, placement_settings = feature_context.fleet, feature_context.placement_settings
     assert fleet is not None  # the section needs membership's
-    incarnation = fleet.node.me.incarnation
+    incarnation = fleet.node.local_member.incarnation
     # At least half of the connections there may be is left for clients.
     settings = replace(
-        plan.links, links_most=min(plan.links.links_most, placement_settings.max_connections // 2)
+        plan.connections,
+        max_connections=min(plan.connections.max_connections, placement_settings.max_connections // 2),
     )
     with _listening("forwarding", plan.listen):
-        links = feature_context.links = Links(
-            feature_context.scheduler, plan.listen, settings, fleet.me, incarnation
+        links = feature_context.links = PeerConnections(
+            feature_context.scheduler, plan.listen, settings, fleet.node_name, incarnation
         )
-    forward = feature_context.forward = Forward(
+    forward = feature_context.forward = ForwardingService(
         feature_context.scheduler,
         links,
-        Passing(plan.passing),
+        ForwardingState(plan.forwarding),
         round(feature_context.scheduler.clock.now * 1000),
         placement_settings.request_classes,
         placement_settings.tenants,
         lambda: feature_context.observer,  # the outermost of all features, once they are made
     )
-    fleet.on_view(links.view)
-    fleet.on_view(forward.view)
+    fleet.on_view(links.handle_view)
+    fleet.on_view(forward.handle_view)
     return FeatureHooks(
         handler=forward.handler,
-        descriptors=lambda: links.room_for,
-        leaving=lambda: forward.leaving() if feature_context.leave is not None else None,
-        end_round=links.end_round,
-        settled=lambda: forward.settled and links.quiet,
+        descriptors=lambda: links.max_connections,
+        leaving=lambda: forward.start_shutdown() if feature_context.leave is not None else None,
+        end_round=links.flush,
+        settled=lambda: forward.is_idle and links.all_sent,
         close=lambda _: links.close(),
         gauges=lambda: {**links.gauges(), **forward.gauges()},
     )
@@ -258,7 +259,7 @@
         links,
         replace(plan, settings=settings),
         placement_settings.name,
-        fleet.node.me.incarnation,
+        fleet.node.local_member.incarnation,
         feature_context.result_store,
         feature_context.observer,
         feature_context.on_never_started,
--- a/sablewheel/program/feature_settings/forwarding.py
+++ b/sablewheel/program/feature_settings/forwarding.py
@@ -6,8 +6,8 @@
 
 from pydantic import Field, model_validator
 
-from ...forwarding.plan import ForwardingPlan, LinkSettings, PassSettings
-from .section import Address, Section, host_and_port
+from ...forwarding.plan import ConnectionSettings, ForwardingPlan, ForwardingSettings
+from .section import Address, Section
 
 
 class ForwardingSection(Section):
@@ -53,22 +53,23 @@
 
     def plan(self) -> ForwardingPlan:
         """Return the plan of the feature."""
-        links = LinkSettings(
-            frame_most=self.frame_most_kb * 1024,
-            queue_frames=self.queue_frames,
-            queue_bytes=self.queue_kb * 1024,
-            links_most=self.links_most,
-            connect_within=self.connect_within_s,
-            ping_every=self.ping_every_s,
-            silent_most=self.silent_most_s,
-            rest_first=self.rest_first_s,
-            rest_last=self.rest_last_s,
-            linger=self.linger_s,
+        host, _, port = self.listen.rpartition(":")
+        links = ConnectionSettings(
+            max_frame_bytes=self.frame_most_kb * 1024,
+            max_queued_frames=self.queue_frames,
+            max_queued_bytes=self.queue_kb * 1024,
+            max_connections=self.links_most,
+            connect_timeout_s=self.connect_within_s,
+            ping_interval_s=self.ping_every_s,
+            max_silence_s=self.silent_most_s,
+            initial_retry_delay_s=self.rest_first_s,
+            max_retry_delay_s=self.rest_last_s,
+            departed_linger_s=self.linger_s,
         )
-        passing = PassSettings(
-            out_most=self.out_most,
-            in_most=self.in_most,
-            taken_within=self.taken_within_s,
-            doubt=self.doubt_s,
+        passing = ForwardingSettings(
+            max_forwarded=self.out_most,
+            max_admitted_per_peer=self.in_most,
+            ack_timeout_s=self.taken_within_s,
+            peer_backoff_s=self.doubt_s,
         )
-        return ForwardingPlan(host_and_port(self.listen), self.advertise or self.listen, links, passing)
+        return ForwardingPlan((host, int(port)), self.advertise or self.listen, links, passing)
--- a/sablewheel/program/feature_settings/membership.py
+++ b/sablewheel/program/feature_settings/membership.py
@@ -7,7 +7,7 @@
 from pydantic import AfterValidator, Field, model_validator
 
 from ...membership.plan import MembershipPlan, Settings
-from .section import Address, Section, host_and_port
+from .section import Address, Section
 
 
 def _check_place(text: str) -> str:
@@ -65,28 +65,29 @@
 
     def plan(self) -> MembershipPlan:
         """Return the plan of the feature."""
+        host, _, port = self.listen.rpartition(":")
         settings = Settings(
-            period=self.period_s,
-            probe_timeout=self.probe_timeout_s,
-            indirect=self.indirect,
+            period_s=self.period_s,
+            probe_timeout_s=self.probe_timeout_s,
+            indirect_probes=self.indirect,
             observers=self.observers,
-            high=self.high,
-            low=self.low,
-            suspicion_least=self.suspicion_periods,
-            suspicion_stretch=self.suspicion_stretch,
+            high_watermark=self.high,
+            low_watermark=self.low,
+            min_suspicion_periods=self.suspicion_periods,
+            max_suspicion_ratio=self.suspicion_stretch,
             confirmations=self.confirmations,
-            health_most=self.health_most,
-            retransmit=self.retransmit,
-            news_most=self.news_most,
-            sync_every=self.sync_every_s,
-            vote_timeout=self.vote_timeout_s,
-            settle=self.settle_s,
-            join_every=self.join_every_s,
-            found_after=self.found_after_s,
-            found_least=self.found_least,
+            max_health_score=self.health_most,
+            retransmit_factor=self.retransmit,
+            max_updates_per_message=self.news_most,
+            sync_interval_s=self.sync_every_s,
+            vote_timeout_s=self.vote_timeout_s,
+            max_settle_s=self.settle_s,
+            join_interval_s=self.join_every_s,
+            found_delay_s=self.found_after_s,
+            min_founders=self.found_least,
         )
         return MembershipPlan(
-            listen=host_and_port(self.listen),
+            listen=(host, int(port)),
             advertise=self.advertise or self.listen,
             zone=self.zone,
             region=self.region,
--- a/sablewheel/replication/replica_runner.py
+++ b/sablewheel/replication/replica_runner.py
@@ -6,6 +6,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
+from ..forwarding.errors import SendError
 from ..membership.view import View
 from ..transport.scheduler import Scheduler
 from ..transport.wakeup import Wakeup
@@ -49,11 +50,13 @@
 class PeerConnections(Protocol):
     """Sends and receives frames."""
 
-    def send(self, to: str, kind: str, payload: bytes, within: float) -> bool:
-        """Queue a frame that is worthless after `within` seconds; whether it was queued."""
+    def send(self, peer_name: str, message_type: str, payload: bytes, *, expires_in_s: float) -> None:
+        """Queue a frame that is worthless after `expires_in_s` seconds; raises `SendError`."""
 
-    def on(self, kind: str, handler: Callable[[str, bytes], None], parted: bool = False) -> None:
-        """Set the handler of frames of a kind; `parted`: also those of members that left the view."""
+    def register_handler(
+        self, message_type: str, handler: Callable[[str, bytes], None], accept_departed: bool = False
+    ) -> None:
+        """Set the handler of frames of a type; `accept_departed`: also from members outside the view."""
 
 
 class OutcomeObserver(Protocol):
@@ -96,7 +99,7 @@
         self._wake = Wakeup(scheduler, clock, self._on_timer)
         self._is_open = True
         # A member that leaves still pushes the outcomes of its runs.
-        connections.on(FRAME_KIND, self._on_frame, parted=True)
+        connections.register_handler(FRAME_KIND, self._on_frame, accept_departed=True)
 
     def claim(
         self,
@@ -138,7 +141,7 @@
     def install_view(self, view: View) -> None:
         """Install a view of the membership."""
         sites = tuple(
-            Site(member.name, member.incarnation, member.zone, _parse_weight(member.said("weight")))
+            Site(member.name, member.incarnation, member.zone, _parse_weight(member.metadata_value("weight")))
             for member in view.members
         )
         removed = tuple(
@@ -191,7 +194,9 @@
         lifetime_s = CHUNK_LIFETIME_S if isinstance(message, RangeChunk) else MESSAGE_LIFETIME_S
         data = codec.encode(message, *self._division)
         self._count("replication_bytes_out_k" if len(data) > 1024 else "replication_frames_out")
-        if not self._connections.send(to, FRAME_KIND, data, lifetime_s):
+        try:
+            self._connections.send(to, FRAME_KIND, data, expires_in_s=lifetime_s)
+        except SendError:
             self._count("replication_unsent")
 
 
--- a/sablewheel/session_affinity/load_reports.py
+++ b/sablewheel/session_affinity/load_reports.py
@@ -2,10 +2,12 @@
 
 from __future__ import annotations
 
+import contextlib
 from collections.abc import Callable, Mapping
 
-from ..forwarding.peer_connections import Links
-from ..membership.service import Fleet
+from ..forwarding.errors import SendError
+from ..forwarding.peer_connections import PeerConnections
+from ..membership.service import MembershipService
 from ..membership.view import View
 from ..transport.scheduler import Scheduler
 from .codec import FRAME_LIFETIME_S, FRAME_TYPE, encode
@@ -24,8 +26,8 @@
     def __init__(
         self,
         scheduler: Scheduler,
-        fleet: Fleet,
-        links: Links,
+        fleet: MembershipService,
+        links: PeerConnections,
         *,
         warmth: Callable[[], float],
         capacity: float,
@@ -76,7 +78,7 @@
         capacity = 0.0 if self._is_leaving else self._capacity
         warmth = min(max(self._warmth(), MIN_WARMTH), 1.0)
         load = ServerLoad(self._session_count(), warmth, capacity)
-        self._loads[self._fleet.me] = load
+        self._loads[self._fleet.node_name] = load
         self._send(load, REPORT_INTERVAL_S)
         self._on_report(self._loads)
         self._scheduler.after(REPORT_INTERVAL_S, self._report)
@@ -84,5 +86,6 @@
     def _send(self, load: ServerLoad, lifetime_s: float) -> None:
         data = encode(load)
         for name in self._fleet.view.names if self._fleet.view is not None else ():
-            if name != self._fleet.me:
-                self._links.send(name, FRAME_TYPE, data, lifetime_s)
+            if name != self._fleet.node_name:
+                with contextlib.suppress(SendError):
+                    self._links.send(name, FRAME_TYPE, data, expires_in_s=lifetime_s)
--- a/sablewheel/session_affinity/session_router.py
+++ b/sablewheel/session_affinity/session_router.py
@@ -8,14 +8,16 @@
 
 from __future__ import annotations
 
+import contextlib
 import logging
 import time
 from collections import Counter
 from collections.abc import Callable
 
-from ..forwarding.peer_connections import Links
-from ..forwarding.service import Forward, Guest
-from ..membership.service import Fleet
+from ..forwarding.errors import SendError
+from ..forwarding.peer_connections import PeerConnections
+from ..forwarding.service import ForwardedCaller, ForwardingService
+from ..membership.service import MembershipService
 from ..membership.view import View
 from ..overload.interface import Idempotency, Tenant
 from ..replication.service import ReplicationService
@@ -71,9 +73,9 @@
         self,
         scheduler: Scheduler,
         plan: AffinityPlan,
-        fleet: Fleet,
-        links: Links,
-        forward: Forward,
+        fleet: MembershipService,
+        links: PeerConnections,
+        forward: ForwardingService,
         keeper: ReplicationService,
         result_store: ResultStore,
         observer: RequestObserver,
@@ -105,7 +107,7 @@
         self._keys = SessionKeyResolver(plan.fields, tenants)
         self.flow_of: Callable[[Exchange], str] = _request_class_name
         self.counts: Counter[str] = Counter()
-        self.sessions = Sessions(fleet.me, fleet.node.me.incarnation, plan.settings, clock())
+        self.sessions = Sessions(fleet.node_name, fleet.node.local_member.incarnation, plan.settings, clock())
         self.sessions.handle_event(clock(), PolicyActivated(1))
         self._register = BindingRegister(keeper, self.counts, self._handle_event)
         self._load_reports = LoadReports(
@@ -132,8 +134,8 @@
         keeper.group_of, keeper.may_begin, keeper.fenced = self._group_of, self._may_begin, self._on_fenced
         lifetime_s = self._plan.settings.binding_lifetime_s
         keeper.replica.max_binding_lifetime_s = max(keeper.replica.max_binding_lifetime_s, lifetime_s)
-        forward.guests, forward.home = self, self._on_forward_failed
-        self._links.on(FRAME_TYPE, self._on_frame)
+        forward.forwarded_handler, forward.returned_handler = self, self._on_forward_failed
+        self._links.register_handler(FRAME_TYPE, self._on_frame)
         self._fleet.on_view(self._on_view)
         self._load_reports.start()
 
@@ -146,20 +148,20 @@
 
     def arrived(self, exchange: Exchange) -> None:
         """Handle a request of a client, or one that another server forwarded here."""
-        forwarded = isinstance(exchange.caller, Guest)
+        forwarded = isinstance(exchange.caller, ForwardedCaller)
         if not forwarded:
             exchange.session = self._keys.resolve(exchange)
             if not exchange.session:
                 self.counts["without_session"] += 1
                 self._handler.arrived(exchange)
                 return
-            if self._forward.is_away(exchange.name):
+            if self._forward.is_forwarded(exchange.name):
                 exchange.fail()  # an open request has this name: as the dispatcher would
                 return
         elif not exchange.session:
             self._forward.serve(exchange)
             return
-        sender = exchange.caller.sender if isinstance(exchange.caller, Guest) else ""
+        sender = exchange.caller.sender if isinstance(exchange.caller, ForwardedCaller) else ""
         self._decide(exchange, sender)
 
     def _decide(self, exchange: Exchange, sender: str) -> None:
@@ -291,18 +293,22 @@
 
     def _forward_to_owner(self, effect: ForwardToOwner) -> None:
         exchange = self._undecided.pop(effect.ref)
-        if not exchange.closed and not self._forward.pass_on(exchange, effect.owner_name):
+        if not exchange.closed and not self._forward.forward_to(exchange, effect.owner_name):
             self._on_forward_failed(exchange, effect.owner_name, frozenset((effect.owner_name,)))
 
     def _return_to_forwarder(self, effect: ReturnToForwarder) -> None:
         exchange = self._undecided.pop(effect.ref)
         # The notice is sent first: the forwarder must know the binding when the request is back.
         notice = encode(BindingNotice(effect.binding))
-        self._links.send(effect.forwarded_by, FRAME_TYPE, notice, FRAME_LIFETIME_S)
-        self._forward.decline(exchange)
+        with contextlib.suppress(SendError):
+            self._links.send(effect.forwarded_by, FRAME_TYPE, notice, expires_in_s=FRAME_LIFETIME_S)
+        self._forward.return_to_origin(exchange)
 
     def _send(self, effect: SendMessage) -> None:
-        if not self._links.send(effect.to, FRAME_TYPE, encode(effect.message), FRAME_LIFETIME_S):
+        data = encode(effect.message)
+        try:
+            self._links.send(effect.to, FRAME_TYPE, data, expires_in_s=FRAME_LIFETIME_S)
+        except SendError:
             self.counts["unsent"] += 1
 
     # -- shutdown
@@ -319,7 +325,7 @@
     def _leave(self) -> None:
         if not self._has_left:
             self._has_left = True
-            self._forward.leaving()
+            self._forward.start_shutdown()
             self._fleet.leave()
 
     def settled(self) -> bool:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -16,18 +16,17 @@
 from sablewheel.experiments.made_net import Net
 from sablewheel.experiments.rig import free_port
 from sablewheel.feature_policy.host_capabilities import CATALOGUE
-from sablewheel.forwarding.peer_connections import Links
-from sablewheel.forwarding.plan import LinkSettings
+from sablewheel.forwarding.peer_connections import PeerConnections
+from sablewheel.forwarding.plan import ConnectionSettings
 from sablewheel.membership import codec
-from sablewheel.membership.detector import RELAYED_MOST
-from sablewheel.membership.events import Got, Send, Tick
-from sablewheel.membership.gossip import NEWS_KEPT
-from sablewheel.membership.messages import Alive, Envelope, Message, Nack, PingReq, Vote, Votes
+from sablewheel.membership.cut_detector import CutDetector, fit_changes
+from sablewheel.membership.events import MessageReceived, Send, TimerFired
+from sablewheel.membership.gossip import MIN_PENDING_UPDATES_CAPACITY
+from sablewheel.membership.messages import Alive, Envelope, Message, Nack, PingRequest, Vote, Votes
 from sablewheel.membership.plan import Settings
-from sablewheel.membership.reports import Reports
-from sablewheel.membership.reports import _fitting as fitting
-from sablewheel.membership.view import Change, Kind, Member, View, proposal
-from sablewheel.membership.voting import _fitting as votes_fitting
+from sablewheel.membership.probe_relay import MAX_RELAYED_PROBES
+from sablewheel.membership.view import Change, ChangeKind, Member, View, canonical_proposal
+from sablewheel.membership.voting import fit_tallies
 from sablewheel.overload.interface import Client
 from sablewheel.program import application, configuration
 from sablewheel.program import feature_file as features
@@ -123,13 +122,13 @@
     standing: int, many: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     judged: list[str] = []
-    stable = Reports._stable
+    stable = CutDetector._stable_changes
 
-    def counted(reports: Reports, gone: set[str]) -> list[Change]:
-        judged.append(reports._roster.me.name)
+    def counted(reports: CutDetector, gone: set[str]) -> list[Change]:
+        judged.append(reports._member_table.local_member.name)
         return stable(reports, gone)
 
-    monkeypatch.setattr(Reports, "_stable", counted)
+    monkeypatch.setattr(CutDetector, "_stable_changes", counted)
     net = Net(Settings(), 3)
     for place in range(standing):
         net.add(f"m{place:04}")
@@ -151,39 +150,43 @@
         ]
 
     for size in (12, 128):
-        joins = [Change(Kind.JOIN, one) for one in members("j", LEAST, size)]
-        goes = [Change(Kind.REMOVE, one) for one in members("r", LEAST // 2 - 1, size)]
-        some, cut = fitting(joins), fitting(joins + goes)
-        assert 0 < len(some) < LEAST and {one.kind for one in some} == {Kind.JOIN}
-        assert sum(one.kind is Kind.REMOVE for one in cut) == min(len(goes), len(fitting(goes)))
-        assert len(goes) == len(fitting(goes)) or size == 128
-        codec.encode(Message(Envelope("m", 1), Vote(proposal(cut))))
+        joins = [Change(ChangeKind.JOIN, one) for one in members("j", LEAST, size)]
+        goes = [Change(ChangeKind.REMOVE, one) for one in members("r", LEAST // 2 - 1, size)]
+        some, cut = fit_changes(joins), fit_changes(joins + goes)
+        assert 0 < len(some) < LEAST and {one.kind for one in some} == {ChangeKind.JOIN}
+        assert sum(one.kind is ChangeKind.REMOVE for one in cut) == min(len(goes), len(fit_changes(goes)))
+        assert len(goes) == len(fit_changes(goes)) or size == 128
+        codec.encode(Message(Envelope("m", 1), Vote(canonical_proposal(cut))))
         bits = (1 << LEAST) - 1
-        tallies = votes_fitting([(proposal(part), bits) for part in (cut, goes[1:] + joins, some, joins[:9])])
-        assert tallies and tallies[0][0] == proposal(cut)
+        tallies = fit_tallies(
+            [(canonical_proposal(part), bits) for part in (cut, goes[1:] + joins, some, joins[:9])]
+        )
+        assert tallies and tallies[0][0] == canonical_proposal(cut)
         codec.encode(Message(Envelope("m", 1), Votes(tuple(tallies))))
-    few = [(proposal(joins[place : place + 2]), 1) for place in range(6)]
-    assert votes_fitting(few) == few[:4]
+    few = [(canonical_proposal(joins[place : place + 2]), 1) for place in range(6)]
+    assert fit_tallies(few) == few[:4]
 
 
 def test_1024_rumours_and_1024_probes_for_others_are_kept_at_once_and_more_in_a_larger_fleet() -> None:
-    assert min(NEWS_KEPT, RELAYED_MOST) >= LEAST
+    assert min(MIN_PENDING_UPDATES_CAPACITY, MAX_RELAYED_PROBES) >= LEAST
     net = Net(Settings(), 1)
     net.stand(2 * LEAST)
     node = net.nodes["m00000"]
     for place in range(1, 2 * LEAST):
-        node.gossip.spread(Alive(f"m{place:05}", 2))
-    assert len(node.gossip.news) == 2 * LEAST - 1  # one of each other, none pushed out
-    node.gossip.spread(Alive("m00001", 3))
-    assert len(node.gossip.news) == 2 * LEAST - 1  # the newer took the older's place
-    for seq in range(RELAYED_MOST + 1):
-        body = PingReq(seq, "m00007", "")
-        node.step(net.now, Got(Message(Envelope(f"m{seq % LEAST + 1:05}", 1), body), "x"))
-    assert len(node.detector.relayed) == RELAYED_MOST and node.counts["relays_refused"] == 1
-    sent = node.step(net.now + 1.0, Tick())
+        node.gossip.disseminate(Alive(f"m{place:05}", 2))
+    assert len(node.gossip.pending) == 2 * LEAST - 1  # one of each other, none pushed out
+    node.gossip.disseminate(Alive("m00001", 3))
+    assert len(node.gossip.pending) == 2 * LEAST - 1  # the newer took the older's place
+    for seq in range(MAX_RELAYED_PROBES + 1):
+        body = PingRequest(seq, "m00007", "")
+        node.step(net.now, MessageReceived(Message(Envelope(f"m{seq % LEAST + 1:05}", 1), body), "x"))
+    assert (
+        len(node.failure_detector.relay.probes) == MAX_RELAYED_PROBES and node.counters["relays_refused"] == 1
+    )
+    sent = node.step(net.now + 1.0, TimerFired())
     bodies = [one.message.body for one in sent if isinstance(one, Send)]
-    nacks = [body.seq for body in bodies if isinstance(body, Nack)]
-    assert nacks == list(range(RELAYED_MOST)) and not node.detector.relayed
+    nacks = [body.sequence for body in bodies if isinstance(body, Nack)]
+    assert nacks == list(range(MAX_RELAYED_PROBES)) and not node.failure_detector.relay.probes
 
 
 # -- links, the descriptors that they take, and the ledger's collector
@@ -191,25 +194,27 @@
 
 def test_links_have_room_for_1024_members_both_ways_and_keep_no_more_than_the_view_needs() -> None:
     scheduler, port = Scheduler(Clock()), free_port()
-    links = Links(scheduler, ("127.0.0.1", port), LinkSettings(), "m0000", 1)
+    links = PeerConnections(scheduler, ("127.0.0.1", port), ConnectionSettings(), "m0000", 1)
 
     def fleet(many: int) -> View:
         says = (("link", "127.0.0.1:9"),)
-        return View(1, tuple(Member(f"m{place:04}", "", incarnation=1, says=says) for place in range(many)))
+        return View(
+            1, tuple(Member(f"m{place:04}", "", incarnation=1, metadata=says) for place in range(many))
+        )
 
     for many, room in ((0, 64), (3, 64), (32, 64), (60, 120), (230, 460), (LEAST, 2 * LEAST)):
-        links.view(fleet(many))
-        assert links.room_for == room
-    links._guests = 2 * LEAST - 1
-    assert links._room()
-    links._guests = 2 * LEAST
-    assert not links._room()
-    links._guests = 0
-    links.view(fleet(60))
+        links.handle_view(fleet(many))
+        assert links.max_connections == room
+    links._unidentified_count = 2 * LEAST - 1
+    assert links._has_capacity()
+    links._unidentified_count = 2 * LEAST
+    assert not links._has_capacity()
+    links._unidentified_count = 0
+    links.handle_view(fleet(60))
     peers = [socket.create_connection(("127.0.0.1", port)) for _ in range(121)]
     scheduler.after(0.2, scheduler.stop)
     scheduler.run()
-    assert links._guests == 120  # one past them waits in the kernel's line
+    assert links._unidentified_count == 120  # one past them waits in the kernel's line
     for peer in peers:
         peer.close()
     links.close()
