--- a/sablewheel/session_affinity/migration_queue.py
+++ b/sablewheel/session_affinity/migration_queue.py
@@ -19,8 +19,9 @@
 class MigrationQueue:
     """Owned sessions that must migrate or change, and the turns of sessions whose owner is gone.
 
-    Invariant: over any span this server starts no more migrations than its share of the fleet's budget
-    allows, except while it drains: then the pace follows from the time that is left.
+    Invariant: a queued migration starts with a token of this server's share of the fleet's budget; while the
+    server drains, with one of a budget that follows from the time that is left. A takeover waits for its
+    turn.
     """
 
     def __init__(self, context: SessionContext, now: float) -> None:
--- a/sablewheel/session_affinity/sessions.py
+++ b/sablewheel/session_affinity/sessions.py
@@ -58,7 +58,7 @@
 class Sessions:
     """One member's sessions: `handle_event` takes an event and returns the effects it asks for.
 
-    Invariant: a session is in the ownership or has a cached route, never both with the route the newer one.
+    Invariant: a request goes to the ownership first, then by the route cache, and only then to a lookup.
     """
 
     def __init__(self, node_name: str, incarnation: int, settings: AffinitySettings, now: float) -> None:
--- a/tests/stories/test_affinity_stories.py
+++ b/tests/stories/test_affinity_stories.py
@@ -35,7 +35,7 @@
     def __init__(self) -> None:
         self.chance = random.Random(7)
         self.kiosks: list[str] = []
-        self.keys: dict[str, Any] = {
+        self.settings: dict[str, Any] = {
             "idle_timeout_s": 60.0,
             "migrations_per_s": BUDGET,
             "handover_timeout_s": 3.0,
@@ -45,9 +45,9 @@
         self.owners: dict[str, str] = {}  # at `since`
         self.long_run: Request | None = None
 
-    def begin(self, servers: int, kiosks: int = 0, kind: type[World] = World, **keys: Any) -> None:
-        self.keys |= keys
-        self.world = kind([f"m{place}" for place in range(servers)], AffinitySettings(**self.keys))
+    def begin(self, servers: int, kiosks: int = 0, kind: type[World] = World, **settings: Any) -> None:
+        self.settings |= settings
+        self.world = kind([f"m{place}" for place in range(servers)], AffinitySettings(**self.settings))
         self.world.run_takes = lambda: self.chance.choice([0.02, 0.05, 0.4])
         self.more(kiosks)
         self.mark()
@@ -95,14 +95,14 @@
 
 @pytest.fixture
 def story() -> Iterator[Story]:
-    told = Story()
-    yield told
-    told.world.heal()
-    told.world.no_majority = False
-    told.world.run(QUIET)
-    assert [request for request in told.world.requests if not request.outcome] == []
-    if not told.keys.get("faulty_variant"):
-        assert told.world.watch.wrong == []
+    current = Story()
+    yield current
+    current.world.heal()
+    current.world.no_majority = False
+    current.world.run(QUIET)
+    assert [request for request in current.world.requests if not request.outcome] == []
+    if not current.settings.get("faulty_variant"):
+        assert current.world.watch.wrong == []
 
 
 # -- how the fleet is
@@ -118,19 +118,19 @@
         r"room for (\d+) sessions": "max_sessions",
         r"sessions end after (\d+) idle": "idle_timeout_s",
     }
-    told = {name: re.search(what, rest) for what, name in wanted.items()}
-    keys: dict[str, Any] = {name: int(found[1]) for name, found in told.items() if found}
-    if found := re.search(r'by "([a-z-]+)"', rest):
-        keys["faulty_variant"] = found[1]
-    if "faulty_variant" in keys or "whole" in rest:
-        keys["migrations_per_s"] = 1.0
+    matches = {name: re.search(pattern, rest) for pattern, name in wanted.items()}
+    settings: dict[str, Any] = {name: int(match[1]) for name, match in matches.items() if match}
+    if variant := re.search(r'by "([a-z-]+)"', rest):
+        settings["faulty_variant"] = variant[1]
+    if "faulty_variant" in settings or "whole" in rest:
+        settings["migrations_per_s"] = 1.0
     kiosks = re.search(r"(\d+) kiosks in service", rest)
     lossy = "loses a third" in rest
-    assert keys or kiosks or lossy or not rest, rest
+    assert settings or kiosks or lossy or not rest, rest
     kind = ReplicaWorld if "on replicas" in rest else World
-    story.begin(int(servers), int(kiosks[1]) if kiosks else 0, kind, **keys)
+    story.begin(int(servers), int(kiosks[1]) if kiosks else 0, kind, **settings)
     story.world.lose_answers = 1 / 3 if lossy else 0.0
-    if "migrations_per_s" in keys and keys["migrations_per_s"] == 1.0:
+    if "migrations_per_s" in settings and settings["migrations_per_s"] == 1.0:
         story.world.run_takes = lambda: 2.5  # runs so long that a second owner is sure to meet one
 
 
@@ -462,7 +462,7 @@
         found.add("sessions moved without a cause")
     times = sorted(when for when, _, before, _ in story.moves if before == "m3")
     burst = max((sum(when < at + 1.0 for when in times[place:]) for place, at in enumerate(times)), default=0)
-    if burst > story.keys["migrations_per_s"] + len(story.world.view.names):
+    if burst > story.settings["migrations_per_s"] + len(story.world.view.names):
         found.add("more moved than the budget lets")
     return found
 
