--- a/sablewheel/bench_adapter/host.py
+++ b/sablewheel/bench_adapter/host.py
@@ -1,4 +1,4 @@
-"""The instances behind the wire: one controller each, and the door where ids become objects."""
+"""The simulated servers behind the wire: one controller each; ids become objects here."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from . import wire
 from .wire import Line, MalformedError, number, seconds, whole
 
-AGAIN, WRITES, HINTED = 2, 4, 1
+HAS_COST_HINT, IS_RETRY, WRITES = 1, 2, 4  # bits of a request's marks
 
 
 class Instance:
@@ -21,21 +21,21 @@
         self.name = name
         self.server_settings = server_settings
         self.controller = Controller(server_settings, seed)
-        self.routers: dict[int, Client] = {}
-        # A request lives here as long as the controller, or a request that repeats it, still holds it.
+        self.clients: dict[int, Client] = {}
+        # A request stays here while the controller, or a duplicate of it, still refers to it.
         self.requests: WeakValueDictionary[int, Request] = WeakValueDictionary()
         self.ids: WeakKeyDictionary[Request, int] = WeakKeyDictionary()
 
     def event(self, line: Line, now: float) -> Event | None:
-        """What a line tells, or None if it speaks of a request that is long over."""
+        """Return the event of a line; None if it is about a request that is long over."""
         parts = line.parts
         if line.verb == "request":
             return interface.RequestArrived(self._request(parts, now))
         if line.verb == "bell":
             whole(parts[0])
-            told = wire.gauges(parts[1])
+            gauges = wire.gauges(parts[1])
             return interface.TimerFired(
-                told.get("cpu_busy", inf), told.get("sockets", inf), told.get("runnable", inf)
+                gauges.get("cpu_busy", inf), gauges.get("sockets", inf), gauges.get("runnable", inf)
             )
         if line.verb == "drain":
             return interface.ShutdownNotice(number(parts[0], 0.0))
@@ -61,16 +61,16 @@
             if tenant_place >= len(self.server_settings.tenants):
                 raise MalformedError(f"no such tenant: {tenant_place}")
             tenant = self.server_settings.tenants[tenant_place]
-        marks, wait_left = whole(parts[3], 0), number(parts[7], 0.0)
+        marks, remaining_s = whole(parts[3], 0), number(parts[7], 0.0)
         request = Request(
             request_class=self.server_settings.request_classes[request_class_place],
-            client=self.routers.setdefault(whole(parts[2], 0), Client()),
+            client=self.clients.setdefault(whole(parts[2], 0), Client()),
             tenant=tenant,
             arrived_at=now - number(parts[9], 0.0),
             memory_kb=number(parts[11], 0.0),
-            remaining_s=wait_left if self.server_settings.deadline_propagated and parts[7] != "-" else None,
-            cost_hint=number(parts[6]) if marks & HINTED and parts[6] != "-" else None,
-            is_retry=bool(marks & AGAIN),
+            remaining_s=remaining_s if self.server_settings.deadline_propagated and parts[7] != "-" else None,
+            cost_hint=number(parts[6]) if marks & HAS_COST_HINT and parts[6] != "-" else None,
+            is_retry=bool(marks & IS_RETRY),
             writes=bool(marks & WRITES),
             subject=parts[8] if parts[8] != "-" else None,
         )
@@ -81,7 +81,7 @@
         return request
 
     def _forgotten(self, request: Request, original: int) -> Request:
-        """Stands for an original that nobody holds any more: it has run, or it would not be named."""
+        """Return a placeholder for an original that is over: it has run, or it would not be named."""
         stub = Request(request.request_class, request.client, request.tenant, request.arrived_at, 0.0)
         stub.stage, stub.started = interface.Stage.FINISHED, True
         self._enter(stub, original)
@@ -92,50 +92,54 @@
         self.requests[name] = request
 
     def line(self, action: Action) -> str:
-        """An action as the wire writes it."""
-        i, ids = self.name, self.ids
+        """Return an action as a line of the wire."""
+        instance, ids = self.name, self.ids
         match action:
             case interface.Run(request):
-                return f"run {i} {ids[request]}"
+                return f"run {instance} {ids[request]}"
             case interface.Cancel(request):
-                return f"suspend {i} {ids[request]}"
+                return f"suspend {instance} {ids[request]}"
             case interface.Reject(request, retry_after_s, no_retry_elsewhere):
-                return f"busy {i} {ids[request]} {seconds(retry_after_s)} {int(no_retry_elsewhere)}"
+                return f"busy {instance} {ids[request]} {seconds(retry_after_s)} {int(no_retry_elsewhere)}"
             case interface.Fail(request):
-                return f"fail {i} {ids[request]}"
+                return f"fail {instance} {ids[request]}"
             case interface.CallDependency(request, allow):
-                return f"call {i} {ids[request]} {seconds(allow)}"
+                return f"call {instance} {ids[request]} {seconds(allow)}"
             case interface.SkipDependencyCall(request):
-                return f"go_on {i} {ids[request]}"
+                return f"go_on {instance} {ids[request]}"
             case interface.ReserveKey(request, life):
-                return f"remember {i} {ids[request]} {seconds(life)}"
+                return f"remember {instance} {ids[request]} {seconds(life)}"
             case interface.ReleaseKey(request):
-                return f"release_key {i} {ids[request]}"
+                return f"release_key {instance} {ids[request]}"
             case interface.AttachToOriginal(request):
-                return f"join {i} {ids[request]}"
+                return f"join {instance} {ids[request]}"
             case interface.SetHealth(good, stored):
-                return f"set_health {i} {int(good)} {int(stored)}"
+                return f"set_health {instance} {int(good)} {int(stored)}"
             case interface.AdvertiseCapacity(amount):
-                return f"say {i} {seconds(amount)}"
+                return f"say {instance} {seconds(amount)}"
             case interface.CloseIdle(after):
-                return f"close_idle {i} {seconds(after)}"
+                return f"close_idle {instance} {seconds(after)}"
             case interface.SetTimer(after):
-                return f"set_alarm {i} {seconds(after)} 0"
+                return f"set_alarm {instance} {seconds(after)} 0"
             case interface.PresumeLost():
                 raise AssertionError("starts are never unconfirmed on the simulator's wire")
             case interface.Log(words):
-                return f"say_log {i} {words}"
+                return f"say_log {instance} {words}"
 
 
 class Host:
-    """All instances of this process; they share nothing."""
+    """All simulated servers of this process; they share nothing."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
 
     def batch(self, now: float, texts: list[str]) -> list[str]:
-        """The reply lines to one batch of event lines."""
-        told: dict[Instance, list[Event]] = {}
+        """Return the reply lines to one batch of event lines.
+
+        Raises:
+            MalformedError: A line is not of the wire, or names an instance that does not exist.
+        """
+        events_of: dict[Instance, list[Event]] = {}
         for text in texts:
             line = wire.parse_line(text)
             if line.verb == "init":
@@ -147,16 +151,16 @@
             if instance is None:
                 raise MalformedError(f"no such instance: {text!r}")
             if line.verb == "destroy":
-                told.pop(instance, None)
+                events_of.pop(instance, None)
                 del self.instances[line.instance]
                 continue
-            events = told.setdefault(instance, [])
+            events = events_of.setdefault(instance, [])
             if line.verb != "init":
                 event = instance.event(line, now)
                 if event is not None:
                     events.append(event)
         return [
             instance.line(action)
-            for instance, events in told.items()
+            for instance, events in events_of.items()
             for action in instance.controller.handle_events(now, events)
         ]
