--- a/sablewheel/command/trial.py
+++ b/sablewheel/command/trial.py
@@ -8,8 +8,8 @@
 
 import click
 
-from ..experiments.rig import RigError
-from ..experiments.verdict import Verdict
+from ..experiments.result import ExperimentResult
+from ..experiments.testbed import TestbedError
 
 TRIALS = {
     "affinity": "affinity",
@@ -45,18 +45,18 @@
     sablewheel trial ledger --broken no-dedup    must not hold
     """
     module = importlib.import_module(f"..experiments.{TRIALS[name]}", __package__)
-    kinds = getattr(module, "BROKEN", ())
+    kinds = getattr(module, "FAULTY_VARIANTS", ())
     if broken and broken not in kinds:
         raise click.BadParameter(
             f"{broken!r} is none of {', '.join(kinds) or 'no kinds'}", param_hint="--broken"
         )
     try:
-        verdict = module.run(seed, quick, broken) if kinds else module.run(seed, quick)
-    except RigError as trouble:
-        verdict = Verdict(name)
-        verdict.check("the rig comes up", False, trouble)
-    click.echo(verdict.table())
-    click.echo(verdict.line())
+        result = module.run(seed, quick, broken) if kinds else module.run(seed, quick)
+    except TestbedError as trouble:
+        result = ExperimentResult(name)
+        result.check("the rig comes up", False, trouble)
+    click.echo(result.table())
+    click.echo(result.line())
     if json_file is not None:
-        json_file.write_text(verdict.line() + "\n")
-    sys.exit(0 if verdict.holds else 1)
+        json_file.write_text(result.line() + "\n")
+    sys.exit(0 if result.holds else 1)
--- a/sablewheel/experiments/__init__.py
+++ b/sablewheel/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Measured experiments: real processes on loopback, the failures they are for, and a verdict."""
+"""Measured experiments: real processes on loopback, the failures they are for, and a result."""
--- a/sablewheel/experiments/affinity.py
+++ b/sablewheel/experiments/affinity.py
@@ -21,14 +21,12 @@
 from itertools import pairwise
 from pathlib import Path
 
-from ..session_affinity.plan import FAULTY_VARIANTS
 from .affinity_size import modulo, rendezvous
 from .fleet import LISTEN, Block
-from .forwarding import LINK, LINK_DOOR, Stage
-from .rig import PATIENCE, SETTINGS, Rig, RigError
-from .verdict import Verdict
+from .forwarding import LINK, LINK_DOOR, Scenario
+from .result import ExperimentResult
+from .testbed import PATIENCE, SETTINGS, Testbed, TestbedError
 
-BROKEN = FAULTY_VARIANTS
 SIZE = 5
 KIOSKS = 30
 BUDGET = 0.8  # moves a second
@@ -76,7 +74,7 @@
     was: str
 
 
-class Sessions(Stage):
+class Sessions(Scenario):
     """The fleet with all that affinity stands on."""
 
     broken = ""
@@ -85,11 +83,11 @@
     def busiest(self) -> str:
         """Whose interpreter ran most so far, of those that the trial has no other plans with."""
         others = [name for name in self.names if name not in ("m1", "m3")]
-        return max(others, key=lambda name: sum(1 for _ in self.rig.runs(name)))
+        return max(others, key=lambda name: sum(1 for _ in self.testbed.runs(name)))
 
     @property
     def version(self) -> Path:
-        return self.rig.folder / "version"
+        return self.testbed.folder / "version"
 
     def features(self, name: str) -> str:
         place = self.names.index(name)
@@ -97,14 +95,14 @@
         lines += [f"  advertise: {self.relay_host}:{LINK_DOOR + place}", "replication:", "  copies: 3"]
         lines += ["affinity:", "  idle-s: 600", "  keep-versions: 5", f"  moves-per-s: {BUDGET:g}"]
         lines += [f"  load-factor: {FACTOR}", f"  bound-least: {LEAST}"]
-        return super(Stage, self).features(name) + "\n".join([*lines, ""])
+        return super(Scenario, self).features(name) + "\n".join([*lines, ""])
 
     def start(self, name: str) -> None:
-        path = self.rig.folder / f"{name}.yaml"
+        path = self.testbed.folder / f"{name}.yaml"
         path.write_text(self.features(name))
         safety = {**SETTINGS["safety"], "drain-grace-s": GRACE}
         extra = {**SETTINGS["extra"], "cores": CORES}
-        told = self.rig.configuration(
+        told = self.testbed.configuration(
             name,
             LISTEN,
             self.vms[name],
@@ -114,7 +112,7 @@
             settings={"classes": CLASSES, "servers": self.size, "safety": safety, "extra": extra},
         )
         words = ("sablewheel.experiments.affinity_server", str(self.version), self.broken)
-        self.processes[name] = self.rig.start(
+        self.processes[name] = self.testbed.start(
             name, *words, shifted=False, RELAY_CONFIG=str(told), SABLEWHEEL_FEATURES=str(path)
         )
 
@@ -122,7 +120,7 @@
         apart = time.time() - time.monotonic()
         found = []
         for name in self.names:
-            path = self.rig.folder / f"{name}.log"
+            path = self.testbed.folder / f"{name}.log"
             for line in path.read_text(errors="replace").splitlines() if path.exists() else ():
                 if seen := MOVED.match(line):
                     pairs = dict(word.split("=", 1) for word in shlex.split(seen[2]) if "=" in word)
@@ -131,11 +129,11 @@
 
     def runs(self, keyed: bool = True) -> Iterator[Keyed]:
         """Keyed runs, or all, by the interpreters' word; one without an end is open to the last."""
-        held = [one for one in self.rig.held("client") if one["name"]]
+        held = [one for one in self.testbed.held("client") if one["name"]]
         kiosks = {one["name"]: one["kiosk"] for one in held if one["label"] or not keyed}
         for name in self.names:
             begun: dict[str, float] = {}
-            for word, request, when in self.rig.runs(name):
+            for word, request, when in self.testbed.runs(name):
                 if request not in kiosks:
                     continue
                 if word == "begin":
@@ -146,42 +144,45 @@
                 yield Keyed(kiosks[request], name, since, since + WORK["record"])
 
 
-def run(seed: int, quick: bool, broken: str = "") -> Verdict:
+def run(seed: int, quick: bool, broken: str = "") -> ExperimentResult:
     """The trial; `broken` names a fault put into the servers on purpose."""
-    verdict = Verdict("affinity")
+    result = ExperimentResult("affinity")
     marks: dict[str, float] = {}
-    with Rig(seed) as rig, closing(Block()) as block:
-        stage = Sessions(rig, block.second, "ours", 0, SIZE, seed, keys=KEYS, work=WORK, cores=CORES)
-        stage.broken = broken
-        for name in stage.names:
-            stage.start(name)
-        for name in stage.names:
-            stage.wait_up(name)
-        if stage.wait_agreed(stage.names, PATIENCE) is None:
-            raise RigError(f"no view: {stage.processes['m0'].tail()}")
+    with Testbed(seed) as testbed, closing(Block()) as block:
+        scenario = Sessions(testbed, block.second, "ours", 0, SIZE, seed, keys=KEYS, work=WORK, cores=CORES)
+        scenario.broken = broken
+        for name in scenario.names:
+            scenario.start(name)
+        for name in scenario.names:
+            scenario.wait_up(name)
+        if scenario.wait_agreed(scenario.names, PATIENCE) is None:
+            raise TestbedError(f"no view: {scenario.processes['m0'].tail()}")
         time.sleep(WINDOW + 3.0)  # nobody can know what an earlier fleet ran: all windows pass first
         calm = 3.0 if quick else 8.0
-        plot = _plot(calm)
-        seconds = sum(span for span, _ in plot)
-        client = rig.start(
-            "client", "sablewheel.experiments.affinity_client", _client(stage, seed, seconds), shifted=False
+        faults = _draw_faults(calm)
+        seconds = sum(span for span, _ in faults)
+        client = testbed.start(
+            "client",
+            "sablewheel.experiments.affinity_client",
+            _client(scenario, seed, seconds),
+            shifted=False,
         )
-        for span, what in plot:
+        for span, what in faults:
             marks[what] = time.monotonic()
-            ACTS.get(what, _nothing)(stage)
+            ACTS.get(what, _nothing)(scenario)
             time.sleep(max(marks[what] + span - time.monotonic(), 0.0))
         marks["end"] = time.monotonic()
         client.popen.wait(60)
-        for name in stage.names:
-            if stage.processes[name].alive:
-                stage.processes[name].leave()
+        for name in scenario.names:
+            if scenario.processes[name].alive:
+                scenario.processes[name].leave()
         time.sleep(0.1)
-        _judge(stage, verdict, marks)
-        stage.relay.close()
-    return verdict
+        _check_promises(scenario, result, marks)
+        scenario.relay.close()
+    return result
 
 
-def _plot(calm: float) -> list[tuple[float, str]]:
+def _draw_faults(calm: float) -> list[tuple[float, str]]:
     """How long each part lasts, and what it begins with."""
     turn = 2.0 * KIOSKS / RATE
     return [
@@ -199,30 +200,30 @@
     ]
 
 
-def _nothing(stage: Sessions) -> None: ...
+def _nothing(scenario: Sessions) -> None: ...
 
 
 def _bump(version: int) -> Callable[[Sessions], object]:
-    def do(stage: Sessions) -> None:
-        stage.version.write_text(f"{version}\n")
+    def do(scenario: Sessions) -> None:
+        scenario.version.write_text(f"{version}\n")
 
     return do
 
 
-def _pause(stage: Sessions) -> None:
-    stage.stop("m3")
+def _pause(scenario: Sessions) -> None:
+    scenario.stop("m3")
     time.sleep(PAUSE)
-    stage.go_on("m3")
+    scenario.go_on("m3")
 
 
-def _kill(stage: Sessions) -> None:
-    stage.victim = stage.busiest()
-    stage.processes[stage.victim].kill()
+def _kill(scenario: Sessions) -> None:
+    scenario.victim = scenario.busiest()
+    scenario.processes[scenario.victim].kill()
 
 
-def _back(stage: Sessions) -> None:
-    stage.processes["m1"].popen.wait(10)
-    stage.start("m1")
+def _back(scenario: Sessions) -> None:
+    scenario.processes["m1"].popen.wait(10)
+    scenario.start("m1")
 
 
 ACTS: dict[str, Callable[[Sessions], object]] = {
@@ -230,31 +231,31 @@
     "bump 3": _bump(3),
     "bump 4": _bump(4),
     "kill": _kill,
-    "return": lambda stage: stage.start(stage.victim),
-    "drain": lambda stage: stage.processes["m1"].popen.terminate(),
+    "return": lambda scenario: scenario.start(scenario.victim),
+    "drain": lambda scenario: scenario.processes["m1"].popen.terminate(),
     "back": _back,
     "pause": _pause,
 }
 
 
-def _client(stage: Sessions, seed: int, seconds: float) -> str:
+def _client(scenario: Sessions, seed: int, seconds: float) -> str:
     told = {
-        "servers": [f"{stage.host(name)}:{LISTEN}" for name in stage.names],
+        "servers": [f"{scenario.host(name)}:{LISTEN}" for name in scenario.names],
         "seed": seed,
         "rate": RATE,
         "seconds": seconds,
         "tenants": {"any": 1.0},
         "request_classes": REQUEST_CLASSES,
         "kiosks": KIOSKS,
-        "log": str(stage.rig.folder / "client.held"),
+        "log": str(scenario.testbed.folder / "client.held"),
         "patience_end": ABANDON + 2.0,
     }
     return json.dumps(told)
 
 
-def _judge(stage: Sessions, verdict: Verdict, marks: dict[str, float]) -> None:
-    runs = sorted(stage.runs(), key=lambda one: one.begun)
-    moves = [one for one in stage.moves() if one.when < marks["end"]]
+def _check_promises(scenario: Sessions, result: ExperimentResult, marks: dict[str, float]) -> None:
+    runs = sorted(scenario.runs(), key=lambda one: one.begun)
+    moves = [one for one in scenario.moves() if one.when < marks["end"]]
     order = [*sorted(marks, key=lambda what: marks[what])]
     after = dict(pairwise(order))
 
@@ -273,47 +274,47 @@
             last[one.kiosk] = one.at
         return found
 
-    begun = {one.kiosk: one.at for one in stage.runs(keyed=False) if one.begun < marks["bump 2"]}
+    begun = {one.kiosk: one.at for one in scenario.runs(keyed=False) if one.begun < marks["bump 2"]}
     held = Counter(begun.values())
-    verdict.check("every session has its server", len(begun) == KIOSKS, f"{len(begun)} of {KIOSKS}")
+    result.check("every session has its server", len(begun) == KIOSKS, f"{len(begun)} of {KIOSKS}")
     bound = max(LEAST, math.ceil(FACTOR * (KIOSKS + 1) / SIZE))
-    verdict.check(
+    result.check(
         "no owner is above its bound",
         bool(held) and max(held.values()) <= bound,
         f"{max(held.values(), default=0)} of {bound}",
     )
     bumped = changes(marks["bump 2"], marks["kill"])
     said = [one for one in moves if marks["bump 2"] <= one.when < marks["kill"]]
-    verdict.check(
+    result.check(
         "over three bumps no session moves",
         not bumped and not said,
         f"{len(bumped)} by the runs, {len(said)} by the logs",
     )
-    _death(stage, verdict, runs, moves, changes(*within("kill")), within("kill"))
+    _death(scenario, result, runs, moves, changes(*within("kill")), within("kill"))
     back = changes(*within("return"))
-    stray = [one for one in back if one[1] != stage.victim]
-    verdict.check("its return moves nothing", not stray, f"{len(stray)}")
+    stray = [one for one in back if one[1] != scenario.victim]
+    result.check("its return moves nothing", not stray, f"{len(stray)}")
     drained = changes(marks["drain"], marks["pause"])
-    stray = [one for one in drained if one[1] not in ("m1", stage.victim)]
+    stray = [one for one in drained if one[1] not in ("m1", scenario.victim)]
     left = [one for one in moves if one.was == "m1" and one.when > marks["back"]]
     by = Counter(one.cause for one in moves if one.was == "m1" and one.when >= marks["drain"])
-    verdict.check(
+    result.check(
         "a drain hands over all within its grace, and no other moves",
         by["drain"] > 0 and not left and not stray,
         f"{dict(by)}, {len(left)} later, {len(stray)} of others",
     )
-    known = ("m1", stage.victim, "m3")  # whose sessions may be seen moving this late
+    known = ("m1", scenario.victim, "m3")  # whose sessions may be seen moving this late
     paused = [one for one in changes(marks["pause"], marks["again"]) if one[1] not in known]
-    verdict.check("a pause past removal moves its sessions only", not paused, f"{len(paused)} of others")
+    result.check("a pause past removal moves its sessions only", not paused, f"{len(paused)} of others")
     again = changes(*within("again"))
-    verdict.check("a second run over moves nothing", not again, f"{len(again)}")
-    _overlaps(stage, verdict, runs, marks)
-    tries = [one for one in stage.rig.held("client") if one["how"] != "second"]
-    seconds = sum(one["how"] == "second" for one in stage.rig.held("client"))
-    verdict.check("no ticket has two answers", not seconds, seconds)
+    result.check("a second run over moves nothing", not again, f"{len(again)}")
+    _overlaps(scenario, result, runs, marks)
+    tries = [one for one in scenario.testbed.held("client") if one["how"] != "second"]
+    seconds = sum(one["how"] == "second" for one in scenario.testbed.held("client"))
+    result.check("no ticket has two answers", not seconds, seconds)
     how = Counter(f"{one['how']} {one['track']}" for one in tries)
     for name, much in sorted(how.items()):
-        verdict.figures[name] = much
+        result.figures[name] = much
     calm = marks["kill"] - 2.0  # what was open when it was killed may be lost
     quiet = [one for one in tries if one["from"] < calm or one["from"] >= marks["again"]]
     good = sum(one["how"] == "completed" for one in quiet) / max(len(quiet), 1)
@@ -322,16 +323,16 @@
         for one in quiet
         if one["how"] != "completed" and one["from"] >= marks["begin"]
     )
-    verdict.check(
+    result.check(
         "where nothing fails nearly all are served", good >= 0.98, f"{good:.4f} of {len(quiet)}, {dict(rest)}"
     )
     for cause, much in sorted(Counter(one.cause for one in moves).items()):
-        verdict.figures[f"moved: {cause}"] = much
+        result.figures[f"moved: {cause}"] = much
 
 
 def _death(
-    stage: Sessions,
-    verdict: Verdict,
+    scenario: Sessions,
+    result: ExperimentResult,
     runs: list[Keyed],
     moves: list[Move],
     changed: list[tuple[str, str, str]],
@@ -340,10 +341,10 @@
     """One of the servers was killed: whose sessions move, how fast, and what others would have moved."""
     since, until = span
     owners = {one.kiosk: one.at for one in runs if one.begun < since}
-    mine = {kiosk for kiosk, at in owners.items() if at == stage.victim}
-    stray = [one for one in changed if one[1] != stage.victim]
-    moved = {kiosk for kiosk, was, _ in changed if was == stage.victim}
-    verdict.check(
+    mine = {kiosk for kiosk, at in owners.items() if at == scenario.victim}
+    stray = [one for one in changed if one[1] != scenario.victim]
+    moved = {kiosk for kiosk, was, _ in changed if was == scenario.victim}
+    result.check(
         "one of the servers is killed: its sessions move, of the others none",
         bool(mine) and moved == mine and not stray,
         f"{len(moved)} of its {len(mine)}, {len(stray)} of others",
@@ -351,25 +352,27 @@
     times = [one.when for one in moves if since <= one.when < until and one.cause == "removed"]
     burst = max((sum(at <= when < at + 1.0 for when in times) for at in times), default=0)
     room = BUDGET + 4 * math.sqrt(BUDGET)
-    verdict.check(
+    result.check(
         "no faster than the budget, by four deviations of turns by chance",
         0 < burst <= room,
         f"most in a second {burst} of {room:.0f}",
     )
     keys = [f"kiosk-{number}" for number in range(KIOSKS)]
-    rest = [name for name in stage.names if name != stage.victim]
-    verdict.figures["ours: moved by the death"] = len(moved)
+    rest = [name for name in scenario.names if name != scenario.victim]
+    result.figures["ours: moved by the death"] = len(moved)
     for title, place in (("modulo N", modulo), ("plain rendezvous", rendezvous)):
-        lost = sum(place(key, stage.names) != place(key, rest) for key in keys)
-        verdict.figures[f"{title}: moved by the death"] = lost
-        verdict.figures[f"{title}: moved back by the return"] = lost
+        lost = sum(place(key, scenario.names) != place(key, rest) for key in keys)
+        result.figures[f"{title}: moved by the death"] = lost
+        result.figures[f"{title}: moved back by the return"] = lost
 
 
-def _overlaps(stage: Sessions, verdict: Verdict, runs: list[Keyed], marks: dict[str, float]) -> None:
+def _overlaps(
+    scenario: Sessions, result: ExperimentResult, runs: list[Keyed], marks: dict[str, float]
+) -> None:
     """Two servers at one session's keyed work; what one had begun before it died or stopped goes on as a
     claim."""
     woken = marks["pause"] + PAUSE + 2.0
-    gone = {stage.victim: (marks["kill"], marks["return"]), "m3": (marks["pause"], woken)}
+    gone = {scenario.victim: (marks["kill"], marks["return"]), "m3": (marks["pause"], woken)}
     by_kiosk: dict[str, list[Keyed]] = defaultdict(list)
     for one in runs:
         by_kiosk[one.kiosk].append(one)
@@ -382,16 +385,16 @@
                 since, until = gone.get(one.at, (math.inf, -math.inf))
                 if not (one.begun <= since + 0.1 and one.ended <= until):
                     found.append((one, other))
-    verdict.check(
+    result.check(
         "two servers never run one session's labelled work",
         not found,
         f"{len(found)}" + (f", as {found[0]}" if found else f" of {len(runs)} runs"),
     )
     idempotency_keys: Counter[str] = Counter()
-    own = {one["name"]: one["label"] for one in stage.rig.held("client") if one.get("label")}
-    for name in stage.names:
-        for word, request, _ in stage.rig.runs(name):
+    own = {one["name"]: one["label"] for one in scenario.testbed.held("client") if one.get("label")}
+    for name in scenario.names:
+        for word, request, _ in scenario.testbed.runs(name):
             if word == "begin" and request in own:
                 idempotency_keys[own[request]] += 1
     twice = sum(much > 1 for much in idempotency_keys.values())
-    verdict.check("no label runs twice", not twice, f"{twice} of {len(idempotency_keys)}")
+    result.check("no label runs twice", not twice, f"{twice} of {len(idempotency_keys)}")
--- a/sablewheel/experiments/affinity_client.py
+++ b/sablewheel/experiments/affinity_client.py
@@ -12,9 +12,9 @@
 import sys
 import time
 
-from . import wire
-from .rig import TENANTS
+from . import client_protocol as wire
 from .router import Routers
+from .testbed import TENANTS
 
 
 class Kiosks(Routers):
--- a/sablewheel/experiments/affinity_fleet.py
+++ b/sablewheel/experiments/affinity_fleet.py
@@ -48,7 +48,7 @@
 from ..session_affinity.placement import ServerLoad
 from ..session_affinity.plan import AffinitySettings
 from ..session_affinity.sessions import Sessions
-from .made_fleet import MadeFleet
+from .simulated_fleet import SimulatedFleet
 
 Key = str
 
@@ -159,7 +159,7 @@
 
     came: RequestArrived
     claim: Claim
-    verdict: str
+    result: str
     number: int
     asked: float
 
@@ -238,16 +238,16 @@
     def _claimed(self, now: float, said: Claimed) -> list[Any]:
         came = said.came
         if came.ref not in self.requests:
-            return [Free(came, said.claim)] if said.verdict == "won" else []
-        if said.verdict == "refused":
+            return [Free(came, said.claim)] if said.result == "won" else []
+        if said.result == "refused":
             return self._carry(now, self.sessions.handle_event(now, ClaimRefused(came, said.number)))
-        if said.verdict == "won":
+        if said.result == "won":
             if self.sessions.may_begin(now, came.key, said.claim.number, said.asked):
                 return [Begin(came, said.claim)]
             out: list[Any] = [Free(came, said.claim)]
         else:
             out = []
-        why = DecisionReason.NO_MAJORITY if said.verdict == "unreachable" else DecisionReason.STALE
+        why = DecisionReason.NO_MAJORITY if said.result == "unreachable" else DecisionReason.STALE
         del self.requests[came.ref]
         rest = self.sessions.handle_event(now, RequestFinished(came.ref, came.key))
         return [*out, RejectRequest(came.ref, 0.2, why), *self._carry(now, rest)]
@@ -283,7 +283,7 @@
         self, names: list[str], settings: AffinitySettings, seed: int = 1, warm_up: float = 10.0
     ) -> None:
         self.settings, self.warm_up = settings, warm_up
-        self.fleet = MadeFleet(MessageReceived, TimerFired(), seed, self._heard)
+        self.fleet = SimulatedFleet(MessageReceived, TimerFired(), seed, self._heard)
         self.register = Register(fenced=settings.faulty_variant != "two-owners")
         self.watch = Watch()
         self.chance = random.Random(f"{seed}-world")
--- a/sablewheel/experiments/affinity_model.py
+++ b/sablewheel/experiments/affinity_model.py
@@ -40,9 +40,9 @@
 from ..session_affinity.ownership import OwnershipPhase
 from ..session_affinity.plan import AffinitySettings
 from .affinity_fleet import Ask, Begin, Claimed, Free, Register, Run, Server, Watch
-from .verdict import Verdict as Found
+from .result import ExperimentResult as Found
 
-BROKEN = ("no-handover", "two-owners")
+FAULTY_VARIANTS = ("no-handover", "two-owners")
 NAMES = ("a", "b", "c")
 KEY = "k"
 SETTLE = 12.0  # seconds without faults after which all must be well
@@ -75,12 +75,12 @@
     match what:
         case Put(_, _, expect, value, _):
             return f"write {_bound(value)} if {expect}"
-        case RegisterAnswered(_, verdict, entry):
-            return f"{verdict.value}, {_bound(entry) if entry else 'nothing stands there'}"
+        case RegisterAnswered(_, result, entry):
+            return f"{result.value}, {_bound(entry) if entry else 'nothing stands there'}"
         case Ask(came, claim):
             return f"claim of request {came.ref} under {claim.number}"
-        case Claimed(came, claim, verdict, _, _):
-            return f"claim of request {came.ref} under {claim.number}: {verdict}"
+        case Claimed(came, claim, result, _, _):
+            return f"claim of request {came.ref} under {claim.number}: {result}"
         case RequestArrived(ref):
             return f"request {ref}"
         case RequestReturned(came, one):
@@ -212,8 +212,8 @@
         elif isinstance(one.what, ReadBinding):
             said = RegisterAnswered(one.what.ref, RegisterVerdict.WON, self.register.bindings.get(KEY))
         else:
-            verdict, number = self.register.claim(KEY, one.what.claim)
-            said = Claimed(one.what.came, one.what.claim, verdict, number, one.asked)
+            result, number = self.register.claim(KEY, one.what.claim)
+            said = Claimed(one.what.came, one.what.claim, result, number, one.asked)
         self.way.append(Way("answer", "register", one.sender, said))
 
     def _lost(self, one: Way) -> Any:
@@ -534,14 +534,14 @@
 def run(seed: int, quick: bool, broken: str = "") -> Found:
     """Nothing here is drawn by `seed`: every order is tried."""
     del seed
-    verdict = Found("affinity-model")
+    result = Found("affinity-model")
     depth, most, leaves = (6, 60_000, 100) if quick else (8, 600_000, 1000)
     for title, start in STARTS.items():
         states, settled, trace, wrong = explore(start(broken), depth, most, leaves)
         says = f"{states} states, {settled} settled" + (f": {wrong}" if wrong else "")
         whole = depth < states < most  # cut short, it would not be every order
-        verdict.check(f"{title}: nothing wrong in any order to depth {depth}", not wrong and whole, says)
+        result.check(f"{title}: nothing wrong in any order to depth {depth}", not wrong and whole, says)
         if trace:
-            verdict.figures[f"trace ({title})"] = "\n    ".join(["", *trace])
-        verdict.figures[f"states ({title})"] = states
-    return verdict
+            result.figures[f"trace ({title})"] = "\n    ".join(["", *trace])
+        result.figures[f"states ({title})"] = states
+    return result
--- a/sablewheel/experiments/affinity_replicas.py
+++ b/sablewheel/experiments/affinity_replicas.py
@@ -147,22 +147,22 @@
             match effect:
                 case wire.Send(to, message):
                     out.append(SendSaid(to, Said(message)))
-                case wire.Answer(ref, verdict, entry):
-                    out += self._answer(now, ref, verdict, entry)
+                case wire.Answer(ref, result, entry):
+                    out += self._answer(now, ref, result, entry)
         return out
 
-    def _answer(self, now: float, ref: int, verdict: str, entry: Entry) -> list[Any]:
+    def _answer(self, now: float, ref: int, result: str, entry: Entry) -> list[Any]:
         if ref in self._claims:
             ask, asked = self._claims.pop(ref)
             known = {"won": "won", "fenced": "refused", "running": "known", "known": "known"}
-            means = known.get(verdict, "unreachable")
+            means = known.get(result, "unreachable")
             claimed = Claimed(ask.came, ask.claim, means, ask.claim.number + 1, asked)
             return self._asked(now, super().step(now, claimed))
         question = self._questions.pop(ref)
         stands = decode_binding(entry.value, entry.version) if entry.value else None
-        out: list[Any] = [Seen(stands)] if stands is not None and verdict in ("won", "stale", "read") else []
+        out: list[Any] = [Seen(stands)] if stands is not None and result in ("won", "stale", "read") else []
         verdicts = {"won": RegisterVerdict.WON, "read": RegisterVerdict.WON, "stale": RegisterVerdict.LOST}
-        said = RegisterAnswered(question.ref, verdicts.get(verdict, RegisterVerdict.UNREACHABLE), stands)
+        said = RegisterAnswered(question.ref, verdicts.get(result, RegisterVerdict.UNREACHABLE), stands)
         return out + self._asked(now, super().step(now, said))
 
 
--- a/sablewheel/experiments/affinity_size.py
+++ b/sablewheel/experiments/affinity_size.py
@@ -13,11 +13,10 @@
 from collections import Counter
 
 from ..overload.interface import Idempotency
-from ..session_affinity.plan import FAULTY_VARIANTS, AffinitySettings
+from ..session_affinity.plan import AffinitySettings
 from .affinity_fleet import World
-from .verdict import Verdict
+from .result import ExperimentResult
 
-BROKEN = FAULTY_VARIANTS
 EACH = 20  # sessions a member
 BUDGET = 2.0  # moves a second, of the whole fleet
 GRACE = 10.0
@@ -69,27 +68,27 @@
     return max((sum(at <= when < at + 1.0 for when in times) for at in times), default=0)
 
 
-def run(seed: int, quick: bool, broken: str = "") -> Verdict:
-    verdict = Verdict("affinity-size")
+def run(seed: int, quick: bool, broken: str = "") -> ExperimentResult:
+    result = ExperimentResult("affinity-size")
     n = 40 if quick else 200
     fleet = Fleet(n, seed, broken)
     world, pace = fleet.world, n * 10.0
     fleet.go_on(len(fleet.keys) * 2 / pace, pace)
     world.run(3.0)
     begun, at = fleet.owners(), world.fleet.now
-    verdict.check("every session has an owner", all(begun.values()), f"{len(begun)} sessions, {n} members")
+    result.check("every session has an owner", all(begun.values()), f"{len(begun)} sessions, {n} members")
     held = Counter(begun.values())
     bound = math.ceil(world.settings.load_factor * len(fleet.keys) / n) + 1
     most = max(held.values())
     limit = max(bound, world.settings.min_load_bound)
     good = most <= limit and not world.count("forced")
-    verdict.check("no owner is above its bound", good, f"{most} of {limit}")
+    result.check("no owner is above its bound", good, f"{most} of {limit}")
 
     for version in (2, 3, 4):
         world.bump(version)
         fleet.go_on(2.0, pace)
     moved = world.moves(at)
-    verdict.check("over three bumps no session moves", not moved, f"{len(moved)} moved")
+    result.check("over three bumps no session moves", not moved, f"{len(moved)} moved")
 
     names = sorted(world.alive)
     dead, at, before = names[n // 2], world.fleet.now, fleet.owners()
@@ -102,13 +101,13 @@
     moved = world.moves(at)
     others = [one for one in moved if one[2] != dead]
     good = not others and len(moved) == len(mine) > 0
-    verdict.check(
+    result.check(
         "one is killed: its sessions move, of the others none",
         good,
         f"{len(moved)} of its {len(mine)}, {len(others)} of others",
     )
     burst, room = _burst([when for when, *_ in moved]), BUDGET + 4 * math.sqrt(BUDGET) + 1
-    verdict.check(
+    result.check(
         "no faster than the budget, by four deviations of turns by chance",
         burst <= room,
         f"most in a second {burst} of {room:.0f}",
@@ -118,7 +117,7 @@
     world.start(dead)
     fleet.go_on(8.0, pace)
     moved = [one for one in world.moves(at) if one[2] != dead]
-    verdict.check("it returns cold and takes nothing back", not moved, f"{len(moved)} moved")
+    result.check("it returns cold and takes nothing back", not moved, f"{len(moved)} moved")
 
     leaver, at = names[n // 3], world.fleet.now
     theirs = [key for key, owner in fleet.owners().items() if owner == leaver]
@@ -130,7 +129,7 @@
     world.run(0.4)
     left = len(world.sessions(leaver).owned)
     others = [one for one in world.moves(at) if one[2] not in (leaver, dead)]
-    verdict.check(
+    result.check(
         "one drains: all is handed over in its grace, no other moves",
         not left and not others,
         f"{left} left, {len(others)} of others",
@@ -139,30 +138,30 @@
     at = world.fleet.now
     fleet.go_on(6.0, pace)
     again = world.moves(at)
-    verdict.check(
+    result.check(
         "a second run over moves nothing", not [one for one in again if one[2] != dead], f"{len(again)} moved"
     )
     world.run(8.0)
-    verdict.check(
+    result.check(
         "two owners never ran a session's labelled work",
         not world.watch.wrong,
         world.watch.wrong[0] if world.watch.wrong else "",
     )
     waits = sum(not request.outcome for request in world.requests)
-    verdict.check("every ticket has its outcome", not waits, f"{len(world.requests)} tickets")
+    result.check("every ticket has its outcome", not waits, f"{len(world.requests)} tickets")
 
     survivors = [name for name in names if name != dead]
     for title, place in (("modulo N", modulo), ("plain rendezvous", rendezvous)):
         there = {key: place(key, names) for key in fleet.keys}
         less = {key: place(key, survivors) for key in fleet.keys}
         lost = sum(there[key] != less[key] for key in fleet.keys)
-        verdict.figures[f"{title}: moved by the death"] = lost
-        verdict.figures[f"{title}: moved back by the return"] = lost
-        verdict.figures[f"{title}: most at one"] = max(Counter(there.values()).values())
-    verdict.figures["ours: moved by the death"] = sum(one == dead for one in before.values())
-    verdict.figures["ours: moved back by the return"] = len(moved)
-    verdict.figures["ours: most at one"] = most
+        result.figures[f"{title}: moved by the death"] = lost
+        result.figures[f"{title}: moved back by the return"] = lost
+        result.figures[f"{title}: most at one"] = max(Counter(there.values()).values())
+    result.figures["ours: moved by the death"] = sum(one == dead for one in before.values())
+    result.figures["ours: moved back by the return"] = len(moved)
+    result.figures["ours: most at one"] = most
     outcomes = Counter(f"{request.outcome} ({request.why})" for request in world.requests)
     for name, much in sorted(outcomes.items()):
-        verdict.figures[name] = much
-    return verdict
+        result.figures[name] = much
+    return result
--- a/sablewheel/experiments/collector.py
+++ b/sablewheel/experiments/collector.py
@@ -34,10 +34,10 @@
         self.scheduler.after(LATE, lambda: self._apply_late(connection.server, batch))
 
     def _apply_late(self, server: str, batch: pb.Batch) -> None:
-        verdict = self.decide_batch(server, batch)
-        if isinstance(verdict, Apply):
+        result = self.decide_batch(server, batch)
+        if isinstance(result, Apply):
             self.journal.begin()
-            self.journal.apply(server, verdict, self._clock())
+            self.journal.apply(server, result, self._clock())
             self.journal.commit()
 
 
@@ -48,12 +48,12 @@
         return pb.Welcome(version=VERSION)
 
     def decide_batch(self, server: str, batch: pb.Batch) -> BatchDecision:
-        verdict = super().decide_batch(server, batch)
-        if isinstance(verdict, AlreadyApplied):
+        result = super().decide_batch(server, batch)
+        if isinstance(result, AlreadyApplied):
             block = pb.Block.FromString(batch.block)
             for period, line in self.journal._lines(0, block):
                 self.journal._post(period, [line])
-        return verdict
+        return result
 
 
 class NoSealBook(Journal):
--- a/sablewheel/experiments/hiccups.py
+++ b/sablewheel/experiments/connection_faults.py
@@ -1,5 +1,5 @@
-"""A connection between servers and collector that hiccups on a seeded script: cuts mid-frame, silence,
-delays.
+"""A connection between servers and collector that connection_faults on a seeded script: cuts mid-frame,
+silence, delays.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import threading
 
 
-class Hiccups:
+class ConnectionFaults:
     """A relay on loopback in a thread of its own. `calm` lets everything pass from then on."""
 
     def __init__(self, target: int, seed: int) -> None:
--- a/sablewheel/experiments/demo.py
+++ b/sablewheel/experiments/demo.py
@@ -15,7 +15,7 @@
 
 from ..usage_metering.journal import Journal
 from .ledger import collector_features, features
-from .rig import TENANTS, Process, Rig, free_port
+from .testbed import TENANTS, Process, Testbed, free_port
 
 CALM, OVERLOAD, BURST = 80, 260, 100  # requests a second; the interpreter does about 160
 BURSTING = "yorkton"
@@ -47,34 +47,36 @@
 
     def __init__(self, seconds: float, seed: int, into: Path) -> None:
         self.seconds, self.into = seconds, into
-        self.rig = Rig(seed)
+        self.testbed = Testbed(seed)
         self.server: Process | None = None
         self._begun = 0.0
 
     def __enter__(self) -> Day:
-        rig, door = self.rig, free_port()
+        testbed, door = self.testbed, free_port()
         port, vm = free_port(), free_port()
         self.into.mkdir(parents=True, exist_ok=True)
-        collector = rig.folder / "collector.yaml"
-        collector.write_text(collector_features(door, rig.folder / "book.sqlite"))
-        self.collector = rig.start("collector", "sablewheel.experiments.collector", str(collector))
-        rig.wait_for_port(door, self.collector)
-        rig.interpreter("n1", vm)
-        text = features("durable", door, rig.folder / "ledger")
-        self.server = rig.server("n1", port, vm, text, settings={"servers": 1})
-        self._write_configuration(rig.folder / "n1.json", text)
+        collector = testbed.folder / "collector.yaml"
+        collector.write_text(collector_features(door, testbed.folder / "book.sqlite"))
+        self.collector = testbed.start("collector", "sablewheel.experiments.collector", str(collector))
+        testbed.wait_for_port(door, self.collector)
+        testbed.interpreter("n1", vm)
+        text = features("durable", door, testbed.folder / "ledger")
+        self.server = testbed.server("n1", port, vm, text, settings={"servers": 1})
+        self._write_configuration(testbed.folder / "n1.json", text)
         self._address = f"127.0.0.1:{port}"
         return self
 
     def __exit__(self, *_: object) -> None:
-        self.rig.__exit__()
+        self.testbed.__exit__()
 
     def _write_configuration(self, configuration: Path, text: str) -> None:
         """To start from: the configuration of the day, and its features with a folder that stays."""
         told = json.loads(configuration.read_text())
         (self.into / "n1.json").write_text(json.dumps(told, indent=2) + "\n")
         folder = self.into / "ledger"
-        (self.into / "features.yaml").write_text(text.replace(str(self.rig.folder / "ledger"), str(folder)))
+        (self.into / "features.yaml").write_text(
+            text.replace(str(self.testbed.folder / "ledger"), str(folder))
+        )
 
     def phases(self) -> list[tuple[str, float, int]]:
         third = self.seconds / 3
@@ -87,7 +89,7 @@
         for turn, (name, span, rate) in enumerate(self.phases()):
             end += span
             bursts = [{"customer": BURSTING, "from": 0, "to": span, "times": 3}] if name == "burst" else []
-            router = self.rig.router(
+            router = self.testbed.router(
                 name,
                 [self._address],
                 rate=rate,
@@ -96,12 +98,12 @@
                 repeats=0.15,
                 cancels=0.02,
                 patience_end=3.0,
-                seed=self.rig.seed + turn,  # names and idempotency keys of their own
+                seed=self.testbed.seed + turn,  # names and idempotency keys of their own
             )
             while (now := time.monotonic() - self._begun) < end:
                 time.sleep(0.5)
                 os.kill(self.server.popen.pid, signal.SIGUSR1)
-                yield Moment(now, name, self.rig.counters(self.server))
+                yield Moment(now, name, self.testbed.counters(self.server))
             router.popen.wait(15)
 
     def finish(self) -> Outcome:
@@ -115,10 +117,10 @@
             {name: Counter() for name in TENANTS}, {name: Counter() for name, _, _ in self.phases()}
         )
         for phase in found.by_phase:
-            for one in self.rig.held(phase):
+            for one in self.testbed.held(phase):
                 found.by_phase[phase][one["how"]] += 1
                 found.by_tenant[one["customer"]][one["how"]] += 1
-        journal = Journal(self.rig.folder / "book.sqlite", read_only=True)
+        journal = Journal(self.testbed.folder / "book.sqlite", read_only=True)
         for beyond, entries in journal.rows(
             "select beyond, sum(entries) from lines where outcome = 2 group by beyond"
         ):
--- a/sablewheel/experiments/member.py
+++ b/sablewheel/experiments/faulty_member.py
@@ -1,6 +1,6 @@
 """A server whose membership is a baseline of the trial, or broken on purpose.
 
-python -m sablewheel.experiments.member swim | heartbeat | no-suspicion | no-incarnation | one-observer
+python -m sablewheel.experiments.faulty_member swim | heartbeat | no-suspicion | no-incarnation | one-observer
 """
 
 from __future__ import annotations
--- a/sablewheel/experiments/broken_server.py
+++ b/sablewheel/experiments/faulty_server.py
@@ -1,6 +1,6 @@
 """The server with recall broken on purpose; each of these must be caught by the trial.
 
-python -m sablewheel.experiments.broken_server no-intent | answer-before-outcome | evict-intents | trust-clock
+python -m sablewheel.experiments.faulty_server no-intent | answer-before-outcome | evict-intents | trust-clock
 """
 
 from __future__ import annotations
--- a/sablewheel/experiments/fleet.py
+++ b/sablewheel/experiments/fleet.py
@@ -16,7 +16,7 @@
 from ..membership import codec
 from ..membership.messages import StatusReply
 from ..membership.status_client import query_status
-from .rig import PATIENCE, Process, Rig, RigError, free_port
+from .testbed import PATIENCE, Process, Testbed, TestbedError, free_port
 
 PORT = 7700  # of each member's membership, on a loopback address of its own
 LISTEN = 7701  # for its requests
@@ -41,7 +41,7 @@
                 continue
             self.second = second
             return
-        raise RigError("no block of loopback addresses is free")
+        raise TestbedError("no block of loopback addresses is free")
 
     def close(self) -> None:
         self._held.close()
@@ -50,10 +50,12 @@
 class Relay:
     """The relay's process, and the line to its control port."""
 
-    def __init__(self, rig: Rig, name: str, host: str, seed: int, doors: list[dict[str, Any]]) -> None:
+    def __init__(
+        self, testbed: Testbed, name: str, host: str, seed: int, doors: list[dict[str, Any]]
+    ) -> None:
         spec = {"seed": seed, "host": host, "control": CONTROL, "doors": doors}
-        self.process = rig.start(name, "sablewheel.experiments.relay", json.dumps(spec), shifted=False)
-        rig.wait_for_port(CONTROL, self.process, host)
+        self.process = testbed.start(name, "sablewheel.experiments.relay", json.dumps(spec), shifted=False)
+        testbed.wait_for_port(CONTROL, self.process, host)
         self._line = socket.create_connection((host, CONTROL), PATIENCE)
         self._answers = self._line.makefile("rb")
 
@@ -68,7 +70,7 @@
         self._line.sendall(json.dumps(told).encode() + b"\n")
         answer = self._answers.readline()
         if not answer:
-            raise RigError(f"the relay is gone: {self.process.tail()}")
+            raise TestbedError(f"the relay is gone: {self.process.tail()}")
         return dict(json.loads(answer))
 
     def close(self) -> None:
@@ -90,14 +92,14 @@
 class Fleet:
     """`kind` is ours, a baseline, or a part broken on purpose; `place` tells fleets of one trial apart."""
 
-    rig: Rig
+    testbed: Testbed
     block: int
     kind: str
     place: int
     size: int
     seed: int
     zones: int = 3
-    shifted: bool = False  # whether the rig's clock is theirs
+    shifted: bool = False  # whether the testbed's clock is theirs
     keys: dict[str, object] = field(default_factory=dict)
     processes: dict[str, Process] = field(default_factory=dict)
 
@@ -109,9 +111,9 @@
             {"owner": name, "port": DOOR + place, "to": f"{self.host(name)}:{PORT}"}
             for place, name in enumerate(self.names)
         ]
-        self.relay = Relay(self.rig, self.idempotency_key("relay"), self.relay_host, self.seed, doors)
+        self.relay = Relay(self.testbed, self.idempotency_key("relay"), self.relay_host, self.seed, doors)
         self.vm = free_port()
-        self.rig.interpreter(self.idempotency_key("vm"), self.vm)
+        self.testbed.interpreter(self.idempotency_key("vm"), self.vm)
 
     def idempotency_key(self, name: str) -> str:
         return f"{self.kind}{self.place}-{name}"
@@ -134,16 +136,16 @@
 
     def start(self, name: str) -> None:
         """Not waited for: whether and when it is let in is what the trial measures."""
-        rig, idempotency_key = self.rig, self.idempotency_key(name)
-        path = rig.folder / f"{idempotency_key}.yaml"
+        testbed, idempotency_key = self.testbed, self.idempotency_key(name)
+        path = testbed.folder / f"{idempotency_key}.yaml"
         path.write_text(self.features(name))
-        words = ["sablewheel"] if self.kind == "ours" else ["sablewheel.experiments.member", self.kind]
+        words = ["sablewheel"] if self.kind == "ours" else ["sablewheel.experiments.faulty_member", self.kind]
         told = str(
-            rig.configuration(
+            testbed.configuration(
                 idempotency_key, LISTEN, self.vm, name=name, listen=f"{self.host(name)}:{LISTEN}"
             )
         )
-        self.processes[name] = rig.start(
+        self.processes[name] = testbed.start(
             idempotency_key, *words, shifted=self.shifted, RELAY_CONFIG=told, SABLEWHEEL_FEATURES=str(path)
         )
 
@@ -190,7 +192,7 @@
         """The lines about views of all members' logs, by time."""
         lines = []
         for name in self.names:
-            path = self.rig.folder / f"{self.idempotency_key(name)}.log"
+            path = self.testbed.folder / f"{self.idempotency_key(name)}.log"
             if path.exists():
                 lines += [one for one in _lines(path, name) if since <= one.when <= until]
         return iter(sorted(lines, key=lambda one: one.when))
--- a/sablewheel/experiments/forwarding.py
+++ b/sablewheel/experiments/forwarding.py
@@ -20,12 +20,12 @@
 from typing import Any
 
 from ..protocol.resp import Parser
-from . import wire
+from . import client_protocol as wire
 from .fleet import DOOR, LISTEN, PORT, Block, Fleet, Relay
-from .rig import PATIENCE, Rig, RigError, free_port
-from .verdict import Verdict
+from .result import ExperimentResult
+from .testbed import PATIENCE, Testbed, TestbedError, free_port
 
-BROKEN = ("twice", "no-shrink", "no-return")
+FAULTY_VARIANTS = ("twice", "no-shrink", "no-return")
 LINK = 7702
 LINK_DOOR = DOOR + 50
 SIZE = 4
@@ -57,7 +57,7 @@
 
 
 @dataclass
-class Stage(Fleet):
+class Scenario(Fleet):
     """The fleet with a forward path: a second door each, and an interpreter each."""
 
     work: dict[str, float] = field(default_factory=lambda: dict(WORK))
@@ -74,10 +74,10 @@
             for door, port in ((DOOR, PORT), (LINK_DOOR, LINK))
             for place, name in enumerate(self.names)
         ]
-        self.relay = Relay(self.rig, "relay", self.relay_host, self.seed, doors)
+        self.relay = Relay(self.testbed, "relay", self.relay_host, self.seed, doors)
         for name in self.names:
             self.vms[name] = free_port()
-            self.rig.interpreter(name, self.vms[name], work=self.work, cores=self.cores)
+            self.testbed.interpreter(name, self.vms[name], work=self.work, cores=self.cores)
 
     def features(self, name: str) -> str:
         place = self.names.index(name)
@@ -86,18 +86,18 @@
         return super().features(name) + "\n".join([*lines, ""])
 
     def start(self, name: str) -> None:
-        path = self.rig.folder / f"{name}.yaml"
+        path = self.testbed.folder / f"{name}.yaml"
         path.write_text(self.features(name))
         listen = f"{self.host(name)}:{LISTEN}"
         settings = {"classes": CLASSES, "servers": self.size}
-        told = self.rig.configuration(
+        told = self.testbed.configuration(
             name, LISTEN, self.vms[name], name=name, listen=listen, settings=settings
         )
-        self.processes[name] = self.rig.start(
+        self.processes[name] = self.testbed.start(
             name,
             "sablewheel.experiments.forwarder",
             self.kind,
-            str(self.rig.folder / f"{name}.guests"),
+            str(self.testbed.folder / f"{name}.guests"),
             shifted=False,
             RELAY_CONFIG=str(told),
             SABLEWHEEL_FEATURES=str(path),
@@ -112,7 +112,7 @@
                 if answers and answers[0][1] == b"UP":
                     return
             time.sleep(0.02)
-        raise RigError(f"{name} does not come up: {self.processes[name].tail()}")
+        raise TestbedError(f"{name} does not come up: {self.processes[name].tail()}")
 
     @contextlib.contextmanager
     def fault(self, what: str, whom: str = "") -> Iterator[None]:
@@ -126,25 +126,25 @@
             self.relay.set(others, some, **what)
 
 
-def run(seed: int, quick: bool, broken: str = "") -> Verdict:
+def run(seed: int, quick: bool, broken: str = "") -> ExperimentResult:
     """The trial; `broken` names a fault put into the servers on purpose."""
-    verdict = Verdict("forwarding")
-    with Rig(seed) as rig, closing(Block()) as block:
-        stage = Stage(rig, block.second, broken or "spread", 0, SIZE, seed, keys=KEYS)
-        for name in stage.names:
-            stage.start(name)
-        for name in stage.names:
-            stage.wait_up(name)
-        if stage.wait_agreed(stage.names, PATIENCE) is None:
-            raise RigError(f"no view: {stage.processes['m0'].tail()}")
+    result = ExperimentResult("forwarding")
+    with Testbed(seed) as testbed, closing(Block()) as block:
+        scenario = Scenario(testbed, block.second, broken or "spread", 0, SIZE, seed, keys=KEYS)
+        for name in scenario.names:
+            scenario.start(name)
+        for name in scenario.names:
+            scenario.wait_up(name)
+        if scenario.wait_agreed(scenario.names, PATIENCE) is None:
+            raise TestbedError(f"no view: {scenario.processes['m0'].tail()}")
         rounds = 1 if quick else 2
         healthy = 5.0 if quick else 12.0
-        plot = _plot(stage, random.Random(seed), rounds)
-        seconds = healthy + sum(span for span, _ in plot) + 1.0
+        faults = _draw_faults(scenario, random.Random(seed), rounds)
+        seconds = healthy + sum(span for span, _ in faults) + 1.0
         routers = [
-            rig.router(
+            testbed.router(
                 f"r-{name}",
-                [f"{stage.host(name)}:{LISTEN}"],
+                [f"{scenario.host(name)}:{LISTEN}"],
                 rate=25,
                 seconds=seconds,
                 request_classes=REQUEST_CLASSES,
@@ -152,57 +152,59 @@
                 seed=seed + place,
                 patience_end=ABANDON + 2.0,
             )
-            for place, name in enumerate(stage.names)
+            for place, name in enumerate(scenario.names)
         ]
         time.sleep(1.0)
-        with stage.fault("none"):
+        with scenario.fault("none"):
             time.sleep(healthy - 1.0)
-        for span, do in plot:
+        for span, do in faults:
             begun = time.monotonic()
             do()
             time.sleep(max(begun + span - time.monotonic(), 0.0))
         for one in routers:
             one.popen.wait(30)
-        codes = [stage.processes[name].leave() for name in stage.names]
+        codes = [scenario.processes[name].leave() for name in scenario.names]
         time.sleep(0.1)
-        _judge(stage, verdict, codes)
-        stage.relay.close()
-    return verdict
+        _check_promises(scenario, result, codes)
+        scenario.relay.close()
+    return result
 
 
-def _plot(stage: Stage, chance: random.Random, rounds: int) -> list[tuple[float, Callable[[], None]]]:
+def _draw_faults(
+    scenario: Scenario, chance: random.Random, rounds: int
+) -> list[tuple[float, Callable[[], None]]]:
     """Each fault for a while and then as long again for the fleet to be whole, by turns on seeded members."""
 
     def cut(a: str, b: str, both: bool) -> None:
-        with stage.fault("cut both ways" if both else "cut one way"):
-            stage.links([a], [b], both, cut=True)
+        with scenario.fault("cut both ways" if both else "cut one way"):
+            scenario.links([a], [b], both, cut=True)
             time.sleep(1.8)
-            stage.links([a], [b], both, cut=False)
+            scenario.links([a], [b], both, cut=False)
 
     def slow(a: str, others: list[str]) -> None:
-        with stage.fault("slow"):
-            stage.links([a], others, least=SLOW, most=1.5 * SLOW)
+        with scenario.fault("slow"):
+            scenario.links([a], others, least=SLOW, most=1.5 * SLOW)
             time.sleep(2.0)
-            stage.links([a], others, least=0.0, most=0.0)
+            scenario.links([a], others, least=0.0, most=0.0)
 
     def pause(name: str) -> None:
-        with stage.fault("stopped", name):
-            stage.stop(name)
+        with scenario.fault("stopped", name):
+            scenario.stop(name)
             time.sleep(PAUSE)
-            stage.go_on(name)
+            scenario.go_on(name)
 
     def kill(name: str, rest: float) -> None:
-        with stage.fault("killed", name):
-            stage.processes[name].kill()
+        with scenario.fault("killed", name):
+            scenario.processes[name].kill()
             time.sleep(rest)
-        with stage.fault("cold", name):
-            stage.start(name)
-            stage.wait_up(name)
+        with scenario.fault("cold", name):
+            scenario.start(name)
+            scenario.wait_up(name)
 
-    plot: list[tuple[float, Callable[[], None]]] = []
+    faults: list[tuple[float, Callable[[], None]]] = []
     for _ in range(rounds):
-        a, b, c, d = chance.sample(stage.names, SIZE)
-        plot += [
+        a, b, c, d = chance.sample(scenario.names, SIZE)
+        faults += [
             (3.5, lambda a=a, b=b: cut(a, b, True)),  # type: ignore[misc]
             (3.5, lambda b=b, c=c: cut(b, c, False)),  # type: ignore[misc]
             (3.0, lambda d=d, others=(a, b, c): slow(d, list(others))),  # type: ignore[misc]
@@ -210,34 +212,34 @@
             (5.0, lambda d=d: kill(d, 2.0)),  # type: ignore[misc]
             (3.5, lambda a=a: kill(a, 0.0)),  # type: ignore[misc]
         ]
-    return plot
+    return faults
 
 
-def _judge(stage: Stage, verdict: Verdict, codes: list[int]) -> None:
-    rig = stage.rig
-    held = {name: list(rig.held(f"r-{name}")) for name in stage.names}
+def _check_promises(scenario: Scenario, result: ExperimentResult, codes: list[int]) -> None:
+    testbed = scenario.testbed
+    held = {name: list(testbed.held(f"r-{name}")) for name in scenario.names}
     seconds = sum(one["how"] == "second" for each in held.values() for one in each)
     tries = {name: [one for one in each if one["how"] != "second"] for name, each in held.items()}
     own = {one["name"]: one for each in tries.values() for one in each}
     begins = Counter[str]()
     late_runs = ran = 0
-    for name in stage.names:
-        for word, request, when in rig.runs(name):
+    for name in scenario.names:
+        for word, request, when in testbed.runs(name):
             if word == "begin" and request in own:
                 ran += 1
                 begins[request] += 1
                 late_runs += when > own[request]["from"] + ABANDON + SLACK
     younger = guests = 0
-    for name in stage.names:
-        for request, arrived in _pairs(rig.folder / f"{name}.guests"):
+    for name in scenario.names:
+        for request, arrived in _pairs(testbed.folder / f"{name}.guests"):
             if request in own:
                 guests += 1
                 younger += arrived > own[request]["sent"] + YOUNGER
     second_runs = sum(many > 1 for name, many in begins.items() if own[name]["track"] != "lookup")
-    down = [span for what in ("killed", "cold") for span in stage.spans.get(what, [])]
+    down = [span for what in ("killed", "cold") for span in scenario.spans.get(what, [])]
     unanswered = lost = late = torn = never = 0
     for name, each in tries.items():
-        mine = [span for span in down + stage.spans.get("stopped", []) if span[0] == name]
+        mine = [span for span in down + scenario.spans.get("stopped", []) if span[0] == name]
         for one in each:
             # Whoever's own server was down or stood still meanwhile has nobody to answer it in time.
             excused = any(one["from"] < to + 0.5 and one["until"] > since for _, since, to in mine)
@@ -247,44 +249,44 @@
             whole = f"made by {one['name']} of body of {one['name']}"
             torn += one["how"] == "completed" and one["result"] != whole
             never += one["how"] == "completed" and not begins[one["name"]]
-    health, _ = _share(tries, stage.spans["none"])
-    killed, asked = _share(tries, [(who, a, b) for who, a, b in stage.spans["killed"] if b - a > 1.0])
+    health, _ = _share(tries, scenario.spans["none"])
+    killed, asked = _share(tries, [(who, a, b) for who, a, b in scenario.spans["killed"] if b - a > 1.0])
     # Of a stop only its beginning, until all links know: what comes later goes no_retry_elsewhere near the
     # peer.
-    stopped, also = _share(tries, [(who, a, a + 1.2) for who, a, _ in stage.spans["stopped"]])
+    stopped, also = _share(tries, [(who, a, a + 1.2) for who, a, _ in scenario.spans["stopped"]])
     counters = Counter[str]()
-    for name in stage.names:
-        for key, value in rig.counters(stage.processes[name]).items():
+    for name in scenario.names:
+        for key, value in testbed.counters(scenario.processes[name]).items():
             if key.startswith(("forward_", "links_")) and value.isdigit():
                 counters[key] += int(value)
     ended, total = counters["forward_ended_in_error"], len(own)  # of those who lived to tell
-    verdict.check("each ticket has its final answer", unanswered + lost == 0, f"{unanswered}, {lost} lost")
-    verdict.check("and in time", late == 0, late)
-    verdict.check("no ticket has two", seconds == 0, seconds)
-    verdict.check("results are whole and of the ticket itself", torn + never == 0, f"{torn}, {never}")
-    verdict.check("labelled and irreversible run at most once", second_runs == 0, second_runs)
-    verdict.check(
+    result.check("each ticket has its final answer", unanswered + lost == 0, f"{unanswered}, {lost} lost")
+    result.check("and in time", late == 0, late)
+    result.check("no ticket has two", seconds == 0, seconds)
+    result.check("results are whole and of the ticket itself", torn + never == 0, f"{torn}, {never}")
+    result.check("labelled and irreversible run at most once", second_runs == 0, second_runs)
+    result.check(
         "budgets shrink by the hop: no ticket is taken for younger than it is",
         younger == 0 < guests,
         f"{younger} of {guests}",
     )
-    verdict.check("nothing runs once its time is up", late_runs == 0, late_runs)
-    verdict.check(
+    result.check("nothing runs once its time is up", late_runs == 0, late_runs)
+    result.check(
         f"with a peer killed or stopped, redoable tickets are served at {SHARE_LEAST} of healthy",
         min(asked, also) > 30 and min(killed, stopped) >= SHARE_LEAST * health > 0.5,
         f"killed {killed:.3f} of {asked}, stopped {stopped:.3f} of {also}, healthy {health:.3f}",
     )
-    verdict.check("most tickets went to a peer", guests > 0.5 * total, f"{guests} of {total}")
-    verdict.check(
+    result.check("most tickets went to a peer", guests > 0.5 * total, f"{guests} of {total}")
+    result.check(
         "links broke with tickets on them",
         ended > 0 and counters["forward_back"] > 0,
         f"{ended} in error, {counters['forward_back']} back",
     )
-    verdict.check("all left in order at the end", not any(codes), codes)
-    logs = "".join((rig.folder / f"{name}.log").read_text(errors="replace") for name in stage.names)
-    verdict.check("no fault of our own in the logs", "Traceback" not in logs, logs.count("Traceback"))
+    result.check("all left in order at the end", not any(codes), codes)
+    logs = "".join((testbed.folder / f"{name}.log").read_text(errors="replace") for name in scenario.names)
+    result.check("no fault of our own in the logs", "Traceback" not in logs, logs.count("Traceback"))
     hows = Counter(one["how"] for each in tries.values() for one in each)
-    verdict.figures |= {
+    result.figures |= {
         "tickets": total,
         "passed_on": guests,
         "runs": ran,
--- a/sablewheel/experiments/ledger.py
+++ b/sablewheel/experiments/ledger.py
@@ -1,5 +1,5 @@
-"""Usage metering's trial: three servers, a collector that dies and hiccups, a server that dies, a drain
-across a close.
+"""Usage metering's trial: three servers, a collector that dies and connection_faults, a server that dies, a
+drain across a close.
 
 What the routers hold, what the interpreters ran and what stands in the journal must be the same, request by
 request.
@@ -19,11 +19,11 @@
 from ..usage_metering.auditing import reconcile_folders
 from ..usage_metering.corrections import Correction, CorrectionError, Target
 from ..usage_metering.journal import Journal
-from .hiccups import Hiccups
-from .rig import Process, Rig, free_port
-from .verdict import Verdict
+from .connection_faults import ConnectionFaults
+from .result import ExperimentResult
+from .testbed import Process, Testbed, free_port
 
-BROKEN = ("ack-before-apply", "no-dedup", "no-seal")
+FAULTY_VARIANTS = ("ack-before-apply", "no-dedup", "no-seal")
 HOUR = 3600.0
 LAG = 2.0
 OUTCOMES = {"completed": 1, "denied": 2, "terminated": 3}
@@ -54,10 +54,10 @@
 
 
 @dataclass
-class Stage:
+class Scenario:
     """The processes of one run, and what happened to them."""
 
-    rig: Rig
+    testbed: Testbed
     broken: str
     ports: dict[str, int] = field(default_factory=dict)
     vms: dict[str, int] = field(default_factory=dict)
@@ -69,14 +69,14 @@
 
     @property
     def journal(self) -> Path:
-        return self.rig.folder / "book.sqlite"
+        return self.testbed.folder / "book.sqlite"
 
     def start_collector(self) -> None:
-        path = self.rig.folder / "collector.yaml"
+        path = self.testbed.folder / "collector.yaml"
         path.write_text(collector_features(self.door, self.journal))
         words = [str(path)] + ([self.broken] if self.broken else [])
-        self.collector = self.rig.start("collector", "sablewheel.experiments.collector", *words)
-        self.rig.wait_for_port(self.door, self.collector)
+        self.collector = self.testbed.start("collector", "sablewheel.experiments.collector", *words)
+        self.testbed.wait_for_port(self.door, self.collector)
 
     def kill_collector(self) -> None:
         assert self.collector is not None
@@ -84,56 +84,59 @@
         self.kills["collector"] += 1
 
     def start_server(self, name: str) -> None:
-        self.servers[name] = self.rig.server(name, self.ports[name], self.vms[name], self.texts[name])
+        self.servers[name] = self.testbed.server(name, self.ports[name], self.vms[name], self.texts[name])
 
     def kill_server(self, name: str) -> None:
         self.servers[name].kill()
         self.kills[name] += 1
 
 
-def run(seed: int, quick: bool, broken: str = "") -> Verdict:
+def run(seed: int, quick: bool, broken: str = "") -> ExperimentResult:
     """The trial; `broken` names a collector that is broken on purpose."""
-    verdict = Verdict("ledger")
-    with Rig(seed) as rig:
-        stage = Stage(rig, broken)
-        hiccups = None
+    result = ExperimentResult("ledger")
+    with Testbed(seed) as testbed:
+        scenario = Scenario(testbed, broken)
+        connection_faults = None
         try:
-            hiccups = _set_up(stage, seed)
-            _play(stage, hiccups, seed, 12.0 if quick else 45.0)
-            _judge(stage, verdict)
-            verdict.figures["cuts"], verdict.figures["silences"] = hiccups.cuts, hiccups.silences
+            connection_faults = _set_up(scenario, seed)
+            _run_scenario(scenario, connection_faults, seed, 12.0 if quick else 45.0)
+            _check_promises(scenario, result)
+            result.figures["cuts"], result.figures["silences"] = (
+                connection_faults.cuts,
+                connection_faults.silences,
+            )
         finally:
-            if hiccups is not None:
-                hiccups.close()
-    return verdict
+            if connection_faults is not None:
+                connection_faults.close()
+    return result
 
 
-def _set_up(stage: Stage, seed: int) -> Hiccups:
-    rig = stage.rig
-    stage.door = free_port()
-    stage.start_collector()
-    hiccups = Hiccups(stage.door, seed)
+def _set_up(scenario: Scenario, seed: int) -> ConnectionFaults:
+    testbed = scenario.testbed
+    scenario.door = free_port()
+    scenario.start_collector()
+    connection_faults = ConnectionFaults(scenario.door, seed)
     for name, depth in (("n1", "durable"), ("n2", "memory"), ("n3", "durable")):
-        folder = rig.folder / f"{name}-ledger" if depth == "durable" else None
-        stage.texts[name] = features(depth, hiccups.port, folder, block_every_s=0.1)
-        stage.ports[name], stage.vms[name] = free_port(), free_port()
-        rig.interpreter(name, stage.vms[name])
-        stage.start_server(name)
-    return hiccups
+        folder = testbed.folder / f"{name}-ledger" if depth == "durable" else None
+        scenario.texts[name] = features(depth, connection_faults.port, folder, block_every_s=0.1)
+        scenario.ports[name], scenario.vms[name] = free_port(), free_port()
+        testbed.interpreter(name, scenario.vms[name])
+        scenario.start_server(name)
+    return connection_faults
 
 
-def _play(stage: Stage, hiccups: Hiccups, seed: int, seconds: float) -> None:
+def _run_scenario(scenario: Scenario, connection_faults: ConnectionFaults, seed: int, seconds: float) -> None:
     """The load, and on a seeded script the failures."""
-    rig, chance = stage.rig, random.Random(seed)
+    testbed, chance = scenario.testbed, random.Random(seed)
     # An hour of the shifted clock ends shortly before n2 is told to leave, and is closed during its drain.
     boundary = seconds * 0.6
-    rig.shift(HOUR - time.time() % HOUR - boundary)
+    testbed.shift(HOUR - time.time() % HOUR - boundary)
     begun = time.monotonic()
     burst = [{"customer": "regina", "from": seconds * 0.4, "to": seconds * 0.55, "times": 3}]
     routers = [
-        rig.router(
+        testbed.router(
             name,
-            [f"127.0.0.1:{stage.ports[one]}"],
+            [f"127.0.0.1:{scenario.ports[one]}"],
             rate=110,
             seconds=seconds,
             repeats=0.25,
@@ -158,63 +161,63 @@
     for moment, what in sorted(events):
         at(moment)
         if what == "collector":
-            stage.kill_collector()
+            scenario.kill_collector()
             time.sleep(chance.uniform(0.0, 0.3))
-            stage.start_collector()
+            scenario.start_collector()
         elif what == "n1":
-            stage.kill_server("n1")
-            stage.start_server("n1")
+            scenario.kill_server("n1")
+            scenario.start_server("n1")
         elif what == "down n3":
-            stage.kill_server("n3")
+            scenario.kill_server("n3")
         elif what == "up n3":
-            stage.start_server("n3")
+            scenario.start_server("n3")
         else:
-            stage.servers["n2"].popen.terminate()  # answers and exports what it has, while the hour closes
+            scenario.servers["n2"].popen.terminate()  # answers and exports what it has, while the hour closes
     at(seconds)
     for one in routers:
         one.popen.wait(20)
-    hiccups.calm = True
+    connection_faults.calm = True
     # One restart more: the flags of those killed last reach the journal with the next incarnation's first
     # block.
     for name in ("n1", "n3"):
-        stage.kill_server(name)
-        stage.start_server(name)
-    _settle(stage)
+        scenario.kill_server(name)
+        scenario.start_server(name)
+    _settle(scenario)
 
 
-def _settle(stage: Stage) -> None:
+def _settle(scenario: Scenario) -> None:
     """Until the servers' folders are in the journal, or a while has passed; then all leave."""
     until = time.monotonic() + 10
-    folders = [stage.rig.folder / f"{name}-ledger" for name in ("n1", "n3")]
+    folders = [scenario.testbed.folder / f"{name}-ledger" for name in ("n1", "n3")]
     while time.monotonic() < until:
         time.sleep(0.3)
-        journal = Journal(stage.journal, read_only=True)
+        journal = Journal(scenario.journal, read_only=True)
         found, _ = reconcile_folders(journal, folders)
         journal.close()
         if not found.pending:
             break
-    for process in stage.servers.values():
+    for process in scenario.servers.values():
         process.leave()
     time.sleep(0.3)
-    if stage.collector is not None:
-        stage.collector.leave()
+    if scenario.collector is not None:
+        scenario.collector.leave()
 
 
-def _judge(stage: Stage, verdict: Verdict) -> None:
-    journal = Journal(stage.journal, read_only=True)
-    tries = {name: list(stage.rig.held(name)) for name in ("r1", "r2", "r3")}
+def _check_promises(scenario: Scenario, result: ExperimentResult) -> None:
+    journal = Journal(scenario.journal, read_only=True)
+    tries = {name: list(scenario.testbed.held(name)) for name in ("r1", "r2", "r3")}
     by_server = dict(zip(("n1", "n2", "n3"), tries.values(), strict=True))
     lines = _lines(journal)
-    _check_answers(stage, verdict, by_server, lines)
-    _check_bills(stage, verdict, by_server, lines)
-    _check_books(stage, verdict, journal)
-    verdict.figures |= {
+    _check_answers(scenario, result, by_server, lines)
+    _check_bills(scenario, result, by_server, lines)
+    _check_books(scenario, result, journal)
+    result.figures |= {
         "tries": sum(map(len, tries.values())),
         "completed": sum(one["how"] == "completed" for each in tries.values() for one in each),
         "denied": sum(one["how"] == "denied" for each in tries.values() for one in each),
         "lost_with_a_kill": sum(one["how"] == "lost" for each in tries.values() for one in each),
-        "collector_kills": stage.kills["collector"],
-        "server_kills": stage.kills["n1"] + stage.kills["n3"],
+        "collector_kills": scenario.kills["collector"],
+        "server_kills": scenario.kills["n1"] + scenario.kills["n3"],
         "entries": sum(map(len, lines.values())),
         "late_entries": sum(one["belongs"] is not None for each in lines.values() for one in each),
     }
@@ -231,8 +234,8 @@
 
 
 def _check_answers(
-    stage: Stage,
-    verdict: Verdict,
+    scenario: Scenario,
+    result: ExperimentResult,
     by_server: dict[str, list[dict[str, Any]]],
     lines: dict[str, list[dict[str, Any]]],
 ) -> None:
@@ -244,7 +247,7 @@
             word = one["how"]
             if word not in OUTCOMES:
                 continue
-            if word != "completed" and stage.kills[server]:
+            if word != "completed" and scenario.kills[server]:
                 continue  # only completed answers wait for their entry; those of others may fall with a kill
             entries = lines.get(one["name"], [])
             gaps += not entries
@@ -258,15 +261,13 @@
             ):
                 wrong += 1
                 example = f"{server} {one} {entries[0]}"
-    verdict.check(
-        "every answer held by a client is in the book: gaps", gaps == 0, f"{gaps} {example}".strip()
-    )
-    verdict.check("no answer is in the book twice: doubles", doubles == 0, doubles)
-    verdict.check(
+    result.check("every answer held by a client is in the book: gaps", gaps == 0, f"{gaps} {example}".strip())
+    result.check("no answer is in the book twice: doubles", doubles == 0, doubles)
+    result.check(
         "customer, track and outcome are the client's", wrong == 0, f"{wrong} {example if wrong else ''}"
     )
     doubled = sum(len(each) > 1 for each in lines.values())
-    verdict.check("no entry at all is there twice", doubled == 0, doubled)
+    result.check("no entry at all is there twice", doubled == 0, doubled)
     completed = {one["name"] for tries in by_server.values() for one in tries if one["how"] == "completed"}
     known = {one["name"]: one["how"] for tries in by_server.values() for one in tries}
     extra = [
@@ -275,14 +276,14 @@
         for one in each[:1]
         if one["outcome"] == 1 and name not in completed and known.get(name) != "withdrawn"
     ]
-    flagged = _flagged(stage)
+    flagged = _flagged(scenario)
     unflagged = [one for one in extra if (one["server"], one["incarnation"], one["sequence"]) not in flagged]
     lost = sum(one["how"] == "lost" for tries in by_server.values() for one in tries)
-    verdict.figures["completed_without_client"] = len(extra)
-    verdict.check(
+    result.figures["completed_without_client"] = len(extra)
+    result.check(
         "entries whose answer nobody holds are flagged", not unflagged, f"{len(unflagged)} of {len(extra)}"
     )
-    verdict.check("they are at most those open at the kills", len(extra) <= lost, f"{len(extra)} of {lost}")
+    result.check("they are at most those open at the kills", len(extra) <= lost, f"{len(extra)} of {lost}")
 
 
 class _Flagged:
@@ -295,8 +296,8 @@
         return any(row[:2] == key[:2] and row[2] < key[2] <= row[3] for row in self._rows)
 
 
-def _flagged(stage: Stage) -> _Flagged:
-    journal = Journal(stage.journal, read_only=True)
+def _flagged(scenario: Scenario) -> _Flagged:
+    journal = Journal(scenario.journal, read_only=True)
     rows = [
         (one[0], bytes(one[1]).hex(), one[2], one[3])
         for one in journal.rows(
@@ -309,8 +310,8 @@
 
 
 def _check_bills(
-    stage: Stage,
-    verdict: Verdict,
+    scenario: Scenario,
+    result: ExperimentResult,
     by_server: dict[str, list[dict[str, Any]]],
     lines: dict[str, list[dict[str, Any]]],
 ) -> None:
@@ -319,7 +320,7 @@
     totals_held: Counter[tuple[str, str, str]] = Counter()
     totals_billed: Counter[tuple[str, str, str]] = Counter()
     for server, tries in by_server.items():
-        ended = Counter(name for word, name, _ in stage.rig.runs(server) if word == "success")
+        ended = Counter(name for word, name, _ in scenario.testbed.runs(server) if word == "success")
         held: dict[str, tuple[str, str]] = {}
         for one in tries:
             if one["how"] == "completed":
@@ -339,58 +340,58 @@
             totals_held[(server, *key)] += 1
             if name in tenants:
                 totals_billed[(server, *tenants[name])] += 1
-    verdict.check("every run that a client has the result of is billed", gaps == 0, gaps)
-    verdict.check("no run is billed twice", doubles == 0, doubles)
-    verdict.check("what is billed was run, once, at the interpreter", never_ran == 0, never_ran)
-    verdict.check(
+    result.check("every run that a client has the result of is billed", gaps == 0, gaps)
+    result.check("no run is billed twice", doubles == 0, doubles)
+    result.check("what is billed was run, once, at the interpreter", never_ran == 0, never_ran)
+    result.check(
         "billed totals by server, customer and track equal the clients'",
         totals_held == totals_billed,
         f"{sum(totals_billed.values())} of {sum(totals_held.values())}",
     )
 
 
-def _check_books(stage: Stage, verdict: Verdict, journal: Journal) -> None:
+def _check_books(scenario: Scenario, result: ExperimentResult, journal: Journal) -> None:
     faults = list(journal.verify())
-    verdict.check("the book verifies: lines, seals, blocks", not faults, faults[:2] or "in order")
-    folders = [stage.rig.folder / f"{name}-ledger" for name in ("n1", "n3")]
+    result.check("the book verifies: lines, seals, blocks", not faults, faults[:2] or "in order")
+    folders = [scenario.testbed.folder / f"{name}-ledger" for name in ("n1", "n3")]
     found, notes = reconcile_folders(journal, folders)
     wrong = [*found.gaps, *found.doubles, *found.changed]
-    verdict.check(
+    result.check(
         "servers' own files and the book reconcile", found.clean, wrong[:2] or f"{found.same} blocks"
     )
-    verdict.check("all is exported", found.pending == 0, f"{found.pending} blocks pending")
-    verdict.figures["reconcile_notes"] = len(notes)
+    result.check("all is exported", found.pending == 0, f"{found.pending} blocks pending")
+    result.figures["reconcile_notes"] = len(notes)
     holes = next(iter(journal.rows("select count(*) from holes")))[0]
-    verdict.check("no block was lost on the way", holes == 0, holes)
+    result.check("no block was lost on the way", holes == 0, holes)
     closed = [
         one[0]
         for one in journal.rows("select name from periods where closed_us is not null order by start_us")
     ]
-    verdict.check("a period closed during the drain", len(closed) >= 1, closed)
-    left = "entries left behind" in stage.servers["n2"].log.read_text()
-    code = stage.servers["n2"].popen.returncode
-    verdict.check("the drained server left nothing behind", not left and code == 0, f"exit {code}")
+    result.check("a period closed during the drain", len(closed) >= 1, closed)
+    left = "entries left behind" in scenario.servers["n2"].log.read_text()
+    code = scenario.servers["n2"].popen.returncode
+    result.check("the drained server left nothing behind", not left and code == 0, f"exit {code}")
     late = next(iter(journal.rows("select count(*) from lines where belongs is not null")))[0]
-    verdict.check("what came after the close is marked with the period it belongs to", late > 0, late)
+    result.check("what came after the close is marked with the period it belongs to", late > 0, late)
     if closed:
-        _check_corrections(stage, verdict, closed[0])
+        _check_corrections(scenario, result, closed[0])
 
 
-def _check_corrections(stage: Stage, verdict: Verdict, period: str) -> None:
+def _check_corrections(scenario: Scenario, result: ExperimentResult, period: str) -> None:
     """A closed statement prints the same after a correction, which stands in the open period."""
-    journal = Journal(stage.journal)
+    journal = Journal(scenario.journal)
     before = statement.as_text(reports.statements(journal, period))
     one = Correction(Target(period=period), "regina", "record", -1, 0, "agreed with the customer", "trial")
     try:
         made = journal.correct(one, time.time() + HOUR)
     except CorrectionError as trouble:
-        verdict.check("a closed period can be corrected", False, trouble)
+        result.check("a closed period can be corrected", False, trouble)
         return
     after = statement.as_text(reports.statements(journal, period))
     listed = json.loads(statement.as_json(reports.statements(journal, made, "regina")))
     faults = list(journal.verify())
     journal.close()
-    verdict.check("a closed statement prints the same after a correction", before == after, period)
+    result.check("a closed statement prints the same after a correction", before == after, period)
     shown = len(listed[0]["corrections"]) == 1 and made != period
-    verdict.check("the correction stands in the period it was made in", shown, made)
-    verdict.check("the book verifies with it", not faults, faults[:2] or "in order")
+    result.check("the correction stands in the period it was made in", shown, made)
+    result.check("the book verifies with it", not faults, faults[:2] or "in order")
--- a/sablewheel/experiments/ledger_size.py
+++ b/sablewheel/experiments/ledger_size.py
@@ -29,8 +29,8 @@
 from ..usage_metering.periods import Periods
 from ..usage_metering.plan import Calendar, Length
 from ..usage_metering.recorder import KIND, EarlierIncarnations
-from .rig import Rig
-from .verdict import Verdict
+from .result import ExperimentResult
+from .testbed import Testbed
 
 BLOCK, GROUP = 512, 16
 START = 1_764_576_000_000_000
@@ -38,34 +38,34 @@
 MEMORY_GROWTH_MOST = 48.0  # MB from the small size to the large one, tenfold in entries
 
 
-def run(seed: int, quick: bool) -> Verdict:
+def run(seed: int, quick: bool) -> ExperimentResult:
     """`quick` measures a tenth of the sizes."""
-    verdict = Verdict("ledger-size")
+    result = ExperimentResult("ledger-size")
     small, large = (10_000, 100_000) if quick else (100_000, 1_000_000)
     figures = {}
-    with Rig(seed) as rig:
+    with Testbed(seed) as testbed:
         for entries in (small, large):
-            folder = rig.folder / str(entries)
+            folder = testbed.folder / str(entries)
             folder.mkdir()
             figures[entries] = {one: _step(one, folder, entries) for one in STEPS}
     for one in STEPS:
         first, last = figures[small][one], figures[large][one]
         growth = last["seconds"] / max(first["seconds"], 1e-3)
-        verdict.figures[f"{one}_s"] = round(last["seconds"], 2)
-        verdict.figures[f"{one}_growth"] = round(growth, 2)
-        verdict.figures[f"{one}_mb"] = round(last["memory"], 1)
+        result.figures[f"{one}_s"] = round(last["seconds"], 2)
+        result.figures[f"{one}_growth"] = round(growth, 2)
+        result.figures[f"{one}_mb"] = round(last["memory"], 1)
         allowed = 1.6 * large / small
         if one != "sqlite":  # the baseline promises nothing
             found = f"{growth:.1f} for 10 times"
-            verdict.check(f"{one}: time grows no faster than entries", growth <= allowed, found)
+            result.check(f"{one}: time grows no faster than entries", growth <= allowed, found)
         if one not in ("append", "sqlite"):
             grown = last["memory"] - first["memory"]
-            verdict.check(f"{one}: memory bounded", grown <= MEMORY_GROWTH_MOST, f"{grown:+.1f} MB")
-        verdict.check(f"{one}: right", bool(last["right"] and first["right"]))
+            result.check(f"{one}: memory bounded", grown <= MEMORY_GROWTH_MOST, f"{grown:+.1f} MB")
+        result.check(f"{one}: right", bool(last["right"] and first["right"]))
     beside = figures[large]["append"]["seconds"] / figures[large]["sqlite"]["seconds"]
-    verdict.figures["entries"] = large
-    verdict.figures["append_beside_sqlite"] = round(beside, 2)
-    return verdict
+    result.figures["entries"] = large
+    result.figures["append_beside_sqlite"] = round(beside, 2)
+    return result
 
 
 def _step(name: str, folder: Path, entries: int) -> dict[str, float]:
@@ -157,9 +157,9 @@
     known: dict[bytes, collecting.LastBlock] = {}
     journal.begin()
     for place, sealed in enumerate(blocks(entries)):
-        verdict = collecting.decide_batch("n1", pb.Batch(block=sealed.data, digest=sealed.digest), known, {})
-        assert isinstance(verdict, collecting.Apply)
-        journal.apply("n1", verdict, START / 1e6)
+        result = collecting.decide_batch("n1", pb.Batch(block=sealed.data, digest=sealed.digest), known, {})
+        assert isinstance(result, collecting.Apply)
+        journal.apply("n1", result, START / 1e6)
         known[b"12345678"] = collecting.LastBlock(sealed.number, sealed.digest, sealed.last_sequence)
         if place % GROUP == GROUP - 1:
             journal.commit()
--- a/sablewheel/experiments/membership.py
+++ b/sablewheel/experiments/membership.py
@@ -18,13 +18,12 @@
 from contextlib import closing
 from dataclasses import dataclass, field
 
-from ..membership.plan import FAULTY_VARIANTS as BROKEN
-from ..membership.plan import Settings
+from ..membership.plan import FAULTY_VARIANTS, Settings
 from .fleet import Block, Fleet, Seen
-from .rig import Rig, RigError
-from .verdict import Verdict
+from .result import ExperimentResult
+from .testbed import Testbed, TestbedError
 
-__all__ = ["BROKEN", "run"]
+__all__ = ["FAULTY_VARIANTS", "run"]
 
 PERIOD = Settings().period_s
 BASELINES = ("heartbeat", "swim")
@@ -50,10 +49,10 @@
 
 
 @dataclass
-class Stage:
+class Scenario:
     """All fleets of the trial, and what was done to them when."""
 
-    rig: Rig
+    testbed: Testbed
     seed: int
     ours: Fleet
     others: list[Fleet]
@@ -92,38 +91,42 @@
         spell.ended = time.time()
 
 
-def run(seed: int, quick: bool, broken: str = "") -> Verdict:
+def run(seed: int, quick: bool, broken: str = "") -> ExperimentResult:
     """The trial; `broken` names a part that is broken on purpose in the fleet that stands for ours."""
-    verdict = Verdict("membership")
+    result = ExperimentResult("membership")
     size = 7 if quick else 16
-    with Rig(seed) as rig, closing(Block()) as block:
+    with Testbed(seed) as testbed, closing(Block()) as block:
         second = block.second
-        ours = Fleet(rig, second, broken or "ours", 0, size, seed)
-        others = [] if broken else [Fleet(rig, second, k, 1 + i, size, seed) for i, k in enumerate(BASELINES)]
-        stage = Stage(rig, seed, ours, others, Fleet(rig, second, "ours", 3, math.ceil(size / 2), seed))
+        ours = Fleet(testbed, second, broken or "ours", 0, size, seed)
+        others = (
+            [] if broken else [Fleet(testbed, second, k, 1 + i, size, seed) for i, k in enumerate(BASELINES)]
+        )
+        scenario = Scenario(
+            testbed, seed, ours, others, Fleet(testbed, second, "ours", 3, math.ceil(size / 2), seed)
+        )
         try:
-            _play(stage, quick)
-            _judge(stage, verdict)
+            _run_scenario(scenario, quick)
+            _check_promises(scenario, result)
         finally:
-            for fleet in [*stage.same, stage.half]:
+            for fleet in [*scenario.same, scenario.half]:
                 fleet.relay.close()
-    return verdict
+    return result
 
 
-def _play(stage: Stage, quick: bool) -> None:
-    chance = random.Random(stage.seed)
-    ours, names = stage.ours, stage.ours.names
-    for fleet in [*stage.same, stage.half]:
+def _run_scenario(scenario: Scenario, quick: bool) -> None:
+    chance = random.Random(scenario.seed)
+    ours, names = scenario.ours, scenario.ours.names
+    for fleet in [*scenario.same, scenario.half]:
         for name in fleet.names:
             fleet.start(name)
-    for fleet in [*stage.same, stage.half]:
+    for fleet in [*scenario.same, scenario.half]:
         if fleet.kind in BASELINES:
             if not _all_in(fleet, UP_WITHIN):
-                raise RigError(f"the fleet of {fleet.kind} does not come together")
+                raise TestbedError(f"the fleet of {fleet.kind} does not come together")
         elif fleet.wait_agreed(fleet.names, UP_WITHIN) is None:
-            raise RigError(f"the fleet of {fleet.kind} does not agree: {ours.processes[names[0]].tail()}")
+            raise TestbedError(f"the fleet of {fleet.kind} does not agree: {ours.processes[names[0]].tail()}")
     time.sleep(2.0)
-    _load(stage, 10.0 if quick else 30.0)
+    _load(scenario, 10.0 if quick else 30.0)
 
     def set_all(what: str, value: float | bool) -> Callable[[Fleet], None]:
         return lambda fleet: fleet.relay.set(fleet.names, fleet.names, **{what: value})
@@ -146,35 +149,35 @@
 
     picked = names[1:]  # the first seed is spared, so that a first view need not be founded anew
     for _ in range(2 if quick else 5):
-        _crash(stage, chance.choice(picked))
+        _crash(scenario, chance.choice(picked))
     for _ in range(1 if quick else 3):
         one = chance.choice(picked)
-        stage.spell("short pause", stopped(one), going(one), SHORT)
+        scenario.spell("short pause", stopped(one), going(one), SHORT)
     for _ in range(2 if quick else 4):
         one = chance.choice(picked)
         rest = [other for other in names if other != one]
-        stage.spell("deaf", cut(rest, [one], True), cut(rest, [one], False), DEAF)
+        scenario.spell("deaf", cut(rest, [one], True), cut(rest, [one], False), DEAF)
     for _ in range(3):  # hears one other, and that one badly: its opinion of the rest is wrong, and its alone
         one, other = chance.sample(picked, 2)
         rest = [name for name in names if name not in (one, other)]
         ill, well = badly(rest, one, other, True, 0.5), badly(rest, one, other, False, 0.0)
         # It may go itself, who can hardly be heard of; but nobody else on its word.
-        stage.spell("hears one other", ill, well, 9.0, 6.0, frozenset({one}))
+        scenario.spell("hears one other", ill, well, 9.0, 6.0, frozenset({one}))
     slow = chance.choice(picked)
-    stage.spell("slow member", lambda fleet: None, lambda fleet: None, 0.0, 0.0)
-    _duty(stage, slow, 6.0 if quick else 30.0)
-    stage.spells[-1].ended = time.time()
+    scenario.spell("slow member", lambda fleet: None, lambda fleet: None, 0.0, 0.0)
+    _duty(scenario, slow, 6.0 if quick else 30.0)
+    scenario.spells[-1].ended = time.time()
     a, b = chance.sample(picked, 2)
-    stage.spell("one-sided cut", cut([b], [a], True), cut([b], [a], False), 8.0 if quick else 30.0)
+    scenario.spell("one-sided cut", cut([b], [a], True), cut([b], [a], False), 8.0 if quick else 30.0)
     a, b = chance.sample(picked, 2)
-    stage.spell("flipping link", lambda fleet: None, lambda fleet: None, 0.0, 0.0)
+    scenario.spell("flipping link", lambda fleet: None, lambda fleet: None, 0.0, 0.0)
     for turn in range(4 if quick else 12):
-        for fleet in stage.same:
+        for fleet in scenario.same:
             fleet.relay.set([a], [b], cut=turn % 2 == 0)
             fleet.relay.set([b], [a], cut=turn % 2 == 0)
         time.sleep(2.0)
-    stage.spells[-1].ended = time.time()
-    stage.spell("a tenth lost", set_all("drop", 0.1), set_all("drop", 0.0), 12.0 if quick else 60.0)
+    scenario.spells[-1].ended = time.time()
+    scenario.spell("a tenth lost", set_all("drop", 0.1), set_all("drop", 0.0), 12.0 if quick else 60.0)
     # Two at a time: a pause while a tenth is lost and datagrams come late, doubled and out of order.
     two = chance.choice(picked)
 
@@ -186,22 +189,22 @@
         fleet.go_on(two)
         fleet.relay.set(fleet.names, fleet.names, drop=0.0, double=0.0, reorder=0.0, most=0.0)
 
-    stage.spell("loss and a pause", both, neither, SHORT)
+    scenario.spell("loss and a pause", both, neither, SHORT)
     # Longer than a suspicion lasts: it is out as if it were dead, and comes in again by itself.
     gone = chance.choice(picked)
-    stage.spell("long pause", stopped(gone), going(gone), 9.0, 0.0, frozenset({gone}))
-    after = stage.ours.wait_agreed(names, AGAIN_WITHIN)
-    stage.spells[-1].ended = time.time()
-    stage.returned_after.append(after if after is not None else math.inf)
+    scenario.spell("long pause", stopped(gone), going(gone), 9.0, 0.0, frozenset({gone}))
+    after = scenario.ours.wait_agreed(names, AGAIN_WITHIN)
+    scenario.spells[-1].ended = time.time()
+    scenario.returned_after.append(after if after is not None else math.inf)
     for _ in range(2):
-        _cut_off(stage, chance.sample(picked, round(len(names) * 3 / 8)), 14.0 if quick else 25.0)
-    _stall(stage, chance, 10.0 if quick else 20.0, "")
-    _stall(stage, chance, 6.0 if quick else 20.0, chance.choice(picked))
+        _cut_off(scenario, chance.sample(picked, round(len(names) * 3 / 8)), 14.0 if quick else 25.0)
+    _stall(scenario, chance, 10.0 if quick else 20.0, "")
+    _stall(scenario, chance, 6.0 if quick else 20.0, chance.choice(picked))
     leaver = chance.choice(picked)
     at = time.time()
-    for fleet in stage.same:
+    for fleet in scenario.same:
         fleet.processes[leaver].popen.terminate()
-    stage.spells.append(Spell("leave", at, at + 4.0, frozenset({leaver})))
+    scenario.spells.append(Spell("leave", at, at + 4.0, frozenset({leaver})))
     time.sleep(4.0)
 
 
@@ -216,43 +219,43 @@
     return False
 
 
-def _crash(stage: Stage, name: str) -> None:
+def _crash(scenario: Scenario, name: str) -> None:
     """SIGKILL, and once that was seen a cold restart under the same name."""
     at = time.time()
-    for fleet in stage.same:
+    for fleet in scenario.same:
         fleet.processes[name].kill()
-    stage.crashes.append((name, at))
+    scenario.crashes.append((name, at))
     spell = Spell("crash", at, may_go=frozenset({name}))
-    stage.spells.append(spell)
-    left = [one for one in stage.ours.names if one != name]
-    after = stage.ours.wait_agreed(left, OUT_WITHIN)
-    stage.agreed_after.append(after if after is not None else math.inf)
+    scenario.spells.append(spell)
+    left = [one for one in scenario.ours.names if one != name]
+    after = scenario.ours.wait_agreed(left, OUT_WITHIN)
+    scenario.agreed_after.append(after if after is not None else math.inf)
     time.sleep(2.0)  # the baselines may still be at it
-    for fleet in stage.same:
+    for fleet in scenario.same:
         fleet.start(name)
-    back = stage.ours.wait_agreed(stage.ours.names, AGAIN_WITHIN)
-    stage.returned_after.append(back if back is not None else math.inf)
+    back = scenario.ours.wait_agreed(scenario.ours.names, AGAIN_WITHIN)
+    scenario.returned_after.append(back if back is not None else math.inf)
     spell.ended = time.time()
-    for fleet in stage.others:
+    for fleet in scenario.others:
         _all_in(fleet, 8.0)
 
 
-def _duty(stage: Stage, name: str, span: float) -> None:
+def _duty(scenario: Scenario, name: str, span: float) -> None:
     """Stopped most of the time, in short turns: a process starved of its cores."""
     until = time.monotonic() + span
     while time.monotonic() < until:
-        for fleet in stage.same:
+        for fleet in scenario.same:
             fleet.stop(name)
         time.sleep(0.5)
-        for fleet in stage.same:
+        for fleet in scenario.same:
             fleet.go_on(name)
         time.sleep(0.15)
     time.sleep(4.0)
 
 
-def _cut_off(stage: Stage, group: list[str], span: float) -> None:
+def _cut_off(scenario: Scenario, group: list[str], span: float) -> None:
     """Several together, both ways; they go as if dead, and come in again by themselves."""
-    ours, rest = stage.ours, [name for name in stage.ours.names if name not in group]
+    ours, rest = scenario.ours, [name for name in scenario.ours.names if name not in group]
     begun = time.time()
     for some, others in ((group, rest), (rest, group)):
         ours.relay.set(some, others, cut=True)
@@ -261,15 +264,15 @@
     for some, others in ((group, rest), (rest, group)):
         ours.relay.set(some, others, cut=False)
     after = ours.wait_agreed(ours.names, AGAIN_WITHIN)
-    stage.returned_after.append(after if after is not None else math.inf)
+    scenario.returned_after.append(after if after is not None else math.inf)
     time.sleep(3.0)
-    stage.cuts.append((set(group), begun, healed, time.time()))
-    stage.spells.append(Spell("cut of several", begun, time.time(), frozenset(group)))
+    scenario.cuts.append((set(group), begun, healed, time.time()))
+    scenario.spells.append(Spell("cut of several", begun, time.time(), frozenset(group)))
 
 
-def _stall(stage: Stage, chance: random.Random, span: float, dies: str) -> None:
+def _stall(scenario: Scenario, chance: random.Random, span: float, dies: str) -> None:
     """All of ours stop at once and go on one by one, but for one that dies meanwhile, if it is named."""
-    ours, begun = stage.ours, time.time()
+    ours, begun = scenario.ours, time.time()
     for name in ours.names:
         ours.stop(name)
     time.sleep(span)
@@ -282,29 +285,29 @@
         ours.go_on(name)
     if dies:
         out = ours.wait_agreed(left, AGAIN_WITHIN)
-        stage.dead_in_stall.append(out if out is not None else math.inf)
+        scenario.dead_in_stall.append(out if out is not None else math.inf)
     else:
         time.sleep(12.0)
     spell = Spell("stop of all and a death" if dies else "stop of all", begun, time.time(), frozenset({dies}))
-    stage.spells.append(spell)
+    scenario.spells.append(spell)
     if dies:
         ours.start(dies)
         back = ours.wait_agreed(ours.names, AGAIN_WITHIN)
-        stage.returned_after.append(back if back is not None else math.inf)
+        scenario.returned_after.append(back if back is not None else math.inf)
 
 
-def _load(stage: Stage, span: float) -> None:
+def _load(scenario: Scenario, span: float) -> None:
     """Datagrams and bytes that a member sends in a calm time, a second, in the whole fleet and the half."""
-    before = {fleet.place: fleet.relay.carried() for fleet in (stage.ours, stage.half)}
+    before = {fleet.place: fleet.relay.carried() for fleet in (scenario.ours, scenario.half)}
     begun = time.monotonic()
     time.sleep(span)
-    for fleet in (stage.ours, stage.half):
+    for fleet in (scenario.ours, scenario.half):
         after, took = fleet.relay.carried(), time.monotonic() - begun
         rows = [
             [now - was for now, was in zip(after[name], before[fleet.place][name], strict=True)]
             for name in fleet.names
         ]
-        stage.loads[fleet.place] = (
+        scenario.loads[fleet.place] = (
             statistics.mean(row[0] for row in rows) / took,
             statistics.mean(row[1] for row in rows) / took,
         )
@@ -357,109 +360,109 @@
     }
 
 
-def _judge_together(stage: Stage, verdict: Verdict) -> None:
+def _judge_together(scenario: Scenario, result: ExperimentResult) -> None:
     """Who is cut off together, and who dies while all are stopped."""
     outs, backs = list[int](), list[int]()
-    for group, begun, healed, ended in stage.cuts:
-        out, back = _changes(stage.ours, begun, healed), _changes(stage.ours, healed, ended)
+    for group, begun, healed, ended in scenario.cuts:
+        out, back = _changes(scenario.ours, begun, healed), _changes(scenario.ours, healed, ended)
         gone = {name for name in group if any(f"remove:{name}@" in one for one in out.values())}
-        verdict.check(
+        result.check(
             f"{len(group)} cut off together go in one view",
             len(out) == 1 and gone == group,
             "; ".join(out.values()) or "none",
         )
-        verdict.check("and come in again in one view or two", 1 <= len(back) <= 2, len(back))
+        result.check("and come in again in one view or two", 1 <= len(back) <= 2, len(back))
         outs.append(len(out))
         backs.append(len(back))
-    slowest = max(stage.dead_in_stall)
-    verdict.check("who dies in a stop of all is out of every view", slowest < math.inf, f"{slowest:.2f} s")
-    verdict.figures |= {
+    slowest = max(scenario.dead_in_stall)
+    result.check("who dies in a stop of all is out of every view", slowest < math.inf, f"{slowest:.2f} s")
+    result.figures |= {
         "cut_views": max(outs),
         "back_views": max(backs),
         "dead_in_stall_s": round(slowest, 2),
     }
 
 
-def _judge(stage: Stage, verdict: Verdict) -> None:
-    ours = stage.ours
-    _judge_together(stage, verdict)
+def _check_promises(scenario: Scenario, result: ExperimentResult) -> None:
+    ours = scenario.ours
+    _judge_together(scenario, result)
     detected = {
-        fleet.kind: [one for name, at in stage.crashes for one in _out_times(fleet, name, at)]
-        for fleet in stage.same
+        fleet.kind: [one for name, at in scenario.crashes for one in _out_times(fleet, name, at)]
+        for fleet in scenario.same
     }
     mine = sorted(detected[ours.kind])
     p50, p99 = statistics.median(mine), mine[math.ceil(0.99 * len(mine)) - 1]
-    verdict.check("a killed member is out of every view", mine[-1] < math.inf, f"{mine[-1]:.2f} s")
-    verdict.check(
+    result.check("a killed member is out of every view", mine[-1] < math.inf, f"{mine[-1]:.2f} s")
+    result.check(
         "one agreed view after each crash",
-        max(stage.agreed_after) < math.inf,
-        f"{max(stage.agreed_after):.2f} s",
+        max(scenario.agreed_after) < math.inf,
+        f"{max(scenario.agreed_after):.2f} s",
     )
-    verdict.check(
+    result.check(
         "whoever was out comes in again, under the same name",
-        max(stage.returned_after) < math.inf,
-        f"{max(stage.returned_after):.2f} s",
+        max(scenario.returned_after) < math.inf,
+        f"{max(scenario.returned_after):.2f} s",
     )
-    removed: dict[str, dict[str, int]] = {fleet.kind: defaultdict(int) for fleet in stage.same}
-    for fleet in stage.same:
-        for spell in stage.spells:
+    removed: dict[str, dict[str, int]] = {fleet.kind: defaultdict(int) for fleet in scenario.same}
+    for fleet in scenario.same:
+        for spell in scenario.spells:
             removed[fleet.kind][spell.what] += len(_removed(fleet, spell))
-    kinds = list(dict.fromkeys(spell.what for spell in stage.spells))
+    kinds = list(dict.fromkeys(spell.what for spell in scenario.spells))
     for what in kinds:
         count = removed[ours.kind][what]
-        verdict.check(f"no healthy member is taken out: {what}", count == 0, count)
+        result.check(f"no healthy member is taken out: {what}", count == 0, count)
     for what in ("one-sided cut", "flipping link"):
-        spell = next(one for one in stage.spells if one.what == what)
+        spell = next(one for one in scenario.spells if one.what == what)
         changes = _epochs(list(ours.seen(spell.begun, spell.ended)))
-        verdict.check(f"at most one view change: {what}", changes <= 1, changes)
+        result.check(f"at most one view change: {what}", changes <= 1, changes)
     by_epoch: dict[str, set[str]] = defaultdict(set)
     for line in ours.seen():
         if line.what == "view":
             by_epoch[line.pairs["epoch"]].add(line.pairs["fingerprint"])
     odd = sum(len(prints) > 1 for prints in by_epoch.values())
-    verdict.check("no epoch at which two members held two views", odd == 0, f"{odd} of {len(by_epoch)}")
-    left = [name for name in ours.names if name not in stage.spells[-1].may_go]
-    verdict.check("all agree at the end, without who left", ours.agreed(left), len(left))
+    result.check("no epoch at which two members held two views", odd == 0, f"{odd} of {len(by_epoch)}")
+    left = [name for name in ours.names if name not in scenario.spells[-1].may_go]
+    result.check("all agree at the end, without who left", ours.agreed(left), len(left))
     for figure, place in (("messages", 0), ("bytes", 1)):
-        whole, half = stage.loads[ours.place][place], stage.loads[stage.half.place][place]
+        whole, half = scenario.loads[ours.place][place], scenario.loads[scenario.half.place][place]
         ratio = whole / half
-        verdict.check(
+        result.check(
             f"{figure} a member do not grow with the fleet",
             1 / LOAD_MOST <= ratio <= LOAD_MOST,
-            f"{ratio:.2f} from {stage.half.size} to {ours.size}",
+            f"{ratio:.2f} from {scenario.half.size} to {ours.size}",
         )
-        verdict.figures[f"{figure}_a_member_a_second"] = round(whole, 1)
-        verdict.figures[f"{figure}_ratio"] = round(ratio, 3)
+        result.figures[f"{figure}_a_member_a_second"] = round(whole, 1)
+        result.figures[f"{figure}_ratio"] = round(ratio, 3)
     total = {kind: sum(those.values()) for kind, those in removed.items()}
-    if stage.others:
-        least = min(total[fleet.kind] for fleet in stage.others)
-        verdict.check(
+    if scenario.others:
+        least = min(total[fleet.kind] for fleet in scenario.others)
+        result.check(
             "fewer healthy members taken out than by both baselines",
             total[ours.kind] < least,
             ", ".join(f"{kind} {count}" for kind, count in total.items()),
         )
-        faster = min(statistics.median(detected[fleet.kind]) for fleet in stage.others)
+        faster = min(statistics.median(detected[fleet.kind]) for fleet in scenario.others)
         medians = {kind: statistics.median(those) for kind, those in detected.items()}
-        verdict.check(
+        result.check(
             f"a crash is detected within {DETECT_MOST} times the faster baseline",
             p50 <= DETECT_MOST * faster,
             ", ".join(f"{kind} {median:.2f} s" for kind, median in medians.items()),
         )
         for kind, median in medians.items():
-            verdict.figures[f"{kind}_detect_p50_periods"] = round(median / PERIOD, 2)
+            result.figures[f"{kind}_detect_p50_periods"] = round(median / PERIOD, 2)
     log = "".join(
-        (stage.rig.folder / f"{ours.idempotency_key(name)}.log").read_text(errors="replace")
+        (scenario.testbed.folder / f"{ours.idempotency_key(name)}.log").read_text(errors="replace")
         for name in ours.names
     )
-    verdict.check("no fault of our own in the logs", "Traceback" not in log, log.count("Traceback"))
-    verdict.figures |= {
+    result.check("no fault of our own in the logs", "Traceback" not in log, log.count("Traceback"))
+    result.figures |= {
         "members": ours.size,
         "detect_p50_periods": round(p50 / PERIOD, 2),
         "detect_p99_periods": round(p99 / PERIOD, 2),
-        "agreed_s": round(max(stage.agreed_after), 2),
+        "agreed_s": round(max(scenario.agreed_after), 2),
         "views": len(by_epoch),
         **{f"healthy_removed_{kind}": count for kind, count in total.items()},
     }
     for kind, counts in removed.items():
         told = ", ".join(f"{what} {count}" for what, count in counts.items() if count)
-        verdict.figures[f"removed_in_{kind}"] = told or "-"
+        result.figures[f"removed_in_{kind}"] = told or "-"
--- a/sablewheel/experiments/membership_model.py
+++ b/sablewheel/experiments/membership_model.py
@@ -20,9 +20,9 @@
 from ..membership.node import Node
 from ..membership.plan import Settings
 from ..membership.view import Change, ChangeKind, Member, View
-from .verdict import Verdict
+from .result import ExperimentResult
 
-BROKEN = ("ignores-refutation",)
+FAULTY_VARIANTS = ("ignores-refutation",)
 NAMES = ("a", "b", "c")
 ON_WAY_MOST = 5  # one more pushes the oldest out: it is lost
 SETTLE = 30.0  # seconds without faults after which all must agree
@@ -227,17 +227,17 @@
     return len(seen), settled, (), ""
 
 
-def run(seed: int, quick: bool, broken: str = "") -> Verdict:
+def run(seed: int, quick: bool, broken: str = "") -> ExperimentResult:
     """Nothing here is drawn by `seed`: every order is tried."""
     del seed
-    verdict = Verdict("membership-model")
+    result = ExperimentResult("membership-model")
     depth, most, leaves = (5, 50_000, 40) if quick else (6, 400_000, 400)
     for title, state in starts(Deaf if broken else Node).items():
         states, settled, trace, wrong = explore(state, depth, most, leaves)
         says = f"{states} states, {settled} settled" + (f": {wrong}" if wrong else "")
         whole = depth < states < most  # cut short, it would not be every order
-        verdict.check(f"{title}: nothing wrong in any order to depth {depth}", not wrong and whole, says)
+        result.check(f"{title}: nothing wrong in any order to depth {depth}", not wrong and whole, says)
         if trace:
-            verdict.figures[f"trace ({title})"] = "\n    ".join(["", *trace])
-        verdict.figures[f"states ({title})"] = states
-    return verdict
+            result.figures[f"trace ({title})"] = "\n    ".join(["", *trace])
+        result.figures[f"states ({title})"] = states
+    return result
--- a/sablewheel/experiments/membership_size.py
+++ b/sablewheel/experiments/membership_size.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable
 
 from ..membership.plan import Settings
-from .made_net import Net
-from .verdict import Verdict
+from .result import ExperimentResult
+from .simulated_network import Net
 
 SETTINGS = Settings()
 SPREAD = 0.99
@@ -78,32 +78,32 @@
     }
 
 
-def run(seed: int, quick: bool) -> Verdict:
-    verdict = Verdict("membership-size")
+def run(seed: int, quick: bool) -> ExperimentResult:
+    result = ExperimentResult("membership-size")
     sizes = (50, 200, 1000) if quick else (100, 1000, 10_000)
     found = {n: measure(n, seed) for n in sizes}
     base = found[sizes[0]]["messages_a_member_a_second"]
     for n, figures in found.items():
         rounds, limit = figures["rumour_rounds"], ROUNDS_MOST * math.log2(n)
-        verdict.check(
+        result.check(
             f"{n}: a rumour is everywhere in a few times log n rounds",
             rounds <= limit,
             f"{rounds:.1f} of {limit:.1f}",
         )
         ratio = figures["messages_a_member_a_second"] / base
-        verdict.check(f"{n}: messages a member stay flat", ratio <= LOAD_MOST, f"{ratio:.3f}")
+        result.check(f"{n}: messages a member stay flat", ratio <= LOAD_MOST, f"{ratio:.3f}")
         limit = OUT_MOST * SETTINGS.min_suspicion_periods * SETTINGS.period_s
-        verdict.check(
+        result.check(
             f"{n}: the dead is out of nearly every view",
             figures["out_s"] <= limit,
             f"{figures['out_s']:.2f} s",
         )
-        verdict.check(
+        result.check(
             f"{n}: no healthy member is taken out",
             figures["healthy_removed"] == 0,
             f"{figures['healthy_removed']:.0f}",
         )
-        verdict.check(f"{n}: one view at the end", figures["views"] == 1, f"{figures['views']:.0f}")
+        result.check(f"{n}: one view at the end", figures["views"] == 1, f"{figures['views']:.0f}")
         for name, value in figures.items():
-            verdict.figures[f"{n}_{name}"] = round(value, 2)
-    return verdict
+            result.figures[f"{n}_{name}"] = round(value, 2)
+    return result
--- a/sablewheel/experiments/paired.py
+++ b/sablewheel/experiments/paired_rounds.py
@@ -9,13 +9,13 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from .rig import Rig, free_port
+from .testbed import Testbed, free_port
 
-Text = Callable[[Rig], str | None]  # a kind's features file, once the rig is there
+Text = Callable[[Testbed], str | None]  # a kind's features file, once the testbed is there
 
 
 def side_by_side(
-    rig: Rig, kinds: Mapping[str, Text], seconds: float, goal: float, **load: Any
+    testbed: Testbed, kinds: Mapping[str, Text], seconds: float, goal: float, **load: Any
 ) -> dict[str, dict[str, float]]:
     """By kind: CPU a request (us), p50 and p99 of completed answers (ms), completed within the goal a second,
     MB.
@@ -24,19 +24,19 @@
     servers = {}
     for kind, text in kinds.items():
         ports[kind], vm = free_port(), free_port()
-        rig.interpreter(kind, vm)
-        servers[kind] = rig.server(kind, ports[kind], vm, text(rig))
+        testbed.interpreter(kind, vm)
+        servers[kind] = testbed.server(kind, ports[kind], vm, text(testbed))
     time.sleep(0.5)
     before = {kind: servers[kind].usage()[0] for kind in kinds}
     routers = [
-        rig.router(f"r-{kind}", [f"127.0.0.1:{ports[kind]}"], seconds=seconds, **load) for kind in kinds
+        testbed.router(f"r-{kind}", [f"127.0.0.1:{ports[kind]}"], seconds=seconds, **load) for kind in kinds
     ]
     for one in routers:
         one.popen.wait(seconds + 30)
     found = {}
     for kind in kinds:
         used, memory = servers[kind].usage()
-        held = list(rig.held(f"r-{kind}"))
+        held = list(testbed.held(f"r-{kind}"))
         times = sorted(one["at"] - one["sent"] for one in held if one["how"] == "completed")
         found[kind] = {
             "cpu_us": 1e6 * (used - before[kind]) / max(len(held), 1),
--- a/sablewheel/experiments/policy.py
+++ b/sablewheel/experiments/policy.py
@@ -25,13 +25,13 @@
 from typing import Any
 
 from ..protocol.resp import Parser
-from . import wire
+from . import client_protocol as wire
 from .fleet import DOOR, LISTEN, PORT, Block, Fleet, Relay
 from .policy_member import TAMPERED
-from .rig import PATIENCE, Process, Rig, RigError, free_port
-from .verdict import Verdict
+from .result import ExperimentResult
+from .testbed import PATIENCE, Process, Testbed, TestbedError, free_port
 
-BROKEN = ("ignore-class", "minority-activates", "no-dwell", "unverified")
+FAULTY_VARIANTS = ("ignore-class", "minority-activates", "no-dwell", "unverified")
 LINK = 7702
 LINK_DOOR = DOOR + 50
 KINDS = ("disk", "disk", "disk", "plain", "plain", "small")
@@ -89,7 +89,7 @@
 
 
 @dataclass
-class Stage(Fleet):
+class Scenario(Fleet):
     """One of the three fleets. `kind`: ours, a part broken, `alone` or `weakest`, which have no policy."""
 
     vms: dict[str, int] = field(default_factory=dict)
@@ -105,17 +105,17 @@
                 for door, port in ((DOOR, PORT), (LINK_DOOR, LINK))
                 for place, name in enumerate(self.names)
             ]
-            self.relay = Relay(self.rig, self.idempotency_key("relay"), self.relay_host, self.seed, doors)
+            self.relay = Relay(self.testbed, self.idempotency_key("relay"), self.relay_host, self.seed, doors)
         for name in self.names:
             self.vms[name] = free_port()
-            self.rig.interpreter(self.idempotency_key(name), self.vms[name], work=WORK, cores=8)
+            self.testbed.interpreter(self.idempotency_key(name), self.vms[name], work=WORK, cores=8)
 
     @property
     def has_policy(self) -> bool:
         return self.kind not in ("alone", "weakest")
 
     def policy_file(self, name: str) -> Path:
-        return self.rig.folder / f"{self.idempotency_key(name)}.policy"
+        return self.testbed.folder / f"{self.idempotency_key(name)}.policy"
 
     def give(self, name: str, number: int, entries: int = 1000) -> None:
         """The operators put a document in place and say so with SIGHUP."""
@@ -133,13 +133,13 @@
             if self.policy_file(name).exists():
                 lines.append(f"  file: {self.policy_file(name)}")
         if kind == "disk":
-            lines += ["recall:", f"  folder: {self.rig.folder / self.idempotency_key(name)}-disk"]
+            lines += ["recall:", f"  folder: {self.testbed.folder / self.idempotency_key(name)}-disk"]
         return "\n".join([*lines, ""])
 
     def start_as(self, name: str, kind: str) -> None:
         """It starts on hardware of that kind; whether and when it is up is seen by who waits."""
-        rig, idempotency_key = self.rig, self.idempotency_key(name)
-        path = rig.folder / f"{idempotency_key}.yaml"
+        testbed, idempotency_key = self.testbed, self.idempotency_key(name)
+        path = testbed.folder / f"{idempotency_key}.yaml"
         path.write_text(self.texts(name, kind))
         small = kind == "small"
         extra = {
@@ -152,7 +152,7 @@
             "callers": 4,
             "share-for-s": 0.0 if small else 10.0,
         }
-        told = rig.configuration(
+        told = testbed.configuration(
             idempotency_key,
             LISTEN,
             self.vms[name],
@@ -167,7 +167,7 @@
         elif self.kind == "weakest":
             words = ["sablewheel.experiments.policy_member", "weakest", "pay"]
         self.kinds.setdefault(name, []).append((time.monotonic(), kind))
-        self.processes[name] = rig.start(
+        self.processes[name] = testbed.start(
             idempotency_key, *words, shifted=False, RELAY_CONFIG=str(told), SABLEWHEEL_FEATURES=str(path)
         )
 
@@ -183,7 +183,7 @@
                 if answers and answers[0][1] == b"UP":
                     return
             time.sleep(0.02)
-        raise RigError(f"{name} does not come up: {self.processes[name].tail()}")
+        raise TestbedError(f"{name} does not come up: {self.processes[name].tail()}")
 
     def kind_at(self, name: str, when: float) -> str:
         return [kind for since, kind in self.kinds[name] if since <= when][-1]
@@ -196,7 +196,7 @@
     def said(self) -> list[Said]:
         lines = []
         for name in self.names:
-            path = self.rig.folder / f"{self.idempotency_key(name)}.log"
+            path = self.testbed.folder / f"{self.idempotency_key(name)}.log"
             for line in path.read_text(errors="replace").splitlines():
                 if found := LINE.match(line):
                     words = shlex.split(found[2])
@@ -222,13 +222,13 @@
 class Act:
     """The three fleets, and when each fault began and was over."""
 
-    ours: Stage
-    others: list[Stage]
+    ours: Scenario
+    others: list[Scenario]
     spans: dict[str, tuple[float, float]] = field(default_factory=dict)
     active_at: float = 0.0
 
     @property
-    def all(self) -> list[Stage]:
+    def all(self) -> list[Scenario]:
         return [self.ours, *self.others]
 
     @contextlib.contextmanager
@@ -238,74 +238,74 @@
         self.spans[what] = (begun, time.time())
 
     def kill(self, *names: str) -> None:
-        for stage in self.all:
+        for scenario in self.all:
             for name in names:
-                stage.processes[name].kill()
+                scenario.processes[name].kill()
 
     def start(self, *names: str, kind: str = "") -> None:
-        for stage in self.all:
+        for scenario in self.all:
             for name in names:
                 if kind:
-                    stage.start_as(name, kind)
+                    scenario.start_as(name, kind)
                 else:
-                    stage.start(name)
+                    scenario.start(name)
 
 
-def run(seed: int, quick: bool, broken: str = "") -> Verdict:
+def run(seed: int, quick: bool, broken: str = "") -> ExperimentResult:
     """The trial; `broken` names a fault put into the servers on purpose."""
-    verdict = Verdict("policy")
-    with Rig(seed) as rig, closing(Block()) as block:
+    result = ExperimentResult("policy")
+    with Testbed(seed) as testbed, closing(Block()) as block:
         stages = [
-            Stage(rig, block.second, kind, place, len(KINDS), seed, keys=MEMBERSHIP)
+            Scenario(testbed, block.second, kind, place, len(KINDS), seed, keys=MEMBERSHIP)
             for place, kind in enumerate((broken or "ours", "alone", "weakest"))
         ]
         act = Act(stages[0], stages[1:])
         for name in ("m0", "m4"):
             act.ours.policy_file(name).write_text(POLICY.format(number=1, entries=1000))
         act.start(*act.ours.names)
-        for stage in act.all:
-            for name in stage.names:
-                stage.wait_up(name)
+        for scenario in act.all:
+            for name in scenario.names:
+                scenario.wait_up(name)
         if act.ours.wait_agreed(act.ours.names, PATIENCE) is None:
-            raise RigError(f"no view: {act.ours.processes['m0'].tail()}")
+            raise TestbedError(f"no view: {act.ours.processes['m0'].tail()}")
         if not act.ours.wait_active(1, act.ours.names, PATIENCE):
             last = [f"{one.member} {one.what} {one.pairs}" for one in act.ours.said()[-12:]]
-            raise RigError("\n".join(["no policy came into force", *last]))
+            raise TestbedError("\n".join(["no policy came into force", *last]))
         act.active_at = time.monotonic()
-        plot = _plot(act, 2 if quick else 4)
-        routers = _routers(rig, act, sum(span for span, _ in plot))
-        for span, do in plot:
+        faults = _draw_faults(act, 2 if quick else 4)
+        routers = _routers(testbed, act, sum(span for span, _ in faults))
+        for span, do in faults:
             begun = time.monotonic()
             do()
             time.sleep(max(begun + span - time.monotonic(), 0.0))
         for one in routers:
             one.popen.wait(30)
         codes = [
-            stage.processes[name].leave()
-            for stage in act.all
-            for name in stage.names
-            if stage.processes[name].alive
+            scenario.processes[name].leave()
+            for scenario in act.all
+            for name in scenario.names
+            if scenario.processes[name].alive
         ]
         time.sleep(0.1)
-        _judge(act, verdict, codes)
+        _check_promises(act, result, codes)
         act.ours.relay.close()
-    return verdict
+    return result
 
 
-def _routers(rig: Rig, act: Act, seconds: float) -> list[Process]:
+def _routers(testbed: Testbed, act: Act, seconds: float) -> list[Process]:
     return [
-        rig.router(
-            stage.idempotency_key("router"),
-            [f"{stage.host(name)}:{LISTEN}" for name in stage.names],
+        testbed.router(
+            scenario.idempotency_key("router"),
+            [f"{scenario.host(name)}:{LISTEN}" for name in scenario.names],
             rate=60,
             seconds=seconds,
             request_classes=REQUEST_CLASSES,
         )
-        for stage in act.all
+        for scenario in act.all
     ]
 
 
-def _plot(act: Act, rounds: int) -> list[tuple[float, Callable[[], None]]]:
+def _draw_faults(act: Act, rounds: int) -> list[tuple[float, Callable[[], None]]]:
     """What happens, and how long it may take until the next thing does."""
     ours = act.ours
 
@@ -360,12 +360,12 @@
     ]
 
 
-def _judge(act: Act, verdict: Verdict, codes: list[int]) -> None:
-    ours, rig = act.ours, act.ours.rig
+def _check_promises(act: Act, result: ExperimentResult, codes: list[int]) -> None:
+    ours, testbed = act.ours, act.ours.testbed
     lines = ours.said()
     holds = [one for one in lines if one.what == "policy active"]
-    tries = {stage.kind: list(rig.held(stage.idempotency_key("router"))) for stage in act.all}
-    begun = {stage.kind: _begun(stage) for stage in act.all}
+    tries = {scenario.kind: list(testbed.held(scenario.idempotency_key("router"))) for scenario in act.all}
+    begun = {scenario.kind: _begun(scenario) for scenario in act.all}
     served = [
         (name, when, ours.kind_at(name, when))
         for one in tries[ours.kind]
@@ -374,7 +374,7 @@
         if when > act.active_at + SLACK
     ]
     unfit = [one for one in served if one[2] != "disk"]
-    verdict.check(
+    result.check(
         "no ticket served by a class that can't run what its flow requires",
         not unfit and len(served) > 100,
         f"{len(unfit)} of {len(served)}",
@@ -385,53 +385,55 @@
             (line.pairs["policy"], line.pairs["fallback_levels"])
         )
     double = {epoch: those for epoch, those in by_epoch.items() if len(those) > 1}
-    verdict.check("no epoch with two active translations", not double, double or len(by_epoch))
+    result.check("no epoch with two active translations", not double, double or len(by_epoch))
     numbers = {one.pairs["policy"].split(".")[0] for one in holds}
-    verdict.check("versions came into force", {"1", "2", "3"} <= numbers, sorted(numbers))
+    result.check("versions came into force", {"1", "2", "3"} <= numbers, sorted(numbers))
     first = {
         one.pairs["epoch"]
         for one in holds
         if one.pairs["policy"].startswith("1.") and one.when < min(span[0] for span in act.spans.values())
     }
-    verdict.check("the first version at one epoch everywhere", len(first) == 1, sorted(first))
+    result.check("the first version at one epoch everywhere", len(first) == 1, sorted(first))
     refused = sum(one.what == "policy refused" for one in lines)
-    verdict.check("a wrong translation is refused by who can't run it", refused > 0, refused)
+    result.check("a wrong translation is refused by who can't run it", refused > 0, refused)
     changes = _changes(act, holds)
     for what, many in changes.items():
-        verdict.check(f"changes of what holds, {what}: at most {CHANGES_MOST}", many <= CHANGES_MOST, many)
+        result.check(f"changes of what holds, {what}: at most {CHANGES_MOST}", many <= CHANGES_MOST, many)
     fallbacks = [many for what, many in changes.items() if what.startswith("capable")]
-    verdict.check("flows did step down and up", sum(fallbacks) >= 2, fallbacks)
+    result.check("flows did step down and up", sum(fallbacks) >= 2, fallbacks)
     since, until = act.spans["no capable member left"]
     rejected = [one for one in tries[ours.kind] if one["track"] == "pay" and since <= one["sent"] < until]
     quick = [one["until"] - one["from"] for one in rejected if one["how"] == "denied"]
     late = statistics.median(quick) if quick else 9.0
     told = sum("come_back" in one for one in rejected)
-    verdict.check(
+    result.check(
         "a flow nobody can run is denied early, with a come-back time",
         len(quick) >= 0.95 * len(rejected) > 5 and told >= 0.95 * len(quick) and late < 0.1,
         f"{len(quick)} of {len(rejected)}, {told} told, {1000 * late:.1f} ms",
     )
     causes = {one.pairs.get("reason", "") for one in lines if one.what == "flow denied"}
-    verdict.check("and its cause is in the log", "no member can run durable-recall" in causes, len(causes))
-    worth = {stage.kind: _worth(stage, tries[stage.kind], begun[stage.kind]) for stage in act.all}
-    for stage in act.others:
-        verdict.check(
-            f"worth served above the baseline {stage.kind}",
-            worth[ours.kind] > worth[stage.kind],
-            f"{worth[ours.kind]} to {worth[stage.kind]}",
+    result.check("and its cause is in the log", "no member can run durable-recall" in causes, len(causes))
+    worth = {
+        scenario.kind: _worth(scenario, tries[scenario.kind], begun[scenario.kind]) for scenario in act.all
+    }
+    for scenario in act.others:
+        result.check(
+            f"worth served above the baseline {scenario.kind}",
+            worth[ours.kind] > worth[scenario.kind],
+            f"{worth[ours.kind]} to {worth[scenario.kind]}",
         )
-    verdict.check("all left in order at the end", not any(codes), codes)
-    paths = [rig.folder / f"{ours.idempotency_key(name)}.log" for name in ours.names]
+    result.check("all left in order at the end", not any(codes), codes)
+    paths = [testbed.folder / f"{ours.idempotency_key(name)}.log" for name in ours.names]
     logs = "".join(path.read_text(errors="replace") for path in paths)
-    verdict.check("no fault of our own in the logs", "Traceback" not in logs, logs.count("Traceback"))
+    result.check("no fault of our own in the logs", "Traceback" not in logs, logs.count("Traceback"))
     hows = Counter(one["how"] for one in tries[ours.kind])
     counters = Counter[str]()
     for name in ours.names:
-        for key, value in rig.counters(ours.processes[name]).items():
+        for key, value in testbed.counters(ours.processes[name]).items():
             if key.startswith(("policy_denied", "policy_refused", "forward_")) and value.isdigit():
                 counters[key] += int(value)
     request_classes = Counter(one["track"] for one in tries[ours.kind] if one["how"] == "denied")
-    verdict.figures |= {
+    result.figures |= {
         "tickets": len(tries[ours.kind]),
         **{how: hows[how] for how in ("completed", "denied", "terminated", "lost", "unanswered")},
         "pay_served": len(served),
@@ -443,27 +445,27 @@
     }
 
 
-def _begun(stage: Stage) -> dict[str, list[tuple[str, float]]]:
+def _begun(scenario: Scenario) -> dict[str, list[tuple[str, float]]]:
     """By request, the servers that ran it and when."""
     found: dict[str, list[tuple[str, float]]] = {}
-    for name in stage.names:
-        for word, request, when in stage.rig.runs(stage.idempotency_key(name)):
+    for name in scenario.names:
+        for word, request, when in scenario.testbed.runs(scenario.idempotency_key(name)):
             if word == "begin":
                 found.setdefault(request, []).append((name, when))
     return found
 
 
-def _worth(stage: Stage, tries: list[dict[str, Any]], begun: dict[str, list[tuple[str, float]]]) -> int:
+def _worth(scenario: Scenario, tries: list[dict[str, Any]], begun: dict[str, list[tuple[str, float]]]) -> int:
     """What completed requests are worth: nothing without what is required, more with what is preferred."""
     total = 0
     for one in tries:
         if one["how"] != "completed" or one["name"] not in begun:
             continue
         name, when = begun[one["name"]][-1]
-        kind = stage.kind_at(name, when)
+        kind = scenario.kind_at(name, when)
         if one["track"] != "pay" or kind == "disk":
             total += WORTH[one["track"]]
-        if one["track"] == "read" and kind != "small" and stage.kind != "weakest":
+        if one["track"] == "read" and kind != "small" and scenario.kind != "weakest":
             total += MAX_BUNDLES
     return total
 
--- a/sablewheel/experiments/policy_fleet.py
+++ b/sablewheel/experiments/policy_fleet.py
@@ -35,7 +35,7 @@
 from ..membership.node import Node
 from ..membership.plan import Settings
 from ..membership.view import Member
-from .made_fleet import MadeFleet
+from .simulated_fleet import SimulatedFleet
 
 TRANSLATES_FOR = 1.0
 FOUND_LEAST = 4  # more than half of these fleets: what starts anew behind a cut founds nothing of its own
@@ -136,7 +136,7 @@
     tamper: bool = False  # translations say more than classes can run
 
     def __post_init__(self) -> None:
-        self.made = MadeFleet(self._event, "tick", self.seed, self._heard)
+        self.made = SimulatedFleet(self._event, "tick", self.seed, self._heard)
         self.kinds: dict[str, str] = {}
         self.zones: dict[str, str] = {}
 
--- a/sablewheel/experiments/policy_member.py
+++ b/sablewheel/experiments/policy_member.py
@@ -20,7 +20,7 @@
 from ..feature_policy import service as shell
 from ..feature_policy.plan import PolicyPlan
 from ..feature_policy.policy_bundle import PolicyBundle
-from ..feature_policy.rollout import BROKEN
+from ..feature_policy.rollout import FAULTY_VARIANTS
 from ..feature_policy.rollout_events import TranslationFinished
 from ..serving.dispatcher import Dispatcher
 from ..serving.exchange import Exchange
@@ -33,7 +33,7 @@
 
     def __init__(self, scheduler: Any, plan: PolicyPlan, *rest: Any) -> None:
         kind = sys.argv[1]
-        super().__init__(scheduler, replace(plan, broken=kind if kind in BROKEN else ""), *rest)
+        super().__init__(scheduler, replace(plan, broken=kind if kind in FAULTY_VARIANTS else ""), *rest)
 
     def _answer(self, data: bytes) -> TranslationFinished:
         told = super()._answer(data)
@@ -59,8 +59,8 @@
 if __name__ == "__main__":
     if sys.argv[1] == "weakest":
         weakest(sys.argv[2].encode())
-    elif sys.argv[1] == "ours" or sys.argv[1] in BROKEN:
+    elif sys.argv[1] == "ours" or sys.argv[1] in FAULTY_VARIANTS:
         setattr(shell, "Policies", Odd)  # noqa: B010  the program imports it from there
     else:
-        raise SystemExit(f"{sys.argv[1]!r} is none of ours, weakest, {', '.join(BROKEN)}")
+        raise SystemExit(f"{sys.argv[1]!r} is none of ours, weakest, {', '.join(FAULTY_VARIANTS)}")
     runpy.run_module("sablewheel", run_name="__main__")
--- a/sablewheel/experiments/recall.py
+++ b/sablewheel/experiments/recall.py
@@ -15,10 +15,10 @@
 from pathlib import Path
 from typing import Any
 
-from .rig import Process, Rig, free_port
-from .verdict import Verdict
+from .result import ExperimentResult
+from .testbed import Process, Testbed, free_port
 
-BROKEN = ("no-intent", "answer-before-outcome", "evict-intents", "trust-clock")
+FAULTY_VARIANTS = ("no-intent", "answer-before-outcome", "evict-intents", "trust-clock")
 NAMES = ("n1", "n2", "n3")
 WITHIN = 5.0  # repeats come so long after the first; the window is six seconds
 HOUR = 3600.0
@@ -33,10 +33,10 @@
 
 
 @dataclass
-class Stage:
+class Scenario:
     """The processes, and what happened to them."""
 
-    rig: Rig
+    testbed: Testbed
     broken: str
     ports: dict[str, int] = field(default_factory=dict)
     vms: dict[str, int] = field(default_factory=dict)
@@ -48,13 +48,13 @@
     memory: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
 
     def start(self, name: str) -> None:
-        module = ("sablewheel.experiments.broken_server", self.broken) if self.broken else ("sablewheel",)
-        self.servers[name] = self.rig.server(
+        module = ("sablewheel.experiments.faulty_server", self.broken) if self.broken else ("sablewheel",)
+        self.servers[name] = self.testbed.server(
             name, self.ports[name], self.vms[name], self.texts[name], module=module, settings={"servers": 1}
         )
 
     def interpreter(self, name: str) -> None:
-        self.interpreters[name] = self.rig.interpreter(
+        self.interpreters[name] = self.testbed.interpreter(
             name,
             self.vms[name],
             outlives=name != "n2",
@@ -70,31 +70,31 @@
             self.interpreters[name].kill()
 
 
-def run(seed: int, quick: bool, broken: str = "") -> Verdict:
+def run(seed: int, quick: bool, broken: str = "") -> ExperimentResult:
     """The trial; `broken` names a fault put into the servers on purpose."""
-    verdict = Verdict("recall")
-    with Rig(seed) as rig:
-        stage = Stage(rig, broken)
+    result = ExperimentResult("recall")
+    with Testbed(seed) as testbed:
+        scenario = Scenario(testbed, broken)
         for name in NAMES:
-            stage.ports[name], stage.vms[name] = free_port(), free_port()
+            scenario.ports[name], scenario.vms[name] = free_port(), free_port()
             more: dict[str, object] = {"interpreter_outlives": "true"} if name != "n2" else {}
             if name == "n3":
                 more["entries_most"] = SMALL
-            stage.texts[name] = features(rig.folder / f"{name}-recall", **more)
-            stage.interpreter(name)
-            stage.start(name)
+            scenario.texts[name] = features(testbed.folder / f"{name}-recall", **more)
+            scenario.interpreter(name)
+            scenario.start(name)
         seconds = 24.0 if quick else 90.0
-        _play(stage, seed, seconds)
-        _judge(stage, verdict)
-    return verdict
+        _run_scenario(scenario, seed, seconds)
+        _check_promises(scenario, result)
+    return result
 
 
-def _play(stage: Stage, seed: int, seconds: float) -> None:
-    rig, chance = stage.rig, random.Random(seed)
+def _run_scenario(scenario: Scenario, seed: int, seconds: float) -> None:
+    testbed, chance = scenario.testbed, random.Random(seed)
     routers = [
-        rig.router(
+        testbed.router(
             f"r-{name}",
-            [f"127.0.0.1:{stage.ports[name]}"],
+            [f"127.0.0.1:{scenario.ports[name]}"],
             rate=130 if name == "n3" else 70,
             seconds=seconds,
             repeats=0.6,
@@ -115,38 +115,38 @@
         turn += 1
         if turn % 6 == 5:  # all are down, and the clock is set meanwhile: an hour forward, later back again
             for name in NAMES:
-                stage.kill(name)
+                scenario.kill(name)
             clock = HOUR if not clock else 0.0
-            rig.shift(clock)
-            stage.counts["clock_steps"] += 1
-            stage.interpreter("n2")
+            testbed.shift(clock)
+            scenario.counts["clock_steps"] += 1
+            scenario.interpreter("n2")
             for name in NAMES:
-                stage.start(name)
+                scenario.start(name)
         else:
             name = chance.choice(NAMES)
-            stage.kill(name)
+            scenario.kill(name)
             time.sleep(chance.choice((0.0, 0.0, 0.3)))
             if name == "n2":
-                stage.interpreter("n2")
-            stage.start(name)
+                scenario.interpreter("n2")
+            scenario.start(name)
     for one in routers:
         one.popen.wait(30)
     for name in NAMES:
-        stage.memory[name].append(stage.servers[name].usage()[1])
-        code = stage.servers[name].leave()
-        stage.counts["bad_exits"] += code != 0
+        scenario.memory[name].append(scenario.servers[name].usage()[1])
+        code = scenario.servers[name].leave()
+        scenario.counts["bad_exits"] += code != 0
     time.sleep(0.2)
 
 
-def _judge(stage: Stage, verdict: Verdict) -> None:
+def _check_promises(scenario: Scenario, result: ExperimentResult) -> None:
     second_runs = rejected_ran = other_bytes = not_the_original = room_rejections = advised = 0
     completed = failed = repeats = 0
     unadvised: list[str] = []
     for name in NAMES:
-        tries = list(stage.rig.held(f"r-{name}"))
+        tries = list(scenario.testbed.held(f"r-{name}"))
         idempotency_keys = {one["name"]: one["label"] for one in tries}
         begins: dict[str, list[float]] = defaultdict(list)
-        for word, request, when in stage.rig.runs(name):
+        for word, request, when in scenario.testbed.runs(name):
             if word == "begin" and request in idempotency_keys:
                 begins[idempotency_keys[request]].append(when)
         second_runs += sum(len(each) - 1 for each in begins.values())
@@ -173,30 +173,30 @@
                 if one["how"] == "denied" and not one.get("come_back", False)
             ]
             advised = room_rejections - len(unadvised)
-    verdict.check("no label ran twice within its window", second_runs == 0, second_runs)
-    verdict.check("nothing that ran was denied", rejected_ran == 0, rejected_ran)
-    verdict.check("all who got a result of a label got the same bytes", other_bytes == 0, other_bytes)
-    verdict.check(
-        "a result held once is what every later repeat got", not_the_original == 0, not_the_original
-    )
-    verdict.check("repeats came after restarts and got their results", repeats > 50, repeats)
-    verdict.check(
+    result.check("no label ran twice within its window", second_runs == 0, second_runs)
+    result.check("nothing that ran was denied", rejected_ran == 0, rejected_ran)
+    result.check("all who got a result of a label got the same bytes", other_bytes == 0, other_bytes)
+    result.check("a result held once is what every later repeat got", not_the_original == 0, not_the_original)
+    result.check("repeats came after restarts and got their results", repeats > 50, repeats)
+    result.check(
         "with few labels' room, tickets are denied and told when to return",
         0 < room_rejections <= advised,
         f"{advised} of {room_rejections} advised"
         + (f"; not: {', '.join(unadvised[:8])}" if unadvised else ""),
     )
-    growth = max(each[-1] - min(each) for each in stage.memory.values())
-    verdict.check("memory is flat over the restarts", growth < 8.0, f"{growth:.1f} MB")
-    verdict.check("all left in order at the end", stage.counts["bad_exits"] == 0, stage.counts["bad_exits"])
-    log = "".join((stage.rig.folder / f"{name}.log").read_text(errors="replace") for name in NAMES)
-    verdict.check("no fault of our own in the logs", "Traceback" not in log, log.count("Traceback"))
-    verdict.figures |= {
-        "kills": sum(stage.kills.values()),
-        "clock_steps": stage.counts["clock_steps"],
+    growth = max(each[-1] - min(each) for each in scenario.memory.values())
+    result.check("memory is flat over the restarts", growth < 8.0, f"{growth:.1f} MB")
+    result.check(
+        "all left in order at the end", scenario.counts["bad_exits"] == 0, scenario.counts["bad_exits"]
+    )
+    log = "".join((scenario.testbed.folder / f"{name}.log").read_text(errors="replace") for name in NAMES)
+    result.check("no fault of our own in the logs", "Traceback" not in log, log.count("Traceback"))
+    result.figures |= {
+        "kills": sum(scenario.kills.values()),
+        "clock_steps": scenario.counts["clock_steps"],
         "completed": completed,
         "repeats_after_the_first_was_held": repeats,
         "terminated": failed,
         "denied_for_room": room_rejections,
-        "memory_mb": round(max(max(each) for each in stage.memory.values()), 1),
+        "memory_mb": round(max(max(each) for each in scenario.memory.values()), 1),
     }
--- a/sablewheel/experiments/recall_cost.py
+++ b/sablewheel/experiments/recall_cost.py
@@ -18,10 +18,10 @@
 from ..result_store.recovery import RecoveredRuns
 from ..storage.files import DiskFiles
 from ..storage.log import Log
-from .paired import Rounds, side_by_side
+from .paired_rounds import Rounds, side_by_side
 from .recall import features
-from .rig import Rig
-from .verdict import Verdict
+from .result import ExperimentResult
+from .testbed import Testbed
 
 CPU, THROUGHPUT, READY = 1.5, 0.85, 1.2
 LIVE, WINDOWS = 100_000, 10
@@ -29,34 +29,34 @@
 REQUEST_CLASSES = {"record": {"share": 1.0, "keyed": True}}
 
 
-def run(seed: int, quick: bool) -> Verdict:
-    verdict = Verdict("recall-cost")
+def run(seed: int, quick: bool) -> ExperimentResult:
+    result = ExperimentResult("recall-cost")
     turns, seconds = (1, 6.0) if quick else (3, 15.0)
     calm, pressed = Rounds(), Rounds()
-    kinds = {"off": lambda _: None, "on": lambda rig: features(rig.folder / "on-recall")}
+    kinds = {"off": lambda _: None, "on": lambda testbed: features(testbed.folder / "on-recall")}
     for turn in range(turns):
         for rounds, rate in ((calm, 90), (pressed, 200)):
-            with Rig(seed + turn) as rig:
+            with Testbed(seed + turn) as testbed:
                 load = {"rate": rate, "repeats": 0.1, "request_classes": REQUEST_CLASSES, "seed": seed + turn}
-                rounds.add(side_by_side(rig, kinds, seconds, GOAL, **load))
+                rounds.add(side_by_side(testbed, kinds, seconds, GOAL, **load))
     for figure in ("cpu_us", "p50_ms", "p99_ms", "memory_mb"):
         for kind in kinds:
-            verdict.figures[f"{figure}_{kind}"] = round(calm.median(kind, figure), 2)
+            result.figures[f"{figure}_{kind}"] = round(calm.median(kind, figure), 2)
     for kind in kinds:
-        verdict.figures[f"in_goal_a_second_pressed_{kind}"] = round(
+        result.figures[f"in_goal_a_second_pressed_{kind}"] = round(
             pressed.median(kind, "in_goal_a_second"), 1
         )
     cpu, kept = calm.ratio("on", "cpu_us"), pressed.ratio("on", "in_goal_a_second")
-    verdict.check(f"CPU a labelled ticket, on / off, at most {CPU}", cpu <= CPU, cpu)
-    verdict.check(f"completed within the goal, on / off, at least {THROUGHPUT}", kept >= THROUGHPUT, kept)
-    _starts(verdict, seed, LIVE // 10 if quick else LIVE)
-    return verdict
+    result.check(f"CPU a labelled ticket, on / off, at most {CPU}", cpu <= CPU, cpu)
+    result.check(f"completed within the goal, on / off, at least {THROUGHPUT}", kept >= THROUGHPUT, kept)
+    _starts(result, seed, LIVE // 10 if quick else LIVE)
+    return result
 
 
-def _starts(verdict: Verdict, seed: int, live: int) -> None:
+def _starts(result: ExperimentResult, seed: int, live: int) -> None:
     """Load what is open, alone and beside ten windows of what is over, as the recorder leaves a folder."""
-    with Rig(seed) as rig:
-        folders = {"live": rig.folder / "live", "dead": rig.folder / "dead"}
+    with Testbed(seed) as testbed:
+        folders = {"live": testbed.folder / "live", "dead": testbed.folder / "dead"}
         _write(folders["live"], live, 0)
         _write(folders["dead"], live, WINDOWS)
         runs: dict[str, list[float]] = {name: [] for name in folders}
@@ -66,18 +66,18 @@
                 done = subprocess.run(words, capture_output=True, text=True, timeout=120, check=True)
                 told = json.loads(done.stdout.splitlines()[-1])
                 runs[name].append(told["seconds"])
-                verdict.figures[f"load_mb_{name}"] = round(told["memory"], 1)
-                verdict.figures[f"labels_{name}"] = told["labels"]
+                result.figures[f"load_mb_{name}"] = round(told["memory"], 1)
+                result.figures[f"labels_{name}"] = told["labels"]
         times = {name: min(each) for name, each in runs.items()}
         for name, folder in folders.items():
-            verdict.figures[f"load_s_{name}"] = round(times[name], 3)
+            result.figures[f"load_s_{name}"] = round(times[name], 3)
             size = sum(one.stat().st_size for one in folder.glob("*.seg"))
-            verdict.figures[f"folder_mb_{name}"] = round(size / 1e6, 1)
-            loaded = verdict.figures[f"labels_{name}"]
-            verdict.check(f"{name}: all that is open is loaded", loaded == live, loaded)
+            result.figures[f"folder_mb_{name}"] = round(size / 1e6, 1)
+            loaded = result.figures[f"labels_{name}"]
+            result.check(f"{name}: all that is open is loaded", loaded == live, loaded)
         ratio = times["dead"] / times["live"]
-        verdict.figures["labels"] = live
-        verdict.check(
+        result.figures["labels"] = live
+        result.check(
             f"start beside {WINDOWS} dead windows / without, at most {READY}", ratio <= READY, f"{ratio:.2f}"
         )
 
--- a/sablewheel/experiments/replication.py
+++ b/sablewheel/experiments/replication.py
@@ -17,13 +17,13 @@
 from typing import Any
 
 from .fleet import LISTEN, Block
-from .forwarding import LINK, LINK_DOOR, Stage
-from .replication_stage import AsyncBackup, drawn
-from .rig import PATIENCE, Rig, RigError
-from .verdict import Verdict
+from .forwarding import LINK, LINK_DOOR, Scenario
+from .replication_scenario import AsyncBackup, drawn
+from .result import ExperimentResult
+from .testbed import PATIENCE, Testbed, TestbedError
 
 # What real processes are sure to show; what hangs on an order of events `replication-model` finds.
-BROKEN = ("one-copy", "async-backup")
+FAULTY_VARIANTS = ("one-copy", "async-backup")
 SIZE, ZONES = 6, 3
 ABANDON, WINDOW = 2.0, 6.0
 SLACK = 0.5  # what a busy machine may add to a time that was kept
@@ -38,7 +38,7 @@
 WORK = {"lookup": 0.02, "record": 0.06}
 
 
-class Replicas(Stage):
+class Replicas(Scenario):
     """The fleet with a forward path and replication."""
 
     broken = ""
@@ -49,12 +49,12 @@
         lines = ["forwarding:", f"  listen: {self.host(name)}:{LINK}"]
         lines += [f"  advertise: {self.relay_host}:{LINK_DOOR + place}", "replication:"]
         lines += ["  copies: 3", f"  cold: {self.cold}"]
-        return super(Stage, self).features(name) + "\n".join([*lines, ""])
+        return super(Scenario, self).features(name) + "\n".join([*lines, ""])
 
     def start(self, name: str) -> None:
-        path = self.rig.folder / f"{name}.yaml"
+        path = self.testbed.folder / f"{name}.yaml"
         path.write_text(self.features(name))
-        told = self.rig.configuration(
+        told = self.testbed.configuration(
             name,
             LISTEN,
             self.vms[name],
@@ -63,7 +63,7 @@
             settings={"classes": CLASSES, "servers": self.size},
         )
         words = ("sablewheel.experiments.replication_server", self.broken) if self.broken else ("sablewheel",)
-        self.processes[name] = self.rig.start(
+        self.processes[name] = self.testbed.start(
             name, *words, shifted=False, RELAY_CONFIG=str(told), SABLEWHEEL_FEATURES=str(path)
         )
 
@@ -71,10 +71,10 @@
         return [name for place, name in enumerate(self.names) if place % ZONES == number]
 
 
-def run(seed: int, quick: bool, broken: str = "") -> Verdict:
+def run(seed: int, quick: bool, broken: str = "") -> ExperimentResult:
     """The trial; `broken` names a fault put into the servers on purpose."""
-    verdict = Verdict("replication")
-    with Rig(seed) as rig, closing(Block()) as block:
+    result = ExperimentResult("replication")
+    with Testbed(seed) as testbed, closing(Block()) as block:
         keys: dict[str, object] = {
             "period-s": 0.25,
             "probe-timeout-s": 0.1,
@@ -84,52 +84,52 @@
             "sync-every-s": 1.0,
             "observers": 9,
         }  # fmt: skip  on five rings two that come back at one moment may have two live observers each
-        stage = Replicas(rig, block.second, "ours", 0, SIZE, seed, zones=ZONES, keys=keys)
-        stage.broken = broken
-        for name in stage.names:
-            stage.start(name)
-        for name in stage.names:
-            stage.wait_up(name)
-        if stage.wait_agreed(stage.names, PATIENCE) is None:
-            raise RigError(f"no view: {stage.processes['m0'].tail()}")
+        scenario = Replicas(testbed, block.second, "ours", 0, SIZE, seed, zones=ZONES, keys=keys)
+        scenario.broken = broken
+        for name in scenario.names:
+            scenario.start(name)
+        for name in scenario.names:
+            scenario.wait_up(name)
+        if scenario.wait_agreed(scenario.names, PATIENCE) is None:
+            raise TestbedError(f"no view: {scenario.processes['m0'].tail()}")
         time.sleep(WINDOW + 2.0)  # nobody can know what an earlier fleet ran: all windows pass first
-        plot = _plot(stage, random.Random(seed), 1 if quick else 3)
+        faults = _draw_faults(scenario, random.Random(seed), 1 if quick else 3)
         healthy = 4.0 if quick else 10.0
-        seconds = healthy + sum(span for span, _ in plot)
-        client = rig.start(
+        seconds = healthy + sum(span for span, _ in faults)
+        client = testbed.start(
             "client",
             "sablewheel.experiments.replication_client",
-            _client(stage, seed, seconds),
+            _client(scenario, seed, seconds),
             shifted=False,
         )
         time.sleep(1.0)
-        with stage.fault("none"):
+        with scenario.fault("none"):
             time.sleep(healthy - 1.0)
-        for span, do in plot:
+        for span, do in faults:
             begun = time.monotonic()
             do()
             time.sleep(max(begun + span - time.monotonic(), 0.0))
         client.popen.wait(60)
-        codes = [stage.processes[name].leave() for name in stage.names]
+        codes = [scenario.processes[name].leave() for name in scenario.names]
         time.sleep(0.1)
-        _judge(stage, verdict, codes)
-        stage.relay.close()
+        _check_promises(scenario, result, codes)
+        scenario.relay.close()
     if not broken:
-        _baseline(verdict, seed)
-    return verdict
+        _baseline(result, seed)
+    return result
 
 
-def _client(stage: Replicas, seed: int, seconds: float) -> str:
+def _client(scenario: Replicas, seed: int, seconds: float) -> str:
     import json
 
     told = {
-        "servers": [f"{stage.host(name)}:{LISTEN}" for name in stage.names],
+        "servers": [f"{scenario.host(name)}:{LISTEN}" for name in scenario.names],
         "seed": seed,
         "rate": 45,
         "seconds": seconds,
         "tenants": {"saskatoon": 0.5, "regina": 0.5},
         "request_classes": REQUEST_CLASSES,
-        "log": str(stage.rig.folder / "client.held"),
+        "log": str(scenario.testbed.folder / "client.held"),
         "at_once": 0.25,
         "again": 0.5,
         "again_within": 4.0,
@@ -138,59 +138,61 @@
     return json.dumps(told)
 
 
-def _plot(stage: Replicas, chance: random.Random, rounds: int) -> list[tuple[float, Callable[[], None]]]:
+def _draw_faults(
+    scenario: Replicas, chance: random.Random, rounds: int
+) -> list[tuple[float, Callable[[], None]]]:
     """Each fault for a while, then time for the fleet to be whole again; on members drawn by the seed."""
 
     def kill(name: str) -> None:
-        with stage.fault("killed", name):
-            stage.processes[name].kill()
+        with scenario.fault("killed", name):
+            scenario.processes[name].kill()
             time.sleep(4.0)
-        with stage.fault("cold", name):
-            stage.start(name)
-            stage.wait_up(name)
+        with scenario.fault("cold", name):
+            scenario.start(name)
+            scenario.wait_up(name)
 
     def bounce(name: str) -> None:
-        with stage.fault("cold", name):
-            stage.processes[name].kill()
-            stage.start(name)
-            stage.wait_up(name)
+        with scenario.fault("cold", name):
+            scenario.processes[name].kill()
+            scenario.start(name)
+            scenario.wait_up(name)
 
     def two(a: str, b: str) -> None:
         """A majority of some idempotency keys' holders is cold at one moment: these wait their lives out."""
-        with stage.fault("cold", a), stage.fault("cold", b):
+        with scenario.fault("cold", a), scenario.fault("cold", b):
             for name in (a, b):
-                stage.processes[name].kill()
+                scenario.processes[name].kill()
             for name in (a, b):
-                stage.start(name)
+                scenario.start(name)
             for name in (a, b):
-                stage.wait_up(name)
+                scenario.wait_up(name)
 
     def stop(name: str) -> None:
-        with stage.fault("stopped", name):
-            stage.stop(name)
+        with scenario.fault("stopped", name):
+            scenario.stop(name)
             time.sleep(PAUSE)
-            stage.go_on(name)
+            scenario.go_on(name)
 
     def one_way(a: str, b: str) -> None:
-        with stage.fault("cut one way"):
-            stage.links([a], [b], False, cut=True)
+        with scenario.fault("cut one way"):
+            scenario.links([a], [b], False, cut=True)
             time.sleep(2.0)
-            stage.links([a], [b], False, cut=False)
+            scenario.links([a], [b], False, cut=False)
 
     def zone(number: int) -> None:
-        inside = stage.zone(number)
-        outside = [name for name in stage.names if name not in inside]
-        with stage.fault("zone cut", ",".join(inside)):
-            stage.links(inside, outside, cut=True)
+        inside = scenario.zone(number)
+        outside = [name for name in scenario.names if name not in inside]
+        with scenario.fault("zone cut", ",".join(inside)):
+            scenario.links(inside, outside, cut=True)
             time.sleep(5.0)
-            stage.links(inside, outside, cut=False)
+            scenario.links(inside, outside, cut=False)
 
-    plot: list[tuple[float, Callable[[], None]]] = []
+    faults: list[tuple[float, Callable[[], None]]] = []
     for _ in range(rounds):
-        a, b, c, d = chance.sample(stage.names, 4)
+        a, b, c, d = chance.sample(scenario.names, 4)
         place = chance.randrange(ZONES)
-        e = chance.choice([name for name in stage.names if not _same_zone(stage, a, name)])
-        plot += [
+        e = chance.choice([name for name in scenario.names if not _same_zone(scenario, a, name)])
+        faults += [
             (7.0, lambda a=a: kill(a)),  # type: ignore[misc]
             (3.5, lambda c=c, d=d: one_way(c, d)),  # type: ignore[misc]
             (PAUSE + 4.0, lambda b=b: stop(b)),  # type: ignore[misc]
@@ -198,22 +200,22 @@
             (4.0, lambda d=d: bounce(d)),  # type: ignore[misc]
             (WINDOW + 5.0, lambda a=a, e=e: two(a, e)),  # type: ignore[misc]
         ]
-    return plot
+    return faults
 
 
-def _same_zone(stage: Replicas, one: str, other: str) -> bool:
-    return stage.names.index(one) % ZONES == stage.names.index(other) % ZONES
+def _same_zone(scenario: Replicas, one: str, other: str) -> bool:
+    return scenario.names.index(one) % ZONES == scenario.names.index(other) % ZONES
 
 
-def _judge(stage: Replicas, verdict: Verdict, codes: list[int]) -> None:
-    rig = stage.rig
-    tries = [one for one in rig.held("client") if one["how"] != "second"]
-    seconds = sum(one["how"] == "second" for one in rig.held("client"))
-    at = {f"{stage.host(name)}:{LISTEN}": name for name in stage.names}
+def _check_promises(scenario: Replicas, result: ExperimentResult, codes: list[int]) -> None:
+    testbed = scenario.testbed
+    tries = [one for one in testbed.held("client") if one["how"] != "second"]
+    seconds = sum(one["how"] == "second" for one in testbed.held("client"))
+    at = {f"{scenario.host(name)}:{LISTEN}": name for name in scenario.names}
     own = {one["name"]: one for one in tries}
     begins, by_idempotency_key = Counter[str](), defaultdict(list)
-    for name in stage.names:
-        for word, request, when in rig.runs(name):
+    for name in scenario.names:
+        for word, request, when in testbed.runs(name):
             if word == "begin" and request in own:
                 begins[request] += 1
                 if own[request]["label"]:
@@ -225,8 +227,8 @@
     again = [idempotency_key for idempotency_key, runs in twice.items() if runs[1][0] - runs[0][0] < WINDOW]
     results: dict[str, set[str]] = defaultdict(set)
     other = never = rejected_ran = rejected_idempotency_key = unanswered = lost = late = 0
-    down = [span for what in ("killed", "cold") for span in stage.spans.get(what, [])]
-    still = stage.spans.get("stopped", [])
+    down = [span for what in ("killed", "cold") for span in scenario.spans.get(what, [])]
+    still = scenario.spans.get("stopped", [])
     for one in tries:
         server = at[one["server"]]
         excused = any(
@@ -254,54 +256,54 @@
         if one["label"]:
             idempotency_keys[one["label"]].append(one)
     healthy = {
-        request_class: _share(tries, idempotency_keys, at, stage.spans["none"], request_class)
+        request_class: _share(tries, idempotency_keys, at, scenario.spans["none"], request_class)
         for request_class in REQUEST_CLASSES
     }
-    hurt = [span for what in ("zone cut", "killed", "stopped") for span in stage.spans.get(what, [])]
+    hurt = [span for what in ("zone cut", "killed", "stopped") for span in scenario.spans.get(what, [])]
     shares = {
         request_class: _share(tries, idempotency_keys, at, hurt, request_class)
         for request_class in REQUEST_CLASSES
     }
     counters, claims = Counter[str](), []
-    for name in stage.names:
-        for key, value in rig.counters(stage.processes[name]).items():
+    for name in scenario.names:
+        for key, value in testbed.counters(scenario.processes[name]).items():
             if key == "replication_claim_ms":
                 claims.append(float(value))
             if key.startswith("replication_") and value.isdigit():
                 counters[key] += int(value)
     record, lookup = shares["record"], shares["lookup"]
-    verdict.check(
+    result.check(
         "no label runs a second time in its window", not again, f"{len(again)} of {len(by_idempotency_key)}"
     )
-    verdict.check("who is answered gets the very bytes of the run", other + never == 0, f"{other}, {never}")
-    verdict.check("nothing that ran is denied", rejected_ran == 0, rejected_ran)
-    verdict.check(
+    result.check("who is answered gets the very bytes of the run", other + never == 0, f"{other}, {never}")
+    result.check("nothing that ran is denied", rejected_ran == 0, rejected_ran)
+    result.check(
         "each try has its one answer, in time",
         unanswered + lost + late + seconds == 0,
         f"{unanswered} none, {lost} lost, {late} late, {seconds} second",
     )
-    verdict.check(
+    result.check(
         f"on the majority's side labelled tries are served at {KEYED_LEAST} of healthy",
         record[1] > 30 and record[0] >= KEYED_LEAST * healthy["record"][0] > 0.5,
         f"{record[0]:.3f} of {record[1]}, healthy {healthy['record'][0]:.3f}",
     )
-    verdict.check(
+    result.check(
         f"and redoable ones at {IDEMPOTENT_LEAST}",
         lookup[1] > 30 and lookup[0] >= IDEMPOTENT_LEAST * healthy["lookup"][0] > 0.5,
         f"{lookup[0]:.3f} of {lookup[1]}, healthy {healthy['lookup'][0]:.3f}",
     )
     from_outcome = counters["replication_answered_from_outcome"]
-    verdict.check("repeats elsewhere are answered from the outcome", from_outcome > 50, from_outcome)
-    verdict.check(
+    result.check("repeats elsewhere are answered from the outcome", from_outcome > 50, from_outcome)
+    result.check(
         "no two outcomes of one label",
         not counters["replication_two_outcomes"],
         counters["replication_two_outcomes"],
     )
-    verdict.check("all left in order at the end", not any(codes), codes)
-    logs = "".join((rig.folder / f"{name}.log").read_text(errors="replace") for name in stage.names)
-    verdict.check("no fault of our own in the logs", "Traceback" not in logs, logs.count("Traceback"))
+    result.check("all left in order at the end", not any(codes), codes)
+    logs = "".join((testbed.folder / f"{name}.log").read_text(errors="replace") for name in scenario.names)
+    result.check("no fault of our own in the logs", "Traceback" not in logs, logs.count("Traceback"))
     hows = Counter(one["how"] for one in tries if one["label"])
-    verdict.figures |= {
+    result.figures |= {
         "tries": len(tries),
         "labels": len(idempotency_keys),
         "runs_of_labels": sum(len(runs) for runs in by_idempotency_key.values()),
@@ -347,11 +349,11 @@
     return served / max(asked, 1), asked
 
 
-def _baseline(verdict: Verdict, seed: int) -> None:
+def _baseline(result: ExperimentResult, seed: int) -> None:
     """A primary that copies to its backups later, and ours, under the same faults."""
     seeds = range(1000 * seed, 1000 * seed + DRAWS)
     ours = sum(bool(drawn(one).wrong()) for one in seeds)
     theirs = sum(bool(drawn(one, AsyncBackup).wrong()) for one in seeds)
-    verdict.check("the same faults on the made network: ours runs none twice", ours == 0, ours)
-    verdict.check("and a primary with asynchronous backup is seen to", theirs > 0, f"{theirs} of {DRAWS}")
-    verdict.figures["baseline_fleets_that_ran_one_twice"] = f"{theirs} of {DRAWS}"
+    result.check("the same faults on the made network: ours runs none twice", ours == 0, ours)
+    result.check("and a primary with asynchronous backup is seen to", theirs > 0, f"{theirs} of {DRAWS}")
+    result.figures["baseline_fleets_that_ran_one_twice"] = f"{theirs} of {DRAWS}"
--- a/sablewheel/experiments/replication_model.py
+++ b/sablewheel/experiments/replication_model.py
@@ -31,10 +31,10 @@
 from ..replication.placement import Site
 from ..replication.plan import Settings
 from ..replication.replica import Replica
-from .replication_stage import BROKEN, KINDS
-from .verdict import Verdict
+from .replication_scenario import FAULTY_VARIANTS, KINDS
+from .result import ExperimentResult
 
-__all__ = ["BROKEN", "run"]
+__all__ = ["FAULTY_VARIANTS", "run"]
 
 SETTINGS = Settings(
     max_lifetime_s=1e6,
@@ -486,10 +486,10 @@
     return {"states": len(came), "settled": settled, "whole": whole, "wrong": "", "steps": []}
 
 
-def run(seed: int, quick: bool, broken: str = "") -> Verdict:
+def run(seed: int, quick: bool, broken: str = "") -> ExperimentResult:
     """Nothing here is drawn by `seed`: every order is tried."""
     del seed
-    verdict = Verdict("replication-model")
+    result = ExperimentResult("replication-model")
     depth, most, leaves = (8, 300_000, 60) if quick else (10, 1_500_000, 600)
     for title, start in STARTS.items():
         told = explore(start, KINDS[broken], depth + start.depth, most, leaves)
@@ -497,10 +497,10 @@
         says += f": {told['wrong']}" if told["wrong"] else ""
         whole = told["whole"] and told["states"] > depth
         promise = f"{title}: won once in every order to depth {depth + start.depth}"
-        verdict.check(promise, not told["wrong"] and whole, says)
+        result.check(promise, not told["wrong"] and whole, says)
         if told["steps"]:
-            verdict.figures[f"trace ({title})"] = "\n    ".join(["", *told["steps"]])
-        verdict.figures[f"states ({title})"] = told["states"]
+            result.figures[f"trace ({title})"] = "\n    ".join(["", *told["steps"]])
+        result.figures[f"states ({title})"] = told["states"]
         if broken and told["wrong"]:
             break  # found
-    return verdict
+    return result
--- a/sablewheel/experiments/replication_stage.py
+++ b/sablewheel/experiments/replication_scenario.py
@@ -1,7 +1,7 @@
 """A fleet of replicas in memory with what stands round each: requests that claim, run, finish, wait and join.
 
-The keeper's part in small, for stories and sizes: each run is counted at the stage, whoever made it, and each
-answer is compared with what the run gave.
+The keeper's part in small, for stories and sizes: each run is counted at the scenario, whoever made it, and
+each answer is compared with what the run gave.
 """
 
 from __future__ import annotations
@@ -34,10 +34,10 @@
 from ..replication.plan import Settings
 from ..replication.replica import Replica
 from ..replication.store import EntryStore
-from .made_fleet import MadeFleet
+from .simulated_fleet import SimulatedFleet
 
 POLL = 0.1
-BROKEN = ("one-copy", "no-fence", "clock-wins", "early-vote", "drop-on-view")
+FAULTY_VARIANTS = ("one-copy", "no-fence", "clock-wins", "early-vote", "drop-on-view")
 
 
 class OneCopy(Replica):
@@ -126,12 +126,12 @@
     due: float
     takes: float
     stays: bool = True  # its run gets to its end there
-    verdict: str = ""  # completed, rejected, failed
+    outcome: str = ""  # completed, rejected, failed
     result: bytes = b""
 
 
 @dataclass
-class Stage:
+class Scenario:
     """`zones`: of each member. A view is told to all of it, or to those named."""
 
     zones: dict[str, str]
@@ -145,7 +145,7 @@
     group: Callable[[str], bytes] = lambda idempotency_key: idempotency_key.encode()
 
     def __post_init__(self) -> None:
-        self.fleet = MadeFleet(MessageReceived, Tick(), self.seed, self._heard)
+        self.fleet = SimulatedFleet(MessageReceived, Tick(), self.seed, self._heard)
         self.births: Counter[str] = Counter()
         self.epoch = 0
         self.members: tuple[str, ...] = ()
@@ -251,8 +251,8 @@
 
     def _watch(self, one: Try) -> None:
         def give_up() -> None:
-            if not one.verdict:
-                one.verdict = "terminated"
+            if not one.outcome:
+                one.outcome = "terminated"
 
         self.fleet.later(max(one.due - self.fleet.now, 0.0), give_up)
 
@@ -273,40 +273,40 @@
 
     def _heard(self, now: float, name: str, effect: Any) -> None:
         match effect:
-            case Answer(ref, verdict, entry):
+            case Answer(ref, status, entry):
                 one = self.tries.pop(ref, None)
                 if one is None:
                     self.answers[ref] = effect
                 else:
-                    self._answered(one, verdict, entry)
+                    self._answered(one, status, entry)
             case OutcomeStored(key):
                 self.stored.add((name, key.decode()))
             case Log():
                 self.notes.append((now, name, effect))
 
-    def _answered(self, one: Try, verdict: AnswerStatus, entry: Entry) -> None:
+    def _answered(self, one: Try, status: AnswerStatus, entry: Entry) -> None:
         fleet = self.fleet
-        if verdict is AnswerStatus.WON:
-            if one.verdict:  # nobody waits for it any more: it is not begun
+        if status is AnswerStatus.WON:
+            if one.outcome:  # nobody waits for it any more: it is not begun
                 fleet.later(0.0, lambda: fleet.tell(one.server, ReleaseClaim(one.idempotency_key.encode())))
                 return
             self._run(one)
-        elif one.verdict:
+        elif one.outcome:
             return
-        elif verdict is AnswerStatus.KNOWN:
+        elif status is AnswerStatus.KNOWN:
             outcome = entry.outcomes[0]
-            one.verdict = "completed" if outcome.status is OutcomeStatus.SUCCEEDED else "terminated"
+            one.outcome = "completed" if outcome.status is OutcomeStatus.SUCCEEDED else "terminated"
             one.result = outcome.result
-        elif verdict in (AnswerStatus.RUNNING, AnswerStatus.READ, AnswerStatus.BUSY):
-            free = verdict is AnswerStatus.READ and entry.state in (State.UNCLAIMED, State.RELEASED)
+        elif status in (AnswerStatus.RUNNING, AnswerStatus.READ, AnswerStatus.BUSY):
+            free = status is AnswerStatus.READ and entry.state in (State.UNCLAIMED, State.RELEASED)
             fleet.later(POLL, lambda: self._again(one, free))
-        elif verdict is AnswerStatus.UNREACHABLE and one in self._read_only:
+        elif status is AnswerStatus.UNREACHABLE and one in self._read_only:
             fleet.later(POLL, lambda: self._again(one, False))  # it may have run: it is not rejected
         else:
-            one.verdict = "denied"
+            one.outcome = "denied"
 
     def _again(self, one: Try, free: bool) -> None:
-        if one.verdict or one.server not in self.fleet.cores:
+        if one.outcome or one.server not in self.fleet.cores:
             return
         if free:
             return self._ask(one)
@@ -335,8 +335,8 @@
         def end() -> None:
             if one.server not in self.fleet.cores or self.births[one.server] // 10 != life or not one.stays:
                 return
-            if not one.verdict:
-                one.verdict, one.result = "completed", result
+            if not one.outcome:
+                one.outcome, one.result = "completed", result
             self.fleet.tell(
                 one.server, CompleteClaim(one.idempotency_key.encode(), OutcomeStatus.SUCCEEDED, result)
             )
@@ -356,43 +356,43 @@
         return ""
 
 
-def drawn(seed: int, kind: type[Replica] = Replica, turns: int = 30) -> Stage:
+def drawn(seed: int, kind: type[Replica] = Replica, turns: int = 30) -> Scenario:
     """A fleet of five under faults that all follow from the seed: links that lose, double and delay, members
     that pause past their removal or crash and come back empty, and tries of one idempotency key at many of
     them.
     """
     names, chance = "abcde", random.Random(seed)
-    stage = Stage({name: name for name in names}, seed, kind=kind)
-    stage.found(*names)
+    scenario = Scenario({name: name for name in names}, seed, kind=kind)
+    scenario.found(*names)
     for one in names:
         for other in names:
-            link = stage.fleet.link(one, other)
+            link = scenario.fleet.link(one, other)
             link.drop, link.double, link.most = chance.choice([0, 0.2]), 0.1, chance.choice([0.003, 0.3])
     out: dict[str, bool] = {}
     for turn in range(turns):
         for _ in range(2):
             name = chance.choice(names)
-            if name in stage.fleet.cores:
-                stage.come(name, f"x{turn - chance.randrange(3)}", due=chance.choice([0.5, 3.0]))
+            if name in scenario.fleet.cores:
+                scenario.come(name, f"x{turn - chance.randrange(3)}", due=chance.choice([0.5, 3.0]))
         what = chance.random()
         if what < 0.15 and not out:
             name = chance.choice(names)
             out[name] = chance.random() < 0.5
             if out[name]:
-                stage.fleet.crash(name)
+                scenario.fleet.crash(name)
             else:
-                stage.fleet.pause(name, 1.5)
-            stage.view(set(names) - {name})
+                scenario.fleet.pause(name, 1.5)
+            scenario.view(set(names) - {name})
         elif what < 0.4 and out:
             name, cold = out.popitem()
             if cold:
-                stage.start(name)
+                scenario.start(name)
             else:
-                stage.returns(name)
-            stage.view(names)
-        stage.fleet.run(0.15)
-    stage.fleet.run(4.0)
-    return stage
+                scenario.returns(name)
+            scenario.view(names)
+        scenario.fleet.run(0.15)
+    scenario.fleet.run(4.0)
+    return scenario
 
 
 def drifted(one: Entry, by: str) -> Entry:
--- a/sablewheel/experiments/replication_server.py
+++ b/sablewheel/experiments/replication_server.py
@@ -1,6 +1,6 @@
 """A server whose replication is broken on purpose.
 
-python -m sablewheel.experiments.replication_server one-copy | async-backup | ... (KINDS of the stage)
+python -m sablewheel.experiments.replication_server one-copy | async-backup | ... (KINDS of the scenario)
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import sys
 
 from ..replication import service
-from .replication_stage import KINDS
+from .replication_scenario import KINDS
 
 if __name__ == "__main__":
     broken = functools.partial(service.ReplicationService, replica_type=KINDS[sys.argv[1]])
--- a/sablewheel/experiments/replication_size.py
+++ b/sablewheel/experiments/replication_size.py
@@ -16,8 +16,8 @@
 from ..replication.placement import Placement, Site
 from ..replication.plan import Settings
 from ..replication.replica import Replica
-from .replication_stage import Stage
-from .verdict import Verdict
+from .replication_scenario import Scenario
+from .result import ExperimentResult
 
 COPIES, ZONES = 3, 5
 RANGES = {200: 4096, 2000: 32768}  # about twenty a member for each copy and more
@@ -42,15 +42,15 @@
     return tuple(Site(f"m{number:04}", 1, f"z{number % ZONES}") for number in range(many))
 
 
-def run(seed: int, quick: bool) -> Verdict:
-    verdict = Verdict("replication-size")
+def run(seed: int, quick: bool) -> ExperimentResult:
+    result = ExperimentResult("replication-size")
     for many, ranges in RANGES.items():
-        _place(verdict, many, ranges)
-    _fleet(verdict, seed, 50 if quick else MEMBERS, LABELS // 4 if quick else LABELS)
-    return verdict
+        _place(result, many, ranges)
+    _fleet(result, seed, 50 if quick else MEMBERS, LABELS // 4 if quick else LABELS)
+    return result
 
 
-def _place(verdict: Verdict, many: int, ranges: int) -> None:
+def _place(result: ExperimentResult, many: int, ranges: int) -> None:
     begun = time.perf_counter()
     before = Placement(sites(many), COPIES, ranges)
     load = Counter(name for slot in range(ranges) for name in before.replica_names(slot))
@@ -66,54 +66,56 @@
         )
         says = f"{moved} of {COPIES * ranges} copies, R/N is {share:.0f}"
         promise = f"{many} members, one {what}: no more than 1.5 of R/N is moved"
-        verdict.check(promise, 0 < moved <= 1.5 * share, says)
-    verdict.check(f"{many} members: the fullest holds at most 1.7 of the mean", most <= 1.7, f"{most:.2f}")
-    verdict.figures[f"placing {ranges} ranges on {many}, ms"] = round(1000 * took, 1)
+        result.check(promise, 0 < moved <= 1.5 * share, says)
+    result.check(f"{many} members: the fullest holds at most 1.7 of the mean", most <= 1.7, f"{most:.2f}")
+    result.figures[f"placing {ranges} ranges on {many}, ms"] = round(1000 * took, 1)
 
 
-def _fleet(verdict: Verdict, seed: int, many: int, idempotency_keys: int) -> None:
+def _fleet(result: ExperimentResult, seed: int, many: int, idempotency_keys: int) -> None:
     names = [one.name for one in sites(many)]
     settings = Settings(
         max_lifetime_s=30.0, slots=RANGES[MEMBERS], waits_after_cold_start=False, repair_interval_s=5.0
     )
-    stage = Stage({one.name: one.zone for one in sites(many)}, seed, replace(settings), Weighed)
+    scenario = Scenario({one.name: one.zone for one in sites(many)}, seed, replace(settings), Weighed)
     chance = random.Random(seed)
     Weighed.spent.clear()
-    stage.found(*names, settle=1.0)
-    stage.settle(20.0)
+    scenario.found(*names, settle=1.0)
+    scenario.settle(20.0)
     before = Counter(Weighed.spent)
     tries = []
     for number in range(idempotency_keys):
-        tries.append(stage.come(chance.choice(names), f"label {number}"))
+        tries.append(scenario.come(chance.choice(names), f"label {number}"))
         if number % 50 == 49:
-            stage.fleet.run(0.1)
-    stage.fleet.run(1.0)
+            scenario.fleet.run(0.1)
+    scenario.fleet.run(1.0)
     spent = Weighed.spent - before
-    done = sum(one.verdict == "completed" for one in tries)
-    held = [stage.core(name).store.entries for name in names]
-    served = done == idempotency_keys and not stage.wrong()
-    verdict.check(f"{many} members: all labels are served", served, f"{done} of {idempotency_keys}")
-    verdict.check("each on three members", sum(held) == COPIES * idempotency_keys, sum(held))
-    verdict.figures[f"{many} members, packets a label"] = round(spent["packets"] / idempotency_keys, 1)
-    verdict.figures[f"{many} members, bytes a label"] = round(spent["bytes"] / idempotency_keys)
-    verdict.figures["entries of the fullest over the mean"] = round(max(held) / (sum(held) / many), 2)
-    before, begun = Counter(Weighed.spent), stage.fleet.now
+    done = sum(one.outcome == "completed" for one in tries)
+    held = [scenario.core(name).store.entries for name in names]
+    served = done == idempotency_keys and not scenario.wrong()
+    result.check(f"{many} members: all labels are served", served, f"{done} of {idempotency_keys}")
+    result.check("each on three members", sum(held) == COPIES * idempotency_keys, sum(held))
+    result.figures[f"{many} members, packets a label"] = round(spent["packets"] / idempotency_keys, 1)
+    result.figures[f"{many} members, bytes a label"] = round(spent["bytes"] / idempotency_keys)
+    result.figures["entries of the fullest over the mean"] = round(max(held) / (sum(held) / many), 2)
+    before, begun = Counter(Weighed.spent), scenario.fleet.now
     gone = chance.choice(names)
-    moving = sum(len(stage.core(name).ranges.assigned) for name in [gone])
-    stage.fleet.crash(gone)
-    stage.view(set(names) - {gone})
-    ready = stage.settle(20.0)
+    moving = sum(len(scenario.core(name).ranges.assigned) for name in [gone])
+    scenario.fleet.crash(gone)
+    scenario.view(set(names) - {gone})
+    ready = scenario.settle(20.0)
     spent = Weighed.spent - before
-    verdict.check("one is killed: all are caught up again", ready, f"{stage.fleet.now - begun:.2f} s")
-    again = [stage.come(chance.choice(stage.members), one.idempotency_key) for one in tries]
-    stage.fleet.run(2.0)
+    result.check("one is killed: all are caught up again", ready, f"{scenario.fleet.now - begun:.2f} s")
+    again = [scenario.come(chance.choice(scenario.members), one.idempotency_key) for one in tries]
+    scenario.fleet.run(2.0)
     same = sum(
-        one.verdict == "completed" and one.result == first.result
+        one.outcome == "completed" and one.result == first.result
         for one, first in zip(again, tries, strict=True)
     )
-    verdict.check(
-        "and every label is answered from its outcome", same == idempotency_keys and not stage.wrong(), same
+    result.check(
+        "and every label is answered from its outcome",
+        same == idempotency_keys and not scenario.wrong(),
+        same,
     )
-    verdict.figures["ranges of the one killed"] = moving
-    verdict.figures["bytes to catch up after it"] = spent["bytes"]
-    verdict.figures["seconds until all counted, made clock"] = round(stage.fleet.now - begun - 2.0, 3)
+    result.figures["ranges of the one killed"] = moving
+    result.figures["bytes to catch up after it"] = spent["bytes"]
+    result.figures["seconds until all counted, made clock"] = round(scenario.fleet.now - begun - 2.0, 3)
--- a/sablewheel/experiments/verdict.py
+++ b/sablewheel/experiments/result.py
@@ -7,7 +7,7 @@
 
 
 @dataclass
-class Verdict:
+class ExperimentResult:
     """Holds if every check does; a trial without a check holds nothing."""
 
     trial: str
--- a/sablewheel/experiments/router.py
+++ b/sablewheel/experiments/router.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from ..protocol.resp import Parser, ProtocolError
-from . import wire
+from . import client_protocol as wire
 
 OPEN_MOST = 30
 LINKS_MOST = 12
--- a/sablewheel/experiments/shifted.py
+++ b/sablewheel/experiments/shifted_clock.py
@@ -1,6 +1,6 @@
 """Runs a module of this program under a clock that the trial sets: `time.time` plus what stands in a file.
 
-    python -m sablewheel.experiments.shifted FILE MODULE [ARGUMENTS]
+    python -m sablewheel.experiments.shifted_clock FILE MODULE [ARGUMENTS]
 
 The file holds one double. Whoever changes it makes the clocks of all who read it jump.
 """
--- a/sablewheel/experiments/made_fleet.py
+++ b/sablewheel/experiments/simulated_fleet.py
@@ -39,7 +39,7 @@
 
 
 @dataclass
-class MadeFleet:
+class SimulatedFleet:
     """`got` makes the event of a message from its sender's name; `tick` is the event of a timer."""
 
     got: Callable[[str, Any], Any]
--- a/sablewheel/experiments/made_net.py
+++ b/sablewheel/experiments/simulated_network.py
@@ -1,5 +1,5 @@
 """A network of nothing but the nodes' decisions, a heap and a seed: for tests, and for fleets past one
-machine. Members crash, pause, lose messages, are cut one way; every verdict follows from the seed.
+machine. Members crash, pause, lose messages, are cut one way; every result follows from the seed.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass
 class Net:
-    """Members by address, a clock, and what the links do; every verdict follows from the seed."""
+    """Members by address, a clock, and what the links do; every result follows from the seed."""
 
     settings: Settings
     seed: int = 1
--- a/sablewheel/experiments/rig.py
+++ b/sablewheel/experiments/testbed.py
@@ -1,4 +1,6 @@
-"""The rig of a trial: a folder, ports and processes of its own; what it started it ends, and nothing else."""
+"""The testbed of a trial: a folder, ports and processes of its own; what it started it ends, and
+nothing else.
+"""
 
 from __future__ import annotations
 
@@ -19,8 +21,8 @@
 import psutil
 
 from ..protocol.resp import Parser
-from . import wire
-from .shifted import DOUBLE
+from . import client_protocol as wire
+from .shifted_clock import DOUBLE
 
 PATIENCE = 15.0
 SETTINGS: dict[str, Any] = {
@@ -51,8 +53,8 @@
 WORK = {"lookup": 0.02, "record": 0.03}
 
 
-class RigError(RuntimeError):
-    """Something of the rig itself did not come up."""
+class TestbedError(RuntimeError):
+    """Something of the testbed itself did not come up."""
 
 
 def free_port() -> int:
@@ -102,7 +104,7 @@
         return "\n".join(self.log.read_text(errors="replace").splitlines()[-lines:])
 
 
-class Rig:
+class Testbed:
     """Use as a context: at its end all processes are gone, and the folder as well unless `keep`."""
 
     def __init__(self, seed: int, keep: bool = False) -> None:
@@ -114,7 +116,7 @@
         self.naming = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.naming.bind(("127.0.0.1", 0))
 
-    def __enter__(self) -> Rig:
+    def __enter__(self) -> Testbed:
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -137,7 +139,9 @@
         self, name: str, module: str, *arguments: str, shifted: bool = True, **environment: str
     ) -> Process:
         words = (
-            ["-m", "sablewheel.experiments.shifted", str(self.clock), module] if shifted else ["-m", module]
+            ["-m", "sablewheel.experiments.shifted_clock", str(self.clock), module]
+            if shifted
+            else ["-m", module]
         )
         process = Process([sys.executable, *words, *arguments], self.folder / f"{name}.log", environment)
         self.processes.append(process)
@@ -215,7 +219,7 @@
             with contextlib.suppress(OSError), socket.create_connection((host, port), 1.0):
                 return
             time.sleep(0.02)
-        raise RigError(f"nothing listens on {port}: {process.tail()}")
+        raise TestbedError(f"nothing listens on {port}: {process.tail()}")
 
     def wait_until_up(self, port: int, process: Process) -> None:
         until = time.monotonic() + PATIENCE
@@ -226,7 +230,7 @@
                 if answers and answers[0][1] == b"UP":
                     return
             time.sleep(0.02)
-        raise RigError(f"the server on {port} does not come up: {process.tail()}")
+        raise TestbedError(f"the server on {port} does not come up: {process.tail()}")
 
     # -- what came of it
 
--- a/sablewheel/feature_policy/rollout.py
+++ b/sablewheel/feature_policy/rollout.py
@@ -32,7 +32,12 @@
 from .serving_levels import ServingLevels
 from .translation import NOT_PLACED
 
-BROKEN = ("ignore-class", "minority-activates", "no-dwell", "unverified")  # faulty variants of experiments
+FAULTY_VARIANTS = (
+    "ignore-class",
+    "minority-activates",
+    "no-dwell",
+    "unverified",
+)  # faulty variants of experiments
 
 
 class Rollout:
--- a/sablewheel/forwarding/peer_connections.py
+++ b/sablewheel/forwarding/peer_connections.py
@@ -20,13 +20,7 @@
 from ..transport.stream import Stream
 from . import forwarding_pb2 as pb
 from .connection import Connection, Peer, QueuedFrame
-from .errors import (
-    FrameTooLargeError,
-    PeerUnavailableError,
-    PeerUnknownError,
-    SendError,
-    SendQueueFullError,
-)
+from .errors import FrameTooLargeError, PeerUnavailableError, PeerUnknownError, SendError, SendQueueFullError
 from .frame_writer import FrameWriter
 from .frames import BadFrameError, encode_frame
 from .handshake import Handshake
--- a/sablewheel/membership/node.py
+++ b/sablewheel/membership/node.py
@@ -20,15 +20,7 @@
 from dataclasses import replace
 
 from .cut_detector import CutDetector
-from .events import (
-    Effect,
-    Event,
-    FactReported,
-    LeaveRequested,
-    MessageReceived,
-    TimerFired,
-    ViewInstalled,
-)
+from .events import Effect, Event, FactReported, LeaveRequested, MessageReceived, TimerFired, ViewInstalled
 from .fact_reports import FactReports
 from .failure_detector import FailureDetector
 from .gossip import Gossip
--- a/sablewheel/overload/dependency_calls.py
+++ b/sablewheel/overload/dependency_calls.py
@@ -9,15 +9,7 @@
 from .context import DecisionContext
 from .deadlines import Deadlines
 from .dependency_capacity import DependencyCapacity
-from .interface import (
-    CallDependency,
-    Idempotency,
-    Outcome,
-    Request,
-    RequestClass,
-    SkipDependencyCall,
-    Stage,
-)
+from .interface import CallDependency, Idempotency, Outcome, Request, RequestClass, SkipDependencyCall, Stage
 from .request_queue import oldest_wait_s
 from .resource_limits import ResourceLimits
 from .service_times import ServiceTimes
--- a/sablewheel/overload/interface/__init__.py
+++ b/sablewheel/overload/interface/__init__.py
@@ -35,12 +35,7 @@
     StartUnconfirmed,
     TimerFired,
 )
-from .requests import (
-    Client,
-    Outcome,
-    Request,
-    Stage,
-)
+from .requests import Client, Outcome, Request, Stage
 from .settings import (
     AdvertisementKind,
     Cancellation,
--- a/tests/installation.py
+++ b/tests/installation.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from sablewheel.experiments import wire
-from sablewheel.experiments.rig import Rig, free_port
+from sablewheel.experiments import client_protocol as wire
+from sablewheel.experiments.testbed import Testbed, free_port
 from sablewheel.protocol.resp import Parser
 
 PATIENCE = 15.0
@@ -155,7 +155,7 @@
 
     def __init__(
         self,
-        rig: Rig,
+        testbed: Testbed,
         keyed_work: float,
         pass_on: Callable[[Pair, bool, bytes], bool] | None = None,
         shifted: bool = False,
@@ -164,28 +164,28 @@
         cores: int = 64,
         **changes: Any,
     ) -> None:
-        """`keyed_work`: seconds of a keyed run; `shifted`: its wall clock goes by `rig.shift`; `module`: what
-        is run, with its words; `changes`: to its configuration.
+        """`keyed_work`: seconds of a keyed run; `shifted`: its wall clock goes by `testbed.shift`; `module`:
+        what is run, with its words; `changes`: to its configuration.
         """
         interpreter_port, port = free_port(), free_port()
         work = {SAFE.decode(): 0.02, KEYED.decode(): keyed_work}
-        rig.interpreter("vm", interpreter_port, work=work, cores=cores)
+        testbed.interpreter("vm", interpreter_port, work=work, cores=cores)
         self.interpreter_port = interpreter_port
         self.proxy = LinkProxy(interpreter_port, pass_on or pass_unchanged)
-        configuration = rig.configuration("n1", port, self.proxy.port, **changes)
+        configuration = testbed.configuration("n1", port, self.proxy.port, **changes)
         variables = {"RELAY_CONFIG": str(configuration), **(environment or {})}
-        self.server = rig.start("n1", *module, shifted=shifted, **variables)
-        rig.wait_until_up(port, self.server)
+        self.server = testbed.start("n1", *module, shifted=shifted, **variables)
+        testbed.wait_until_up(port, self.server)
         self.port = port
         self.client = Client(port)
-        self._rig = rig
+        self._testbed = testbed
         # A notice is read before anything else: a link that has read none looks like that of a new server.
         self.client.ask(1, SAFE)
         self.client.read(PATIENCE)
 
     def starts(self) -> Counter[str]:
         """How often the interpreter began each request."""
-        return Counter(request for word, request, _ in self._rig.runs("vm") if word == "begin")
+        return Counter(request for word, request, _ in self._testbed.runs("vm") if word == "begin")
 
     def close(self) -> None:
         self.client.close()
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -24,9 +24,9 @@
 
 from installation import KEYED, SAFE, Client, Installation, LinkProxy, Pair
 
-from sablewheel.experiments.rig import Rig
+from sablewheel.experiments.testbed import Testbed
 
-DEADLINE = 2.0  # seconds, of both classes in the rig's settings
+DEADLINE = 2.0  # seconds, of both classes in the testbed's settings
 STOP = DEADLINE + 0.7  # the earliest SIGKILL after SIGTERM
 GRACE = 0.4  # after SIGTERM, in which what comes may still run
 SLACK = 0.13  # that the rules allow for answers, the settings' 0.08 and 50 ms
@@ -71,7 +71,7 @@
     """One run's parts."""
 
     seed: int
-    rig: Rig
+    testbed: Testbed
     chance: random.Random = field(init=False)
     weather: Weather = field(init=False)
     clients: list[Client] = field(default_factory=list)
@@ -87,7 +87,7 @@
         self._flapping = threading.Event()
         told = json.dumps({"seed": self.seed, "share": self.weather.failing_share})
         self.installation = Installation(
-            self.rig,
+            self.testbed,
             self.weather.keyed_work,
             self._pass_on,
             shifted=True,
@@ -154,11 +154,11 @@
 
     def _step(self) -> None:
         self.shift = self.weather.step
-        self.rig.shift(self.shift)
+        self.testbed.shift(self.shift)
 
     def _move(self) -> None:
         """The same interpreter behind another address."""
-        path = self.rig.folder / "n1.json"
+        path = self.testbed.folder / "n1.json"
         told = json.loads(path.read_text())
         path.write_text(json.dumps(told | {"vm": f"127.0.0.1:{self.other_way.port}"}))
         self._signal(signal.SIGHUP)()
@@ -225,8 +225,8 @@
 
 def soak(seed: int) -> tuple[list[str], int, int]:
     """One run: what was broken, how many requests were sent, and how many were served."""
-    with Rig(seed) as rig:
-        run = Run(seed, rig)
+    with Testbed(seed) as testbed:
+        run = Run(seed, testbed)
         run.play()
         broken = run.broken()
         if broken:
--- a/tests/stories/test_membership_stories.py
+++ b/tests/stories/test_membership_stories.py
@@ -9,7 +9,7 @@
 import pytest
 from pytest_bdd import given, parsers, scenarios, then, when
 
-from sablewheel.experiments.made_net import Net
+from sablewheel.experiments.simulated_network import Net
 from sablewheel.membership.events import LeaveRequested, Send
 from sablewheel.membership.plan import Settings
 
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -12,29 +12,29 @@
 import pytest
 from installation import KEYED, PATIENCE, SAFE, Client, Installation
 
-from sablewheel.experiments.rig import Rig
+from sablewheel.experiments.testbed import Testbed
 
-DEADLINE = 2.0  # of both classes in the rig's settings
+DEADLINE = 2.0  # of both classes in the testbed's settings
 SLACK = 0.4  # of a busy machine, beside the settings'
 ENVIRONMENT = {"PYTHONPATH": str(Path(__file__).parent)}
 
 
 @pytest.fixture
-def rig() -> Iterator[Rig]:
-    with Rig(seed=1) as made:
+def testbed() -> Iterator[Testbed]:
+    with Testbed(seed=1) as made:
         yield made
 
 
-def failing(rig: Rig, seed: int, share: float, *at_start: str) -> Installation:
+def failing(testbed: Testbed, seed: int, share: float, *at_start: str) -> Installation:
     told = json.dumps({"seed": seed, "share": share, "at_start": at_start})
     module = ("failing_calls", told, "sablewheel")
-    return Installation(rig, 0.05, module=module, environment=ENVIRONMENT, stop_ms=2700)
+    return Installation(testbed, 0.05, module=module, environment=ENVIRONMENT, stop_ms=2700)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_nothing_is_lost_or_run_twice_while_calls_fail_and_in_a_drain(rig: Rig, seed: int) -> None:
+def test_nothing_is_lost_or_run_twice_while_calls_fail_and_in_a_drain(testbed: Testbed, seed: int) -> None:
     chance = random.Random(seed)
-    installation = failing(rig, seed, 0.03)
+    installation = failing(testbed, seed, 0.03)
     clients = [installation.client, *(Client(installation.port) for _ in range(5))]
     for number in range(150):
         client = chance.choice(clients)
@@ -62,8 +62,8 @@
 
 
 @pytest.mark.parametrize("call", ["socket", "setsockopt", "pipe", "poll", "accept", "connect", "recv"])
-def test_a_server_starts_though_a_call_fails_a_few_times_first(rig: Rig, call: str) -> None:
-    installation = failing(rig, 1, 0.0, call)
+def test_a_server_starts_though_a_call_fails_a_few_times_first(testbed: Testbed, call: str) -> None:
+    installation = failing(testbed, 1, 0.0, call)
     installation.client.ask(2, KEYED)
     installation.client.read(DEADLINE)
     installation.close()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -16,7 +16,7 @@
 
 from sablewheel.command.main import main
 from sablewheel.experiments.fleet import PORT, Block, Fleet
-from sablewheel.experiments.rig import Rig
+from sablewheel.experiments.testbed import Testbed
 from sablewheel.membership import codec
 from sablewheel.membership.messages import Envelope, Message, Nack, StatusRequest
 from sablewheel.program.feature_file import FaultyFeaturesError, read
@@ -34,8 +34,8 @@
 
 @pytest.fixture(scope="module")
 def fleet() -> Iterator[Fleet]:
-    with Rig(1) as rig, closing(Block()) as block:
-        made = Fleet(rig, block.second, "ours", 0, 5, 1, keys=QUICK, shifted=True)
+    with Testbed(1) as testbed, closing(Block()) as block:
+        made = Fleet(testbed, block.second, "ours", 0, 5, 1, keys=QUICK, shifted=True)
         for name in made.names:
             made.start(name)
         assert made.wait_agreed(made.names, WITHIN) is not None, made.processes["m0"].tail()
@@ -164,7 +164,7 @@
 @pytest.mark.parametrize("hours", [1.0, -1.0, 0.0])
 def test_setting_the_wall_clock_moves_no_timeout(fleet: Fleet, hours: float) -> None:
     before = epochs(fleet)
-    fleet.rig.shift(3600.0 * hours)
+    fleet.testbed.shift(3600.0 * hours)
     time.sleep(2.0)  # more than a suspicion lasts
     assert epochs(fleet) == before and fleet.agreed(fleet.names)
 
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -17,10 +17,10 @@
 import pytest
 
 from sablewheel.experiments.fleet import LISTEN, Block
-from sablewheel.experiments.forwarding import KEYS, Stage
+from sablewheel.experiments.forwarding import KEYS, Scenario
 from sablewheel.experiments.forwarding import REQUEST_CLASSES as SHARES
-from sablewheel.experiments.made_fleet import MadeFleet
-from sablewheel.experiments.rig import Rig, free_port
+from sablewheel.experiments.simulated_fleet import SimulatedFleet
+from sablewheel.experiments.testbed import Testbed, free_port
 from sablewheel.forwarding import forwarding_pb2 as pb
 from sablewheel.forwarding.errors import (
     FrameTooLargeError,
@@ -252,7 +252,7 @@
         self.lost_with: set[int] = set()
         chance = random.Random(self.seed)
         names = ["a", "b", "c", "d"]
-        fleet = self.fleet = MadeFleet(MessageReceived, TimerFired(), self.seed, self.heard)
+        fleet = self.fleet = SimulatedFleet(MessageReceived, TimerFired(), self.seed, self.heard)
         for name in names:
             fleet.add(name, lambda _: self.make())
         for a in names:
@@ -824,8 +824,8 @@
 
 
 def test_two_servers_serve_each_others_requests_and_shut_down_cleanly() -> None:
-    with Rig(1) as rig, closing(Block()) as block:
-        stage = Stage(rig, block.second, "spread", 0, 2, 1, keys=KEYS)
+    with Testbed(1) as testbed, closing(Block()) as block:
+        stage = Scenario(testbed, block.second, "spread", 0, 2, 1, keys=KEYS)
         for name in stage.names:
             stage.start(name)
         for name in stage.names:
@@ -834,17 +834,17 @@
         stage.start("m1")  # a second one finds its doors taken, and says which
         assert stage.processes["m1"].popen.wait(20.0) == 1
         assert f"sablewheel: membership.listen: {stage.host('m1')}:" in stage.processes["m1"].tail(50)
-        stage.processes["m1"] = rig.processes[-2]
-        asks = rig.router(
+        stage.processes["m1"] = testbed.processes[-2]
+        asks = testbed.router(
             "r-m0", [f"{stage.host('m0')}:{LISTEN}"], rate=40, seconds=2.0, request_classes=SHARES
         )
         assert asks.popen.wait(20.0) == 0
-        tries = list(rig.held("r-m0"))
+        tries = list(testbed.held("r-m0"))
         assert len(tries) > 40 and {one["how"] for one in tries} <= {"completed", "denied"}
-        guests = (rig.folder / "m1.guests").read_text().splitlines()
+        guests = (testbed.folder / "m1.guests").read_text().splitlines()
         assert len(guests) > 0.4 * len(tries)
         assert [stage.processes[name].leave() for name in stage.names] == [0, 0]
-        assert int(rig.counters(stage.processes["m0"])["forward_answer_completed"]) > 0
+        assert int(testbed.counters(stage.processes["m0"])["forward_answer_completed"]) > 0
         stage.relay.close()
 
 
