--- a/tests/test_incident_duplicate_run.py
+++ b/tests/test_incident_duplicate_run.py
@@ -25,18 +25,18 @@
 import pytest
 from installation import KEYED, PATIENCE, Installation, Pair
 
-from sablewheel.experiments.rig import Rig
+from sablewheel.experiments.testbed import Testbed
 
 CROSSING_MOST = 1.0  # seconds for which a notice is held so that a command may cross it
 
 
 @pytest.fixture
-def rig() -> Iterator[Rig]:
-    with Rig(seed=1) as made:
+def testbed() -> Iterator[Testbed]:
+    with Testbed(seed=1) as made:
         yield made
 
 
-def test_a_run_that_ends_while_the_link_comes_back_is_not_started_again(rig: Rig) -> None:
+def test_a_run_that_ends_while_the_link_comes_back_is_not_started_again(testbed: Testbed) -> None:
     command_seen, end_written = threading.Event(), threading.Event()
 
     def pass_on(pair: Pair, upward: bool, data: bytes) -> bool:
@@ -55,7 +55,7 @@
         pair.send(upward, data)
         return True
 
-    installation = Installation(rig, 0.4, pass_on)
+    installation = Installation(testbed, 0.4, pass_on)
     request = installation.client.ask(2, KEYED)
     installation.client.read(4.0)
     time.sleep(0.1)  # for a second start, which is noted as it happens
@@ -67,7 +67,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_no_keyed_request_is_started_twice_over_a_slow_link_that_breaks_again_and_again(
-    rig: Rig, seed: int
+    testbed: Testbed, seed: int
 ) -> None:
     """Nothing is held for a moment of its own: each way takes 40 to 90 ms, each link lives 0.3 to 0.8 s."""
     chance = random.Random(seed)
@@ -81,7 +81,7 @@
         return time.monotonic() < ends.setdefault(pair.number, time.monotonic() + chance.uniform(0.3, 0.8))
 
     began = threading.Event()
-    installation = Installation(rig, 0.35, pass_on)
+    installation = Installation(testbed, 0.35, pass_on)
     began.set()
     client = installation.client
     for tag in range(2, 162):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -13,8 +13,8 @@
 from test_serving import SERVER_SETTINGS
 
 from sablewheel.experiments.fleet import Block
-from sablewheel.experiments.made_net import Net
-from sablewheel.experiments.rig import free_port
+from sablewheel.experiments.simulated_network import Net
+from sablewheel.experiments.testbed import free_port
 from sablewheel.feature_policy.host_capabilities import CATALOGUE
 from sablewheel.forwarding.peer_connections import PeerConnections
 from sablewheel.forwarding.plan import ConnectionSettings
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -9,9 +9,9 @@
 import pytest
 
 from sablewheel.experiments.fleet import PORT, Block
-from sablewheel.experiments.made_net import Net
 from sablewheel.experiments.membership_model import Deaf, explore, starts
 from sablewheel.experiments.membership_report import NAMES, by_size, draw
+from sablewheel.experiments.simulated_network import Net
 from sablewheel.membership import codec, frame_sender
 from sablewheel.membership import membership_pb2 as pb
 from sablewheel.membership.consensus import ConsensusInstance
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from sablewheel.experiments import replication_model
-from sablewheel.experiments.replication_stage import KINDS, AsyncBackup, Stage, drawn
+from sablewheel.experiments.replication_scenario import KINDS, AsyncBackup, Scenario, drawn
 from sablewheel.replication.anti_entropy import MAX_VIEWS_SENT
 from sablewheel.replication.entries import (
     EMPTY,
@@ -172,7 +172,7 @@
     assert verdict.holds, verdict.table()
 
 
-@pytest.mark.parametrize("broken", replication_model.BROKEN)
+@pytest.mark.parametrize("broken", replication_model.FAULTY_VARIANTS)
 def test_the_model_finds_each_faulty_variant(broken: str) -> None:
     verdict = replication_model.run(1, True, broken)
     traces = [name for name in verdict.figures if name.startswith("trace")]
@@ -181,17 +181,19 @@
 
 @pytest.mark.parametrize("seed", [*range(24), 1706])  # 1706: links so slow that nearly all is rejected
 def test_random_faults_break_no_guarantee(seed: int) -> None:
-    stage = drawn(seed)
-    assert not stage.wrong(), stage.wrong()
-    assert sum(stage.runs.values()) > 1
-    for link in stage.fleet.links.values():
+    scenario = drawn(seed)
+    assert not scenario.wrong(), scenario.wrong()
+    assert sum(scenario.runs.values()) > 1
+    for link in scenario.fleet.links.values():
         link.drop, link.double, link.most = 0.0, 0.0, 0.003
-    stage.fleet.run(
-        stage.settings.max_lifetime_s + 1.0
+    scenario.fleet.run(
+        scenario.settings.max_lifetime_s + 1.0
     )  # ranges of which two fell at once wait their lives out
-    after = [stage.come(name, f"after {name}") for name in stage.members if name in stage.fleet.cores]
-    stage.fleet.run(1.0)
-    assert {one.verdict for one in after} == {"completed"} and not stage.wrong()
+    after = [
+        scenario.come(name, f"after {name}") for name in scenario.members if name in scenario.fleet.cores
+    ]
+    scenario.fleet.run(1.0)
+    assert {one.outcome for one in after} == {"completed"} and not scenario.wrong()
 
 
 def test_a_removed_member_decides_for_no_view_before_the_one_it_answered_for() -> None:
@@ -283,14 +285,14 @@
 
 
 def test_a_second_change_of_the_same_proposer_takes_one_round_trip() -> None:
-    stage = Stage({name: name for name in "abc"})
-    stage.found(*"abc")
-    first = stage.write("a", "sessions", "s", 0, b"one")
-    assert stage.answer(first).status == "won"
-    prepares = stage.core("a").counts["out_prepare"]
-    second = stage.write("a", "sessions", "s", 1, b"two")
-    assert stage.answer(second).status == "won" and stage.core("a").counts["out_prepare"] == prepares
+    scenario = Scenario({name: name for name in "abc"})
+    scenario.found(*"abc")
+    first = scenario.write("a", "sessions", "s", 0, b"one")
+    assert scenario.answer(first).status == "won"
+    prepares = scenario.core("a").counts["out_prepare"]
+    second = scenario.write("a", "sessions", "s", 1, b"two")
+    assert scenario.answer(second).status == "won" and scenario.core("a").counts["out_prepare"] == prepares
 
 
 def test_the_scenario_has_each_faulty_variant() -> None:
-    assert set(KINDS) == {"", "async-backup", *replication_model.BROKEN}
+    assert set(KINDS) == {"", "async-backup", *replication_model.FAULTY_VARIANTS}
--- a/tests/test_replication_service.py
+++ b/tests/test_replication_service.py
@@ -16,11 +16,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sablewheel.experiments import wire
+from sablewheel.experiments import client_protocol as wire
 from sablewheel.experiments.fleet import LISTEN, Block
 from sablewheel.experiments.forwarding import KEYS
 from sablewheel.experiments.replication import Replicas
-from sablewheel.experiments.rig import Rig
+from sablewheel.experiments.testbed import Testbed
 from sablewheel.forwarding.errors import PeerUnavailableError
 from sablewheel.membership.view import Fact, Member, View
 from sablewheel.overload.interface import Client, Idempotency, Request, RequestClass
@@ -302,8 +302,8 @@
 
 
 def test_three_servers_answer_one_key_alike_after_the_first_is_killed() -> None:
-    with Rig(1) as rig, closing(Block()) as block:
-        stage = Replicas(rig, block.second, "ours", 0, 3, 1, zones=3, keys=KEYS)
+    with Testbed(1) as testbed, closing(Block()) as block:
+        stage = Replicas(testbed, block.second, "ours", 0, 3, 1, zones=3, keys=KEYS)
         stage.cold = "run"
         for name in stage.names:
             stage.start(name)
@@ -319,7 +319,7 @@
         stage.processes["m0"].kill()
         answers.append(send_record(stage, "m2", b"%016x" % 3, idempotency_key))
         assert [one[1] for one in answers] == [b"OK"] * 3 and len({one[3] for one in answers}) == 1, answers
-        begun = sum(word == "begin" for name in stage.names for word, _, _ in rig.runs(name))
+        begun = sum(word == "begin" for name in stage.names for word, _, _ in testbed.runs(name))
         assert begun == 1
         assert [stage.processes[name].leave() for name in ("m1", "m2")] == [0, 0]
         stage.relay.close()
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -9,33 +9,33 @@
 import pytest
 from installation import KEYED, PATIENCE, SAFE, Installation
 
-from sablewheel.experiments.rig import Rig
+from sablewheel.experiments.testbed import Testbed
 
-DEADLINE = 2.0  # of both classes in the rig's settings
+DEADLINE = 2.0  # of both classes in the testbed's settings
 STOP = 3.0
 STEPS = [5.0, -5.0, 3600.0, -3600.0]
 
 
 @pytest.fixture
-def rig() -> Iterator[Rig]:
-    with Rig(seed=1) as made:
+def testbed() -> Iterator[Testbed]:
+    with Testbed(seed=1) as made:
         yield made
 
 
-def step(rig: Rig, installation: Installation, seconds: float) -> None:
-    rig.shift(seconds)
+def step(testbed: Testbed, installation: Installation, seconds: float) -> None:
+    testbed.shift(seconds)
     installation.client.wall_clock = lambda: time.time() + seconds
 
 
 @pytest.mark.parametrize("seconds", STEPS)
 def test_a_run_under_way_a_duplicate_and_a_new_request_are_served_over_a_step(
-    rig: Rig, seconds: float
+    testbed: Testbed, seconds: float
 ) -> None:
-    installation = Installation(rig, 0.5, shifted=True)
+    installation = Installation(testbed, 0.5, shifted=True)
     client = installation.client
     first = client.ask(2, KEYED)
     time.sleep(0.2)
-    step(rig, installation, seconds)
+    step(testbed, installation, seconds)
     client.ask(3, KEYED, key=2)
     client.ask(4, SAFE)
     client.read(DEADLINE)
@@ -49,13 +49,13 @@
 
 @pytest.mark.parametrize("seconds", STEPS)
 def test_what_can_not_be_served_is_answered_by_its_real_deadline_over_a_step(
-    rig: Rig, seconds: float
+    testbed: Testbed, seconds: float
 ) -> None:
-    installation = Installation(rig, 20.0, shifted=True)
+    installation = Installation(testbed, 20.0, shifted=True)
     sent = time.monotonic()
     installation.client.ask(2, KEYED)
     time.sleep(0.3)
-    step(rig, installation, seconds)
+    step(testbed, installation, seconds)
     installation.client.read(1.0)
     assert 2 not in installation.client.answers, "given up long before its deadline"
     installation.client.read(PATIENCE)
@@ -65,15 +65,15 @@
 
 
 @pytest.mark.parametrize("seconds", STEPS)
-def test_a_drain_answers_all_and_ends_before_the_stop_over_a_step(rig: Rig, seconds: float) -> None:
-    installation = Installation(rig, 20.0, shifted=True, stop_ms=int(1000 * STOP))
+def test_a_drain_answers_all_and_ends_before_the_stop_over_a_step(testbed: Testbed, seconds: float) -> None:
+    installation = Installation(testbed, 20.0, shifted=True, stop_ms=int(1000 * STOP))
     client = installation.client
     client.ask(2, KEYED)
     time.sleep(0.2)
     told = time.monotonic()
     installation.server.popen.send_signal(signal.SIGTERM)
     time.sleep(0.2)
-    step(rig, installation, seconds)
+    step(testbed, installation, seconds)
     client.read(PATIENCE)
     answered = time.monotonic() - told
     code = installation.server.popen.wait(PATIENCE)
