--- a/sablewheel/bench_adapter/host.py
+++ b/sablewheel/bench_adapter/host.py
@@ -12,6 +12,23 @@
 from .wire import Line, MalformedError, number, seconds, whole
 
 HAS_COST_HINT, IS_RETRY, WRITES = 1, 2, 4  # bits of a request's marks
+# Without `PresumeLost`: starts are never unconfirmed on the simulator's wire.
+VERBS: dict[type[Action], str] = {
+    interface.Run: "run",
+    interface.Cancel: "suspend",
+    interface.Reject: "busy",
+    interface.Fail: "fail",
+    interface.CallDependency: "call",
+    interface.SkipDependencyCall: "go_on",
+    interface.ReserveKey: "remember",
+    interface.ReleaseKey: "release_key",
+    interface.AttachToOriginal: "join",
+    interface.SetHealth: "set_health",
+    interface.AdvertiseCapacity: "say",
+    interface.CloseIdle: "close_idle",
+    interface.SetTimer: "set_alarm",
+    interface.Log: "say_log",
+}
 
 
 class Instance:
@@ -93,38 +110,29 @@
 
     def line(self, action: Action) -> str:
         """Return an action as a line of the wire."""
-        instance, ids = self.name, self.ids
-        match action:
-            case interface.Run(request):
-                return f"run {instance} {ids[request]}"
-            case interface.Cancel(request):
-                return f"suspend {instance} {ids[request]}"
-            case interface.Reject(request, retry_after_s, no_retry_elsewhere):
-                return f"busy {instance} {ids[request]} {seconds(retry_after_s)} {int(no_retry_elsewhere)}"
-            case interface.Fail(request):
-                return f"fail {instance} {ids[request]}"
-            case interface.CallDependency(request, allow):
-                return f"call {instance} {ids[request]} {seconds(allow)}"
-            case interface.SkipDependencyCall(request):
-                return f"go_on {instance} {ids[request]}"
-            case interface.ReserveKey(request, life):
-                return f"remember {instance} {ids[request]} {seconds(life)}"
-            case interface.ReleaseKey(request):
-                return f"release_key {instance} {ids[request]}"
-            case interface.AttachToOriginal(request):
-                return f"join {instance} {ids[request]}"
-            case interface.SetHealth(good, stored):
-                return f"set_health {instance} {int(good)} {int(stored)}"
-            case interface.AdvertiseCapacity(amount):
-                return f"say {instance} {seconds(amount)}"
-            case interface.CloseIdle(after):
-                return f"close_idle {instance} {seconds(after)}"
-            case interface.SetTimer(after):
-                return f"set_alarm {instance} {seconds(after)} 0"
-            case interface.PresumeLost():
-                raise AssertionError("starts are never unconfirmed on the simulator's wire")
-            case interface.Log(words):
-                return f"say_log {instance} {words}"
+        verb = VERBS[type(action)]
+        request = getattr(action, "request", None)
+        subject = f"{self.name} {self.ids[request]}" if request is not None else f"{self.name}"
+        return " ".join([verb, subject, *_values(action)])
+
+
+def _values(action: Action) -> list[str]:
+    """Return what an action's line carries behind its request or instance."""
+    match action:
+        case interface.Reject(_, retry_after_s, no_retry_elsewhere):
+            return [seconds(retry_after_s), str(int(no_retry_elsewhere))]
+        case interface.CallDependency(_, value) | interface.ReserveKey(_, value):
+            return [seconds(value)]
+        case interface.AdvertiseCapacity(value) | interface.CloseIdle(value):
+            return [seconds(value)]
+        case interface.SetTimer(after_s):
+            return [seconds(after_s), "0"]
+        case interface.SetHealth(healthy, cacheable):
+            return [str(int(healthy)), str(int(cacheable))]
+        case interface.Log(message):
+            return [message]
+        case _:
+            return []
 
 
 class Host:
--- a/sablewheel/failover/judge.py
+++ b/sablewheel/failover/judge.py
@@ -13,8 +13,13 @@
 
 @dataclass(frozen=True)
 class Evidence:
-    """What a member sees of a zone: servers that belong to it, those in the agreed view, and those that fail
-    or reject nearly all they get."""
+    """What a member observes of a zone.
+
+    Attributes:
+        servers: Servers that belong to the zone.
+        present: Those in the agreed view.
+        failing: Those that fail or reject nearly all requests.
+    """
 
     servers: int
     present: int
@@ -22,6 +27,7 @@
 
     @property
     def well(self) -> float:
+        """The part of the zone's servers that are present and not failing."""
         return max(self.present - self.failing, 0) / self.servers if self.servers else 0.0
 
 
