--- a/sablewheel/experiments/testbed.py
+++ b/sablewheel/experiments/testbed.py
@@ -56,6 +56,8 @@
 class TestbedError(RuntimeError):
     """Something of the testbed itself did not come up."""
 
+    __test__ = False
+
 
 def free_port() -> int:
     with socket.create_server(("127.0.0.1", 0)) as door:
@@ -107,6 +109,8 @@
 class Testbed:
     """Use as a context: at its end all processes are gone, and the folder as well unless `keep`."""
 
+    __test__ = False  # pytest would take the imported class for a test
+
     def __init__(self, seed: int, keep: bool = False) -> None:
         self.seed, self._keep = seed, keep
         self.folder = Path(tempfile.mkdtemp(prefix="sablewheel-trial-"))
