--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -5,6 +5,7 @@
 import ast
 import subprocess
 import sys
+import tomllib
 from collections.abc import Iterator
 from graphlib import CycleError, TopologicalSorter
 from pathlib import Path
@@ -98,3 +99,9 @@
         " one.split('.')[-1] not in ('plan', 'periods', 'view') for one in sys.modules))"
     )
     assert subprocess.run([sys.executable, "-c", program], timeout=30).returncode == 0
+
+
+def test_the_deploy_file_names_each_module_of_the_decisions() -> None:
+    deploy = tomllib.loads((ROOT.parent / "deploy" / "balancer.toml").read_text())
+    modules = sorted(str(file.relative_to(ROOT.parent)) for file in (ROOT / "overload").rglob("*.py"))
+    assert deploy["policy"] == modules
