--- a/sablewheel/experiments/affinity_server.py
+++ b/sablewheel/experiments/affinity_server.py
@@ -30,7 +30,7 @@
         super().__init__(scheduler, dataclasses.replace(plan, settings=settings), *rest, **more)
         announce(VARIANT or "version-from-file")
         if VARIANT == "two-owners":  # the numbers fence nobody either
-            self._keeper.group_of = lambda exchange: (
+            self._replication.group_of = lambda exchange: (
                 exchange.session.encode() or exchange.idempotency_key or b"",
                 0,
             )
--- a/sablewheel/session_affinity/__init__.py
+++ b/sablewheel/session_affinity/__init__.py
@@ -1,1 +1,1 @@
-"""Sessions that stay with their server: keys, bindings, placing, and moves only for a named cause."""
+"""Session affinity: session keys, bindings, placement, and migration for defined causes only."""
--- a/sablewheel/session_affinity/acquisition.py
+++ b/sablewheel/session_affinity/acquisition.py
@@ -1,10 +1,11 @@
-"""How this server becomes the owner of a session. Pure.
-
-An owner that is out of the view, or back in another incarnation, is succeeded `claim_timeout_s` after the
-register was read at the new epoch. If it was only paused or cut off, its later claims are refused, by epoch
-and by fencing number; one that was won before begins within `claim_timeout_s` of its request or is freed. So
-all that it began it began before its successor, and that goes on as the claim that it is. This rests on
-clocks that run at one rate, not on clocks that agree; that an idempotency key runs once rests on no clock.
+"""How this server becomes the owner of a session. Performs no I/O.
+
+An owner that left the view, or rejoined in another incarnation, is replaced `claim_timeout_s` after the
+register was read at the new epoch. If that owner was only paused or partitioned, its later claims are
+refused, by epoch and by fencing number. A claim that it won earlier begins its run within `claim_timeout_s`
+of the claim's request, or is freed. So each of its runs began before its successor's runs, and continues
+under its claim. This requires clocks that advance at the same rate, not clocks that agree. The guarantee
+that an idempotency key runs once depends on no clock.
 """
 
 from __future__ import annotations
@@ -23,14 +24,15 @@
 from .route_cache import RouteCache
 from .server_selection import ServerSelection
 
-EPOCH_SHIFT = 20  # a new owner's number is above all of earlier epochs, whether they are known or lost
+# A new owner's fencing number exceeds all numbers of earlier epochs, including those of lost entries.
+EPOCH_SHIFT_BITS = 20
 
 
 class Acquisition:
-    """Writes this server into bindings and adds the sessions that it won. The state is in each `Lookup`.
+    """Writes bindings that name this server and adds the acquired sessions. The state is in each `Lookup`.
 
     Invariant: a session is added to the ownership only once the register holds a binding that names this
-    server in its present incarnation.
+    server in its current incarnation.
     """
 
     def __init__(
@@ -58,10 +60,11 @@
         return self._selection.has_capacity(lookup.flows, version, forced=lookup.forced)
 
     def acquire(self, now: float, lookup: Lookup) -> None:
-        """Write this server into the binding; after a removed owner, once its claims have begun or expired.
+        """Write a binding that names this server as the owner.
 
-        The register answered at this epoch, and takes no claim of an earlier one since. So no claim was
-        requested later than that answer.
+        If the previous owner was removed, wait first until its claims have begun or expired. The register
+        answered at this epoch and has accepted no claim of an earlier epoch since, so no claim was requested
+        later than that answer.
         """
         context, settings = self._context, self._context.settings
         expiry_at = lookup.register_answered_at + settings.claim_timeout_s
@@ -83,26 +86,26 @@
         self._lookups.set_timer(lookup, lookup.deadline)
 
     def _next_fencing_number(self, lookup: Lookup) -> int:
-        """Return a number above all that may have been used for the session.
+        """Return a fencing number above all that may have been used for the session.
 
-        Replicas that failed together may have lost the last entry while an older one is left elsewhere. An
-        entry that expired in this epoch may have been higher too, by a route that is still cached here.
+        Replicas that failed together may have lost the latest entry while an older one remains elsewhere. An
+        entry that expired in this epoch may also have had a higher number, known from a route cached here.
         """
         epoch = self._context.view.epoch if self._context.view else 0
-        lowest_of_epoch = epoch << EPOCH_SHIFT | 1
+        lowest_of_epoch = epoch << EPOCH_SHIFT_BITS | 1
         latest = newer(lookup.stored_binding, self._routes.get(lookup.key))
         return max(lowest_of_epoch, latest.fencing_number + 1 if latest is not None else 0)
 
     def _await_claim_expiry(self, lookup: Lookup, expiry_at: float) -> None:
         self._lookups.set_stage(lookup, LookupStage.AWAITING_CLAIM_EXPIRY)
         lookup.deadline = max(lookup.deadline, expiry_at + self._context.settings.binding_timeout_s)
-        for request in [one for one in lookup.waiting_requests if not one.requires_owner]:
+        for request in [waiting for waiting in lookup.waiting_requests if not waiting.requires_owner]:
             lookup.waiting_requests.remove(request)
             self._responder.serve_or_reject(request, DecisionReason.HANDOVER)
         self._lookups.set_timer(lookup, expiry_at)
 
     def on_binding_written(self, now: float, lookup: Lookup) -> None:
-        """Add the session whose binding this server just won."""
+        """Add the session whose binding was just written."""
         self._lookups.finish(lookup)
         binding, stored = lookup.pending_binding, lookup.stored_binding
         if binding is None:
@@ -122,7 +125,7 @@
         self.add_session(now, lookup, binding)
 
     def add_session(self, now: float, lookup: Lookup, binding: Binding) -> None:
-        """Add a session: won just now, by a write whose answer was lost, or evicted here before."""
+        """Add a session: just acquired, acquired by a write whose answer was lost, or evicted earlier."""
         session = self._ownership.get(lookup.key)
         if session is None:
             if not self._ownership.make_capacity():
@@ -131,7 +134,7 @@
                     self._responder.serve_or_reject(request, DecisionReason.FULL)
                 return
             session = self._create_session(now, lookup, binding)
-        self._routes.forget(lookup.key)
+        self._routes.remove(lookup.key)
         self._notify(lookup, binding)
         for request in lookup.waiting_requests:
             self._owned_requests.serve(now, session, request)
@@ -154,7 +157,7 @@
         return session
 
     def _notify(self, lookup: Lookup, binding: Binding) -> None:
-        """Tell the server that offered the session, and its earlier owner, who owns it now."""
+        """Send the binding to the server that offered the session, and to the previous owner."""
         self._lookups.reply(lookup, binding)
         if lookup.handover is not None:
             self._context.outbox.send(lookup.handover.binding.owner, BindingNotice(binding))
@@ -169,7 +172,7 @@
             return
         lookup = self._lookups.get(binding.key)
         if lookup is not None and lookup.stage is LookupStage.WRITING:
-            lookup.handover = message  # the register's answer decides
+            lookup.handover = message  # the register's answer to the pending write decides
             return
         version = self._versions.retained_or_active(binding.policy_version)
         has_capacity = self._selection.has_capacity(message.flows, version, forced=message.forced)
--- a/sablewheel/session_affinity/binding.py
+++ b/sablewheel/session_affinity/binding.py
@@ -1,7 +1,7 @@
-"""A session's binding: its owner, its policy version and its fencing number. Pure values.
+"""A session's binding: its owner, its policy version and its fencing number. Immutable values.
 
-The fencing number only grows; of two bindings of one session the one with the higher number holds. Each
-change is a compare-and-set on the number, so two bindings with one number never differ.
+The fencing number only grows; of two bindings of one session the one with the higher number is valid. Each
+change is a compare-and-set on the number, so two bindings with the same number never differ.
 """
 
 from __future__ import annotations
@@ -11,35 +11,35 @@
 
 
 class BindingState(Enum):
-    """What the owner does with the session; the values are stored in the register."""
+    """The ownership state of a session; the values are stored in the register."""
 
-    OWNED = "held"  # the owner serves it
-    HANDING_OVER = "passing"  # the owner takes no more keyed work and hands it to the successor
-    ENDED = "ended"  # it has no owner; the next request begins a new session above this number
+    OWNED = "held"  # the owner serves the session
+    HANDING_OVER = "passing"  # the owner accepts no more keyed requests and hands over to the successor
+    ENDED = "ended"  # no owner; the next request begins a new session with a higher number
 
 
 class MigrationCause(Enum):
-    """Why a session migrated or changed its policy version; each is counted on its own. There is no other."""
+    """Why a session migrated or changed its policy version; each cause is counted separately."""
 
-    IDLE = "idle"  # it ended, idle for longer than set; the next request begins a new one
-    RETIRED = "retired"  # its policy version is not retained any more
-    MANDATORY = "mandatory"  # a policy change that is marked as mandatory
-    DRAIN = "drain"  # its owner leaves
-    REMOVED = "removed"  # its owner was removed from the view, or came back in another incarnation
-    INCAPABLE = "incapable"  # its owner can no longer run what the flow requires
+    IDLE = "idle"  # the session exceeded the idle timeout and ended; the next request begins a new one
+    RETIRED = "retired"  # the session's policy version is no longer retained
+    MANDATORY = "mandatory"  # a policy change is marked as mandatory
+    DRAIN = "drain"  # the owner is leaving
+    REMOVED = "removed"  # the owner was removed from the view, or rejoined in another incarnation
+    INCAPABLE = "incapable"  # the owner can no longer run a flow of the session
 
 
 @dataclass(frozen=True)
 class Binding:
-    """One entry of the register's collection `sessions`."""
+    """An entry of the register's collection `sessions`."""
 
     key: str
     fencing_number: int
     owner: str
-    incarnation: int  # of the owner, so that a restarted owner is another one
+    incarnation: int  # the owner's incarnation: a restarted owner counts as another one
     policy_version: int
     state: BindingState = BindingState.OWNED
-    successor: str = ""  # while it is being handed over
+    successor: str = ""  # the server that takes the session over; empty without a handover
 
     def handing_over_to(self, successor: str) -> Binding:
         """Return the owner's next binding, which names its successor."""
@@ -51,7 +51,7 @@
         )
 
     def owned_by(self, owner: str, incarnation: int, policy_version: int) -> Binding:
-        """Return the next binding: of another owner, or of the same one renewed or under another version."""
+        """Return the next binding, of another owner or of the same one renewed or under another version."""
         return Binding(self.key, self.fencing_number + 1, owner, incarnation, policy_version)
 
     def ended(self) -> Binding:
--- a/sablewheel/session_affinity/binding_register.py
+++ b/sablewheel/session_affinity/binding_register.py
@@ -1,4 +1,4 @@
-"""The register of bindings: a collection of the replicated documents."""
+"""The register of bindings, a collection of the replicated documents."""
 
 from __future__ import annotations
 
@@ -13,37 +13,42 @@
 from .effects import ReadBinding, WriteBinding
 from .events import RegisterAnswered, RegisterVerdict
 
-VERDICTS = {"won": RegisterVerdict.WON, "read": RegisterVerdict.WON, "stale": RegisterVerdict.LOST}
+RESULTS_BY_STATUS = {"won": RegisterVerdict.WON, "read": RegisterVerdict.WON, "stale": RegisterVerdict.LOST}
 
 log = logging.getLogger(__name__)
 
 
 class BindingRegister:
-    """Reads and writes bindings through replication; each answer becomes one event."""
+    """Reads and writes bindings through replication; each answer is passed on as one event."""
 
     def __init__(
-        self, keeper: ReplicationService, counts: Counter[str], on_answer: Callable[[RegisterAnswered], None]
+        self,
+        replication: ReplicationService,
+        counts: Counter[str],
+        on_answer: Callable[[RegisterAnswered], None],
     ) -> None:
-        """Use the replicated documents of `keeper`."""
-        self._keeper, self._counts, self._on_answer = keeper, counts, on_answer
+        """Use the documents of `replication`; `on_answer` is called with each answer."""
+        self._replication, self._counts, self._on_answer = replication, counts, on_answer
 
     def write(self, effect: WriteBinding) -> None:
         """Write a binding if the expected fencing number is stored."""
-        self._keeper.write(
+        self._replication.write(
             SESSIONS,
             effect.key.encode(),
             effect.expected_fencing_number,
             encode_binding(effect.binding),
             effect.lifetime_s,
-            lambda answer: self._answered(effect.ref, answer),
+            lambda answer: self._handle_answer(effect.ref, answer),
             effect.binding.fencing_number,
         )
 
     def read(self, effect: ReadBinding) -> None:
         """Read a binding."""
-        self._keeper.read(SESSIONS, effect.key.encode(), lambda answer: self._answered(effect.ref, answer))
+        self._replication.read(
+            SESSIONS, effect.key.encode(), lambda answer: self._handle_answer(effect.ref, answer)
+        )
 
-    def _answered(self, ref: int, answer: Answer) -> None:
+    def _handle_answer(self, ref: int, answer: Answer) -> None:
         entry, stored = answer.entry, None
         if entry.value:
             try:
@@ -53,5 +58,5 @@
                 log.warning("invalid session binding in the register", extra={"pairs": {"reason": error}})
                 self._on_answer(RegisterAnswered(ref, RegisterVerdict.UNREACHABLE))
                 return
-        verdict = VERDICTS.get(answer.status, RegisterVerdict.UNREACHABLE)
+        verdict = RESULTS_BY_STATUS.get(answer.status, RegisterVerdict.UNREACHABLE)
         self._on_answer(RegisterAnswered(ref, verdict, stored))
--- a/sablewheel/session_affinity/codec.py
+++ b/sablewheel/session_affinity/codec.py
@@ -1,6 +1,6 @@
-"""The bytes of bindings and of the frames between servers. Pure.
+"""Encodes and decodes bindings and the frames between servers. Performs no I/O.
 
-Every field is checked; a malformed one raises `BadPacketError`, which names the field, and nothing else.
+Every field is checked; a malformed field raises `BadPacketError`, which names the field, and no other error.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 from .placement import ServerLoad
 
 FRAME_TYPE = "session"
-FRAME_LIFETIME_S = 1.0  # after which an unsent frame is dropped: each step is repeated in time
+FRAME_LIFETIME_S = 1.0  # an unsent frame is dropped after this time, since each step is retried
 PROTOCOL_VERSION = 1
-MAX_NAME_BYTES = 256  # of a name, key or flow
+MAX_NAME_BYTES = 256  # the maximum length of a server name, session key or flow
 MAX_CAPACITY = 1e6
 
 
 class BadPacketError(ValueError):
-    """Bytes that are no valid frame or binding; the text names the field."""
+    """The bytes are not a valid frame or binding; the text names the field."""
 
 
 def encode(message: Message | ServerLoad) -> bytes:
@@ -62,14 +62,14 @@
     """Decode a frame.
 
     Raises:
-        BadPacketError: The bytes are no valid frame of this protocol version.
+        BadPacketError: The bytes are not a valid frame of this protocol version.
     """
     try:
         packet = pb.Packet.FromString(data)
     except DecodeError:
-        raise BadPacketError("not a packet") from None
+        raise BadPacketError("frame is not a valid protobuf packet") from None
     if packet.version != PROTOCOL_VERSION:
-        raise BadPacketError(f"version {packet.version}, {PROTOCOL_VERSION} is known here")
+        raise BadPacketError(f"version: got {packet.version}, only {PROTOCOL_VERSION} is supported")
     match packet.WhichOneof("body"):
         case "offer":
             return _decode_offer(packet.offer)
@@ -83,7 +83,7 @@
             return BindingNotice(_from_protobuf(packet.told))
         case "load":
             return _decode_load(packet.load)
-    raise BadPacketError("a packet of no kind that this version knows")
+    raise BadPacketError("body: unknown message type")
 
 
 def _decode_offer(offer: pb.Offer) -> OwnershipOffer:
@@ -107,21 +107,21 @@
 
 
 def encode_binding(binding: Binding) -> bytes:
-    """Encode a binding for the register, whose entry has the fencing number too."""
+    """Encode a binding for the register, whose entry also has the fencing number."""
     data: bytes = _to_protobuf(binding).SerializeToString()
     return data
 
 
 def decode_binding(data: bytes, fencing_number: int) -> Binding:
-    """Decode what the register holds under a fencing number.
+    """Decode a binding that the register stores under a fencing number.
 
     Raises:
-        BadPacketError: The bytes are no valid binding.
+        BadPacketError: The bytes are not a valid binding.
     """
     try:
         stored = pb.Binding.FromString(data)
     except DecodeError:
-        raise BadPacketError("not a binding") from None
+        raise BadPacketError("entry is not a valid protobuf binding") from None
     stored.number = fencing_number
     return _from_protobuf(stored)
 
@@ -140,7 +140,7 @@
 
 def _from_protobuf(stored: pb.Binding) -> Binding:
     if stored.state not in (state.value for state in BindingState):
-        raise BadPacketError(f"state: no such state: {stored.state[:40]!r}")
+        raise BadPacketError(f"state: unknown state {stored.state[:40]!r}")
     return Binding(
         key=_checked_name(stored.key, "key"),
         fencing_number=stored.number,
@@ -154,24 +154,24 @@
 
 def _checked_name(name: str, field: str) -> str:
     if not 0 < len(name.encode()) <= MAX_NAME_BYTES:
-        raise BadPacketError(f"{field}: 1 to {MAX_NAME_BYTES} bytes are wanted")
+        raise BadPacketError(f"{field}: must have 1 to {MAX_NAME_BYTES} bytes")
     return name
 
 
 def _checked_flows(flows: Iterable[str]) -> tuple[str, ...]:
     checked = tuple(str(flow) for flow in flows)
     if len(checked) > MAX_FLOWS or any(len(flow.encode()) > MAX_NAME_BYTES for flow in checked):
-        raise BadPacketError(f"flows: at most {MAX_FLOWS} of at most {MAX_NAME_BYTES} bytes are wanted")
+        raise BadPacketError(f"flows: must be at most {MAX_FLOWS} of at most {MAX_NAME_BYTES} bytes each")
     return checked
 
 
 def _checked_cause(text: str) -> MigrationCause:
     if text not in (cause.value for cause in MigrationCause):
-        raise BadPacketError(f"cause: no such cause: {text[:40]!r}")
+        raise BadPacketError(f"cause: unknown cause {text[:40]!r}")
     return MigrationCause(text)
 
 
 def _checked_number(value: float, maximum: float, field: str) -> float:
     if not (isfinite(value) and 0 <= value <= maximum):
-        raise BadPacketError(f"{field}: 0 to {maximum:g} is wanted, got {value:g}")
+        raise BadPacketError(f"{field}: must be from 0 to {maximum:g}, got {value:g}")
     return value
--- a/sablewheel/session_affinity/context.py
+++ b/sablewheel/session_affinity/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one server's session affinity share. Pure."""
+"""The state that the components of one server's session affinity share. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
 
 
 class RequestDispatcher(Protocol):
-    """Decides where a request goes, also when its session changes hands."""
+    """Dispatches requests, again if their session's owner changes."""
 
     def dispatch_request(self, now: float, request: RequestArrived) -> None:
-        """Serve the request, forward it, or let it wait for its session's owner."""
+        """Serve the request, forward it, or keep it waiting until its session's owner is known."""
 
 
 class Outbox:
-    """The effects of the current event, and the queries to the register that are still open.
+    """The effects of the current event, and the pending queries to the register.
 
-    Invariant: references grow and are never used twice, so an answer belongs to one query at most.
+    Invariant: references grow and are never reused, so an answer belongs to at most one query.
     """
 
     def __init__(self, binding_lifetime_s: float) -> None:
-        """Start with no effects and no open queries; bindings are written with the given lifetime."""
+        """Start with no effects and no pending queries; bindings are written with the given lifetime."""
         self._binding_lifetime_s = binding_lifetime_s
         self._effects: list[Effect] = []
         self._last_ref = 0
         self._pending_queries: dict[int, str] = {}
 
     def start_batch(self) -> list[Effect]:
-        """Return a new list that receives the effects from now on."""
+        """Return a new list, to which all further effects are added."""
         self._effects = []
         return self._effects
 
@@ -48,7 +48,7 @@
         self.emit(SendMessage(to, message))
 
     def log(self, message: str, **fields: object) -> None:
-        """Write a log line with the fields given."""
+        """Write a log line with the given fields."""
         self.emit(LogEvent(message, fields))
 
     def next_ref(self) -> int:
@@ -76,17 +76,17 @@
         return ref
 
     def close_query(self, ref: int) -> str | None:
-        """Forget an open query; return its session's key, None if it is not open."""
+        """Remove a pending query; return its session's key, None if it is not pending."""
         return self._pending_queries.pop(ref, None)
 
     @property
     def pending_queries(self) -> dict[int, str]:
-        """The open queries: reference to session key."""
+        """The session keys of the pending queries by reference."""
         return dict(self._pending_queries)
 
 
 class TimerQueue:
-    """When sessions need attention. A timer is never cancelled: its handler checks it."""
+    """The timers of sessions. A timer is never cancelled: its handler checks whether it still applies."""
 
     def __init__(self) -> None:
         """Start without timers."""
@@ -98,7 +98,7 @@
 
     @property
     def next_at(self) -> float | None:
-        """When the earliest timer fires; None without one."""
+        """The time of the earliest timer; None if there is none."""
         return self._timers[0][0] if self._timers else None
 
     def pop_due(self, now: float) -> str | None:
@@ -115,7 +115,7 @@
     """
 
     def __init__(self, node_name: str, incarnation: int, settings: AffinitySettings) -> None:
-        """Start without a view: this server is no member yet."""
+        """Start without a view: this server is not yet a member."""
         self.node_name, self.incarnation, self.settings = node_name, incarnation, settings
         self.view: View | None = None
         self.is_draining = False
@@ -125,7 +125,7 @@
 
     @property
     def is_member(self) -> bool:
-        """Whether the view has this server in its present incarnation."""
+        """Whether the view contains this server in its current incarnation."""
         member = self.view.get(self.node_name) if self.view is not None else None
         return member is not None and member.incarnation == self.incarnation
 
@@ -135,10 +135,10 @@
         return tuple(self.view.names) if self.view is not None else ()
 
     def is_owned_here(self, binding: Binding) -> bool:
-        """Whether the binding names this server, in its present incarnation, as the owner."""
+        """Whether the binding names this server, in its current incarnation, as the owner."""
         return (binding.owner, binding.incarnation) == (self.node_name, self.incarnation)
 
-    def is_owner_alive(self, binding: Binding) -> bool:
+    def is_owner_in_view(self, binding: Binding) -> bool:
         """Whether the owner is in the view, in the incarnation that took the session."""
         owner = self.view.get(binding.owner) if self.view is not None else None
         return owner is not None and owner.incarnation == binding.incarnation
--- a/sablewheel/session_affinity/effects.py
+++ b/sablewheel/session_affinity/effects.py
@@ -1,6 +1,6 @@
-"""What the sessions of one server ask to be done, in the order of the list that they return. Pure values.
+"""The effects that one server's sessions request, to be carried out in order. Immutable values.
 
-A `ref` is a request's reference, from its `RequestArrived`, or this server's for a query to the register.
+A `ref` is a request's reference from its `RequestArrived`, or the reference of a query to the register.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 
 
 class DecisionReason(Enum):
-    """Why a request is served here or rejected; each is counted on its own."""
+    """Why a request is served here or rejected; each reason is counted separately."""
 
-    OWNER = "owner"  # this server owns its session
-    NO_VIEW = "no_view"  # this server is in no view
-    UNREACHED = "unreached"  # the owner cannot be reached
-    NO_MAJORITY = "no_majority"  # no owner can be found or appointed without a majority of the register
-    HANDOVER = "handover"  # its session is being handed over
-    BUDGET = "budget"  # its session must migrate, and the migration budget is spent
-    STALE = "stale"  # it was forwarded twice, and its session has changed hands again
-    FULL = "full"  # no server has capacity, or too many requests wait
-    INCAPABLE = "incapable"  # no server can run what it asks for together with its session
+    OWNER = "owner"  # this server owns the session
+    NO_VIEW = "no_view"  # this server is not a member of the view
+    UNREACHED = "unreached"  # the owner is unreachable
+    NO_MAJORITY = "no_majority"  # no owner can be found or assigned without a majority of the register
+    HANDOVER = "handover"  # the session is being handed over
+    BUDGET = "budget"  # the session must migrate, and the migration budget is exhausted
+    STALE = "stale"  # it was forwarded twice, and the session's owner has changed again
+    FULL = "full"  # no server has capacity, or too many requests are waiting
+    INCAPABLE = "incapable"  # no server can run the flows of both the request and its session
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,7 @@
     """Serve the request on this server."""
 
     ref: int
-    fencing_number: int  # of its claim; 0 if it must not be claimed under a session
+    fencing_number: int  # of the request's claim; 0 if it must not be claimed under a session
     policy_version: int
     reason: DecisionReason = DecisionReason.OWNER
 
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReturnToForwarder:
-    """Return the request, which never ran here, to its forwarder: another server owns its session."""
+    """Return the request, which was not run here, to its forwarder: another server owns its session."""
 
     ref: int
     forwarded_by: str
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Reject the request, which never ran, or answer it by the known outcome of its idempotency key."""
+    """Reject the request, which was not run, or answer it with its idempotency key's known outcome."""
 
     ref: int
     retry_after_s: float
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteBinding:
-    """Write a binding to the register, if it holds the expected fencing number (0: no entry)."""
+    """Write a binding to the register if it holds the expected fencing number (0: no entry)."""
 
     ref: int
     key: str
--- a/sablewheel/session_affinity/events.py
+++ b/sablewheel/session_affinity/events.py
@@ -1,6 +1,6 @@
-"""What the sessions of one server react to. Pure values.
+"""The events that one server's sessions handle. Immutable values.
 
-A `ref` is a number that the caller gave a request, or this server's for a query to the register.
+A `ref` is the number that the caller assigned to a request, or the reference of a query to the register.
 """
 
 from __future__ import annotations
@@ -18,23 +18,23 @@
 
 
 class RegisterVerdict(Enum):
-    """How the register answered a query."""
+    """The result of a query to the register."""
 
-    WON = "won"  # written; or read, and the answer has what is stored
-    LOST = "lost"  # another fencing number is stored, in the answer's binding
-    UNREACHABLE = "unreachable"  # no majority: a write may have been made or not
+    WON = "won"  # the binding was written, or it was read and is in the answer
+    LOST = "lost"  # another fencing number is stored; the answer has its binding
+    UNREACHABLE = "unreachable"  # no majority: a write may or may not have been made
 
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A request of a session."""
+    """A request that belongs to a session."""
 
     ref: int
     key: str
     idempotency: Idempotency
     flow: str = ""
-    forwarded_by: str = ""  # the member that forwarded it; empty if a client sent it here
-    was_returned: bool = False  # it was forwarded before, and came back since its session had changed hands
+    forwarded_by: str = ""  # the member that forwarded the request; empty if a client sent it
+    was_returned: bool = False  # it was forwarded and returned, since its session's owner had changed
 
     @property
     def requires_owner(self) -> bool:
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFinished:
-    """A request that was to be served here has its outcome, or never began."""
+    """A request to be served here has an outcome, or did not begin."""
 
     ref: int
     key: str
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnerUnreachable:
-    """A request that was forwarded certainly did not arrive at its session's owner."""
+    """A forwarded request certainly did not arrive at its session's owner."""
 
     request: RequestArrived
     owner_name: str
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReturned:
-    """A forwarded request came back unserved: another server owns its session, by what that server knows."""
+    """A forwarded request was returned unserved: another server owns its session, as the returner reports."""
 
     request: RequestArrived
     binding: Binding | None = None
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnerFenced:
-    """A claim was refused as in `ClaimRefused`, but its request was rejected already."""
+    """A claim was refused as in `ClaimRefused`, but its request had already been rejected."""
 
     key: str
     fencing_number: int
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A message of another server."""
+    """A message from another server."""
 
     sender: str
     message: Message
@@ -101,17 +101,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewChanged:
-    """The fleet agreed on another view."""
+    """The fleet agreed on a new view."""
 
     view: View
 
 
 @dataclass(frozen=True, slots=True)
 class PolicyActivated:
-    """A policy version is in force, or the servers that can run it have changed."""
+    """A policy version became active, or the servers that can run it have changed."""
 
     version: int
-    capable_members: Mapping[str, frozenset[str]] = field(default_factory=dict)  # by flow; without entry: all
+    capable_members: Mapping[str, frozenset[str]] = field(
+        default_factory=dict
+    )  # by flow; all members if a flow has no entry
     mandatory: bool = False
 
 
@@ -124,14 +126,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainStarted:
-    """This server leaves after `grace_s` seconds."""
+    """This server will leave after `grace_s` seconds."""
 
     grace_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """The time of `Sessions.wake_at` has come."""
+    """The time of `Sessions.wake_at` has been reached."""
 
 
 Event: TypeAlias = (
--- a/sablewheel/session_affinity/load_reports.py
+++ b/sablewheel/session_affinity/load_reports.py
@@ -1,4 +1,4 @@
-"""The load reports that servers send each other."""
+"""The load reports that servers send to each other."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from .placement import ServerLoad
 
 REPORT_INTERVAL_S = 0.5
-MIN_WARMTH = 0.01
+MIN_WARMTH = 0.01  # above 0, which would mean that the server is leaving
 
 
 class LoadReports:
-    """Sends this server's load to all members periodically, and collects theirs.
+    """Sends this server's load to all members periodically, and collects their loads.
 
-    A lost report is made good by the next one.
+    A lost report is not sent again; the next one replaces it.
     """
 
     def __init__(
@@ -40,9 +40,9 @@
             scheduler: Calls this object periodically.
             fleet: The members.
             links: The connections to the other members.
-            warmth: Returns how warm this server is, from 0 to 1.
-            capacity: What this server can carry, in the fleet's common unit.
-            session_count: Returns how many sessions this server owns.
+            warmth: Returns this server's warmth, from 0 (just started) to 1 (warm).
+            capacity: This server's capacity, in the unit that all members use.
+            session_count: Returns the number of sessions that this server owns.
             on_report: Called with all loads by member, after each of this server's own reports.
         """
         self._scheduler, self._fleet, self._links = scheduler, fleet, links
@@ -52,7 +52,7 @@
         self._is_leaving = self._is_closed = False
 
     def start(self) -> None:
-        """Begin to send reports, the first one after an interval."""
+        """Start to send reports, the first one after one interval."""
         self._scheduler.after(REPORT_INTERVAL_S, self._report)
 
     def close(self) -> None:
@@ -63,12 +63,12 @@
         """Record another server's report."""
         self._loads[sender] = load
 
-    def forget_removed(self, view: View) -> None:
-        """Forget the reports of servers that are not in the view."""
+    def remove_departed(self, view: View) -> None:
+        """Remove the reports of servers that are not in the view."""
         self._loads = {name: load for name, load in self._loads.items() if name in view}
 
     def announce_leaving(self) -> None:
-        """Tell the other members at once that this server takes no more sessions."""
+        """Notify the other members immediately that this server accepts no more sessions."""
         self._is_leaving = True
         self._send(ServerLoad(self._session_count(), 1.0, 0.0), FRAME_LIFETIME_S)
 
--- a/sablewheel/session_affinity/lookup_table.py
+++ b/sablewheel/session_affinity/lookup_table.py
@@ -1,4 +1,4 @@
-"""The owner lookups that are under way. Pure values and their table."""
+"""The owner lookups in progress and their table. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -13,37 +13,35 @@
 
 
 class LookupStage(Enum):
-    """What a lookup waits for."""
+    """The event that a lookup waits for."""
 
-    READING = auto()  # the register's answer
-    AWAITING_CLAIM_EXPIRY = auto()  # a claim that the removed owner won before may still begin
+    READING = auto()  # the register's answer to a read
+    AWAITING_CLAIM_EXPIRY = auto()  # the last time at which a claim of the removed owner may begin
     AWAITING_OFFER_REPLY = auto()
-    WRITING = auto()  # this server's own binding
+    WRITING = auto()  # the register's answer to the write of this server's binding
 
 
 @dataclass(slots=True)
 class Lookup:
-    """A session whose owner is looked up, or that this server is about to take."""
+    """A session whose owner is being looked up, or that this server is about to take."""
 
     key: str
     deadline: float  # when the waiting requests are decided without an owner
     waiting_requests: list[RequestArrived] = field(default_factory=list)
     flows: set[str] = field(default_factory=set)
     stage: LookupStage = LookupStage.READING
-    pending_ref: int = 0  # of the query or offer that is open, 0 without one
+    pending_ref: int = 0  # the reference of the pending query or offer; 0 if none
     timer_at: float = inf
-    offered_by: tuple[str, int] | None = (
-        None  # the server that offered it to this one, with the offer's number
-    )
+    offered_by: tuple[str, int] | None = None  # the server that offered the session here, and its offer ID
     register_answered_at: float = -inf
-    handover: TakeOwnership | None = None  # the owner's permission to take it
+    handover: TakeOwnership | None = None  # the owner's permission to take the session
     stored_binding: Binding | None = None
     cause: MigrationCause | None = None
-    pending_binding: Binding | None = None  # what is being written
+    pending_binding: Binding | None = None  # the binding that is being written
     write_started_at: float = -inf
     offered_to: str = ""
     declined_by: set[str] = field(default_factory=set)
-    forced: bool = False  # whether it may go to a server at its bound
+    forced: bool = False  # whether the load bound is ignored, since no server is below its bound
     has_budget_token: bool = False
 
     def add_flow(self, flow: str) -> None:
@@ -56,7 +54,7 @@
     """All lookups by session key.
 
     Invariant: `writing_count` is the number of lookups in the stage WRITING, each of which is about to become
-    an owned session; so the stage changes through `set_stage` only.
+    an owned session; so the stage must be changed only through `set_stage`.
     """
 
     def __init__(self, context: SessionContext) -> None:
@@ -72,7 +70,7 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether no further lookup may begin."""
+        """Whether no further lookup may start."""
         return len(self._lookups) >= self._context.settings.max_lookups
 
     def get(self, key: str) -> Lookup | None:
@@ -80,13 +78,13 @@
         return self._lookups.get(key)
 
     def start(self, now: float, key: str) -> Lookup:
-        """Begin a lookup with its deadline; the caller decides its first step."""
+        """Start a lookup with its deadline; the caller takes its first step."""
         lookup = self._lookups[key] = Lookup(key, now + self._context.settings.binding_timeout_s)
         self.set_timer(lookup, lookup.deadline)
         return lookup
 
     def set_timer(self, lookup: Lookup, at: float) -> None:
-        """Fire the lookup's timer at the time given; an earlier setting no longer applies."""
+        """Set the lookup's timer, which replaces an earlier setting."""
         lookup.timer_at = at
         self._context.timers.set(lookup.key, at)
 
@@ -96,14 +94,14 @@
         lookup.stage = stage
 
     def finish(self, lookup: Lookup) -> None:
-        """Remove a lookup; an answer that is still on its way is ignored."""
+        """Remove a lookup; an answer to its pending query is ignored."""
         if self._lookups.get(lookup.key) is lookup:
             del self._lookups[lookup.key]
         self.set_stage(lookup, LookupStage.READING)
         self._context.outbox.close_query(lookup.pending_ref)
 
     def reply(self, lookup: Lookup, binding: Binding | None, *, has_no_capacity: bool = False) -> None:
-        """Answer the server that offered the session to this one, if one did."""
+        """Reply to the server that offered the session to this one, if any did."""
         if lookup.offered_by is not None:
             name, offer_id = lookup.offered_by
             self._context.outbox.send(name, OfferReply(lookup.key, offer_id, has_no_capacity, binding))
--- a/sablewheel/session_affinity/messages.py
+++ b/sablewheel/session_affinity/messages.py
@@ -1,4 +1,4 @@
-"""What servers tell each other about sessions. Pure values; each message may be lost."""
+"""The messages about sessions between servers. Immutable values; each message may be lost."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from .binding import Binding, MigrationCause
 
-MAX_FLOWS = 16  # flows of one session that servers retain and tell each other
+MAX_FLOWS = 16  # the maximum number of flows of one session that servers retain and send
 
 
 @dataclass(frozen=True, slots=True)
@@ -15,7 +15,7 @@
     """Asks a server to take a session that has no owner."""
 
     key: str
-    offer_id: int  # the sender's number for this offer
+    offer_id: int  # assigned by the sender
     flows: tuple[str, ...] = ()
     forced: bool = False  # whether the load bound is ignored, since no server is below its bound
 
@@ -27,12 +27,12 @@
     key: str
     offer_id: int
     has_no_capacity: bool
-    binding: Binding | None = None  # of the session's owner; None if it could not be found out
+    binding: Binding | None = None  # the owner's binding; None if the owner could not be determined
 
 
 @dataclass(frozen=True, slots=True)
 class TakeOwnership:
-    """Tells the successor to take a session: its owner runs nothing of it any more that may yet begin."""
+    """Tells the successor to take a session, of which its owner has no run left that may still begin."""
 
     binding: Binding
     cause: MigrationCause
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BindingNotice:
-    """Tells a binding that the register holds or held; the earlier owner, that the handover is done."""
+    """Sends a binding that the register holds or held; to the previous owner it confirms the handover."""
 
     binding: Binding
 
--- a/sablewheel/session_affinity/migration.py
+++ b/sablewheel/session_affinity/migration.py
@@ -1,9 +1,9 @@
-"""How an owner changes a session's binding, and how it hands the session over. Pure.
+"""How an owner changes a session's binding, and how it hands the session over. Performs no I/O.
 
-A live owner gives a session away in three steps. It takes no more keyed work and writes the handover state
-into the binding; it waits until its keyed runs end, or go on as claims (their idempotency keys stay claimed,
-and no other server runs them); and only then it tells the successor to take the session. Until that no other
-server may take a session from an owner that is in the view.
+An owner that is in the view hands a session over in three steps. It accepts no more keyed requests and writes
+the handover state into the binding; it waits until its keyed runs end, or lets them continue as claims (their
+idempotency keys stay claimed, and no other server runs them); only then it tells the successor to take the
+session. Before that, no other server may take a session from an owner that is in the view.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 class Migration:
     """The steps of an owned session's change or handover; the state of each is in its `OwnedSession`.
 
-    Invariant: a successor is told to take a session only while the binding that the register holds names it,
-    and when nothing of the session runs here that may yet begin.
+    Invariant: a successor is told to take a session only while the binding in the register names it, and only
+    when this server has no run of the session left that may still begin.
     """
 
     def __init__(
@@ -56,12 +56,12 @@
     # -- handover
 
     def hand_over(self, now: float, session: OwnedSession, cause: MigrationCause) -> bool:
-        """Begin to hand a session over; return False if there is no server to take it."""
+        """Start the handover of a session; return False if no server can take it."""
         successor = self._selection.choose_successor(session)
         if not successor:
             return False
         session.cause = cause
-        if self._context.settings.faulty_variant == "no-handover":  # it serves on while the successor begins
+        if self._context.settings.faulty_variant == "no-handover":  # this server continues to serve
             message = TakeOwnership(session.binding, cause, tuple(sorted(session.flows)))
             self._context.outbox.send(successor, message)
             return True
@@ -81,7 +81,7 @@
             self._set_timer(session, now + self._context.settings.handover_timeout_s)
 
     def end_run(self, now: float, session: OwnedSession, ref: int) -> None:
-        """Record the end of a run; the last one of a handover lets the successor take the session."""
+        """Record the end of a run; after the last run of a handover, notify the successor."""
         session.open_refs.discard(ref)
         if session.phase is OwnershipPhase.FINISHING_RUNS and not session.open_refs:
             self._notify_successor(now, session)
@@ -126,10 +126,10 @@
             self._change_successor(now, session)
 
     def on_view_changed(self, now: float) -> None:
-        """Choose another successor where the chosen one is not in the view any more."""
+        """Choose another successor for each session whose successor is no longer in the view."""
         view = self._context.view
         sessions = self._ownership.sessions.values()
-        for session in [one for one in sessions if one.phase is OwnershipPhase.AWAITING_SUCCESSOR]:
+        for session in [owned for owned in sessions if owned.phase is OwnershipPhase.AWAITING_SUCCESSOR]:
             if view is not None and session.binding.successor not in view:
                 self._change_successor(now, session)
 
@@ -138,15 +138,15 @@
     def on_register_answer(
         self, now: float, session: OwnedSession, verdict: RegisterVerdict, stored: Binding | None
     ) -> None:
-        """Go on after a write of this owner, by what the register holds now."""
+        """Continue after a write of this owner, according to the binding that the register holds now."""
         written, session.pending_binding, session.pending_ref = session.pending_binding, None, 0
         if verdict is RegisterVerdict.UNREACHABLE:
             self._on_register_unreachable(now, session)
             return
         number = session.binding.fencing_number
         newer_stored = stored if stored is not None and stored.fencing_number > number else None
-        is_own = newer_stored is not None and self._context.is_owned_here(newer_stored)
-        if verdict is RegisterVerdict.LOST and not is_own:
+        is_own_binding = newer_stored is not None and self._context.is_owned_here(newer_stored)
+        if verdict is RegisterVerdict.LOST and not is_own_binding:
             self._ownership.release(now, session, newer_stored)
             return
         binding = written if verdict is RegisterVerdict.WON else stored
@@ -154,12 +154,12 @@
             self._ownership.release(now, session, None)
             return
         session.binding = binding
-        if verdict is RegisterVerdict.WON:  # otherwise it is an older write of its own, whose answer was lost
+        if verdict is RegisterVerdict.WON:  # otherwise an earlier write, whose answer was lost
             session.renewed_at = session.write_started_at
         self._on_binding_stored(now, session)
 
     def _on_register_unreachable(self, now: float, session: OwnedSession) -> None:
-        """The write may have been made or not."""
+        """Handle a write that may or may not have been made."""
         if session.phase is not OwnershipPhase.RENEWING:
             self._set_timer(session, now + self._context.settings.retry_interval_s)
             return
@@ -176,15 +176,15 @@
         is_renewal = session.phase is OwnershipPhase.RENEWING
         if is_renewal and session.cause is not None and binding.policy_version == self._versions.active:
             self._context.counts[f"brought_{session.cause.value}"] += 1
-        if session.phase is OwnershipPhase.MARKING_HANDOVER:  # an older renewal is stored, not the handover
+        if session.phase is OwnershipPhase.MARKING_HANDOVER:  # an earlier renewal is stored, not the handover
             self._mark_handover(now, session, self._selection.choose_successor(session))
             return
         session.phase, session.cause = OwnershipPhase.SERVING, None
 
-    # -- time
+    # -- timers
 
     def on_timer(self, now: float, session: OwnedSession) -> None:
-        """Repeat the step of a handover that was not answered, if its timer is due."""
+        """Retry a handover step that was not answered, if its timer is due."""
         if session.timer_at > now:
             return
         session.timer_at = inf
--- a/sablewheel/session_affinity/migration_queue.py
+++ b/sablewheel/session_affinity/migration_queue.py
@@ -1,4 +1,4 @@
-"""When sessions may migrate: a queue at the pace of the fleet's migration budget. Pure."""
+"""When sessions may migrate: a queue limited by the fleet's migration budget. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -14,38 +14,40 @@
 
 MIN_WAIT_S = 1e-3
 MIN_RATE_PER_S = 1e-6
-TURNS_KNOWN_FOR = 2.0  # times the span of the turns: a request may come after its session's turn
+# Turns are retained for this multiple of their span: a request may arrive after its session's turn.
+TURN_RETENTION_FACTOR = 2.0
 
 
 class MigrationQueue:
-    """Owned sessions that must migrate or change, and the turns of sessions whose owner is gone.
+    """Owned sessions that must migrate or change, and the turns of sessions whose owner was removed.
 
-    Invariant: a queued migration starts with a token of this server's share of the fleet's budget; while the
-    server drains, with one of a budget that follows from the time that is left. A takeover waits for its
-    turn.
+    A turn is the time from which such a session may be taken over. Invariant: a queued migration starts with
+    a token of this server's share of the fleet's budget or, while the server drains, of a budget that follows
+    from the remaining time. A takeover waits for its turn.
     """
 
     def __init__(self, context: SessionContext, now: float) -> None:
-        """Start with an empty queue and the whole fleet's budget, until a view tells the fleet's size."""
+        """Start with an empty queue and the whole fleet's budget, until a view gives the fleet's size."""
         self._context = context
         rate = context.settings.migrations_per_s
         self._keys: deque[str] = deque()
         self._budget = MigrationBudget(rate, now)
-        self._takeover_budget = MigrationBudget(rate, now)  # of sessions that have turns
-        self._turnless_takeover_budget = MigrationBudget(rate, now)  # of owners with unknown loads
+        self._takeover_budget = MigrationBudget(rate, now)  # for sessions that have turns
+        self._turnless_takeover_budget = MigrationBudget(
+            rate, now
+        )  # for sessions of owners with unknown loads
         self._drain_budget: MigrationBudget | None = None
-        self._departures: dict[
-            tuple[str, int], tuple[float, float]
-        ] = {}  # incarnation -> when, span of turns
+        # By name and incarnation of the removed member: the time of its removal, and the span of the turns.
+        self._departures: dict[tuple[str, int], tuple[float, float]] = {}
         self._next_attempt_at = inf
 
     def __len__(self) -> int:
-        """Return the number of entries; a session may have an outdated one besides its own."""
+        """Return the number of entries; a session may have an outdated entry besides its current one."""
         return len(self._keys)
 
     @property
     def keys(self) -> tuple[str, ...]:
-        """The queued sessions' keys, the next one first."""
+        """The keys of the queued sessions, the next one first."""
         return tuple(self._keys)
 
     @property
@@ -56,13 +58,13 @@
     # -- the queue
 
     def enqueue(self, session: OwnedSession, cause: MigrationCause) -> None:
-        """Queue a session unless it is queued already or is being handed over."""
+        """Queue a session unless it is already queued or is being handed over."""
         if session.queued_cause is None and session.accepts_keyed_work:
             session.queued_cause = cause
             self._keys.append(session.binding.key)
 
     def requeue(self, key: str) -> None:
-        """Put an entry that could not be handled yet at the end."""
+        """Append an entry that could not be handled yet."""
         self._keys.append(key)
 
     def pop(self) -> str:
@@ -70,11 +72,11 @@
         return self._keys.popleft()
 
     def schedule(self, now: float, *, is_blocked: bool) -> None:
-        """Set when the queue is tried again, if it has entries left.
+        """Set the time at which the queue is tried again, if it has entries left.
 
         Args:
-            now: The present time.
-            is_blocked: Whether an entry waits for something else than the budget.
+            now: The current time.
+            is_blocked: Whether an entry waits for anything other than the budget.
         """
         if not self._keys:
             return
@@ -95,37 +97,37 @@
         (self._drain_budget or self._budget).refund()
 
     def share_budget(self, now: float, member_count: int) -> None:
-        """Set this server's share of the fleet's budget; turns keep to the whole of it by themselves."""
+        """Set this server's share of the fleet's budget; the turns already spread the whole budget."""
         rate = self._context.settings.migrations_per_s / max(member_count, 1)
         self._budget.set_rate(now, rate)
         self._turnless_takeover_budget.set_rate(now, rate)
 
     def start_drain(self, now: float, session_count: int, span_s: float) -> None:
-        """Set the pace that migrates all sessions within the span, or the fleet's pace if that is higher."""
+        """Set the rate that migrates all sessions within the span, or the fleet's rate if that is higher."""
         rate = max(self._context.settings.migrations_per_s, (session_count + 1) / span_s)
         self._drain_budget = MigrationBudget(rate, now)
 
-    # -- sessions of servers that are gone
+    # -- sessions of removed servers
 
     def add_departure(self, now: float, member: Member, session_count: int) -> None:
         """Spread the turns of a removed member's sessions over the span that the fleet's budget needs."""
         span_s = session_count / max(self._context.settings.migrations_per_s, MIN_RATE_PER_S)
         self._departures[member.name, member.incarnation] = (now, span_s)
 
-    def forget_past_departures(self, now: float) -> None:
-        """Forget the removed members whose sessions have all had their turns, and time to use them."""
+    def remove_past_departures(self, now: float) -> None:
+        """Discard the turns of members whose sessions have all had their turns, and time to use them."""
         self._departures = {
             member: (at, span_s)
             for member, (at, span_s) in self._departures.items()
-            if now < at + TURNS_KNOWN_FOR * span_s
+            if now < at + TURN_RETENTION_FACTOR * span_s
         }
 
     def takeover_wait_s(self, now: float, key: str, stored: Binding | None) -> float:
-        """Return the seconds until a removed owner's session may be taken over; 0 takes a token for it.
+        """Return the seconds until a removed owner's session may be taken over; a result of 0 uses a token.
 
-        Each such session has its turn by its key, spread so that the fleet migrates no more per second than
-        its budget, whichever server has the requests. For an owner whose load was not known there are no
-        turns, but a token bucket at this server's share of that budget.
+        The turn of each such session follows from its key. The turns are spread so that the fleet migrates no
+        more sessions per second than its budget, whichever server receives the requests. For an owner whose
+        load was unknown there are no turns, but a token bucket with this server's share of that budget.
         """
         if self._context.settings.faulty_variant == "no-budget" or stored is None:
             return 0.0
--- a/sablewheel/session_affinity/open_requests.py
+++ b/sablewheel/session_affinity/open_requests.py
@@ -1,4 +1,4 @@
-"""The requests that run here, or may, under a session's binding, and the hooks that follow them."""
+"""The requests that run or may run here under a session's binding, and the hooks that track them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class OpenRequest:
-    """A request that only its session's owner may run, and that was admitted here."""
+    """A request that only its session's owner may run, admitted by this server."""
 
     ref: int
     key: str
@@ -24,17 +24,17 @@
 class OpenRequests:
     """The open requests by exchange.
 
-    Invariant: each is reported as finished once: when its run has ended, or when it was answered without a
-    run.
+    Invariant: each request is reported as finished once: when its run has ended, or when it was answered
+    without a run.
     """
 
     def __init__(self, on_finished: Callable[[OpenRequest], None]) -> None:
-        """Start without requests; `on_finished` is called for each that is over."""
+        """Start without requests; `on_finished` is called for each finished request."""
         self._on_finished = on_finished
         self._requests: dict[Exchange, OpenRequest] = {}
 
     def add(self, exchange: Exchange, request: OpenRequest) -> None:
-        """Add a request before it may begin."""
+        """Add a request before its run may begin."""
         self._requests[exchange] = request
 
     def get(self, exchange: Exchange) -> OpenRequest | None:
@@ -53,21 +53,21 @@
             self.end(exchange)
 
     def end(self, exchange: Exchange) -> None:
-        """Record the end of a run, or that there will be none."""
+        """Record the end of a run, or that the request will not run."""
         if (request := self._requests.pop(exchange, None)) is not None:
             self._on_finished(request)
 
 
 class SessionResultStore:
-    """A result store that also follows the runs of open requests, in front of another one."""
+    """A result store that wraps another one and tracks the runs of open requests."""
 
     def __init__(self, inner: ResultStore, open_requests: OpenRequests) -> None:
-        """Pass everything on to `inner`."""
+        """Pass all calls on to `inner`."""
         self._inner, self._open_requests = inner, open_requests
 
     @property
     def ready(self) -> bool:
-        """Whether all results of earlier incarnations are known."""
+        """Whether all results of earlier incarnations have been recovered."""
         return self._inner.ready
 
     def recover_keys(self, born: float, idempotency_keys: IdempotencyTable) -> list[tuple[Request, float]]:
@@ -106,10 +106,10 @@
 
 
 class SessionRequestObserver:
-    """An observer that also follows the answers to open requests, in front of another one."""
+    """An observer that wraps another one and tracks the answers to open requests."""
 
     def __init__(self, inner: RequestObserver, open_requests: OpenRequests) -> None:
-        """Pass everything on to `inner`."""
+        """Pass all calls on to `inner`."""
         self._inner, self._open_requests = inner, open_requests
 
     def completed(self, exchange: Exchange, result: bytes, caller: Caller) -> None:
@@ -128,6 +128,6 @@
         self._inner.failed(exchange)
 
     def cancelled(self, exchange: Exchange) -> None:
-        """Record that nobody waits for the answer any more."""
+        """Record that the caller no longer waits for the answer."""
         self._open_requests.answer(exchange)
         self._inner.cancelled(exchange)
--- a/sablewheel/session_affinity/owned_requests.py
+++ b/sablewheel/session_affinity/owned_requests.py
@@ -1,4 +1,4 @@
-"""The requests of sessions that this server owns. Pure."""
+"""The requests of sessions that this server owns. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class OwnedRequests:
-    """Serves requests of owned sessions, or lets them wait for the next owner.
+    """Serves requests of owned sessions, or keeps them waiting for the next owner.
 
-    Invariant: no keyed request is served once the session's handover began, or once its binding may have
+    Invariant: no keyed request is served once the session's handover has begun, or once its binding may have
     expired.
     """
 
@@ -38,7 +38,7 @@
         self._responder, self._dispatcher = responder, dispatcher
 
     def serve(self, now: float, session: OwnedSession, request: RequestArrived) -> None:
-        """Serve a request, or let it wait if its session must change hands first."""
+        """Serve a request, or keep it waiting if the session's owner must change first."""
         if request.requires_owner and self._ownership.is_expired(now, session):
             self._ownership.release(now, session, None)
             self._dispatcher.dispatch_request(now, request)
@@ -48,14 +48,14 @@
         session.has_keyed_work = session.has_keyed_work or request.requires_owner
         if not session.accepts_keyed_work:
             if request.requires_owner:
-                self._wait(now, session, request, DecisionReason.HANDOVER)
+                self._add_waiting(now, session, request, DecisionReason.HANDOVER)
             else:
                 self._responder.serve(request, session.binding, DecisionReason.HANDOVER)
             return
         version = session.binding.policy_version
         if not self._versions.can_run(self._context.node_name, version, (request.flow,)):
             self._queue.enqueue(session, MigrationCause.INCAPABLE)
-            self._wait(now, session, request, DecisionReason.INCAPABLE)
+            self._add_waiting(now, session, request, DecisionReason.INCAPABLE)
             return
         if request.requires_owner:
             session.open_refs.add(request.ref)
@@ -64,10 +64,10 @@
         if now - session.renewed_at > renewal_interval_s and session.phase is OwnershipPhase.SERVING:
             self._migration.renew(now, session, version)
 
-    def _wait(
+    def _add_waiting(
         self, now: float, session: OwnedSession, request: RequestArrived, reason: DecisionReason
     ) -> None:
-        """Let a request wait for the session's next owner."""
+        """Add a request that waits for the session's next owner."""
         settings = self._context.settings
         if len(session.waiting_requests) >= settings.max_waiting_requests:
             self._responder.serve_or_reject(request, reason)
@@ -78,7 +78,7 @@
         session.waiting_requests.append(request)
 
     def on_timer(self, now: float, session: OwnedSession) -> None:
-        """Decide the waiting requests without an owner, if they waited for too long."""
+        """Serve or reject the waiting requests if their deadline has passed."""
         if not session.waiting_requests or now < session.waiting_deadline:
             return
         requests, session.waiting_requests = session.waiting_requests, []
--- a/sablewheel/session_affinity/owner_lookup.py
+++ b/sablewheel/session_affinity/owner_lookup.py
@@ -1,7 +1,7 @@
-"""How this server finds a session's owner, or makes a server the owner of one that has none. Pure.
+"""How this server finds a session's owner, or assigns one if there is none. Performs no I/O.
 
-The register is read once; what it holds decides. A session without a live owner is offered to the best server
-below its load bound, which takes it or declines.
+The register is read once, and the stored binding decides. A session whose owner is not in the view is offered
+to the best server below its load bound, which takes or declines it.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
     # -- requests
 
     def add_request(self, now: float, request: RequestArrived) -> None:
-        """Let a request wait for its session's owner, and begin the lookup if none is under way."""
+        """Keep a request waiting for its session's owner, and start a lookup if none is in progress."""
         lookup = self._lookups.get(request.key)
         if lookup is None:
             if self._lookups.is_full:
@@ -71,7 +71,7 @@
     def on_register_answer(
         self, now: float, lookup: Lookup, verdict: RegisterVerdict, stored: Binding | None
     ) -> None:
-        """Go on after a read, or after a write of this server's binding."""
+        """Continue after a read, or after a write of this server's binding."""
         lookup.pending_ref, lookup.register_answered_at = 0, now
         if verdict is RegisterVerdict.UNREACHABLE:
             self.fail(lookup, DecisionReason.NO_MAJORITY)
@@ -86,16 +86,15 @@
         if stored is None or stored.state is BindingState.ENDED:
             lookup.cause = None
             self._place(now, lookup)
-        elif not self._context.is_owner_alive(stored):
+        elif not self._context.is_owner_in_view(stored):
             lookup.cause = MigrationCause.REMOVED
             self._place(now, lookup)
         elif stored.owner != self._context.node_name:
             self._finish_with_owner(now, lookup, stored)
         elif stored.state is BindingState.OWNED:
             lookup.cause = None
-            self._acquisition.acquire(
-                now, lookup
-            )  # how much of its lifetime is left is unknown: renew it first
+            # The remaining lifetime of the binding is unknown, so it is renewed before it is used.
+            self._acquisition.acquire(now, lookup)
         else:
             self._lookups.finish(lookup)
             self._acquisition.add_session(now, lookup, stored)
@@ -103,7 +102,7 @@
     # -- a session without an owner
 
     def _place(self, now: float, lookup: Lookup) -> None:
-        """Take a session that was offered to this server or decline it; otherwise choose a server for it."""
+        """Take or decline a session that was offered to this server; otherwise choose a server."""
         if lookup.offered_by is not None:
             self._answer_offer(now, lookup)
             return
@@ -118,7 +117,7 @@
         if not capable:
             self.fail(lookup, DecisionReason.INCAPABLE)
             return
-        # A request that was forwarded here came as to the owner: the session stays, and needs no further hop.
+        # The forwarder took this server for the owner: if it keeps the session, no further hop is needed.
         is_forwarded = any(request.forwarded_by for request in lookup.waiting_requests)
         if is_forwarded and self._selection.has_capacity(lookup.flows, version, forced=False):
             self._acquisition.acquire(now, lookup)
@@ -135,7 +134,7 @@
             self._responder.serve_or_reject(request, DecisionReason.FULL)
 
     def _choose_target(self, lookup: Lookup, capable: set[str]) -> str:
-        """Return the best server below its load bound, or the least loaded past it; empty if none."""
+        """Return the best server below its load bound, otherwise the least loaded one; empty if none."""
         target = ""
         if not lookup.forced:
             target = self._selection.choose(
@@ -169,7 +168,7 @@
     # -- messages
 
     def on_offer(self, now: float, sender: str, offer: OwnershipOffer) -> None:
-        """Answer an offer, or read the register first if this server does not know the owner."""
+        """Reply to an offer, after reading the register if this server does not know the owner."""
         lookup = self._lookups.get(offer.key)
         if (session := self._ownership.get(offer.key)) is not None:
             reply = OfferReply(offer.key, offer.offer_id, False, session.binding)
@@ -183,7 +182,7 @@
         elif lookup.stage is not LookupStage.AWAITING_OFFER_REPLY:
             lookup.offered_by = (sender, offer.offer_id)
         elif sender < self._context.node_name:
-            # Two servers look for an owner and each found the other best: one of them gives way.
+            # Two servers offered the session to each other: only the one with the higher name accepts.
             self._accept_offer(lookup, sender, offer)
         else:
             self._decline_offer(sender, offer)
@@ -196,7 +195,7 @@
         self._context.outbox.send(sender, OfferReply(offer.key, offer.offer_id, True))
 
     def on_offer_reply(self, now: float, sender: str, reply: OfferReply) -> None:
-        """Go on after an offer: with the owner, with another server, or without an owner."""
+        """Continue after an offer: with the owner, with another server, or without an owner."""
         lookup = self._lookups.get(reply.key)
         if (
             lookup is None
@@ -217,7 +216,7 @@
     # -- the end of a lookup
 
     def _finish_with_owner(self, now: float, lookup: Lookup, binding: Binding) -> None:
-        """Forward what waits to the owner that was found."""
+        """Forward the waiting requests to the session's owner."""
         self._lookups.finish(lookup)
         self._routes.learn(binding)
         self._lookups.reply(lookup, binding)
@@ -228,14 +227,14 @@
                 self._responder.forward(request, binding)
 
     def fail(self, lookup: Lookup, reason: DecisionReason, retry_after_s: float = 0.0) -> None:
-        """End a lookup without an owner, and decide what waits without one."""
+        """End a lookup without an owner, and serve or reject the waiting requests."""
         self._lookups.finish(lookup)
         self._lookups.reply(lookup, None)
         retry_after_s = min(retry_after_s, self._context.settings.binding_timeout_s)
         for request in lookup.waiting_requests:
             self._responder.serve_or_reject(request, reason, retry_after_s)
 
-    # -- the fleet and time
+    # -- the fleet and timers
 
     def on_not_a_member(self) -> None:
         """End all lookups: this server is not in the view."""
@@ -243,21 +242,21 @@
             self.fail(lookup, DecisionReason.NO_VIEW)
 
     def on_view_changed(self, now: float) -> None:
-        """Choose another server where the one that was offered a session is not in the view any more."""
+        """Choose another server for each session offered to a server that is no longer in the view."""
         view = self._context.view
         lookups = self._lookups.lookups.values()
-        for lookup in [one for one in lookups if one.stage is LookupStage.AWAITING_OFFER_REPLY]:
+        for lookup in [other for other in lookups if other.stage is LookupStage.AWAITING_OFFER_REPLY]:
             if view is not None and lookup.offered_to not in view:
                 self._place(now, lookup)
 
     def on_drain(self) -> None:
-        """Decline the offers that are not being accepted already."""
+        """Decline the offers that are not already being accepted."""
         for lookup in list(self._lookups.lookups.values()):
             if lookup.stage is not LookupStage.WRITING and lookup.offered_by:
                 self.fail(lookup, DecisionReason.FULL)
 
     def on_timer(self, now: float, lookup: Lookup) -> None:
-        """Go on with a lookup whose timer is due."""
+        """Continue a lookup if its timer is due."""
         if lookup.timer_at > now:
             return
         if lookup.stage is LookupStage.AWAITING_CLAIM_EXPIRY:
--- a/sablewheel/session_affinity/ownership.py
+++ b/sablewheel/session_affinity/ownership.py
@@ -1,8 +1,8 @@
-"""The sessions that this server owns. Pure.
+"""The sessions that this server owns. Performs no I/O.
 
-Only the server that takes a session writes itself into its binding, by a compare-and-set on the fencing
-number: one number has one owner. The owner claims idempotency keys under its number, and a replica of the
-register refuses a claim below the binding's number.
+Only the server that takes a session writes its name into the binding, by a compare-and-set on the fencing
+number, so each number has one owner. The owner claims idempotency keys under its number, and a replica of the
+register refuses a claim with a number below the binding's.
 """
 
 from __future__ import annotations
@@ -19,45 +19,43 @@
 from .messages import MAX_FLOWS
 from .route_cache import RouteCache
 
-MAX_EVICTION_CANDIDATES = 64  # least recently used sessions that are examined for one to evict
+MAX_EVICTION_CANDIDATES = 64  # least recently used sessions that are examined for each eviction
 
 
 class OwnershipPhase(Enum):
-    """Where a session stands with its owner."""
+    """The phase of an owned session."""
 
     SERVING = auto()
-    RENEWING = auto()  # still served; the same owner's next binding is being written
-    MARKING_HANDOVER = auto()  # no more keyed work; the binding's handover state is being written
-    FINISHING_RUNS = auto()  # written; its keyed runs are under way
-    AWAITING_SUCCESSOR = auto()  # none is, or they go on as claims; the successor was notified
+    RENEWING = auto()  # the session is still served; its renewed binding is being written
+    MARKING_HANDOVER = auto()  # no more keyed requests; the handover state is being written
+    FINISHING_RUNS = auto()  # the handover state is stored; the session's keyed runs have not ended
+    AWAITING_SUCCESSOR = auto()  # the runs ended or continue as claims; the successor was notified
 
 
 @dataclass(slots=True)
 class OwnedSession:
-    """A session that this server owns. All times are in the clock of the events."""
+    """A session that this server owns. All times are in the events' clock."""
 
     binding: Binding
-    first_fencing_number: int  # at which this server took it; all numbers since are its own
+    first_fencing_number: int  # with which this server took the session; it wrote all later ones too
     last_used_at: float
-    renewed_at: (
-        float  # when its last write was asked for: the register retains it for a lifetime from then on
-    )
+    renewed_at: float  # when the last write was requested; the register retains it for a lifetime from then
     flows: set[str] = field(default_factory=set)
-    open_refs: set[int] = field(
-        default_factory=set
-    )  # keyed and non-idempotent requests that run here, or may
-    has_keyed_work: bool = False  # whether it ever had any
+    open_refs: set[int] = field(default_factory=set)  # keyed or non-idempotent requests that run or may run
+    has_keyed_work: bool = False  # whether the session ever had a keyed or non-idempotent request
     phase: OwnershipPhase = OwnershipPhase.SERVING
     waiting_requests: list[RequestArrived] = field(default_factory=list)
     waiting_deadline: float = inf
     cause: MigrationCause | None = None
     phase_since: float = 0.0
     timer_at: float = inf
-    pending_ref: int = 0  # of the query to the register that is open, 0 without one
-    pending_binding: Binding | None = None  # what is being written
+    pending_ref: int = 0  # the reference of the pending query to the register; 0 if none
+    pending_binding: Binding | None = None  # the binding that is being written
     write_started_at: float = 0.0
     declined_by: set[str] = field(default_factory=set)
-    queued_cause: MigrationCause | None = None  # why it is queued to migrate or change
+    queued_cause: MigrationCause | None = (
+        None  # why the session is queued to migrate or change; None if not queued
+    )
 
     @property
     def accepts_keyed_work(self) -> bool:
@@ -66,7 +64,7 @@
 
     @property
     def is_in_use(self) -> bool:
-        """Whether it has open work, waiting requests or a change under way."""
+        """Whether the session has open requests, waiting requests or a change in progress."""
         return bool(self.open_refs or self.waiting_requests or self.phase is not OwnershipPhase.SERVING)
 
     def add_flow(self, flow: str) -> None:
@@ -76,10 +74,10 @@
 
 
 class Ownership:
-    """The table of owned sessions, and the open work of sessions that were released.
+    """The table of owned sessions, and the open requests of sessions that were released.
 
-    Invariant: no session with open keyed work is evicted or ended; when a session is released its open runs
-    are retained until they end, and count again if this server turns out to own the session after all.
+    Invariant: no session with open keyed requests is evicted or ended; when a session is released its open
+    runs are retained until they end, and count again if this server acquires the session again.
     """
 
     def __init__(self, context: SessionContext, routes: RouteCache, dispatcher: RequestDispatcher) -> None:
@@ -102,7 +100,7 @@
         self._sessions[session.binding.key] = session
 
     def take_open_refs(self, key: str) -> set[int]:
-        """Return the runs that are still open from an earlier ownership; they count for the new one."""
+        """Remove and return the runs still open from an earlier ownership, to be counted in the new one."""
         return self._open_refs_after_release.pop(key, set())
 
     def touch(self, now: float, session: OwnedSession) -> None:
@@ -111,11 +109,11 @@
         self._sessions.move_to_end(session.binding.key)
 
     def release(self, now: float, session: OwnedSession, binding: Binding | None) -> None:
-        """Remove a session that is not this server's any more, and dispatch what waited for it anew.
+        """Remove a session that this server no longer owns, and dispatch its waiting requests again.
 
         Args:
-            now: The present time.
-            session: The session to remove. Its open keyed runs go on as claims.
+            now: The current time.
+            session: The session to remove. Its open keyed runs continue as claims.
             binding: The binding of the new owner, if it is known.
         """
         key = session.binding.key
@@ -126,7 +124,7 @@
         if binding is not None:
             self._routes.learn(binding)
         else:
-            self._routes.forget(key)
+            self._routes.remove(key)
         for request in session.waiting_requests:
             self._dispatcher.dispatch_request(now, request)
 
@@ -140,17 +138,17 @@
     # -- validity
 
     def is_expired(self, now: float, session: OwnedSession) -> bool:
-        """Whether the register may have dropped the binding, as without a majority in reach for long.
+        """Whether the register may have dropped the binding, such as after a long time without a majority.
 
-        Then no number there refuses a claim, and any server may begin the session anew.
+        Then no stored number refuses a claim, and any server may begin a new session with this key.
         """
         return now >= session.renewed_at + self._context.settings.binding_lifetime_s
 
     def may_begin(self, now: float, key: str, fencing_number: int, claim_requested_at: float) -> bool:
         """Whether a claim that was won under a fencing number may still begin its run.
 
-        If not, the caller must free the claim. A server may be paused between the win and the run, and the
-        session may have another owner by then, whose keyed work would run beside this one's.
+        If not, the caller must free the claim. A server may be paused between winning the claim and starting
+        the run; the session may have another owner by then, whose keyed runs would overlap with this one.
         """
         session = self.get(key)
         settings = self._context.settings
@@ -167,7 +165,7 @@
     # -- eviction and idle sessions
 
     def has_evictable_session(self) -> bool:
-        """Whether a session could be evicted for another."""
+        """Whether a session can be evicted to make room for another."""
         return self._eviction_candidate() is not None
 
     def make_capacity(self) -> bool:
@@ -180,25 +178,25 @@
         return True
 
     def _eviction_candidate(self) -> str | None:
-        """Return the least recently used session not in use, one without keyed work before others."""
-        keyed: str | None = None
+        """Return the least recently used session not in use, preferably one without keyed requests."""
+        keyed_candidate: str | None = None
         for key, session in islice(self._sessions.items(), MAX_EVICTION_CANDIDATES):
             if session.is_in_use:
                 continue
             if not session.has_keyed_work:
                 return key
-            keyed = keyed or key
-        return keyed
+            keyed_candidate = keyed_candidate or key
+        return keyed_candidate
 
     @property
     def next_idle_timeout_at(self) -> float:
-        """When the least recently used session may have been idle for too long; inf without sessions."""
+        """When the least recently used session reaches the idle timeout; inf without sessions."""
         if not self._sessions:
             return inf
         return next(iter(self._sessions.values())).last_used_at + self._context.settings.idle_timeout_s
 
     def end_idle(self, now: float) -> None:
-        """End the sessions that were idle for longer than the idle timeout."""
+        """End the sessions that have reached the idle timeout."""
         while self._sessions and now >= self.next_idle_timeout_at:
             session = next(iter(self._sessions.values()))
             if session.is_in_use:
@@ -207,7 +205,7 @@
                 self._end(session)
 
     def _end(self, session: OwnedSession) -> None:
-        """End an idle session. If the write is lost the binding expires by itself."""
+        """End an idle session. If the write is lost, the binding expires on its own."""
         del self._sessions[session.binding.key]
         self._context.counts["ended_idle"] += 1
         ended = session.binding.ended()
--- a/sablewheel/session_affinity/placement.py
+++ b/sablewheel/session_affinity/placement.py
@@ -1,9 +1,9 @@
-"""Which server a session begins on or migrates to: bounded loads on rendezvous hashing. Pure.
+"""Placement of sessions on servers by rendezvous hashing with bounded loads. Performs no I/O.
 
-Each key ranks the servers by weighted rendezvous hashing, and the session goes to the first one below its
-load bound (Mirrokni, Thorup, Zadimoghaddam 2018: no bin above c times its fair share, and few balls move as
-bins come and go). A server's share follows its capacity and warmth: one that was just restarted has a low
-bound.
+Each key ranks the servers by weighted rendezvous hashing, and the session goes to the first server below its
+load bound (Mirrokni, Thorup, Zadimoghaddam 2018: no bin exceeds c times its fair share, and few balls move as
+bins are added and removed). A server's share follows its capacity and warmth, so a server that was just
+restarted has a low bound.
 """
 
 from __future__ import annotations
@@ -19,42 +19,42 @@
     """A load report of one server."""
 
     sessions: int = 0
-    warmth: float = 1.0  # from 0, just started, to 1, warm
-    capacity: float = 1.0  # in any one unit; 0 while the server leaves
+    warmth: float = 1.0  # from 0 (just started) to 1 (warm)
+    capacity: float = 1.0  # in a unit that all servers use; 0 while the server is leaving
 
     @property
     def weight(self) -> float:
-        """The server's part in the placement."""
+        """The server's weight in the placement."""
         return self.capacity * self.warmth
 
 
 def load_bounds(
     loads: Mapping[str, ServerLoad], servers: Collection[str], load_factor: float, min_bound: int
 ) -> dict[str, int]:
-    """Return the maximal number of sessions of each server: `load_factor` times its fair share.
+    """Return the maximum number of sessions of each server: `load_factor` times its fair share.
 
-    The bounds add up to more than all sessions and the one that is being placed, so there is always a server
-    below its bound.
+    The sum of the bounds exceeds the number of all sessions, including the one being placed, so there is
+    always a server below its bound.
 
     Args:
-        loads: The load reports; a server without one counts as warm and without sessions.
+        loads: The load reports; a server without a report counts as warm and without sessions.
         servers: The servers that can take the session.
-        load_factor: The bound in fair shares, above 1.
-        min_bound: The lowest bound of a server with the mean weight: with few sessions a fair share means
-        little.
+        load_factor: The bound as a multiple of the fair share; above 1.
+        min_bound: The lowest bound of a server with the mean weight, since a fair share of few sessions means
+            little.
     """
-    known = {name: loads.get(name, ServerLoad()) for name in sorted(servers)}
-    total_weight = sum(load.weight for load in known.values())
+    load_by_server = {name: loads.get(name, ServerLoad()) for name in sorted(servers)}
+    total_weight = sum(load.weight for load in load_by_server.values())
     if total_weight <= 0:
-        return dict.fromkeys(known, 0)
-    total_sessions = sum(load.sessions for load in known.values()) + 1
-    mean_weight = total_weight / len(known)
+        return dict.fromkeys(load_by_server, 0)
+    total_sessions = sum(load.sessions for load in load_by_server.values()) + 1
+    mean_weight = total_weight / len(load_by_server)
     return {
         name: max(
             math.ceil(load_factor * total_sessions * load.weight / total_weight),
             int(min_bound * load.weight / mean_weight),
         )
-        for name, load in known.items()
+        for name, load in load_by_server.items()
     }
 
 
@@ -68,15 +68,17 @@
 def rank_for_migration(key: str, loads: Mapping[str, ServerLoad], bounds: Mapping[str, int]) -> list[str]:
     """Return the servers below their bounds for a migrating session, the best one first.
 
-    The weights are the sessions that each bound leaves free: servers that migrate many sessions by the same
-    load reports spread them, and do not overload the least loaded server.
+    Each server is weighted by the number of sessions left below its bound, so that servers which migrate many
+    sessions by the same load reports spread them and do not overload the least loaded server.
     """
-    free = {name: float(bound - loads.get(name, ServerLoad()).sessions) for name, bound in bounds.items()}
-    return _rank(key, free)
+    free_slots = {
+        name: float(bound - loads.get(name, ServerLoad()).sessions) for name, bound in bounds.items()
+    }
+    return _rank(key, free_slots)
 
 
 def turn_fraction(key: str) -> float:
-    """Return a number in (0, 1) that depends on the key alone: its turn among many."""
+    """Return a number in (0, 1) that depends on the key alone: its position among the turns."""
     return _uniform(key, "turn")
 
 
--- a/sablewheel/session_affinity/policy_versions.py
+++ b/sablewheel/session_affinity/policy_versions.py
@@ -1,4 +1,4 @@
-"""The policy versions that sessions may run under, and which servers can run which flow. Pure."""
+"""The policy versions that sessions may run under, and which servers can run which flow. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 class PolicyVersions:
-    """The active policy version and the earlier ones that are retained for sessions that began under them.
+    """The active policy version, and the earlier versions retained for the sessions that began under them.
 
-    Invariant: `active` only grows; a version that was retired is not retained again unless it is activated.
+    Invariant: `active` only grows; a retired version is not retained again unless it is activated.
     """
 
     def __init__(self, settings: AffinitySettings) -> None:
-        """Start with no version active (0)."""
+        """Start without an active version (0)."""
         self.active = 0
         self._settings = settings
         self._capable_members: dict[int, dict[str, frozenset[str]]] = {}
         self._superseded_at: dict[int, float] = {}
 
     def activate(self, now: float, event: PolicyActivated) -> bool:
-        """Make a version the active one, or update who can run it; return False if it is outdated."""
+        """Activate a version, or update which members can run it; return False if it is outdated."""
         if event.version < self.active:
             return False
         if event.version > self.active:
@@ -42,7 +42,7 @@
         return excess
 
     def retire_expired(self, now: float) -> list[int]:
-        """Retire the versions that were superseded `retire_after_s` ago or earlier; return them."""
+        """Retire the versions that were superseded at least `retire_after_s` ago; return them."""
         after_s = self._settings.retire_after_s
         expired = [version for version, at in self._superseded_at.items() if now >= at + after_s]
         for version in expired:
@@ -55,17 +55,17 @@
 
     @property
     def next_retirement_at(self) -> float:
-        """When the next version expires; inf if none will."""
+        """When the next version expires; inf if none is superseded."""
         if not self._superseded_at:
             return inf
         return min(self._superseded_at.values()) + self._settings.retire_after_s
 
     def is_retained(self, version: int) -> bool:
-        """Whether sessions may go on under this version."""
+        """Whether sessions may continue under this version."""
         return version in self._capable_members
 
     def retained_or_active(self, version: int) -> int:
-        """Return the version itself while it is retained, otherwise the active one."""
+        """Return the given version if it is retained, otherwise the active one."""
         return version if self.is_retained(version) else self.active
 
     def next_version(self, stored: Binding | None) -> int:
--- a/sablewheel/session_affinity/rebalancing.py
+++ b/sablewheel/session_affinity/rebalancing.py
@@ -1,6 +1,6 @@
-"""Why owned sessions migrate or change: policy versions, lost capabilities, a drain. Pure.
+"""Why owned sessions migrate or change: policy versions, lost capabilities, a drain. Performs no I/O.
 
-A new policy version alone migrates nothing, and neither does a server that returns.
+A new policy version alone migrates no session, and neither does a server that rejoins.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Rebalancing:
-    """Queues the sessions that must migrate or change, and starts them as the budget allows.
+    """Queues the sessions that must migrate or change, and starts the changes as the budget allows.
 
     Invariant: each migration and each change of version has a `MigrationCause`, and takes one budget token.
     """
@@ -39,7 +39,7 @@
     # -- causes
 
     def activate(self, now: float, event: PolicyActivated) -> None:
-        """Queue the sessions that cannot go on under their version, or must not."""
+        """Queue the sessions that can or may no longer run under their version."""
         if not self._versions.activate(now, event):
             return
         self._queue_retired(self._versions.retire_excess())
@@ -59,7 +59,7 @@
         return None
 
     def retire_expired(self, now: float) -> None:
-        """Queue the sessions of policy versions that were superseded too long ago."""
+        """Queue the sessions of policy versions whose retention time has passed."""
         self._queue_retired(self._versions.retire_expired(now))
 
     def _queue_retired(self, versions: Iterable[int]) -> None:
@@ -71,7 +71,7 @@
     def drain(self, now: float, grace_s: float) -> None:
         """Queue all sessions, spread over a fraction of the grace period.
 
-        What is left when the grace period ends migrates once the view is without this server.
+        The sessions left at the end of the grace period migrate once this server is removed from the view.
         """
         span_s = max(grace_s * self._context.settings.drain_grace_fraction, MIN_DRAIN_SPAN_S)
         sessions = list(self._ownership.sessions.values())
@@ -82,7 +82,7 @@
             self._queue.enqueue(session, MigrationCause.DRAIN)
 
     def on_acquired(self, session: OwnedSession) -> None:
-        """Queue a session that was just taken if it cannot stay here under its version."""
+        """Queue a session that was just acquired if it cannot stay here under its version."""
         if self._context.is_draining:
             self._queue.enqueue(session, MigrationCause.DRAIN)
         elif self._versions.active and not self._versions.is_retained(session.binding.policy_version):
@@ -91,7 +91,7 @@
     # -- the queue
 
     def run_queue(self, now: float) -> None:
-        """Start the queued migrations and changes that the budget allows now."""
+        """Start the queued migrations and changes that the budget allows at this time."""
         is_blocked = False
         for _ in range(len(self._queue)):
             if not self._queue.try_take(now):
@@ -107,7 +107,7 @@
         if session is None or cause is None:
             self._queue.refund()
             return True
-        if session.phase is not OwnershipPhase.SERVING:  # a renewal is under way
+        if session.phase is not OwnershipPhase.SERVING:  # a renewal is in progress
             self._queue.refund()
             self._queue.requeue(key)
             return False
@@ -115,11 +115,11 @@
         return self._migrate(now, session, cause)
 
     def _migrate(self, now: float, session: OwnedSession, cause: MigrationCause) -> bool:
-        """Change the version or hand the session over; return False if there is no server to take it yet."""
+        """Change the version or hand the session over; return False if no server can take it yet."""
         version = self._versions.active
         is_version_change = cause in (MigrationCause.RETIRED, MigrationCause.MANDATORY)
-        stays = is_version_change and self._context.settings.faulty_variant != "rehash-on-bump"
-        if stays and self._versions.can_run(self._context.node_name, version, session.flows):
+        may_stay = is_version_change and self._context.settings.faulty_variant != "rehash-on-bump"
+        if may_stay and self._versions.can_run(self._context.node_name, version, session.flows):
             session.cause = cause
             self._migration.renew(now, session, version)
             return True
--- a/sablewheel/session_affinity/request_keys.py
+++ b/sablewheel/session_affinity/request_keys.py
@@ -1,4 +1,4 @@
-"""The session key of a request as it arrives."""
+"""The session keys of arriving requests."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class SessionKeyResolver:
-    """Finds the session keys of exchanges by the rule of the features file."""
+    """Derives the session keys of exchanges by the rule in the features file."""
 
     def __init__(self, rule: tuple[str, ...], tenants: dict[bytes, Tenant]) -> None:
-        """Resolve keys by a rule.
+        """Derive session keys by a rule.
 
         Args:
-            rule: The fields that make up a session.
+            rule: The fields that identify a session.
             tenants: The tenants by name; the caller may replace its entries when the settings change.
         """
         self._rule, self._tenants = rule, tenants
@@ -36,7 +36,9 @@
     def _tenant_name(self, tenant: Tenant | None) -> str:
         if tenant is None:
             return ""
-        if tenant not in self._tenant_names:  # new settings make new objects
-            names = {known: name.decode("utf-8", "replace") for name, known in self._tenants.items()}
+        if tenant not in self._tenant_names:  # new settings create new tenant objects
+            names = {
+                known_tenant: name.decode("utf-8", "replace") for name, known_tenant in self._tenants.items()
+            }
             self._tenant_names = names
         return self._tenant_names.get(tenant, "")
--- a/sablewheel/session_affinity/responses.py
+++ b/sablewheel/session_affinity/responses.py
@@ -1,4 +1,4 @@
-"""The decisions about one request. Pure."""
+"""How a request is answered: served here, forwarded, returned or rejected. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 class Responder:
     """Turns decisions into effects and counts each by its reason.
 
-    Invariant: a request that only the session's owner may run is served here only under a binding of this
-    server; without one it is rejected, and never ran.
+    Invariant: a request that only the session's owner may run is served here only under a binding that names
+    this server; without such a binding it is rejected and not run.
     """
 
     def __init__(self, context: SessionContext, versions: PolicyVersions) -> None:
-        """Decide for the server of the given context."""
+        """Answer requests for the server of the given context."""
         self._context, self._versions = context, versions
 
     def serve(self, request: RequestArrived, binding: Binding, reason: DecisionReason) -> None:
@@ -29,7 +29,7 @@
     def serve_or_reject(
         self, request: RequestArrived, reason: DecisionReason, retry_after_s: float = 0.0
     ) -> None:
-        """Decide without the owner: an idempotent request is served here, any other one is rejected."""
+        """Decide without the owner: serve an idempotent request here, reject any other request."""
         outbox, counts = self._context.outbox, self._context.counts
         if request.requires_owner or reason is DecisionReason.INCAPABLE:
             counts[f"denied_{reason.value}"] += 1
@@ -40,7 +40,7 @@
             outbox.emit(ServeLocally(request.ref, 0, self._versions.active, reason))
 
     def forward(self, request: RequestArrived, route: Binding) -> None:
-        """Forward a request to the owner; one that was forwarded here goes back first: each has one hop."""
+        """Forward a request to the owner, or return it if it was forwarded here: only one hop is allowed."""
         if request.forwarded_by:
             self._context.counts["given_back"] += 1
             self._context.outbox.emit(ReturnToForwarder(request.ref, request.forwarded_by, route))
--- a/sablewheel/session_affinity/route_cache.py
+++ b/sablewheel/session_affinity/route_cache.py
@@ -1,4 +1,4 @@
-"""The owners of other servers' sessions, as far as this server has learnt them. Pure."""
+"""The cache of the owners of other servers' sessions. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class RouteCache:
-    """A bounded cache of bindings, the least recently used evicted first.
+    """A bounded cache of bindings with least-recently-used eviction.
 
-    Invariant: learning never replaces a binding by one with a lower or equal fencing number. An entry may be
-    outdated; the owner named in it, or the register, corrects it.
+    Invariant: `learn` never replaces a binding by one with a lower or equal fencing number. An entry may be
+    outdated; it is corrected by the owner that it names, or by the register.
     """
 
     def __init__(self, max_routes: int) -> None:
-        """Start empty."""
+        """Start with an empty cache of at most `max_routes` bindings."""
         self._max_routes = max_routes
         self._bindings: OrderedDict[str, Binding] = OrderedDict()
 
@@ -33,14 +33,14 @@
         self._bindings.move_to_end(key)
 
     def learn(self, binding: Binding) -> None:
-        """Cache a binding unless a newer one is cached, and evict what exceeds the bound."""
-        known = self._bindings.get(binding.key)
-        if known is None or known.fencing_number < binding.fencing_number:
+        """Cache a binding unless a newer one is cached, and evict entries beyond the bound."""
+        cached = self._bindings.get(binding.key)
+        if cached is None or cached.fencing_number < binding.fencing_number:
             self._bindings[binding.key] = binding
         self.touch(binding.key)
         while len(self._bindings) > self._max_routes:
             self._bindings.popitem(last=False)
 
-    def forget(self, key: str) -> None:
+    def remove(self, key: str) -> None:
         """Remove a session's entry, if there is one."""
         self._bindings.pop(key, None)
--- a/sablewheel/session_affinity/server_selection.py
+++ b/sablewheel/session_affinity/server_selection.py
@@ -1,4 +1,4 @@
-"""The choice of the server that a session begins on or migrates to. Pure."""
+"""The choice of the server on which a session begins or to which it migrates. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class ServerSelection:
-    """Selects servers by their last load reports, capabilities and load bounds.
+    """Selects servers by their latest load reports, capabilities and load bounds.
 
-    Invariant: only the server that takes a session checks its own bound with exact figures; the loads of
-    others are estimates, and a wrong one costs a declined offer.
+    Invariant: only the server that takes a session checks its load bound with exact values; the loads of
+    other servers are estimates, and a wrong estimate costs a declined offer.
     """
 
     def __init__(
@@ -34,17 +34,17 @@
     # -- load reports
 
     def update_loads(self, loads: Mapping[str, ServerLoad]) -> None:
-        """Merge load reports; a member without a new report keeps its last one."""
+        """Merge load reports; the latest report of a member without a new one is retained."""
         names = self._context.member_names
         retained = {name: load for name, load in self._loads.items() if name in names}
         self._loads = retained | dict(loads)
 
     def load_of(self, name: str) -> ServerLoad:
-        """Return a server's last load report, a default one if it never sent any."""
+        """Return a server's latest load report, or a default report if it has sent none."""
         return self._loads.get(name, ServerLoad())
 
     def add_session(self, name: str) -> None:
-        """Count a session that a server just took, until it reports its load itself."""
+        """Count a session that a server just took, until its next load report arrives."""
         load = self.load_of(name)
         self._loads[name] = replace(load, sessions=load.sessions + 1)
 
@@ -60,7 +60,7 @@
     # -- candidates
 
     def capable_members(self, flows: Iterable[str], version: int) -> set[str]:
-        """Return the members of the view that can run all of these flows and do not leave."""
+        """Return the members of the view that can run all of these flows and are not leaving."""
         flows = list(flows)
         return {
             name
@@ -83,14 +83,14 @@
         return next((name for name in ranked if name not in excluded), "")
 
     def least_loaded(self, names: Set[str]) -> str:
-        """Return the server with the fewest sessions for its weight; empty if none has any weight."""
+        """Return the server with the fewest sessions per weight; empty if no server has a positive weight."""
         loads = self._current_loads()
-        known = [(loads.get(name, ServerLoad()), name) for name in names]
-        ratios = [(load.sessions / load.weight, name) for load, name in known if load.weight > 0]
+        loads_and_names = [(loads.get(name, ServerLoad()), name) for name in names]
+        ratios = [(load.sessions / load.weight, name) for load, name in loads_and_names if load.weight > 0]
         return min(ratios, default=(0.0, ""))[1]
 
     def choose_successor(self, session: OwnedSession) -> str:
-        """Return the server that an owned session should go to; empty if there is none."""
+        """Return the server to which an owned session should be handed over; empty if there is none."""
         version = self._versions.retained_or_active(session.binding.policy_version)
         capable = self.capable_members(session.flows, version) - {self._context.node_name}
         declined = session.declined_by
@@ -100,11 +100,11 @@
     # -- this server
 
     def has_capacity(self, flows: Iterable[str], version: int, *, forced: bool) -> bool:
-        """Whether this server may take one more session that needs these flows.
+        """Whether this server may take one more session that uses these flows.
 
         Args:
-            flows: What the session's requests ask for.
-            version: The policy version that it would run under.
+            flows: The flows of the session's requests.
+            version: The policy version under which the session would run.
             forced: Whether the load bound is ignored, since no server is below its bound.
         """
         flows, context = list(flows), self._context
--- a/sablewheel/session_affinity/session_router.py
+++ b/sablewheel/session_affinity/session_router.py
@@ -1,9 +1,9 @@
-"""The request handler that brings each request to the owner of its session.
+"""The request handler that routes each request to the owner of its session.
 
-It decides nothing itself: `Sessions` does, from the events that this handler tells it. A request with a
-session waits until its owner is known, mostly not at all; then it is served here, forwarded or rejected.
-Bindings are read and written through replication, and claims are made under the binding's fencing number.
-Servers exchange frames about sessions over the links; any of them may be lost.
+All decisions are made by `Sessions`, which receives events from this handler. A request with a session waits
+until the owner is known, in most cases not at all; then it is served here, forwarded or rejected. Bindings
+are read and written through replication, and claims are made under the binding's fencing number. Servers
+exchange frames about sessions over the links; any frame may be lost.
 """
 
 from __future__ import annotations
@@ -60,14 +60,15 @@
 from .request_keys import SessionKeyResolver
 from .sessions import Sessions
 
-ACTIVE_VERSION_FACT = "policy/active"  # of the view: the active policy version, as VERSION or VERSION:...
-LEAVE_GRACE_FRACTION = 0.9  # of the grace period, after which the fleet is told that this server leaves
+# The view's fact with the active policy version, as VERSION or VERSION:...
+ACTIVE_VERSION_FACT = "policy/active"
+LEAVE_GRACE_FRACTION = 0.9  # part of the grace period after which this server leaves the fleet
 
 log = logging.getLogger(__name__)
 
 
 class SessionRouter:
-    """One server's session affinity: a request handler, a result store and an observer in front of others."""
+    """One server's session affinity: wrappers of a request handler, a result store and an observer."""
 
     def __init__(
         self,
@@ -76,7 +77,7 @@
         fleet: MembershipService,
         links: PeerConnections,
         forward: ForwardingService,
-        keeper: ReplicationService,
+        replication: ReplicationService,
         result_store: ResultStore,
         observer: RequestObserver,
         tenants: dict[bytes, Tenant],
@@ -85,7 +86,7 @@
         grace_s: float,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Connect to the fleet, the forward path and replication.
+        """Connect to the fleet, the forwarding service and replication.
 
         Args:
             scheduler: Runs the timers.
@@ -93,23 +94,23 @@
             fleet: The members.
             links: The connections to the other members.
             forward: Serves requests here or forwards them.
-            keeper: Replication, which holds the bindings and the claims.
-            result_store: The store that `self.result_store` passes on to.
-            observer: The observer that `self.observer` passes on to.
+            replication: Stores the bindings and the claims.
+            result_store: The store that `self.result_store` wraps.
+            observer: The observer that `self.observer` wraps.
             tenants: The tenants by name.
-            warmth: Returns how warm this server is, from 0 to 1.
-            capacity: What this server can carry, in the fleet's common unit.
-            grace_s: The time between the shutdown notice and the end.
-            clock: Returns the present time.
+            warmth: Returns this server's warmth, from 0 (just started) to 1 (warm).
+            capacity: This server's capacity, in the unit that all members use.
+            grace_s: The seconds between the shutdown notice and the end.
+            clock: Returns the current time.
         """
         self._scheduler, self._plan, self._fleet, self._links = scheduler, plan, fleet, links
-        self._forward, self._keeper, self._clock, self._grace_s = forward, keeper, clock, grace_s
+        self._forward, self._replication, self._clock, self._grace_s = forward, replication, clock, grace_s
         self._keys = SessionKeyResolver(plan.fields, tenants)
         self.flow_of: Callable[[Exchange], str] = _request_class_name
         self.counts: Counter[str] = Counter()
         self.sessions = Sessions(fleet.node_name, fleet.node.local_member.incarnation, plan.settings, clock())
         self.sessions.handle_event(clock(), PolicyActivated(1))
-        self._register = BindingRegister(keeper, self.counts, self._handle_event)
+        self._register = BindingRegister(replication, self.counts, self._handle_event)
         self._load_reports = LoadReports(
             scheduler,
             fleet,
@@ -126,14 +127,20 @@
         self._last_ref = 0
         self._undecided: dict[int, Exchange] = {}
         self._has_left = self._closed = False
-        self._wake = Wakeup(scheduler, clock, self._on_timer)
+        self._wakeup = Wakeup(scheduler, clock, self._on_timer)
         self._connect()
 
     def _connect(self) -> None:
-        keeper, forward = self._keeper, self._forward
-        keeper.group_of, keeper.may_begin, keeper.fenced = self._group_of, self._may_begin, self._on_fenced
+        replication, forward = self._replication, self._forward
+        replication.group_of, replication.may_begin, replication.fenced = (
+            self._group_of,
+            self._may_begin,
+            self._on_fenced,
+        )
         lifetime_s = self._plan.settings.binding_lifetime_s
-        keeper.replica.max_binding_lifetime_s = max(keeper.replica.max_binding_lifetime_s, lifetime_s)
+        replication.replica.max_binding_lifetime_s = max(
+            replication.replica.max_binding_lifetime_s, lifetime_s
+        )
         forward.forwarded_handler, forward.returned_handler = self, self._on_forward_failed
         self._links.register_handler(FRAME_TYPE, self._on_frame)
         self._fleet.on_view(self._on_view)
@@ -142,12 +149,12 @@
     # -- the request handler
 
     def handler(self, inner: RequestHandler) -> RequestHandler:
-        """Return the handler that stands in front of `inner`."""
+        """Wrap `inner` and return the handler to call instead of it."""
         self._inner = inner
         return self
 
     def arrived(self, exchange: Exchange) -> None:
-        """Handle a request of a client, or one that another server forwarded here."""
+        """Handle a request from a client, or one that another server forwarded here."""
         forwarded = isinstance(exchange.caller, ForwardedCaller)
         if not forwarded:
             exchange.session = self._keys.resolve(exchange)
@@ -156,7 +163,7 @@
                 self._handler.arrived(exchange)
                 return
             if self._forward.is_forwarded(exchange.name):
-                exchange.fail()  # an open request has this name: as the dispatcher would
+                exchange.fail()  # an open request has this name; the dispatcher fails such requests too
                 return
         elif not exchange.session:
             self._forward.serve(exchange)
@@ -169,7 +176,7 @@
         try:
             self._handle_event(request)
         except Exception:
-            # An internal error must not cost the request: an idempotent one can be served where it arrived.
+            # An internal error must not lose the request: an idempotent one can be served where it arrived.
             self.counts["faults"] += 1
             log.exception("session lookup failed with an internal error")
             if self._undecided.pop(request.ref, None) is not None:
@@ -179,7 +186,7 @@
                     self._forward.serve(exchange)
 
     def cancelled(self, exchange: Exchange) -> None:
-        """Pass on that nobody waits any more; an undecided request is dropped when it is decided."""
+        """Pass the cancellation on; an undecided request is dropped when it is decided."""
         if exchange not in self._undecided.values():
             self._handler.cancelled(exchange)
 
@@ -198,7 +205,7 @@
         return RequestArrived(self._last_ref, exchange.session, idempotency, flow, sender, was_returned)
 
     def _on_forward_failed(self, exchange: Exchange, to: str, tried: frozenset[str]) -> None:
-        """Decide again about a request of a client that `to` certainly did not run."""
+        """Decide again about a client's request that `to` certainly did not run."""
         request = self._add_undecided(exchange, "", was_returned=len(tried) > 1)
         self._handle_event(OwnerUnreachable(request, to))
 
@@ -208,7 +215,7 @@
     # -- replication
 
     def _group_of(self, exchange: Exchange) -> tuple[bytes, int]:
-        """Return a claim's group and number: a session's keys are stored together, under its number."""
+        """Return a claim's group and number: a session's keys are one group, under its fencing number."""
         if not exchange.session:
             return exchange.idempotency_key or b"", 0
         request = self._open_requests.get(exchange)
@@ -227,12 +234,12 @@
     # -- the fleet
 
     def activate(self, event: PolicyActivated) -> None:
-        """Put a policy version in force, or update which servers can run it."""
+        """Activate a policy version, or update which servers can run it."""
         self._handle_event(event)
 
     def _on_view(self, view: View) -> None:
         self._handle_event(ViewChanged(view))
-        self._load_reports.forget_removed(view)
+        self._load_reports.remove_departed(view)
         version = view.fact(ACTIVE_VERSION_FACT).partition(":")[0]
         if version.isdigit() and int(version) > self.sessions.version:
             self._handle_event(PolicyActivated(int(version)))
@@ -255,13 +262,13 @@
         if self._closed:
             return
         for effect in self.sessions.handle_event(self._clock(), event):
-            self._carry_out(effect)
-        self._wake.set(self.sessions.wake_at)
+            self._execute(effect)
+        self._wakeup.set(self.sessions.wake_at)
 
     def _on_timer(self) -> None:
         self._handle_event(TimerFired())
 
-    def _carry_out(self, effect: Effect) -> None:
+    def _execute(self, effect: Effect) -> None:
         match effect:
             case ServeLocally():
                 self._serve(effect)
@@ -282,7 +289,7 @@
 
     def _serve(self, effect: ServeLocally) -> None:
         exchange = self._undecided.pop(effect.ref)
-        if exchange.closed:  # nobody waits any more
+        if exchange.closed:  # the caller no longer waits
             self._handle_event(RequestFinished(effect.ref, exchange.session))
             return
         is_idempotent = exchange.request.request_class.idempotency is Idempotency.IDEMPOTENT
@@ -298,7 +305,7 @@
 
     def _return_to_forwarder(self, effect: ReturnToForwarder) -> None:
         exchange = self._undecided.pop(effect.ref)
-        # The notice is sent first: the forwarder must know the binding when the request is back.
+        # The notice is sent first: the forwarder must have the binding when the request is returned.
         notice = encode(BindingNotice(effect.binding))
         with contextlib.suppress(SendError):
             self._links.send(effect.forwarded_by, FRAME_TYPE, notice, expires_in_s=FRAME_LIFETIME_S)
@@ -314,9 +321,9 @@
     # -- shutdown
 
     def leaving(self) -> None:
-        """Hand over all sessions after the shutdown notice, and tell the fleet late in the grace period.
+        """Hand over all sessions after the shutdown notice, and leave the fleet late in the grace period.
 
-        Until then this server is in the view, and what still arrives here goes on to the new owners.
+        Until then this server is in the view and forwards the requests that still arrive to the new owners.
         """
         self._load_reports.announce_leaving()
         self._handle_event(DrainStarted(self._grace_s))
@@ -337,7 +344,7 @@
         self._leave()
         self._closed = True
         self._load_reports.close()
-        self._wake.cancel()
+        self._wakeup.cancel()
 
     def gauges(self) -> dict[str, object]:
         """Return the counters and gauges for the metrics page."""
--- a/sablewheel/session_affinity/sessions.py
+++ b/sablewheel/session_affinity/sessions.py
@@ -1,14 +1,14 @@
-"""The session affinity of one server: dispatches each event to the part that decides about it. Pure.
+"""The session affinity of one server: dispatches each event to its component. Performs no I/O.
 
-What holds, and which part guarantees it:
-- One fencing number has one owner, and idempotency keys are claimed under it: `ownership`.
-- A live owner gives a session away only after its keyed runs ended or go on as claims: `migration`.
-- A removed owner is succeeded only once all its claims have begun or expired: `acquisition`.
-- A new policy version migrates nothing; each change of a binding has a `MigrationCause`: `rebalancing`.
-- Migrations keep to the fleet's budget: `migration_queue`.
+The guarantees, and the module that provides each of them:
+- Each fencing number has one owner, and idempotency keys are claimed under it: `ownership`.
+- An owner in the view hands over a session only after its keyed runs ended or became claims: `migration`.
+- A removed owner is replaced only once all its claims have begun or expired: `acquisition`.
+- A new policy version migrates no session; each change of a binding has a `MigrationCause`: `rebalancing`.
+- Migrations stay within the fleet's budget: `migration_queue`.
 
-`AffinitySettings` names all bounds. A session that is evicted is not lost: its binding stays in the register
-and is read again with its next request.
+All bounds are in `AffinitySettings`. A session that is evicted is not lost: its binding stays in the register
+and is read again for the session's next request.
 """
 
 from __future__ import annotations
@@ -56,19 +56,20 @@
 
 
 class Sessions:
-    """One member's sessions: `handle_event` takes an event and returns the effects it asks for.
+    """One member's sessions: `handle_event` takes an event and returns the effects to carry out.
 
-    Invariant: a request goes to the ownership first, then by the route cache, and only then to a lookup.
+    Invariant: the owner of a request's session is sought in the ownership, then in the route cache, and only
+    then by a lookup.
     """
 
     def __init__(self, node_name: str, incarnation: int, settings: AffinitySettings, now: float) -> None:
-        """Start without a view, a policy version and sessions.
+        """Start without a view, a policy version or sessions.
 
         Args:
             node_name: This server's name among the members.
             incarnation: This server's incarnation; a restart is another one.
             settings: All periods and bounds.
-            now: The present time, in the clock of all events.
+            now: The current time, in the clock of all events.
         """
         context = self._context = SessionContext(node_name, incarnation, settings)
         self._routes = RouteCache(settings.max_cached_routes)
@@ -120,7 +121,7 @@
 
     @property
     def wake_at(self) -> float:
-        """When the next `TimerFired` is wanted, in the clock of the events; inf if nothing waits for time."""
+        """When the next `TimerFired` is due, in the events' clock; inf if there is no timer."""
         timer_at = self._context.timers.next_at
         return min(
             timer_at if timer_at is not None else inf,
@@ -133,7 +134,7 @@
         """Whether a claim that was won under a fencing number may still begin its run; if not, free it."""
         return self._ownership.may_begin(now, key, fencing_number, claim_requested_at)
 
-    # -- what others may read
+    # -- state for callers
 
     @property
     def node_name(self) -> str:
@@ -142,22 +143,22 @@
 
     @property
     def incarnation(self) -> int:
-        """This server's incarnation, as the fleet knows it."""
+        """This server's incarnation in the fleet."""
         return self._context.incarnation
 
     @property
     def view(self) -> View | None:
-        """The latest view; None before the first."""
+        """The latest view; None before the first one."""
         return self._context.view
 
     @property
     def version(self) -> int:
-        """The active policy version; 0 before the first."""
+        """The active policy version; 0 before the first one."""
         return self._versions.active
 
     @property
     def is_draining(self) -> bool:
-        """Whether this server hands over its sessions since it leaves."""
+        """Whether this server is leaving and hands over its sessions."""
         return self._context.is_draining
 
     @property
@@ -177,7 +178,7 @@
 
     @property
     def lookups(self) -> dict[str, Lookup]:
-        """The lookups under way, by session key."""
+        """The lookups in progress, by session key."""
         return self._lookups.lookups
 
     @property
@@ -187,7 +188,7 @@
 
     @property
     def pending_queries(self) -> dict[int, str]:
-        """The open queries to the register: reference to session key."""
+        """The session keys of the pending queries to the register, by reference."""
         return self._context.outbox.pending_queries
 
     def gauges(self) -> dict[str, object]:
@@ -204,7 +205,7 @@
     # -- requests
 
     def dispatch_request(self, now: float, request: RequestArrived) -> None:
-        """Serve the request, forward it, or let it wait for its session's owner."""
+        """Serve the request, forward it, or keep it waiting until its session's owner is known."""
         session = self._ownership.get(request.key)
         if session is not None:
             self._owned_requests.serve(now, session, request)
@@ -213,7 +214,7 @@
             self._responder.serve_or_reject(request, DecisionReason.NO_VIEW)
             return
         route = self._routes.get(request.key)
-        if route is not None and self._context.is_owner_alive(route) and route.owner != self.node_name:
+        if route is not None and self._context.is_owner_in_view(route) and route.owner != self.node_name:
             self._routes.touch(request.key)
             self._responder.forward(request, route)
             return
@@ -227,11 +228,13 @@
             self._migration.end_run(now, session, event.ref)
 
     def _on_owner_unreachable(self, now: float, event: OwnerUnreachable) -> None:
-        """The owner is in the view as far as is known: no other server may take its session or keyed work."""
+        """Handle an unreachable owner that is still in the view: no other server may take the session."""
         request = event.request
         route = self._routes.get(request.key)
-        if route is not None and (route.owner != event.owner_name or not self._context.is_owner_alive(route)):
-            self._return_to_owner(now, request)  # the session has changed hands meanwhile
+        if route is not None and (
+            route.owner != event.owner_name or not self._context.is_owner_in_view(route)
+        ):
+            self._return_to_owner(now, request)  # the session's owner has changed meanwhile
             return
         if self._context.settings.faulty_variant == "two-owners" and route is not None:
             session = OwnedSession(route, route.fencing_number, now, now)
@@ -245,20 +248,19 @@
             self._learn(now, event.binding)
             route = self._routes.get(event.request.key)
             if route is not None and route.fencing_number > event.binding.fencing_number:
-                self._routes.forget(
-                    event.request.key
-                )  # it expired and began anew below: the register decides
+                # The cached binding expired and a new session began with a lower number: read the register.
+                self._routes.remove(event.request.key)
         self._return_to_owner(now, event.request)
 
     def _return_to_owner(self, now: float, request: RequestArrived) -> None:
-        """Dispatch a request once more; after that it is decided here, so that it never circulates."""
+        """Dispatch a request again; if returned twice, it is decided here so that it cannot circulate."""
         if request.was_returned:
             self._responder.serve_or_reject(request, DecisionReason.STALE)
         else:
             self.dispatch_request(now, replace(request, was_returned=True))
 
     def _on_claim_refused(self, now: float, event: ClaimRefused) -> None:
-        """The register holds a higher number than this server knew: its own next one, or another owner's."""
+        """Handle a refused claim: the register holds a higher number, of this server or of another owner."""
         request = event.request
         self.counts["refused"] += 1
         session = self._ownership.get(request.key)
@@ -300,7 +302,7 @@
                 self._learn(now, binding)
 
     def _learn(self, now: float, binding: Binding) -> None:
-        """Learn a binding as the register holds it or held it; it may end an ownership or a handover."""
+        """Record a binding that the register holds or held; it may end an ownership or a handover."""
         session = self._ownership.get(binding.key)
         if session is None:
             self._routes.learn(binding)
@@ -309,17 +311,17 @@
         ):
             self._ownership.release(now, session, binding)
 
-    # -- the fleet, the policy, time
+    # -- the fleet, policy versions and timers
 
     def _on_view_changed(self, now: float, event: ViewChanged) -> None:
-        view, earlier = event.view, self._context.view
-        if earlier is not None and view.epoch <= earlier.epoch:
+        view, previous = event.view, self._context.view
+        if previous is not None and view.epoch <= previous.epoch:
             return
         present = {(member.name, member.incarnation) for member in view.members}
-        for member in earlier.members if earlier is not None else ():
+        for member in previous.members if previous is not None else ():
             if (member.name, member.incarnation) not in present:
                 self._queue.add_departure(now, member, self._selection.load_of(member.name).sessions)
-        self._queue.forget_past_departures(now)
+        self._queue.remove_past_departures(now)
         self._context.view = view
         self._queue.share_budget(now, len(view.members))
         if self._context.is_member:
@@ -334,7 +336,7 @@
         self._owner_lookup.on_not_a_member()
         member = view.get(self.node_name)
         if member is not None and member.incarnation > self.incarnation:
-            self._context.incarnation = member.incarnation  # taken in again, and owns nothing
+            self._context.incarnation = member.incarnation  # this server rejoined and owns no session
 
     def _on_policy_activated(self, now: float, event: PolicyActivated) -> None:
         self._rebalancing.activate(now, event)
--- a/tests/test_session_affinity.py
+++ b/tests/test_session_affinity.py
@@ -17,7 +17,7 @@
 from sablewheel.program.feature_file import FaultyFeaturesError, check
 from sablewheel.session_affinity import codec
 from sablewheel.session_affinity.binding import Binding, BindingState, MigrationCause, newer
-from sablewheel.session_affinity.budget import MIN_BURST, MigrationBudget
+from sablewheel.session_affinity.budget import MIN_BURST_TOKENS, MigrationBudget
 from sablewheel.session_affinity.context import SessionContext
 from sablewheel.session_affinity.effects import (
     DecisionReason,
@@ -153,7 +153,7 @@
         now += wait
         while budget.try_take(now):
             taken += 1
-        assert taken <= rate * now + max(MIN_BURST, rate) + 1e-6
+        assert taken <= rate * now + max(MIN_BURST_TOKENS, rate) + 1e-6
 
 
 def test_a_migration_not_started_in_a_drain_gives_its_token_back_to_the_drain() -> None:
@@ -188,7 +188,7 @@
             stored = Binding(f"k{place}-{step}", 5, "dead", 1, 1)
             taken += queue.takeover_wait_s(now, stored.key, stored) <= 0
     # A server's bucket holds one token at least, or what its share of the rate brings in a second.
-    burst = size * max(MIN_BURST, rate / size)
+    burst = size * max(MIN_BURST_TOKENS, rate / size)
     assert 0.9 * rate * seconds <= taken <= rate * seconds + burst
 
 
