--- a/sablewheel/session_affinity/context.py
+++ b/sablewheel/session_affinity/context.py
@@ -15,7 +15,7 @@
 
 
 class RequestDispatcher(Protocol):
-    """Dispatches requests, again if their session's owner changes."""
+    """Dispatches a request, and dispatches it again if its session's owner changes."""
 
     def dispatch_request(self, now: float, request: RequestArrived) -> None:
         """Serve the request, forward it, or keep it waiting until its session's owner is known."""
--- a/sablewheel/session_affinity/events.py
+++ b/sablewheel/session_affinity/events.py
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReturned:
-    """A forwarded request was returned unserved: another server owns its session, as the returner reports."""
+    """A forwarded request was returned unserved: its receiver has a binding with another owner."""
 
     request: RequestArrived
     binding: Binding | None = None
--- a/sablewheel/session_affinity/lookup_table.py
+++ b/sablewheel/session_affinity/lookup_table.py
@@ -16,7 +16,7 @@
     """The event that a lookup waits for."""
 
     READING = auto()  # the register's answer to a read
-    AWAITING_CLAIM_EXPIRY = auto()  # the last time at which a claim of the removed owner may begin
+    AWAITING_CLAIM_EXPIRY = auto()  # the expiry of the removed owner's claims, whose runs may still begin
     AWAITING_OFFER_REPLY = auto()
     WRITING = auto()  # the register's answer to the write of this server's binding
 
--- a/sablewheel/session_affinity/messages.py
+++ b/sablewheel/session_affinity/messages.py
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TakeOwnership:
-    """Tells the successor to take a session, of which its owner has no run left that may still begin."""
+    """Requests the successor to take a session, of which the owner has no run left that may still begin."""
 
     binding: Binding
     cause: MigrationCause
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BindingNotice:
-    """Sends a binding that the register holds or held; to the previous owner it confirms the handover."""
+    """Notifies a server of a binding that the register holds or held; it also confirms a handover."""
 
     binding: Binding
 
--- a/sablewheel/session_affinity/migration.py
+++ b/sablewheel/session_affinity/migration.py
@@ -2,8 +2,8 @@
 
 An owner that is in the view hands a session over in three steps. It accepts no more keyed requests and writes
 the handover state into the binding; it waits until its keyed runs end, or lets them continue as claims (their
-idempotency keys stay claimed, and no other server runs them); only then it tells the successor to take the
-session. Before that, no other server may take a session from an owner that is in the view.
+idempotency keys stay claimed, and no other server runs them); only then it requests the successor to take
+the session. Before that, no other server may take a session from an owner that is in the view.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 class Migration:
     """The steps of an owned session's change or handover; the state of each is in its `OwnedSession`.
 
-    Invariant: a successor is told to take a session only while the binding in the register names it, and only
-    when this server has no run of the session left that may still begin.
+    Invariant: a successor is requested to take a session only while the binding in the register names it,
+    and only when this server has no run of the session left that may still begin.
     """
 
     def __init__(
@@ -87,7 +87,7 @@
             self._notify_successor(now, session)
 
     def _notify_successor(self, now: float, session: OwnedSession) -> None:
-        """Tell the successor to take the session; choose another one if it does not answer in time."""
+        """Request the successor to take the session; choose another one if it does not answer in time."""
         context = self._context
         if session.phase is not OwnershipPhase.AWAITING_SUCCESSOR:
             session.phase, session.phase_since = OwnershipPhase.AWAITING_SUCCESSOR, now
--- a/sablewheel/session_affinity/migration_queue.py
+++ b/sablewheel/session_affinity/migration_queue.py
@@ -33,9 +33,7 @@
         self._keys: deque[str] = deque()
         self._budget = MigrationBudget(rate, now)
         self._takeover_budget = MigrationBudget(rate, now)  # for sessions that have turns
-        self._turnless_takeover_budget = MigrationBudget(
-            rate, now
-        )  # for sessions of owners with unknown loads
+        self._turnless_takeover_budget = MigrationBudget(rate, now)  # for owners with unknown loads
         self._drain_budget: MigrationBudget | None = None
         # By name and incarnation of the removed member: the time of its removal, and the span of the turns.
         self._departures: dict[tuple[str, int], tuple[float, float]] = {}
@@ -97,7 +95,7 @@
         (self._drain_budget or self._budget).refund()
 
     def share_budget(self, now: float, member_count: int) -> None:
-        """Set this server's share of the fleet's budget; the turns already spread the whole budget."""
+        """Set this server's share of the fleet's budget; turns limit the whole fleet's rate anyway."""
         rate = self._context.settings.migrations_per_s / max(member_count, 1)
         self._budget.set_rate(now, rate)
         self._turnless_takeover_budget.set_rate(now, rate)
@@ -115,7 +113,7 @@
         self._departures[member.name, member.incarnation] = (now, span_s)
 
     def remove_past_departures(self, now: float) -> None:
-        """Discard the turns of members whose sessions have all had their turns, and time to use them."""
+        """Remove the departures whose turns are no longer retained."""
         self._departures = {
             member: (at, span_s)
             for member, (at, span_s) in self._departures.items()
--- a/sablewheel/session_affinity/owner_lookup.py
+++ b/sablewheel/session_affinity/owner_lookup.py
@@ -168,7 +168,7 @@
     # -- messages
 
     def on_offer(self, now: float, sender: str, offer: OwnershipOffer) -> None:
-        """Reply to an offer, after reading the register if this server does not know the owner."""
+        """Reply to an offer, after reading the register if this server does not own the session."""
         lookup = self._lookups.get(offer.key)
         if (session := self._ownership.get(offer.key)) is not None:
             reply = OfferReply(offer.key, offer.offer_id, False, session.binding)
--- a/sablewheel/session_affinity/ownership.py
+++ b/sablewheel/session_affinity/ownership.py
@@ -37,7 +37,7 @@
     """A session that this server owns. All times are in the events' clock."""
 
     binding: Binding
-    first_fencing_number: int  # with which this server took the session; it wrote all later ones too
+    first_fencing_number: int  # under which this server took the session; later numbers are its own
     last_used_at: float
     renewed_at: float  # when the last write was requested; the register retains it for a lifetime from then
     flows: set[str] = field(default_factory=set)
@@ -53,9 +53,7 @@
     pending_binding: Binding | None = None  # the binding that is being written
     write_started_at: float = 0.0
     declined_by: set[str] = field(default_factory=set)
-    queued_cause: MigrationCause | None = (
-        None  # why the session is queued to migrate or change; None if not queued
-    )
+    queued_cause: MigrationCause | None = None  # why the session is queued; None if it is not queued
 
     @property
     def accepts_keyed_work(self) -> bool:
--- a/sablewheel/session_affinity/session_router.py
+++ b/sablewheel/session_affinity/session_router.py
@@ -100,7 +100,7 @@
             tenants: The tenants by name.
             warmth: Returns this server's warmth, from 0 (just started) to 1 (warm).
             capacity: This server's capacity, in the unit that all members use.
-            grace_s: The seconds between the shutdown notice and the end.
+            grace_s: The seconds between the shutdown notice and the end of the process.
             clock: Returns the current time.
         """
         self._scheduler, self._plan, self._fleet, self._links = scheduler, plan, fleet, links
--- a/sablewheel/session_affinity/sessions.py
+++ b/sablewheel/session_affinity/sessions.py
@@ -2,7 +2,7 @@
 
 The guarantees, and the module that provides each of them:
 - Each fencing number has one owner, and idempotency keys are claimed under it: `ownership`.
-- An owner in the view hands over a session only after its keyed runs ended or became claims: `migration`.
+- An owner in the view hands a session over only once its keyed runs ended or continue as claims: `migration`.
 - A removed owner is replaced only once all its claims have begun or expired: `acquisition`.
 - A new policy version migrates no session; each change of a binding has a `MigrationCause`: `rebalancing`.
 - Migrations stay within the fleet's budget: `migration_queue`.
@@ -228,7 +228,7 @@
             self._migration.end_run(now, session, event.ref)
 
     def _on_owner_unreachable(self, now: float, event: OwnerUnreachable) -> None:
-        """Handle an unreachable owner that is still in the view: no other server may take the session."""
+        """Handle an unreachable owner in the view: no other server may take its session or keyed requests."""
         request = event.request
         route = self._routes.get(request.key)
         if route is not None and (
--- a/tests/stories/affinity.feature
+++ b/tests/stories/affinity.feature
@@ -71,14 +71,14 @@
   Scenario: A session with a keyed run while its owner drains
     Given a fleet of 5 servers with 40 kiosks in service
     And a keyed run of 1 second is in progress on the owner of kiosk 7
-    When the owner of kiosk 7 is told to leave within 8 seconds
+    When the owner of kiosk 7 is asked to leave within 8 seconds
     And the kiosks send requests for 10 seconds
     Then kiosk 7 has another owner, which took over after that run had ended
     And no kiosk's request was rejected or lost
 
   Scenario: A draining server hands over all its sessions within the grace period
     Given a fleet of 5 servers with a budget of 2 migrations per second and 60 kiosks in service
-    When server m2 is told to leave within 6 seconds
+    When server m2 is asked to leave within 6 seconds
     And the kiosks send requests for 5.9 seconds
     Then server m2 owns no sessions
     And only sessions of m2 have migrated, counted as "drain"
@@ -86,7 +86,7 @@
   Scenario: A keyed run that exceeds the handover timeout continues as a claim
     Given a fleet of 5 servers that waits 1 second for runs, with 10 kiosks in service
     And a keyed run of 5 seconds is in progress on the owner of kiosk 3
-    When the owner of kiosk 3 is told to leave within 8 seconds
+    When the owner of kiosk 3 is asked to leave within 8 seconds
     And the kiosks send requests for 9 seconds
     Then kiosk 3 has another owner
     And 1 run has continued as a claim
@@ -94,15 +94,15 @@
   Scenario: A drain just after another server was killed
     Given a fleet of 5 servers with 60 kiosks in service
     When server m3 is killed
-    And server m2 is told to leave within 8 seconds
+    And server m2 is asked to leave within 8 seconds
     And the kiosks send requests for 7.9 seconds
     Then server m2 owns no sessions
     And only sessions of m2 and m3 have migrated
 
   Scenario: Two servers drain at the same time
     Given a fleet of 6 servers with 40 kiosks in service
-    When server m1 is told to leave within 6 seconds
-    And server m2 is told to leave within 6 seconds
+    When server m1 is asked to leave within 6 seconds
+    And server m2 is asked to leave within 6 seconds
     And the kiosks send requests for 8 seconds
     Then every kiosk has an owner that serves
     And only sessions of m1 and m2 have migrated
@@ -168,7 +168,7 @@
 
   Scenario: An owner is killed during a handover
     Given a fleet of 5 servers with 40 kiosks in service
-    When server m1 is told to leave within 8 seconds
+    When server m1 is asked to leave within 8 seconds
     And the kiosks send requests for 0.4 seconds
     And server m1 is killed
     And the kiosks send requests for 9 seconds
@@ -177,7 +177,7 @@
 
   Scenario: The successors of a handover are killed
     Given a fleet of 6 servers with 40 kiosks in service
-    When server m1 is told to leave within 9 seconds
+    When server m1 is asked to leave within 9 seconds
     And the kiosks send requests for 0.2 seconds
     And server m2 is killed
     And server m3 is killed
@@ -218,7 +218,7 @@
   Scenario: Every third answer of the register is lost
     Given a fleet of 5 servers whose register loses a third of its answers
     When 40 more kiosks start
-    And server m1 is told to leave within 8 seconds
+    And server m1 is asked to leave within 8 seconds
     And the kiosks send requests for 12 seconds
     Then every kiosk has an owner that serves
     And only sessions of m1 have migrated
@@ -226,7 +226,7 @@
   Scenario: Links lose and duplicate messages during a drain
     Given a fleet of 5 servers with 40 kiosks in service
     And every link loses one message in five and duplicates another
-    When server m2 is told to leave within 9 seconds
+    When server m2 is asked to leave within 9 seconds
     And the kiosks send requests for 12 seconds
     Then every kiosk has an owner that serves
     And only sessions of m2 have migrated
@@ -287,7 +287,7 @@
     When version 2 becomes active
     And the link between m1 and m2 is cut
     And the kiosks send requests for 4 seconds
-    And server m4 is told to leave within 6 seconds
+    And server m4 is asked to leave within 6 seconds
     And the kiosks send requests for 7 seconds
     And server m3 is killed
     And the kiosks send requests for 9 seconds
@@ -298,7 +298,7 @@
     When version 2 becomes active
     And the link between m1 and m2 is cut
     And the kiosks send requests for 4 seconds
-    And server m4 is told to leave within 6 seconds
+    And server m4 is asked to leave within 6 seconds
     And the kiosks send requests for 7 seconds
     And server m3 is killed
     And the kiosks send requests for 9 seconds
--- a/tests/stories/affinity_replicas.feature
+++ b/tests/stories/affinity_replicas.feature
@@ -12,7 +12,7 @@
   Scenario: A session with a keyed run while its owner drains
     Given a fleet of 5 servers on replicas, with 30 kiosks in service
     And a keyed run of 1 second is in progress on the owner of kiosk 7
-    When the owner of kiosk 7 is told to leave within 8 seconds
+    When the owner of kiosk 7 is asked to leave within 8 seconds
     And the kiosks send requests for 10 seconds
     Then kiosk 7 has another owner, which took over after that run had ended
     And only sessions of that owner have migrated
@@ -57,14 +57,14 @@
   Scenario: Links lose and duplicate messages during a drain
     Given a fleet of 5 servers on replicas, with 30 kiosks in service
     And every link loses one message in five and duplicates another
-    When server m2 is told to leave within 9 seconds
+    When server m2 is asked to leave within 9 seconds
     And the kiosks send requests for 12 seconds
     Then every kiosk has an owner that serves
     And only sessions of m2 have migrated
 
   Scenario: An owner is killed during a handover
     Given a fleet of 5 servers on replicas, with 40 kiosks in service
-    When server m1 is told to leave within 8 seconds
+    When server m1 is asked to leave within 8 seconds
     And the kiosks send requests for 0.4 seconds
     And server m1 is killed
     And the kiosks send requests for 9 seconds
--- a/tests/stories/test_affinity_stories.py
+++ b/tests/stories/test_affinity_stories.py
@@ -196,12 +196,12 @@
     story.send_requests(2.0)
 
 
-@when(parsers.parse("server {name} is told to leave within {grace_s:g} seconds"))
+@when(parsers.parse("server {name} is asked to leave within {grace_s:g} seconds"))
 def leave(story: Story, name: str, grace_s: float) -> None:
     story.world.leave(name, grace_s)
 
 
-@when(parsers.parse("the owner of kiosk {index:d} is told to leave within {grace_s:g} seconds"))
+@when(parsers.parse("the owner of kiosk {index:d} is asked to leave within {grace_s:g} seconds"))
 def owner_leaves(story: Story, index: int, grace_s: float) -> None:
     story.world.leave(story.world.owner(story.kiosks[index]), grace_s)
 
--- a/tests/test_session_affinity.py
+++ b/tests/test_session_affinity.py
@@ -162,7 +162,7 @@
 
 
 def test_a_migration_not_started_in_a_drain_refunds_its_token_to_the_drain_budget() -> None:
-    """The token was refunded to the fleet's budget: this slowed the drain and sped up later migrations."""
+    """Failed attempts refunded tokens to the fleet's budget: the drain slowed, later migrations sped up."""
     settings = AffinitySettings(migrations_per_s=2.0)
     queue = MigrationQueue(SessionContext("a", 1, settings), 0.0)
     queue.share_budget(0.0, 2)
