--- a/sablewheel/experiments/replication_model.py
+++ b/sablewheel/experiments/replication_model.py
@@ -103,13 +103,16 @@
         for table in (node.ranges.assigned, node.ranges.retained)
         for slot, one in sorted(table.items())
     ]
-    talks = [(name, one.compared, one.queue) for name, one in sorted(node.anti_entropy.transfers.items())]
+    talks = [
+        (name, one.pending_comparisons, one.queue)
+        for name, one in sorted(node.anti_entropy.transfers.items())
+    ]
     return repr(
         (
             node.name,
             node.incarnation,
             node.epoch,
-            node.decides_nothing_before,
+            node.min_decision_epoch,
             node.ranges.epoch,
             sorted(node.ranges.views),
             store,
--- a/sablewheel/replication/__init__.py
+++ b/sablewheel/replication/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated claims, outcomes and session bindings, each key a CASPaxos register on a few members."""
+"""Replicated claims, outcomes and session bindings; each key is a CASPaxos register on a few members."""
--- a/sablewheel/replication/acceptor.py
+++ b/sablewheel/replication/acceptor.py
@@ -1,6 +1,7 @@
 """The acceptor: answers proposals, pushes and reads for the ranges of which this member is a replica. Pure.
 
-It decides only under its own epoch and only with a copy that counts; an outcome is merged whoever sends it.
+It decides only under its own epoch and only for ranges that are ready here. Outcomes are merged from any
+sender.
 """
 
 from __future__ import annotations
@@ -25,9 +26,9 @@
 
 
 class Acceptor:
-    """Promises and accepts.
+    """Answers Paxos requests from the store of this member.
 
-    Invariant: below a key's promised ballot nothing is accepted, and an outcome once merged stays until the
+    Invariant: no proposal below a key's promised ballot is accepted, and a merged outcome is stored until its
     entry expires.
     """
 
@@ -35,12 +36,12 @@
         self._context = context
 
     def on_request(self, sender: str, request: AcceptorRequest) -> None:
-        """Answer a request, or drop what is out of bounds or of another view."""
+        """Answer a request; drop it if its slot is invalid or its epoch is later than this member's."""
         context = self._context
         if not 0 <= request.slot < context.settings.slots:
             context.counts["slots_bad"] += 1
         elif context.is_foreign_epoch(request.epoch):
-            self._on_foreign_request(sender, request)
+            self._on_request_of_other_epoch(sender, request)
         elif isinstance(request, Push):
             self._on_push(sender, request)
         elif not context.is_ready(request.slot):
@@ -51,8 +52,8 @@
         else:
             self._on_proposal(sender, request)
 
-    def _on_foreign_request(self, sender: str, request: AcceptorRequest) -> None:
-        if isinstance(request, Push):  # an outcome is a fact under any epoch; it counts for nothing yet
+    def _on_request_of_other_epoch(self, sender: str, request: AcceptorRequest) -> None:
+        if isinstance(request, Push):  # an outcome is valid under any epoch, but is not acknowledged
             self.merge_copy(request.slot, request.key, request.entry, request.remaining_s)
         if request.epoch < self._context.epoch:
             self._refuse(sender, request, RefusalReason.EPOCH)
@@ -88,7 +89,7 @@
         context.schedule_expiry(expires_at)
 
     def _is_fenced(self, request: Prepare | Accept) -> bool:
-        """Whether the session's binding has a later version than the one that the claim relies on."""
+        """Return whether the session's binding has a later version than the one that the claim relies on."""
         if not request.binding_version:
             return False
         binding = self._context.store.entry(request.slot, (SESSIONS, request.group))
@@ -125,16 +126,16 @@
         return True
 
     def _max_lifetime_s(self, key: Key) -> float:
-        """The longest lifetime of such an entry.
+        """Return the longest lifetime of an entry of this key's collection, in seconds.
 
-        Bindings may outlast idempotency keys: where one is lost its session begins anew above its version, so
-        nobody waits for their lifetimes to pass.
+        Session bindings may outlive idempotency keys. Recovery does not wait for their lifetimes to pass: a
+        session whose binding is lost gets a new binding with a higher version.
         """
         binding_s = self._context.max_binding_lifetime_s if key[0] == SESSIONS else 0.0
         return max(self._context.settings.max_lifetime_s, binding_s)
 
     def _report_conflict(self, key: Key, stored: Entry, received: Entry) -> None:
-        """Report two outcomes of one idempotency key, once here; both are stored."""
+        """Report two outcomes of one idempotency key, once on this member; both are stored."""
         outcomes = {*stored.outcomes, *received.outcomes}
         if len(outcomes) > 1 and len(stored.outcomes) < 2:
             self._context.counts["two_outcomes"] += 1
--- a/sablewheel/replication/anti_entropy.py
+++ b/sablewheel/replication/anti_entropy.py
@@ -1,6 +1,6 @@
-"""Anti-entropy: catches up ranges that are not ready, and repairs those that are. Pure.
+"""Anti-entropy: catches up ranges that are not ready, and repairs those that are ready. Pure.
 
-Both compare digests of ranges with another member, and fetch the entries of those that differ.
+Both compare the digests of ranges with another member, and fetch the entries of the ranges that differ.
 """
 
 from __future__ import annotations
@@ -24,67 +24,68 @@
 from .range_transfer import Readiness
 
 FIRST_KEY: Key = ("", b"")
-MAX_VIEWS_SENT = 8  # a message
-TRANSFER_TIMEOUT_S = 0.5  # a member that is silent for so long is asked again
+MAX_VIEWS_SENT = 8  # views in one `PastViews` message
+TRANSFER_TIMEOUT_S = 0.5  # silence of a member after which a new request may be sent to it
 
 
 @dataclass(slots=True)
 class Transfer:
-    """The exchange with one member: what it was asked for, and what is fetched from it.
+    """The state of a transfer from one member.
 
     Attributes:
-        last_active: When a message was last sent or received.
-        compared: Ranges in the request that it has not answered.
-        queue: Ranges to fetch: slot, and the member's ready epoch.
+        last_active: When a message of the transfer was last sent or received.
+        pending_comparisons: Number of ranges in the `CompareRanges` request that it has not answered; 0 if
+            none is open.
+        queue: Ranges to fetch from it, as pairs of slot and the member's ready epoch.
     """
 
     last_active: float = -inf
-    compared: int = 0
+    pending_comparisons: int = 0
     queue: list[tuple[int, int]] = field(default_factory=list)
 
 
 class AntiEntropy:
     """Transfers with other members.
 
-    Invariant: with each member there is one request open at most, and a range counts as merged from a member
-    only when its digest agreed or its last chunk was stored.
+    Invariant: at most one request to each member is open, and a range counts as merged from a member only
+    when its digest agreed or its last chunk was stored.
     """
 
     def __init__(self, context: ReplicaContext, acceptor: Acceptor) -> None:
         self._context, self._acceptor = context, acceptor
         self.transfers: dict[str, Transfer] = {}
         self.sync_at = self.repair_at = inf
-        self._sync_count = 0  # under this view
-        self._repair_offset = 0  # into the ranges that are ready
+        self._sync_count = 0  # calls of `sync` under this view
+        self._repair_offset = 0  # index of the next range to repair in the sorted list of ready ranges
 
     def view_installed(self) -> None:
-        """Begin to catch up under the new view."""
+        """Start catching up under the new view."""
         context = self._context
         self.transfers.clear()
         for slot in list(context.ranges.unready):
-            self._settle(slot)
+            self._update_readiness(slot)
         self._sync_count = 0
         if context.ranges.unready:
             self.sync_at = context.now
         self.repair_at = min(self.repair_at, context.now + context.settings.repair_interval_s)
 
-    def _settle(self, slot: int) -> Readiness:
+    def _update_readiness(self, slot: int) -> Readiness:
         settings = self._context.settings
-        return self._context.ranges.settle(
+        return self._context.ranges.update_readiness(
             slot, self._context.now, settings.max_lifetime_s, settings.waits_after_cold_start
         )
 
     # -- catching up
 
     def sync(self) -> None:
-        """Ask members for what is missing, a batch of ranges of each; check what is lost for good."""
+        """Ask other members for the state of unready ranges, and check whether ranges became ready."""
         context = self._context
         self.sync_at = inf
         if not context.epoch:
             return
         slots_by_member: dict[str, list[int]] = {}
         for slot in sorted(context.ranges.unready):
-            if self._settle(slot) is Readiness.READY:
+            if self._update_readiness(slot) is Readiness.READY:
                 continue
             for name in self._sources(slot):
                 slots_by_member.setdefault(name, []).append(slot)
@@ -92,7 +93,7 @@
             return self._report_caught_up()
         self.sync_at = context.now + context.settings.sync_interval_s
         self._sync_count += 1
-        if self._sync_count > 1:  # most need the last view only
+        if self._sync_count > 1:  # the first pass skips this: usually only the previous view is needed
             self._request_views()
         for name, slots in sorted(slots_by_member.items()):
             self._compare(name, slots)
@@ -117,35 +118,35 @@
         return ranges.required_sources(slot) | ranges.optional_sources(slot, self._context.now)
 
     def _compare(self, name: str, slots: list[int]) -> None:
-        """Ask a member for the state of ranges, unless it owes an answer."""
+        """Ask a member for the state of ranges, unless a recent request to it is unanswered."""
         context = self._context
         transfer = self.transfers.setdefault(name, Transfer())
-        is_open = bool(transfer.compared or transfer.queue)
+        is_open = bool(transfer.pending_comparisons or transfer.queue)
         if is_open and context.now < transfer.last_active + TRANSFER_TIMEOUT_S:
             return
         batch = slots[: context.settings.batch_size]
-        transfer.last_active, transfer.compared, transfer.queue = context.now, len(batch), []
+        transfer.last_active, transfer.pending_comparisons, transfer.queue = context.now, len(batch), []
         digests = tuple((slot, context.store.digest(slot)) for slot in batch)
         context.send(name, CompareRanges(context.epoch, digests))
 
     # -- messages
 
     def on_request_views(self, sender: str, request: RequestViews) -> None:
-        """Send the views that the sender may lack."""
+        """Send the latest views before the requested epoch, unless the sender has a later view."""
         context = self._context
         if request.epoch <= context.epoch:
             views = context.ranges.views_before(request.before, MAX_VIEWS_SENT)
             context.send(sender, PastViews(context.epoch, context.incarnation, request.before, views))
 
     def on_past_views(self, sender: str, message: PastViews) -> None:
-        """Take the views that the sender knows."""
+        """Add the past views that a member sent."""
         ranges = self._context.ranges
-        ranges.note_incarnation(sender, message.incarnation)
+        ranges.record_incarnation(sender, message.incarnation)
         has_more = len(message.views) >= MAX_VIEWS_SENT
         ranges.add_past_views(sender, message.before, message.views, has_more)
 
     def on_range_message(self, sender: str, message: RangeMessage, epoch: int) -> None:
-        """Handle a message of a transfer; `epoch`: the last one before which this member decides nothing."""
+        """Handle a message of a transfer; `epoch`: this member decides nothing under earlier epochs."""
         match message:
             case CompareRanges():
                 self._on_compare_ranges(sender, message, epoch)
@@ -158,7 +159,7 @@
 
     def _on_compare_ranges(self, sender: str, request: CompareRanges, epoch: int) -> None:
         if request.epoch > epoch:
-            return  # it asks again, and then we have that view
+            return  # the sender repeats the request; by then this member has the view
         context = self._context
         states = tuple(
             (slot, context.ranges.ready_epoch(slot), context.store.digest(slot) == digest)
@@ -171,24 +172,26 @@
         if states.epoch < context.epoch:
             return
         transfer = self.transfers.get(sender)
-        if transfer is None or not transfer.compared:
+        if transfer is None or not transfer.pending_comparisons:
             return
-        transfer.compared, transfer.last_active = 0, context.now
+        transfer.pending_comparisons, transfer.last_active = 0, context.now
         for slot, ready_epoch, is_same in states.ranges:
             if is_same:
-                self._copy_merged(slot, sender, states.epoch, states.incarnation, ready_epoch)
+                self._record_merged_copy(slot, sender, states.epoch, states.incarnation, ready_epoch)
             else:
                 transfer.queue.append((slot, ready_epoch))
         self._fetch_next(sender, transfer, FIRST_KEY)
 
-    def _copy_merged(self, slot: int, name: str, epoch: int, incarnation: int, ready_epoch: int) -> None:
+    def _record_merged_copy(
+        self, slot: int, name: str, epoch: int, incarnation: int, ready_epoch: int
+    ) -> None:
         ranges = self._context.ranges
-        ranges.copy_merged(slot, name, epoch, incarnation, ready_epoch)
+        ranges.record_merged_copy(slot, name, epoch, incarnation, ready_epoch)
         if slot in ranges.unready:
-            self._settle(slot)
+            self._update_readiness(slot)
 
     def _fetch_next(self, name: str, transfer: Transfer, after: Key) -> None:
-        """Fetch the next chunk; without any left, compare the next ranges."""
+        """Request the next chunk, or if nothing is left to fetch, compare the next ranges."""
         context = self._context
         if transfer.queue:
             return context.send(name, FetchRange(context.epoch, transfer.queue[0][0], after))
@@ -197,7 +200,7 @@
             if slots:
                 return self._compare(name, slots)
         elif self.sync_at < inf:
-            self.sync_at = context.now  # all are ready, which is reported there
+            self.sync_at = context.now  # all ranges are ready; `sync` logs it
 
     def _on_fetch_range(self, sender: str, request: FetchRange, epoch: int) -> None:
         if request.epoch > epoch:
@@ -232,23 +235,27 @@
         for key, entry, remaining_s in chunk.entries:
             context.counts["entries_in"] += 1
             if not self._acceptor.merge_copy(slot, key, entry, remaining_s):
-                transfer.queue.clear()  # no capacity: the range is not ready until there is
+                transfer.queue.clear()  # no capacity: the range stays unready until its entries fit
                 return
         if not chunk.is_last and chunk.entries:
             return self._fetch_next(sender, transfer, chunk.entries[-1][0])
         transfer.queue.pop(0)
-        self._copy_merged(slot, sender, chunk.epoch, chunk.incarnation, ready_epoch)
+        self._record_merged_copy(slot, sender, chunk.epoch, chunk.incarnation, ready_epoch)
         self._fetch_next(sender, transfer, FIRST_KEY)
 
     # -- repair
 
     def repair(self) -> None:
-        """Compare some ready ranges with one other replica each; drop ranges that the new replicas have."""
+        """Compare a batch of ready ranges with a random other replica of each.
+
+        Ranges that are retained for new replicas are compared with those, and dropped when all of them are
+        ready.
+        """
         context = self._context
         self.repair_at = context.now + context.settings.repair_interval_s
         if not context.epoch:
             return
-        self._drop_retained()
+        self._drop_transferred()
         slots_by_member: dict[str, list[int]] = {}
         for slot in self._next_to_repair():
             others = [name for name in context.replicas_of(slot) if name != context.name]
@@ -261,7 +268,7 @@
         for name, slots in sorted(slots_by_member.items()):
             self._compare(name, slots)
 
-    def _drop_retained(self) -> None:
+    def _drop_transferred(self) -> None:
         ranges = self._context.ranges
         for slot in [slot for slot in ranges.retained if ranges.may_drop(slot)]:
             del ranges.retained[slot]
--- a/sablewheel/replication/claims.py
+++ b/sablewheel/replication/claims.py
@@ -1,6 +1,6 @@
 """The claims of this member's own runs, from the first proposal to the stored outcome or the release. Pure.
 
-A claim is never taken over: whoever won it is the only one that may ever run its idempotency key.
+A claim is never taken over: unless its owner releases it, only the owner may run the idempotency key.
 """
 
 from __future__ import annotations
@@ -30,17 +30,17 @@
 
 
 class ClaimState(Enum):
-    """The state of an own claim."""
+    """The state of a claim of this process."""
 
     PROPOSED = "proposed"
     WON = "won"
-    COMPLETING = "completing"  # the outcome is on its way to a majority
+    COMPLETING = "completing"  # the outcome is being pushed to a majority
     RELEASING = "releasing"
 
 
 @dataclass(slots=True)
 class OwnClaim:
-    """A claim of this process, until it is over."""
+    """A claim of this process, until it is completed, released or expired."""
 
     owner: Owner
     slot: int
@@ -51,10 +51,10 @@
 
 
 class Claims:
-    """Own claims by idempotency key.
+    """The claims of this process by idempotency key.
 
-    Invariant: a key is in `own_claims` from its claim until its outcome is on a majority, its release is
-    decided, or its lifetime has passed; WON is answered for it once at most in that time.
+    Invariant: a key is in `own_claims` from its claim until its outcome is stored on a majority, its release
+    is decided, or its lifetime has passed; WON is answered at most once in that time.
     """
 
     def __init__(
@@ -71,27 +71,27 @@
         self._change_count = 0
 
     def new_owner(self) -> Owner:
-        """An owner that no other claim or write has."""
+        """Return an owner that no other claim or write has."""
         self._change_count += 1
         return (self._context.name, self._context.incarnation, self._change_count)
 
     # -- events
 
     def claim(self, claim: Claim) -> None:
-        """Claim an idempotency key, unless what is known here answers it."""
+        """Claim an idempotency key, unless this member already has a claim or an outcome of it."""
         context, own_claim = self._context, self.own_claims.get(claim.key)
         slot = context.slot_of(claim.group)
         if own_claim is not None and own_claim.state is not ClaimState.RELEASING:
-            return context.answer(claim.ref, AnswerStatus.RUNNING, own_claim.entry)  # by this member itself
+            return context.answer(claim.ref, AnswerStatus.RUNNING, own_claim.entry)  # claimed here
         stored = context.store.entry(slot, (IDEMPOTENCY_KEYS, claim.key))
         if own_claim is None and stored.state is State.COMPLETED:
-            return context.answer(claim.ref, AnswerStatus.KNOWN, stored)  # an outcome is a fact, ready or not
+            return context.answer(claim.ref, AnswerStatus.KNOWN, stored)  # valid even in an unready range
         if own_claim is None:
             if len(self.own_claims) >= context.settings.max_claims:
                 return context.answer(claim.ref, AnswerStatus.FULL)
             own_claim = OwnClaim(self.new_owner(), slot, claim.group, 0.0)
             self.own_claims[claim.key] = own_claim
-        # One that is being released never ran: its owner may continue with it.
+        # A claim that is being released has not run: the same owner may claim the key with it again.
         own_claim.state = ClaimState.PROPOSED
         own_claim.expires_at = context.now + min(claim.lifetime_s, context.settings.max_lifetime_s)
         context.schedule_expiry(own_claim.expires_at)
@@ -112,7 +112,7 @@
             self._context.answer(claim.ref, refused)
 
     def release(self, key: bytes) -> None:
-        """A won claim will not be run."""
+        """Release a won claim whose run will not start."""
         own_claim = self.own_claims.get(key)
         if own_claim is not None and own_claim.state is ClaimState.WON:
             self._begin_release(key, own_claim)
@@ -149,7 +149,7 @@
     # -- decisions
 
     def on_decided(self, proposal: Proposal, status: AnswerStatus, entry: Entry) -> None:
-        """A claim or a release is decided, or found no majority in time."""
+        """Handle the end of a claim or release: it was decided, or no majority answered in time."""
         key = proposal.key[1]
         own_claim = self.own_claims.get(key)
         if proposal.change.kind is ChangeKind.RELEASE:
@@ -159,7 +159,7 @@
         assert own_claim is not None
         if status is AnswerStatus.UNREACHABLE:
             self._reachability.range_failed(proposal.slot)
-            status, entry = self._best_known(proposal, entry)
+            status, entry = self._status_without_majority(proposal, entry)
         else:
             self._reachability.range_succeeded(proposal.slot)
         if status is AnswerStatus.WON:
@@ -170,36 +170,40 @@
         elif (
             proposal.was_sent and status is not AnswerStatus.KNOWN and own_claim.state is ClaimState.PROPOSED
         ):
-            self._begin_release(key, own_claim)  # it may stand, and will not be run
+            self._begin_release(key, own_claim)  # replicas may have accepted it, and its run will not start
         else:
             del self.own_claims[key]
         if proposal.caller_ref is not None:
             self._context.answer(proposal.caller_ref, status, entry)
 
-    def _best_known(self, proposal: Proposal, entry: Entry) -> tuple[AnswerStatus, Entry]:
-        """Too few answered a claim; but what one replica has claimed may have run, so it is not rejected."""
-        known = merge_all(proposal.promises.values())
-        known = merge(known, self._context.store.entry(proposal.slot, proposal.key))
-        if known.state is State.COMPLETED:
-            return AnswerStatus.KNOWN, known
-        if known.state is State.CLAIMED and known.owner != proposal.change.owner:
-            return AnswerStatus.RUNNING, known
+    def _status_without_majority(self, proposal: Proposal, entry: Entry) -> tuple[AnswerStatus, Entry]:
+        """Return the status and entry of a claim without a majority.
+
+        If any replica has a claim of another owner or an outcome, the request may have run and must not be
+        rejected.
+        """
+        merged = merge_all(proposal.promises.values())
+        merged = merge(merged, self._context.store.entry(proposal.slot, proposal.key))
+        if merged.state is State.COMPLETED:
+            return AnswerStatus.KNOWN, merged
+        if merged.state is State.CLAIMED and merged.owner != proposal.change.owner:
+            return AnswerStatus.RUNNING, merged
         return AnswerStatus.UNREACHABLE, entry
 
     def on_outcome_stored(self, key: bytes) -> None:
-        """A majority has stored the outcome."""
+        """Remove a claim whose outcome a majority has stored."""
         self.own_claims.pop(key, None)
         self._context.emit(OutcomeStored(key))
 
     def on_outcome_expired(self, key: bytes) -> None:
-        """The entry expired before a majority had stored the outcome."""
+        """Remove a claim whose entry expired before a majority had stored the outcome."""
         if self.own_claims.pop(key, None) is not None:
             self._context.log(LogEvent.OUTCOME_NOT_STORED, key=key.hex())
 
     # -- expiry
 
     def expire(self) -> None:
-        """Forget won claims whose lifetime has passed without an outcome."""
+        """Remove won claims whose lifetime has passed without an outcome."""
         now = self._context.now
         expired = [
             key
@@ -211,5 +215,5 @@
             self._context.counts["never_finished"] += 1
 
     def next_expiry(self, default: float) -> float:
-        """When the next claim expires, or `default` if that is earlier."""
+        """Return when the next claim expires, or `default` if that is earlier."""
         return min([default, *(own_claim.expires_at for own_claim in self.own_claims.values())])
--- a/sablewheel/replication/codec.py
+++ b/sablewheel/replication/codec.py
@@ -1,6 +1,7 @@
-"""The packets of replication: messages to bytes and back. Data outside its bounds is no message. Pure.
+"""Encodes and decodes the packets of replication; data outside its bounds is refused. Pure.
 
-Field names of the protobuf messages stay as docs/replication-format.md gives them; here they are translated.
+The field names of the protobuf messages are those of docs/replication-format.md. This module maps them to the
+names of `messages`.
 """
 
 from __future__ import annotations
@@ -46,18 +47,18 @@
 )
 
 VERSION = 1
-MAX_RANGES = MAX_ENTRIES = 1024  # a packet
+MAX_RANGES = MAX_ENTRIES = 1024  # in one packet
 MAX_VIEWS = 16
 MAX_SITES = 10_000
 
 
 def encode(message: Message, ranges: int = 0, copies: int = 0) -> bytes:
-    """The packet of a message.
+    """Encode a message as a packet.
 
     Args:
-        message: To encode.
-        ranges: Into how many ranges the sender divides.
-        copies: How many copies of each it has.
+        message: The message.
+        ranges: Number of ranges into which the sender divides the keys.
+        copies: Number of replicas of each range in the sender's settings.
     """
     ref = getattr(message, "ref", 0)
     packet = pb.Packet(version=VERSION, epoch=message.epoch, ref=ref, ranges=ranges, copies=copies)
@@ -66,53 +67,54 @@
 
 
 def decode(data: bytes, ranges: int = 0, copies: int = 0) -> Message:
-    """The message of a packet.
+    """Decode the message of a packet.
 
-    A sender that divides into other ranges would mean other replicas by the same slots, so its packets are
-    refused: the sections of two servers differ.
+    Packets of a sender with another number of ranges or copies are refused, because the same slot has other
+    replicas there. This happens when the replication settings of two servers differ.
 
     Raises:
-        BadPacketError: The data is no packet, of another version, kind or division, or outside its bounds.
+        BadPacketError: The data is not a packet, has another version, an unknown kind or other numbers of
+            ranges or copies, or has a value outside its bounds.
     """
     try:
         packet = pb.Packet.FromString(data)
     except DecodeError:
-        raise BadPacketError("not a packet") from None
+        raise BadPacketError("data is not a replication packet") from None
     if packet.version != VERSION:
-        raise BadPacketError(f"version {packet.version}, {VERSION} is known here")
+        raise BadPacketError(f"packet version {packet.version} is not supported, expected {VERSION}")
     if (packet.ranges, packet.copies) != (ranges, copies):
         raise BadPacketError(
-            f"of {packet.ranges} ranges and {packet.copies} copies, {ranges} and {copies} are set here"
+            f"sender uses {packet.ranges} ranges and {packet.copies} copies, expected {ranges} and {copies}"
         )
     decoder = _DECODERS.get(packet.WhichOneof("body") or "")
     if decoder is None:
-        raise BadPacketError("a packet of no kind that this version knows")
+        raise BadPacketError("packet of an unknown kind")
     return decoder(packet)
 
 
-# -- encoding, one function a kind
+# -- encoding, one function for each kind of message
 
 
 def _encode_prepare(packet: pb.Packet, message: Prepare) -> None:
-    change = _change(message, message.remaining_s, message.group, message.binding_version)
+    change = _encode_change(message, message.remaining_s, message.group, message.binding_version)
     change.ballot.CopyFrom(encode_ballot(message.ballot))
     packet.prepare.CopyFrom(change)
 
 
 def _encode_accept(packet: pb.Packet, message: Accept) -> None:
-    change = _change(message, message.remaining_s, message.group, message.binding_version)
+    change = _encode_change(message, message.remaining_s, message.group, message.binding_version)
     change.entry.CopyFrom(encode_entry(message.entry))
     packet.accept.CopyFrom(change)
 
 
 def _encode_push(packet: pb.Packet, message: Push) -> None:
-    change = _change(message, message.remaining_s)
+    change = _encode_change(message, message.remaining_s)
     change.entry.CopyFrom(encode_entry(message.entry))
     packet.push.CopyFrom(change)
 
 
 def _encode_fetch(packet: pb.Packet, message: Fetch) -> None:
-    packet.fetch.CopyFrom(_change(message))
+    packet.fetch.CopyFrom(_encode_change(message))
 
 
 def _encode_promise(packet: pb.Packet, message: Promise) -> None:
@@ -160,7 +162,9 @@
 
 
 def _encode_range_states(packet: pb.Packet, message: RangeStates) -> None:
-    ranges = [pb.Range(slot=slot, ready=ready, same=same) for slot, ready, same in message.ranges]
+    ranges = [
+        pb.Range(slot=slot, ready=ready_epoch, same=is_same) for slot, ready_epoch, is_same in message.ranges
+    ]
     packet.told.CopyFrom(pb.Ranges(birth=message.incarnation, ranges=ranges))
 
 
@@ -203,7 +207,7 @@
 }
 
 
-def _change(
+def _encode_change(
     message: Prepare | Accept | Push | Fetch,
     remaining_s: float = 0.0,
     group: bytes = b"",
@@ -214,7 +218,7 @@
     )
 
 
-# -- decoding, one function a kind
+# -- decoding, one function for each kind of message
 
 
 def _decode_prepare(packet: pb.Packet) -> Prepare:
@@ -269,7 +273,7 @@
     try:
         reason = RefusalReason(reply.why)
     except ValueError:
-        raise BadPacketError(f"why: no such reason: {reply.why[:40]!r}") from None
+        raise BadPacketError(f"why: unknown refusal reason {reply.why[:40]!r}") from None
     ballots = decode_ballot(reply.ballot), decode_ballot(reply.asked)
     return Refuse(packet.epoch, packet.ref, reason, *ballots, decode_entry(reply.entry))
 
@@ -287,22 +291,22 @@
 
 
 def _decode_past_views(packet: pb.Packet) -> PastViews:
-    past = packet.past
-    check_count(len(past.views), MAX_VIEWS, "views")
-    views = tuple((view.epoch, tuple(decode_site(site) for site in view.sites)) for view in past.views)
+    past_views = packet.past
+    check_count(len(past_views.views), MAX_VIEWS, "views")
+    views = tuple((view.epoch, tuple(decode_site(site) for site in view.sites)) for view in past_views.views)
     for _, sites in views:
         check_count(len(sites), MAX_SITES, "sites")
-    return PastViews(packet.epoch, past.birth, past.before, views)
+    return PastViews(packet.epoch, past_views.birth, past_views.before, views)
 
 
 def _decode_compare_ranges(packet: pb.Packet) -> CompareRanges:
     check_count(len(packet.ask.ranges), MAX_RANGES, "ranges")
-    return CompareRanges(packet.epoch, tuple((one.slot, one.digest) for one in packet.ask.ranges))
+    return CompareRanges(packet.epoch, tuple((item.slot, item.digest) for item in packet.ask.ranges))
 
 
 def _decode_range_states(packet: pb.Packet) -> RangeStates:
     check_count(len(packet.told.ranges), MAX_RANGES, "ranges")
-    states = tuple((one.slot, one.ready, one.same) for one in packet.told.ranges)
+    states = tuple((item.slot, item.ready, item.same) for item in packet.told.ranges)
     return RangeStates(packet.epoch, packet.told.birth, states)
 
 
@@ -311,12 +315,12 @@
 
 
 def _decode_range_chunk(packet: pb.Packet) -> RangeChunk:
-    piece = packet.piece
-    check_count(len(piece.entries), MAX_ENTRIES, "entries")
+    chunk = packet.piece
+    check_count(len(chunk.entries), MAX_ENTRIES, "entries")
     entries = tuple(
-        (decode_key(one.key), decode_entry(one.entry), check_lifetime(one.left)) for one in piece.entries
+        (decode_key(item.key), decode_entry(item.entry), check_lifetime(item.left)) for item in chunk.entries
     )
-    return RangeChunk(packet.epoch, piece.birth, piece.slot, piece.ready, entries, piece.last)
+    return RangeChunk(packet.epoch, chunk.birth, chunk.slot, chunk.ready, entries, chunk.last)
 
 
 _DECODERS: dict[str, Callable[[pb.Packet], Message]] = {
--- a/sablewheel/replication/entries.py
+++ b/sablewheel/replication/entries.py
@@ -1,9 +1,9 @@
-"""The entry of a key as a replica stores it, and how two differing copies are merged. Pure.
+"""The entry of a key as a replica stores it, and the merge of two differing copies. Pure.
 
-An entry has two parts, each of which only rises: what the register last accepted, by its ballot, and the
-outcomes of claims. The merge takes the higher of the one and both of the other, so it is commutative,
-associative and idempotent. A claimed entry becomes unclaimed only by its owner's own release, under a higher
-ballot.
+An entry has two parts that grow monotonically: the value that the register accepted last, ordered by its
+ballot, and the set of outcomes of its claims. The merge takes the value with the higher ballot and the union
+of the outcomes, so it is commutative, associative and idempotent. A claimed entry becomes unclaimed only if
+its owner releases it, under a higher ballot.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from dataclasses import dataclass, replace
 from enum import Enum, StrEnum
 
-MAX_OUTCOMES = 2  # of one idempotency key: a second one is evidence of a fault, a third would add nothing
-ENTRY_OVERHEAD_BYTES = 200  # about, of an entry beside its value and results
+MAX_OUTCOMES = 2  # of one idempotency key; a second outcome proves a fault, a third one adds no evidence
+ENTRY_OVERHEAD_BYTES = 200  # approximate size of an entry without its value and results
 
 Key = tuple[str, bytes]  # collection, key
-Ballot = tuple[int, int, str, int]  # epoch, round, proposer's name, its incarnation
-Owner = tuple[str, int, int]  # name, incarnation, its own count of claims
+Ballot = tuple[int, int, str, int]  # epoch, round, proposer's name, proposer's incarnation
+Owner = tuple[str, int, int]  # member's name, its incarnation, its number for the claim or write
 NO_BALLOT: Ballot = (0, 0, "", 0)
 NO_OWNER: Owner = ("", 0, 0)
 
@@ -26,25 +26,25 @@
     """The state of an idempotency key's entry."""
 
     UNCLAIMED = "unclaimed"
-    CLAIMED = "claimed"  # it may have run
-    RELEASED = "released"  # the claim's owner knows that it did not run
+    CLAIMED = "claimed"  # the request may have run
+    RELEASED = "released"  # by the claim's owner, because the request did not run
     COMPLETED = "completed"
 
 
 class OutcomeStatus(StrEnum):
-    """The result of a run; the values stand in packets."""
+    """The result of a run; the values are part of the packet format."""
 
     SUCCEEDED = "worked"
     FAILED = "failed"
-    RESULT_DROPPED = "unkept"  # it succeeded, but the result was too large to store
+    RESULT_DROPPED = "unkept"  # the run succeeded, but its result was too large to store
 
 
 class AnswerStatus(StrEnum):
-    """What a claim, write or read came to. The values are parts of counters' names."""
+    """The status of a claim, write or read. The values are parts of counter names."""
 
     WON = "won"  # the claim or write is accepted by a majority
     KNOWN = "known"  # the outcome is known
-    RUNNING = "running"  # another owner has the claim: it may have run
+    RUNNING = "running"  # another owner has the claim: the request may have run
     UNREACHABLE = "unreachable"  # no majority answered in time
     FULL = "full"  # replicas have no capacity for another key
     FENCED = "fenced"  # the session's binding has a later version
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, order=True, slots=True)
 class Outcome:
-    """The outcome of the claim that made `version` of the entry."""
+    """The outcome of the claim that created `version` of the entry."""
 
     version: int
     owner: Owner
@@ -69,13 +69,13 @@
     """The value of a key.
 
     Attributes:
-        ballot: Under which it was accepted.
-        version: Of an idempotency key the number of its claims, else the number of its changes.
-        owner: Who made the last claim or change.
-        value: Of a session binding or a document, its last value.
-        digest: Of an idempotency key, identifies the request that it stands for.
-        released: The owner of the claim states that it did not run and never will.
-        outcomes: The outcomes of its claims, sorted.
+        ballot: The ballot under which the value was accepted.
+        version: For an idempotency key the number of its claims, else the number of changes.
+        owner: The owner of the last claim or change.
+        value: The last value of a session binding or a document; empty for an idempotency key.
+        digest: The digest of the request that an idempotency key stands for; else empty.
+        released: Whether the owner of the claim has declared that the request did not and will not run.
+        outcomes: The outcomes of an idempotency key's claims, sorted.
     """
 
     ballot: Ballot = NO_BALLOT
@@ -97,14 +97,14 @@
 
     @property
     def size(self) -> int:
-        """Bytes, about, as it counts against a replica's capacity."""
+        """The approximate size in bytes, which counts against a replica's capacity."""
         results = sum(len(outcome.result) for outcome in self.outcomes)
         return ENTRY_OVERHEAD_BYTES + len(self.value) + results
 
     def fingerprint(self, key: Key) -> int:
-        """64 bits of the entry under its key: a range's digest is the exclusive or of its fingerprints.
+        """Return a 64-bit hash of the entry and its key; a range's digest is the XOR of its fingerprints.
 
-        It is compared between servers, so what is hashed is part of the format.
+        Servers compare the digests, so the hashed data is part of the format.
         """
         register = (key, self.ballot, self.version, self.owner, self.value, self.digest, self.released)
         hashed = hashlib.blake2b(repr(register).encode(), digest_size=8)
@@ -118,24 +118,24 @@
 
 
 def merge(first: Entry, second: Entry) -> Entry:
-    """The one entry of two copies.
+    """Merge two copies of an entry.
 
-    The register's part is taken as one by its ballot: under one ballot there is one value, unless there is a
-    fault, and then the order of the values decides, the same everywhere. `released` is a part of it: a set
-    apart would release a claim of another proposer that was won without having seen it. Of the outcomes the
-    lowest `MAX_OUTCOMES` are retained.
+    The register's value is taken as a whole from the copy with the higher ballot. One ballot has one value;
+    if a fault leads to two, the order of the values decides, so all members choose the same one. `released`
+    belongs to the value: if it were merged separately, it would also release the claim of a proposer that won
+    without having seen the release. Of the outcomes the lowest `MAX_OUTCOMES` are retained.
     """
     if first == second:
         return first
-    later = max(first, second, key=_rank)
+    higher = max(first, second, key=_rank)
     outcomes = first.outcomes
     if second.outcomes != outcomes:
         outcomes = tuple(sorted({*first.outcomes, *second.outcomes})[:MAX_OUTCOMES])
-    return replace(later, outcomes=outcomes)
+    return replace(higher, outcomes=outcomes)
 
 
 def _rank(entry: Entry) -> tuple[bool, Ballot, int, Owner, bool, bytes, bytes]:
-    # An empty entry is below any other whatever its ballot: no fault may turn a claim into nothing.
+    # An empty entry ranks below any other, whatever its ballot, so that no fault can erase a claim.
     return (
         entry.version > 0,
         entry.ballot,
@@ -148,11 +148,11 @@
 
 
 class ChangeKind(StrEnum):
-    """What a change does to the value that was read."""
+    """How a change is applied to the value that was read."""
 
-    CLAIM = "claim"  # makes it this owner's unless it is somebody's
-    RELEASE = "free"  # the owner states that its claim did not run and won't
-    WRITE = "write"  # sets the value where the version is as expected
+    CLAIM = "claim"  # sets the owner unless the entry is claimed or completed
+    RELEASE = "free"  # the owner declares that its request did not and will not run
+    WRITE = "write"  # sets the value if the version is as expected
 
 
 @dataclass(frozen=True, slots=True)
@@ -163,12 +163,12 @@
     owner: Owner
     digest: bytes = b""
     value: bytes = b""
-    expected_version: int = 0  # of a write
-    min_version: int = 0  # a write's new version is that at least, above all of an entry that expired
+    expected_version: int = 0  # of the entry before a write
+    min_version: int = 0  # least new version of a write, to be above all versions of an expired entry
 
 
 def apply_change(change: Change, entry: Entry) -> tuple[Entry, AnswerStatus]:
-    """The value to propose, and the status if it is accepted."""
+    """Return the value to propose, and the status if it is accepted."""
     match change.kind:
         case ChangeKind.WRITE:
             return _apply_write(change, entry)
@@ -186,9 +186,9 @@
 
 
 def _apply_release(change: Change, entry: Entry) -> Entry:
-    of_another = entry.state is State.CLAIMED and entry.owner != change.owner
-    if entry.state is State.COMPLETED or of_another:
-        return entry  # written back as it was read, so that older copies of our claim lose against it
+    is_claimed_by_other = entry.state is State.CLAIMED and entry.owner != change.owner
+    if entry.state is State.COMPLETED or is_claimed_by_other:
+        return entry  # unchanged, but its new ballot supersedes older copies of the released claim
     return replace(entry, version=max(entry.version, 1), owner=change.owner, released=True)
 
 
--- a/sablewheel/replication/messages.py
+++ b/sablewheel/replication/messages.py
@@ -1,6 +1,6 @@
 """The messages between replicas, and the events and effects of one replica, as plain values.
 
-Lifetimes in messages are what remains of them, in seconds: clocks of members are never compared.
+Messages carry remaining lifetimes in seconds rather than times, because the members' clocks may differ.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Ask for a promise.
+    """A request to promise a ballot.
 
     Attributes:
-        epoch: Of the view under which the sender proposes; so in all messages.
-        ref: The sender's number for the proposal or request; so in all messages.
-        key: Of the register.
+        epoch: The epoch of the sender's view, as in all messages.
+        ref: The sender's number for the proposal or request, as in all messages.
+        key: The key of the register.
         slot: The range of the key.
-        ballot: To promise.
-        remaining_s: What remains of the lifetime of the entry.
-        group: By which the key is placed.
-        binding_version: The version of the session's binding that the claim relies on; 0: none.
+        ballot: The ballot to promise.
+        remaining_s: The remaining lifetime of the entry.
+        group: The group that determines the range of the key.
+        binding_version: The version of the session's binding that the claim relies on; 0 if none.
     """
 
     epoch: int
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """Nothing below the ballot will be accepted; `entry` is what is stored."""
+    """A promise to accept nothing below the ballot; `entry` is the stored entry."""
 
     epoch: int
     ref: int
@@ -49,9 +49,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """Ask to accept an entry under its ballot.
+    """A request to accept an entry under its ballot.
 
-    A replica that accepts also promises the next round to the same proposer, who then needs one round trip.
+    A replica that accepts it also promises the next round to the same proposer, whose next change of the key
+    then needs one round trip.
     """
 
     epoch: int
@@ -66,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The entry of this ballot is accepted."""
+    """A confirmation that the entry with this ballot was accepted."""
 
     epoch: int
     ref: int
@@ -74,11 +75,11 @@
 
 
 class RefusalReason(StrEnum):
-    """Why a replica refuses; the values stand in packets."""
+    """Why a replica refuses a request; the values are part of the packet format."""
 
-    BALLOT = "ballot"  # a higher one is promised
-    NOT_READY = "unready"  # its copy of the range is not caught up
-    FULL = "full"
+    BALLOT = "ballot"  # a higher ballot is promised
+    NOT_READY = "unready"  # the replica's copy of the range is not caught up
+    FULL = "full"  # the replica has no capacity for the entry
     FENCED = "fenced"  # the session's binding has a later version
     EPOCH = "epoch"  # the message is of an older view
 
@@ -88,12 +89,12 @@
     """A refusal.
 
     Attributes:
-        epoch: The replica's, if the reason is the epoch.
-        ref: The sender's number.
-        reason: Why.
-        ballot: The promised one, if the reason is the ballot.
+        epoch: The epoch of the refusing replica.
+        ref: The requester's number for the proposal or request.
+        reason: Why the request was refused.
+        ballot: The promised ballot if the reason is `BALLOT`, else `NO_BALLOT`.
         refused: The ballot that was refused.
-        entry: What is stored, if the reason is the ballot.
+        entry: The stored entry if the reason is `BALLOT`, else the empty one.
     """
 
     epoch: int
@@ -106,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Push:
-    """An entry with an outcome, to be merged."""
+    """A request to merge an entry that has an outcome."""
 
     epoch: int
     ref: int
@@ -118,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pushed:
-    """The pushed entry is merged into a copy that counts."""
+    """A confirmation that the pushed entry was merged into a range that is ready."""
 
     epoch: int
     ref: int
@@ -126,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fetch:
-    """Ask for the entry of a key."""
+    """A request for the entry of a key."""
 
     epoch: int
     ref: int
@@ -136,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fetched:
-    """The stored entry."""
+    """The answer to `Fetch`: the stored entry."""
 
     epoch: int
     ref: int
@@ -145,7 +146,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestViews:
-    """Ask for views older than `before`."""
+    """A request for the views before the epoch `before`."""
 
     epoch: int
     before: int
@@ -153,7 +154,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PastViews:
-    """The latest views before `before` that the sender knows: epoch and members."""
+    """The answer to `RequestViews`: the sender's latest views before `before`, as epochs and members."""
 
     epoch: int
     incarnation: int
@@ -163,7 +164,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompareRanges:
-    """Ask for the state of ranges; each with the sender's digest."""
+    """A request for the state of ranges, given as pairs of slot and the requester's digest."""
 
     epoch: int
     ranges: tuple[tuple[int, int], ...]
@@ -171,7 +172,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RangeStates:
-    """Of each range: the last epoch at which the sender was ready (0: never), whether digests agree."""
+    """The answer to `CompareRanges`.
+
+    Each range has its slot, the last epoch at which the sender was ready (0 if never), and whether the
+    digests are equal.
+    """
 
     epoch: int
     incarnation: int
@@ -180,7 +185,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchRange:
-    """Ask for the entries of a range behind a key."""
+    """A request for the entries of a range after a key."""
 
     epoch: int
     slot: int
@@ -189,7 +194,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RangeChunk:
-    """Entries of a range in the order of keys, with their remaining lifetimes; `is_last` ends it."""
+    """Entries of a range in key order, with their remaining lifetimes; `is_last` marks the last chunk."""
 
     epoch: int
     incarnation: int
@@ -229,7 +234,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A message of another member arrived."""
+    """A message from another member."""
 
     sender: str
     message: Message
@@ -237,7 +242,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewInstalled:
-    """This member has a new view; `removed`: incarnations that the fleet agreed never come back."""
+    """A new view; `removed`: incarnations that have permanently left by agreement of the fleet."""
 
     epoch: int
     sites: Sites
@@ -246,15 +251,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """Claim an idempotency key before its run: for `lifetime_s` from now no other may run it.
+    """A claim of an idempotency key before its run; no other owner may run it for `lifetime_s` from now.
 
     Attributes:
-        ref: Of the answer.
+        ref: The number of the claim, which its answer repeats.
         key: The idempotency key.
-        group: By which the key is placed.
-        lifetime_s: Of the claim.
-        digest: Identifies the request that the key stands for.
-        binding_version: The version of the session's binding that the claim relies on; 0: none.
+        group: The group that determines the range of the key.
+        lifetime_s: The lifetime of the claim.
+        digest: The digest of the request that the key stands for.
+        binding_version: The version of the session's binding that the claim relies on; 0 if none.
     """
 
     ref: int
@@ -267,7 +272,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompleteClaim:
-    """The run of a won claim is over."""
+    """The end of the run of a won claim."""
 
     key: bytes
     status: OutcomeStatus
@@ -276,14 +281,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseClaim:
-    """A won claim will not be run."""
+    """The release of a won claim whose run will not start."""
 
     key: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """Set a value if its version is as expected; the new version is `min_version` at least."""
+    """A change of a value if its version is as expected; the new version is at least `min_version`."""
 
     ref: int
     collection: str
@@ -296,7 +301,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Read:
-    """Read what a majority has; `group`: that of an idempotency key, else the key is its own group."""
+    """A read from a majority; `group`: the group of an idempotency key, empty if the key is its own group."""
 
     ref: int
     collection: str
@@ -306,7 +311,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """A timer is due."""
+    """The expiry of a timer."""
 
 
 Event = MessageReceived | ViewInstalled | Claim | CompleteClaim | ReleaseClaim | Write | Read | Tick
@@ -317,7 +322,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send a message to a member."""
+    """A message to send to a member."""
 
     to: str
     message: Message
@@ -334,13 +339,13 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeStored:
-    """The outcome of this idempotency key is on a majority of its replicas."""
+    """The notice that a majority of replicas has stored the outcome of this idempotency key."""
 
     key: bytes
 
 
 class LogEvent(StrEnum):
-    """The messages of log lines."""
+    """The messages of log lines; their fields are added to them."""
 
     VIEW_INSTALLED = "replication view installed"
     CAUGHT_UP = "replicated ranges caught up"
@@ -350,7 +355,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """Write a log line."""
+    """A log line to write."""
 
     event: LogEvent
     fields: dict[str, object]
--- a/sablewheel/replication/packet_fields.py
+++ b/sablewheel/replication/packet_fields.py
@@ -1,4 +1,4 @@
-"""The values in the packets of replication: keys, ballots, entries and members, with their bounds. Pure."""
+"""Encodes and decodes the values in packets: keys, ballots, entries and members, with their bounds. Pure."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 from .entries import MAX_OUTCOMES, Ballot, Entry, Key, Outcome, OutcomeStatus, Owner
 from .placement import MAX_WEIGHT, Site
 
-MAX_NAME_LENGTH = 200  # characters
-MAX_KEY_BYTES = 1024  # of a key or a group
+MAX_NAME_LENGTH = 200  # in characters
+MAX_KEY_BYTES = 1024  # of a key, group or digest
 MAX_VALUE_BYTES = 1 << 20
 MAX_LIFETIME_S = 86400.0 * 31
 
 
 class BadPacketError(ValueError):
-    """Not a packet of ours, or one outside its bounds; the text says which field."""
+    """Data that is not a valid packet; for a value outside its bounds the message names the field."""
 
 
 def encode_key(key: Key) -> pb.Key:
-    """A key as it stands in a packet."""
+    """Encode a key."""
     return pb.Key(collection=key[0], key=key[1])
 
 
 def encode_ballot(ballot: Ballot) -> pb.Ballot:
-    """A ballot as it stands in a packet."""
+    """Encode a ballot."""
     return pb.Ballot(epoch=ballot[0], round=ballot[1], name=ballot[2], birth=ballot[3])
 
 
@@ -33,7 +33,7 @@
 
 
 def encode_entry(entry: Entry) -> pb.Entry:
-    """An entry as it stands in a packet."""
+    """Encode an entry."""
     outcomes = [
         pb.Outcome(
             number=outcome.version,
@@ -55,18 +55,18 @@
 
 
 def encode_site(site: Site) -> pb.Site:
-    """A member as it stands in a packet."""
+    """Encode a member."""
     return pb.Site(name=site.name, incarnation=site.incarnation, zone=site.zone, weight=site.weight)
 
 
 def check_count(count: int, max_count: int, field: str) -> None:
-    """Raise `BadPacketError` if there are more than a field may have."""
+    """Raise `BadPacketError` if a field has more items, bytes or characters than `max_count`."""
     if count > max_count:
-        raise BadPacketError(f"{field}: {count}, {max_count} are taken")
+        raise BadPacketError(f"{field}: size {count} is above the limit of {max_count}")
 
 
 def check_key(data: bytes) -> bytes:
-    """The key or group, if it is within its bound."""
+    """Return the key, group or digest, if its length is within the bound."""
     check_count(len(data), MAX_KEY_BYTES, "key")
     return data
 
@@ -77,19 +77,19 @@
 
 
 def check_lifetime(remaining_s: float) -> float:
-    """The remaining lifetime, if it is a number within its bound."""
+    """Return the remaining lifetime, if it is a finite number within its bound."""
     if not (isfinite(remaining_s) and remaining_s <= MAX_LIFETIME_S):
-        raise BadPacketError(f"left: at most {MAX_LIFETIME_S:g} is wanted, got {remaining_s:g}")
+        raise BadPacketError(f"left: must be finite and at most {MAX_LIFETIME_S:g} s, got {remaining_s:g}")
     return remaining_s
 
 
 def decode_key(key: pb.Key) -> Key:
-    """The key of a packet."""
+    """Decode a key."""
     return _check_name(key.collection), check_key(key.key)
 
 
 def decode_ballot(ballot: pb.Ballot) -> Ballot:
-    """The ballot of a packet."""
+    """Decode a ballot."""
     return ballot.epoch, ballot.round, _check_name(ballot.name), ballot.birth
 
 
@@ -98,7 +98,7 @@
 
 
 def decode_entry(entry: pb.Entry) -> Entry:
-    """The entry of a packet."""
+    """Decode an entry."""
     check_count(len(entry.value), MAX_VALUE_BYTES, "value")
     check_count(len(entry.outcomes), MAX_OUTCOMES, "outcomes")
     return Entry(
@@ -117,12 +117,12 @@
     try:
         status = OutcomeStatus(outcome.how)
     except ValueError:
-        raise BadPacketError(f"how: no such outcome: {outcome.how[:40]!r}") from None
+        raise BadPacketError(f"how: unknown outcome status {outcome.how[:40]!r}") from None
     return Outcome(outcome.number, _decode_owner(outcome.owner), status, outcome.result)
 
 
 def decode_site(site: pb.Site) -> Site:
-    """The member of a packet."""
-    if not 0 <= site.weight <= MAX_WEIGHT:  # also not a number
-        raise BadPacketError(f"weight: 0 to {MAX_WEIGHT:g} is wanted, got {site.weight:g}")
+    """Decode a member."""
+    if not 0 <= site.weight <= MAX_WEIGHT:  # NaN fails the comparison too
+        raise BadPacketError(f"weight: must be between 0 and {MAX_WEIGHT:g}, got {site.weight:g}")
     return Site(_check_name(site.name), site.incarnation, _check_name(site.zone), site.weight)
--- a/sablewheel/replication/paxos_register.py
+++ b/sablewheel/replication/paxos_register.py
@@ -1,9 +1,9 @@
-"""One change of one key, from the proposer's side: CASPaxos (Rystsov 2018). Pure.
+"""The proposer's state of one change of one key: CASPaxos (Rystsov 2018). Pure.
 
-Two round trips to a majority: ask for promises, take the latest of the entries they report, change it, have
-it accepted. A proposer whose last change was accepted was promised the next ballot with it, and needs one
-round trip. A ballot begins with its epoch: whatever began under an older view is below all that begins under
-this one.
+A change takes two round trips to a majority: the proposer collects promises, merges the entries that they
+report, applies the change, and has the result accepted. An acceptance includes a promise of the next ballot,
+so the next change by the same proposer takes one round trip. The first element of a ballot is the epoch, so
+all ballots of an older view are lower than those of the current one.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 
 def next_ballot(ballot: Ballot) -> Ballot:
-    """The ballot that a replica promises along with an acceptance."""
+    """Return the ballot that a replica promises along with an acceptance."""
     return (ballot[0], ballot[1] + 1, ballot[2], ballot[3])
 
 
 def merge_all(entries: Iterable[Entry]) -> Entry:
-    """The one entry of many copies."""
+    """Merge the copies of an entry."""
     merged = EMPTY
     for entry in entries:
         merged = merge(merged, entry)
@@ -33,27 +33,27 @@
     """A change in progress.
 
     Attributes:
-        ref: Its number in messages.
-        key: Of the register.
+        ref: The number of the proposal in messages.
+        key: The key of the register.
         slot: The range of the key.
-        group: By which the key is placed.
-        change: To make.
+        group: The group that determines the range of the key.
+        change: The change to make.
         expires_at: The end of the entry's lifetime.
-        binding_version: The version of the session's binding that a claim relies on.
-        caller_ref: Of the answer; None: nobody waits for one.
-        epoch: Under which it was begun.
-        replicas: Of the range under that epoch.
-        quorum: How many of them decide.
-        ballot: Under which it is proposed.
-        promises: What the replicas that promised have stored.
-        proposed: The entry to be accepted, once a majority has promised.
-        status_if_accepted: What acceptance of that entry means.
-        accepted_by: Replicas that accepted.
+        binding_version: The version of the session's binding that a claim relies on; 0 if none.
+        caller_ref: The number under which the caller is answered; None if no answer is expected.
+        epoch: The epoch under which the proposal was begun.
+        replicas: The replicas of the range under that epoch.
+        quorum: How many replicas must promise and accept.
+        ballot: The ballot of the proposal.
+        promises: The stored entries that replicas reported with their promises, by replica.
+        proposed: The entry to be accepted; None until a majority has promised.
+        status_if_accepted: The status of the change if that entry is accepted.
+        accepted_by: The replicas that have accepted the entry.
         refusals: The last reason of each replica that refused.
-        was_sent: Whether an entry of ours went out, and may stand.
-        attempts: How often the present messages were sent.
-        next_send_at: When they are sent again.
-        needs_new_ballot: It waits to begin anew, as a higher ballot was promised.
+        was_sent: Whether an entry was sent for acceptance, so that replicas may have stored it.
+        attempts: How often the messages of this phase were sent.
+        next_send_at: When the messages are sent again.
+        needs_new_ballot: Whether to start with a new ballot at the next timer, as a higher one was promised.
     """
 
     ref: int
@@ -86,7 +86,7 @@
         ballot: Ballot,
         promised_entry: Entry | None = None,
     ) -> None:
-        """Begin with asking for promises, or with acceptance if the ballot is promised already."""
+        """Start with the prepare phase, or with the accept phase if the ballot is already promised."""
         self.epoch, self.replicas, self.quorum, self.ballot = epoch, replicas, quorum, ballot
         self.promises, self.accepted_by, self.refusals = {}, set(), {}
         self.proposed, self.status_if_accepted = None, None
@@ -98,7 +98,7 @@
         self.proposed = replace(entry, ballot=self.ballot)
 
     def pending_messages(self, now: float) -> list[tuple[str, Message]]:
-        """The message of the present phase, for each replica that has not answered it."""
+        """Return the message of the current phase for each replica that has not answered it."""
         remaining_s, proposed = self.expires_at - now, self.proposed
         if proposed is None:
             prepare = Prepare(
@@ -125,7 +125,7 @@
         return [(name, accept) for name in self.replicas if name not in self.accepted_by]
 
     def add_promise(self, name: str, ballot: Ballot, entry: Entry) -> bool:
-        """Whether a majority has promised with this one, so that an entry is proposed."""
+        """Record a promise; return whether it completes a majority, so that an entry is now proposed."""
         if ballot != self.ballot or name not in self.replicas or self.proposed is not None:
             return False
         self.promises[name] = entry
@@ -136,7 +136,7 @@
         return True
 
     def add_acceptance(self, name: str, ballot: Ballot) -> bool:
-        """Whether a majority has accepted with this one."""
+        """Record an acceptance; return whether a majority has accepted."""
         if ballot != self.ballot or name not in self.replicas or self.proposed is None:
             return False
         self.accepted_by.add(name)
@@ -146,12 +146,13 @@
         """Record a refusal.
 
         Returns:
-            BALLOT: begin again with a higher one. FENCED, FULL: it can't succeed. None: wait for others.
+            BALLOT if a higher ballot is needed, FENCED or FULL if the proposal can't succeed, None if other
+            replicas may still accept it.
         """
         if refused != self.ballot or name not in self.replicas:
             return None
         if reason in (RefusalReason.BALLOT, RefusalReason.FENCED):
             return reason
         self.refusals[name] = reason
-        full = list(self.refusals.values()).count(RefusalReason.FULL)
-        return RefusalReason.FULL if full > len(self.replicas) - self.quorum else None
+        full_count = list(self.refusals.values()).count(RefusalReason.FULL)
+        return RefusalReason.FULL if full_count > len(self.replicas) - self.quorum else None
--- a/sablewheel/replication/pending_answers.py
+++ b/sablewheel/replication/pending_answers.py
@@ -1,4 +1,4 @@
-"""Answers that wait until their outcomes are on a majority, for a bounded time."""
+"""Delays answers until a majority has stored their outcomes, for a bounded time."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(eq=False, slots=True)
 class PendingAnswer:
-    """An answer that waits."""
+    """An answer that waits for its outcome to be stored."""
 
     exchange: Exchange
     result: bytes
@@ -22,8 +22,8 @@
 class PendingAnswers:
     """Answers by the idempotency keys of outcomes that are not stored on a majority yet.
 
-    Invariant: an answer is passed on once: when its outcome is stored, when it has waited for the longest
-    time allowed, or when the server closes.
+    Invariant: an answer is passed on exactly once: when its outcome is stored, when its wait times out, or
+    when the server closes.
     """
 
     def __init__(
@@ -39,20 +39,20 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether no outcome is on its way."""
+        """Whether no outcome is being pushed to its replicas."""
         return not self._by_key
 
     @property
     def count(self) -> int:
-        """Answers that wait."""
+        """The number of waiting answers."""
         return sum(len(answers) for answers in self._by_key.values())
 
     def outcome_sent(self, key: bytes) -> None:
-        """An outcome is on its way: answers of its key wait from now on."""
+        """Delay answers of this key from now on, as its outcome is being pushed to its replicas."""
         self._by_key[key] = []
 
     def completed(self, exchange: Exchange, result: bytes, caller: Caller) -> None:
-        """Pass an answer on, or delay it while its outcome is on its way."""
+        """Pass an answer on, or delay it while its outcome is being pushed."""
         key = exchange.idempotency_key
         answers = self._by_key.get(key) if key is not None else None
         if answers is None:
@@ -64,27 +64,27 @@
         self._scheduler.after(wait_s, lambda: self._on_timeout(answers, answer))
 
     def _on_timeout(self, answers: list[PendingAnswer], answer: PendingAnswer) -> None:
-        """Answering in time comes before replication."""
+        """Pass an answer on before its outcome is stored, so that the caller is answered in time."""
         if answer in answers:
             answers.remove(answer)
             self._count("replication_answers_ahead")
             self._observer.completed(answer.exchange, answer.result, answer.caller)
 
     def outcome_stored(self, key: bytes) -> None:
-        """A majority has the outcome: its answers are passed on."""
+        """Pass on the answers of an outcome that a majority has stored."""
         self._pass_on(self._by_key.pop(key, []))
 
     def outcome_expired(self, key: bytes) -> None:
-        """No majority will have the outcome: answers that wait leave at their bounds, later ones at once."""
+        """Stop delaying answers of this key, whose outcome was not stored; waiting ones still time out."""
         self._by_key.pop(key, None)
 
     def close(self) -> None:
-        """Pass all answers on."""
+        """Pass on all waiting answers."""
         for answers in self._by_key.values():
             self._pass_on(answers)
         self._by_key.clear()
 
     def _pass_on(self, answers: list[PendingAnswer]) -> None:
-        waiting, answers[:] = answers[:], []  # so that their timeouts find nothing
+        waiting, answers[:] = answers[:], []  # emptied first, so that their timeouts do nothing
         for answer in waiting:
             self._observer.completed(answer.exchange, answer.result, answer.caller)
--- a/sablewheel/replication/placement.py
+++ b/sablewheel/replication/placement.py
@@ -1,9 +1,9 @@
-"""Which members are replicas of a range: weighted rendezvous hashing, with replicas in different zones.
+"""The replicas of ranges: weighted rendezvous hashing, with replicas in different zones.
 
-A key's group falls into one of `SLOTS` ranges; all keys of a range are stored, transferred and dropped
-together. Members are ranked for each range by a keyed hash (Thaler and Ravishankar 1998; weights as
-Schindelhauer and Schomaker 2005): a member that leaves moves only what it held, one that joins takes only the
-ranges for which it now ranks first.
+A key's group is hashed into one of `SLOTS` ranges; all keys of a range are stored, transferred and dropped
+together. Members are ranked for each range by a keyed hash (Thaler and Ravishankar 1998; weights according to
+Schindelhauer and Schomaker 2005). When a member leaves, only its ranges move; when one joins, it takes over
+only the ranges for which it now ranks among the first.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, order=True, slots=True)
 class Site:
-    """A member as placement sees it."""
+    """The properties of a member that determine placement."""
 
     name: str
     incarnation: int
@@ -35,20 +35,20 @@
 
 
 def slot_of(group: bytes, slots: int = SLOTS) -> int:
-    """The range of a group."""
+    """Return the range of a group."""
     return int.from_bytes(hashlib.blake2b(group, digest_size=8).digest(), "big") % slots
 
 
 @lru_cache(maxsize=4096)
 def _random_numbers(name: str, slots: int) -> array[int]:
-    """A 64-bit number for each range, from one hash of the member's name."""
+    """Return a 64-bit pseudorandom number for each range, derived from one hash of the member's name."""
     numbers = array("Q")
     numbers.frombytes(hashlib.shake_128(b"sablewheel placement " + name.encode()).digest(8 * slots))
     return numbers
 
 
 class Placement:
-    """The replicas of all ranges under one view: `copies` of each, or all members where there are fewer."""
+    """The replicas of all ranges under one view: `copies` for each, or all members if there are fewer."""
 
     def __init__(self, sites: Sites, copies: int, slots: int = SLOTS) -> None:
         self.sites, self._copies, self._slots = sites, copies, slots
@@ -60,7 +60,10 @@
         self._slots_of: dict[str, list[int]] = {}
 
     def replicas(self, slot: int) -> tuple[MemberIncarnation, ...]:
-        """The replicas of a range in order of rank; the first ones in different zones, as far as possible."""
+        """Return the replicas of a range, in different zones as far as possible.
+
+        They are in order of rank, but replicas in a zone that already has one come last.
+        """
         replicas = self._replicas.get(slot)
         if replicas is None:
             chosen = self._choose(self._scores(slot))
@@ -90,14 +93,14 @@
         return chosen + same_zone[: self._copies - len(chosen)]
 
     def replica_names(self, slot: int) -> tuple[str, ...]:
-        """The names of a range's replicas, in order of rank."""
+        """Return the names of a range's replicas, in the order of `replicas`."""
         names = self._replica_names.get(slot)
         if names is None:
             names = self._replica_names[slot] = tuple(name for name, _ in self.replicas(slot))
         return names
 
     def slots_of(self, name: str) -> list[int]:
-        """The ranges of which a member is a replica."""
+        """Return the ranges of which a member is a replica."""
         if not self._slots_of:
             for slot in range(self._slots):
                 for replica_name in self.replica_names(slot):
@@ -107,10 +110,10 @@
 
 @lru_cache(maxsize=64)
 def placement(sites: Sites, copies: int, slots: int) -> Placement:
-    """The placement under a view; it follows from the view alone, so one process shares it."""
+    """Return the placement under a view; it depends only on the arguments, so it is cached."""
     return Placement(sites, copies, slots)
 
 
 def majority(count: int) -> int:
-    """The size of a majority of so many replicas."""
+    """Return the size of a majority of `count` replicas."""
     return count // 2 + 1
--- a/sablewheel/replication/plan.py
+++ b/sablewheel/replication/plan.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-SLOTS = 1024  # ranges into which groups are hashed, the same on all members
+SLOTS = 1024  # number of ranges into which groups are hashed; must be the same on all members
 
 
 @dataclass(frozen=True)
@@ -12,22 +12,24 @@
     """The settings of one member's replica.
 
     Attributes:
-        copies: Replicas of each range.
+        copies: Number of replicas of each range.
         slots: Number of ranges.
         max_lifetime_s: The longest lifetime of an entry of an idempotency key or a document.
-        max_binding_lifetime_s: That of a session's binding, where it is longer.
-        max_entries: Entries that this member stores.
-        max_bytes: The same in bytes.
-        max_result_bytes: A larger result is not stored on others.
-        max_claims: Own claims that are open; changes in progress may be twice as many.
-        claim_timeout_s: A claim that has no majority by then is unreachable.
-        initial_retry_s: A message without an answer is sent again after this, doubling.
+        max_binding_lifetime_s: The longest lifetime of a session's binding, if it is longer; else 0.
+        max_entries: Limit of stored entries.
+        max_bytes: Limit of the approximate size of all stored entries.
+        max_result_bytes: Limit of a run's result; the bytes of a larger one are not replicated.
+        max_claims: Limit of this member's open claims; twice as many changes may be in progress.
+        claim_timeout_s: Time after which a claim, write or read without a majority is answered as
+            unreachable.
+        initial_retry_s: Time after which an unanswered message is sent again; it doubles with each attempt.
         max_retry_s: The longest time between two attempts.
-        sync_interval_s: Between requests of a replica that is not caught up.
-        repair_interval_s: Between comparisons of a replica that is.
-        batch_size: Ranges a request, entries a chunk.
-        chunk_bytes: Bytes of entries a chunk.
-        waits_after_cold_start: A fleet without any earlier state waits for the longest lifetime to pass.
+        sync_interval_s: Time between requests of a replica that is catching up.
+        repair_interval_s: Time between comparisons of ready ranges with other replicas.
+        batch_size: Number of ranges in a request, and of entries in a chunk.
+        chunk_bytes: Size of the entries in a chunk.
+        waits_after_cold_start: Whether ranges without any earlier state become ready only after the longest
+            lifetime has passed.
     """
 
     copies: int = 3
@@ -53,9 +55,10 @@
     """The settings of the replica and of the service around it.
 
     Attributes:
-        settings: The replica's.
-        max_answer_wait_s: An answer waits for its outcome to be on a majority, no longer.
-        reject_after_s: No majority for so long: requests of that range are rejected on arrival.
+        settings: The settings of the replica.
+        max_answer_wait_s: The longest time that an answer waits for a majority to store its outcome.
+        reject_after_s: Silence of replicas after which requests are rejected on arrival if no majority is
+            left.
     """
 
     settings: Settings = field(default_factory=Settings)
--- a/sablewheel/replication/proposer.py
+++ b/sablewheel/replication/proposer.py
@@ -1,4 +1,4 @@
-"""The proposer: takes changes of registers to a majority of their replicas. Pure."""
+"""The proposer: has changes of registers accepted by a majority of their replicas. Pure."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from .paxos_register import Proposal, next_ballot
 from .reachability import Reachability
 
-MAX_PROMISED_KEYS = 4096  # keys whose next ballot is promised to this member
-READ_STATUSES = (AnswerStatus.KNOWN, AnswerStatus.RUNNING, AnswerStatus.STALE)  # there is nothing to propose
+MAX_PROMISED_KEYS = 4096  # bound of the cache of keys whose next ballot is promised to this member
+READ_STATUSES = (AnswerStatus.KNOWN, AnswerStatus.RUNNING, AnswerStatus.STALE)  # nothing is proposed
 FINAL_REFUSALS = {RefusalReason.FENCED: AnswerStatus.FENCED, RefusalReason.FULL: AnswerStatus.FULL}
 
 
 class ProposalObserver(Protocol):
-    """Is notified of the statuses of claims and releases."""
+    """Is notified of the results of claims and releases."""
 
     def on_decided(self, proposal: Proposal, status: AnswerStatus, entry: Entry) -> None:
-        """A proposal is over."""
+        """Handle the end of a proposal."""
 
 
 class Proposer:
     """Proposals in progress.
 
-    Invariant: there is one proposal a key at most, and each ballot of this member is above all that it used
-    or was refused for under this epoch, so no two of its proposals share one.
+    Invariant: there is at most one proposal for each key. Each new ballot is above all ballots of this member
+    under this epoch and above those reported in refusals, so no two proposals share a ballot.
     """
 
     def __init__(self, context: ReplicaContext, reachability: Reachability) -> None:
@@ -34,7 +34,7 @@
         self.observer: ProposalObserver | None = None
         self.proposals: dict[int, Proposal] = {}  # by ref
         self._by_key: dict[Key, int] = {}
-        self.promised: dict[Key, tuple[Ballot, Entry]] = {}  # the next ballot, and the entry accepted last
+        self.promised: dict[Key, tuple[Ballot, Entry]] = {}  # promised next ballot, last accepted entry
         self.last_round = 0
 
     def propose(
@@ -46,10 +46,10 @@
         caller_ref: int | None,
         binding_version: int = 0,
     ) -> AnswerStatus | None:
-        """Begin a change.
+        """Start a change.
 
         Returns:
-            None if it has begun, else BUSY or FULL.
+            None if the change has started, else BUSY or FULL.
         """
         context = self._context
         current_ref = self._by_key.get(key)
@@ -57,7 +57,7 @@
             current = self.proposals[current_ref]
             if change.kind is ChangeKind.WRITE or current.caller_ref is not None:
                 return AnswerStatus.BUSY
-            self._close(current)  # our own release, in place of which this one goes on
+            self._close(current)  # it is this member's own release, which the new change replaces
         if len(self.proposals) >= 2 * context.settings.max_claims:
             return AnswerStatus.FULL
         proposal = Proposal(
@@ -78,13 +78,13 @@
         return None
 
     def view_installed(self) -> None:
-        """Begin all proposals again under the new view; what was promised under the old one is void."""
+        """Restart all proposals under the new view; promises under the old view are void."""
         self.promised.clear()
         for proposal in list(self.proposals.values()):
             self._begin(proposal)
 
     def _begin(self, proposal: Proposal) -> None:
-        """Under the present view, with a ballot above all that are known here."""
+        """Start a proposal under the current view, with a ballot above all that this member has seen."""
         context = self._context
         promised = self.promised.pop(proposal.key, None)
         replicas = context.replicas_of(proposal.slot)
@@ -92,7 +92,7 @@
         if promised is not None and promised[0][0] == context.epoch:
             proposal.begin(context.epoch, replicas, quorum, *promised)
             if proposal.status_if_accepted in READ_STATUSES:
-                promised = None  # that was the entry then; whether it still is takes two round trips
+                promised = None  # that entry may be outdated; a current one needs a prepare phase
         if promised is None or promised[0][0] != context.epoch:
             self.last_round += 2
             ballot = (context.epoch, self.last_round, context.name, context.incarnation)
@@ -100,13 +100,13 @@
         self._schedule(proposal, context.now)
 
     def _schedule(self, proposal: Proposal, at: float) -> None:
-        proposal.next_send_at = at  # a timer set for another time is outdated
+        proposal.next_send_at = at  # timers that were set for another time are ignored
         self._context.set_timer(at, proposal.ref)
 
     # -- timers
 
     def on_timer(self, proposal: Proposal) -> None:
-        """Send the messages of a proposal that are without an answer."""
+        """Send the unanswered messages of a proposal, restart it, or end it if it has expired."""
         context = self._context
         if proposal.expires_at <= context.now:
             return self._decide(proposal, AnswerStatus.UNREACHABLE)
@@ -123,7 +123,7 @@
         self._schedule(proposal, context.next_retry(proposal.attempts - 1))
 
     def on_timeout(self, ref: int) -> None:
-        """The time of a claim or write is up: it is answered if it is still open."""
+        """Answer a claim or write that is still open at its timeout."""
         proposal = self.proposals.get(ref)
         if proposal is not None and proposal.caller_ref is not None:
             is_full = RefusalReason.FULL in proposal.refusals.values()
@@ -132,7 +132,7 @@
     # -- messages
 
     def on_promise(self, sender: str, message: Promise) -> None:
-        """Count a promise; with a majority ask for acceptance at once."""
+        """Count a promise; with a majority, start the accept phase."""
         proposal = self._proposal_of(message.epoch, message.ref)
         if proposal is None or not proposal.add_promise(sender, message.ballot, message.entry):
             return
@@ -142,22 +142,22 @@
         self.on_timer(proposal)
 
     def on_accepted(self, sender: str, message: Accepted) -> None:
-        """Count an acceptance; with a majority the proposal is decided."""
+        """Count an acceptance; with a majority, the proposal is decided."""
         proposal = self._proposal_of(message.epoch, message.ref)
         if proposal is not None and proposal.add_acceptance(sender, message.ballot):
             assert proposal.status_if_accepted is not None
             self._decide(proposal, proposal.status_if_accepted)
 
     def on_refuse(self, sender: str, refuse: Refuse) -> None:
-        """Begin again, give up, or answer from what the replica has stored."""
+        """Restart or end a proposal, or answer it from the entry in the refusal."""
         self._context.counts[f"refused_{refuse.reason}"] += 1
         if refuse.reason is RefusalReason.EPOCH:
-            return  # our view comes from membership, or our removal does
+            return  # membership will install a newer view here or remove this member
         proposal = self._proposal_of(refuse.epoch, refuse.ref)
         if proposal is None:
             return
         self.last_round = max(self.last_round, refuse.ballot[1])
-        if self._answered_by(proposal, refuse):
+        if self._answer_from_refusal(proposal, refuse):
             return
         reason = proposal.add_refusal(sender, refuse.reason, refuse.refused)
         if reason is RefusalReason.BALLOT:
@@ -165,21 +165,21 @@
         elif reason is not None:
             self._decide(proposal, FINAL_REFUSALS[reason])
 
-    def _answered_by(self, proposal: Proposal, refuse: Refuse) -> bool:
-        """Whether the refusal shows that another has the claim, so that nothing need be proposed."""
+    def _answer_from_refusal(self, proposal: Proposal, refuse: Refuse) -> bool:
+        """Answer a claim if the refusal has an outcome or another owner's claim; return whether it does."""
         is_waiting_for_promises = refuse.refused == proposal.ballot and proposal.proposed is None
         if proposal.change.kind is not ChangeKind.CLAIM or not is_waiting_for_promises:
             return False
         state = refuse.entry.state
-        is_of_another = state is State.CLAIMED and refuse.entry.owner != proposal.change.owner
-        if state is not State.COMPLETED and not is_of_another:
+        is_claimed_by_other = state is State.CLAIMED and refuse.entry.owner != proposal.change.owner
+        if state is not State.COMPLETED and not is_claimed_by_other:
             return False
-        proposal.proposed = refuse.entry  # to answer with; it is not sent
+        proposal.proposed = refuse.entry  # only used for the answer, not sent to replicas
         self._decide(proposal, AnswerStatus.KNOWN if state is State.COMPLETED else AnswerStatus.RUNNING)
         return True
 
     def _back_off(self, proposal: Proposal) -> None:
-        """Give another proposer of this key time to end, or two could refuse each other for ever."""
+        """Wait for a random time, so that two proposers of a key don't preempt each other forever."""
         context = self._context
         proposal.ballot, proposal.attempts = NO_BALLOT, max(proposal.attempts, 1)
         proposal.needs_new_ballot = True
@@ -192,7 +192,7 @@
             return None
         return proposal
 
-    # -- the end
+    # -- ending proposals
 
     def _close(self, proposal: Proposal) -> None:
         del self.proposals[proposal.ref]
--- a/sablewheel/replication/quorum_requests.py
+++ b/sablewheel/replication/quorum_requests.py
@@ -1,4 +1,4 @@
-"""Requests that need a majority but no ballot: outcomes that are pushed, and reads. Pure."""
+"""Requests that need a majority but no ballot: pushes of outcomes, and reads. Pure."""
 
 from __future__ import annotations
 
@@ -12,31 +12,31 @@
 
 
 class PushObserver(Protocol):
-    """Is notified of the end of pushes."""
+    """Is notified when pushes end."""
 
     def on_outcome_stored(self, key: bytes) -> None:
-        """A majority has stored the outcome."""
+        """Handle that a majority has stored an outcome."""
 
     def on_outcome_expired(self, key: bytes) -> None:
-        """The entry expired before a majority had stored the outcome."""
+        """Handle that an entry expired before a majority had stored its outcome."""
 
 
 @dataclass(slots=True)
 class QuorumRequest:
-    """An outcome on its way to a majority, or an entry that is read from one.
+    """A push of an outcome to a majority, or a read from one.
 
     Attributes:
-        ref: Its number in messages.
-        key: Of the entry.
+        ref: The number of the request in messages.
+        key: The key of the entry.
         slot: The range of the key.
-        expires_at: When it is given up.
-        pushed_entry: What is pushed; None: the entry is read.
-        caller_ref: Of the answer of a read.
-        replicas: Of the range under the present view.
-        answered_by: Replicas that answered.
-        merged: What was read so far.
-        attempts: How often it was sent.
-        next_send_at: When it is sent again.
+        expires_at: When the request ends without a majority.
+        pushed_entry: The entry to push; None if the request is a read.
+        caller_ref: The number under which the caller of a read is answered; None if the request is a push.
+        replicas: The replicas of the range under the current view.
+        answered_by: The replicas that have answered.
+        merged: The entry merged from the answers to a read.
+        attempts: How often the request was sent.
+        next_send_at: When the request is sent again.
     """
 
     ref: int
@@ -52,7 +52,7 @@
     next_send_at: float = 0.0
 
     def pending_messages(self, epoch: int, now: float) -> list[tuple[str, Message]]:
-        """The message for each replica that has not answered."""
+        """Return the message for each replica that has not answered."""
         message: Message
         if self.pushed_entry is None:
             message = Fetch(epoch, self.ref, self.key, self.slot)
@@ -65,8 +65,8 @@
 class QuorumRequests:
     """Pushes and reads in progress.
 
-    Invariant: each is repeated until a majority of the replicas of the present view has answered, or until it
-    expires.
+    Invariant: each request is repeated until a majority of the replicas under the current view has answered,
+    or until the request expires.
     """
 
     def __init__(self, context: ReplicaContext, reachability: Reachability) -> None:
@@ -79,7 +79,7 @@
         self._start(key, slot, expires_at, entry, None)
 
     def read(self, key: Key, slot: int, caller_ref: int) -> None:
-        """Read an entry from a majority of its replicas; answered with KNOWN, READ or UNREACHABLE."""
+        """Read an entry from a majority of its replicas; the answer is KNOWN, READ or UNREACHABLE."""
         expires_at = self._context.now + self._context.settings.claim_timeout_s
         self._start(key, slot, expires_at, None, caller_ref)
 
@@ -98,16 +98,16 @@
             self._schedule(request, self._context.now)
 
     def _schedule(self, request: QuorumRequest, at: float) -> None:
-        request.next_send_at = at  # a timer set for another time is outdated
+        request.next_send_at = at  # timers that were set for another time are ignored
         self._context.set_timer(at, request.ref)
 
     def on_timer(self, request: QuorumRequest) -> None:
-        """Send a request to the replicas that have not answered, or give it up."""
+        """Send a request to the replicas that have not answered, or end it if it has expired."""
         context = self._context
         if request.expires_at <= context.now:
             return self._expire(request)
         if context.epoch or request.pushed_entry is not None:
-            # A member that was removed still pushes its outcomes, to the replicas that it knew.
+            # A removed member continues to push outcomes to the replicas of its last view.
             for name, message in request.pending_messages(context.ranges.epoch, context.now):
                 self._reachability.message_resent(name, request.attempts)
                 context.send(name, message)
@@ -123,7 +123,7 @@
             self.observer.on_outcome_expired(request.key[1])
 
     def on_reply(self, sender: str, reply: Pushed | Fetched) -> None:
-        """Count an answer; a read ends early when an outcome is found."""
+        """Count an answer; a read ends with a majority, or as soon as an outcome is received."""
         request = self.requests.get(reply.ref)
         if request is None or self._context.is_foreign_epoch(reply.epoch):
             return
@@ -132,13 +132,13 @@
         if sender not in request.replicas:
             return
         request.answered_by.add(sender)
-        is_known = request.pushed_entry is None and request.merged.state is State.COMPLETED
+        has_outcome = request.pushed_entry is None and request.merged.state is State.COMPLETED
         quorum = self._context.quorum_size(len(request.replicas))
-        if len(request.answered_by) < quorum and not is_known:
+        if len(request.answered_by) < quorum and not has_outcome:
             return
         del self.requests[request.ref]
         if request.caller_ref is not None:
-            status = AnswerStatus.KNOWN if is_known else AnswerStatus.READ
+            status = AnswerStatus.KNOWN if has_outcome else AnswerStatus.READ
             self._context.answer(request.caller_ref, status, request.merged)
         else:
             assert self.observer is not None
--- a/sablewheel/replication/remote_outcomes.py
+++ b/sablewheel/replication/remote_outcomes.py
@@ -1,4 +1,4 @@
-"""Requests whose idempotency key another server has claimed: they wait for the outcome of its run."""
+"""Requests whose idempotency key another server has claimed, and which wait for the outcome of its run."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 from .entries import AnswerStatus, Entry, OutcomeStatus, State
 from .messages import Answer
 
-INITIAL_POLL_S, MAX_POLL_S = 0.02, 0.25  # between reads of the outcome, doubling
+INITIAL_POLL_S, MAX_POLL_S = 0.02, 0.25  # time between reads of the outcome; doubles with each read
 
 ReadOutcome = Callable[[bytes, bytes, Callable[[Answer], None]], None]  # key, group, on_answer
 
 
 @dataclass(eq=False, slots=True)
 class WaitingRequests:
-    """A request, and those that were coalesced with it here, that wait for one outcome."""
+    """A request and those coalesced with it on this server, which wait for the same outcome."""
 
     key: bytes
     group: bytes
     requests: list[tuple[Exchange, Caller]]
     poll_s: float = INITIAL_POLL_S
-    unclaimed_reads: int = 0  # reads that found nobody to have the claim
+    unclaimed_reads: int = 0  # reads that found the key unclaimed or released
 
 
 class RemoteOutcomes:
     """Waits for outcomes of other servers' runs.
 
-    Invariant: each waiting request gets one answer: the outcome's bytes, a rejection if the claim was
-    released, or an error when its time is up, as it may have run.
+    Invariant: each waiting request gets one answer: the outcome's result, a rejection if the claim was
+    released, or an error at its deadline, as it may have run.
     """
 
     def __init__(self, scheduler: Scheduler, count: Callable[[str], None], read_outcome: ReadOutcome) -> None:
@@ -39,7 +39,7 @@
         self.waiting_count = 0
 
     def detach(self, exchange: Exchange, key: bytes, group: bytes) -> WaitingRequests:
-        """Take a request and those coalesced with it from the controller: waiting takes no core."""
+        """Detach a request and those coalesced with it from the controller, so that they hold no core."""
         requests = []
         for waiting in [exchange, *exchange.attached_duplicates]:
             caller = waiting.detach()
@@ -49,7 +49,7 @@
         return WaitingRequests(key, group, requests)
 
     def wait_for(self, waiting: WaitingRequests, entry: Entry, deadline: float) -> None:
-        """Answer from the entry if it has an outcome, else poll for one until the deadline."""
+        """Answer from the entry if it has an outcome, else poll for an outcome until the deadline."""
         if entry.state is State.COMPLETED:
             return self._answer(waiting, entry)
         remaining_s = max(deadline - self._scheduler.clock.now, 0.0)
@@ -71,21 +71,21 @@
         waiting.poll_s = min(2 * waiting.poll_s, MAX_POLL_S)
         self._scheduler.after(waiting.poll_s, lambda: self._poll(waiting))
 
-    def _take(self, waiting: WaitingRequests) -> list[tuple[Exchange, Caller]]:
+    def _take_requests(self, waiting: WaitingRequests) -> list[tuple[Exchange, Caller]]:
         requests, waiting.requests = waiting.requests, []
         self.waiting_count -= len(requests)
         return requests
 
     def _reject_released(self, waiting: WaitingRequests) -> None:
-        """The claim was released unrun: a retry will run."""
-        for exchange, caller in self._take(waiting):
+        """Reject requests whose claim was released without a run, so that a retry can run."""
+        for exchange, caller in self._take_requests(waiting):
             self._count("replication_let_go")
             exchange.observer.rejected(exchange)
             caller.rejected(exchange, MAX_POLL_S, False)
 
     def _answer(self, waiting: WaitingRequests, entry: Entry | None) -> None:
-        """Answer with the outcome, or with an error if there is none in time."""
-        requests = self._take(waiting)
+        """Answer with the outcome, or with an error if there is none."""
+        requests = self._take_requests(waiting)
         outcome = entry.outcomes[0] if entry is not None else None
         if outcome is None and requests:
             self._count("replication_unknown")
@@ -101,7 +101,7 @@
 
 
 def _remote_run(exchange: Exchange) -> Exchange:
-    """A substitute for the run on the other server, which is billed there."""
+    """Return a substitute for the run on the other server; it counts as billed, as it is billed there."""
     request_class, arrived_at = exchange.request.request_class, exchange.request.arrived_at
     request = Request(request_class, Client(), None, arrived_at, 0.0)
     key = exchange.idempotency_key
--- a/sablewheel/replication/replica.py
+++ b/sablewheel/replication/replica.py
@@ -1,7 +1,7 @@
-"""One member's replica: passes events, messages and due timers to its parts. Pure.
+"""The replica of one member: passes events, messages and due timers to its parts. Pure.
 
-`step(now, event) -> effects`; no I/O, no clock, the random numbers are given. What is late, from an older
-view or an earlier incarnation, is refused where it would decide.
+`step(now, event) -> effects` does no I/O and reads no clock; its source of random numbers is an argument.
+Messages from an older view or an earlier incarnation are refused wherever they could affect a decision.
 """
 
 from __future__ import annotations
@@ -54,22 +54,22 @@
 class Replica(ReplicaContext):
     """The replica of a member.
 
-    Invariant: while `epoch` is 0 it decides nothing; `decides_nothing_before` is the epoch that it has
-    promised others not to decide before, after its removal.
+    Invariant: while `epoch` is 0, it decides nothing. After its removal, `min_decision_epoch` is the epoch
+    before which it has promised other members to decide nothing; else it is 0.
 
     Args:
         name: The member's name.
-        incarnation: Higher in each start of that name than in the one before.
-        settings: Of replication.
-        rng: Its random numbers.
-        now: The time, in seconds of any clock that never goes back.
+        incarnation: The incarnation of this process, which rises with each start under that name.
+        settings: The settings of replication.
+        rng: The source of random numbers.
+        now: The time in seconds, by any monotonic clock.
     """
 
     def __init__(
         self, name: str, incarnation: int, settings: Settings, rng: random.Random, now: float
     ) -> None:
         super().__init__(name, incarnation, settings, rng, now)
-        self.decides_nothing_before = 0
+        self.min_decision_epoch = 0
         self.reachability = Reachability(self)
         self.acceptor = Acceptor(self)
         self.proposer = Proposer(self, self.reachability)
@@ -77,11 +77,11 @@
         self.claims = Claims(self, self.proposer, self.quorum_requests, self.reachability)
         self.anti_entropy = AntiEntropy(self, self.acceptor)
 
-    # -- what the service asks
+    # -- queries of the service
 
     @property
     def wake_at(self) -> float:
-        """When the next timer is due."""
+        """The time at which the next timer is due."""
         first = self.timers[0][0] if self.timers else inf
         anti_entropy = self.anti_entropy
         return min(
@@ -89,22 +89,22 @@
         )
 
     def is_reachable(self, group: bytes, now: float, max_silence_s: float) -> bool:
-        """Whether a majority of a group's replicas may answer."""
+        """Return whether a majority of a group's replicas may answer."""
         return self.reachability.is_reachable(self.slot_of(group), now, max_silence_s)
 
     def may_have_run(self, key: bytes, group: bytes) -> bool:
-        """Whether the copy here, ready or not, has a claim or an outcome of this idempotency key."""
+        """Return whether the local copy, ready or not, has a claim or an outcome of an idempotency key."""
         entry = self.store.entry(self.slot_of(group), (IDEMPOTENCY_KEYS, key))
         return entry.state in (State.CLAIMED, State.COMPLETED)
 
     def has_open_claim(self, key: bytes) -> bool:
-        """Whether this member has a claim of this idempotency key that is not over."""
+        """Return whether this member has an unfinished claim of an idempotency key."""
         return key in self.claims.own_claims
 
     # -- events
 
     def step(self, now: float, event: Event) -> list[Effect]:
-        """Handle an event and all timers that are due."""
+        """Handle an event and all timers that are due; return the effects."""
         self.now, self._effects = now, []
         self._on_event(event)
         self._run_timers()
@@ -146,15 +146,15 @@
             self.answer(write.ref, refused)
 
     def _on_view(self, view: ViewInstalled) -> None:
-        if view.epoch <= self.ranges.epoch or view.epoch < self.decides_nothing_before:
+        if view.epoch <= self.ranges.epoch or view.epoch < self.min_decision_epoch:
             return
         own_site = next((site for site in view.sites if site.name == self.name), None)
         if own_site is None or own_site.incarnation < self.incarnation:
-            self.epoch = 0  # removed, or not yet in: it decides nothing, and keeps what it has stored
-            self.decides_nothing_before = view.epoch if own_site is None else 0
+            self.epoch = 0  # removed or not yet admitted: it decides nothing, and keeps its store
+            self.min_decision_epoch = view.epoch if own_site is None else 0
             return
         self.ranges.install_view(view, self.now)
-        self.epoch, self.decides_nothing_before = view.epoch, 0
+        self.epoch, self.min_decision_epoch = view.epoch, 0
         self.reachability.view_installed()
         self.anti_entropy.view_installed()
         self.proposer.view_installed()
@@ -223,18 +223,19 @@
         """Handle a message while this member or the sender is not in the view."""
         self.counts["outside"] += 1
         if isinstance(message, Push) and message.slot in self.ranges.assigned:
-            # The outcome of a member that left is a fact all the same.
+            # The outcome of a member that left is still valid.
             self.acceptor.merge_copy(message.slot, message.key, message.entry, message.remaining_s)
-        elif isinstance(message, CompareRanges | FetchRange) and self.decides_nothing_before:
-            # It was removed: its successors fetch what it has, and it decides for no view before theirs. In
-            # theirs it may be a member again, of which it does not know yet: as one that is not caught up.
-            self.decides_nothing_before = max(self.decides_nothing_before, message.epoch)
-            self.anti_entropy.on_range_message(sender, message, self.decides_nothing_before)
+        elif isinstance(message, CompareRanges | FetchRange) and self.min_decision_epoch:
+            # This member was removed. Its successors fetch its entries, and from now on it decides under no
+            # view before theirs. It may be a member again in their view, which it has not received yet; its
+            # copies are then not ready.
+            self.min_decision_epoch = max(self.min_decision_epoch, message.epoch)
+            self.anti_entropy.on_range_message(sender, message, self.min_decision_epoch)
         elif isinstance(message, RangeStates | RangeChunk) and sender in self.ranges.departed_until:
             self.anti_entropy.on_range_message(sender, message, self.epoch)
 
     def gauges(self) -> dict[str, object]:
-        """The gauges and counters of replication, by name."""
+        """Return the gauges and counters of replication by name."""
         gauges: dict[str, object] = {
             "replication_epoch": self.epoch,
             "replication_ranges": len(self.ranges.assigned),
--- a/sablewheel/replication/replica_runner.py
+++ b/sablewheel/replication/replica_runner.py
@@ -1,4 +1,4 @@
-"""Runs the replica of a server: events in, effects out, over connections that may lose any message."""
+"""Runs the replica of a server, and applies its effects; its connections may lose any message."""
 
 from __future__ import annotations
 
@@ -33,9 +33,9 @@
 from .replica import Replica
 
 FRAME_KIND = "replica"
-MESSAGE_LIFETIME_S = 1.0  # of a frame: what matters is sent again
+MESSAGE_LIFETIME_S = 1.0  # of a frame; unanswered messages are sent again
 CHUNK_LIFETIME_S = 3.0
-REMOVED_FACT_PREFIX = "gone/"  # of the view's facts by which the fleet agrees that a member never comes back
+REMOVED_FACT_PREFIX = "gone/"  # of view facts by which the fleet agrees that a member has left permanently
 LOG_LEVELS = {
     LogEvent.VIEW_INSTALLED: logging.INFO,
     LogEvent.CAUGHT_UP: logging.INFO,
@@ -51,35 +51,35 @@
     """Sends and receives frames."""
 
     def send(self, peer_name: str, message_type: str, payload: bytes, *, expires_in_s: float) -> None:
-        """Queue a frame that is worthless after `expires_in_s` seconds; raises `SendError`."""
+        """Queue a frame to be dropped if unsent after `expires_in_s` seconds; raises `SendError`."""
 
     def register_handler(
         self, message_type: str, handler: Callable[[str, bytes], None], accept_departed: bool = False
     ) -> None:
-        """Set the handler of frames of a type; `accept_departed`: also from members outside the view."""
+        """Set the handler of frames of a type; `accept_departed`: also of members that left the view."""
 
 
 class OutcomeObserver(Protocol):
-    """Is notified of what became of outcomes."""
+    """Is notified when outcomes are stored or expire."""
 
     def outcome_stored(self, key: bytes) -> None:
-        """A majority has the outcome."""
+        """Handle that a majority has stored an outcome."""
 
     def outcome_expired(self, key: bytes) -> None:
-        """The entry expired before a majority had the outcome."""
+        """Handle that an entry expired before a majority had stored its outcome."""
 
 
 class ReplicaRunner:
-    """One replica with its connections, its timer and those who wait for its answers.
+    """Connects a replica to the other members, its timer and the callbacks that receive its answers.
 
     Args:
         scheduler: The event loop.
-        connections: To the other members.
-        replica: Decides; it sees time as `clock` gives it.
-        division: The number of ranges and of copies, which packets carry.
-        clock: In seconds, never goes back.
-        count: Adds one to a counter.
-        outcomes: Is notified of stored and expired outcomes.
+        connections: The connections to the other members.
+        replica: The replica; its times are those of `clock`.
+        partitioning: The numbers of ranges and of copies, which each packet has.
+        clock: A monotonic clock, in seconds.
+        count: Increments a counter.
+        outcome_observer: Is notified of stored and expired outcomes.
     """
 
     def __init__(
@@ -87,18 +87,18 @@
         scheduler: Scheduler,
         connections: PeerConnections,
         replica: Replica,
-        division: tuple[int, int],
+        partitioning: tuple[int, int],
         clock: Callable[[], float],
         count: Callable[[str], None],
-        outcomes: OutcomeObserver,
+        outcome_observer: OutcomeObserver,
     ) -> None:
-        self._connections, self._replica, self._division = connections, replica, division
-        self._clock, self._count, self._outcomes = clock, count, outcomes
+        self._connections, self._replica, self._partitioning = connections, replica, partitioning
+        self._clock, self._count, self._outcome_observer = clock, count, outcome_observer
         self._last_ref = 0
         self._on_answer: dict[int, OnAnswer] = {}
         self._wake = Wakeup(scheduler, clock, self._on_timer)
         self._is_open = True
-        # A member that leaves still pushes the outcomes of its runs.
+        # A member that has left may still push the outcomes of its runs.
         connections.register_handler(FRAME_KIND, self._on_frame, accept_departed=True)
 
     def claim(
@@ -129,7 +129,7 @@
         self.step(Write(ref, collection, key, expected_version, value, lifetime_s, min_version))
 
     def read(self, collection: str, key: bytes, group: bytes, on_answer: OnAnswer) -> None:
-        """Read what a majority has."""
+        """Read an entry from a majority of its replicas."""
         ref = self._expect_answer(on_answer)
         self.step(Read(ref, collection, key, group))
 
@@ -152,7 +152,7 @@
         self.step(ViewInstalled(view.epoch, sites, removed))
 
     def step(self, event: Event) -> None:
-        """Give the replica an event, and carry out its effects; nothing once closed."""
+        """Pass an event to the replica, and apply its effects; do nothing once closed."""
         if not self._is_open:
             return
         for effect in self._replica.step(self._clock(), event):
@@ -160,7 +160,7 @@
         self._wake.set(self._replica.wake_at)
 
     def close(self) -> None:
-        """Take no more events."""
+        """Accept no more events."""
         self._is_open = False
 
     def _on_timer(self) -> None:
@@ -168,7 +168,7 @@
 
     def _on_frame(self, sender: str, payload: bytes) -> None:
         try:
-            message = codec.decode(payload, *self._division)
+            message = codec.decode(payload, *self._partitioning)
         except BadPacketError as error:
             self._count("replication_bad")
             log.warning("replication packet dropped", extra={"pairs": {"from": sender, "reason": error}})
@@ -184,15 +184,15 @@
                 if on_answer is not None:
                     on_answer(effect)
             case OutcomeStored(key):
-                self._outcomes.outcome_stored(key)
+                self._outcome_observer.outcome_stored(key)
             case Log(event, fields):
                 if event is LogEvent.OUTCOME_NOT_STORED:
-                    self._outcomes.outcome_expired(bytes.fromhex(str(fields["key"])))
+                    self._outcome_observer.outcome_expired(bytes.fromhex(str(fields["key"])))
                 log.log(LOG_LEVELS[event], event.value, extra={"pairs": fields})
 
     def _send(self, to: str, message: Message) -> None:
         lifetime_s = CHUNK_LIFETIME_S if isinstance(message, RangeChunk) else MESSAGE_LIFETIME_S
-        data = codec.encode(message, *self._division)
+        data = codec.encode(message, *self._partitioning)
         self._count("replication_bytes_out_k" if len(data) > 1024 else "replication_frames_out")
         try:
             self._connections.send(to, FRAME_KIND, data, expires_in_s=lifetime_s)
@@ -201,7 +201,7 @@
 
 
 def _parse_weight(text: str) -> float:
-    """The weight of a member in placement; 1 if it is missing or can't be read."""
+    """Return the weight of a member in placement; 1 if the text is empty or invalid."""
     try:
         weight = float(text)
     except ValueError:
--- a/sablewheel/replication/service.py
+++ b/sablewheel/replication/service.py
@@ -1,9 +1,10 @@
-"""Replication in the server: a claim on a majority before each keyed run, its outcome there after it.
+"""Replication in the server: a claim on a majority before each keyed run, and its outcome there afterwards.
 
-It decides nothing about copies. A run waits until its claim is won. Where another server has the idempotency
-key, the request leaves this server's table and cores at once; it is answered from here, with the outcome's
-bytes, or with an error when its time is up: it may have run, so it is not rejected. Where no majority is
-reachable, the run never starts and the request is rejected; the next ones are rejected on arrival.
+The decisions about copies are made by the replica. A run waits until its claim is won. If another server has
+the idempotency key, the request is detached from this server's controller and holds no core. It is answered
+from here with the outcome's result, or with an error at its deadline; it is not rejected, as it may have run.
+If no majority is reachable, the run never starts and the request is rejected; later requests are rejected on
+arrival.
 """
 
 from __future__ import annotations
@@ -31,11 +32,11 @@
 from .replica import Replica
 from .replica_runner import OnAnswer, PeerConnections, ReplicaRunner
 
-RETRY_AFTER_S = 0.5  # of a request that is rejected because no majority is reachable
-SHUTDOWN_LINGER_S = 0.5  # for which a leaving member stays, so that others can fetch what it has
-MAX_CLAIM_TIMES = 50
-MAX_UNCERTAIN_REQUESTS = 4096  # keyed requests that may have run on a peer, known while they are retried
-CLAIM_TIME_QUANTILE = 0.9
+RETRY_AFTER_S = 0.5  # advised to a request that is rejected because no majority is reachable
+SHUTDOWN_LINGER_S = 0.5  # time that a leaving member stays, so that others can fetch its entries
+MAX_CLAIM_TIMES = 50  # recent claims whose durations are recorded
+MAX_UNCERTAIN_REQUESTS = 4096  # retried keyed requests that may have run on a peer
+CLAIM_TIME_QUANTILE = 0.9  # of the recent claim times, as the expected time of a claim
 Run = Callable[[Exchange], None]
 
 
@@ -49,13 +50,16 @@
 
 
 class ReplicationService:
-    """Result store and observer of one server's keyed runs, in front of those that are given.
+    """The result store and observer of one server's keyed runs; wraps another result store and observer.
 
     Attributes:
-        replica: Decides about copies.
-        group_of: The group of a request, and the version of its session's binding; set by session affinity.
-        may_begin: Whether a run whose claim was asked for at that time may begin; set by session affinity.
-        fenced: Called when a claim is refused as its session has moved; set by session affinity.
+        replica: The replica, which decides about copies.
+        group_of: Returns the group of a request and the version of its session's binding; set by session
+            affinity.
+        may_begin: Returns whether a run whose claim was started at the given time may begin; set by session
+            affinity.
+        fenced: Called when a claim is refused because the session's binding has a later version; set by
+            session affinity.
     """
 
     def __init__(
@@ -67,7 +71,7 @@
         incarnation: int,
         result_store: ResultStore,
         observer: RequestObserver,
-        never_started: Run,
+        on_never_started: Run,
         count: Callable[[str], None],
         seed: int = 0,
         slack: float = 0.0,
@@ -75,7 +79,7 @@
         replica_type: type[Replica] = Replica,
     ) -> None:
         self._scheduler, self._plan, self._clock = scheduler, plan, clock
-        self._result_store, self._observer, self._never_started = result_store, observer, never_started
+        self._result_store, self._observer, self._on_never_started = result_store, observer, on_never_started
         self._count, self._slack_s = count, slack
         rng = random.Random(f"{seed}-{name}-{incarnation}")
         self.replica = replica_type(name, incarnation, plan.settings, rng, clock())
@@ -84,13 +88,13 @@
         self.fenced: Callable[[Exchange], None] = _ignore_fenced
         self.pending_answers = PendingAnswers(scheduler, observer, count, plan.max_answer_wait_s)
         self._remote_outcomes = RemoteOutcomes(scheduler, count, self._read_outcome)
-        division = plan.settings.slots, plan.settings.copies
+        partitioning = plan.settings.slots, plan.settings.copies
         self._runner = ReplicaRunner(
-            scheduler, connections, self.replica, division, clock, count, self.pending_answers
+            scheduler, connections, self.replica, partitioning, clock, count, self.pending_answers
         )
         self._pending_claims: set[PendingClaim] = set()
-        self._won: dict[bytes, Exchange] = {}  # runs by their idempotency keys, until they end
-        self._uncertain: dict[bytes, None] = {}
+        self._claimed_runs: dict[bytes, Exchange] = {}  # runs with a won claim, by idempotency key
+        self._uncertain: dict[bytes, None] = {}  # names of requests that may have run on a peer, oldest first
         self._claim_times: deque[float] = deque(maxlen=MAX_CLAIM_TIMES)
         self._leaving_since = -inf
 
@@ -98,23 +102,25 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the result store is."""
+        """Whether the wrapped result store is ready."""
         return self._result_store.ready
 
-    def recover_keys(self, born: float, idempotency_keys: IdempotencyTable) -> list[tuple[Request, float]]:
-        """What the result store recovered."""
-        return self._result_store.recover_keys(born, idempotency_keys)
+    def recover_keys(
+        self, interpreter_started_at: float, idempotency_keys: IdempotencyTable
+    ) -> list[tuple[Request, float]]:
+        """Pass on to the result store."""
+        return self._result_store.recover_keys(interpreter_started_at, idempotency_keys)
 
     def runs_to_adopt(self) -> tuple[list[Exchange], int]:
-        """What the result store adopted."""
+        """Pass on to the result store."""
         return self._result_store.runs_to_adopt()
 
     def may_have_run(self, exchange: Exchange) -> bool:
-        """Whether the result store forbids the run."""
+        """Pass on to the result store."""
         return self._result_store.may_have_run(exchange)
 
     def prepare(self, exchange: Exchange) -> None:
-        """Set for the controller how long a claim will take, or when to retry if there can be none."""
+        """Set the expected claim time for the controller, or a retry time if no majority is reachable."""
         self._result_store.prepare(exchange)
         key, request = exchange.idempotency_key, exchange.request
         if key is None or exchange.original is not None:
@@ -129,7 +135,7 @@
             request.extra_wait_s += ranked[int(CLAIM_TIME_QUANTILE * len(ranked))]
 
     def reachable(self, group: bytes) -> bool:
-        """Whether a majority of a group's replicas may answer."""
+        """Return whether a majority of a group's replicas may answer."""
         return self.replica.is_reachable(group, self._clock(), self._plan.reject_after_s)
 
     def reserve(self, exchange: Exchange) -> None:
@@ -163,12 +169,12 @@
     def run_ended(self, exchange: Exchange, outcome: Outcome, result: bytes) -> None:
         """Store the outcome of a run, or release its claim if it never started."""
         key = exchange.idempotency_key
-        if key is not None and self._won.get(key) is exchange:
-            del self._won[key]
+        if key is not None and self._claimed_runs.get(key) is exchange:
+            del self._claimed_runs[key]
             if outcome is Outcome.NEVER_STARTED:
                 self._runner.step(ReleaseClaim(key))
             else:
-                if self.replica.has_open_claim(key):  # else its lifetime has passed, and nobody stores it
+                if self.replica.has_open_claim(key):  # else it has expired, and its outcome is not stored
                     self.pending_answers.outcome_sent(key)
                 if outcome is Outcome.SUCCEEDED:
                     self._runner.step(CompleteClaim(key, OutcomeStatus.SUCCEEDED, result))
@@ -179,7 +185,7 @@
     # -- observer
 
     def completed(self, exchange: Exchange, result: bytes, caller: Caller) -> None:
-        """Pass the answer on once its outcome is stored."""
+        """Pass an answer on once its outcome is stored."""
         self.pending_answers.completed(exchange, result, caller)
 
     def rejected(self, exchange: Exchange) -> None:
@@ -214,13 +220,13 @@
         if exchange.state is not ExchangeState.RUNNING or (
             exchange.closed and not exchange.attached_duplicates
         ):
-            self._runner.step(ReleaseClaim(key))  # nobody waits for it any more
+            self._runner.step(ReleaseClaim(key))  # the run would have no caller any more
             return self._end_unstarted(exchange)
         if not self.may_begin(exchange, pending.started_at):
             self._count("replication_late")
             self._runner.step(ReleaseClaim(key))
             return self._reject(exchange)
-        self._won[key] = exchange
+        self._claimed_runs[key] = exchange
         self._result_store.before_run(exchange, pending.run)
 
     def _on_claimed_elsewhere(self, key: bytes, exchange: Exchange, entry: Entry) -> None:
@@ -241,38 +247,38 @@
         self._reject(exchange)
 
     def _reject(self, exchange: Exchange) -> None:
-        """Reject a request that never runs here, and those coalesced with it."""
+        """Reject a request that will not run here, and those coalesced with it."""
         for waiting in [exchange, *exchange.attached_duplicates]:
             waiting.reject(RETRY_AFTER_S, False)
         self._end_unstarted(exchange)
 
     def _fail(self, exchange: Exchange) -> None:
-        """Answer a request that never runs here, and those coalesced with it, with an error."""
+        """Answer a request that will not run here, and those coalesced with it, with an error."""
         for waiting in [exchange, *exchange.attached_duplicates]:
             waiting.fail()
         self._end_unstarted(exchange)
 
     def _end_unstarted(self, exchange: Exchange) -> None:
         if exchange.state is ExchangeState.RUNNING:
-            self._never_started(exchange)
+            self._on_never_started(exchange)
 
     # -- forwarding
 
-    def may_run_again(self, exchange: Exchange, peer: str, told: Callable[[bool], None]) -> None:
-        """Whether a keyed request that may have run on a peer may be tried again.
+    def may_run_again(self, exchange: Exchange, peer: str, on_decision: Callable[[bool], None]) -> None:
+        """Decide whether a keyed request that may have run on a peer may be tried again.
 
-        Its claim decides, here or wherever it is sent: it runs once, or is answered from the outcome. Without
-        a majority nothing can decide it, and it ends in an error.
+        With a reachable majority it may, here or on any other server: its claim ensures that it runs once or
+        is answered from the outcome. Without a majority the request ends in an error.
         """
         key, request = exchange.idempotency_key, exchange.request
         is_keyed = request.request_class.idempotency is Idempotency.KEYED
         remaining_s = _window_ends_at(request) - self._scheduler.clock.now
         if key is None or not is_keyed or remaining_s <= 0 or not self.reachable(self.group_of(exchange)[0]):
-            return told(False)
+            return on_decision(False)
         if len(self._uncertain) >= MAX_UNCERTAIN_REQUESTS:
             del self._uncertain[next(iter(self._uncertain))]
         self._uncertain[exchange.name] = None
-        told(True)
+        on_decision(True)
 
     # -- reads and writes of other collections
 
@@ -288,12 +294,13 @@
     ) -> None:
         """Set a binding or a document if its version is as expected.
 
-        The new version is above that, and `min_version` at least. The answer is WON, STALE, or why not.
+        The new version is above the expected one and at least `min_version`. The answer is WON, STALE, or the
+        reason of the failure.
         """
         self._runner.write(collection, key, expected_version, value, lifetime_s, min_version, on_answer)
 
     def read(self, collection: str, key: bytes, on_answer: OnAnswer) -> None:
-        """Read what a majority of the replicas has."""
+        """Read an entry from a majority of its replicas."""
         self._runner.read(collection, key, b"", on_answer)
 
     def _read_outcome(self, key: bytes, group: bytes, on_answer: OnAnswer) -> None:
@@ -306,11 +313,11 @@
     # -- shutdown
 
     def leaving(self) -> None:
-        """The fleet is notified that this member leaves: its successors fetch what it has before it ends."""
+        """Record that this member has started to leave; it stays while others fetch its entries."""
         self._leaving_since = self._clock()
 
     def settled(self) -> bool:
-        """Whether nothing waits any more, and the successors had time to fetch."""
+        """Return whether no request waits any more and other members had time to fetch the entries."""
         if self._clock() < self._leaving_since + SHUTDOWN_LINGER_S:
             return False
         is_waiting = self._remote_outcomes.waiting_count or self._pending_claims
@@ -322,7 +329,7 @@
         self._runner.close()
 
     def gauges(self) -> dict[str, object]:
-        """The gauges and counters of replication, by name."""
+        """Return the gauges and counters of replication by name."""
         gauges = self.replica.gauges()
         if self._claim_times:
             ranked = sorted(self._claim_times)
@@ -337,7 +344,7 @@
 
 
 def _group_by_key(exchange: Exchange) -> tuple[bytes, int]:
-    """Without sessions an idempotency key is its own group, and there is no binding."""
+    """Return the group and binding version without sessions: the idempotency key itself and 0."""
     return exchange.idempotency_key or b"", 0
 
 
@@ -349,7 +356,7 @@
 
 
 def max_key_lifetime_s(request_classes: dict[bytes, RequestClass], slack_s: float) -> float:
-    """The longest lifetime of an idempotency key here, and a second for late timers."""
+    """Return the longest lifetime of an idempotency key, including 1 s for late timers."""
     windows_s = [
         request_class.idempotency_window_s
         for request_class in request_classes.values()
--- a/sablewheel/replication/store.py
+++ b/sablewheel/replication/store.py
@@ -1,7 +1,8 @@
-"""What a replica stores: entries by range, promised ballots, expiry times and each range's digest. Pure.
+"""The store of a replica: entries by range, promised ballots, expiry times and each range's digest. Pure.
 
-Bounded in entries and bytes; without capacity it takes no new key. An expired entry is forgotten with its
-promise: no message in flight may be older than an entry's lifetime (frames live shorter).
+It is limited in entries and bytes, and accepts no new key at a limit. An expired entry is removed together
+with its promise. This is safe because no message in flight is older than an entry's lifetime: frames expire
+earlier.
 """
 
 from __future__ import annotations
@@ -12,12 +13,12 @@
 
 from .entries import EMPTY, NO_BALLOT, Ballot, Entry, Key, merge
 
-EXPIRY_TOLERANCE_S = 0.05  # each hop reads the remaining lifetime a little later
+EXPIRY_TOLERANCE_S = 0.05  # each hop computes the remaining lifetime a little later
 
 
 @dataclass(slots=True)
 class StoredEntry:
-    """The state of one key: what was accepted or merged, the ballot promised, and when it expires here."""
+    """The state of one key: the accepted or merged entry, the promised ballot, and the local expiry time."""
 
     entry: Entry = EMPTY
     promised: Ballot = NO_BALLOT
@@ -26,15 +27,15 @@
 
     @property
     def min_ballot(self) -> Ballot:
-        """Below this nothing is accepted."""
+        """The lowest ballot that may be accepted."""
         return max(self.promised, self.entry.ballot)
 
 
 class EntryStore:
     """Entries by range and key.
 
-    Invariant: a range's digest is the exclusive or of its entries' fingerprints; `entries` and `bytes` count
-    all of them, promises without an entry included.
+    Invariant: a range's digest is the XOR of its entries' fingerprints; `entries` and `bytes` count all of
+    them, including promises without an entry.
     """
 
     def __init__(self, max_entries: int, max_bytes: int) -> None:
@@ -45,16 +46,16 @@
         self.entries = self.bytes = 0
 
     def get(self, slot: int, key: Key) -> StoredEntry | None:
-        """The state of a key, or None."""
+        """Return the state of a key, or None if nothing is stored."""
         return self._slots.get(slot, {}).get(key)
 
     def entry(self, slot: int, key: Key) -> Entry:
-        """The entry of a key, or the empty one."""
+        """Return the entry of a key, or the empty entry if nothing is stored."""
         stored = self.get(slot, key)
         return stored.entry if stored is not None else EMPTY
 
     def has_capacity(self, slot: int, key: Key, extra_bytes: int) -> bool:
-        """Whether this key may take so many bytes more."""
+        """Return whether there is capacity for this key with `extra_bytes` more."""
         is_new = key not in self._slots.get(slot, {})
         return self.bytes + extra_bytes <= self._max_bytes and self.entries + is_new <= self._max_entries
 
@@ -65,7 +66,7 @@
         return stored
 
     def accept(self, slot: int, key: Key, entry: Entry, expires_at: float) -> StoredEntry:
-        """Merge an entry into the stored one, whose outcomes stay."""
+        """Merge an entry into the stored one, whose outcomes are kept."""
         stored = self._get_or_create(slot, key, expires_at)
         merged = self.merged(stored.entry, entry)
         if merged != stored.entry:
@@ -76,7 +77,7 @@
         return stored
 
     def merged(self, stored: Entry, received: Entry) -> Entry:
-        """The entry to store; overridden by a faulty variant in experiments."""
+        """Return the entry to store; overridden by a faulty variant in experiments."""
         return merge(stored, received)
 
     def _get_or_create(self, slot: int, key: Key, expires_at: float) -> StoredEntry:
@@ -92,26 +93,26 @@
         return stored
 
     def expire(self, now: float) -> int:
-        """Forget what has expired.
+        """Remove the expired entries.
 
         Returns:
-            The number of entries forgotten.
+            The number of removed entries.
         """
-        expired = 0
+        removed = 0
         while self._expiries and self._expiries[0][0] <= now:
             _, slot, key = heapq.heappop(self._expiries)
             stored = self.get(slot, key)
             if stored is not None and stored.expires_at <= now:
-                self._forget(slot, key, stored)
-                expired += 1
-        return expired
+                self._remove(slot, key, stored)
+                removed += 1
+        return removed
 
     @property
     def next_expiry(self) -> float:
-        """When the next entry may expire."""
+        """The time at which the next entry may expire; infinite if nothing is stored."""
         return self._expiries[0][0] if self._expiries else float("inf")
 
-    def _forget(self, slot: int, key: Key, stored: StoredEntry) -> None:
+    def _remove(self, slot: int, key: Key, stored: StoredEntry) -> None:
         keys = self._slots[slot]
         del keys[key]
         self.entries -= 1
@@ -122,27 +123,27 @@
             self._digests.pop(slot, None)
 
     def drop(self, slot: int) -> int:
-        """Forget a range.
+        """Remove all entries of a range.
 
         Returns:
-            The number of its entries.
+            The number of removed entries.
         """
         keys = list(self._slots.get(slot, {}).items())
         for key, stored in keys:
-            self._forget(slot, key, stored)
+            self._remove(slot, key, stored)
         return len(keys)
 
     def digest(self, slot: int) -> int:
-        """The digest of a range: equal on two replicas that store the same entries."""
+        """Return the digest of a range, which is equal on two replicas that store the same entries."""
         return self._digests.get(slot, 0)
 
     @property
     def slots(self) -> list[int]:
-        """The ranges of which anything is stored."""
+        """The ranges of which entries or promises are stored."""
         return list(self._slots)
 
     def entries_after(self, slot: int, after: Key) -> Iterator[tuple[Key, StoredEntry]]:
-        """A range's entries behind a key, in the order of keys; without promises that have no entry."""
+        """Yield a range's entries after a key in key order, without promises that have no entry."""
         keys = self._slots.get(slot, {})
         for key in sorted(keys):
             if key > after and keys[key].entry != EMPTY:
