--- a/tests/stories/test_replication_stories.py
+++ b/tests/stories/test_replication_stories.py
@@ -1,4 +1,4 @@
-"""The stories of `replication.feature`, on a fleet in memory with a simulated clock."""
+"""The scenarios of `replication.feature`, on a simulated fleet in memory with a simulated clock."""
 
 from __future__ import annotations
 
@@ -19,22 +19,26 @@
     def __init__(self) -> None:
         self.scenario = Scenario({name: f"z{name}" for name in NAMES}, settings=replace(SETTINGS))
         self.scenario.found(*NAMES)
-        self.holders = self.scenario.holders("record")
-        self.others = [name for name in NAMES if name not in self.holders]
+        self.replicas = self.scenario.holders("record")
+        self.others = [name for name in NAMES if name not in self.replicas]
         self.requests: list[Try] = []
         self.later_requests: list[Try] = []
         self.writes: list[int] = []
 
-    def server_named(self, words: str) -> str:
-        if words in NAMES:
-            return words
-        if words.endswith(" replica"):
-            return self.holders[ORDER[words.removeprefix("the ").removesuffix(" replica")]]
-        return self.others[words == "yet another server"]
-
-    def send_record(self, at: str, takes: float = 0.05, stays: bool = True, wait: float = 0.4) -> None:
-        self.requests.append(self.scenario.come(self.server_named(at), "record", takes=takes, stays=stays))
-        self.scenario.fleet.run(wait)
+    def server_named(self, description: str) -> str:
+        if description in NAMES:
+            return description
+        if description.endswith(" replica"):
+            return self.replicas[ORDER[description.removeprefix("the ").removesuffix(" replica")]]
+        return self.others[description == "yet another server"]
+
+    def send_request(
+        self, server: str, run_s: float = 0.05, completes: bool = True, wait_s: float = 0.4
+    ) -> None:
+        self.requests.append(
+            self.scenario.come(self.server_named(server), "record", takes=run_s, stays=completes)
+        )
+        self.scenario.fleet.run(wait_s)
 
     def restart_empty(self, *names: str) -> None:
         for name in names:
@@ -44,8 +48,8 @@
         self.scenario.start(*names)
         self.scenario.view(NAMES)
 
-    def send_records(self, count: int, tag: str) -> list[Try]:
-        requests = [self.scenario.come(NAMES[one % 5], f"{tag}{one}") for one in range(count)]
+    def send_other_requests(self, count: int, prefix: str) -> list[Try]:
+        requests = [self.scenario.come(NAMES[index % 5], f"{prefix}{index}") for index in range(count)]
         self.scenario.fleet.run(1.0)
         return requests
 
@@ -58,18 +62,18 @@
     return Story()
 
 
-@given("a fleet of a, b, c, d and e, each in a zone of its own")
-def _fleet(story: Story) -> None:
+@given("a fleet of servers a, b, c, d and e, each in its own zone")
+def _fleet_is_ready(story: Story) -> None:
     assert story.scenario.unready() == 0
 
 
-@given("200 other records have run")
-def _others(story: Story) -> None:
-    assert all(one.outcome == "completed" for one in story.send_records(200, "other"))
+@given("200 other requests have run")
+def _other_requests_have_run(story: Story) -> None:
+    assert all(request.outcome == "completed" for request in story.send_other_requests(200, "other"))
 
 
-@given("replicas that take 3 entries only")
-def _small(story: Story) -> None:
+@given("replicas with a capacity of 3 entries")
+def _limit_capacity(story: Story) -> None:
     for name in NAMES:
         story.scenario.core(name).store._max_entries = 3
 
@@ -77,121 +81,121 @@
 # -- requests
 
 
-@when(parsers.re(r"the record is sent to (?P<who>(?!all).+?)(?: and takes (?P<takes>\d+) seconds?)?$"))
-@when(parsers.re(r"it is retried at (?P<who>.+)$"))
-def _comes(story: Story, who: str, takes: str | None = None) -> None:
-    if who.endswith(" and never ends there"):
-        return story.send_record(who.removesuffix(" and never ends there"), stays=False)
-    story.send_record(who, float(takes or 0.05))
+@when(parsers.re(r"the request is sent to (?P<server>(?!all).+?)(?: and takes (?P<run_s>\d+) seconds?)?$"))
+@when(parsers.re(r"it is retried at (?P<server>.+)$"))
+def _send_request(story: Story, server: str, run_s: str | None = None) -> None:
+    if server.endswith(" and never completes there"):
+        return story.send_request(server.removesuffix(" and never completes there"), completes=False)
+    story.send_request(server, float(run_s or 0.05))
 
 
-@when("the record is sent to all servers at one moment")
-def _to_all(story: Story) -> None:
+@when("the request is sent to all servers at the same time")
+def _send_request_to_all(story: Story) -> None:
     story.requests += [story.scenario.come(name, "record") for name in NAMES]
     story.scenario.fleet.run(1.0)
 
 
-@when(parsers.re(r"(?P<many>\d+) more records are sent to all servers"))
-def _more(story: Story, many: str) -> None:
-    story.later_requests = story.send_records(int(many), "more")
+@when(parsers.re(r"(?P<count>\d+) more requests are sent to all servers"))
+def _send_more_requests(story: Story, count: str) -> None:
+    story.later_requests = story.send_other_requests(int(count), "more")
 
 
 @when("a request with another key is sent to b")
-def _another(story: Story) -> None:
+def _send_request_with_other_key(story: Story) -> None:
     story.later_requests = [story.scenario.come("b", "another")]
     story.scenario.fleet.run(1.0)
 
 
-@when(parsers.re(r"(?P<many>\d+) seconds? pass(es)?"))
-def _pass(story: Story, many: str) -> None:
-    story.scenario.fleet.run(float(many))
+@when(parsers.re(r"(?P<duration_s>\d+) seconds? pass(es)?"))
+def _wait(story: Story, duration_s: str) -> None:
+    story.scenario.fleet.run(float(duration_s))
 
 
 # -- servers
 
 
-@when(parsers.re(r"(?P<who>.+) is paused for (?P<span>\d+) seconds"))
-def _paused(story: Story, who: str, span: str) -> None:
-    story.scenario.fleet.pause(story.server_named(who), float(span))
+@when(parsers.re(r"(?P<server>.+) is paused for (?P<duration_s>\d+) seconds"))
+def _pause(story: Story, server: str, duration_s: str) -> None:
+    story.scenario.fleet.pause(story.server_named(server), float(duration_s))
 
 
-@when(parsers.re(r"(?P<who>.) is killed$"))
-def _killed(story: Story, who: str) -> None:
-    story.scenario.fleet.crash(who)
+@when(parsers.re(r"(?P<server>.) is killed$"))
+def _kill(story: Story, server: str) -> None:
+    story.scenario.fleet.crash(server)
 
 
-@when(parsers.re(r"(?P<who>.) starts again with an empty store"))
-def _starts(story: Story, who: str) -> None:
-    story.scenario.start(who)
+@when(parsers.re(r"(?P<server>.) restarts with an empty store"))
+def _restart_empty(story: Story, server: str) -> None:
+    story.scenario.start(server)
 
 
-@when(parsers.re(r"the fleet admits (?P<who>.) again"))
-def _anew(story: Story, who: str) -> None:
+@when(parsers.re(r"the fleet admits (?P<server>.) again"))
+def _admit(story: Story, server: str) -> None:
     story.scenario.view(NAMES)
     story.scenario.fleet.run(0.5)
 
 
-@when(parsers.re(r"the fleet removes (?P<who>.)"))
-def _out(story: Story, who: str) -> None:
-    story.scenario.view(set(NAMES) - {who})
+@when(parsers.re(r"the fleet removes (?P<server>.)"))
+def _remove(story: Story, server: str) -> None:
+    story.scenario.view(set(NAMES) - {server})
     story.scenario.fleet.run(0.3)
 
 
-@when(parsers.re(r"(?P<who>.) comes back in, as it was"))
-def _in(story: Story, who: str) -> None:
-    story.scenario.returns(who)
+@when(parsers.re(r"(?P<server>.) rejoins without a restart"))
+def _rejoin(story: Story, server: str) -> None:
+    story.scenario.returns(server)
     story.scenario.view(NAMES)
     story.scenario.fleet.run(1.0)
 
 
-@when(parsers.re(r"(?P<who>the .+ replica) is killed and comes back with an empty store"))
-def _cold(story: Story, who: str) -> None:
-    story.restart_empty(story.server_named(who))
+@when(parsers.re(r"(?P<server>the .+ replica) is killed and restarts with an empty store"))
+def _restart_replica_empty(story: Story, server: str) -> None:
+    story.restart_empty(story.server_named(server))
     assert story.scenario.settle()
 
 
-@when("the first and the second replica come back with an empty store at one moment")
-def _two_cold(story: Story) -> None:
-    story.restart_empty(*story.holders[:2])
+@when("the first and the second replica restart with an empty store at the same time")
+def _restart_two_replicas_empty(story: Story) -> None:
+    story.restart_empty(*story.replicas[:2])
 
 
-@when("the first and the second replica leave in order at one moment")
-def _two_leave(story: Story) -> None:
-    story.scenario.view(set(NAMES) - set(story.holders[:2]), to=NAMES)
+@when("the first and the second replica leave gracefully at the same time")
+def _two_replicas_leave(story: Story) -> None:
+    story.scenario.view(set(NAMES) - set(story.replicas[:2]), to=NAMES)
 
 
-@when("the first and the second replica are gone at one moment")
-def _two_gone(story: Story) -> None:
-    for name in story.holders[:2]:
+@when("the first and the second replica crash at the same time")
+def _crash_two_replicas(story: Story) -> None:
+    for name in story.replicas[:2]:
         story.scenario.fleet.crash(name)
-    story.scenario.view(set(NAMES) - set(story.holders[:2]))
+    story.scenario.view(set(NAMES) - set(story.replicas[:2]))
     story.scenario.fleet.run(0.5)
 
 
-@when("the first one is started under its name again")
-def _one_anew(story: Story) -> None:
-    story.scenario.start(story.holders[0])
-    story.scenario.view(set(NAMES) - {story.holders[1]})
+@when("the first replica is started again under its name")
+def _start_first_replica(story: Story) -> None:
+    story.scenario.start(story.replicas[0])
+    story.scenario.view(set(NAMES) - {story.replicas[1]})
 
 
-@when("all servers come back with an empty store")
-def _all_cold(story: Story) -> None:
+@when("all servers restart with an empty store")
+def _restart_all_empty(story: Story) -> None:
     for name in NAMES:
         story.scenario.fleet.crash(name)
     story.scenario.start(*NAMES)
     story.scenario.view(NAMES)
 
 
-@when("one after another leaves and comes back with an empty store")
-def _one_by_one(story: Story) -> None:
+@when("the servers restart one after another with an empty store")
+def _restart_all_empty_one_by_one(story: Story) -> None:
     for name in NAMES:
         story.restart_empty(name)
         assert story.scenario.settle()
 
 
 @when("the zone of the first replica is lost")
-def _zone(story: Story) -> None:
-    name = story.holders[0]
+def _lose_zone(story: Story) -> None:
+    name = story.replicas[0]
     story.scenario.fleet.crash(name)
     story.scenario.view(set(NAMES) - {name})
     story.scenario.fleet.run(0.5)
@@ -200,58 +204,58 @@
 # -- links
 
 
-@when(parsers.re(r"(?P<who>.) is cut off from all others"))
-def _cut_off(story: Story, who: str) -> None:
-    story.scenario.fleet.cut([who], set(NAMES) - {who})
+@when(parsers.re(r"(?P<server>.) is partitioned from all other servers"))
+def _partition_server(story: Story, server: str) -> None:
+    story.scenario.fleet.cut([server], set(NAMES) - {server})
 
 
-@when("a zone with a and b in it is cut off")
-def _cut_zone(story: Story) -> None:
+@when("a zone with a and b is partitioned from the other servers")
+def _partition_zone(story: Story) -> None:
     story.scenario.fleet.cut("ab", "cde")
     story.scenario.view("cde")
 
 
-@when(parsers.re(r"nothing that others send reaches (?P<who>.)"))
-def _deaf(story: Story, who: str) -> None:
-    story.scenario.fleet.cut(set(NAMES) - {who}, [who], both=False)
+@when(parsers.re(r"(?P<server>.) receives no messages from other servers"))
+def _block_incoming_messages(story: Story, server: str) -> None:
+    story.scenario.fleet.cut(set(NAMES) - {server}, [server], both=False)
 
 
-@when("the cut heals")
-def _heals(story: Story) -> None:
+@when("the partition heals")
+def _heal_partition(story: Story) -> None:
     story.scenario.fleet.heal()
-    out = set(NAMES) - set(story.scenario.members)
-    if out:
-        story.scenario.returns(*out)
+    removed = set(NAMES) - set(story.scenario.members)
+    if removed:
+        story.scenario.returns(*removed)
         story.scenario.view(NAMES)
 
 
-@when(parsers.re(r"messages of (?P<who>.) to others need 1 second"))
-def _slow(story: Story, who: str) -> None:
-    for name in set(NAMES) - {who}:
-        link = story.scenario.fleet.link(who, name)
+@when(parsers.re(r"messages from (?P<server>.) to other servers take 1 second"))
+def _slow_outgoing_messages(story: Story, server: str) -> None:
+    for name in set(NAMES) - {server}:
+        link = story.scenario.fleet.link(server, name)
         link.least, link.most = 1.0, 1.2
 
 
-@when("a third of all messages is lost, and some come twice")
-def _lossy(story: Story) -> None:
-    for one in NAMES:
-        for other in NAMES:
-            link = story.scenario.fleet.link(one, other)
+@when("a third of all messages is lost, and some are duplicated")
+def _make_links_lossy(story: Story) -> None:
+    for sender in NAMES:
+        for receiver in NAMES:
+            link = story.scenario.fleet.link(sender, receiver)
             link.drop, link.double = 0.33, 0.2
 
 
-@when("the first replica leaves, and only the second replica hears of it for 1 second")
-def _late_view(story: Story) -> None:
-    gone, hears = story.holders[:2]
-    rest = set(NAMES) - {gone}
-    story.scenario.fleet.crash(gone)
-    story.scenario.view(rest, to=[hears])
-    story.scenario.fleet.later(1.0, lambda: story.scenario.tell_view(rest - {hears}))
+@when("the first replica crashes, and for 1 second only the second replica has the new view")
+def _delay_view_of_others(story: Story) -> None:
+    crashed, notified = story.replicas[:2]
+    remaining = set(NAMES) - {crashed}
+    story.scenario.fleet.crash(crashed)
+    story.scenario.view(remaining, to=[notified])
+    story.scenario.fleet.later(1.0, lambda: story.scenario.tell_view(remaining - {notified}))
 
 
-@when("the first replica comes back with an empty store, and is cut off in the middle of its catch-up")
-def _cut_catching_up(story: Story) -> None:
-    name = story.holders[0]
+@when("the first replica restarts with an empty store, and is partitioned while it catches up")
+def _partition_while_catching_up(story: Story) -> None:
+    name = story.replicas[0]
     story.scenario.settings = replace(story.scenario.settings, batch_size=4)
     story.restart_empty(name)
     core = story.scenario.core(name)
@@ -260,51 +264,51 @@
     story.scenario.fleet.cut([name], set(NAMES) - {name})
 
 
-@when("one replica loses the record's entry")
-def _loses(story: Story) -> None:
-    core = story.scenario.core(story.holders[1])
+@when("one replica loses the request's entry")
+def _lose_entry(story: Story) -> None:
+    core = story.scenario.core(story.replicas[1])
     core.store.drop(core.slot_of(b"record"))
 
 
-@when("one replica has an outcome that nobody else knows")
-def _drifts(story: Story) -> None:
-    core = story.scenario.core(story.holders[1])
-    held = story.scenario.held(core.name, "record")
-    assert held is not None
-    until = story.scenario.fleet.now + 8
-    core.store.accept(core.slot_of(b"record"), ("labels", b"record"), drifted(held, "z"), until)
+@when("one replica stores a different outcome of the request")
+def _add_conflicting_outcome(story: Story) -> None:
+    core = story.scenario.core(story.replicas[1])
+    entry = story.scenario.held(core.name, "record")
+    assert entry is not None
+    expires_at = story.scenario.fleet.now + 8
+    core.store.accept(core.slot_of(b"record"), ("labels", b"record"), drifted(entry, "z"), expires_at)
 
 
 # -- sessions
 
 
-@when(parsers.re(r"server (?P<who>.) (?:binds the session|moves it) at number (?P<number>\d)"))
-def _moves(story: Story, who: str, number: str) -> None:
-    story.writes.append(story.scenario.write(who, "sessions", "session", int(number), who.encode()))
+@when(parsers.re(r"server (?P<server>.) (?:binds|moves) the session if its version is (?P<version>\d)"))
+def _write_binding(story: Story, server: str, version: str) -> None:
+    story.writes.append(story.scenario.write(server, "sessions", "session", int(version), server.encode()))
     story.scenario.answer(story.writes[-1])
 
 
-@when(parsers.re(r"a record of that session is sent to (?P<who>.) under number (?P<number>\d)"))
-def _under(story: Story, who: str, number: str) -> None:
+@when(parsers.re(r"a request of that session is sent to (?P<server>.) with binding version (?P<version>\d)"))
+def _send_request_under_binding(story: Story, server: str, version: str) -> None:
     story.scenario.group = lambda idempotency_key: b"session"
-    story.later_requests = [story.scenario.come(who, "of the session", under=int(number))]
+    story.later_requests = [story.scenario.come(server, "of the session", under=int(version))]
     story.scenario.fleet.run(1.0)
 
 
-# -- what must be so
+# -- expected results
 
 
-@then("the record ran once, and all waiting requests got its answer")
-def _same(story: Story) -> None:
+@then("the request ran once, and all waiting attempts got its answer")
+def _ran_once_with_same_answers(story: Story) -> None:
     assert story.scenario.runs["record"] == 1 and not story.scenario.wrong()
-    assert [one.outcome for one in story.requests if one.outcome != "denied"], story.requests
-    for one in story.requests:
-        assert one.outcome == "denied" or one.result == story.scenario.results["record"], one
+    assert [request.outcome for request in story.requests if request.outcome != "denied"], story.requests
+    for request in story.requests:
+        assert request.outcome == "denied" or request.result == story.scenario.results["record"], request
     assert story.requests[-1].outcome == "completed"
 
 
-@then("the record ran once, and the last request got its answer")
-def _last(story: Story) -> None:
+@then("the request ran once, and the last attempt got its answer")
+def _ran_once_with_last_answered(story: Story) -> None:
     assert story.scenario.runs["record"] == 1
     assert (story.requests[-1].outcome, story.requests[-1].result) == (
         "completed",
@@ -312,105 +316,107 @@
     )
 
 
-@then("the record ran once")
-def _once(story: Story) -> None:
+@then("the request ran once")
+def _ran_once(story: Story) -> None:
     assert story.scenario.runs["record"] == 1 and not story.scenario.wrong(), story.scenario.wrong()
 
 
-@then("the record ran at most once")
-def _at_most_once(story: Story) -> None:
+@then("the request ran at most once")
+def _ran_at_most_once(story: Story) -> None:
     assert not story.scenario.wrong(), story.scenario.wrong()
-    assert all(one.result in (b"", story.scenario.results.get("record")) for one in story.requests)
+    assert all(request.result in (b"", story.scenario.results.get("record")) for request in story.requests)
 
 
-@then("the record never ran")
-def _never(story: Story) -> None:
+@then("the request never ran")
+def _never_ran(story: Story) -> None:
     assert story.scenario.runs["record"] == 0
 
 
-@then("the record ran twice, the second time on purpose")
-def _twice(story: Story) -> None:
+@then("the request ran twice, once in each window")
+def _ran_twice(story: Story) -> None:
     assert story.scenario.runs["record"] == 2 and len(story.scenario.ran_by["record"]) == 2
 
 
-@then("the last request failed, and was not rejected")
-def _error(story: Story) -> None:
+@then("the last attempt failed, and was not rejected")
+def _last_attempt_failed(story: Story) -> None:
     assert story.requests[-1].outcome == "terminated"
 
 
-@then("the last request was rejected, or got the answer")
-def _rejected(story: Story) -> None:
-    one = story.requests[-1]
-    assert one.outcome == "denied" or one.result == story.scenario.results["record"], one
+@then("the last attempt was rejected, or got the answer")
+def _last_attempt_rejected_or_answered(story: Story) -> None:
+    request = story.requests[-1]
+    assert request.outcome == "denied" or request.result == story.scenario.results["record"], request
 
 
-@then("that other one was completed")
-def _other(story: Story) -> None:
-    assert [one.outcome for one in story.later_requests] == ["completed"]
+@then("that other request was completed")
+def _other_request_completed(story: Story) -> None:
+    assert [request.outcome for request in story.later_requests] == ["completed"]
 
 
 @then("every server is ready again for all its ranges")
-def _ready(story: Story) -> None:
+def _all_ranges_ready(story: Story) -> None:
     assert story.scenario.settle(3.0), story.scenario.unready()
 
 
-@then("the cut-off one is not ready yet")
-def _not_yet(story: Story) -> None:
-    core = story.scenario.core(story.holders[0])
+@then("the partitioned replica is not ready")
+def _partitioned_replica_not_ready(story: Story) -> None:
+    core = story.scenario.core(story.replicas[0])
     assert core.ranges.unready and not core.is_ready(max(core.ranges.unready))
 
 
-@then("each of these ran once")
-def _each_once(story: Story) -> None:
-    assert [one for one in story.later_requests if one.outcome == "completed"] == story.later_requests
-    assert all(story.scenario.runs[one.idempotency_key] == 1 for one in story.later_requests)
+@then("each of these requests ran once")
+def _each_ran_once(story: Story) -> None:
+    assert [
+        request for request in story.later_requests if request.outcome == "completed"
+    ] == story.later_requests
+    assert all(story.scenario.runs[request.idempotency_key] == 1 for request in story.later_requests)
 
 
-@then("each of these ran at most once, and some were rejected")
-def _some_rejected(story: Story) -> None:
-    verdicts = {one.outcome for one in story.later_requests}
-    assert "denied" in verdicts and not story.scenario.wrong()
+@then("each of these requests ran at most once, and some were rejected")
+def _each_ran_at_most_once(story: Story) -> None:
+    outcomes = {request.outcome for request in story.later_requests}
+    assert "denied" in outcomes and not story.scenario.wrong()
     assert all(
-        story.scenario.runs[one.idempotency_key] == (one.outcome == "completed")
-        for one in story.later_requests
+        story.scenario.runs[request.idempotency_key] == (request.outcome == "completed")
+        for request in story.later_requests
     )
 
 
-@then("every replica has the record's outcome")
-def _repaired(story: Story) -> None:
-    for name in story.holders:
-        held = story.scenario.held(name, "record")
-        assert held is not None and held.outcomes[0].result == story.scenario.results["record"]
+@then("every replica has the request's outcome")
+def _replicas_have_outcome(story: Story) -> None:
+    for name in story.replicas:
+        entry = story.scenario.held(name, "record")
+        assert entry is not None and entry.outcomes[0].result == story.scenario.results["record"]
 
 
-@then("both outcomes are on every replica, and were logged with their evidence")
-def _both(story: Story) -> None:
-    held = {story.scenario.held(name, "record") for name in story.holders}
-    assert {len(one.outcomes) for one in held if one is not None} == {2}
-    told = [note for _, _, note in story.scenario.notes if note.event is LogEvent.CONFLICTING_OUTCOMES]
-    assert told and all("worked" in str(note.fields["outcomes"]) for note in told)
+@then("every replica has both outcomes, and they were logged with their details")
+def _replicas_have_both_outcomes(story: Story) -> None:
+    entries = {story.scenario.held(name, "record") for name in story.replicas}
+    assert {len(entry.outcomes) for entry in entries if entry is not None} == {2}
+    log_lines = [line for _, _, line in story.scenario.notes if line.event is LogEvent.CONFLICTING_OUTCOMES]
+    assert log_lines and all("worked" in str(line.fields["outcomes"]) for line in log_lines)
 
 
-@then("a retry is not run")
-def _again(story: Story) -> None:
-    story.send_record("another server")
+@then("a retry does not run again")
+def _retry_does_not_run(story: Story) -> None:
+    story.send_request("another server")
     assert story.scenario.runs["record"] == 1 and story.requests[-1].outcome == "completed"
 
 
-@then("it took no entry")
-def _took_none(story: Story) -> None:
-    assert story.scenario.core(story.holders[0]).counts["entries_in"] == 0
+@then("it received no entries")
+def _received_no_entries(story: Story) -> None:
+    assert story.scenario.core(story.replicas[0]).counts["entries_in"] == 0
 
 
-@then("the moves were won, won and stale")
-def _told(story: Story) -> None:
+@then("the writes were answered with won, won and stale")
+def _writes_answered(story: Story) -> None:
     assert [story.scenario.answers[ref].status for ref in story.writes] == ["won", "won", "stale"]
 
 
-@then("that record was rejected, and never ran")
-def _fenced(story: Story) -> None:
+@then("that request was rejected, and never ran")
+def _rejected_without_run(story: Story) -> None:
     assert story.later_requests[0].outcome == "denied" and not story.scenario.runs["of the session"]
 
 
-def test_the_stories_see_a_view() -> None:
+def test_the_scenario_returns_the_installed_view() -> None:
     assert isinstance(Scenario({"a": "z"}).view("a", to=[]), ViewInstalled)
--- a/tests/test_replication_service.py
+++ b/tests/test_replication_service.py
@@ -1,4 +1,4 @@
-"""The replication service on fake connections: answers and their times; invalid packets."""
+"""Tests of the replication service on fake connections: answers, their times, and invalid packets."""
 
 from __future__ import annotations
 
@@ -46,32 +46,34 @@
 
     now: float = 100.0
     queue: list[tuple[float, int, Callable[[], None]]] = field(default_factory=list)
-    turn: int = 0
+    last_number: int = 0  # numbers the calls, so that those at the same time are run in order
 
     @property
     def clock(self) -> FakeScheduler:
         return self
 
-    def after(self, span: float, do: Callable[[], None]) -> Any:
-        self.turn += 1
-        heapq.heappush(self.queue, (self.now + span, self.turn, do))
+    def after(self, delay_s: float, callback: Callable[[], None]) -> Any:
+        self.last_number += 1
+        heapq.heappush(self.queue, (self.now + delay_s, self.last_number, callback))
         return self
 
     def cancel(self) -> None: ...
 
-    def run(self, span: float) -> None:
-        end = self.now + span
+    def run(self, duration_s: float) -> None:
+        end = self.now + duration_s
         while self.queue and self.queue[0][0] <= end:
-            self.now, _, do = heapq.heappop(self.queue)
-            do()
+            self.now, _, callback = heapq.heappop(self.queue)
+            callback()
         self.now = end
 
 
 class FakeConnections:
-    """Connections that lose nothing unless they are cut."""
+    """Connections that lose no messages unless they are disconnected."""
 
-    def __init__(self, time: FakeScheduler, name: str, all_connections: dict[str, FakeConnections]) -> None:
-        self.time, self.name, self.others, self.is_cut = time, name, all_connections, False
+    def __init__(
+        self, scheduler: FakeScheduler, name: str, all_connections: dict[str, FakeConnections]
+    ) -> None:
+        self.scheduler, self.name, self.others, self.is_disconnected = scheduler, name, all_connections, False
         self.handler: Callable[[str, bytes], None] = lambda sender, payload: None
         all_connections[name] = self
 
@@ -81,11 +83,13 @@
         self.handler = handler
 
     def send(self, peer_name: str, message_type: str, payload: bytes, *, expires_in_s: float) -> None:
-        if self.is_cut:
+        if self.is_disconnected:
             raise PeerUnavailableError(peer_name)
         peer = self.others[peer_name]
-        if not peer.is_cut:
-            self.time.after(0.001, lambda: None if peer.is_cut else peer.handler(self.name, payload))
+        if not peer.is_disconnected:
+            self.scheduler.after(
+                0.001, lambda: None if peer.is_disconnected else peer.handler(self.name, payload)
+            )
 
 
 class RecordingCaller:
@@ -105,18 +109,18 @@
 
 
 class Servers:
-    """Three replication services, with a dispatcher of their own."""
+    """Three replication services; this class takes the place of their dispatchers."""
 
     def __init__(self, **plan: Any) -> None:
-        self.time, self.connections, self.counts = FakeScheduler(), {}, Counter[str]()  # type: ignore[var-annotated]
+        self.scheduler, self.connections, self.counts = FakeScheduler(), {}, Counter[str]()  # type: ignore[var-annotated]
         self.services: dict[str, ReplicationService] = {}
         self.runs: list[tuple[str, Exchange]] = []
         self.billed: list[bool] = []
         replica = Settings(max_lifetime_s=9.0, waits_after_cold_start=False, slots=8)
         for name in NAMES:
             self.services[name] = ReplicationService(
-                cast(Scheduler, self.time),
-                FakeConnections(self.time, name, self.connections),
+                cast(Scheduler, self.scheduler),
+                FakeConnections(self.scheduler, name, self.connections),
                 ReplicationPlan(replica, **plan),
                 name,
                 1,
@@ -124,12 +128,12 @@
                 self,
                 self.never_started(name),
                 self.count,
-                clock=lambda: self.time.now,
+                clock=lambda: self.scheduler.now,
             )
         self.view = View(1, tuple(Member(name, "", f"z{name}", "", 1) for name in NAMES))
         for service in self.services.values():
             service.view(self.view)
-        self.time.run(1.0)
+        self.scheduler.run(1.0)
 
     def count(self, name: str) -> None:
         self.counts[name] += 1
@@ -154,7 +158,7 @@
     def send_request(
         self, name: str, idempotency_key: bytes = b"label", body: bytes = b"body"
     ) -> tuple[Exchange, RecordingCaller]:
-        caller, now = RecordingCaller(), self.time.now
+        caller, now = RecordingCaller(), self.scheduler.now
         request = Request(RECORD, Client(), None, now, 0.0)
         request.deadline = now + 2.0
         exchange = Exchange(
@@ -165,11 +169,11 @@
             exchange.reject(request.key_capacity_in_s, False)
             return exchange, caller
         exchange.state = ExchangeState.RUNNING
-        self.services[name].before_run(exchange, lambda one: self.runs.append((name, one)))
+        self.services[name].before_run(exchange, lambda running: self.runs.append((name, running)))
         return exchange, caller
 
     def end_run(self, result: bytes = b"result", outcome: Ended = Ended.SUCCEEDED) -> None:
-        """End the run that began last, as the dispatcher does."""
+        """End the last started run, as the dispatcher does."""
         name, exchange = self.runs[-1]
         self.services[name].run_ended(exchange, outcome, result)
         if outcome is Ended.SUCCEEDED:
@@ -178,39 +182,39 @@
             exchange.fail()
         exchange.state = ExchangeState.FINISHED
 
-    def disconnect(self, name: str, is_cut: bool = True) -> None:
-        self.connections[name].is_cut = is_cut
+    def disconnect(self, name: str, is_disconnected: bool = True) -> None:
+        self.connections[name].is_disconnected = is_disconnected
 
 
-def test_the_answer_waits_for_a_majority_and_retries_elsewhere_get_its_bytes() -> None:
+def test_an_answer_waits_for_a_majority_and_retries_elsewhere_get_the_same_result() -> None:
     fleet = Servers()
     _, first = fleet.send_request("a")
     assert not fleet.runs
-    fleet.time.run(0.1)
+    fleet.scheduler.run(0.1)
     assert len(fleet.runs) == 1
     _, again = fleet.send_request("b")
     fleet.end_run()
     assert first.answers == []
-    fleet.time.run(0.5)
+    fleet.scheduler.run(0.5)
     assert first.answers == again.answers == [("completed", b"result", 0.0)]
     assert len(fleet.runs) == 1 and fleet.billed == [True, False]
     _, late = fleet.send_request("c")
-    fleet.time.run(0.1)
+    fleet.scheduler.run(0.1)
     assert late.answers == first.answers and len(fleet.runs) == 1
 
 
-def test_a_held_answer_is_sent_once_when_the_majority_comes_after_its_bound() -> None:
+def test_a_delayed_answer_is_sent_once_when_its_outcome_is_stored_after_the_timeout() -> None:
     fleet = Servers(max_answer_wait_s=0.2)
     _, first = fleet.send_request("a")
-    fleet.time.run(0.1)
+    fleet.scheduler.run(0.1)
     fleet.disconnect("a")
     fleet.end_run()
-    fleet.time.run(0.19)
+    fleet.scheduler.run(0.19)
     assert first.answers == []
-    fleet.time.run(0.02)
+    fleet.scheduler.run(0.02)
     assert len(first.answers) == 1 and fleet.counts["replication_answers_ahead"] == 1
     fleet.disconnect("a", False)
-    fleet.time.run(1.5)
+    fleet.scheduler.run(1.5)
     assert len(first.answers) == 1 and fleet.services["a"].pending_answers.is_empty
 
 
@@ -218,51 +222,51 @@
     fleet = Servers()
     fleet.disconnect("a")
     _, first = fleet.send_request("a")
-    fleet.time.run(0.5)
+    fleet.scheduler.run(0.5)
     assert [kind for kind, _, _ in first.answers] == ["rejected"] and first.answers[0][2] > 0
     _, second = fleet.send_request("a", b"other")
     assert [kind for kind, _, _ in second.answers] == ["rejected"] and not fleet.runs
     fleet.disconnect("a", False)
-    fleet.time.run(1.0)
+    fleet.scheduler.run(1.0)
     _, third = fleet.send_request("a", b"third")
-    fleet.time.run(0.1)
+    fleet.scheduler.run(0.1)
     assert len(fleet.runs) == 1 and third.answers == []
 
 
 def test_a_request_that_may_run_elsewhere_fails_and_is_not_rejected() -> None:
     fleet = Servers()
     fleet.send_request("a")
-    fleet.time.run(0.1)
+    fleet.scheduler.run(0.1)
     fleet.disconnect("a")
     _, again = fleet.send_request("b")
-    fleet.time.run(1.9)
+    fleet.scheduler.run(1.9)
     assert again.answers == []
-    fleet.time.run(0.2)
+    fleet.scheduler.run(0.2)
     assert [kind for kind, _, _ in again.answers] == ["failed"]
-    fleet.disconnect("c")  # b alone: a copy message that it may have run
-    fleet.time.run(0.2)
+    fleet.disconnect("c")  # b reaches no other server, but its own copy has the claim of a
+    fleet.scheduler.run(0.2)
     _, third = fleet.send_request("b")
-    fleet.time.run(2.1)
+    fleet.scheduler.run(2.1)
     assert [kind for kind, _, _ in third.answers] == ["failed"] and len(fleet.runs) == 1
 
 
 def test_a_failed_run_is_an_error_on_all_servers() -> None:
     fleet = Servers()
     fleet.send_request("a")
-    fleet.time.run(0.1)
+    fleet.scheduler.run(0.1)
     fleet.end_run(b"", Ended.ERROR)
-    fleet.time.run(0.2)
+    fleet.scheduler.run(0.2)
     _, again = fleet.send_request("b")
-    fleet.time.run(0.1)
+    fleet.scheduler.run(0.1)
     assert [kind for kind, _, _ in again.answers] == ["failed"] and len(fleet.runs) == 1
 
 
 def test_an_idempotency_key_with_another_body_fails_at_once() -> None:
     fleet = Servers()
     fleet.send_request("a")
-    fleet.time.run(0.1)
+    fleet.scheduler.run(0.1)
     _, other = fleet.send_request("b", body=b"another body")
-    fleet.time.run(0.1)
+    fleet.scheduler.run(0.1)
     assert [kind for kind, _, _ in other.answers] == ["failed"]
     assert fleet.counts["replication_differs"] == 1
 
@@ -271,14 +275,14 @@
     fleet = Servers()
     exchange, _ = fleet.send_request("a")
     exchange.cancel()
-    fleet.time.run(0.3)
+    fleet.scheduler.run(0.3)
     assert not fleet.runs
     fleet.send_request("b")
-    fleet.time.run(0.3)
+    fleet.scheduler.run(0.3)
     assert [name for name, _ in fleet.runs] == ["b"]
 
 
-def test_a_view_names_members_that_never_come_back() -> None:
+def test_the_facts_of_a_view_name_permanently_removed_members() -> None:
     fleet = Servers()
     view = View(2, fleet.view.members[:2], (Fact("gone/c", "1"),))
     fleet.services["a"].view(view)
@@ -288,41 +292,45 @@
 # -- real servers
 
 
-def send_record(stage: Replicas, name: str, request: bytes, idempotency_key: bytes) -> list[bytes]:
-    """The words of the answer to one request of a record, at one server."""
-    with socket.create_connection((stage.host(name), LISTEN), 5.0) as peer:
-        peer.settimeout(5.0)
-        peer.sendall(wire.call(7, request, b"record", clock.time(), b"body", b"regina", idempotency_key))
+def send_record(fleet: Replicas, name: str, request: bytes, idempotency_key: bytes) -> list[bytes]:
+    """Send a request of the class `record` to one server; return the words of its answer."""
+    with socket.create_connection((fleet.host(name), LISTEN), 5.0) as connection:
+        connection.settimeout(5.0)
+        connection.sendall(
+            wire.call(7, request, b"record", clock.time(), b"body", b"regina", idempotency_key)
+        )
         parser = Parser()
-        while data := peer.recv(4096):
+        while data := connection.recv(4096):
             for words in parser.feed(data):
                 if words[0] == b"7":
                     return list(words)
     return []
 
 
-def test_three_servers_answer_one_key_alike_after_the_first_is_killed() -> None:
+def test_three_servers_give_the_same_answer_to_one_key_after_the_first_is_killed() -> None:
     with Testbed(1) as testbed, closing(Block()) as block:
-        stage = Replicas(testbed, block.second, "ours", 0, 3, 1, zones=3, keys=KEYS)
-        stage.cold = "run"
-        for name in stage.names:
-            stage.start(name)
-        for name in stage.names:
-            stage.wait_up(name)
-        assert stage.wait_agreed(stage.names, 20.0) is not None, stage.processes["m0"].tail()
-        idempotency_key, until, answers = b"%032x" % 7, clock.monotonic() + 20.0, list[list[bytes]]()
-        while clock.monotonic() < until and [one[1] for one in answers] != [b"OK"]:
+        fleet = Replicas(testbed, block.second, "ours", 0, 3, 1, zones=3, keys=KEYS)
+        fleet.cold = "run"
+        for name in fleet.names:
+            fleet.start(name)
+        for name in fleet.names:
+            fleet.wait_up(name)
+        assert fleet.wait_agreed(fleet.names, 20.0) is not None, fleet.processes["m0"].tail()
+        idempotency_key, deadline, answers = b"%032x" % 7, clock.monotonic() + 20.0, list[list[bytes]]()
+        while clock.monotonic() < deadline and [answer[1] for answer in answers] != [b"OK"]:
             answers = [
-                send_record(stage, "m0", b"%016x" % (clock.monotonic_ns() % (1 << 60)), idempotency_key)
+                send_record(fleet, "m0", b"%016x" % (clock.monotonic_ns() % (1 << 60)), idempotency_key)
             ]
-        answers.append(send_record(stage, "m1", b"%016x" % 2, idempotency_key))
-        stage.processes["m0"].kill()
-        answers.append(send_record(stage, "m2", b"%016x" % 3, idempotency_key))
-        assert [one[1] for one in answers] == [b"OK"] * 3 and len({one[3] for one in answers}) == 1, answers
-        begun = sum(word == "begin" for name in stage.names for word, _, _ in testbed.runs(name))
-        assert begun == 1
-        assert [stage.processes[name].leave() for name in ("m1", "m2")] == [0, 0]
-        stage.relay.close()
+        answers.append(send_record(fleet, "m1", b"%016x" % 2, idempotency_key))
+        fleet.processes["m0"].kill()
+        answers.append(send_record(fleet, "m2", b"%016x" % 3, idempotency_key))
+        assert [answer[1] for answer in answers] == [b"OK"] * 3 and len(
+            {answer[3] for answer in answers}
+        ) == 1, answers
+        started_runs = sum(event == "begin" for name in fleet.names for event, _, _ in testbed.runs(name))
+        assert started_runs == 1
+        assert [fleet.processes[name].leave() for name in ("m1", "m2")] == [0, 0]
+        fleet.relay.close()
 
 
 @pytest.mark.parametrize(
@@ -334,44 +342,44 @@
         ("cold: maybe", "cold"),
     ],
 )
-def test_faults_of_the_section_are_reported_by_key(tmp_path: Path, text: str, message: str) -> None:
-    file = tmp_path / "features.yaml"
-    file.write_text(f"version: 1\n\nreplication:\n  {text}\n")
+def test_invalid_settings_are_reported_by_key(tmp_path: Path, text: str, message: str) -> None:
+    path = tmp_path / "features.yaml"
+    path.write_text(f"version: 1\n\nreplication:\n  {text}\n")
     with pytest.raises(FaultyFeaturesError, match=message):
-        read(file)
+        read(path)
 
 
 # -- packets
 
-done = Outcome(1, ("a", 1, 1), OutcomeStatus.SUCCEEDED, b"r")
-entry = Entry((1, 2, "a", 3), 4, ("b", 5, 6), b"value", b"d" * 16, True, (done,))
-key = ("labels", b"k")
+OUTCOME = Outcome(1, ("a", 1, 1), OutcomeStatus.SUCCEEDED, b"r")
+ENTRY = Entry((1, 2, "a", 3), 4, ("b", 5, 6), b"value", b"d" * 16, True, (OUTCOME,))
+KEY = ("labels", b"k")
 MESSAGES: list[messages.Message] = [
-    messages.Prepare(1, 2, key, 3, (1, 2, "a", 3), 4.5, b"group", 6),
-    messages.Promise(1, 2, (1, 2, "a", 3), entry),
-    messages.Accept(1, 2, key, 3, entry, 4.5, b"group", 6),
+    messages.Prepare(1, 2, KEY, 3, (1, 2, "a", 3), 4.5, b"group", 6),
+    messages.Promise(1, 2, (1, 2, "a", 3), ENTRY),
+    messages.Accept(1, 2, KEY, 3, ENTRY, 4.5, b"group", 6),
     messages.Accepted(1, 2, (1, 2, "a", 3)),
-    messages.Refuse(1, 2, messages.RefusalReason.FULL, (1, 2, "a", 3), (1, 1, "b", 3), entry),
-    messages.Push(1, 2, key, 3, entry, 4.5),
+    messages.Refuse(1, 2, messages.RefusalReason.FULL, (1, 2, "a", 3), (1, 1, "b", 3), ENTRY),
+    messages.Push(1, 2, KEY, 3, ENTRY, 4.5),
     messages.Pushed(1, 2),
-    messages.Fetch(1, 2, key, 3),
+    messages.Fetch(1, 2, KEY, 3),
     messages.Fetched(1, 2, EMPTY),
     messages.RequestViews(1, 0),
     messages.PastViews(1, 2, 3, ((1, (Site("a", 1, "z", 1.5),)),)),
     messages.CompareRanges(1, ((2, (1 << 64) - 1),)),
     messages.RangeStates(1, 2, ((3, 4, True),)),
     messages.FetchRange(1, 2, ("", b"")),
-    messages.RangeChunk(1, 2, 3, 4, ((key, entry, 5.5),), True),
+    messages.RangeChunk(1, 2, 3, 4, ((KEY, ENTRY, 5.5),), True),
 ]
 
 
-@pytest.mark.parametrize("message", MESSAGES, ids=lambda one: type(one).__name__)
-def test_each_message_survives_encoding_and_decoding(message: messages.Message) -> None:
+@pytest.mark.parametrize("message", MESSAGES, ids=lambda message: type(message).__name__)
+def test_each_message_is_unchanged_by_encoding_and_decoding(message: messages.Message) -> None:
     data = codec.encode(message)
     assert codec.decode(data) == message
-    for place in range(len(data)):
+    for index in range(len(data)):
         try:
-            codec.decode(data[:place] + bytes([data[place] ^ 0x55]) + data[place + 1 :])
+            codec.decode(data[:index] + bytes([data[index] ^ 0x55]) + data[index + 1 :])
         except packet_fields.BadPacketError:
             continue
 
@@ -387,10 +395,10 @@
 def test_packets_outside_their_bounds_are_refused() -> None:
     with pytest.raises(packet_fields.BadPacketError, match="1024 ranges and 3 copies"):
         codec.decode(codec.encode(MESSAGES[0], 1024, 3), 2048, 3)
-    long = messages.Fetch(1, 2, ("labels", b"k" * (packet_fields.MAX_KEY_BYTES + 1)), 3)
-    many = messages.CompareRanges(1, ((2, 3),) * (codec.MAX_RANGES + 1))
-    never = messages.Push(1, 2, key, 3, entry, float("nan"))
-    past: list[messages.Message] = [long, many, never]
-    for one in past:
+    long_key = messages.Fetch(1, 2, ("labels", b"k" * (packet_fields.MAX_KEY_BYTES + 1)), 3)
+    too_many_ranges = messages.CompareRanges(1, ((2, 3),) * (codec.MAX_RANGES + 1))
+    invalid_lifetime = messages.Push(1, 2, KEY, 3, ENTRY, float("nan"))
+    invalid: list[messages.Message] = [long_key, too_many_ranges, invalid_lifetime]
+    for message in invalid:
         with pytest.raises(packet_fields.BadPacketError):
-            codec.decode(codec.encode(one))
+            codec.decode(codec.encode(message))
