--- a/tests/stories/test_replication_stories.py
+++ b/tests/stories/test_replication_stories.py
@@ -33,10 +33,10 @@
         return self.others[description == "yet another server"]
 
     def send_request(
-        self, server: str, run_s: float = 0.05, completes: bool = True, wait_s: float = 0.4
+        self, server: str, run_time_s: float = 0.05, completes: bool = True, wait_s: float = 0.4
     ) -> None:
         self.requests.append(
-            self.scenario.come(self.server_named(server), "record", takes=run_s, stays=completes)
+            self.scenario.come(self.server_named(server), "record", takes=run_time_s, stays=completes)
         )
         self.scenario.fleet.run(wait_s)
 
@@ -81,12 +81,14 @@
 # -- requests
 
 
-@when(parsers.re(r"the request is sent to (?P<server>(?!all).+?)(?: and takes (?P<run_s>\d+) seconds?)?$"))
+@when(
+    parsers.re(r"the request is sent to (?P<server>(?!all).+?)(?: and takes (?P<run_time_s>\d+) seconds?)?$")
+)
 @when(parsers.re(r"it is retried at (?P<server>.+)$"))
-def _send_request(story: Story, server: str, run_s: str | None = None) -> None:
+def _send_request(story: Story, server: str, run_time_s: str | None = None) -> None:
     if server.endswith(" and never completes there"):
         return story.send_request(server.removesuffix(" and never completes there"), completes=False)
-    story.send_request(server, float(run_s or 0.05))
+    story.send_request(server, float(run_time_s or 0.05))
 
 
 @when("the request is sent to all servers at the same time")
--- a/tests/test_replication_service.py
+++ b/tests/test_replication_service.py
@@ -373,7 +373,7 @@
 ]
 
 
-@pytest.mark.parametrize("message", MESSAGES, ids=lambda message: type(message).__name__)
+@pytest.mark.parametrize("message", MESSAGES, ids=lambda value: type(value).__name__)
 def test_each_message_is_unchanged_by_encoding_and_decoding(message: messages.Message) -> None:
     data = codec.encode(message)
     assert codec.decode(data) == message
