--- a/sablewheel/overload/__init__.py
+++ b/sablewheel/overload/__init__.py
@@ -1,1 +1,1 @@
-"""Overload control: which requests run, wait or are rejected. Free of I/O; the clock is handed in."""
+"""Overload control: decides which requests run, wait or are rejected. Does no I/O and reads no clock."""
--- a/sablewheel/overload/admission.py
+++ b/sablewheel/overload/admission.py
@@ -1,4 +1,4 @@
-"""Admission: what becomes of a request when it is read."""
+"""Admission: runs, queues or rejects each request as it is read."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Admission:
-    """The ordinary path of a request: guards, wait budget, then run, queue or reject.
+    """Checks a new request against the guards and its wait budget, then runs, queues or rejects it.
 
     Invariant: holds no state; every request that is read ends up running, queued, coalesced or answered.
     """
@@ -81,10 +81,10 @@
             self._queue_or_reject(request, slack_s, queue_waits_s)
 
     def _attach_or_answer(self, request: Request, original: Request) -> None:
-        """Attach a duplicate to its original, if the memory in which it would wait is free.
+        """Attach a duplicate to its original, if there is memory for it to wait in.
 
-        Otherwise it is answered at once: rejected if that is true of all attempts, as nothing has run, or of
-        an idempotent one, which may run again; else it fails.
+        Otherwise it is answered at once: rejected if the original has not run or the request class is
+        idempotent, so that a retry may run; failed otherwise.
         """
         never_ran = original.stage is Stage.QUEUED and not original.started
         if self._resources.memory_fits(0.0):
@@ -95,7 +95,7 @@
             self._completion.fail(request)
 
     def _record(self, request: Request) -> float:
-        """Count a request as read and set its deadline; returns how long its client still waits."""
+        """Count a request as read and set its deadline; return how many seconds its client still waits."""
         now, request_class = self._context.now, request.request_class
         remaining_s = request.remaining_s
         if remaining_s is None:
@@ -109,7 +109,7 @@
         return remaining_s
 
     def _guard(self, request: Request) -> RejectionReason | None:
-        """Return why a request must not be taken in, whatever its wait would be."""
+        """Return why a request must be rejected regardless of its wait; None if it need not be."""
         if self._shutdown.arrived_too_late(request):
             return RejectionReason.DRAINING
         if request.key_capacity_in_s:
@@ -119,10 +119,11 @@
         return None
 
     def _is_stale(self, request: Request, slack_s: float) -> bool:
-        """Return whether a request lay unread past its objective, for longer than a run takes.
+        """Return whether a request waited to be read past its objective and for longer than a run takes.
 
-        Such a request does not start even on idle cores: otherwise all that is read is too late, all of it
-        runs, and the backlog of unread requests never clears. The cost: what a late answer still earns.
+        Such a request does not start even on idle cores: otherwise every request is read too late, all of
+        them run, and the backlog of unread requests never clears. The cost: the value that a late answer
+        would still have.
         """
         unread_s = self._context.now - request.arrived_at
         usual_s = self._service_times.by_class[request.request_class].service_s.quantile(0.5)
@@ -146,10 +147,11 @@
 
 
 def _original_that_may_run(request: Request) -> Request | None:
-    """Return the request that this one is a duplicate of, if that one has run or still may.
+    """Return the original of a duplicate if it has run or may still run; otherwise None.
 
-    A duplicate that was answered without a run stands for its own original. A chain is as long as the
-    attempts of one request in one batch: later ones name the request whose key is reserved.
+    An original that was answered without a run is replaced by its own original, if it is a duplicate too.
+    Such a chain is at most as long as the attempts of one request in one batch: later attempts refer to the
+    request that holds the key.
     """
     original = request.duplicate_of
     while original is not None and _never_runs(original):
--- a/sablewheel/overload/capacity_advertisement.py
+++ b/sablewheel/overload/capacity_advertisement.py
@@ -1,4 +1,4 @@
-"""The capacity advertisement: the number that goes to the clients with every answer."""
+"""The capacity advertisement: the number that is sent to clients with every answer."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class CapacityAdvertiser:
-    """Advertises the clients' share of the credit pool while that binds, and of the memory otherwise.
+    """Advertises each client's share of the credit pool while that is the limit, and of the memory otherwise.
 
     Invariant: an action is issued only when the rounded value changes.
     """
@@ -50,53 +50,53 @@
             self._context.actions.append(AdvertiseCapacity(value))
 
     def max_credit(self) -> float:
-        """Return how many running requests cores and memory survive."""
+        """Return the number of running requests that cores and memory sustain."""
         return min(self._slow_start.max_concurrency(), self._resources.max_requests_in_memory(self._queues))
 
     def _credit(self) -> float:
         """Return how many requests each client may have in flight."""
-        clients, is_behind = self._clients, self._is_reading_behind()
-        sharing = clients.active_clients
-        if is_behind:  # also those whose requests may lie unread
-            heard = clients.heard_since(self._context.now - clients.unread_s)
-            sharing += sum(not client.in_flight for client in heard)
-        if is_behind or not self._queues.is_empty():
-            credit = self._pool()
+        clients, has_read_backlog = self._clients, self._has_read_backlog()
+        sharing_clients = clients.active_clients
+        if has_read_backlog:  # clients without a request in flight may have an unread one
+            recent_clients = clients.clients_seen_since(self._context.now - clients.unread_s)
+            sharing_clients += sum(not client.in_flight for client in recent_clients)
+        if has_read_backlog or not self._queues.is_empty():
+            credit = self._pool_credit()
         else:
             credit = min(self._resources.max_requests_in_memory(self._queues), MAX_CREDIT)
         if self._slow_start.is_warming_up():
-            return self._warm_up_share(credit, sharing)
-        return max(credit / max(sharing, 1), 1.0)
+            return self._warm_up_share(credit, sharing_clients)
+        return max(credit / max(sharing_clients, 1), 1.0)
 
     def _load(self, kind: AdvertisementKind) -> float:
         """Return the accept probability or the load level."""
         share = 1.0
-        if self._is_reading_behind() or not self._queues.is_empty():
-            share = self._pool() / max(self._requests(), 1)
+        if self._has_read_backlog() or not self._queues.is_empty():
+            share = self._pool_credit() / max(self._open_requests(), 1)
         return min(share, 1.0) if kind is AdvertisementKind.ACCEPT_PROBABILITY else max(1 - share, 0.0)
 
-    def _is_reading_behind(self) -> bool:
+    def _has_read_backlog(self) -> bool:
         return self._clients.unread_s > self._service_times.response_s.quantile(0.5)
 
-    def _pool(self) -> float:
+    def _pool_credit(self) -> float:
         return max(self._credit_pool.credit, self._context.settings.cores)
 
-    def _requests(self) -> int:
+    def _open_requests(self) -> int:
         """Return the requests that run or are queued."""
         return len(self._resources.running) + len(self._queues)
 
-    def _warm_up_share(self, credit: float, sharing: int) -> float:
-        """Return each client's share while this server warms up; below one it is a probability.
+    def _warm_up_share(self, credit: float, sharing_clients: int) -> float:
+        """Return each client's share while this server warms up; a share below 1 is a probability.
 
-        What the cores survive is shared by all clients there are, also those without a request here, or each
-        of them would take a credit of its own in the same moment. Requests read in the concurrency span count
-        even if they are answered: quick answers, rejections above all, would make room at once. The cost:
-        some stay away that would have found capacity.
+        All clients share the concurrency that the cores sustain, including clients without a request here:
+        otherwise each of them could use its own credit at the same moment. Requests read within the
+        concurrency span count even if they are answered: otherwise quick answers, above all rejections, would
+        free their credit at once. The cost: some clients send no request although there is capacity.
         """
         settings, clients = self._context.settings, self._clients
-        sharing = max(sharing, settings.clients)
+        sharing_clients = max(sharing_clients, settings.clients)
         recent = clients.arrivals_within(settings.concurrency_span_s)
         free = max(self._slow_start.max_concurrency() - recent, 0.0)
-        idle_clients = max(sharing - clients.active_clients, 1)
-        share = min(free / idle_clients, (free + self._requests()) / sharing)
-        return min(share, min(credit, self.max_credit()) / sharing)
+        idle_clients = max(sharing_clients - clients.active_clients, 1)
+        share = min(free / idle_clients, (free + self._open_requests()) / sharing_clients)
+        return min(share, min(credit, self.max_credit()) / sharing_clients)
--- a/sablewheel/overload/client_activity.py
+++ b/sablewheel/overload/client_activity.py
@@ -1,4 +1,4 @@
-"""What is known of the clients: who has requests in flight, who was heard lately, how long they wait."""
+"""Client activity: requests in flight, recent arrivals and how long each client waits for answers."""
 
 from __future__ import annotations
 
@@ -11,11 +11,17 @@
 from .interface import Client, Request
 from .service_times import MAX_SAMPLES, Samples
 
-MAX_CLIENTS = 1024  # or four times those in the settings: an address may never return
+MAX_CLIENTS = 1024  # or four times `settings.clients` if that is more; an address may never return
 
 
 class Arrival(NamedTuple):
-    """A request that was read: when, how long after its client's last one, and the starts until then."""
+    """A request that was read.
+
+    Attributes:
+        read_at: When it was read.
+        since_last_s: Time since the previous request of the same client.
+        starts_before: Number of runs that had started before it was read.
+    """
 
     read_at: float
     since_last_s: float
@@ -23,18 +29,18 @@
 
 
 class ClientActivity:
-    """The clients heard lately and the last requests read.
+    """The recently active clients and the last requests read.
 
     Invariant: `active_clients` is the number of clients with unanswered requests here, and `timeouts` is
-    ordered by when its clients were last heard.
+    ordered by the time of each client's last request.
     """
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
-        self.timeouts: dict[Client, Samples] = {}  # how long its requests were waited for
+        self.timeouts: dict[Client, Samples] = {}  # how long each client waited for its answers
         self.active_clients = 0
         self.arrivals: deque[Arrival] = deque(maxlen=MAX_SAMPLES)
-        self.starts = 0  # runs started since the server opened
+        self.starts = 0  # runs started since the first batch
         self.unread_s = 0.0  # how long the last request had waited to be read
         self._retry_marks: deque[bool] = deque(maxlen=MAX_SAMPLES // 2)
 
@@ -60,19 +66,22 @@
         self.active_clients -= not client.in_flight
 
     def record_timeout(self, client: Client, waited_s: float) -> None:
-        """Note that a client waits at least so long for an answer."""
+        """Record that a client waits at least `waited_s` seconds for an answer."""
         self.timeouts[client].add(waited_s)
 
     def retries_exceed(self, fraction: float) -> bool:
         """Return whether more than `fraction` of the last requests were retries."""
         return sum(self._retry_marks) > fraction * len(self._retry_marks)
 
-    def heard_since(self, time: float) -> Iterator[Client]:
-        """Return the clients that were heard after `time`, the last one first."""
+    def clients_seen_since(self, time: float) -> Iterator[Client]:
+        """Return the clients whose last request was read after `time`, the most recent first."""
         return takewhile(lambda client: client.last_received_at > time, reversed(self.timeouts))
 
     def arrivals_within(self, span_s: float) -> float:
-        """Return the requests read in the last `span_s`, extrapolated beyond those that are retained."""
+        """Return how many requests were read in the last `span_s` seconds.
+
+        The number is extrapolated if the span reaches back beyond the retained arrivals.
+        """
         since = self._context.now - span_s
         count = sum(1 for _ in takewhile(lambda arrival: arrival.read_at > since, reversed(self.arrivals)))
         if count < MAX_SAMPLES:
--- a/sablewheel/overload/coalescing.py
+++ b/sablewheel/overload/coalescing.py
@@ -1,4 +1,4 @@
-"""Coalescing: duplicates get the result of the request that they repeat."""
+"""Coalescing: a duplicate gets the result of its original."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 class DuplicateCoalescer:
     """The duplicates that wait until the guards allow them to be attached to their originals.
 
-    Waiting is better than failing them: the result that they repeat exists here.
+    They wait rather than fail, since this server has or will have the original's result.
 
     Invariant: a duplicate counts as started once it waits here, so it is never rejected.
     """
@@ -25,7 +25,7 @@
         self._waiting: list[tuple[Request, Request]] = []  # duplicate, original
 
     def attach(self, request: Request, original: Request) -> None:
-        """Attach a duplicate to its original; it fails if that can have no result."""
+        """Attach a duplicate to its original; fail it if the original can have no result."""
         if original.outcome not in (None, Outcome.SUCCEEDED) or (original.answered and not original.started):
             self._completion.fail(request)
         elif not self._resources.can_run(request):
@@ -37,7 +37,7 @@
             self._context.actions.append(AttachToOriginal(request))
 
     def attach_waiting(self) -> None:
-        """Try again to attach the duplicates that still wait."""
+        """Retry attaching the duplicates that are still queued."""
         waiting, self._waiting = self._waiting, []
         for request, original in waiting:
             if request.stage is Stage.QUEUED:
--- a/sablewheel/overload/completion.py
+++ b/sablewheel/overload/completion.py
@@ -1,4 +1,4 @@
-"""How requests end: final answers, cancellation, and the release of what a request occupied."""
+"""Request completion: final answers, cancellation and the release of resources."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 class RequestCompletion:
     """The steps by which requests end, shared by all event handlers.
 
-    Invariant: a request is answered at most once, and what it occupied is released exactly once, when it
-    reaches `Stage.FINISHED`. The two may lie apart: a run may go on after its answer.
+    Invariant: a request is answered at most once, and its resources are released exactly once, when it
+    reaches `Stage.FINISHED`. A request may be answered before it is finished: its run may still continue.
     """
 
     def __init__(
@@ -48,14 +48,14 @@
         self.finish(request)
 
     def fail(self, request: Request) -> None:
-        """Answer a request with an error; it is over unless it runs."""
+        """Answer a request with an error, and finish it unless it is running."""
         self._context.actions.append(Fail(request))
         self.mark_answered(request)
         if request.stage in (Stage.QUEUED, Stage.COALESCED):
             self.finish(request)
 
     def drop_started(self, request: Request) -> None:
-        """Fail a request that has started, and cancel it if that wastes no result."""
+        """Fail a request that has started, and cancel its run if no duplicate can use the result."""
         self._credit_pool.drops += 1
         self.fail(request)
         self.cancel(request)
@@ -70,13 +70,13 @@
             self._context.actions.append(Cancel(request))
 
     def mark_answered(self, request: Request) -> None:
-        """Note that the client has its answer, or waits for none any more."""
+        """Record that the client has its answer or no longer waits for one."""
         if not request.answered:
             request.answered = True
             self._clients.record_answer(request.client)
 
     def finish(self, request: Request) -> None:
-        """Release what a request occupies, unless that is done already."""
+        """Release the resources of a request, unless it is finished already."""
         if request.stage is Stage.FINISHED:
             return
         if self._dependency_capacity.is_calling(request):
--- a/sablewheel/overload/connection_limits.py
+++ b/sablewheel/overload/connection_limits.py
@@ -10,19 +10,20 @@
 from .service_times import MAX_SAMPLES
 
 MIN_ARRIVALS = MAX_SAMPLES // 2
-MAX_RETURNING_RATIO_TO_CLOSE = 0.4  # of the requests, from clients that were heard not long before
+MAX_RETURNING_RATIO_TO_CLOSE = 0.4  # part of the requests; see `_returning_ratio`
 MIN_RETURNING_RATIO_TO_KEEP = 0.5
 
 
 class ConnectionLimits:
-    """The idle timeout, which is cut where clients seldom return.
+    """The idle timeout, which is shortened if clients seldom return.
 
-    Where clients return, on average, later than they keep a connection, most connections are used once; a
-    table full of them costs CPU time and keeps out requests. Once no more are opened and few requests come
-    from clients heard lately, each unused connection is closed soon. Where many return, or retry soon, a full
-    table is the cheapest rejection. The cost: the few clients that return often pay a handshake each time.
+    If clients return, on average, later than the idle timeout, most connections are used once; a full
+    connection table then costs CPU time and keeps out requests. Once the number of open connections no longer
+    grows and few requests come from recently active clients, unused connections are closed soon. If many
+    clients return, or retry soon, a full table is the cheapest form of rejection. The cost: the few clients
+    that return often pay for a handshake each time.
 
-    Invariant: `_idle_timeout_s` is what the last `CloseIdle` action said, or else the setting.
+    Invariant: `_idle_timeout_s` is the value of the last `CloseIdle` action, or else of the setting.
     """
 
     def __init__(self, context: DecisionContext, clients: ClientActivity) -> None:
@@ -30,18 +31,18 @@
         self._clients = clients
         self._idle_timeout_s = context.settings.idle_timeout_s
         self._previous_open_connections = -inf
-        self.open_connections = inf  # as last reported
+        self.open_connections = inf  # from the last gauges; infinite if unknown
         self.next_review_at = inf
 
     def review(self) -> None:
-        """Decide on the idle timeout again, and on when to do so next."""
+        """Update the idle timeout and schedule the next review."""
         settings, previous_s = self._context.settings, self._idle_timeout_s
         has_stopped_growing = self.open_connections <= self._previous_open_connections
         self._previous_open_connections = self.open_connections
         self.next_review_at = self._context.now + max(
             settings.advertisement_ttl_s, self._context.min_interval_s
         )
-        if not settings.idle_timeout_s:  # unknown: no connection is closed for being unused
+        if not settings.idle_timeout_s:  # 0: unknown, so idle connections are not closed
             self._idle_timeout_s = 0.0
         elif len(self._clients.arrivals) >= MIN_ARRIVALS:
             self._adjust(has_stopped_growing)
@@ -50,15 +51,19 @@
 
     def _adjust(self, has_stopped_growing: bool) -> None:
         settings, arrivals = self._context.settings, self._clients.arrivals
-        first = arrivals[0]
-        span_s = self._context.now - first.read_at
-        seldom_return = settings.clients * span_s > settings.idle_timeout_s * len(arrivals)
+        oldest = arrivals[0]
+        span_s = self._context.now - oldest.read_at
+        clients_seldom_return = settings.clients * span_s > settings.idle_timeout_s * len(arrivals)
         returning_ratio = self._returning_ratio()
-        starts = max(self._clients.starts - first.starts_before, 1)
+        starts = max(self._clients.starts - oldest.starts_before, 1)
         retries_per_start = (
             sum(arrival.since_last_s < self._context.max_timeout_s for arrival in arrivals) / starts
         )
-        if not seldom_return or returning_ratio > MIN_RETURNING_RATIO_TO_KEEP or retries_per_start > 1:
+        if (
+            not clients_seldom_return
+            or returning_ratio > MIN_RETURNING_RATIO_TO_KEEP
+            or retries_per_start > 1
+        ):
             self._idle_timeout_s = settings.idle_timeout_s
         elif (
             has_stopped_growing
@@ -69,9 +74,9 @@
             self._idle_timeout_s = min(shortest_s, settings.idle_timeout_s)
 
     def _returning_ratio(self) -> float:
-        """Return the part of the requests whose clients were heard within the idle timeout.
+        """Return the part of the requests whose client sent another one within the idle timeout before.
 
-        Soon after the start nobody can have been heard long ago: what was observed is extrapolated.
+        Soon after the start the observed time is shorter than the idle timeout, so the ratio is extrapolated.
         """
         settings, arrivals = self._context.settings, self._clients.arrivals
         opened_at, idle_timeout_s = self._context.opened_at, settings.idle_timeout_s
--- a/sablewheel/overload/context.py
+++ b/sablewheel/overload/context.py
@@ -1,23 +1,23 @@
-"""What the parts of the controller share: the settings, the clock reading and the collected actions."""
+"""State shared by the parts of the controller: settings, current time and collected actions."""
 
 from __future__ import annotations
 
 from .interface import Action, RequestClass, ServerSettings
 
-MIN_INTERVAL_S = 0.001  # whatever the settings say, so that no timer spins and nothing divides by zero
-UNSET_INTERVAL_S = 0.01  # where the settings leave out the batch interval
+MIN_INTERVAL_S = 0.001  # lower bound for any setting: prevents spinning timers and division by zero
+UNSET_INTERVAL_S = 0.01  # used if the settings have no batch interval
 
 
 class DecisionContext:
-    """The batch of events that is being handled.
+    """The settings, and the time and actions of the current batch of events.
 
     Invariant: only the controller starts a batch or replaces the settings; the parts read the clock and
-    append actions, in the order in which they are to be carried out.
+    append actions in the order in which they are to be executed.
     """
 
     def __init__(self, settings: ServerSettings) -> None:
         self.settings = settings
-        self.now = 0.0  # seconds, as handed in with the batch
+        self.now = 0.0  # seconds; the time of the current batch
         self.opened_at = -1.0  # time of the first batch; negative before
         self.actions: list[Action] = []
         self.max_timeout_s = _longest_timeout_s(settings.request_classes)
@@ -33,7 +33,7 @@
 
     @property
     def min_interval_s(self) -> float:
-        """The least time between two runs of anything periodic, never zero."""
+        """The minimum interval of periodic work in seconds; never zero."""
         return max(self.settings.min_batch_interval_s or UNSET_INTERVAL_S, MIN_INTERVAL_S)
 
 
--- a/sablewheel/overload/controller.py
+++ b/sablewheel/overload/controller.py
@@ -1,8 +1,8 @@
-"""The controller of a server's requests: passes events on to the parts that decide, and collects actions.
+"""The overload controller of one server: dispatches events to the deciding parts and collects actions.
 
-`Controller(settings, seed).handle_events(now, events)` is called once per batch; the first call may bring no
-events and opens the server. The types of the interface are in `interface/`; the mechanism and where it
-departs from the paper are described in `docs/design.md`.
+`Controller(settings, seed).handle_events(now, events)` is called once per batch; the first call may have no
+events and reports the server as healthy. The interface types are in `interface/`; the mechanism and its
+differences from the paper are described in `docs/design.md`.
 """
 
 from __future__ import annotations
@@ -39,10 +39,10 @@
 
 
 class Controller:
-    """One server's decisions, from its own events alone.
+    """Makes one server's decisions from its own events only.
 
     Invariant: the order of the steps in `handle_events` is part of the behaviour, as is the order of the
-    actions; `_timer_set_for` is never later than the earliest need of any part.
+    actions; `_timer_set_for` is never later than the earliest time at which any part is due.
     """
 
     def __init__(self, settings: ServerSettings, seed: int) -> None:
@@ -128,7 +128,7 @@
         self._steps: tuple[Callable[[], None], ...] = (
             self._dependency_calls.make_calls,
             self._answer_overdue,
-            self._review_unconfirmed,
+            self._query_or_drop_unconfirmed,
             self._coalescer.attach_waiting,
             self._run_starter.start_queued,
             self._iterate_if_due,
@@ -156,8 +156,8 @@
     def retune(self, settings: ServerSettings) -> None:
         """Replace the settings of a running server.
 
-        Requests taken in before keep their request class. What was learned of classes and tenants of earlier
-        settings is retained, since requests may still end under them; settings change seldom.
+        Requests admitted earlier keep their request class. Statistics of the previous classes and tenants are
+        retained, since their requests may still end; settings change seldom.
         """
         previous = self._context.settings
         self.service_times.update_settings(previous, settings)
@@ -165,11 +165,11 @@
         self._context.update_settings(settings)
 
     def handle_events(self, now: float, events: list[Event]) -> list[Action]:
-        """Return the actions to be carried out now that these events have happened.
+        """Handle a batch of events and return the actions to execute.
 
         Args:
-            now: Seconds of a clock that never runs backwards.
-            events: In the order in which they happened.
+            now: Current time in seconds, from a monotonic clock.
+            events: The events since the last batch, oldest first.
         """
         context = self._context
         context.begin_batch(now)
@@ -183,14 +183,14 @@
         return context.actions
 
     def _run_step(self, step: Callable[[], None]) -> None:
-        """Run a step; an internal error in it leaves the other steps and their actions alone."""
+        """Run a step; an internal error in it does not affect the other steps and their actions."""
         try:
             step()
         except Exception as error:
             self._context.actions.append(InternalError(error))
 
     def _handle_event(self, event: Event) -> None:
-        """Pass one event on; an internal error costs the request that it is about, and no other."""
+        """Dispatch one event; an internal error ends only the request of this event."""
         try:
             self._handlers[type(event)](event)
         except Exception as error:
@@ -198,7 +198,7 @@
             self._end_after_error(event)
 
     def _end_after_error(self, event: Event) -> None:
-        """End the request of an event that could not be handled, unless it still runs."""
+        """End the request of an event whose handler raised, unless it is still running."""
         completion = self._completion
         match event:
             case interface.RunEnded(request):
@@ -213,20 +213,20 @@
                 if request.stage is Stage.QUEUED and not request.answered:
                     self._run_step(lambda: completion.fail(request))
             case _:
-                pass  # the request runs: its end or its deadline is still to come
+                pass  # the request is running: its end or its deadline is handled later
 
     def _answer_overdue(self) -> None:
-        """Answer the requests whose time is up, each apart from the others."""
+        """Handle the requests that are due; an internal error affects only its own request."""
         now = self._context.now
         while (request := self._deadlines.pop_due(now)) is not None:
             try:
-                self._endings.time_is_up(request)
+                self._endings.deadline_reached(request)
             except Exception as error:
                 self._context.actions.append(InternalError(error))
                 if not request.answered:
                     self._completion.fail(request)
 
-    def _review_unconfirmed(self) -> None:
+    def _query_or_drop_unconfirmed(self) -> None:
         unconfirmed, context = self.resources.unconfirmed, self._context
         overdue = unconfirmed.take_overdue(context.now)
         context.actions.extend(interface.PresumeLost(request) for request in overdue)
@@ -236,7 +236,9 @@
     def _iterate_if_due(self) -> None:
         pool, now = self.credit_pool, self._context.now
         if now >= pool.next_iteration_at:
-            pool.next_iteration_at = now + self._context.min_interval_s  # an internal error must not spin
+            pool.next_iteration_at = (
+                now + self._context.min_interval_s
+            )  # set first: an internal error below must not cause a busy loop
             self._iterate_credit_pool()
 
     def _review_if_due(self) -> None:
@@ -257,19 +259,19 @@
         self.queues.update_ranking(0.5 ** (interval_s / self._context.max_timeout_s))
 
     def _set_timer(self) -> None:
-        """Set a timer for the earliest need; one that was set for later may still fire."""
-        needed_at = min(
+        """Set a timer for the earliest due time; timers set for later times may still fire."""
+        next_due_at = min(
             self.credit_pool.next_iteration_at,
             self._connection_limits.next_review_at,
             self.resources.unconfirmed.next_due,
             self._deadlines.next_due,
             self._dependency_calls.next_due(),
         )
-        if needed_at < self._timer_set_for:
-            self._timer_set_for = needed_at
+        if next_due_at < self._timer_set_for:
+            self._timer_set_for = next_due_at
             failed = any(isinstance(action, InternalError) for action in self._context.actions)
-            least_s = self._context.min_interval_s if failed else 0.0  # what failed may be due for good
-            self._context.actions.append(SetTimer(max(needed_at - self._context.now, least_s)))
+            min_delay_s = self._context.min_interval_s if failed else 0.0  # a failed step may stay due
+            self._context.actions.append(SetTimer(max(next_due_at - self._context.now, min_delay_s)))
 
     def _request_arrived(self, event: interface.RequestArrived) -> None:
         self._admission.admit(event.request)
--- a/sablewheel/overload/credit_pool.py
+++ b/sablewheel/overload/credit_pool.py
@@ -1,4 +1,4 @@
-"""The credit pool: how many requests may run at once, by additive increase and multiplicative decrease."""
+"""The credit pool: limits concurrent runs by additive increase and multiplicative decrease."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 MIN_GAIN_RATIO = 0.1  # t_e of the paper: extra answers per extra start that still count as a gain
 MAX_DROP_RATIO = 1.0  # t_d of the paper: drops per started request
 MULTIPLICATIVE_DECREASE = 0.02
-ADDITIVE_INCREASE = 0.01  # per core
+ADDITIVE_INCREASE = 0.01  # credits per core and iteration
 RESPONSE_TIMES_PER_ITERATION = 4
 
 
 class CreditPool:
-    """The Protego iteration: the pool grows while more starts bring more answers, and shrinks otherwise.
+    """The Protego iteration: the pool grows while more starts yield more answers, and shrinks otherwise.
 
     Invariant: after each iteration the credit lies between the cores and the given maximum, unless that is
-    below the cores. The counts cover the current iteration; `_last_*` those of the one before.
+    below the cores. The counts cover the current iteration; `_last_*` hold those of the previous one.
     """
 
     def __init__(self, context: DecisionContext) -> None:
@@ -26,18 +26,18 @@
         self.next_iteration_at = 0.0
 
     def undo_start(self) -> None:
-        """Take back the start of a request that never ran."""
+        """Undo the start of a request that never ran."""
         self.started = max(self.started - 1, 0)
 
     def iterate(self, max_credit: float, response_s: float) -> float:
-        """Adjust the credit by the counts of the iteration that ends, and begin the next one.
+        """Adjust the credit by the counts of the current iteration, and begin the next one.
 
         Args:
-            max_credit: What the cores and the memory survive.
-            response_s: The median response time.
+            max_credit: Number of running requests that cores and memory sustain.
+            response_s: The median response time in seconds.
 
         Returns:
-            How long the next iteration takes, in seconds.
+            The duration of the next iteration in seconds.
         """
         settings = self._context.settings
         started_change = self.started - self._last_started
--- a/sablewheel/overload/dependency_calls.py
+++ b/sablewheel/overload/dependency_calls.py
@@ -1,4 +1,4 @@
-"""Dependency calls: the queue before them, and what becomes of a run whose call is not made."""
+"""Dependency calls: their queue, and the handling of runs whose call is not made."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 class DependencyCalls:
     """The runs that wait to call, oldest first, and the handling of call events.
 
-    After a call that was refused without being seen none is made for a usual call's duration: the dependency
-    is full, and calls that are tried anew at once are refused by the thousands. The cost: capacity that comes
-    free meanwhile is used a little later.
+    After a call that was refused or never reached the dependency, no call is made for the median duration of
+    recent calls: the dependency is full, and immediate retries would be refused by the thousands. The cost:
+    capacity that becomes free meanwhile is used a little later.
 
-    Invariant: a run that waits to call is not on the cores; the queue may still hold runs that have left that
-    stage, until they come to the front.
+    Invariant: a run that waits to call is not on the cores; the queue may still contain runs that have left
+    that stage, until they reach the front.
     """
 
     def __init__(
@@ -48,11 +48,11 @@
         self._calls_resume_at = -inf
 
     def expected_wait_s(self, request_class: RequestClass) -> float:
-        """Return how long a request that arrives now would wait for its call."""
+        """Return how many seconds a request that arrives now would wait for its call."""
         return max(self._oldest_wait_s(), self._time_to_serve_running_s(request_class))
 
     def next_due(self) -> float:
-        """Return when the dependency may have capacity for the first run in the queue."""
+        """Return when the dependency may have capacity for the first queued run; infinite without one."""
         if not self._waiting:
             return inf
         if self._context.now < self._calls_resume_at:
@@ -60,7 +60,7 @@
         return self._capacity.next_release_at()
 
     def request_call(self, request: Request) -> None:
-        """Queue a run for its call, unless the queue is older than its wait budget."""
+        """Queue a run for its call, unless the oldest queued run has waited longer than its wait budget."""
         if request.stage is not Stage.RUNNING:
             return
         now = self._context.now
@@ -68,7 +68,7 @@
         self._resources.unconfirmed.discard(request)
         self._resources.on_cores -= 1
         if request.answered:
-            return  # answered work ends by itself where it stands
+            return  # an answered run that waits for a call ends by itself
         budget_s = max(request.wait_budget_s, 0.0)
         if self._context.settings.dependency is None or self._oldest_wait_s() > budget_s:
             self.skip_or_drop(request)
@@ -97,7 +97,7 @@
             self._waiting.popleft()
 
     def call_ended(self, request: Request, took_s: float, outcome: Outcome) -> None:
-        """Let the run continue after a successful call; otherwise repeat, skip or fail it."""
+        """Let the run continue after a successful call; otherwise repeat or skip it, or fail the request."""
         if not self._capacity.is_calling(request):
             return
         abandoned = outcome in (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST)
@@ -105,7 +105,7 @@
         if outcome in PROVES_NEVER_RAN:
             pause_s = max(self._capacity.durations_s.recent_median(), self._context.min_interval_s)
             self._calls_resume_at = self._context.now + pause_s
-        else:  # how fast a refusal comes says nothing of how long a call takes
+        else:  # the time to a refusal is unrelated to the duration of a call
             self._capacity.durations_s.add(took_s)
         if outcome is Outcome.SUCCEEDED:
             self._resume(request)
@@ -122,7 +122,7 @@
             self._waiting.append(request)
 
     def skip_or_drop(self, request: Request) -> None:
-        """Continue without the call if an answer without it earns anything; otherwise fail the request."""
+        """Continue without the call if an answer without it has any value; otherwise fail the request."""
         if not request.request_class.skip_value_ratio:
             self._completion.drop_started(request)
             return
@@ -137,10 +137,10 @@
         return oldest_wait_s(self._waiting, Stage.WAITING_TO_CALL, self._context.now)
 
     def _time_to_serve_running_s(self, request_class: RequestClass) -> float:
-        """Return how long the calls of the running requests will occupy the dependency.
+        """Return how many seconds the calls of the running requests will occupy the dependency.
 
-        Counts only where an answer without its call earns nothing, so that no request runs up to a call that
-        cannot be made in time. The cost: some calls end sooner.
+        This counts only for classes whose answers have no value without the call, so that no request runs
+        until a call that cannot be made in time. The cost: some calls end sooner than estimated.
         """
         if request_class.skip_value_ratio or not self._capacity.is_limited():
             return 0.0
--- a/sablewheel/overload/dependency_capacity.py
+++ b/sablewheel/overload/dependency_capacity.py
@@ -1,4 +1,4 @@
-"""How many calls the dependency bears from this server, and for how long."""
+"""The capacity of the dependency that this server may use."""
 
 from __future__ import annotations
 
@@ -9,25 +9,26 @@
 from .interface import Request
 from .service_times import Samples
 
-NANOSECONDS = 1_000_000_000  # a second; whole numbers add up to the same in any order
-MAX_SLOWDOWN = 3.0  # recent median over lower quartile of all calls: about 2 where times scatter evenly
+NANOSECONDS = 1_000_000_000  # per second; integer sums do not depend on the order of addition
+MAX_SLOWDOWN = 3.0  # recent median over lower quartile; about 2 if durations vary uniformly
 
 
 class DependencyCapacity:
-    """The calls in flight and those of the last span, against this server's share of the dependency.
+    """The calls in flight and those of the last span, compared with this server's share of the dependency.
 
-    Invariant: the time of all calls in any span, each in flight booked at the longest it may take, stays
-    within the capacity times the span. `_booked_ns` is the sum over `_past_calls` and `_timeouts`, each
-    counted as the dependency `_booked_for` has it, so that a question costs no more behind many calls.
+    Invariant: the total duration of all calls in any span stays within the capacity times the span; a call in
+    flight counts with its longest possible duration. `_occupied_ns` is the sum over `_past_calls` and
+    `_timeouts`, computed with the settings in `_counted_dependency`; it is updated with each call, so that
+    the cost of `fits` does not grow with the number of calls.
     """
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
         self.durations_s = Samples()
-        self._timeouts: dict[Request, float] = {}  # of the calls in flight
-        self._past_calls: deque[tuple[float, float]] = deque()  # when each one ended, how long it took
-        self._booked_for = context.settings.dependency
-        self._booked_ns = 0
+        self._timeouts: dict[Request, float] = {}  # timeout of each call in flight, in seconds
+        self._past_calls: deque[tuple[float, float]] = deque()  # end and duration of each call
+        self._counted_dependency = context.settings.dependency
+        self._occupied_ns = 0
 
     @property
     def in_flight(self) -> int:
@@ -39,54 +40,58 @@
         return request in self._timeouts
 
     def open_call(self, request: Request, timeout_s: float) -> None:
-        """Book a call that is made now."""
-        self._recount_if_retuned()
+        """Record a call that is made now."""
+        self._recompute_if_settings_changed()
         request.called_at = self._context.now
         self._timeouts[request] = timeout_s
-        self._booked_ns += self._open_ns(timeout_s)
+        self._occupied_ns += self._max_occupied_ns(timeout_s)
 
     def close_call(self, request: Request, abandoned: bool) -> None:
-        """Book a call as ended; an abandoned one may go on at the dependency for a while."""
-        self._recount_if_retuned()
-        self._booked_ns -= self._open_ns(self._timeouts.pop(request))
+        """Record the end of a call; an abandoned one may continue at the dependency for `linger_s`."""
+        self._recompute_if_settings_changed()
+        self._occupied_ns -= self._max_occupied_ns(self._timeouts.pop(request))
         dependency, now = self._context.settings.dependency, self._context.now
         linger_s = dependency.linger_s if abandoned and dependency else 0.0
         took_s = now - request.called_at + linger_s
         self._past_calls.append((now + linger_s, took_s))
-        self._booked_ns += self._capped_ns(took_s)
+        self._occupied_ns += self._capped_ns(took_s)
 
     def fits(self, timeout_s: float) -> bool:
         """Return whether one more call of at most `timeout_s` stays within this server's share."""
         dependency = self._context.settings.dependency
         if dependency is None or dependency.capacity is None:
             return True
-        self._recount_if_retuned()
+        self._recompute_if_settings_changed()
         if len(self._timeouts) >= self._max_in_flight(dependency.capacity):
             return False
         span_s = dependency.span_s
         while self._past_calls and self._past_calls[0][0] <= self._context.now - span_s:
-            self._booked_ns -= self._capped_ns(self._past_calls.popleft()[1])
-        return self._booked_ns + self._open_ns(timeout_s) <= dependency.capacity * span_s * NANOSECONDS
+            self._occupied_ns -= self._capped_ns(self._past_calls.popleft()[1])
+        return (
+            self._occupied_ns + self._max_occupied_ns(timeout_s) <= dependency.capacity * span_s * NANOSECONDS
+        )
 
-    def _open_ns(self, timeout_s: float) -> int:
-        """Return what a call in flight books: the longest that it may keep the dependency busy."""
-        return self._capped_ns(timeout_s + (self._booked_for.linger_s if self._booked_for else 0.0))
+    def _max_occupied_ns(self, timeout_s: float) -> int:
+        """Return the longest time that a call in flight may occupy the dependency."""
+        return self._capped_ns(
+            timeout_s + (self._counted_dependency.linger_s if self._counted_dependency else 0.0)
+        )
 
     def _capped_ns(self, duration_s: float) -> int:
-        span_s = self._booked_for.span_s if self._booked_for else 0.0
+        span_s = self._counted_dependency.span_s if self._counted_dependency else 0.0
         return round(min(duration_s, span_s) * NANOSECONDS)
 
-    def _recount_if_retuned(self) -> None:
-        """Count all calls anew if the settings of the dependency have changed."""
+    def _recompute_if_settings_changed(self) -> None:
+        """Recompute the sum over all calls if the settings of the dependency have changed."""
         dependency = self._context.settings.dependency
-        if dependency is self._booked_for:
+        if dependency is self._counted_dependency:
             return
-        self._booked_for = dependency
-        self._booked_ns = sum(self._capped_ns(took_s) for _, took_s in self._past_calls)
-        self._booked_ns += sum(map(self._open_ns, self._timeouts.values()))
+        self._counted_dependency = dependency
+        self._occupied_ns = sum(self._capped_ns(took_s) for _, took_s in self._past_calls)
+        self._occupied_ns += sum(map(self._max_occupied_ns, self._timeouts.values()))
 
     def max_call_s(self) -> float:
-        """Return the longest time that one call may book: one core's part of a span's capacity."""
+        """Return the longest time that one call may occupy: one core's part of a span's capacity."""
         dependency = self._context.settings.dependency
         if not dependency or not dependency.capacity:
             return inf
@@ -98,7 +103,7 @@
         return dependency is not None and bool(dependency.capacity)
 
     def time_to_serve_s(self, calls: float) -> float:
-        """Return how long so many calls occupy this server's share of a dependency that is limited."""
+        """Return how long `calls` calls occupy this server's share of the dependency; 0 if unlimited."""
         dependency = self._context.settings.dependency
         capacity = dependency.capacity if dependency else None
         if not capacity:
@@ -106,19 +111,20 @@
         return calls * self.durations_s.recent_median() / min(self._max_in_flight(capacity), capacity)
 
     def next_release_at(self) -> float:
-        """Return when the first of the past calls leaves the span; infinite if there is none."""
+        """Return when the oldest past call leaves the span; infinite if there is none."""
         if not self._past_calls:
             return inf
         dependency = self._context.settings.dependency
         return self._past_calls[0][0] + (dependency.span_s if dependency else 0.0)
 
     def _max_in_flight(self, capacity: float) -> float:
-        """Return the limit of calls in flight: lower while they are slow, at least one.
+        """Return the limit of calls in flight: reduced while calls are slow, at least 1.
 
-        An overcrowded dependency gets slower with each call more, so the queue is kept here, where the wait
-        budgets see it. The cost: a dependency that is slow but not crowded is used less.
+        An overloaded dependency slows down with each additional call, so calls are queued on this server,
+        where they count against the wait budgets. The cost: a dependency that is slow but not overloaded is
+        used less.
         """
-        usual_s, recent_s = self.durations_s.quantile(0.25), self.durations_s.recent_median()
+        baseline_s, recent_s = self.durations_s.quantile(0.25), self.durations_s.recent_median()
         if not recent_s:
             return max(1.0, capacity)
-        return max(1.0, capacity * min(1.0, MAX_SLOWDOWN * usual_s / recent_s))
+        return max(1.0, capacity * min(1.0, MAX_SLOWDOWN * baseline_s / recent_s))
--- a/sablewheel/overload/idempotency.py
+++ b/sablewheel/overload/idempotency.py
@@ -1,4 +1,4 @@
-"""Reservations of idempotency keys, as far as they take memory."""
+"""Reservations of idempotency keys and the memory that they take."""
 
 from __future__ import annotations
 
@@ -10,36 +10,36 @@
 
 
 class IdempotencyKeys:
-    """The requests whose keys are reserved, with the end of each one's validity.
+    """The requests whose keys are reserved, with the expiry of each key.
 
-    Invariant: a request with `holds_key` takes the memory of one key. Keys expire by themselves, without an
-    action; only keys of requests that never ran are released before, since a release would cut off a
-    duplicate that arrived in time and is read later.
+    Invariant: a request with `holds_key` takes the memory of one key. Keys expire without an action.
+    Only keys of requests that never ran are released earlier: releasing the key of a request that ran would
+    let a duplicate that arrived in time but is read later run again.
     """
 
     def __init__(self, context: DecisionContext, resources: ResourceLimits) -> None:
         self._context = context
         self._resources = resources
-        self._expiries: list[tuple[float, int, Request]] = []  # a heap: windows differ by request class
-        self._sequence = 0  # among equal expiries the first one reserved expires first
+        self._expiries: list[tuple[float, int, Request]] = []  # a heap, since windows differ by request class
+        self._sequence = 0  # keys with equal expiry times expire in the order of reservation
 
     def memory_fits(self, request: Request) -> bool:
-        """Return whether the memory of the request's key is free, if its class needs one."""
+        """Return whether there is memory for the request's key, if its class needs one."""
         keyed = request.request_class.idempotency is Idempotency.KEYED
         return self._resources.memory_fits(self._context.settings.idempotency_key_kb if keyed else 0.0)
 
     def reserve_if_needed(self, request: Request, remaining_s: float) -> None:
-        """Reserve the key of a keyed request for its window, or of a read that may be coalesced."""
+        """Reserve the key of a keyed request, or of a read that may be coalesced."""
         request_class, context = request.request_class, self._context
         if request_class.idempotency is Idempotency.KEYED:
-            # Even past its window: a duplicate of it may lie unread for as long.
+            # Reserved even if the window has passed: a duplicate may have been unread for as long.
             expires_in_s = request.arrived_at + request_class.idempotency_window_s - context.now
             self._reserve(request, max(expires_in_s, context.min_interval_s))
         elif self._may_coalesce(request):
             self._reserve(request, remaining_s)
 
     def record(self, request: Request, valid_for_s: float) -> None:
-        """Count a key that is reserved already."""
+        """Record a key that is already reserved."""
         request.holds_key = True
         self._resources.memory_kb += self._context.settings.idempotency_key_kb
         self._sequence += 1
@@ -47,13 +47,13 @@
 
     def release(self, request: Request) -> None:
         """Release the key of a request that never ran, if it holds one."""
-        if self._forget(request):
+        if self._remove(request):
             self._context.actions.append(ReleaseKey(request))
 
     def expire(self) -> None:
         """Free the memory of the keys that are no longer valid."""
         while self._expiries and self._expiries[0][0] <= self._context.now:
-            self._forget(heappop(self._expiries)[2])
+            self._remove(heappop(self._expiries)[2])
 
     def _reserve(self, request: Request, valid_for_s: float) -> None:
         self.record(request, valid_for_s)
@@ -72,7 +72,7 @@
             and self._resources.memory_fits(settings.idempotency_key_kb)
         )
 
-    def _forget(self, request: Request) -> bool:
+    def _remove(self, request: Request) -> bool:
         held_key, request.holds_key = request.holds_key, False
         self._resources.memory_kb -= self._context.settings.idempotency_key_kb * held_key
         return held_key
--- a/sablewheel/overload/interface/__init__.py
+++ b/sablewheel/overload/interface/__init__.py
@@ -1,6 +1,6 @@
-"""The interface of the overload controller: events in, actions out, plain types only.
+"""The interface of the overload controller: events as input, actions as output, plain types only.
 
-A `Request` points to its request class, tenant and client; identifiers of the wire stay with the caller. All
+A `Request` points to its request class, tenant and client; protocol identifiers stay with the caller. All
 times are in seconds.
 """
 
--- a/sablewheel/overload/interface/actions.py
+++ b/sablewheel/overload/interface/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the controller has done about its events."""
+"""Actions that the controller returns for its events; the caller executes them."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 class RejectionReason(Enum):
     """Why a request was rejected; each value is the name of a counter."""
 
-    DRAINING = "draining"  # it arrived after the drain's grace
-    IDEMPOTENCY_TABLE_FULL = "no_room"  # its idempotency key cannot be stored yet
-    MEMORY = "memory"  # the memory guard
-    WAIT_BUDGET = "wait"  # its wait would exceed its budget, or its objective is out of reach
-    QUEUE_TIMEOUT = "held_out"  # its time in the queue is up
+    DRAINING = "draining"  # the request arrived after the grace period of the drain
+    IDEMPOTENCY_TABLE_FULL = "no_room"  # the idempotency key cannot be stored yet
+    MEMORY = "memory"  # the memory limit would be exceeded
+    WAIT_BUDGET = "wait"  # the wait would exceed the budget, or the objective is out of reach
+    QUEUE_TIMEOUT = "held_out"  # the request was queued for too long
 
 
 @dataclass(slots=True)
@@ -28,14 +28,14 @@
 
 @dataclass(slots=True)
 class Cancel:
-    """Cancel running work; this does not answer the request."""
+    """Cancel a run; this does not answer the request."""
 
     request: Request
 
 
 @dataclass(slots=True)
 class QueryRun:
-    """Query whether a run whose start is unconfirmed goes on; nobody waits for its request any more."""
+    """Query whether a run with an unconfirmed start is still running; its client no longer waits."""
 
     request: Request
 
@@ -52,8 +52,8 @@
     """Final answer: the request never ran.
 
     Attributes:
-        retry_after_s: When the client should retry.
-        no_retry_elsewhere: Whether it should try no other server meanwhile.
+        retry_after_s: After how many seconds the client should retry.
+        no_retry_elsewhere: Whether the client should not retry on another server meanwhile.
     """
 
     request: Request
@@ -71,7 +71,7 @@
 
 @dataclass(slots=True)
 class CallDependency:
-    """Make the call that a run needs and abandon it after `timeout_s` seconds."""
+    """Make the dependency call of a run, and abandon the call after `timeout_s` seconds."""
 
     request: Request
     timeout_s: float
@@ -79,14 +79,14 @@
 
 @dataclass(slots=True)
 class SkipDependencyCall:
-    """Let the run continue without its call."""
+    """Let a run continue without its dependency call."""
 
     request: Request
 
 
 @dataclass(slots=True)
 class ReserveKey:
-    """Put a request into the idempotency table."""
+    """Add a request to the idempotency table for `valid_for_s` seconds."""
 
     request: Request
     valid_for_s: float
@@ -108,7 +108,7 @@
 
 @dataclass(slots=True)
 class SetHealth:
-    """Set the answer to health checks; a cacheable one is answered without work."""
+    """Set the answer to health checks; a cacheable answer takes no work per health check."""
 
     healthy: bool
     cacheable: bool
@@ -116,14 +116,14 @@
 
 @dataclass(slots=True)
 class AdvertiseCapacity:
-    """Attach this number to every answer from now on."""
+    """Attach `value` to every answer from now on."""
 
     value: float
 
 
 @dataclass(slots=True)
 class CloseIdle:
-    """Close connections that are unused for `idle_timeout_s` seconds, from now on; 0: close none."""
+    """From now on, close connections that are idle for `idle_timeout_s` seconds; 0 closes none."""
 
     idle_timeout_s: float
 
@@ -144,9 +144,9 @@
 
 @dataclass(slots=True)
 class InternalError:
-    """A part of the controller raised; the other actions of the batch stand.
+    """A part of the controller raised `error`; the other actions of the batch remain valid.
 
-    Requests that this part should have dealt with may be left without an answer until their deadlines.
+    Requests that this part should have handled may remain unanswered until their deadlines.
     """
 
     error: Exception
--- a/sablewheel/overload/interface/events.py
+++ b/sablewheel/overload/interface/events.py
@@ -1,4 +1,4 @@
-"""Events: what the controller is notified of."""
+"""Events that the controller handles."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A request was read and waits for a decision."""
+    """A request was read and needs a decision."""
 
     request: Request
 
 
 @dataclass(slots=True)
 class RunEnded:
-    """A run ended, or the result of the original was attached to a duplicate."""
+    """A run ended after `took_s` seconds, or the result of the original was attached to a duplicate."""
 
     request: Request
     took_s: float
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class DependencyCallEnded:
-    """A dependency call ended."""
+    """A dependency call ended after `took_s` seconds."""
 
     request: Request
     took_s: float
@@ -43,21 +43,21 @@
 
 @dataclass(slots=True)
 class StartUnconfirmed:
-    """The command that starts a run was written to a connection that broke: it may or may not run."""
+    """The command that starts a run was written to a connection that broke; the run may have started."""
 
     request: Request
 
 
 @dataclass(slots=True)
 class CallerGone:
-    """Nobody waits for this request any more."""
+    """The client no longer waits for this request."""
 
     request: Request
 
 
 @dataclass(slots=True)
 class KeyRecovered:
-    """The key of a request that finished before the start counts for `valid_for_s` seconds more."""
+    """The key of a request that finished before a restart is valid for `valid_for_s` more seconds."""
 
     request: Request
     valid_for_s: float
@@ -72,12 +72,12 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer fired; the gauges read then are infinite where they are unknown.
+    """A timer fired; carries gauges, which are infinite if unknown.
 
     Attributes:
-        cpu_busy_ratio: Busy part of all cores over the last while.
-        open_connections: Open connections.
-        runnable_work: Runs, reads and health checks that demand a core right now.
+        cpu_busy_ratio: Busy part of all cores over a recent interval.
+        open_connections: Number of open connections.
+        runnable_work: Number of runs, reads and health checks that currently demand a core.
     """
 
     cpu_busy_ratio: float = inf
--- a/sablewheel/overload/interface/requests.py
+++ b/sablewheel/overload/interface/requests.py
@@ -20,11 +20,11 @@
     CONNECTION_LOST = auto()
     CANCELLED = auto()
     NEVER_STARTED = auto()
-    LOST = auto()  # no end was reported in time: it may have run
+    LOST = auto()  # no end was reported in time; the run may have taken place
 
 
 class Stage(Enum):
-    """Where a request stands; only the controller changes it."""
+    """The processing stage of a request; only the controller changes it."""
 
     QUEUED = auto()
     RUNNING = auto()
@@ -36,7 +36,13 @@
 
 @dataclass(eq=False, slots=True)
 class Client:
-    """A sender of requests, with its unanswered requests and when it was last heard from."""
+    """A sender of requests.
+
+    Attributes:
+        in_flight: Number of unanswered requests.
+        last_received_at: When its last request was read; -infinity if none was.
+        name: Client identifier; empty if unknown.
+    """
 
     in_flight: int = 0
     last_received_at: float = -inf
@@ -47,17 +53,17 @@
 class Request:
     """One attempt of a request.
 
-    The fields up to `duplicate_of` describe it as received. The others are the controller's notes, but for
-    `extra_wait_s` and `key_capacity_in_s`, which the caller sets before the request is handed in.
+    The fields up to `duplicate_of` describe the request as received. The others are set by the controller,
+    except `extra_wait_s` and `key_capacity_in_s`, which the caller sets before `RequestArrived`.
 
     Attributes:
-        remaining_s: How long the client still waits, where the deadline is propagated.
-        subject: What a read reads; reads of the same subject may be coalesced.
-        duplicate_of: The request whose result this one gets, if that one may have run. Once admitted: the
-            first of the chain that may have.
-        queued_work_ahead_s: Work that was ever queued in its queue before it.
-        extra_wait_s: What a run waits for beside the cores.
-        key_capacity_in_s: How long until its idempotency key can be stored; 0 if it can be now.
+        remaining_s: How long the client still waits; None if its deadline is not propagated.
+        subject: Identifies the data that a read returns; reads of the same subject may be coalesced.
+        duplicate_of: The original whose result this request gets, if the original may have run. After
+            admission: the first request of the chain of originals that may have run.
+        queued_work_ahead_s: Predicted service time of all requests ever queued before it in its queue.
+        extra_wait_s: Expected wait of a run for storage and replication, apart from its time on a core.
+        key_capacity_in_s: How long until its idempotency key can be stored; 0 if it can be stored now.
     """
 
     request_class: RequestClass
--- a/sablewheel/overload/interface/settings.py
+++ b/sablewheel/overload/interface/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one server: request classes, tenants, the called dependency and the machine's limits."""
+"""Settings of one server: request classes, tenants, the dependency and the limits of the machine."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Idempotency(Enum):
-    """What a second run of the same request does."""
+    """Effect of a second run of the same request."""
 
     IDEMPOTENT = auto()
     KEYED = auto()  # a duplicate within the idempotency window is answered with the first result
@@ -15,7 +15,7 @@
 
 
 class Cancellation(Enum):
-    """What cancelling a running request does on this server."""
+    """Effect of cancelling a running request on this server."""
 
     UNSUPPORTED = auto()
     DISCARDS_WORK = auto()
@@ -23,7 +23,7 @@
 
 
 class AdvertisementKind(Enum):
-    """What clients read in the capacity advertisement that is attached to every answer."""
+    """Meaning of the capacity advertisement that is attached to every answer."""
 
     NONE = auto()
     CREDIT = auto()
@@ -36,14 +36,15 @@
     """A class of requests.
 
     Attributes:
-        idempotency: Whether a request of this class may run twice.
+        idempotency: Effect of a second run of the same request.
         latency_objective_s: Answers within this time earn their full value.
         timeout_s: How long clients wait for an answer.
-        idempotency_window_s: How long after its arrival a request's key is reserved.
-        objective_s_per_hint: Added to the latency objective for each unit of the request's cost hint.
+        idempotency_window_s: How long a request's key is reserved after its arrival.
+        objective_s_per_hint: Seconds added to the latency objective for each unit of the cost hint.
         calls_dependency: Whether runs of this class may call the dependency.
-        skip_value_ratio: Part of the value that an answer without the dependency call earns.
-        priority_weight: Value of one request completed in time, or of a second of its work.
+        skip_value_ratio: Value of an answer without the dependency call, relative to one with it.
+        priority_weight: Value of a request answered in time, or of a second of its work; see
+            `ServerSettings.weight_by_work`.
     """
 
     idempotency: Idempotency
@@ -58,19 +59,19 @@
 
 @dataclass(frozen=True, eq=False)
 class Tenant:
-    """An owner of requests; `quota_per_s` is in requests per second over the whole fleet."""
+    """An owner of requests; `quota_per_s` is in requests per second for the whole fleet."""
 
     quota_per_s: float
 
 
 @dataclass(frozen=True, eq=False)
 class Dependency:
-    """The service that runs call.
+    """The service that runs may call.
 
     Attributes:
-        capacity: This server's share of the concurrent calls it survives; None if unknown.
-        span_s: The span over which the capacity is averaged.
-        linger_s: How long an abandoned call may go on at the dependency.
+        capacity: This server's share of the concurrent calls that the dependency sustains; None if unknown.
+        span_s: The time span over which the capacity is averaged.
+        linger_s: How long an abandoned call may continue at the dependency.
     """
 
     capacity: float | None = None
@@ -80,19 +81,19 @@
 
 @dataclass(frozen=True, eq=False)
 class ServerSettings:
-    """Settings of one server; they stay the same until `Controller.retune`.
+    """Settings of one server; unchanged until `Controller.retune`.
 
     Attributes:
         running_memory_factor: Memory of a running request as a multiple of its memory while queued.
-        max_concurrency_per_core: Running requests per core that the server survives over
+        max_concurrency_per_core: Running requests per core that the server sustains on average over
             `concurrency_span_s`.
         cold_speed_ratio: Speed of a server that starts cold, relative to its speed after `warm_up_s`.
-        deadline_propagated: Whether clients send the time that they still wait.
+        deadline_propagated: Whether clients send how long they still wait.
         marks_retries: Whether clients mark retries.
         weight_by_work: Whether priority weights are per second of work instead of per request.
-        over_quota_weight: Value of work beyond a tenant's quota relative to that within it.
+        over_quota_weight: Value of work over a tenant's quota relative to work within it.
         answer_slack_s: How long an answer may need to reach its client.
-        drain_grace_s: Requests that arrive this long after the shutdown notice are still served.
+        drain_grace_s: Requests that arrive within this time after the shutdown notice are still served.
     """
 
     request_classes: tuple[RequestClass, ...]
--- a/sablewheel/overload/request_endings.py
+++ b/sablewheel/overload/request_endings.py
@@ -1,4 +1,4 @@
-"""Handlers of the events that end requests: the run ended, the client left, the time is up."""
+"""Handlers of the events that end requests: end of the run, loss of the client, timeout."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class RequestEndings:
-    """What is learned from the end of a request, and what is done about it.
+    """Updates the statistics at the end of a request, and answers, finishes or cancels it.
 
     Invariant: holds no state; each handler ignores requests that are finished already.
     """
@@ -40,7 +40,7 @@
         self._keys = keys
 
     def run_ended(self, request: Request, took_s: float, outcome: Outcome) -> None:
-        """Learn from a run, or from an attached result, and finish the request."""
+        """Record the end of a run, or of a coalesced request, and finish the request."""
         if request.stage is Stage.FINISHED:
             return
         was_run = request.stage is not Stage.COALESCED
@@ -52,11 +52,11 @@
         elif outcome is Outcome.NEVER_STARTED and was_run:
             self._undo_start(request)
         if not request.answered:
-            self._completion.fail(request)  # it was cancelled; nothing needs it to run again
+            self._completion.fail(request)  # its run was cancelled and is not repeated
         self._completion.finish(request)
 
     def caller_gone(self, request: Request) -> None:
-        """Finish a queued request that nobody waits for, or cancel its run if that wastes no result."""
+        """Finish a queued request whose client no longer waits, or cancel its run if possible."""
         if request.stage is Stage.FINISHED:
             return
         if not request.answered:
@@ -69,8 +69,8 @@
         else:
             self._completion.cancel(request)
 
-    def time_is_up(self, request: Request) -> None:
-        """Answer a request that has waited too long, whatever it is doing."""
+    def deadline_reached(self, request: Request) -> None:
+        """Answer a request that has reached its deadline or the end of its wait budget."""
         if request.answered or request.stage is Stage.FINISHED:
             return
         now = self._context.now
@@ -90,10 +90,10 @@
         self._completion.mark_answered(request)
 
     def _undo_start(self, request: Request) -> None:
-        """Take a request that never ran out of the pool, its tenant's starts and the idempotency table.
+        """Undo the start of a request that never ran: in the pool, the tenant's starts and the key table.
 
-        Otherwise clients that invent requests would shrink the pool, and the keys they reserve would fail
-        genuine requests.
+        Otherwise clients that send bogus requests would shrink the pool, and the keys that they reserve would
+        make genuine requests fail.
         """
         self._credit_pool.undo_start()
         self._keys.release(request)
--- a/sablewheel/overload/request_queue.py
+++ b/sablewheel/overload/request_queue.py
@@ -9,11 +9,11 @@
 from .interface import Request, Stage
 from .service_times import ClassStatistics, ServiceTimes
 
-MIN_SHARE_RATIO = 0.5  # of its even part of the starts, left to each class whatever its work earns
+MIN_SHARE_RATIO = 0.5  # part of its equal share of the starts that each class gets regardless of its value
 
 
 def oldest_wait_s(queue: deque[Request], stage: Stage, now: float) -> float:
-    """Return how long the first request that still stands in a queue has waited; 0 if there is none.
+    """Return how long the first request that is still in a queue has waited; 0 if there is none.
 
     Requests that have left the stage are discarded from the front.
     """
@@ -23,24 +23,26 @@
 
 
 class RequestQueues:
-    """A queue for each request class and side of its tenants' quotas.
+    """Two queues for each request class: requests within their tenant's quota, and requests over it.
 
-    Requests within a quota start before those beyond one; among them a class that lags behind its share
-    first, then those whose work earns most, each class oldest first. One queue for all would give every class
-    an even part, whatever it earns. The cost: under a lasting excess, work that earns little is rejected down
-    to half of its even part.
+    Requests within a quota start before those over one. Among them, classes that lag behind their share start
+    first, then the classes with the most valuable work; each class starts oldest first. A single queue would
+    give all classes equal shares regardless of their value. The cost: under sustained overload, the starts of
+    low-value classes are reduced to half of an equal share.
 
-    Invariant: queue `index` holds requests of the class with that index within their quota, queue
-    `index + number of classes` those beyond it; requests that have left the queued stage may remain
-    until they come to the front.
+    Invariant: queue `index` contains requests of the class with that index within their quota, queue
+    `index + number of classes` those over it; requests that have left the queued stage may remain
+    until they reach the front.
     """
 
     def __init__(self, context: DecisionContext, service_times: ServiceTimes) -> None:
         self._context = context
         self._service_times = service_times
-        self.ranking = list(service_times.by_class.values())  # whose work earns most comes first
+        self.ranking = list(service_times.by_class.values())  # most valuable work first
         self._queues: tuple[deque[Request], ...] = tuple(deque() for _ in 2 * self.ranking)
-        self._arrived_work_s = [0.0] * len(self._queues)  # predicted for all that was ever queued
+        self._arrived_work_s = [0.0] * len(
+            self._queues
+        )  # predicted service time of all requests ever queued, by queue
         self.update_ranking(1.0)
 
     def __len__(self) -> int:
@@ -67,21 +69,21 @@
         return [oldest_wait_s(queue, Stage.QUEUED, now) for queue in self._queues]
 
     def indexes_ahead(self, statistics: ClassStatistics, over_quota: bool) -> list[int]:
-        """Return the queues that start before a class's own, which comes last.
+        """Return the queues that start before a class's own queue, followed by that queue.
 
-        That is its own queue alone while the class lags behind its share.
+        While the class lags behind its share, that is its own queue alone.
         """
-        own = [other.index for other in self.ranking[: self.ranking.index(statistics) + 1]]
+        indexes = [other.index for other in self.ranking[: self.ranking.index(statistics) + 1]]
         if over_quota:
             classes = len(self.ranking)
-            own = [*range(classes), *(classes + index for index in own)]
-        return own[-1:] if self.lags(statistics) else own
+            indexes = [*range(classes), *(classes + index for index in indexes)]
+        return indexes[-1:] if self.lags(statistics) else indexes
 
     def work_ahead_s(self, indexes: list[int]) -> float:
-        """Return the predicted service time of all that waits in these queues.
+        """Return the predicted service time in seconds of all requests in these queues.
 
-        The oldest request's age tells the wait of those that came before, not of the next one: a burst would
-        fill the queues before any of it had grown old.
+        The age of the oldest request shows the wait of earlier requests, not of the next one: a burst would
+        fill the queues before any of its requests had aged.
         """
         return sum(
             self._arrived_work_s[index] - self._queues[index][0].queued_work_ahead_s
@@ -98,13 +100,13 @@
         ]
 
     def lags(self, statistics: ClassStatistics) -> bool:
-        """Return whether fewer requests of a class started lately than what is left to each class."""
+        """Return whether a class recently started fewer requests than its minimum share."""
         arrived = sum(other.arrived for other in self.ranking)
         started = sum(other.started for other in self.ranking)
         return statistics.started * arrived < MIN_SHARE_RATIO * statistics.arrived * started
 
     def update_ranking(self, decay: float) -> None:
-        """Rank the classes by what their work earns; the counts of earlier requests decay."""
+        """Rank the classes by the value of their work, and let the counts of earlier requests decay."""
         settings = self._context.settings
         weights = {
             self._service_times.by_class[request_class].index: max(request_class.priority_weight, 1e-9)
--- a/sablewheel/overload/resource_limits.py
+++ b/sablewheel/overload/resource_limits.py
@@ -1,4 +1,4 @@
-"""The guards: what memory and cores bear, whatever the credit pool allows."""
+"""The guards: limits of memory and concurrency that hold regardless of the credit pool."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ResourceLimits:
-    """What the requests taken in occupy, against what the server survives.
+    """The resources that admitted requests occupy, compared with the limits of the server.
 
     Invariant: `memory_kb` is the sum over queued requests, running requests (times the running memory
     factor) and reserved idempotency keys; `on_cores` counts the runs that are not at a dependency call, and
@@ -28,17 +28,17 @@
         self._dependency_capacity = dependency_capacity
         self.memory_kb = 0.0
         self.on_cores = 0
-        self.running: dict[Request, None] = {}  # an ordered set: in order of their starts
-        self.unconfirmed = UnconfirmedStarts()  # among the running
+        self.running: dict[Request, None] = {}  # an ordered set, in order of the starts
+        self.unconfirmed = UnconfirmedStarts()  # a subset of `running`
 
     def memory_fits(self, additional_kb: float) -> bool:
-        """Return whether so much memory is free."""
+        """Return whether `additional_kb` of memory is free."""
         return self.memory_kb + additional_kb <= self._context.settings.memory_kb
 
     def can_run(self, request: Request) -> bool:
-        """Return whether memory and cores bear one more run.
+        """Return whether memory and cores allow one more run.
 
-        Requests at dependency calls count as well, since they return to the cores by themselves.
+        Requests at dependency calls count too, since they return to the cores when the call ends.
         """
         concurrency = self.on_cores + self._dependency_capacity.in_flight
         return concurrency < int(self._slow_start.max_concurrency()) and self.memory_fits(
@@ -51,7 +51,7 @@
         self.memory_kb += self._additional_memory_kb(request)
 
     def release_memory(self, request: Request, was_running: bool) -> None:
-        """Free the memory of a request that is over."""
+        """Free the memory of a finished request."""
         factor = self._context.settings.running_memory_factor if was_running else 1
         self.memory_kb -= request.memory_kb * factor
 
@@ -60,11 +60,11 @@
         return self.on_cores - len(self.unconfirmed)
 
     def confirmed_running(self) -> int:
-        """Return how many requests run or are at calls, without the unconfirmed starts."""
+        """Return how many requests are running or at dependency calls, without the unconfirmed starts."""
         return len(self.running) - len(self.unconfirmed)
 
     def max_requests_in_memory(self, queued: Iterable[Request]) -> float:
-        """Return how many runs of the mean size of those that run fit; without any, of those queued."""
+        """Return how many runs of the mean size of running requests fit; if none run, of queued ones."""
         sizes_kb = [request.memory_kb for request in self.running] or [
             request.memory_kb for request in queued
         ]
@@ -73,5 +73,5 @@
         return settings.memory_kb / (mean_kb * settings.running_memory_factor) if mean_kb else inf
 
     def _additional_memory_kb(self, request: Request) -> float:
-        """Return what a queued request takes beyond its memory once it runs."""
+        """Return the memory that a queued request needs in addition once it runs."""
         return request.memory_kb * (self._context.settings.running_memory_factor - 1)
--- a/sablewheel/overload/retry_advice.py
+++ b/sablewheel/overload/retry_advice.py
@@ -1,4 +1,4 @@
-"""Retry advice: what a rejected client is told about when and where to retry."""
+"""Retry advice: when and where a rejected client should retry."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from .request_queue import RequestQueues
 from .service_times import ServiceTimes
 
-MAX_RETRY_RATIO = 0.2  # of the requests read, past which the fleet is taken to be full everywhere
+MAX_RETRY_RATIO = 0.2  # part of the requests read; above it all servers are assumed to be full
 
 
 class RetryAdvice:
-    """Advice by the waits in the queues and by how many of the requests are retries.
+    """Computes the advice from the waits in the queues and the ratio of retries.
 
-    Invariant: the delay is above 0 wherever the settings allow one, since a rejection without a delay makes
-    clients retry at once.
+    Invariant: the delay is above 0 if the settings allow one, since clients retry at once after a rejection
+    without a delay.
     """
 
     def __init__(
@@ -31,7 +31,7 @@
         self._clients = clients
 
     def retry_after_s(self, request: Request) -> float:
-        """Return the wait of the oldest queued request, or else a usual response time."""
+        """Return the wait of the oldest queued request, or else the median response time, in seconds."""
         oldest_s = max(self._queues.oldest_waits_s())
         delay_s = (
             oldest_s
@@ -41,11 +41,11 @@
         return min(max(delay_s, request.key_capacity_in_s), self._context.settings.max_retry_after_s)
 
     def no_retry_elsewhere(self, request: Request) -> bool:
-        """Return whether the client should try no other server.
+        """Return whether the client should not retry on another server.
 
-        That holds for a retry, and for all while many requests are retries, or may be since they are not
-        marked: where all servers are full, each retry costs another one a reading. The cost: a request may
-        miss a server that had capacity.
+        That is so for retries, and for all requests if many requests are retries or if retries are not
+        marked: when all servers are full, each retry costs another server the reading of a request. The cost:
+        a request may miss a server with capacity.
         """
         return (
             request.is_retry
--- a/sablewheel/overload/run_starter.py
+++ b/sablewheel/overload/run_starter.py
@@ -1,4 +1,4 @@
-"""The start of runs, at once or from the queues, as the credit pool and the guards allow."""
+"""Starts runs, at once or from the queues, within the credit pool and the guards."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 class RunStarter:
     """Starts requests while there is credit or a free core.
 
-    Invariant: no run starts that the guards do not bear; all counts of starts change here only.
+    Invariant: no run starts unless the guards allow it; starts are counted only here.
     """
 
     def __init__(
@@ -42,9 +42,9 @@
     def may_start(self, request: Request) -> bool:
         """Return whether a request may start now.
 
-        While a core is free the credit pool does not bind, or requests at dependency calls would fill it
-        beside idle cores. Starts that are unconfirmed take no credit, or commands that were lost with a
-        connection would stop all starts; the guards count them all the same.
+        The credit pool is not applied while a core is free: otherwise requests at dependency calls could use
+        up the credit while cores are idle. Unconfirmed starts take no credit: otherwise commands that were
+        lost with a connection would block all starts. The guards count them nevertheless.
         """
         resources = self._resources
         if not resources.can_run(request):
@@ -66,7 +66,7 @@
         self._context.actions.append(Run(request))
 
     def start_queued(self) -> None:
-        """Start queued requests in the order of the queues; each queue stops at the first that may not."""
+        """Start queued requests in queue order; each queue stops at its first request that may not start."""
         for queue in self._queues.in_start_order():
             while queue and (queue[0].stage is not Stage.QUEUED or self.may_start(queue[0])):
                 request = queue.popleft()
--- a/sablewheel/overload/service_times.py
+++ b/sablewheel/overload/service_times.py
@@ -7,12 +7,12 @@
 from .interface import ServerSettings
 
 MAX_SAMPLES = 100  # enough for a 99th percentile
-RECENT_SAMPLES = 10  # tell how things are now
+RECENT_SAMPLES = 10  # represent the current state
 MIN_PREDICTED_S = 1e-6
 
 
 class Samples:
-    """The last few samples of one measure.
+    """The most recent samples of one measure.
 
     Invariant: `_sorted`, where it is not None, holds the same values as `values`.
     """
@@ -22,7 +22,7 @@
         self._sorted: list[float] | None = None
 
     def add(self, value: float) -> None:
-        """Add a sample; the oldest one is dropped when there are too many."""
+        """Add a sample; the oldest is dropped beyond `max_samples`."""
         self.values.append(value)
         self._sorted = None
 
@@ -41,22 +41,22 @@
 
 
 class ClassStatistics:
-    """What was measured of one request class.
+    """Measurements of one request class.
 
-    Invariant: `arrived` and `started` decay together, so that their ratio compares over request classes.
+    Invariant: `arrived` and `started` decay together, so that their ratio is comparable between classes.
     """
 
     def __init__(self, index: int) -> None:
-        self.index = index  # among the request classes, in the settings' order
-        self.arrived = self.started = 0.0  # recent requests; older ones count less
+        self.index = index  # position of the class in the settings
+        self.arrived = self.started = 0.0  # exponentially decayed numbers of requests
         self.service_s = Samples()
         self.prediction_ratio = Samples()  # measured over predicted duration, of runs with a cost hint
         self.hinted_runs: deque[tuple[float, float]] = deque(maxlen=MAX_SAMPLES)  # cost hint, duration
         self.first_attempt_timeout_s = 0.0
-        self.calls = self.runs = 1  # dependency calls made, successful runs
+        self.calls = self.runs = 1  # numbers of dependency calls made and of successful runs, each plus 1
 
     def record_run(self, cost_hint: float | None, took_s: float) -> None:
-        """Learn from a successful run."""
+        """Record the duration of a successful run."""
         self.service_s.add(took_s)
         self.runs += 1
         if cost_hint:
@@ -65,7 +65,7 @@
             self.hinted_runs.append((cost_hint, took_s))
 
     def service_time_s(self, cost_hint: float | None, fraction: float) -> float:
-        """Return the duration that `fraction` of such runs stay below, by their hint where it is known."""
+        """Return the `fraction` quantile of the duration in seconds, using the cost hint if there is one."""
         if not cost_hint or len(self.prediction_ratio.values) < RECENT_SAMPLES:
             return self.service_s.quantile(fraction)
         return self._regression_s(cost_hint) * self.prediction_ratio.quantile(fraction)
@@ -84,7 +84,7 @@
 class ServiceTimes:
     """The statistics of all request classes, and the response times of the server.
 
-    Invariant: classes at the same index of earlier and of current settings share one `ClassStatistics`.
+    Invariant: classes at the same index of earlier and current settings share one `ClassStatistics`.
     """
 
     def __init__(self, settings: ServerSettings) -> None:
--- a/sablewheel/overload/slow_start.py
+++ b/sablewheel/overload/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: how many concurrent requests the cores survive while the server warms up."""
+"""Slow start: limits concurrent requests while the server warms up."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class SlowStart:
-    """The limit of concurrency, which grows until a server that starts cold has warmed up.
+    """The concurrency limit, which grows until a server that starts cold has warmed up.
 
     Invariant: the limit never falls below one request per core.
     """
@@ -15,7 +15,7 @@
         self._context = context
 
     def is_warming_up(self) -> bool:
-        """Return whether this server is still slower than it will be."""
+        """Return whether this server is still warming up."""
         settings = self._context.settings
         return (
             settings.starts_cold
@@ -24,7 +24,7 @@
         )
 
     def max_concurrency(self) -> float:
-        """Return how many running requests the cores survive; a cold server counts as slow as it may be."""
+        """Return how many running requests the cores sustain, at the lowest speed expected during warm-up."""
         settings, speed_ratio = self._context.settings, 1.0
         if self.is_warming_up():
             speed_ratio = (
--- a/sablewheel/overload/tenant_quotas.py
+++ b/sablewheel/overload/tenant_quotas.py
@@ -1,4 +1,4 @@
-"""Tenant quotas: which requests are beyond their tenant's share of this server."""
+"""Tenant quotas: which requests are over their tenant's share of this server."""
 
 from __future__ import annotations
 
@@ -10,13 +10,14 @@
 
 
 class TenantQuotas:
-    """The recent starts of each tenant, against an even part of its quota.
+    """The recent starts of each tenant, compared with this server's equal share of its quota.
 
-    Work beyond a quota earns next to nothing, so queued requests within one start first. A request is not
-    rejected for being over its quota alone: clients that send less after rejections would then slow down for
-    all tenants. The cost: work within a quota that clients spread unevenly may start late.
+    Work over a quota has little value, so queued requests within their quota start first. A request is not
+    rejected only because it is over its quota: clients that reduce their rate after rejections would then
+    slow down for all tenants. The cost: if clients spread requests unevenly over the servers, work within a
+    quota may start late.
 
-    Invariant: starts are counted only while work beyond a quota is worth less than other work.
+    Invariant: starts are counted only while work over a quota has less value than other work.
     """
 
     def __init__(self, context: DecisionContext) -> None:
@@ -24,7 +25,7 @@
         self.starts: dict[Tenant, deque[float]] = {tenant: deque() for tenant in context.settings.tenants}
 
     def is_over_quota(self, request: Request) -> bool:
-        """Return whether this server lately started more for the tenant than an even part of its quota."""
+        """Return whether the tenant's recent starts exceed this server's share of its quota."""
         tenant, context = request.tenant, self._context
         settings = context.settings
         if tenant is None or settings.over_quota_weight >= 1:
@@ -39,13 +40,13 @@
         return len(starts) > share + sqrt(share)
 
     def record_start(self, request: Request) -> None:
-        """Note on the request whether it is over quota, and count its start."""
+        """Set the request's `over_quota`, and count its start."""
         if request.tenant is not None and self._context.settings.over_quota_weight < 1:
             request.over_quota = self.is_over_quota(request)
             self.starts[request.tenant].append(self._context.now)
 
     def undo_start(self, request: Request) -> None:
-        """Take back the start of a request that never ran."""
+        """Undo the start of a request that never ran."""
         if request.tenant is not None and request.stage_since in self.starts[request.tenant]:
             self.starts[request.tenant].remove(request.stage_since)
 
--- a/sablewheel/overload/unconfirmed_starts.py
+++ b/sablewheel/overload/unconfirmed_starts.py
@@ -1,11 +1,11 @@
 """Runs whose start is unconfirmed: the command was written to a connection that broke, and may be lost.
 
-Such a run may go on like any other, so it counts against what the cores and the memory survive, and its key
-stays reserved. It may as well never have started, and then its end is never reported. So it takes no credit,
-and its end is not awaited for ever.
+Such a run may be running, so it counts against the limits of cores and memory, and its key stays reserved. It
+may also never have started, and then its end is never reported. So it takes no credit, and its end is awaited
+only for a limited time.
 
-Once its client no longer waits, its command may be written again without harm: it begins nothing, and its
-answer tells whether the run goes on.
+Once its client no longer waits, its command may be sent again safely: the interpreter does not start a run
+for it, and its reply shows whether the run is still running.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 
 @dataclass(slots=True)
 class _Wait:
-    """How the end of one run is awaited.
+    """The wait for the end of one run.
 
     Attributes:
-        query_at: When to query whether the run goes on, or to see whether its request is answered; infinite
-            once it was queried.
-        until: Until when to await its end.
-        seen_answered: Whether its request was seen to be answered, and `query_at` counts from then.
+        query_at: When to query whether the run is still running, or, before `seen_answered`, to check whether
+            its request is answered; infinite after the query.
+        until: When to stop waiting for its end.
+        seen_answered: Whether a check found the request answered; `query_at` counts from that check.
     """
 
     query_at: float
@@ -33,9 +33,9 @@
 
 
 class UnconfirmedStarts:
-    """The runs concerned, and until when the end of each is awaited.
+    """The runs with an unconfirmed start, and how long the end of each is awaited.
 
-    Invariant: no run stays here past its client's timeout and the longest timeout after that.
+    Invariant: no run stays here longer than its client's timeout plus the longest timeout of any class.
     """
 
     def __init__(self) -> None:
@@ -45,10 +45,10 @@
         return len(self._waits)
 
     def add(self, request: Request, now: float, max_timeout_s: float) -> None:
-        """Await the end of a run until its client's timeout and `max_timeout_s` seconds more.
+        """Await the end of a run until its client's timeout plus `max_timeout_s`.
 
-        `max_timeout_s` is the longest timeout of any class: a run that is so late serves nobody, and another
-        one beside it is within the slack of the guards.
+        `max_timeout_s` is the longest timeout of any class, in seconds: the result of a run that is later
+        than this is of no use, and the slack of the guards covers another run beside it.
         """
         if request in self._waits:
             return
@@ -57,30 +57,30 @@
         self._waits[request] = _Wait(query_at, client_timeout_at + max_timeout_s)
 
     def discard(self, request: Request) -> None:
-        """Remove a run that is known to have started, or is over."""
+        """Remove a run whose start is confirmed or that has ended."""
         self._waits.pop(request, None)
 
     def take_to_query(self, now: float, answer_slack_s: float) -> list[Request]:
-        """Return the runs that are to be queried, each once.
+        """Return the runs to query now; each run is returned once.
 
-        `answer_slack_s` is how long an answer may need to reach its client. It counts from when the request
-        was seen to be answered, past its client's timeout: after a stall of this server the answer goes out
-        only then, and the interpreter would start a run of a request that is not over.
+        `answer_slack_s` is how long an answer may need to reach its client. It counts from the check, after
+        the client's timeout, that found the request answered: after a stall of this server the answer is sent
+        only then, and the interpreter would start a run for a request whose client still waits.
         """
-        to_query: list[Request] = []
+        due: list[Request] = []
         for request, wait in self._waits.items():
             if wait.query_at > now:
                 continue
             if wait.seen_answered:
-                to_query.append(request)
+                due.append(request)
                 wait.query_at = inf
             else:
                 wait.seen_answered = request.answered
                 wait.query_at = now + answer_slack_s
-        return to_query
+        return due
 
     def take_overdue(self, now: float) -> list[Request]:
-        """Remove and return the runs whose end is awaited no longer."""
+        """Remove and return the runs whose end is no longer awaited."""
         overdue = [request for request, wait in self._waits.items() if wait.until <= now]
         for request in overdue:
             del self._waits[request]
@@ -88,5 +88,5 @@
 
     @property
     def next_due(self) -> float:
-        """When the first of them is to be queried or becomes overdue; infinite if there is none."""
+        """The earliest time of a query, a check or the end of a wait; infinite if there is none."""
         return min((min(wait.query_at, wait.until) for wait in self._waits.values()), default=inf)
--- a/sablewheel/overload/wait_budget.py
+++ b/sablewheel/overload/wait_budget.py
@@ -11,10 +11,10 @@
 
 
 class WaitBudget(NamedTuple):
-    """The waits that are left to a request, in seconds; negative when it is late already.
+    """The remaining waits of a request in seconds; negative if it is already late.
 
     Attributes:
-        budget_s: The budget that its waits are deducted from.
+        budget_s: The budget from which its waits are deducted.
         slack_s: How long it may wait and still be answered in time.
     """
 
@@ -23,13 +23,13 @@
 
 
 class WaitBudgets:
-    """The budget of Protego, half the remaining time less the 99th percentile of the service time.
+    """The budget of Protego: half of the remaining time minus the 99th percentile of the service time.
 
-    A queued request that can only be late, or only after its client has left, earns little: it is rejected
-    once its objective or its client's timeout is out of reach. The cost: a sudden calm would still have saved
-    some.
+    A queued request that can only be answered late, or after its client has timed out, has little value: it
+    is rejected once its objective or its client's timeout is out of reach. The cost: if the load dropped
+    suddenly, some of these requests could still have been answered in time.
 
-    Invariant: holds no state of its own but the timeout of first attempts, which is kept with the class.
+    Invariant: holds no state except the timeout of first attempts, which is stored with the class statistics.
     """
 
     def __init__(
@@ -40,10 +40,10 @@
         self._clients = clients
 
     def compute(self, request: Request, remaining_s: float) -> WaitBudget:
-        """Return the budget of a request whose client waits `remaining_s` more.
+        """Return the budget of a request whose client waits `remaining_s` more seconds.
 
-        At least half of the slack is budget: the 99th percentile of a few slow runs would take nearly all of
-        it, and reject all that has to wait beside idle cores.
+        The budget is at least half of the slack: otherwise the 99th percentile of a few slow runs would use
+        up nearly all of it, and every request that has to wait would be rejected although cores are idle.
         """
         request_class = request.request_class
         statistics = self._service_times.by_class[request_class]
@@ -57,8 +57,10 @@
             if not request.is_retry:
                 statistics.first_attempt_timeout_s = remaining_s + waited_s
             elif remaining_s + waited_s > statistics.first_attempt_timeout_s:
-                age_s = max(age_s, timeout_s - remaining_s)  # a last retry is given all the client has left
-            else:  # the client has waited for at least what this timeout is shorter than the first one
+                age_s = max(
+                    age_s, timeout_s - remaining_s
+                )  # the last retry gets all of the client's remaining time
+            else:  # the client has waited at least the difference from the first attempt's timeout
                 age_s = max(age_s, statistics.first_attempt_timeout_s - remaining_s)
         objective_s = min(
             request_class.latency_objective_s
@@ -70,9 +72,9 @@
         return WaitBudget(max(budget_s, slack_s / 2), slack_s)
 
     def _observed_timeout_s(self, request: Request) -> float:
-        """Return how long the client was seen to wait, where it does not send its deadline.
+        """Return the observed timeout of a client that does not send its deadline.
 
-        Hasty clients time out long before the class's timeout, and runs for them are wasted.
+        Some clients time out long before the class's timeout, and runs for them would be wasted.
         """
         timeout_s = request.request_class.timeout_s
         return min(timeout_s, self._clients.timeouts[request.client].quantile(0.25, timeout_s))
--- a/tests/test_decision_cost.py
+++ b/tests/test_decision_cost.py
@@ -109,7 +109,7 @@
         span_s = dependency.span_s
         booked_s = sum(min(took_s, span_s) for _, took_s in capacity._past_calls)
         booked_s += sum(min(timeout_s + LINGER_S, span_s) for timeout_s in capacity._timeouts.values())
-        assert capacity._booked_ns / 1e9 == pytest.approx(booked_s, abs=1e-6)
+        assert capacity._occupied_ns / 1e9 == pytest.approx(booked_s, abs=1e-6)
 
 
 def with_dependency(span_s: float) -> ServerSettings:
@@ -124,6 +124,6 @@
     keys = world.controller._keys
     reserved = [fact.request for fact in facts if fact.request.holds_key]
     expired: list[Request] = []
-    keys._forget = lambda request: bool(expired.append(request))  # type: ignore[method-assign, func-returns-value]
+    keys._remove = lambda request: bool(expired.append(request))  # type: ignore[method-assign, func-returns-value]
     world.controller.handle_events(world.now + 7.0, [interface.TimerFired()])
     assert len(reserved) > 5 and expired[: len(reserved)] == reserved
--- a/tests/test_internal_errors.py
+++ b/tests/test_internal_errors.py
@@ -87,7 +87,7 @@
     "admission.admit",
     "dependency_calls.make_calls",
     "deadlines.pop_due",
-    "endings.time_is_up",
+    "endings.deadline_reached",
     "endings.run_ended",
     "coalescer.attach_waiting",
     "run_starter.start_queued",
