--- a/sablewheel/bench_adapter/__init__.py
+++ b/sablewheel/bench_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The bench adapter: the decision module on the simulator's wire."""
+"""The bench adapter: connects the overload controller to the simulator's line protocol."""
--- a/sablewheel/bench_adapter/__main__.py
+++ b/sablewheel/bench_adapter/__main__.py
@@ -9,29 +9,33 @@
 from .host import Host
 
 
-def serve(source: TextIO, sink: TextIO) -> None:
-    """Answer every batch of `source`; raises `wire.MalformedError` on what is not of the wire."""
+def serve(input_stream: TextIO, output_stream: TextIO) -> None:
+    """Answer every batch of `input_stream`.
+
+    Raises:
+        MalformedError: The input does not follow the protocol.
+    """
     host = Host()
     while True:
-        head = source.readline().rstrip("\n")
-        if not head:
+        mark_line = input_stream.readline().rstrip("\n")
+        if not mark_line:
             return
-        now, batch = wire.parse_mark(head)
-        texts = []
-        while (text := source.readline()) != "your_turn\n":
-            if not text.endswith("\n"):
-                raise wire.MalformedError("the input ends inside a batch")
-            texts.append(text[:-1])
-        sink.write(wire.reply(host.batch(now, texts), batch))
-        sink.flush()
+        now, batch_number = wire.parse_mark(mark_line)
+        event_lines = []
+        while (event_line := input_stream.readline()) != "your_turn\n":
+            if not event_line.endswith("\n"):
+                raise wire.MalformedError("input ended inside a batch")
+            event_lines.append(event_line[:-1])
+        output_stream.write(wire.format_reply(host.handle_batch(now, event_lines), batch_number))
+        output_stream.flush()
 
 
 def main() -> int:
-    """The adapter as a process."""
+    """Run the adapter; return the exit status."""
     try:
         serve(sys.stdin, sys.stdout)
-    except (wire.MalformedError, UnicodeDecodeError) as trouble:
-        print(f"sablewheel.bench_adapter: {trouble}", file=sys.stderr)
+    except (wire.MalformedError, UnicodeDecodeError) as error:
+        print(f"sablewheel.bench_adapter: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/sablewheel/bench_adapter/wire.py
+++ b/sablewheel/bench_adapter/wire.py
@@ -1,4 +1,4 @@
-"""The wire's lines: parsing what comes in, formatting what goes out. No ids are resolved here."""
+"""Parses and formats the lines of the simulator's protocol, without resolving ids."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class MalformedError(ValueError):
-    """A line that is not of the wire."""
+    """A line does not follow the protocol."""
 
 
-FIELDS = {
+FIELD_COUNTS = {  # number of values after the instance, by verb
     "init": 2,
     "destroy": 0,
     "request": 12,
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class Line:
-    """One event line: its verb, its instance, its other parts."""
+    """An event line: verb, instance id and the other parts."""
 
     verb: str
     instance: int
@@ -47,27 +47,27 @@
 
 
 def parse_mark(text: str) -> tuple[float, int]:
-    """The clock and the batch number of a `mark` line."""
+    """Return the clock reading and the batch number of a `mark` line."""
     parts = text.split(" ")
     if len(parts) != 3 or parts[0] != "mark":
         raise MalformedError(f"expected a mark line, got {text!r}")
-    return number(parts[1]), whole(parts[2])
+    return parse_number(parts[1]), parse_integer(parts[2])
 
 
 def parse_line(text: str) -> Line:
-    """An event line, with as many parts as its verb takes."""
+    """Parse an event line; its number of parts must match its verb."""
     verb = text.split(" ", 1)[0]
-    count = FIELDS.get(verb)
-    if count is None:
+    value_count = FIELD_COUNTS.get(verb)
+    if value_count is None:
         raise MalformedError(f"unknown event: {text!r}")
     parts = text.split(" ", 3) if verb == "init" else text.split(" ")
-    if len(parts) != count + 2:
-        raise MalformedError(f"{verb} takes {count + 1} values: {text!r}")
-    return Line(verb, whole(parts[1]), parts[2:])
+    if len(parts) != value_count + 2:
+        raise MalformedError(f"{verb} takes {value_count + 1} values: {text!r}")
+    return Line(verb, parse_integer(parts[1]), parts[2:])
 
 
-def number(text: str, absent: float | None = None) -> float:
-    """A finite number; `-` reads as `absent` where one is given."""
+def parse_number(text: str, absent: float | None = None) -> float:
+    """Parse a finite number; `-` means `absent`, if that is given."""
     if text == "-" and absent is not None:
         return absent
     try:
@@ -79,47 +79,47 @@
     return value
 
 
-def whole(text: str, absent: int | None = None) -> int:
-    """A whole number from 0 up; `-` reads as `absent` where one is given."""
+def parse_integer(text: str, absent: int | None = None) -> int:
+    """Parse a non-negative integer; `-` means `absent`, if that is given."""
     if text == "-" and absent is not None:
         return absent
     if not (text.isascii() and text.isdigit()):
-        raise MalformedError(f"not a whole number: {text!r}")
+        raise MalformedError(f"not a non-negative integer: {text!r}")
     return int(text)
 
 
-def outcome(text: str) -> Outcome:
-    """How a run or a call ended."""
+def parse_outcome(text: str) -> Outcome:
+    """Parse the outcome of a run or a call."""
     if text not in OUTCOMES:
         raise MalformedError(f"unknown outcome: {text!r}")
     return OUTCOMES[text]
 
 
-def gauges(text: str) -> dict[str, float]:
-    """The name:value pairs of a bell."""
-    found = {}
+def parse_gauges(text: str) -> dict[str, float]:
+    """Parse the name:value pairs of a `bell` line; omit gauges without a value."""
+    values = {}
     for pair in text.split(",") if text != "-" else ():
         name, colon, value = pair.partition(":")
         if not colon:
-            raise MalformedError(f"not a gauge: {pair!r}")
+            raise MalformedError(f"not a name:value gauge: {pair!r}")
         if value != "-":
-            found[name] = number(value)
-    return found
+            values[name] = parse_number(value)
+    return values
 
 
-def server_settings(text: str) -> ServerSettings:
-    """The settings of an `init`; keys not known are skipped."""
+def parse_server_settings(text: str) -> ServerSettings:
+    """Parse the settings of an `init` line; unknown keys are ignored."""
     try:
         return configuration.server_settings(configuration.Section(json.loads(text), "settings"))
-    except ValueError as trouble:
-        raise MalformedError(str(trouble)) from None
+    except ValueError as error:
+        raise MalformedError(str(error)) from None
 
 
-def seconds(value: float) -> str:
-    """A time or an amount as the wire writes it."""
+def format_number(value: float) -> str:
+    """Format a time or an amount, without trailing zeros."""
     return f"{value:.6f}".rstrip("0").rstrip(".")
 
 
-def reply(lines: Iterable[str], batch: int) -> str:
-    """A whole reply."""
-    return "".join(f"{line}\n" for line in lines) + f"end {batch}\n"
+def format_reply(lines: Iterable[str], batch_number: int) -> str:
+    """Format the reply to a batch."""
+    return "".join(f"{line}\n" for line in lines) + f"end {batch_number}\n"
--- a/sablewheel/failover/__init__.py
+++ b/sablewheel/failover/__init__.py
@@ -1,1 +1,1 @@
-"""Failover between zones and regions: one plan for the fleet, traffic kept near while that is safe."""
+"""Failover between zones and regions: one traffic plan for the fleet that prefers nearby zones."""
--- a/sablewheel/failover/judge.py
+++ b/sablewheel/failover/judge.py
@@ -1,8 +1,9 @@
-"""Whether a zone is out or back, in one member's judgement, and how much of a returned one counts. Pure.
+"""One member's proposals to declare zones out or back, and the ramp-up of returned zones. Pure functions.
 
-One judgement decides nothing: a majority of the view must hold the same before the fleet declares it. What
-stands here damps each member's own: a state must last before it is held (dwell), back asks for more than out
-(hysteresis), a change rests before the next, and what comes back is ramped, since it comes cold.
+A proposal alone has no effect: the fleet declares a change only if a majority of the view proposes it. This
+module damps the proposals of each member: a condition must persist for a dwell time, returning requires a
+higher healthy ratio than staying in service (hysteresis), there is a minimum interval between changes of a
+zone, and the capacity of a returned zone is ramped up, since its servers start cold.
 """
 
 from __future__ import annotations
@@ -13,12 +14,12 @@
 
 @dataclass(frozen=True)
 class Evidence:
-    """What a member observes of a zone.
+    """A member's observations of a zone.
 
     Attributes:
-        servers: Servers that belong to the zone.
-        present: Those in the agreed view.
-        failing: Those that fail or reject nearly all requests.
+        servers: Number of servers that belong to the zone.
+        present: Number of them in the agreed view.
+        failing: Number of present servers that fail or reject nearly all requests.
     """
 
     servers: int
@@ -26,25 +27,34 @@
     failing: int = 0
 
     @property
-    def well(self) -> float:
-        """The part of the zone's servers that are present and not failing."""
+    def healthy_ratio(self) -> float:
+        """The part of the zone's servers that are present and not failing; 0 for a zone without servers."""
         return max(self.present - self.failing, 0) / self.servers if self.servers else 0.0
 
 
 @dataclass(frozen=True)
-class Rules:
-    """Spans in seconds. `out_below`, `back_above`: shares of a zone's servers that are well.
+class DampingSettings:
+    """Thresholds and times for declaring zones out and back.
 
-    Invariant: `out_below` is less than `back_above`; between them nothing changes.
+    Invariant: `out_below` is less than `back_above`; between them the state of a zone does not change.
+
+    Attributes:
+        out_below: Healthy ratio below which a zone should be out.
+        back_above: Healthy ratio from which a zone that is out should be back.
+        out_dwell_s: How long the healthy ratio must stay low before a zone is proposed as out.
+        back_dwell_s: How long the healthy ratio must stay high before a zone is proposed as back.
+        min_change_interval_s: Minimum time between two changes of a zone.
+        ramp_s: Time from the return of a zone until its full capacity counts.
+        ramp_start_ratio: Part of the capacity that counts when a zone returns.
     """
 
     out_below: float = 0.5
     back_above: float = 0.75
-    out_after: float = 1.0
-    back_after: float = 5.0
-    rest: float = 10.0  # between two changes of one zone
-    ramp: float = 20.0  # from the first traffic to all of it
-    ramp_from: float = 0.1
+    out_dwell_s: float = 1.0
+    back_dwell_s: float = 5.0
+    min_change_interval_s: float = 10.0
+    ramp_s: float = 20.0
+    ramp_start_ratio: float = 0.1
 
     def __post_init__(self) -> None:
         if not 0 <= self.out_below < self.back_above <= 1:
@@ -52,66 +62,84 @@
                 f"out-below {self.out_below:g} must be less than back-above {self.back_above:g}, "
                 "both within 0 to 1"
             )
-        if not 0 < self.ramp_from <= 1:
-            raise ValueError(f"ramp-from {self.ramp_from:g} must be over 0 and at most 1")
+        if not 0 < self.ramp_start_ratio <= 1:
+            raise ValueError(f"ramp-start-ratio {self.ramp_start_ratio:g} must be over 0 and at most 1")
 
 
 @dataclass(frozen=True)
-class Held:
-    """One zone's state: declared out or not, since when, and since when the evidence says otherwise."""
+class ZoneState:
+    """The declared state of a zone.
+
+    Attributes:
+        out: Whether the zone is declared out.
+        changed_at: When it was last declared out or back; -infinity if never.
+        contradicted_since: Since when the evidence contradicts the declared state; None if it does not.
+    """
 
     out: bool = False
-    changed: float = float("-inf")
-    otherwise: float | None = None
+    changed_at: float = float("-inf")
+    contradicted_since: float | None = None
 
 
 @dataclass(frozen=True)
-class Judgements:
-    """All zones as declared; `step` gives what this member would have changed."""
+class ZoneStates:
+    """The declared states of all zones, by name."""
 
-    zones: Mapping[str, Held] = field(default_factory=dict)
+    zones: Mapping[str, ZoneState] = field(default_factory=dict)
 
 
 def step(
-    now: float, held: Judgements, seen: Mapping[str, Evidence], rules: Rules, majority: bool
-) -> tuple[Judgements, dict[str, bool]]:
-    """The state with the new evidence, and by zone what this member holds to be due: out (True) or back.
-
-    Without a majority of the view nothing is due, and no clock runs: evidence of one's own side of a cut says
-    nothing about the other.
+    now: float,
+    states: ZoneStates,
+    evidence_by_zone: Mapping[str, Evidence],
+    settings: DampingSettings,
+    majority: bool,
+) -> tuple[ZoneStates, dict[str, bool]]:
+    """Return the state after new evidence, and the changes to propose: by zone, out (True) or back (False).
+
+    Without a majority of the view nothing is proposed and the dwell times restart: evidence from this side of
+    a network partition says nothing about the other side.
     """
-    zones = dict(held.zones)
-    due: dict[str, bool] = {}
-    for name, evidence in sorted(seen.items()):
-        zone = zones.get(name, Held())
-        wants = _wants(zone.out, evidence, rules)
-        if wants == zone.out or not majority:
-            zones[name] = replace(zone, otherwise=None)
+    zones = dict(states.zones)
+    changes: dict[str, bool] = {}
+    for name, evidence in sorted(evidence_by_zone.items()):
+        zone = zones.get(name, ZoneState())
+        should_be_out = _should_be_out(zone.out, evidence, settings)
+        if should_be_out == zone.out or not majority:
+            zones[name] = replace(zone, contradicted_since=None)
             continue
-        since = now if zone.otherwise is None else zone.otherwise
-        zones[name] = replace(zone, otherwise=since)
-        dwell = rules.out_after if wants else rules.back_after
-        if now >= since + dwell and now >= zone.changed + rules.rest:
-            due[name] = wants
-    return Judgements(zones), due
+        since = now if zone.contradicted_since is None else zone.contradicted_since
+        zones[name] = replace(zone, contradicted_since=since)
+        dwell_s = settings.out_dwell_s if should_be_out else settings.back_dwell_s
+        if now >= since + dwell_s and now >= zone.changed_at + settings.min_change_interval_s:
+            changes[name] = should_be_out
+    return ZoneStates(zones), changes
 
 
-def _wants(out: bool, evidence: Evidence, rules: Rules) -> bool:
-    """Whether it should be out: hysteresis lies between the two marks."""
-    return evidence.well < rules.back_above if out else evidence.well < rules.out_below
+def _should_be_out(out: bool, evidence: Evidence, settings: DampingSettings) -> bool:
+    """Return whether a zone should be out, with hysteresis between the two thresholds."""
+    return (
+        evidence.healthy_ratio < settings.back_above if out else evidence.healthy_ratio < settings.out_below
+    )
 
 
-def declared(now: float, held: Judgements, name: str, out: bool) -> Judgements:
-    """The fleet has agreed on it."""
-    return Judgements({**held.zones, name: Held(out, now)})
+def apply_declaration(now: float, states: ZoneStates, name: str, out: bool) -> ZoneStates:
+    """Return the state after the fleet has declared a zone out or back."""
+    return ZoneStates({**states.zones, name: ZoneState(out, now)})
 
 
-def ramp(now: float, held: Judgements, name: str, rules: Rules) -> float:
-    """The share of a zone's capacity that counts: all, none while it is out, ever more once it is back."""
-    zone = held.zones.get(name, Held())
+def capacity_ratio(now: float, states: ZoneStates, name: str, settings: DampingSettings) -> float:
+    """Return the part of a zone's capacity that counts: 0 while out, increasing to 1 after its return."""
+    zone = states.zones.get(name, ZoneState())
     if zone.out:
         return 0.0
-    if zone.changed == float("-inf") or rules.ramp <= 0:
+    if zone.changed_at == float("-inf") or settings.ramp_s <= 0:
         return 1.0
-    grown = (now - zone.changed) / rules.ramp
-    return min(1.0, max(rules.ramp_from, rules.ramp_from + (1 - rules.ramp_from) * grown))
+    elapsed_ratio = (now - zone.changed_at) / settings.ramp_s
+    return min(
+        1.0,
+        max(
+            settings.ramp_start_ratio,
+            settings.ramp_start_ratio + (1 - settings.ramp_start_ratio) * elapsed_ratio,
+        ),
+    )
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter on a few lines of the wire."""
+"""The bench adapter with a few lines of the simulator's protocol."""
 
 import json
 import subprocess
@@ -14,7 +14,7 @@
 }
 
 
-def adapter(text: str) -> "subprocess.CompletedProcess[str]":
+def run_adapter(text: str) -> "subprocess.CompletedProcess[str]":
     return subprocess.run(
         [sys.executable, "-m", "sablewheel.bench_adapter"],
         input=text,
@@ -32,25 +32,27 @@
 REQUEST = "request 3 41 0.5 17 65 - - - - - - 0 24.5"
 
 
-def test_a_request_is_run_and_what_is_over_does_no_harm() -> None:
-    done = adapter(batch(1, START, REQUEST) + batch(2, "work_done 3 41 0.1 S") + batch(3, "lapsed 3 41"))
-    assert done.returncode == 0 and done.stderr == ""
-    assert "run 3 41\n" in done.stdout and done.stdout.endswith("end 3\n")
+def test_a_request_is_run_and_events_of_a_finished_request_are_ignored() -> None:
+    process = run_adapter(
+        batch(1, START, REQUEST) + batch(2, "work_done 3 41 0.1 S") + batch(3, "lapsed 3 41")
+    )
+    assert process.returncode == 0 and process.stderr == ""
+    assert "run 3 41\n" in process.stdout and process.stdout.endswith("end 3\n")
 
 
-BAD = ["novel 3 1", "lapsed 3", "request 3 41", "lapsed 9 1", "drain 3 soon", "init 4 1 {}"]
+INVALID_LINES = ["novel 3 1", "lapsed 3", "request 3 41", "lapsed 9 1", "drain 3 soon", "init 4 1 {}"]
 
 
-@pytest.mark.parametrize("bad", BAD)
-def test_malformed_input_ends_with_a_message(bad: str) -> None:
-    done = adapter(batch(1, START, bad))
-    assert done.returncode == 1 and done.stdout == ""
-    assert done.stderr.startswith("sablewheel.bench_adapter: ") and "Traceback" not in done.stderr
+@pytest.mark.parametrize("line", INVALID_LINES)
+def test_malformed_input_ends_the_adapter_with_a_message(line: str) -> None:
+    process = run_adapter(batch(1, START, line))
+    assert process.returncode == 1 and process.stdout == ""
+    assert process.stderr.startswith("sablewheel.bench_adapter: ") and "Traceback" not in process.stderr
 
 
-def test_a_server_that_died_comes_back_knowing_nothing() -> None:
-    back = START.replace("init 3 7", "init 3 8")
-    done = adapter(
-        batch(1, START, REQUEST) + batch(2, "destroy 3", back) + batch(3, "work_done 3 41 0.1 S", REQUEST)
+def test_a_restarted_server_has_no_state() -> None:
+    restart = START.replace("init 3 7", "init 3 8")
+    process = run_adapter(
+        batch(1, START, REQUEST) + batch(2, "destroy 3", restart) + batch(3, "work_done 3 41 0.1 S", REQUEST)
     )
-    assert done.returncode == 0 and done.stdout.count("run 3 41\n") == 2
+    assert process.returncode == 0 and process.stdout.count("run 3 41\n") == 2
