--- a/tests/simulated_server.py
+++ b/tests/simulated_server.py
@@ -1,4 +1,4 @@
-"""A simulated server; the four rules are checked independently of the code under test."""
+"""Simulated servers for tests; they check the four rules independently of the code under test."""
 
 from __future__ import annotations
 
@@ -22,51 +22,51 @@
 from sablewheel.transport.scheduler import Clock, Scheduler
 from sablewheel.transport.stream import Stream
 
-HELD, RUNNING, STANDING, CALLING = "held", "running", "standing", "calling"
-JOINED, PAUSED, OVER = "joined", "paused", "over"
-NOT_AGAIN = (Idempotency.KEYED, Idempotency.NON_IDEMPOTENT)
+QUEUED, RUNNING, WAITING_TO_CALL, CALLING = "held", "running", "standing", "calling"
+COALESCED, SUSPENDED, FINISHED = "joined", "paused", "over"
+AT_MOST_ONCE = (Idempotency.KEYED, Idempotency.NON_IDEMPOTENT)
 PROVES_NEVER_RAN = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NEVER_STARTED)
 
 
 def raise_errors(actions: list[interface.Action]) -> list[interface.Action]:
-    """The actions of a batch; an internal error of the controller is raised."""
+    """Return the actions of a batch; raise an internal error of the controller."""
     for action in actions:
         if isinstance(action, interface.InternalError):
             raise action.error
     return actions
 
 
-class Fact:
-    """What the world knows of a request."""
+class RequestState:
+    """The state of a request, tracked independently of the controller."""
 
-    def __init__(self, request: Request, idempotency_key: int, due: float) -> None:
-        self.request, self.idempotency_key, self.due = request, idempotency_key, due
-        self.place = HELD
-        self.answered = self.gone = self.ran = self.dropped = self.may_have_called = False
-        self.abandon_at = 0.0
+    def __init__(self, request: Request, idempotency_key: int, due_at: float) -> None:
+        self.request, self.idempotency_key, self.due_at = request, idempotency_key, due_at
+        self.stage = QUEUED
+        self.answered = self.abandoned = self.ran = self.discarded = self.may_have_called = False
+        self.call_timeout_at = 0.0
 
 
-class World:
-    """Plays events into one controller and checks every action and every moment."""
+class ControllerSimulation:
+    """Feeds events to one controller, and checks its actions and the four rules after each batch."""
 
     def __init__(self, server_settings: ServerSettings, seed: int = 7) -> None:
-        self.core_part = 1.0  # of a core, that a run takes
+        self.cores_per_run = 1.0  # part of a core that a run uses
         self.server_settings, self.now, self.start = server_settings, 100.0, 100.0
         self.controller = Controller(server_settings, seed)
-        self.routers = [Client() for _ in range(server_settings.clients)]
-        self.facts: dict[Request, Fact] = {}
-        self.table: dict[int, tuple[Request, float]] = {}
-        self.run_idempotency_keys: dict[int, list[float]] = {}
-        self.alarms: list[float] = []
-        self.later: list[interface.Event] = []
-        self.crowd: list[tuple[float, float, int]] = []
-        self.in_hand: list[tuple[float, float, int]] = []
-        self.lingers: list[float] = []
-        self.notice = self.stop = float("inf")
-        self.batch([])
-
-    def at(self, *places: str) -> list[Fact]:
-        return [one for one in self.facts.values() if one.place in places]
+        self.clients = [Client() for _ in range(server_settings.clients)]
+        self.states: dict[Request, RequestState] = {}
+        self.reserved_keys: dict[int, tuple[Request, float]] = {}
+        self.run_arrivals_by_key: dict[int, list[float]] = {}
+        self.timers: list[float] = []
+        self.pending_events: list[interface.Event] = []
+        self.run_intervals: list[tuple[float, float, int]] = []
+        self.call_intervals: list[tuple[float, float, int]] = []
+        self.linger_ends: list[float] = []
+        self.notified_at = self.stop_at = float("inf")
+        self.handle_batch([])
+
+    def in_stage(self, *stages: str) -> list[RequestState]:
+        return [state for state in self.states.values() if state.stage in stages]
 
     def arrive(
         self,
@@ -75,105 +75,109 @@
         waited: float = 0.0,
         idempotency_key: int = 0,
         **rest: object,
-    ) -> Fact:
-        kind = self.server_settings.request_classes[request_class]
+    ) -> RequestState:
+        request_class_settings = self.server_settings.request_classes[request_class]
         arrived = self.now - waited
         tenants = self.server_settings.tenants
         tenant = tenants[request_class % len(tenants)] if tenants else None
-        place = (
-            request_class if len(self.routers) < 9 else len(self.facts)
-        )  # few routers by request class, many in turn
-        router = self.routers[place % len(self.routers)]
-        request = Request(kind, router, tenant, arrived, kb, **rest)  # type: ignore[arg-type]
-        left = request.remaining_s
-        due = self.now + left if left is not None else arrived + kind.timeout_s
-        fact = Fact(request, idempotency_key, max(self.now, due))
-        if idempotency_key and kind.idempotency is Idempotency.KEYED:
-            first, live = self.table.get(idempotency_key, (None, 0.0))
-            if first is not None and arrived <= live:
-                known = self.facts[first]
-                if known.place in (HELD, JOINED) or self.run_idempotency_keys.get(idempotency_key):
-                    request.duplicate_of = first
-            for told in self.later:  # tries of one batch are linked even when none was kept
+        client_index = (
+            request_class if len(self.clients) < 9 else len(self.states)
+        )  # few clients: one per request class; many clients: in turn
+        client = self.clients[client_index % len(self.clients)]
+        request = Request(request_class_settings, client, tenant, arrived, kb, **rest)  # type: ignore[arg-type]
+        remaining_s = request.remaining_s
+        due_at = (
+            self.now + remaining_s if remaining_s is not None else arrived + request_class_settings.timeout_s
+        )
+        state = RequestState(request, idempotency_key, max(self.now, due_at))
+        if idempotency_key and request_class_settings.idempotency is Idempotency.KEYED:
+            original, valid_until = self.reserved_keys.get(idempotency_key, (None, 0.0))
+            if original is not None and arrived <= valid_until:
+                original_state = self.states[original]
+                if original_state.stage in (QUEUED, COALESCED) or self.run_arrivals_by_key.get(
+                    idempotency_key
+                ):
+                    request.duplicate_of = original
+            for event in self.pending_events:  # attempts in one batch are linked even if no key was reserved
                 if (
-                    isinstance(told, interface.RequestArrived)
-                    and self.facts[told.request].idempotency_key == idempotency_key
+                    isinstance(event, interface.RequestArrived)
+                    and self.states[event.request].idempotency_key == idempotency_key
                 ):
-                    request.duplicate_of = told.request
-        self.facts[request] = fact
-        self.later.append(interface.RequestArrived(request))
-        return fact
+                    request.duplicate_of = event.request
+        self.states[request] = state
+        self.pending_events.append(interface.RequestArrived(request))
+        return state
 
-    def finish(self, fact: Fact, outcome: Outcome) -> None:
-        self._done(fact, outcome)
+    def finish(self, state: RequestState, outcome: Outcome) -> None:
+        self._end_run(state, outcome)
 
-    def need(self, fact: Fact) -> None:
-        fact.place = STANDING
-        self.later.append(interface.DependencyCallNeeded(fact.request))
-        if fact.answered:
-            self._done(fact, Outcome.CANCELLED)
+    def need_call(self, state: RequestState) -> None:
+        state.stage = WAITING_TO_CALL
+        self.pending_events.append(interface.DependencyCallNeeded(state.request))
+        if state.answered:
+            self._end_run(state, Outcome.CANCELLED)
 
-    def call_back(self, fact: Fact, outcome: Outcome) -> None:
+    def end_call(self, state: RequestState, outcome: Outcome) -> None:
         if outcome in (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST) and self.server_settings.dependency:
-            self.lingers.append(self.now + self.server_settings.dependency.linger_s)
-        fact.may_have_called = outcome not in (*PROVES_NEVER_RAN, Outcome.SUCCEEDED)
-        fact.place = RUNNING if outcome is Outcome.SUCCEEDED else STANDING
-        self.later.append(interface.DependencyCallEnded(fact.request, 0.1, outcome))
-        if fact.answered and fact.place == STANDING:
-            self._done(fact, Outcome.CANCELLED)
-
-    def give_up(self, fact: Fact) -> None:
-        fact.gone = fact.answered = True
-        self.later.append(interface.CallerGone(fact.request))
-        if fact.place in (HELD, PAUSED, JOINED):
-            fact.place = OVER
-        elif fact.place == STANDING:
-            self._done(fact, Outcome.CANCELLED)
-
-    def drain(self, left: float) -> None:
-        self.notice, self.stop = self.now, self.now + left
-        self.later.append(interface.ShutdownNotice(left))
-
-    def _done(self, fact: Fact, outcome: Outcome) -> None:
-        self.later.append(interface.RunEnded(fact.request, 0.5, outcome))
-        if outcome is not Outcome.CANCELLED or fact.answered:
-            fact.place, fact.answered = OVER, True
+            self.linger_ends.append(self.now + self.server_settings.dependency.linger_s)
+        state.may_have_called = outcome not in (*PROVES_NEVER_RAN, Outcome.SUCCEEDED)
+        state.stage = RUNNING if outcome is Outcome.SUCCEEDED else WAITING_TO_CALL
+        self.pending_events.append(interface.DependencyCallEnded(state.request, 0.1, outcome))
+        if state.answered and state.stage == WAITING_TO_CALL:
+            self._end_run(state, Outcome.CANCELLED)
+
+    def abandon(self, state: RequestState) -> None:
+        state.abandoned = state.answered = True
+        self.pending_events.append(interface.CallerGone(state.request))
+        if state.stage in (QUEUED, SUSPENDED, COALESCED):
+            state.stage = FINISHED
+        elif state.stage == WAITING_TO_CALL:
+            self._end_run(state, Outcome.CANCELLED)
+
+    def drain(self, remaining_s: float) -> None:
+        self.notified_at, self.stop_at = self.now, self.now + remaining_s
+        self.pending_events.append(interface.ShutdownNotice(remaining_s))
+
+    def _end_run(self, state: RequestState, outcome: Outcome) -> None:
+        self.pending_events.append(interface.RunEnded(state.request, 0.5, outcome))
+        if outcome is not Outcome.CANCELLED or state.answered:
+            state.stage, state.answered = FINISHED, True
 
     def wait(self, span: float, late: float = 0.0) -> None:
-        """Let time pass; alarms ring and calls are given up on the way; alarms ring `late`."""
-        if self.later:
-            self.batch([])
+        """Advance the clock by `span`; fire timers, `late` seconds late, and time out calls that are due."""
+        if self.pending_events:
+            self.handle_batch([])
         until = self.now + span
         while True:
-            calls = [one.abandon_at for one in self.at(CALLING)]
-            upcoming = min([self.alarms[0] + late if self.alarms else until, until, *calls])
+            call_timeouts = [state.call_timeout_at for state in self.in_stage(CALLING)]
+            upcoming = min([self.timers[0] + late if self.timers else until, until, *call_timeouts])
             self._advance(max(upcoming, self.now))
-            bells = 0
-            while self.alarms and self.alarms[0] <= self.now:
-                heapq.heappop(self.alarms)
-                bells += 1
-            for fact in self.at(CALLING):
-                if fact.abandon_at <= self.now:
-                    self.call_back(fact, Outcome.TIMED_OUT)
-            self.batch([interface.TimerFired(self.busy(), 3.0)] * bells)
+            timers_fired = 0
+            while self.timers and self.timers[0] <= self.now:
+                heapq.heappop(self.timers)
+                timers_fired += 1
+            for state in self.in_stage(CALLING):
+                if state.call_timeout_at <= self.now:
+                    self.end_call(state, Outcome.TIMED_OUT)
+            self.handle_batch([interface.TimerFired(self.cpu_busy_ratio(), 3.0)] * timers_fired)
             if self.now >= until:
                 return
 
-    def busy(self) -> float:
-        """How busy the cores are; runs that wait for something beside them take a part of one."""
-        return min(len(self.at(RUNNING)) * self.core_part / self.server_settings.cores, 1.0)
+    def cpu_busy_ratio(self) -> float:
+        """Return the busy part of the cores; each run uses `cores_per_run` of a core."""
+        return min(len(self.in_stage(RUNNING)) * self.cores_per_run / self.server_settings.cores, 1.0)
 
     def _advance(self, to: float) -> None:
-        running = len(self.at(RUNNING))
-        self.crowd.append((self.now, to, running))
-        self.in_hand.append((self.now, to, len(self.at(CALLING))))
-        for end in self.lingers:
+        running = len(self.in_stage(RUNNING))
+        self.run_intervals.append((self.now, to, running))
+        self.call_intervals.append((self.now, to, len(self.in_stage(CALLING))))
+        for end in self.linger_ends:
             if end > self.now:
-                self.in_hand.append((self.now, min(end, to), 1))
+                self.call_intervals.append((self.now, min(end, to), 1))
         self.now = to
 
-    def batch(self, more: list[interface.Event]) -> list[interface.Action]:
-        events, self.later = self.later + more, []
+    def handle_batch(self, new_events: list[interface.Event]) -> list[interface.Action]:
+        events, self.pending_events = self.pending_events + new_events, []
         actions = raise_errors(self.controller.handle_events(self.now, events))
         for action in actions:
             self._apply(action)
@@ -183,149 +187,167 @@
     def _apply(self, action: interface.Action) -> None:
         if isinstance(action, interface.SetTimer):
             heapq.heappush(
-                self.alarms, self.now + max(action.after_s, self.server_settings.min_batch_interval_s)
+                self.timers, self.now + max(action.after_s, self.server_settings.min_batch_interval_s)
             )
         request = getattr(action, "request", None)
         if request is None:
             return
-        fact, idempotency = self.facts[request], request.request_class.idempotency
-        # Told in this very batch: what was decided of it does no harm.
-        if fact.gone and fact.place == OVER and not isinstance(action, interface.ReleaseKey):
+        state, idempotency = self.states[request], request.request_class.idempotency
+        # The client left in this batch, so decisions on its request have no effect.
+        if state.abandoned and state.stage == FINISHED and not isinstance(action, interface.ReleaseKey):
             if isinstance(action, interface.Run):
-                self.later.append(interface.RunEnded(request, 0.0, Outcome.NEVER_STARTED))
+                self.pending_events.append(interface.RunEnded(request, 0.0, Outcome.NEVER_STARTED))
             return
-        # Past the window of what ran a try of its key may run, so it may be denied as well.
+        # After the window of a run, an attempt with the same key may run again, so it may also be rejected.
         since = request.arrived_at - request.request_class.idempotency_window_s
-        ran_here = fact.ran or any(
-            ran_at >= since for ran_at in self.run_idempotency_keys.get(fact.idempotency_key, [])
+        ran_here = state.ran or any(
+            ran_at >= since for ran_at in self.run_arrivals_by_key.get(state.idempotency_key, [])
         )
         match action:
             case interface.Run():
-                assert fact.place in (HELD, PAUSED), f"run while {fact.place}"
-                if idempotency in NOT_AGAIN:
-                    assert not fact.dropped, "run again after a drop"
-                    tries = (
-                        self.run_idempotency_keys.setdefault(fact.idempotency_key, [])
-                        if fact.idempotency_key
+                assert state.stage in (QUEUED, SUSPENDED), f"run while {state.stage}"
+                if idempotency in AT_MOST_ONCE:
+                    assert not state.discarded, "run again after its work was discarded"
+                    run_arrivals = (
+                        self.run_arrivals_by_key.setdefault(state.idempotency_key, [])
+                        if state.idempotency_key
                         else []
                     )
-                    assert fact.place == PAUSED or not any(one >= since for one in tries), "ran twice"
-                    tries.append(request.arrived_at)
-                assert request.arrived_at <= self.notice + self.server_settings.drain_grace_s, (
-                    "run after the drain's grace"
+                    assert state.stage == SUSPENDED or not any(
+                        arrived_at >= since for arrived_at in run_arrivals
+                    ), "ran twice"
+                    run_arrivals.append(request.arrived_at)
+                assert request.arrived_at <= self.notified_at + self.server_settings.drain_grace_s, (
+                    "run after the grace period of the drain"
                 )
-                fact.place, fact.ran = RUNNING, True
+                state.stage, state.ran = RUNNING, True
             case interface.Reject() | interface.Fail():
-                assert not fact.answered, "answered twice"
+                assert not state.answered, "answered twice"
                 if isinstance(action, interface.Reject):
-                    assert not (idempotency in NOT_AGAIN and ran_here), "denied what has run"
+                    assert not (idempotency in AT_MOST_ONCE and ran_here), "rejected a request that has run"
                     assert (
-                        fact.place in (HELD, JOINED)
+                        state.stage in (QUEUED, COALESCED)
                         and 0 <= action.retry_after_s <= self.server_settings.max_retry_after_s
                     )
-                    # Every rejection says when to come back wherever the settings let it say anything.
+                    # Every rejection has a retry delay if the settings allow one.
                     assert action.retry_after_s > 0 or not self.server_settings.max_retry_after_s, (
-                        "denied without advice"
+                        "rejected without a retry delay"
                     )
-                fact.answered = True
-                if fact.place in (HELD, JOINED, PAUSED):
-                    fact.place = OVER
-                elif fact.place == STANDING:
-                    self._done(fact, Outcome.CANCELLED)
+                state.answered = True
+                if state.stage in (QUEUED, COALESCED, SUSPENDED):
+                    state.stage = FINISHED
+                elif state.stage == WAITING_TO_CALL:
+                    self._end_run(state, Outcome.CANCELLED)
             case interface.Cancel():
-                assert self.server_settings.cancellation is not Cancellation.UNSUPPORTED, "stopping is off"
-                if fact.place == RUNNING:
-                    self.later.append(interface.RunEnded(request, 0.1, Outcome.CANCELLED))
-                    drops = self.server_settings.cancellation is Cancellation.DISCARDS_WORK
-                    fact.dropped = fact.dropped or drops
-                    fact.place = OVER if fact.answered else HELD if drops else PAUSED
-            case interface.CallDependency(timeout_s=allow):
-                assert fact.place == STANDING, "no call to make"
-                assert idempotency not in NOT_AGAIN or not fact.may_have_called, "call repeated"
-                fact.place, fact.abandon_at = CALLING, self.now + (allow or request.request_class.timeout_s)
+                assert self.server_settings.cancellation is not Cancellation.UNSUPPORTED, (
+                    "cancelled although cancellation is unsupported"
+                )
+                if state.stage == RUNNING:
+                    self.pending_events.append(interface.RunEnded(request, 0.1, Outcome.CANCELLED))
+                    discards = self.server_settings.cancellation is Cancellation.DISCARDS_WORK
+                    state.discarded = state.discarded or discards
+                    state.stage = FINISHED if state.answered else QUEUED if discards else SUSPENDED
+            case interface.CallDependency(timeout_s=timeout_s):
+                assert state.stage == WAITING_TO_CALL, "call of a request that does not wait for one"
+                assert idempotency not in AT_MOST_ONCE or not state.may_have_called, "call repeated"
+                state.stage, state.call_timeout_at = (
+                    CALLING,
+                    self.now + (timeout_s or request.request_class.timeout_s),
+                )
             case interface.SkipDependencyCall():
-                assert request.request_class.skip_value_ratio > 0 and fact.place == STANDING
-                fact.place = RUNNING
-            case interface.ReserveKey(valid_for_s=life):
-                self.table[fact.idempotency_key or -id(request)] = (request, self.now + life)
+                assert request.request_class.skip_value_ratio > 0 and state.stage == WAITING_TO_CALL
+                state.stage = RUNNING
+            case interface.ReserveKey(valid_for_s=valid_for_s):
+                self.reserved_keys[state.idempotency_key or -id(request)] = (request, self.now + valid_for_s)
             case interface.ReleaseKey():
-                self.table.pop(fact.idempotency_key or -id(request), None)
+                self.reserved_keys.pop(state.idempotency_key or -id(request), None)
             case interface.AttachToOriginal():
                 assert (
-                    fact.place == HELD and request.request_class.idempotency is not Idempotency.NON_IDEMPOTENT
+                    state.stage == QUEUED
+                    and request.request_class.idempotency is not Idempotency.NON_IDEMPOTENT
                 )
-                fact.place = JOINED
+                state.stage = COALESCED
 
     def _check(self) -> None:
-        """The four rules, from the world's own books."""
-        server_settings, slack = self.server_settings, self.server_settings.answer_slack_s + 1e-6
-        for fact in self.facts.values():
-            assert fact.answered or self.now <= fact.due + slack, "lost: not answered by its due time"
-            assert fact.answered or self.now < self.stop, "drain: not answered before the stop"
-        on = self.at(RUNNING, STANDING, CALLING, JOINED, PAUSED)
-        kb = sum(fact.request.memory_kb for fact in self.at(HELD))
-        kb += sum(fact.request.memory_kb for fact in on) * server_settings.running_memory_factor
-        kb += server_settings.idempotency_key_kb * sum(live > self.now for _, live in self.table.values())
-        assert kb <= server_settings.memory_kb + 1e-6, "fall-over: memory"
-        share = 1.0
+        """Check the four rules on the independently tracked states."""
+        server_settings, slack_s = self.server_settings, self.server_settings.answer_slack_s + 1e-6
+        for state in self.states.values():
+            assert state.answered or self.now <= state.due_at + slack_s, "lost: not answered by its deadline"
+            assert state.answered or self.now < self.stop_at, "drain: not answered before the stop"
+        admitted = self.in_stage(RUNNING, WAITING_TO_CALL, CALLING, COALESCED, SUSPENDED)
+        kb = sum(state.request.memory_kb for state in self.in_stage(QUEUED))
+        kb += sum(state.request.memory_kb for state in admitted) * server_settings.running_memory_factor
+        kb += server_settings.idempotency_key_kb * sum(
+            valid_until > self.now for _, valid_until in self.reserved_keys.values()
+        )
+        assert kb <= server_settings.memory_kb + 1e-6, "overload: memory limit exceeded"
+        speed_ratio = 1.0
         if server_settings.starts_cold and server_settings.warm_up_s:
             warmed = min((self.now - self.start) / server_settings.warm_up_s, 1.0)
-            share = server_settings.cold_speed_ratio + (1 - server_settings.cold_speed_ratio) * warmed
-        most = server_settings.cores * (1 + (server_settings.max_concurrency_per_core - 1) * share)
-        assert self._mean(self.crowd, server_settings.concurrency_span_s) <= most + 1e-6, (
-            "fall-over: the crowd on the cores"
+            speed_ratio = server_settings.cold_speed_ratio + (1 - server_settings.cold_speed_ratio) * warmed
+        max_concurrency = server_settings.cores * (
+            1 + (server_settings.max_concurrency_per_core - 1) * speed_ratio
+        )
+        assert self._mean(self.run_intervals, server_settings.concurrency_span_s) <= max_concurrency + 1e-6, (
+            "overload: too many concurrent runs"
         )
-        ledger = server_settings.dependency
-        if ledger and ledger.capacity is not None:
-            assert self._mean(self.in_hand, ledger.span_s) <= ledger.capacity + 1e-6, "fall-over: the ledger"
+        dependency = server_settings.dependency
+        if dependency and dependency.capacity is not None:
+            assert self._mean(self.call_intervals, dependency.span_s) <= dependency.capacity + 1e-6, (
+                "overload: dependency capacity exceeded"
+            )
 
-    def _mean(self, pieces: list[tuple[float, float, int]], span: float) -> float:
+    def _mean(self, intervals: list[tuple[float, float, int]], span: float) -> float:
         since = self.now - span
-        pieces[:] = [piece for piece in pieces if piece[1] > since]
-        return sum((end - max(start, since)) * count for start, end, count in pieces) / span if span else 0.0
+        intervals[:] = [interval for interval in intervals if interval[1] > since]
+        return (
+            sum((end - max(start, since)) * count for start, end, count in intervals) / span if span else 0.0
+        )
 
 
-# -- stand-ins for what the program talks to, after the published protocols
+# -- simulated interpreter and client, which speak the published protocols
 
 
 class SimulatedInterpreter:
-    """Runs what it is sent, numbers its notices, and repeats those that a broken link missed."""
+    """Runs commands, numbers its notices, and resends the notices that a broken link has missed."""
 
     def __init__(self) -> None:
-        self.lock = threading.RLock()  # for those who use it from several threads
+        self.lock = threading.RLock()  # for tests that use it from several threads
         self.up = True
         self.running: dict[bytes, tuple[bytes, bytes]] = {}
         self.over: set[bytes] = set()  # runs that ended
-        # requests that are over: the server, which sees answers, notes them
+        # requests that are answered or cancelled, recorded by the simulated server
         self.answered: set[bytes] = set()
         self.applied: list[tuple[bytes, bytes, bytes]] = []
         self.notices: list[bytes] = []
         self.bytes = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes from the link and return what is answered at once."""
+        """Process bytes from the link and return the immediate reply."""
         self.bytes += data
-        said = b""
+        reply = b""
         while (end := self.bytes.find(b"\r\n")) >= 0:
             words = self.bytes[:end].split(b" ")
             size = int(words[3]) + 2 if words[0] == b"APPLY" else 0
             if len(self.bytes) < end + 2 + size:
                 break
             body, self.bytes = self.bytes[end + 2 : end + 2 + size], self.bytes[end + 2 + size :]
-            said += self._obey(words, body[:-2])
-        return said
+            reply += self._handle_command(words, body[:-2])
+        return reply
 
-    def _obey(self, words: list[bytes], body: bytes) -> bytes:
+    def _handle_command(self, words: list[bytes], body: bytes) -> bytes:
         match words:
             case [b"CONNECT", last]:
                 return b"BANNER steady 5000\r\n" + b"".join(self.notices[int(last) :]) if self.up else b""
             case [verb, name, *_] if not self.up:
                 return b"ERROR %b %b\r\n" % (verb, name)
-            case [b"APPLY", name, *_] if name.startswith(b"bad0"):  # no request of that name came to it
+            case [b"APPLY", name, *_] if name.startswith(
+                b"bad0"
+            ):  # simulates a request that it never received
                 return b"ERROR APPLY %b\r\n" % name
             case [b"APPLY", name, request_class, _]:
                 if name in self.answered:
-                    return b"" if name in self.running else self._tell(name, b"nothing", b"")
+                    return b"" if name in self.running else self._notify(name, b"nothing", b"")
                 if name not in self.running:
                     self.running[name] = (request_class, body)
                     self.applied.append((name, request_class, body))
@@ -334,18 +356,18 @@
             case [b"TOP", tag]:
                 return b"TOPS %b 0.5 3 0.1 7\r\n" % tag
             case _:
-                raise AssertionError(f"no command: {words}")
+                raise AssertionError(f"unknown command: {words}")
         return b""
 
-    def end(self, name: bytes, how: bytes = b"success") -> bytes:
-        """A run is over; the notice, for whoever is linked."""
+    def end(self, name: bytes, outcome: bytes = b"success") -> bytes:
+        """End a run; return the notice to send over the link."""
         _, body = self.running.pop(name)
         self.over.add(name)
-        return self._tell(name, how, b"made of " + body if how == b"success" else b"")
+        return self._notify(name, outcome, b"made of " + body if outcome == b"success" else b"")
 
-    def _tell(self, name: bytes, how: bytes, result: bytes) -> bytes:
+    def _notify(self, name: bytes, outcome: bytes, result: bytes) -> bytes:
         number = len(self.notices) + 1
-        self.notices.append(b"VALUE %d %b %b 250 %d\r\n%b\r\n" % (number, name, how, len(result), result))
+        self.notices.append(b"VALUE %d %b %b 250 %d\r\n%b\r\n" % (number, name, outcome, len(result), result))
         return self.notices[-1]
 
 
@@ -380,29 +402,29 @@
         self.resume(greenlet(lambda _: function(*values), parent=self._hub))
 
     def run_ready(self) -> bool:
-        some = bool(self._ready)
+        had_ready = bool(self._ready)
         self._run_ready()
-        return some
+        return had_ready
 
 
 class FakeStream(Stream):
-    """A stream whose other end is the test."""
+    """A stream whose peer is the test."""
 
     def __init__(self, scheduler: FakeScheduler) -> None:
-        self.made, self.open = scheduler, True
+        self.scheduler, self.open = scheduler, True
         self._unsent = bytearray()
         self.stuck_since = None
         self.fed: deque[bytes] = deque()
         self.written = bytearray()
         self.bytes_queued = self.bytes_sent = 0
-        self.takes = True  # whether the system takes what is written
-        self.closes_when_shut = True  # as a client does that sees the end of the stream
+        self.takes = True  # whether the operating system accepts written bytes
+        self.closes_after_shutdown = True  # like a client that reads the end of the stream
         self.reader: greenlet | None = None
 
     def read(self) -> bytes:
         while self.open and not self.fed:
             self.reader = getcurrent()
-            self.made.park()
+            self.scheduler.park()
         return self.fed.popleft() if self.open else b""
 
     def write(self, data: bytes) -> None:
@@ -420,7 +442,7 @@
         return self.open and bool(self.fed)
 
     def shut_down_writing(self) -> None:
-        if self.open and self.closes_when_shut:
+        if self.open and self.closes_after_shutdown:
             self.feed(b"")
 
     def close(self) -> None:
@@ -433,7 +455,7 @@
 
     def wake(self) -> None:
         if self.reader is not None:
-            self.made.resume(self.reader)
+            self.scheduler.resume(self.reader)
             self.reader = None
 
     def taken(self) -> bytes:
@@ -443,7 +465,7 @@
 
 
 class Attempt:
-    """One attempt as its client knows it."""
+    """One attempt from the view of its client."""
 
     def __init__(
         self, tag: int, name: bytes, request_class: bytes, idempotency_key: bytes, since: float
@@ -472,12 +494,12 @@
         self.counts: list[str] = []
         self.server_status = ServerStatus()
         self.idempotency_keys = IdempotencyTable(4.0, server_settings.answer_slack_s, 1 << 16)
-        places = (0, 3, 1)  # cpu_busy, sockets, runnable
+        gauge_indexes = (0, 3, 1)  # cpu_busy, sockets, runnable
         self.dispatcher = Dispatcher(
             self.scheduler,
             server_settings,
             7,
-            places,
+            gauge_indexes,
             self.server_status,
             self.idempotency_keys,
             lambda: None,
@@ -494,7 +516,7 @@
         )
         self.linked = True
         self.links: list[FakeStream] = []
-        self.link: FakeStream | None = None  # the one the interpreter goes by
+        self.link: FakeStream | None = None  # the link that the interpreter uses
         self.interpreter = SimulatedInterpreter()
         self.interpreter_client = InterpreterClient(
             self.scheduler, self._connect, self.dispatcher, self.counts.append
@@ -527,7 +549,7 @@
         return attempt
 
     def ask(self, data: bytes) -> list[list[bytes]]:
-        """Run one round with these bytes from the client; returns its answers."""
+        """Run one round with these bytes from the client; return the answers."""
         self.client.feed(data)
         self.scheduler.run_ready()
         self.dispatcher.end_round()
@@ -538,13 +560,13 @@
         self.interpreter.answered.add(attempt.name)
         self.client.feed(frame(b"RPC.CANCEL", b"%d" % attempt.tag))
 
-    def end(self, name: bytes, how: bytes = b"success") -> None:
-        notice = self.interpreter.end(name, how)
+    def end(self, name: bytes, outcome: bytes = b"success") -> None:
+        notice = self.interpreter.end(name, outcome)
         if self.link is not None and self.link.open:
             self.link.feed(notice)
 
     def cut(self, lost: bool) -> None:
-        """The link breaks; `lost`: what was just written never arrives."""
+        """Break the link; if `lost`, the bytes just written never arrive."""
         if self.link is not None and self.link.open:
             data = self.link.taken()
             if not lost:
@@ -557,13 +579,13 @@
             self.dispatcher.shutdown_notice(left)
 
     def settle(self, deliver: bool = True) -> None:
-        """Rounds until nothing moves; without `deliver` what goes to the interpreter is still under way."""
+        """Run rounds until there is no progress; without `deliver`, the interpreter gets no bytes yet."""
         for _ in range(50):
-            moved = self.scheduler.run_ready()
+            progress = self.scheduler.run_ready()
             self.dispatcher.end_round()
             for link in [link for link in self.links if deliver and link.open and link.written]:
-                moved, data = True, link.taken()
-                if data.startswith(b"CONNECT"):  # replaces the one before it
+                progress, data = True, link.taken()
+                if data.startswith(b"CONNECT"):  # replaces the previous link
                     self.link = link
                 if link is self.link and (answer := self.interpreter.feed(data)):
                     link.feed(answer)
@@ -572,7 +594,7 @@
                     attempt = self.attempts[int(words[0]) - 1]
                     attempt.answers.append(words)
                     self.interpreter.answered.add(attempt.name)
-            if not moved:
+            if not progress:
                 break
         self.check()
 
@@ -594,10 +616,10 @@
         )
         applied = {name: (request_class, body) for name, request_class, body in self.interpreter.applied}
         keyed = [name for name, request_class, _ in self.interpreter.applied if request_class == b"record"]
-        assert len(set(keyed)) == len(keyed), "one attempt was run twice"
+        assert len(set(keyed)) == len(keyed), "a keyed attempt was applied twice"
         repeated = len(self.interpreter.applied) - len(applied)
-        assert repeated <= self.counts.count("runs_sent_again"), "one was run twice and not resent"
-        made = {b"made of " + body for _, body in applied.values()}
+        assert repeated <= self.counts.count("runs_sent_again"), "an attempt was applied twice, not resent"
+        valid_results = {b"made of " + body for _, body in applied.values()}
         ran: dict[bytes, float] = {}
         for attempt in self.attempts:
             due = (
@@ -606,19 +628,22 @@
             )
             assert attempt.cancelled or attempt.answers or self.now <= min(due + slack, self.stop), "lost"
             assert len(attempt.answers) <= 1, "answered twice"
-            word = attempt.answers[0][1] if attempt.answers else b""
-            if word == b"OK":
+            status = attempt.answers[0][1] if attempt.answers else b""
+            if status == b"OK":
                 assert (
-                    attempt.answers[0][3] == b"made of " + attempt.body and attempt.answers[0][3] in made
+                    attempt.answers[0][3] == b"made of " + attempt.body
+                    and attempt.answers[0][3] in valid_results
                 ), "result changed"
             if attempt.name not in applied:
                 continue
-            assert applied[attempt.name] == (attempt.request_class, attempt.body), "changed on the way"
-            assert attempt.since <= self.notice + grace, "run after the drain's grace"
+            assert applied[attempt.name] == (attempt.request_class, attempt.body), (
+                "changed on the way to the interpreter"
+            )
+            assert attempt.since <= self.notice + grace, "run after the grace period of the drain"
             if attempt.idempotency_key:
-                assert word != b"BUSY", "rejected what has run"
+                assert status != b"BUSY", "rejected an attempt that has run"
                 window = self.server_settings.request_classes[1].idempotency_window_s
                 assert attempt.since - ran.get(attempt.idempotency_key, -window) >= window, (
-                    "one idempotency key ran twice"
+                    "an idempotency key ran twice within its window"
                 )
                 ran[attempt.idempotency_key] = attempt.since
--- a/tests/test_decision_cost.py
+++ b/tests/test_decision_cost.py
@@ -1,4 +1,4 @@
-"""What a decision costs does not grow with what went before it. Steps are counted, not seconds."""
+"""The cost of a decision does not grow with the number of past events; counted in executed lines."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import pytest
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
-from simulated_server import World
+from simulated_server import ControllerSimulation
 from test_service_rules import PLAIN
 
 from sablewheel.overload import interface
@@ -29,7 +29,7 @@
 
 
 def lines_of(action: Callable[[], object]) -> int:
-    """How many lines of Python an action runs."""
+    """Return how many lines of Python an action executes."""
     lines = 0
 
     def count(*_: Any) -> Any:
@@ -47,31 +47,31 @@
 
 
 def cost_of_a_call(past_calls: int, outcome: Outcome) -> int:
-    """Lines run for one request that needs a call, after so many calls that ended."""
-    world = World(WITH_CALLS)
+    """Return the lines executed for one request that needs a call, after `past_calls` ended calls."""
+    simulation = ControllerSimulation(WITH_CALLS)
     for _ in range(past_calls):
-        fact = world.arrive(0)
-        world.batch([])
-        world.need(fact)
-        world.batch([])
-        world.call_back(fact, outcome)
-        world.batch([])
+        state = simulation.arrive(0)
+        simulation.handle_batch([])
+        simulation.need_call(state)
+        simulation.handle_batch([])
+        simulation.end_call(state, outcome)
+        simulation.handle_batch([])
         if outcome is Outcome.SUCCEEDED:
-            world.finish(fact, Outcome.SUCCEEDED)
-        world.batch([])
-        world.facts.pop(fact.request)
-        world.crowd.clear()
-        world.in_hand.clear()
-    last = world.arrive(0)
-    world.batch([])
-    world.need(last)
-    events, world.later = world.later, []
-    return lines_of(lambda: world.controller.handle_events(world.now, events))
+            simulation.finish(state, Outcome.SUCCEEDED)
+        simulation.handle_batch([])
+        simulation.states.pop(state.request)
+        simulation.run_intervals.clear()
+        simulation.call_intervals.clear()
+    last_state = simulation.arrive(0)
+    simulation.handle_batch([])
+    simulation.need_call(last_state)
+    events, simulation.pending_events = simulation.pending_events, []
+    return lines_of(lambda: simulation.controller.handle_events(simulation.now, events))
 
 
 @pytest.mark.parametrize("outcome", [Outcome.SUCCEEDED, Outcome.TIMED_OUT])
-def test_a_decision_costs_no_more_behind_a_hundred_times_the_past_calls(outcome: Outcome) -> None:
-    """Each question for room at the dependency summed over all calls of the span."""
+def test_the_cost_of_a_decision_does_not_grow_with_the_number_of_past_calls(outcome: Outcome) -> None:
+    """Each check of the dependency's capacity summed over all calls of the span."""
     assert cost_of_a_call(1000, outcome) <= 2 * cost_of_a_call(10, outcome)
 
 
@@ -87,43 +87,45 @@
 
 @settings(max_examples=200)
 @given(CALL_EVENTS)
-@example([("open", 0, 0)] * 2 + [("open", 0, 2_000_000), ("retune", 0, 0)])  # no room, so no recount
-def test_running_sums_of_calls_are_those_counted_anew(events: list[tuple[str, int, int]]) -> None:
+@example(
+    [("open", 0, 0)] * 2 + [("open", 0, 2_000_000), ("retune", 0, 0)]
+)  # no capacity, so no recomputation
+def test_the_running_sum_of_calls_equals_a_recomputed_sum(events: list[tuple[str, int, int]]) -> None:
     context = DecisionContext(with_dependency(SPAN_S))
     capacity = DependencyCapacity(context)
     in_flight: list[Request] = []
-    for what, which, microseconds in events:
-        if what == "open":
+    for event, which, microseconds in events:
+        if event == "open":
             request = Request(PLAIN.request_classes[0], Client(), None, context.now, 1.0)
             capacity.open_call(request, microseconds / 1e6)
             in_flight.append(request)
-        elif what in ("end", "abandon") and in_flight:
-            capacity.close_call(in_flight.pop(which % len(in_flight)), what == "abandon")
-        elif what == "pass":
+        elif event in ("end", "abandon") and in_flight:
+            capacity.close_call(in_flight.pop(which % len(in_flight)), event == "abandon")
+        elif event == "pass":
             context.begin_batch(context.now + microseconds / 1e6)
-        elif what == "retune":
+        elif event == "retune":
             context.update_settings(with_dependency(1.0 + which))
         capacity.fits(0.1)
         dependency = context.settings.dependency
         assert dependency is not None
         span_s = dependency.span_s
-        booked_s = sum(min(took_s, span_s) for _, took_s in capacity._past_calls)
-        booked_s += sum(min(timeout_s + LINGER_S, span_s) for timeout_s in capacity._timeouts.values())
-        assert capacity._occupied_ns / 1e9 == pytest.approx(booked_s, abs=1e-6)
+        occupied_s = sum(min(took_s, span_s) for _, took_s in capacity._past_calls)
+        occupied_s += sum(min(timeout_s + LINGER_S, span_s) for timeout_s in capacity._timeouts.values())
+        assert capacity._occupied_ns / 1e9 == pytest.approx(occupied_s, abs=1e-6)
 
 
 def with_dependency(span_s: float) -> ServerSettings:
     return replace(PLAIN, dependency=Dependency(CAPACITY, span_s, LINGER_S))
 
 
-def test_keys_that_expire_together_do_so_in_the_order_of_their_reservation() -> None:
-    """The heap broke ties by a memory address, so that equal days differed from run to run."""
-    world = World(replace(PLAIN, memory_kb=4000.0))
-    facts = [world.arrive(1, idempotency_key=number) for number in range(1, 40)]
-    world.batch([])
-    keys = world.controller._keys
-    reserved = [fact.request for fact in facts if fact.request.holds_key]
+def test_keys_with_equal_expiry_times_expire_in_the_order_of_reservation() -> None:
+    """The heap broke ties by memory address, so that identical simulations differed from run to run."""
+    simulation = ControllerSimulation(replace(PLAIN, memory_kb=4000.0))
+    states = [simulation.arrive(1, idempotency_key=number) for number in range(1, 40)]
+    simulation.handle_batch([])
+    keys = simulation.controller._keys
+    reserved = [state.request for state in states if state.request.holds_key]
     expired: list[Request] = []
     keys._remove = lambda request: bool(expired.append(request))  # type: ignore[method-assign, func-returns-value]
-    world.controller.handle_events(world.now + 7.0, [interface.TimerFired()])
+    simulation.controller.handle_events(simulation.now + 7.0, [interface.TimerFired()])
     assert len(reserved) > 5 and expired[: len(reserved)] == reserved
--- a/tests/test_dependency_calls.py
+++ b/tests/test_dependency_calls.py
@@ -1,7 +1,7 @@
-"""Notices that the protocol page does not have: runs at a call below, and words that nobody knows.
+"""Notices that the protocol page does not describe: runs at a dependency call, and unknown notices.
 
-Each costs at most the run that it is about. Before, one such notice broke the link, came again on the next
-one and broke that, and no run of any class ever ended.
+Each such notice may affect at most the run that it refers to. Earlier, one such notice broke the link, was
+resent on the next link and broke that too, so that no run of any class ended.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 from sablewheel.program import configuration
 
 
-def notice(server: SimulatedServer, words: bytes, following: bytes | None = None) -> bytes:
-    """The next numbered notice, told now and kept for later links: `%d` in `words` is its number."""
-    said = words % (len(server.interpreter.notices) + 1)
+def send_notice(server: SimulatedServer, words: bytes, following: bytes | None = None) -> bytes:
+    """Send the next numbered notice and keep it for later links; `%d` in `words` is its number."""
+    data = words % (len(server.interpreter.notices) + 1)
     if following is not None:
-        said += b" %d\r\n%b" % (len(following), following)
-    server.interpreter.notices.append(said + b"\r\n")
+        data += b" %d\r\n%b" % (len(following), following)
+    server.interpreter.notices.append(data + b"\r\n")
     assert server.link is not None
     server.link.feed(server.interpreter.notices[-1])
     server.settle()
     return server.interpreter.notices[-1]
 
 
-def stand_at_call(server: SimulatedServer, attempt: Attempt) -> None:
-    notice(server, b"AWAIT %d " + attempt.name, b"a question\r\nof any bytes \0")
+def report_call(server: SimulatedServer, attempt: Attempt) -> None:
+    send_notice(server, b"AWAIT %d " + attempt.name, b"a question\r\nof any bytes \0")
 
 
 @pytest.fixture
@@ -37,10 +37,10 @@
     return SimulatedServer(SERVER_SETTINGS)
 
 
-def test_a_run_at_a_call_is_answered_at_once_and_all_others_end(server: SimulatedServer) -> None:
+def test_a_run_at_a_call_is_answered_at_once_and_other_runs_end_normally(server: SimulatedServer) -> None:
     attempt, other = server.call(b"lookup"), server.call(b"record", b"a")
     server.settle()
-    stand_at_call(server, attempt)
+    report_call(server, attempt)
     assert [words[1] for words in attempt.answers] == [b"FAILED"]
     server.end(other.name)
     server.settle()
@@ -48,14 +48,14 @@
     assert server.counts.count("links") == server.counts.count("calls_needed") == 1
 
 
-def test_a_run_at_a_call_leaves_its_core_to_others_and_its_memory_when_it_ends(
+def test_a_run_at_a_call_frees_its_core_at_once_and_its_memory_when_it_ends(
     server: SimulatedServer,
 ) -> None:
     controller = server.dispatcher._controller
     assert controller is not None
     attempt = server.call(b"lookup")
     server.settle()
-    stand_at_call(server, attempt)
+    report_call(server, attempt)
     assert controller.resources.on_cores == 0
     server.end(attempt.name, b"interrupted")
     server.settle()
@@ -69,20 +69,20 @@
 def test_a_keyed_run_at_a_call_is_neither_rejected_nor_run_again(server: SimulatedServer) -> None:
     first = server.call(b"record", b"a")
     server.settle()
-    stand_at_call(server, first)
+    report_call(server, first)
     early = server.call(b"record", b"a")
     server.settle()
     server.end(first.name, b"interrupted")
     late = server.call(b"record", b"a")
-    server.wait(0.2)  # the town checks the rules at each step
+    server.wait(0.2)  # the simulated server checks the rules after each step
     assert [[words[1] for words in attempt.answers] for attempt in (first, early, late)] == [[b"FAILED"]] * 3
     assert len(server.interpreter.applied) == 1
 
 
-def test_the_next_link_does_not_bring_the_call_again(server: SimulatedServer) -> None:
+def test_the_next_link_does_not_repeat_the_call(server: SimulatedServer) -> None:
     attempt, other = server.call(b"lookup"), server.call(b"lookup")
     server.settle()
-    stand_at_call(server, attempt)
+    report_call(server, attempt)
     server.cut(lost=False)
     server.wait(0.2)
     server.end(other.name)
@@ -91,7 +91,7 @@
     assert server.counts.count("links") == 2 and server.counts.count("calls_needed") == 1
 
 
-def test_a_call_notified_while_the_link_was_down_is_read_with_the_next(server: SimulatedServer) -> None:
+def test_a_call_notified_while_the_link_was_down_is_read_from_the_next_link(server: SimulatedServer) -> None:
     attempt = server.call(b"lookup")
     server.settle()
     server.linked = False
@@ -104,7 +104,9 @@
 
 
 @pytest.mark.parametrize("cancelled", [False, True])
-def test_a_call_of_a_run_that_nobody_waits_for_is_nothing(server: SimulatedServer, cancelled: bool) -> None:
+def test_a_call_of_a_run_whose_client_no_longer_waits_is_ignored(
+    server: SimulatedServer, cancelled: bool
+) -> None:
     attempt = server.call(b"lookup")
     server.settle()
     if cancelled:
@@ -114,7 +116,7 @@
         server.end(attempt.name)
         server.settle()
     answers = list(attempt.answers)
-    stand_at_call(server, attempt)
+    report_call(server, attempt)
     assert attempt.answers == answers and server.counts.count("links") == 1
 
 
@@ -127,12 +129,12 @@
         (b"NOVEL %d", b"VALUE 9 x success 1 0\r\n\r\n"),
     ],
 )
-def test_a_notice_of_an_unknown_word_costs_nothing_but_itself(
+def test_an_unknown_notice_is_skipped_without_other_effects(
     server: SimulatedServer, words: bytes, following: bytes | None
 ) -> None:
     attempt = server.call(b"lookup")
     server.settle()
-    notice(server, words, following)
+    send_notice(server, words, following)
     server.wait(0.2)
     server.end(attempt.name)
     server.settle()
@@ -143,7 +145,7 @@
     assert server.counts.count("links") == 4 and server.counts.count("notices_passed_over") == 1
 
 
-def test_one_in_the_same_bytes_as_an_end_takes_nothing_of_it_along(server: SimulatedServer) -> None:
+def test_an_unknown_notice_between_the_ends_of_runs_does_not_affect_them(server: SimulatedServer) -> None:
     attempt, other = server.call(b"lookup"), server.call(b"lookup")
     server.settle()
     assert server.link is not None
@@ -158,7 +160,7 @@
 @pytest.mark.parametrize(
     "garbled", [b"NOVEL 7 which never came\r\n", b"TOPS 1 nan\r\n", b"VALUE 1 x no 1 0\r\n\r\n"]
 )
-def test_what_is_unreadable_once_is_read_again_and_nothing_is_passed_over(
+def test_data_that_is_invalid_once_is_read_again_and_no_notice_is_skipped(
     server: SimulatedServer, garbled: bytes
 ) -> None:
     attempt = server.call(b"lookup")
@@ -174,8 +176,8 @@
     )
 
 
-def test_the_program_counts_on_no_call_and_the_simulator_s_adapter_does(tmp_path: Path) -> None:
-    told = {
+def test_the_program_ignores_dependency_calls_and_the_bench_adapter_supports_them(tmp_path: Path) -> None:
+    document = {
         "name": "n1",
         "listen": "127.0.0.1:7001",
         "vm": "127.0.0.1:6100",
@@ -196,16 +198,16 @@
         },
     }
     file = tmp_path / "configuration.json"
-    file.write_text(json.dumps(told))
-    mine = configuration.placement_settings({"RELAY_CONFIG": str(file)}).server_settings
+    file.write_text(json.dumps(document))
+    program_settings = configuration.placement_settings({"RELAY_CONFIG": str(file)}).server_settings
     assert (
-        mine.dependency is None
-        and not mine.request_classes[0].calls_dependency
-        and not mine.request_classes[0].skip_value_ratio
+        program_settings.dependency is None
+        and not program_settings.request_classes[0].calls_dependency
+        and not program_settings.request_classes[0].skip_value_ratio
     )
-    whole = configuration.server_settings(configuration.Section(told["settings"], "settings"))
+    adapter_settings = configuration.server_settings(configuration.Section(document["settings"], "settings"))
     assert (
-        whole.dependency is not None
-        and whole.request_classes[0].calls_dependency
-        and whole.request_classes[0].skip_value_ratio == 0.5
+        adapter_settings.dependency is not None
+        and adapter_settings.request_classes[0].calls_dependency
+        and adapter_settings.request_classes[0].skip_value_ratio == 0.5
     )
--- a/tests/test_interpreter_link_races.py
+++ b/tests/test_interpreter_link_races.py
@@ -27,9 +27,9 @@
 
 
 def obeying(server: SimulatedServer, other: Callable[[Obey, list[bytes], bytes], bytes]) -> None:
-    """Pass each command to `other` from now on; `del server.interpreter._obey` ends that."""
-    obey = server.interpreter._obey
-    server.interpreter._obey = lambda words, body: other(obey, words, body)  # type: ignore[method-assign]
+    """Pass each command to `other` from now on; `del server.interpreter._handle_command` ends that."""
+    obey = server.interpreter._handle_command
+    server.interpreter._handle_command = lambda words, body: other(obey, words, body)  # type: ignore[method-assign]
 
 
 def answers_questions_only(obey: Obey, words: list[bytes], body: bytes) -> bytes:
@@ -38,7 +38,7 @@
 
 
 def recover(server: SimulatedServer) -> None:
-    del server.interpreter._obey
+    del server.interpreter._handle_command
 
 
 def broken(server: SimulatedServer, lost: bool) -> None:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""No bound below 1,024 on any list of servers or clients, each tried at its border."""
+"""No list of servers or clients has a limit below 1,024; each limit is tested at its boundary."""
 
 from __future__ import annotations
 
@@ -38,12 +38,12 @@
 from sablewheel.usage_metering.collector import Collector
 from sablewheel.usage_metering.plan import CollectorPlan
 
-LEAST = 1024  # the operators' own bound
-ENTRY_BYTES = 256  # a router remembered: its object, its number and its place in the table
+MIN_LIMIT = 1024  # the lowest limit that the operators allow
+ENTRY_BYTES = 256  # a stored client: its object, its number and its table entry
 
 
-def heard(server: SimulatedServer, number: int) -> Client:
-    asked = resp.RequestMessage(
+def receive_request(server: SimulatedServer, number: int) -> Client:
+    message = resp.RequestMessage(
         tag=1,
         name=b"a",
         request_class=b"lookup",
@@ -58,215 +58,234 @@
         is_retry=False,
         cost_hint_s=None,
     )
-    return server.listener.make_request(asked).client
+    return server.listener.make_request(message).client
 
 
-def test_1024_routers_are_remembered_whatever_the_settings_tell_and_an_entry_is_small() -> None:
+def test_1024_clients_are_stored_regardless_of_the_settings_and_an_entry_is_small() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
-    empty = len(server.listener._clients)
+    initial_count = len(server.listener._clients)
     tracemalloc.start()
     try:
         before = tracemalloc.get_traced_memory()[0]
-        first = [heard(server, 10**18 + place) for place in range(LEAST - empty)]
-        took = tracemalloc.get_traced_memory()[0] - before
+        clients = [receive_request(server, 10**18 + index) for index in range(MIN_LIMIT - initial_count)]
+        bytes_used = tracemalloc.get_traced_memory()[0] - before
     finally:
         tracemalloc.stop()
-    assert took < LEAST * ENTRY_BYTES, took
-    assert heard(server, 10**18) is first[0]  # the table is full to the border and nobody had to go
-    assert heard(server, 7) is not first[0] and heard(server, 10**18) is first[0]
-    assert heard(server, 10**18 + 1) is not first[1]  # one past the border: who was heard longest ago went
-    assert len(server.listener._clients) == LEAST
+    assert bytes_used < MIN_LIMIT * ENTRY_BYTES, bytes_used
+    assert receive_request(server, 10**18) is clients[0]  # the table is full, and no client was evicted
+    assert receive_request(server, 7) is not clients[0] and receive_request(server, 10**18) is clients[0]
+    assert (
+        receive_request(server, 10**18 + 1) is not clients[1]
+    )  # beyond the limit, the least recent client is evicted
+    assert len(server.listener._clients) == MIN_LIMIT
 
 
-def test_more_routers_are_remembered_where_the_settings_or_the_descriptors_allow_more() -> None:
+def test_more_clients_are_stored_if_the_settings_or_the_descriptors_allow_more() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     server.listener.expect_clients(3000)
-    first = heard(server, 1)
+    first = receive_request(server, 1)
     for number in range(2, CLIENTS_PER_EXPECTED * 3000 + 1):
-        heard(server, number)
-    assert heard(server, 1) is first and len(server.listener._clients) == CLIENTS_PER_EXPECTED * 3000
-    server.listener.expect_clients(1)  # a new configuration tells of one
-    heard(server, 1)
-    assert len(server.listener._clients) == LEAST
+        receive_request(server, number)
+    assert (
+        receive_request(server, 1) is first and len(server.listener._clients) == CLIENTS_PER_EXPECTED * 3000
+    )
+    server.listener.expect_clients(1)  # a new configuration expects one client
+    receive_request(server, 1)
+    assert len(server.listener._clients) == MIN_LIMIT
     server.listener._max_connections = 1500
     server.listener.expect_clients(1)
     for number in range(2, 2000):
-        heard(server, number)
+        receive_request(server, number)
     assert len(server.listener._clients) == 1500
 
 
-# -- membership: who starts at once, who joins at once, who is heard of at once
+# -- membership: simultaneous starts, joins and updates
 
 
-def settled(net: Net, within: float) -> float:
-    """Seconds until all hold one view of all; fails past `within`."""
-    begun = net.now
-    while net.now < begun + within:
+def time_to_settle(net: Net, timeout_s: float) -> float:
+    """Return the seconds until all nodes have the same view of all nodes; fail after `timeout_s`."""
+    started_at = net.now
+    while net.now < started_at + timeout_s:
         net.run(net.now + 0.5)
         views = {node.view for node in net.nodes.values()}
         if len(views) == 1 and None not in views and len(views.pop().members) == len(net.nodes):  # type: ignore[union-attr]
-            return net.now - begun
+            return net.now - started_at
     raise AssertionError(sorted(len(view) for view in net.views().values()))
 
 
-@pytest.mark.parametrize("many", [230, 256, 1024])
-def test_a_fleet_that_starts_all_at_once_founds_one_view_of_all(many: int) -> None:
+@pytest.mark.parametrize("count", [230, 256, 1024])
+def test_a_fleet_that_starts_simultaneously_creates_one_view_of_all_members(count: int) -> None:
     net = Net(Settings(), 3)
-    for place in range(many):
-        net.add(f"m{place:04}")
-    assert settled(net, 10.0) <= 4.0 and len(net.nodes["m0001"].members) == many
+    for index in range(count):
+        net.add(f"m{index:04}")
+    assert time_to_settle(net, 10.0) <= 4.0 and len(net.nodes["m0001"].members) == count
 
 
-@pytest.mark.parametrize("standing, many", [(3, 256), (40, 120)])
-def test_who_joins_at_once_comes_in_by_a_view_and_reports_are_not_judged_one_by_one(
-    standing: int, many: int, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("initial_count, count", [(3, 256), (40, 120)])
+def test_members_that_join_simultaneously_are_added_by_a_view_and_reports_are_evaluated_together(
+    initial_count: int, count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    judged: list[str] = []
-    stable = CutDetector._stable_changes
+    evaluated_by: list[str] = []
+    original = CutDetector._stable_changes
 
-    def counted(reports: CutDetector, gone: set[str]) -> list[Change]:
-        judged.append(reports._member_table.local_member.name)
-        return stable(reports, gone)
+    def counting(reports: CutDetector, removed_names: set[str]) -> list[Change]:
+        evaluated_by.append(reports._member_table.local_member.name)
+        return original(reports, removed_names)
 
-    monkeypatch.setattr(CutDetector, "_stable_changes", counted)
+    monkeypatch.setattr(CutDetector, "_stable_changes", counting)
     net = Net(Settings(), 3)
-    for place in range(standing):
-        net.add(f"m{place:04}")
+    for index in range(initial_count):
+        net.add(f"m{index:04}")
     net.run(8.0)
-    judged.clear()
-    there = set(net.nodes)
-    for place in range(standing, many):
-        net.add(f"m{place:04}")
-    assert settled(net, 10.0) <= 3.0
-    # Not once for each of the reports, which are some hundreds on each member that stood.
-    assert 0 < sum(name in there for name in judged) <= 10 * standing
+    evaluated_by.clear()
+    initial_names = set(net.nodes)
+    for index in range(initial_count, count):
+        net.add(f"m{index:04}")
+    assert time_to_settle(net, 10.0) <= 3.0
+    # Not once per report: each initial member gets some hundreds of reports.
+    assert 0 < sum(name in initial_names for name in evaluated_by) <= 10 * initial_count
 
 
-def test_votes_fit_a_datagram_whoever_joins_or_goes_at_once() -> None:
-    def members(what: str, many: int, size: int) -> list[Member]:
+def test_votes_fit_a_datagram_regardless_of_the_number_of_simultaneous_changes() -> None:
+    def members(prefix: str, count: int, size: int) -> list[Member]:
         return [
-            Member(f"{what}{n:05}".ljust(size, "x"), "203.0.113.100:65535", "zone", "region", 10**12)
-            for n in range(many)
+            Member(f"{prefix}{n:05}".ljust(size, "x"), "203.0.113.100:65535", "zone", "region", 10**12)
+            for n in range(count)
         ]
 
     for size in (12, 128):
-        joins = [Change(ChangeKind.JOIN, one) for one in members("j", LEAST, size)]
-        goes = [Change(ChangeKind.REMOVE, one) for one in members("r", LEAST // 2 - 1, size)]
-        some, cut = fit_changes(joins), fit_changes(joins + goes)
-        assert 0 < len(some) < LEAST and {one.kind for one in some} == {ChangeKind.JOIN}
-        assert sum(one.kind is ChangeKind.REMOVE for one in cut) == min(len(goes), len(fit_changes(goes)))
-        assert len(goes) == len(fit_changes(goes)) or size == 128
+        joins = [Change(ChangeKind.JOIN, member) for member in members("j", MIN_LIMIT, size)]
+        removals = [Change(ChangeKind.REMOVE, member) for member in members("r", MIN_LIMIT // 2 - 1, size)]
+        fitting_joins, cut = fit_changes(joins), fit_changes(joins + removals)
+        assert 0 < len(fitting_joins) < MIN_LIMIT and {change.kind for change in fitting_joins} == {
+            ChangeKind.JOIN
+        }
+        assert sum(change.kind is ChangeKind.REMOVE for change in cut) == min(
+            len(removals), len(fit_changes(removals))
+        )
+        assert len(removals) == len(fit_changes(removals)) or size == 128
         codec.encode(Message(Envelope("m", 1), Vote(canonical_proposal(cut))))
-        bits = (1 << LEAST) - 1
+        bits = (1 << MIN_LIMIT) - 1
         tallies = fit_tallies(
-            [(canonical_proposal(part), bits) for part in (cut, goes[1:] + joins, some, joins[:9])]
+            [
+                (canonical_proposal(part), bits)
+                for part in (cut, removals[1:] + joins, fitting_joins, joins[:9])
+            ]
         )
         assert tallies and tallies[0][0] == canonical_proposal(cut)
         codec.encode(Message(Envelope("m", 1), Votes(tuple(tallies))))
-    few = [(canonical_proposal(joins[place : place + 2]), 1) for place in range(6)]
-    assert fit_tallies(few) == few[:4]
+    proposals = [(canonical_proposal(joins[index : index + 2]), 1) for index in range(6)]
+    assert fit_tallies(proposals) == proposals[:4]
 
 
-def test_1024_rumours_and_1024_probes_for_others_are_kept_at_once_and_more_in_a_larger_fleet() -> None:
-    assert min(MIN_PENDING_UPDATES_CAPACITY, MAX_RELAYED_PROBES) >= LEAST
+def test_1024_updates_and_1024_relayed_probes_are_pending_at_once_and_more_in_a_larger_fleet() -> None:
+    assert min(MIN_PENDING_UPDATES_CAPACITY, MAX_RELAYED_PROBES) >= MIN_LIMIT
     net = Net(Settings(), 1)
-    net.stand(2 * LEAST)
+    net.stand(2 * MIN_LIMIT)
     node = net.nodes["m00000"]
-    for place in range(1, 2 * LEAST):
-        node.gossip.disseminate(Alive(f"m{place:05}", 2))
-    assert len(node.gossip.pending) == 2 * LEAST - 1  # one of each other, none pushed out
+    for index in range(1, 2 * MIN_LIMIT):
+        node.gossip.disseminate(Alive(f"m{index:05}", 2))
+    assert len(node.gossip.pending) == 2 * MIN_LIMIT - 1  # one update per other member, none evicted
     node.gossip.disseminate(Alive("m00001", 3))
-    assert len(node.gossip.pending) == 2 * LEAST - 1  # the newer took the older's place
+    assert len(node.gossip.pending) == 2 * MIN_LIMIT - 1  # the newer update replaced the older one
     for seq in range(MAX_RELAYED_PROBES + 1):
         body = PingRequest(seq, "m00007", "")
-        node.step(net.now, MessageReceived(Message(Envelope(f"m{seq % LEAST + 1:05}", 1), body), "x"))
+        node.step(net.now, MessageReceived(Message(Envelope(f"m{seq % MIN_LIMIT + 1:05}", 1), body), "x"))
     assert (
         len(node.failure_detector.relay.probes) == MAX_RELAYED_PROBES and node.counters["relays_refused"] == 1
     )
-    sent = node.step(net.now + 1.0, TimerFired())
-    bodies = [one.message.body for one in sent if isinstance(one, Send)]
+    effects = node.step(net.now + 1.0, TimerFired())
+    bodies = [effect.message.body for effect in effects if isinstance(effect, Send)]
     nacks = [body.sequence for body in bodies if isinstance(body, Nack)]
     assert nacks == list(range(MAX_RELAYED_PROBES)) and not node.failure_detector.relay.probes
 
 
-# -- links, the descriptors that they take, and the ledger's collector
+# -- peer connections, their descriptors, and the collector of usage metering
 
 
-def test_links_have_room_for_1024_members_both_ways_and_keep_no_more_than_the_view_needs() -> None:
+def test_peer_connections_allow_1024_members_both_ways_and_no_more_than_the_view_needs() -> None:
     scheduler, port = Scheduler(Clock()), free_port()
-    links = PeerConnections(scheduler, ("127.0.0.1", port), ConnectionSettings(), "m0000", 1)
+    connections = PeerConnections(scheduler, ("127.0.0.1", port), ConnectionSettings(), "m0000", 1)
 
-    def fleet(many: int) -> View:
-        says = (("link", "127.0.0.1:9"),)
+    def fleet(count: int) -> View:
+        metadata = (("link", "127.0.0.1:9"),)
         return View(
-            1, tuple(Member(f"m{place:04}", "", incarnation=1, metadata=says) for place in range(many))
+            1, tuple(Member(f"m{index:04}", "", incarnation=1, metadata=metadata) for index in range(count))
         )
 
-    for many, room in ((0, 64), (3, 64), (32, 64), (60, 120), (230, 460), (LEAST, 2 * LEAST)):
-        links.handle_view(fleet(many))
-        assert links.max_connections == room
-    links._unidentified_count = 2 * LEAST - 1
-    assert links._has_capacity()
-    links._unidentified_count = 2 * LEAST
-    assert not links._has_capacity()
-    links._unidentified_count = 0
-    links.handle_view(fleet(60))
+    for count, max_connections in (
+        (0, 64),
+        (3, 64),
+        (32, 64),
+        (60, 120),
+        (230, 460),
+        (MIN_LIMIT, 2 * MIN_LIMIT),
+    ):
+        connections.handle_view(fleet(count))
+        assert connections.max_connections == max_connections
+    connections._unidentified_count = 2 * MIN_LIMIT - 1
+    assert connections._has_capacity()
+    connections._unidentified_count = 2 * MIN_LIMIT
+    assert not connections._has_capacity()
+    connections._unidentified_count = 0
+    connections.handle_view(fleet(60))
     peers = [socket.create_connection(("127.0.0.1", port)) for _ in range(121)]
     scheduler.after(0.2, scheduler.stop)
     scheduler.run()
-    assert links._unidentified_count == 120  # one past them waits in the kernel's line
+    assert connections._unidentified_count == 120  # one more waits in the kernel's backlog
     for peer in peers:
         peer.close()
-    links.close()
+    connections.close()
 
 
-def test_routers_have_the_connections_that_links_do_not_need_and_half_of_them_in_any_case(
+def test_clients_get_the_connections_that_peers_do_not_need_and_at_least_half(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     block = Block()
-    host, told = f"127.{block.second}.0.1", tmp_path / "configuration.json"
+    host, configuration_file = f"127.{block.second}.0.1", tmp_path / "configuration.json"
     request_class = {"name": "lookup", "on-time-s": 1.0, "deadline-s": 4.0, "repeat": "safe"}
     settings = {
         "classes": [request_class],
         "extra": {"cores": 2, "memory-kb": 20000},
         "safety": {"fall-multiple": 5},
     }
-    places = {key: f"{host}:{port}" for key, port in (("listen", 7001), ("vm", 6100), ("naming", 2379))}
-    told.write_text(json.dumps({"name": "n1", "seed": "2a", **places, "settings": settings}))
-    on = tmp_path / "features.yaml"
-    on.write_text(
+    addresses = {key: f"{host}:{port}" for key, port in (("listen", 7001), ("vm", 6100), ("naming", 2379))}
+    configuration_file.write_text(json.dumps({"name": "n1", "seed": "2a", **addresses, "settings": settings}))
+    features_file = tmp_path / "features.yaml"
+    features_file.write_text(
         f"version: 1\nmembership:\n  listen: {host}:7700\n  zone: a\n  region: b\n  seeds: [{host}:7700]\n"
         f"forwarding:\n  listen: {host}:7702\n"
     )
     monkeypatch.setattr(application, "CONNECTION_LIMIT_INTERVAL_S", 0.01)
-    one = application.Application(
-        configuration.placement_settings({"RELAY_CONFIG": str(told)}), features.read(on)
+    app = application.Application(
+        configuration.placement_settings({"RELAY_CONFIG": str(configuration_file)}),
+        features.read(features_file),
     )
-    assert one._request_listener._max_connections == 1004 - 64
-    parts = one._features
-    assert isinstance(parts, FeatureSet)
-    for needs, left in ((460, 544), (2048, 502), (64, 940)):
-        parts._descriptors[:] = [lambda needs=needs: needs]  # type: ignore[misc]
-        one._scheduler.after(0.05, one._scheduler.stop)
-        one._scheduler.run()
-        one._scheduler._stopped = False
-        assert one._request_listener._max_connections == left
-    one._listener.close()
-    parts.close(0.0)
+    assert app._request_listener._max_connections == 1004 - 64
+    feature_set = app._features
+    assert isinstance(feature_set, FeatureSet)
+    for needed, remaining in ((460, 544), (2048, 502), (64, 940)):
+        feature_set._descriptors[:] = [lambda needed=needed: needed]  # type: ignore[misc]
+        app._scheduler.after(0.05, app._scheduler.stop)
+        app._scheduler.run()
+        app._scheduler._stopped = False
+        assert app._request_listener._max_connections == remaining
+    app._listener.close()
+    feature_set.close(0.0)
     block.close()
 
 
-def test_the_collector_takes_1024_servers_and_as_many_more_that_are_new_in_their_place() -> None:
+def test_the_collector_accepts_1024_servers_and_as_many_replacements() -> None:
     plan = CollectorPlan(Path("book"), ("127.0.0.1", 1))
     assert CollectorSection(book="book", listen="127.0.0.1:1").plan().connections_most == (
         plan.connections_most
     )
-    crowd = SimpleNamespace(connections=dict.fromkeys(range(2 * LEAST - 1)), _plan=plan)
-    assert Collector._room(crowd)  # type: ignore[arg-type]
-    crowd.connections[-1] = None
-    assert not Collector._room(crowd)  # type: ignore[arg-type]
+    collector = SimpleNamespace(connections=dict.fromkeys(range(2 * MIN_LIMIT - 1)), _plan=plan)
+    assert Collector._room(collector)  # type: ignore[arg-type]
+    collector.connections[-1] = None
+    assert not Collector._room(collector)  # type: ignore[arg-type]
 
 
-def test_a_policy_may_ask_for_links_to_1024_peers() -> None:
+def test_a_policy_may_require_connections_to_1024_peers() -> None:
     [peers] = CATALOGUE["forward-near"].parameters
-    assert peers.least == 1 and peers.most >= LEAST
+    assert peers.least == 1 and peers.most >= MIN_LIMIT
