--- a/sablewheel/bench_adapter/wire.py
+++ b/sablewheel/bench_adapter/wire.py
@@ -80,11 +80,11 @@
 
 
 def parse_integer(text: str, absent: int | None = None) -> int:
-    """Parse a non-negative integer; `-` means `absent`, if that is given."""
+    """Parse an integer of at least 0; `-` means `absent`, if that is given."""
     if text == "-" and absent is not None:
         return absent
     if not (text.isascii() and text.isdigit()):
-        raise MalformedError(f"not a non-negative integer: {text!r}")
+        raise MalformedError(f"not an integer of at least 0: {text!r}")
     return int(text)
 
 
--- a/tests/simulated_server.py
+++ b/tests/simulated_server.py
@@ -22,8 +22,8 @@
 from sablewheel.transport.scheduler import Clock, Scheduler
 from sablewheel.transport.stream import Stream
 
-QUEUED, RUNNING, WAITING_TO_CALL, CALLING = "held", "running", "standing", "calling"
-COALESCED, SUSPENDED, FINISHED = "joined", "paused", "over"
+QUEUED, RUNNING, WAITING_TO_CALL, CALLING = "held", "running", "waiting_to_call", "calling"
+COALESCED, SUSPENDED, FINISHED = "coalesced", "paused", "finished"
 AT_MOST_ONCE = (Idempotency.KEYED, Idempotency.NON_IDEMPOTENT)
 PROVES_NEVER_RAN = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NEVER_STARTED)
 
