--- a/sablewheel/failover/judge.py
+++ b/sablewheel/failover/judge.py
@@ -98,7 +98,7 @@
     """Return the state after new evidence, and the changes to propose: by zone, out (True) or back (False).
 
     Without a majority of the view nothing is proposed and the dwell times restart: evidence from this side of
-    a network partition says nothing about the other side.
+    a network partition does not describe the other side.
     """
     zones = dict(states.zones)
     changes: dict[str, bool] = {}
--- a/sablewheel/overload/interface/settings.py
+++ b/sablewheel/overload/interface/settings.py
@@ -37,7 +37,7 @@
 
     Attributes:
         idempotency: Effect of a second run of the same request.
-        latency_objective_s: Answers within this time earn their full value.
+        latency_objective_s: Answers within this time have their full value.
         timeout_s: How long clients wait for an answer.
         idempotency_window_s: How long a request's key is reserved after its arrival.
         objective_s_per_hint: Seconds added to the latency objective for each unit of the cost hint.
--- a/tests/simulated_server.py
+++ b/tests/simulated_server.py
@@ -74,7 +74,7 @@
         kb: float = 10.0,
         waited: float = 0.0,
         idempotency_key: int = 0,
-        **rest: object,
+        **request_fields: object,
     ) -> RequestState:
         request_class_settings = self.server_settings.request_classes[request_class]
         arrived = self.now - waited
@@ -84,7 +84,7 @@
             request_class if len(self.clients) < 9 else len(self.states)
         )  # few clients: one per request class; many clients: in turn
         client = self.clients[client_index % len(self.clients)]
-        request = Request(request_class_settings, client, tenant, arrived, kb, **rest)  # type: ignore[arg-type]
+        request = Request(request_class_settings, client, tenant, arrived, kb, **request_fields)  # type: ignore[arg-type]
         remaining_s = request.remaining_s
         due_at = (
             self.now + remaining_s if remaining_s is not None else arrived + request_class_settings.timeout_s
--- a/tests/test_propagated_deadlines.py
+++ b/tests/test_propagated_deadlines.py
@@ -18,8 +18,8 @@
     """Send a call with additional fields, in a round of its own."""
     data = call(tag, b"%016x" % tag, request_class, server.now, b"body")
     start = data.index(b"$", data.index(request_class))
-    size, rest = data[start + 1 :].split(b"\r\n", 1)
-    old, tail = rest[: int(size)], rest[int(size) :]
+    size, remainder = data[start + 1 :].split(b"\r\n", 1)
+    old, tail = remainder[: int(size)], remainder[int(size) :]
     server.client.feed(data[:start] + b"$%d\r\n" % (int(size) + len(fields)) + old + fields + tail)
     server.scheduler.run_ready()
     server.dispatcher.end_round()
--- a/tests/test_service_rules.py
+++ b/tests/test_service_rules.py
@@ -230,8 +230,8 @@
     return simulation.handle_batch([])
 
 
-def admit(simulation: ControllerSimulation, request_class: int, **rest: Any) -> RequestState:
-    state = simulation.arrive(request_class, **rest)
+def admit(simulation: ControllerSimulation, request_class: int, **request_fields: Any) -> RequestState:
+    state = simulation.arrive(request_class, **request_fields)
     actions(simulation)
     return state
 
