--- a/sablewheel/bench_adapter/host.py
+++ b/sablewheel/bench_adapter/host.py
@@ -66,7 +66,9 @@
         if request is None:
             return None
         return (
-            interface.DependencyCallNeeded(request) if line.verb == "needs" else interface.CallerGone(request)
+            interface.DependencyCallNeeded(request)
+            if line.verb == "needs"
+            else interface.RequestAbandoned(request)
         )
 
     def _request(self, parts: list[str], now: float) -> Request:
--- a/sablewheel/overload/controller.py
+++ b/sablewheel/overload/controller.py
@@ -142,7 +142,7 @@
             interface.DependencyCallNeeded: self._call_needed,
             interface.DependencyCallEnded: self._call_ended,
             interface.StartUnconfirmed: self._start_unconfirmed,
-            interface.CallerGone: self._caller_gone,
+            interface.RequestAbandoned: self._request_abandoned,
             interface.KeyRecovered: self._key_recovered,
             interface.ShutdownNotice: self._shutdown_notice,
             interface.TimerFired: self._timer_fired,
@@ -205,7 +205,7 @@
                 if not request.answered:
                     self._run_step(lambda: completion.fail(request))
                 self._run_step(lambda: completion.finish(request))
-            case interface.CallerGone(request):
+            case interface.RequestAbandoned(request):
                 completion.mark_answered(request)
                 if request.stage in (Stage.QUEUED, Stage.COALESCED):
                     self._run_step(lambda: completion.finish(request))
@@ -290,8 +290,8 @@
             context = self._context
             self.resources.unconfirmed.add(event.request, context.now, context.max_timeout_s)
 
-    def _caller_gone(self, event: interface.CallerGone) -> None:
-        self._endings.caller_gone(event.request)
+    def _request_abandoned(self, event: interface.RequestAbandoned) -> None:
+        self._endings.request_abandoned(event.request)
 
     def _key_recovered(self, event: interface.KeyRecovered) -> None:
         self._keys.record(event.request, event.valid_for_s)
--- a/sablewheel/overload/interface/__init__.py
+++ b/sablewheel/overload/interface/__init__.py
@@ -26,11 +26,11 @@
     SkipDependencyCall,
 )
 from .events import (
-    CallerGone,
     DependencyCallEnded,
     DependencyCallNeeded,
     Event,
     KeyRecovered,
+    RequestAbandoned,
     RequestArrived,
     RunEnded,
     ShutdownNotice,
@@ -54,7 +54,6 @@
     "AdvertisementKind",
     "AttachToOriginal",
     "CallDependency",
-    "CallerGone",
     "Cancel",
     "Cancellation",
     "Client",
@@ -75,6 +74,7 @@
     "RejectionReason",
     "ReleaseKey",
     "Request",
+    "RequestAbandoned",
     "RequestArrived",
     "RequestClass",
     "ReserveKey",
--- a/sablewheel/overload/interface/events.py
+++ b/sablewheel/overload/interface/events.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True)
-class CallerGone:
+class RequestAbandoned:
     """The client no longer waits for this request."""
 
     request: Request
@@ -91,7 +91,7 @@
     | DependencyCallNeeded
     | DependencyCallEnded
     | StartUnconfirmed
-    | CallerGone
+    | RequestAbandoned
     | KeyRecovered
     | ShutdownNotice
     | TimerFired
--- a/sablewheel/overload/request_endings.py
+++ b/sablewheel/overload/request_endings.py
@@ -55,7 +55,7 @@
             self._completion.fail(request)  # its run was cancelled and is not repeated
         self._completion.finish(request)
 
-    def caller_gone(self, request: Request) -> None:
+    def request_abandoned(self, request: Request) -> None:
         """Finish a queued request whose client no longer waits, or cancel its run if possible."""
         if request.stage is Stage.FINISHED:
             return
--- a/sablewheel/serving/dispatcher.py
+++ b/sablewheel/serving/dispatcher.py
@@ -200,7 +200,7 @@
         """The client no longer waits."""
         if self._start_queue.discard(exchange):
             return
-        self._events.append(interface.CallerGone(exchange.request))
+        self._events.append(interface.RequestAbandoned(exchange.request))
         if exchange.state is ExchangeState.QUEUED:
             if not exchange.request.started:  # one whose run was cancelled has run
                 self._idempotency_keys.release(exchange)
@@ -391,7 +391,7 @@
         if exchange.state in (ExchangeState.RUNNING, ExchangeState.ATTACHED):
             self._events.append(interface.RunEnded(exchange.request, 0.0, Outcome.ERROR))
         elif not exchange.closed:
-            self._events.append(interface.CallerGone(exchange.request))
+            self._events.append(interface.RequestAbandoned(exchange.request))
         self._open_requests.fail(exchange, FailureReason.FAULT)
         self._open_requests.finish(exchange)
 
--- a/tests/simulated_server.py
+++ b/tests/simulated_server.py
@@ -128,7 +128,7 @@
 
     def abandon(self, state: RequestState) -> None:
         state.abandoned = state.answered = True
-        self.pending_events.append(interface.CallerGone(state.request))
+        self.pending_events.append(interface.RequestAbandoned(state.request))
         if state.stage in (QUEUED, SUSPENDED, COALESCED):
             state.stage = FINISHED
         elif state.stage == WAITING_TO_CALL:
