--- a/sablewheel/overload/interface/requests.py
+++ b/sablewheel/overload/interface/requests.py
@@ -41,7 +41,7 @@
     Attributes:
         in_flight: Number of unanswered requests.
         last_received_at: When its last request was read; -infinity if none was.
-        name: Client identifier; empty if unknown.
+        name: Client identifier from the protocol; empty if not needed.
     """
 
     in_flight: int = 0
--- a/sablewheel/overload/unconfirmed_starts.py
+++ b/sablewheel/overload/unconfirmed_starts.py
@@ -65,7 +65,7 @@
 
         `answer_slack_s` is how long an answer may need to reach its client. It counts from the check, after
         the client's timeout, that found the request answered: after a stall of this server the answer is sent
-        only then, and the interpreter would start a run for a request whose client still waits.
+        only then, and the interpreter would start a run for a request that has no answer yet.
         """
         due: list[Request] = []
         for request, wait in self._waits.items():
