--- a/sablewheel/overload/interface/__init__.py
+++ b/sablewheel/overload/interface/__init__.py
@@ -1,6 +1,6 @@
-"""The interface of the overload controller: events in, actions out, plain types only.
+"""The interface of the overload controller: events as input, actions as output, plain types only.
 
-A `Request` points to its request class, tenant and client; identifiers of the wire stay with the caller. All
+A `Request` points to its request class, tenant and client; protocol identifiers stay with the caller. All
 times are in seconds.
 """
 
@@ -26,11 +26,11 @@
     SkipDependencyCall,
 )
 from .events import (
-    CallerGone,
     DependencyCallEnded,
     DependencyCallNeeded,
     Event,
     KeyRecovered,
+    RequestAbandoned,
     RequestArrived,
     RunEnded,
     ShutdownNotice,
@@ -54,7 +54,6 @@
     "AdvertisementKind",
     "AttachToOriginal",
     "CallDependency",
-    "CallerGone",
     "Cancel",
     "Cancellation",
     "Client",
@@ -75,6 +74,7 @@
     "RejectionReason",
     "ReleaseKey",
     "Request",
+    "RequestAbandoned",
     "RequestArrived",
     "RequestClass",
     "ReserveKey",
