--- a/sablewheel/experiments/membership_model.py
+++ b/sablewheel/experiments/membership_model.py
@@ -141,7 +141,7 @@
                     [(repr(one.update), one.transmissions_left) for one in node.gossip.pending],
                     round(node.next_wakeup - self.now, 1),
                     node.cut_detector.pending_waits(self.now),
-                    node.suspicions.names_unheard_since_pause(),
+                    node.suspicions.names_silent_since_pause(),
                     node.failure_detector.unanswered_names(),
                 )
             )
--- a/sablewheel/membership/__init__.py
+++ b/sablewheel/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership among the app servers: who is alive, decided in common (docs/membership-design.md)."""
+"""Membership of the app servers: an agreed list of the running servers (docs/membership-design.md)."""
--- a/sablewheel/membership/codec.py
+++ b/sablewheel/membership/codec.py
@@ -1,6 +1,6 @@
-"""Encodes membership messages as datagrams and frames (protobuf, `membership.proto`), bounded and checked.
+"""Encodes membership messages as datagrams and TCP frames (protobuf, `membership.proto`), with size limits.
 
-A packet that is too large, of another version, malformed or foreign raises `BadPacketError` with the reason.
+A packet that is too large, malformed or of an unsupported version raises `BadPacketError` with the reason.
 """
 
 from __future__ import annotations
@@ -63,8 +63,8 @@
 ]
 
 VERSION = 1
-MAX_PACKET_BYTES = 60_000  # under a UDP datagram's 65,507 bytes on IPv4
-MAX_FRAME_BYTES = 4 << 20  # full state over TCP: 40,000 members without metadata, 1,700 with the most
+MAX_PACKET_BYTES = 60_000  # below the 65,507 bytes of a UDP datagram on IPv4
+MAX_FRAME_BYTES = 4 << 20  # a full state of 40,000 members without metadata or 1,700 with maximum metadata
 MAX_DIGEST_BYTES = 32
 FRAME_LENGTH = struct.Struct(">I")
 
@@ -79,7 +79,7 @@
     _ENCODERS[type(message.body)](packet, message.body)
     data = packet.SerializeToString()
     if len(data) > max_bytes:
-        raise BadPacketError(f"{len(data)} bytes, over {max_bytes}")
+        raise BadPacketError(f"packet of {len(data)} bytes exceeds the limit of {max_bytes} bytes")
     return data
 
 
@@ -97,7 +97,7 @@
     """
     length = int(FRAME_LENGTH.unpack(header)[0])
     if length > MAX_FRAME_BYTES:
-        raise BadPacketError(f"a frame of {length} bytes, over {MAX_FRAME_BYTES}")
+        raise BadPacketError(f"frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes")
     return length
 
 
@@ -105,26 +105,26 @@
     """Decode a packet.
 
     Raises:
-        BadPacketError: The packet is too large, of another version, malformed or out of bounds.
+        BadPacketError: The packet is too large, malformed, out of bounds or of an unsupported version.
     """
     if len(data) > max_bytes:
-        raise BadPacketError(f"{len(data)} bytes, over {max_bytes}")
+        raise BadPacketError(f"packet of {len(data)} bytes exceeds the limit of {max_bytes} bytes")
     packet = pb.Packet()
     try:
         packet.ParseFromString(data)
     except DecodeError as error:
-        raise BadPacketError(f"garbled: {error}") from None
+        raise BadPacketError(f"malformed packet: {error}") from None
     if packet.version != VERSION:
-        raise BadPacketError(f"version {packet.version}, this member speaks {VERSION}")
+        raise BadPacketError(f"unsupported packet version {packet.version}, expected {VERSION}")
     body_name = packet.WhichOneof("body")
     if body_name is None:
-        raise BadPacketError("no body")
+        raise BadPacketError("packet without a body")
     sender = decode_name(packet.sender, "sender")
     body = _DECODERS[body_name](getattr(packet, body_name))
     return Message(Envelope(sender, packet.epoch), body)
 
 
-# -- encoders: each sets its body in the packet
+# -- encoders, which set the body of a packet
 
 
 def _encode_ping(packet: pb.Packet, body: Ping) -> None:
@@ -238,7 +238,7 @@
 }
 
 
-# -- decoders: each takes its body of the packet
+# -- decoders, which read the body of a packet
 
 
 def _decode_ping(encoded: pb.Ping) -> Body:
@@ -268,7 +268,9 @@
 
 def _decode_sync(encoded: pb.Sync) -> Body:
     view = decode_view(encoded.view) if encoded.has_view else None
-    incarnations = tuple((decode_name(one.name, "name"), one.incarnation) for one in encoded.incarnations)
+    incarnations = tuple(
+        (decode_name(entry.name, "name"), entry.incarnation) for entry in encoded.incarnations
+    )
     return Sync(view, incarnations, encoded.reply)
 
 
@@ -317,7 +319,7 @@
 
 def _decode_digest(encoded: pb.Digest) -> Body:
     if len(encoded.value) > MAX_DIGEST_BYTES:
-        raise BadPacketError(f"digest: at most {MAX_DIGEST_BYTES} bytes are wanted")
+        raise BadPacketError(f"digest: exceeds the limit of {MAX_DIGEST_BYTES} bytes")
     return Digest(encoded.value)
 
 
--- a/sablewheel/membership/consensus.py
+++ b/sablewheel/membership/consensus.py
@@ -1,10 +1,11 @@
 """Consensus on the next view: Fast Paxos for one epoch, with classic rounds when the fast round fails.
 
-Pure: messages in, messages out. In the fast round every member votes for its own proposal; a proposal with a
-fast quorum (n - (n-1)//4 of n) is decided in one step, as in Rapid, since members that saw the same alerts
-hold equal proposals. Otherwise a coordinator runs classic rounds with majority quorums. It picks the value
-that a fast quorum may have chosen (only one can have F + Q - n votes among Q promises), so that two members
-never decide two views at one epoch. Without a reachable majority nothing is decided and the view stands.
+No I/O: methods take messages and return the messages to send. In the fast round every member votes for its
+own proposal; a proposal with a fast quorum (F = n - (n-1)//4 of n members) is decided in one step, as in
+Rapid, since members that received the same alerts make equal proposals. Otherwise a coordinator runs classic
+rounds with majority quorums (Q). It picks the value that a fast quorum may have chosen (only one can have
+F + Q - n votes among Q promises), so that two members never decide different views at one epoch. If no
+majority is reachable, nothing is decided and the view does not change.
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
 from .messages import FAST_BALLOT, Accept, Accepted, Ballot, Body, Prepare, Promise, Vote
 from .view import Proposal
 
-OutgoingMessage = tuple[str | None, Body]  # to one acceptor by name, or to all (None)
+OutgoingMessage = tuple[str | None, Body]  # recipient's name (None for all acceptors) and message
 
 
 class ConsensusInstance:
-    """The decision of one epoch; `acceptors` are the members of its view."""
+    """The consensus of one epoch; `acceptors` are the members of its view."""
 
     def __init__(
         self,
@@ -33,19 +34,19 @@
         acceptor_count = len(acceptors)
         self.fast_quorum = acceptor_count - (acceptor_count - 1) // 4
         self.classic_quorum = acceptor_count // 2 + 1
-        self.votes: dict[Proposal, int] = {}  # of the fast round: a bit mask of acceptors
+        self.votes: dict[Proposal, int] = {}  # fast votes by proposal, as a bit mask of the acceptors
         self.promised_ballot: Ballot = FAST_BALLOT
         self.accepted_ballot: Ballot = FAST_BALLOT
         self.accepted_value: Proposal | None = None
         self.accepted_by_ballot: dict[Ballot, dict[str, Proposal]] = {}
-        self.own_ballot: Ballot | None = None  # as coordinator
+        self.own_ballot: Ballot | None = None  # of the classic round that this member coordinates, if any
         self.promises: dict[str, tuple[Ballot, Proposal | None]] = {}
         self.accept_sent = False
         self.decided: Proposal | None = None
         self.own_proposal: Proposal | None = None
 
     def propose(self, proposal: Proposal) -> list[OutgoingMessage]:
-        """Cast the fast vote, once, and only before a classic round is promised."""
+        """Cast this member's fast vote, once and only before it makes a promise in a classic round."""
         if self.own_proposal is None:
             self.own_proposal = proposal
         if self.node_name not in self._positions or self.has_voted or self.promised_ballot != FAST_BALLOT:
@@ -55,7 +56,7 @@
 
     @property
     def has_voted(self) -> bool:
-        """Whether this member's fast vote is cast."""
+        """Whether this member has cast its fast vote."""
         position = self._positions.get(self.node_name)
         return position is not None and any(voters >> position & 1 for voters in self.votes.values())
 
@@ -99,7 +100,7 @@
         return []
 
     def start_classic_round(self, min_round: int) -> list[OutgoingMessage]:
-        """Coordinate a classic round above any seen."""
+        """Start a classic round as its coordinator, with a number above any round seen."""
         round_number = max(min_round, self.promised_ballot[0] + 1)
         self.own_ballot, self.promises, self.accept_sent = (round_number, self.node_name), {}, False
         return self._broadcast(Prepare(self.own_ballot))
@@ -124,15 +125,16 @@
         return [(sender, promise)]
 
     def _safe_value(self) -> Proposal | None:
-        """Return a value that contradicts no earlier decision."""
-        classic = [
+        """Return a value that cannot contradict an earlier decision."""
+        classic_values = [
             (ballot, value) for ballot, value in self.promises.values() if ballot != FAST_BALLOT and value
         ]
-        if classic:
-            return max(classic, key=lambda accepted: accepted[0])[1]  # there is one value per ballot
-        fast = Counter(value for _, value in self.promises.values() if value is not None)
-        if fast:
-            # A value with F + Q - n votes here has the most, since any other has n - F at most: so the one
-            # with the most votes keeps a fast decision, and where there was none any value will do.
-            return min(fast.items(), key=lambda counted: (-counted[1], repr(counted[0])))[0]
+        if classic_values:
+            return max(classic_values, key=lambda accepted: accepted[0])[1]  # each ballot has a single value
+        fast_votes = Counter(value for _, value in self.promises.values() if value is not None)
+        if fast_votes:
+            # A value that the fast round decided has at least F + Q - n votes here, and any other value at
+            # most n - F, which is fewer. So the value with the most votes preserves a fast decision; without
+            # a fast decision any value is safe.
+            return min(fast_votes.items(), key=lambda item: (-item[1], repr(item[0])))[0]
         return self.own_proposal
--- a/sablewheel/membership/cut_detector.py
+++ b/sablewheel/membership/cut_detector.py
@@ -1,7 +1,7 @@
-"""Multi-node cut detection (Rapid): alerts of several observers, and the changes that follow from them.
+"""Multi-node cut detection (Rapid): derives proposed changes from the alerts of several observers.
 
-Pure. A change is proposed when enough of its subject's observers report it (the high watermark) and no other
-subject is between the watermarks.
+No I/O. A change is proposed when enough of its subject's observers report it (the high watermark) and no
+other subject is between the watermarks.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
     canonical_proposal,
 )
 
-JOIN_GATHER_PERIODS = 1.0  # how long a join waits for others
-NOT_WAITING_S = -9.0  # in `pending_waits`
+JOIN_GATHER_PERIODS = 1.0  # protocol periods that a join waits for further joins
+NOT_WAITING_S = -9.0  # the lower bound of `pending_waits`, also its value for a wait that is not in progress
 
 
 class CutDetector:
-    """The alerts of the current view; they are cleared when it is replaced."""
+    """Collects the alerts for the current view, which are cleared when it is replaced, and evaluates them."""
 
     def __init__(
         self,
@@ -45,11 +45,12 @@
         self._member_table, self._suspicions, self._gossip = member_table, suspicions, gossip
         self._outbox, self._settings = outbox, settings
         self.alerts: dict[tuple[str, bool], dict[str, Member]] = {}  # by (subject, is_join), then observer
-        self._changed = False  # since the last evaluation
-        self._waiting_since: float | None = None  # of a proposal that waits for other subjects
+        self._changed = False  # whether anything changed since the last evaluation
+        self._waiting_since: float | None = None  # start of the proposal's wait for other subjects
         self._wait_ends_at = 0.0
-        self._was_minority = False  # at the last evaluation
-        self._recovery_ends_at = -math.inf  # after a minority: members return one after another
+        self._was_minority = False  # whether this side was a minority at the last evaluation
+        # Proposals of a former minority wait until then, since the other members return one after another.
+        self._recovery_ends_at = -math.inf
         self._join_gathering_ends_at: float | None = None
         self._leaving_names: set[str] = set()
         self._joiner_count = 0
@@ -58,11 +59,11 @@
     # -- alerts
 
     def record_alert(self, now: float, alert: Alert) -> bool:
-        """Record the alert of an observer, perhaps this member; return whether it was news."""
+        """Record the alert of an observer, which may be this member; return whether it was new."""
         if not self._is_acceptable(alert):
             return False
         by_observer = self.alerts.setdefault((alert.member.name, alert.is_join), {})
-        if not self._is_news(alert, by_observer):
+        if not self._is_new(alert, by_observer):
             return False
         by_observer[alert.observer] = alert.member
         if alert.is_join and self._join_gathering_ends_at is None:
@@ -78,7 +79,7 @@
         )
         self._gossip.disseminate(alert)
         if alert.observer == self._member_table.local_member.name:
-            self._outbox.broadcast(Ping(0, (alert,)))  # at once to all, besides the gossip that repeats it
+            self._outbox.broadcast(Ping(0, (alert,)))  # sent to all at once, and repeated by gossip
         return True
 
     def _is_acceptable(self, alert: Alert) -> bool:
@@ -88,25 +89,25 @@
         if alert.observer not in self._member_table.observers(subject):
             return False
         if alert.is_join and (subject, True) not in self.alerts:
-            if self._joiner_count >= MAX_JOINERS:  # anybody may send any name
+            if self._joiner_count >= MAX_JOINERS:  # any process may send any name
                 self._outbox.count("joins_refused")
                 return False
             self._joiner_count += 1
         self._has_removals = self._has_removals or not alert.is_join
         return True
 
-    def _is_news(self, alert: Alert, by_observer: dict[str, Member]) -> bool:
+    def _is_new(self, alert: Alert, by_observer: dict[str, Member]) -> bool:
         subject, incarnation = alert.member.name, alert.member.incarnation
         if alert.observer in by_observer and by_observer[alert.observer].incarnation >= incarnation:
             return False
         view = self._member_table.view
         if alert.is_join or view is None:
             return True
-        # A removal of an earlier incarnation is refuted already.
+        # An alert to remove an earlier incarnation has already been refuted.
         return subject in view and self._member_table.incarnation(subject) <= incarnation
 
     def record_leave(self, member: Member) -> bool:
-        """Record an announced leave as an alert of every observer; return whether it was news."""
+        """Record an announced leave as an alert of every observer; return whether it was new."""
         by_observer = self.alerts.setdefault((member.name, False), {})
         observers = self._member_table.observers(member.name)
         if by_observer.keys() >= set(observers):
@@ -119,7 +120,7 @@
         return True
 
     def clear_refuted(self, name: str, incarnation: int) -> None:
-        """Drop the alerts on earlier incarnations of a member."""
+        """Discard the alerts on earlier incarnations of a member."""
         by_observer = self.alerts.get((name, False), {})
         refuted = [observer for observer, member in by_observer.items() if member.incarnation < incarnation]
         for observer in refuted:
@@ -127,18 +128,21 @@
             self._changed = True  # a proposal may be waiting for this subject
 
     def mark_changed(self) -> None:
-        """Have the alerts evaluated again: something else that a proposal depends on has changed."""
+        """Request an evaluation: something other than the alerts changed that a proposal depends on."""
         self._changed = True
 
     def clear(self) -> None:
-        """Drop the alerts of the previous view."""
+        """Discard the alerts for the previous view."""
         self.alerts.clear()
         self._leaving_names.clear()
         self._joiner_count, self._has_removals = 0, False
         self._waiting_since = self._join_gathering_ends_at = None
 
     def pending_waits(self, now: float) -> tuple[bool, tuple[float, ...]]:
-        """Return what a proposal waits for, in seconds from now, for model checkers that compare states."""
+        """Return whether this side was a minority, and the remaining seconds of each wait.
+
+        Model checkers compare states by these values.
+        """
         times = (
             self._waiting_since,
             self._wait_ends_at,
@@ -152,7 +156,7 @@
     # -- evaluation
 
     def wakeup_times(self) -> list[float]:
-        """Return when a wait ends."""
+        """Return the times at which waits end."""
         times = [self._join_gathering_ends_at] if self._join_gathering_ends_at is not None else []
         return [*times, self._wait_ends_at] if self._waiting_since is not None else times
 
@@ -161,7 +165,7 @@
         return self._changed or any(now >= wakeup_at for wakeup_at in self.wakeup_times())
 
     def evaluate(self, now: float, facts: list[Change]) -> Proposal | None:
-        """Return the changes to propose, with the agreed facts; None while there are none or they wait."""
+        """Return the changes to propose, with the agreed facts; None if there are none or they must wait."""
         self._changed = False
         if self._join_gathering_ends_at is not None and now >= self._join_gathering_ends_at:
             self._join_gathering_ends_at = None
@@ -186,9 +190,9 @@
         return canonical_proposal(changes)
 
     def _is_gathering_joins(self, failed: set[str], facts: list[Change]) -> bool:
-        """Return whether there are only joins, which wait for more.
+        """Return whether there are only joins, and they still wait for further joins.
 
-        It spares a fleet that many members join at once the evaluation of each alert with all the others.
+        When many members join at once, this avoids an evaluation of all alerts for each new one.
         """
         if self._join_gathering_ends_at is None or facts or failed or self._has_removals:
             return False
@@ -197,9 +201,9 @@
     def _must_wait(self, now: float, stable: list[Change], removed: set[str]) -> bool:
         """Return whether a proposal waits so that members that fail together are removed in one view.
 
-        As in Rapid it waits while another subject is between the watermarks; and here also while another
-        member is suspected. The wait lasts `max_settle_s`, or twice that for a suspicion that started late or
-        is confirmed.
+        As in Rapid, it waits while another subject is between the watermarks; unlike in Rapid, also while
+        another member is suspected. The wait lasts `max_settle_s`, or twice that for a suspicion that started
+        late or is confirmed.
         """
         unstable = self._has_unstable_subject(stable)
         one_at_a_time = self._settings.injected_fault == "one-at-a-time"
@@ -224,22 +228,23 @@
             for key, by_observer in self.alerts.items()
         )
 
-    def _is_minority_without(self, lost: set[str]) -> bool:
-        """Return whether the members other than the lost and suspected are no majority of the view.
+    def _is_minority_without(self, unreachable: set[str]) -> bool:
+        """Return whether the members other than the unreachable ones are no majority of the view.
 
-        The proposal of a minority must not be made: it could still be voted for once a partition has healed.
+        A minority must not make a proposal: members could still vote for it once a partition has healed.
         """
-        view, lost = self._member_table.view, lost - self._leaving_names
-        if view is None or not lost or self._settings.injected_fault == "one-at-a-time":
+        view, unreachable = self._member_table.view, unreachable - self._leaving_names
+        if view is None or not unreachable or self._settings.injected_fault == "one-at-a-time":
             return False
-        return len(view.members) - len(lost) < len(view.members) // 2 + 1
+        return len(view.members) - len(unreachable) < len(view.members) // 2 + 1
 
     def _stable_changes(self, failed: set[str]) -> list[Change]:
         """Return the changes whose alerts reach the high watermark, implicit alerts included (Rapid).
 
-        An observer that is being removed itself cannot report, so its alert is implied. The same holds for
-        one that this member's own probes found failed, for a subject that they found failed too and that
-        another member reports: otherwise members that are cut off together could lack observers.
+        An observer that is being removed itself cannot report, so its alert is implied. The alert of an
+        observer that failed this member's own probes is also implied if the subject failed them too and
+        another member reports the subject; otherwise members that are partitioned off together could lack
+        observers.
         """
         local_name = self._member_table.local_member.name
         if self._settings.injected_fault == "one-at-a-time":
@@ -248,16 +253,16 @@
         reported |= {(name, False): {} for name in failed if (name, False) not in reported}
         stable: dict[tuple[str, bool], Change] = {}
         removed: set[str] = set()
-        found = True
-        while found:  # each removal may imply further alerts
-            found = False
+        has_new_change = True
+        while has_new_change:  # each removal may imply further alerts
+            has_new_change = False
             for (subject, is_join), by_observer in reported.items():
                 if (subject, is_join) in stable:
                     continue
-                silent = (
+                implied_observers = (
                     removed | failed if subject in failed and by_observer.keys() - {local_name} else removed
                 )
-                if not self._reaches_high_watermark(subject, is_join, by_observer, silent):
+                if not self._reaches_high_watermark(subject, is_join, by_observer, implied_observers):
                     continue
                 member = max(
                     by_observer.values(),
@@ -268,17 +273,17 @@
                 stable[subject, is_join] = Change(kind, member)
                 if not is_join:
                     removed.add(subject)
-                found = True
+                has_new_change = True
         return list(stable.values())
 
     def _reaches_high_watermark(
-        self, subject: str, is_join: bool, by_observer: dict[str, Member], silent: set[str]
+        self, subject: str, is_join: bool, by_observer: dict[str, Member], implied_observers: set[str]
     ) -> bool:
         high, _ = self._watermarks(subject)
         if is_join:
             return len(by_observer) >= high
-        implied = (silent & set(self._member_table.observers(subject))) - by_observer.keys()
-        return len(by_observer) + len(implied) >= high
+        implied_alerts = (implied_observers & set(self._member_table.observers(subject))) - by_observer.keys()
+        return len(by_observer) + len(implied_alerts) >= high
 
     def _member_without_metadata(self, subject: str) -> Member:
         view = self._member_table.view
@@ -299,7 +304,7 @@
     """Return the changes that fit a proposal, removals first.
 
     Votes must fit a datagram when many members join or have much metadata. The other changes come with a
-    later view, since joiners ask again and failures are reported again.
+    later view, since joiners repeat their requests and failures are reported again.
     """
     metadata_left, joins_left = MAX_PROPOSAL_METADATA_BYTES, MAX_PROPOSAL_JOIN_BYTES
     bytes_left = MAX_PROPOSAL_BYTES
--- a/sablewheel/membership/events.py
+++ b/sablewheel/membership/events.py
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True)
 class ViewInstalled:
-    """Announce a view that was installed; each view once, in order."""
+    """Announce an installed view; each view is announced once, in order."""
 
     view: View
 
 
 @dataclass(frozen=True)
 class TimerFired:
-    """The time `Node.next_wakeup` has come, or an earlier one."""
+    """A timer fired, at `Node.next_wakeup` or earlier."""
 
 
 @dataclass(frozen=True)
@@ -46,12 +46,12 @@
 
 @dataclass(frozen=True)
 class LeaveRequested:
-    """The process is asked to shut down: announce the leave to all members."""
+    """The process was asked to shut down and announces its leave to all members."""
 
 
 @dataclass(frozen=True)
 class FactReported:
-    """This member's own value of a fact; the fleet's value is `View.fact`."""
+    """This member reports its own value of a fact; `View.fact` is the value that the fleet agreed on."""
 
     fact: Fact
 
--- a/sablewheel/membership/fact_reports.py
+++ b/sablewheel/membership/fact_reports.py
@@ -1,4 +1,4 @@
-"""Facts that members report, and the values that more than half of the view agree on. Pure."""
+"""Facts that members report, and the values that more than half of the view agree on. No I/O."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class FactReports:
-    """This member's own values, and every member's reports for the current view."""
+    """Holds this member's own values, and every member's reports for the current view."""
 
     def __init__(self, member_table: MemberTable, gossip: Gossip, outbox: Outbox) -> None:
         self._member_table, self._gossip, self._outbox = member_table, gossip, outbox
@@ -30,7 +30,7 @@
         self._last_sequence = 0
 
     def report(self, fact: Fact) -> bool:
-        """Set this member's value of a fact; return whether it was sent, which an unchanged one is not."""
+        """Set this member's value of a fact; return whether it was sent. An unchanged value is not sent."""
         if self._local_values.get(fact.key) == fact.value:
             return False
         if fact.key not in self._local_values and len(self._local_values) >= MAX_FACTS:
@@ -40,7 +40,7 @@
         return self._send_report(fact)
 
     def repeat_reports(self) -> bool:
-        """Send all own values for a new view; return whether any was sent."""
+        """Send all of this member's values again for a new view; return whether any was sent."""
         return any([self._send_report(Fact(key, value)) for key, value in self._local_values.items()])
 
     def _send_report(self, fact: Fact) -> bool:
@@ -48,7 +48,7 @@
         if view is None:
             return False
         if view.fact(fact.key) == fact.value and local_name not in self._reports.get(fact.key, {}):
-            return False  # the fleet agrees, and no other value was reported
+            return False  # already agreed, and this member reported no other value
         self._last_sequence += 1
         report = FactReport(view.epoch, local_name, self._last_sequence, fact)
         recorded = self.record(report)
@@ -56,7 +56,7 @@
         return recorded
 
     def record(self, report: FactReport) -> bool:
-        """Record the report of any member; return whether it was news."""
+        """Record the report of any member; return whether it was new."""
         view = self._member_table.view
         if view is None or report.epoch != view.epoch or report.reporter not in view:
             return False
@@ -77,7 +77,7 @@
         return True
 
     def agreed_changes(self) -> list[Change]:
-        """Return the facts with a value that more than half of the view report and the view does not have."""
+        """Return the facts for which more than half of the view report a value other than the view's."""
         view = self._member_table.view
         if view is None:
             return []
@@ -92,5 +92,5 @@
         return Fact(key, value)
 
     def clear(self) -> None:
-        """Drop the reports for the previous view."""
+        """Discard the reports for the previous view."""
         self._reports.clear()
--- a/sablewheel/membership/failure_detector.py
+++ b/sablewheel/membership/failure_detector.py
@@ -1,7 +1,7 @@
 """The failure detector (SWIM with Lifeguard): periodic probes, indirect probes, and a local health score.
 
-Pure. It forms this member's opinion of its links and reports it to `on_failure`; in the product's protocol
-nobody is removed on that opinion alone.
+No I/O. It reports the members that failed this member's own probes to `on_failure`; in the product's
+protocol no member is removed on the report of a single member.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 from .probe_relay import ProbeRelay
 from .suspicions import Suspicion, SuspicionTable
 
-PROBE_END_RATIO = 0.9  # of the period: the probe ends before the next one starts
-LOWEST_INCARNATION = 0  # that a message can carry
-MAX_HEALTH_PENALTY = 2  # for the missing answers of one failed probe
+PROBE_END_RATIO = 0.9  # of the period, so that a probe ends before the next one starts
+LOWEST_INCARNATION = 0  # the lowest that a message can carry
+MAX_HEALTH_PENALTY = 2  # added to the health score for the missing nacks of one failed probe
 
 
 @dataclass
@@ -32,12 +32,12 @@
     target: str
     indirect_at: float
     ends_at: float
-    helpers_asked: int = 0  # -1: there was nobody to ask
+    helpers_asked: int = 0  # -1 if there was no helper to ask
     nacks: int = 0
 
 
 class FailureDetector:
-    """`on_failure(now, name, incarnation)` is called for a member that this one holds to have failed."""
+    """Probes members and calls `on_failure(now, name, incarnation)` for each that it considers failed."""
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
         self._prefer_suspected_subjects = False
         self._last_sequence = 0
         self._pinged_all_at = -math.inf
-        self._unanswered_pings: set[str] = set()  # of the last time that all were pinged
+        self._unanswered_pings: set[str] = set()  # members that have not answered since all were pinged
         self.relay = ProbeRelay(member_table, outbox, settings, self._next_sequence)
 
     def _next_sequence(self) -> int:
@@ -70,14 +70,14 @@
     # -- timers
 
     def wakeup_times(self) -> list[float]:
-        """Return when probes start, turn to helpers or end."""
+        """Return the times at which probes start, become indirect or end."""
         times = [self.next_probe_at, *self.relay.wakeup_times()]
         if self.probe is not None:
             times.append(self.probe.ends_at if self.probe.helpers_asked else self.probe.indirect_at)
         return times
 
     def run_timers(self, now: float) -> None:
-        """Advance the probe and the suspicions that are due."""
+        """Advance the current probe and the suspicions, and start the next probe when it is due."""
         self._advance_probe(now)
         for name, suspicion in list(self._suspicions.by_name.items()):
             if not suspicion.faulty:
@@ -97,22 +97,24 @@
     def _advance_suspicion(self, now: float, name: str, suspicion: Suspicion) -> None:
         if now >= self._suspicions.expires_at(name, suspicion):
             self._suspicions.expire(name, suspicion)
+            # Otherwise the failure is reported once a probe of this member fails as well.
             if suspicion.confirmed_by_own_probe or not self._member_table.uses_consensus:
-                self._on_failure(now, name, suspicion.incarnation)  # else once an own probe fails as well
+                self._on_failure(now, name, suspicion.incarnation)
         elif now >= self._suspicions.renotify_at(name, suspicion):
-            # The observers keep telling the subject, so that it refutes as soon as it receives again.
+            # Observers notify the subject repeatedly, so that it refutes as soon as it receives again.
             suspicion.notified_at = now
             self._ping(name)
 
     def _probe_period_s(self) -> float:
-        """Return the period, longer while this member is slow itself (Lifeguard)."""
+        """Return the probe period, which is longer while this member itself is slow (Lifeguard)."""
         return self._settings.period_s * (1 + (self.health_score if self._member_table.uses_consensus else 0))
 
     def handle_pause(self, now: float, pause_s: float) -> None:
         """Recover from a pause of this process.
 
-        Timers that come late all at once show that this member was paused, not its peers. Its probes are
-        void, its suspicions restart, and its health score is the worst, so that it is slow to suspect others.
+        Timers that are all late at once show that this process was paused, not its peers. Its probes are
+        discarded, its suspicions restart, and its health score is set to the worst, so that it is slow to
+        suspect others.
         """
         self.health_score = self._settings.max_health_score
         self.probe = None
@@ -148,8 +150,8 @@
             name = self._rng.choice(sorted(self._unanswered_pings))
             self._unanswered_pings.discard(name)
             return name
-        # An observer probes a suspected subject first, so that its alert rests on its own link. Every other
-        # probe follows the round: a subject that answers and stays suspected must not starve the rest.
+        # An observer probes a suspected subject first, so that its alert is based on its own link. Every
+        # second probe follows the round: a subject that answers but stays suspected must not starve others.
         subjects = self._member_table.subjects()
         self._prefer_suspected_subjects = not self._prefer_suspected_subjects
         for name, suspicion in self._suspicions.by_name.items():
@@ -161,7 +163,7 @@
         """Draw the next member of the shuffled round, skipping those that were removed."""
         for _ in range(2):
             while self._probe_order:
-                # Equivalent to a shuffle, done step by step.
+                # An incremental Fisher-Yates shuffle.
                 position = self._rng.randrange(len(self._probe_order))
                 order = self._probe_order
                 order[position], order[-1] = order[-1], order[position]
@@ -172,7 +174,7 @@
         return None
 
     def _send_indirect_probes(self, probe: Probe) -> None:
-        # A suspected helper would be silent, which would count as this member's own slowness.
+        # A suspected helper may not answer, which would worsen this member's health score.
         suspected = self._suspicions.by_name if self._member_table.uses_consensus else ()
         excluded = {probe.target, *suspected}
         for helper in self._member_table.random_names(
@@ -186,17 +188,17 @@
 
     def _handle_probe_failure(self, now: float, probe: Probe) -> None:
         self.probe = None
-        # Lifeguard: a failed probe counts against this member as far as helpers did not report in time that
-        # their probes failed too; with all their nacks the target is unreachable and this member healthy.
+        # Lifeguard: a failed probe worsens this member's health score by the number of helpers that sent no
+        # nack in time. If all sent one, the target is unreachable and this member is healthy.
         missing_nacks = max(probe.helpers_asked, 0) - probe.nacks
         self._adjust_health(min(missing_nacks, MAX_HEALTH_PENALTY) if probe.helpers_asked > 0 else 1)
         self._outbox.count("probes_failed")
-        # A baseline without consensus knows some members by their address alone.
-        known = max(self._member_table.incarnation(probe.target), LOWEST_INCARNATION)
+        # In a baseline without consensus only the address of some members is known.
+        incarnation = max(self._member_table.incarnation(probe.target), LOWEST_INCARNATION)
         if self._settings.injected_fault == "no-suspicion" or self._settings.mode is Mode.HEARTBEAT:
-            self._on_failure(now, probe.target, known)
+            self._on_failure(now, probe.target, incarnation)
             return
-        suspicion = self.suspect(now, probe.target, known, self._member_table.local_member.name)
+        suspicion = self.suspect(now, probe.target, incarnation, self._member_table.local_member.name)
         if suspicion is not None:
             suspicion.confirmed_by_own_probe = True
             if suspicion.faulty:
@@ -216,7 +218,7 @@
         self._outbox.send(sender, Ack(sequence, local.name, local.incarnation, updates), address)
 
     def handle_ack(self, ack: Ack) -> None:
-        """Handle the answer to an own probe or to one relayed for another member."""
+        """Handle the answer to this member's own probe or to one relayed for another member."""
         if self.relay.handle_ack(ack):
             return
         probe = self.probe
@@ -225,23 +227,23 @@
             self._adjust_health(-1)
 
     def handle_nack(self, sequence: int) -> None:
-        """Record that a helper did not reach the target either."""
+        """Record that a helper could not reach the target either."""
         if self.probe is not None and self.probe.sequence == sequence:
             self.probe.nacks += 1
 
     def message_received(self, now: float, name: str) -> None:
-        """Record a message of a member, or news of its answer to another."""
+        """Record a message from a member, or an answer from it that another member relayed."""
         self._suspicions.message_received(now, name)
         self._unanswered_pings.discard(name)
 
     def unanswered_names(self) -> list[str]:
-        """Return the members that did not answer since all were pinged, sorted."""
+        """Return the members that have not answered since all were pinged, sorted."""
         return sorted(self._unanswered_pings)
 
     # -- suspicions
 
     def suspect(self, now: float, name: str, incarnation: int, suspected_by: str) -> Suspicion | None:
-        """Record that a member, perhaps this one, could not reach another."""
+        """Record that `suspected_by`, which may be this member, could not reach a member."""
         if name == self._member_table.local_member.name:
             self.refute(incarnation)
             return None
@@ -254,7 +256,7 @@
     def _ping_all(self, now: float, suspicion: Suspicion) -> None:
         """Ping all members once a suspicion is confirmed, and probe next those that do not answer.
 
-        Other members may have failed at the same time, and the round of probes may reach them late.
+        Other members may have failed at the same time, and the regular probes may reach them late.
         """
         table = self._member_table
         if not table.uses_consensus or table.is_large or self._settings.injected_fault == "one-at-a-time":
@@ -268,11 +270,11 @@
             self._ping(name)
 
     def _notify_observers(self, now: float, name: str, suspicion: Suspicion, suspected_by: str) -> None:
-        """Send a new suspicion to the subject's observers, who probe it at once.
+        """Send a new suspicion to the subject's observers, which probe the subject at once.
 
-        So whether others confirm it is known within a probe, not after the rounds of gossip. In a view that
-        is not large all members are told: a proposal waits for the other suspected members, on all members
-        alike.
+        Confirmations then arrive within the time of one probe instead of several rounds of gossip. In a view
+        that is not large, all members are notified, so that on all of them a proposal waits for the other
+        suspected members.
         """
         table = self._member_table
         if not table.uses_consensus or table.view is None:
@@ -300,11 +302,11 @@
     # -- a new view
 
     def restart_probe_round(self) -> None:
-        """Draw the round of probes anew from the view that was installed."""
+        """Discard the current round of probes, so that the next is drawn from the installed view."""
         self._probe_order = []
         self._unanswered_pings.clear()
 
     def handle_removal(self) -> None:
-        """Drop the state of a view that no longer has this member."""
+        """Discard the state that belongs to a view from which this member was removed."""
         self._suspicions.by_name.clear()
         self.probe = None
--- a/sablewheel/membership/frame_sender.py
+++ b/sablewheel/membership/frame_sender.py
@@ -11,9 +11,9 @@
 from .messages import Message
 from .plan import Address
 
-MAX_CONCURRENT_FRAMES_OUT = 8  # each with a descriptor
-MAX_QUEUED_FRAMES = 2048  # one to each member and each joiner; beyond it the next sync repairs the loss
-FRAME_TIMEOUT_S = 2.0  # from connecting to the last byte, each way
+MAX_CONCURRENT_FRAMES_OUT = 8  # each uses a file descriptor
+MAX_QUEUED_FRAMES = 2048  # one for each member and joiner; the next sync repairs the loss of those beyond it
+FRAME_TIMEOUT_S = 2.0  # from connecting to the last byte, in each direction
 
 
 @dataclass
@@ -23,7 +23,7 @@
 
 
 class FrameSender:
-    """`count(name, amount)` increments a counter of the membership service."""
+    """Sends queued frames; `count(name, amount)` increments a counter of the membership service."""
 
     def __init__(
         self,
@@ -35,8 +35,8 @@
         self._scheduler, self._source_host = scheduler, source_host
         self._clock, self._count = clock, count
         self._queue: dict[tuple[Address, bool], _QueuedFrame] = {}
-        self._senders = 0
-        self._encoded: tuple[Message, bytes] | None = None  # the last frame, while others are queued
+        self._active_senders = 0
+        self._encoded: tuple[Message, bytes] | None = None  # the last frame, cached while others are queued
         self._open = True
 
     @property
@@ -47,24 +47,24 @@
     def send(self, message: Message, address: Address, is_reply: bool) -> None:
         """Queue a full state.
 
-        A later one replaces a queued one to the same address: a member that founds a fleet, or admits many,
-        has one for each of them at once.
+        It replaces a queued one for the same address. A member that founds a fleet or admits many members
+        queues one for each of them at once.
         """
         key = address, is_reply
         if key not in self._queue and len(self._queue) >= MAX_QUEUED_FRAMES:
             self._count("frames_dropped", 1)
             return
         self._queue[key] = _QueuedFrame(message, self._clock() + FRAME_TIMEOUT_S)
-        if self._senders < MAX_CONCURRENT_FRAMES_OUT:
-            self._senders += 1
+        if self._active_senders < MAX_CONCURRENT_FRAMES_OUT:
+            self._active_senders += 1
             self._scheduler.spawn(self._send_queued)
 
     def close(self) -> None:
-        """Send nothing more."""
+        """Stop sending queued frames."""
         self._open = False
 
     def _send_queued(self) -> None:
-        """Send one frame after the other; a member that is not reached in time asks again."""
+        """Send the queued frames one by one; a member that is not reached in time repeats its request."""
         try:
             while self._open and self._queue:
                 key = next(iter(self._queue))
@@ -74,8 +74,8 @@
                 else:
                     self._send_frame(queued.message, key[0])
         finally:
-            self._senders -= 1
-            if not self._senders:
+            self._active_senders -= 1
+            if not self._active_senders:
                 self._encoded = None
 
     def _send_frame(self, message: Message, address: Address) -> None:
@@ -100,7 +100,7 @@
                 stream.close()
 
     def _encode(self, message: Message) -> bytes:
-        # A large view is expensive to encode, and many members are sent the same.
+        # A large view is expensive to encode, and many members are sent the same one.
         if self._encoded is None or self._encoded[0] != message:
             self._encoded = message, codec.encode_frame(message)
         return self._encoded[1]
--- a/sablewheel/membership/gossip.py
+++ b/sablewheel/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Dissemination by piggybacking, as in SWIM: each update rides on a bounded number of messages. Pure."""
+"""Dissemination by piggybacking, as in SWIM: a bounded number of messages carries each update. No I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from .messages import Alert, Alive, FactReport, GossipUpdate, Suspect
 from .plan import Mode, Settings
 
-MIN_PENDING_UPDATES_CAPACITY = 1024  # updates pending at once, or two per member where that is more
+MIN_PENDING_UPDATES_CAPACITY = 1024  # pending updates; or two per member if that is more
 
 
 @dataclass(eq=False)
@@ -22,7 +22,7 @@
 
 
 class Gossip:
-    """The pending updates; every message also carries that its sender is alive."""
+    """Holds the pending updates; every message also carries an `Alive` update of its sender."""
 
     def __init__(self, member_table: MemberTable, settings: Settings) -> None:
         self._member_table, self._settings = member_table, settings
@@ -30,7 +30,7 @@
         self._pending_by_subject: dict[Hashable, list[PendingUpdate]] = {}
 
     def disseminate(self, update: GossipUpdate) -> None:
-        """Queue an update and drop the pending ones that it supersedes."""
+        """Queue an update and discard the pending ones that it supersedes."""
         if self._settings.mode is Mode.HEARTBEAT:
             return
         member_count = max(len(self._member_table.known_names()), 1)
@@ -54,7 +54,7 @@
             del self.pending[capacity:]
 
     def updates_for_message(self, first: GossipUpdate | None = None) -> tuple[GossipUpdate, ...]:
-        """Return what one message carries: `first` if given, then the least transmitted updates."""
+        """Return the updates for one message: `first` if given, the least transmitted ones, and `Alive`."""
         chosen: list[GossipUpdate] = [first] if first is not None else []
         for pending in sorted(self.pending, key=lambda pending: -pending.transmissions_left):
             if len(chosen) >= self._settings.max_updates_per_message:
@@ -72,14 +72,14 @@
     def _remove_from_index(self, removed: Iterable[PendingUpdate]) -> None:
         for pending in removed:
             subject = _subject(pending.update)
-            of_subject = self._pending_by_subject[subject]
-            of_subject.remove(pending)
-            if not of_subject:
+            same_subject = self._pending_by_subject[subject]
+            same_subject.remove(pending)
+            if not same_subject:
                 del self._pending_by_subject[subject]
 
 
 def _subject(update: GossipUpdate) -> Hashable:
-    """Return what an update is about; it supersedes only updates of the same subject."""
+    """Return the subject of an update; an update supersedes only updates with the same subject."""
     match update:
         case Alive(name, _) | Suspect(name, _, _):
             return name
@@ -90,7 +90,7 @@
 
 
 def _is_superseded(old: GossipUpdate, new: GossipUpdate) -> bool:
-    """Return whether `new` takes the place of `old`, which has the same subject."""
+    """Return whether `new` replaces `old`, which has the same subject."""
     match old, new:
         case Suspect(), Suspect():
             return old.incarnation < new.incarnation or old.suspected_by == new.suspected_by
--- a/sablewheel/membership/heartbeat_baseline.py
+++ b/sablewheel/membership/heartbeat_baseline.py
@@ -1,4 +1,4 @@
-"""The baselines of the experiments: each member removes others alone, on its own timeout. Pure.
+"""The baselines of the experiments: each member removes others alone, on its own timeout. No I/O.
 
 Plain SWIM shares the failure detector with the product's protocol; the all-to-all heartbeats with a fixed
 timeout are implemented here.
@@ -15,7 +15,7 @@
 
 
 class HeartbeatBaseline:
-    """`on_failure(now, name, incarnation)` is called for a member whose heartbeats stopped."""
+    """Calls `on_failure(now, name, incarnation)` for each member whose heartbeats stopped."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         self._last_received_at: dict[str, float] = {}
 
     def message_received(self, now: float, name: str, incarnation: int) -> None:
-        """Record a message of a member or news of it, which adds it unless the incarnation is outdated."""
+        """Record a message or an update of a member, and add it unless the incarnation is outdated."""
         self._last_received_at[name] = now
         members = self._member_table.baseline_members
         if name not in members and self._member_table.incarnation(name) <= incarnation:
@@ -46,7 +46,7 @@
             self._outbox.count("removals")
 
     def run_timers(self, now: float) -> None:
-        """Send a heartbeat to all members once a period, and report those silent past the timeout."""
+        """Send a heartbeat to all members once a period, and report the members that timed out."""
         if now >= self._next_heartbeat_at:
             self._next_heartbeat_at = now + self._settings.period_s
             local = self._member_table.local_member
@@ -56,7 +56,7 @@
                 self._on_failure(now, name, self._member_table.incarnation(name))
 
     def wakeup_times(self) -> list[float]:
-        """Return when a heartbeat is due and when members time out."""
+        """Return the times at which a heartbeat is due and members time out."""
         timeout_s = self._settings.heartbeat_timeout_s
         timeouts = (self._last_received(name) + timeout_s for name in self._member_table.baseline_members)
         return [self._next_heartbeat_at, *timeouts]
--- a/sablewheel/membership/joining.py
+++ b/sablewheel/membership/joining.py
@@ -1,4 +1,4 @@
-"""Joining the fleet, founding the first view, and admitting others. Pure."""
+"""Joining the fleet, founding the first view, and admitting others. No I/O."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from .plan import Settings
 from .view import Change, ChangeKind, Member, View
 
-MAX_VIEW_MEMBERS_ASKED = 3  # of the view without this member: all seeds may have been removed with it
-MAX_REMOVED_NOTIFIED = 8  # members removed in the same change that are told so
-JOINER_EXPIRY_INTERVALS = 3  # join intervals after which a silent joiner is taken to be down
+MAX_VIEW_MEMBERS_ASKED = 3  # members of the view that removed this one; it may have removed all seeds too
+MAX_REMOVED_NOTIFIED = 8  # members removed in the same change that are notified of it
+JOINER_EXPIRY_INTERVALS = 3  # join intervals without a request after which a joiner is considered down
 
 
 class Joining:
@@ -32,15 +32,16 @@
         self._seeds = seeds
         self.next_join_at = now
         self._started_at = now
-        self._members_without_view: dict[str, tuple[Member, float]] = {}  # and when they last asked
-        self._joining_as: Member | None = None  # until admitted or an earlier process is found
-        self._requested_incarnations: set[int] = set()  # of this member
-        self._addresses_in_view: tuple[str, ...] = ()  # of some members of the view without this one
+        # Joiners by name, with the time of their last request.
+        self._members_without_view: dict[str, tuple[Member, float]] = {}
+        self._join_candidate: Member | None = None  # until admitted, or an earlier process is found
+        self._requested_incarnations: set[int] = set()  # those that this member asked to join with
+        self._addresses_in_view: tuple[str, ...] = ()  # of some members of the view that removed this one
 
     # -- this member's join
 
     def announce_to_seeds(self, now: float) -> None:
-        """Announce this member to the seeds, when it is due; the baselines learn of each other this way."""
+        """Announce this member to the seeds when it is due, so that baseline members find each other."""
         if now >= self.next_join_at:
             self.next_join_at = now + self._settings.sync_interval_s
             self._send_join(self._member_table.local_member)
@@ -54,11 +55,11 @@
         if now < self.next_join_at:
             return None
         self.next_join_at = now + self._settings.join_interval_s * self._rng.uniform(0.8, 1.2)
-        # A refutation does not change the incarnation that joins: with a newer one each time this member
-        # would be admitted again and again before it learns of the view.
-        self._joining_as = self._joining_as or self._member_table.local_member
-        self._requested_incarnations.add(self._joining_as.incarnation)
-        self._send_join(self._joining_as)
+        # A refutation does not change the incarnation that joins: with a newer one in each request, this
+        # member would be admitted repeatedly before it receives the view.
+        self._join_candidate = self._join_candidate or self._member_table.local_member
+        self._requested_incarnations.add(self._join_candidate.incarnation)
+        self._send_join(self._join_candidate)
         return self._founders(now)
 
     def _send_join(self, member: Member) -> None:
@@ -70,15 +71,17 @@
         """Return the other members of the first view, if this member is to found it now.
 
         The first of the seeds without a view founds it, once a majority of the seeds and `min_founders`
-        members report that they have none. So a seed that restarts during a partition does not found a second
-        fleet.
+        members report that they have none. A seed that restarts during a partition therefore does not found a
+        second fleet.
         """
         local_address = self._member_table.local_member.address
         if local_address not in self._seeds:
             return None
         fresh_since = self._fresh_since(now)
         others = [
-            member for member, asked_at in self._members_without_view.values() if asked_at >= fresh_since
+            member
+            for member, requested_at in self._members_without_view.values()
+            if requested_at >= fresh_since
         ]
         rank = self._seeds.index(local_address)
         addresses = {member.address for member in others} | {local_address}
@@ -90,25 +93,25 @@
         return others if now >= self._started_at + self._settings.found_delay_s * (1 + rank) else None
 
     def handle_view_installed(self) -> None:
-        """Drop the state of the join: a view was installed."""
+        """Discard the state of the join after a view was installed."""
         self._members_without_view.clear()
         self._requested_incarnations.clear()
-        self._joining_as = None
+        self._join_candidate = None
         self._addresses_in_view = ()
 
     def handle_removal(self, now: float, old_view: View, view: View, learned_from_member: bool) -> None:
         """Rejoin at once after this member was removed.
 
-        If it learned of the removal from a member of the view, it also tells others that were removed with
-        it, so that they return together.
+        If it received the view from one of its members, it also notifies others that were removed with it,
+        so that they rejoin together.
         """
         self._started_at = self.next_join_at = now
-        inside = self._rng.sample(view.members, min(MAX_VIEW_MEMBERS_ASKED, len(view.members)))
-        self._addresses_in_view = tuple(member.address for member in inside)
+        contacts = self._rng.sample(view.members, min(MAX_VIEW_MEMBERS_ASKED, len(view.members)))
+        self._addresses_in_view = tuple(member.address for member in contacts)
         local_name = self._member_table.local_member.name
-        outside = [name for name in old_view.names if name not in view and name != local_name]
+        removed_names = [name for name in old_view.names if name not in view and name != local_name]
         if learned_from_member:
-            for name in self._rng.sample(outside, min(MAX_REMOVED_NOTIFIED, len(outside))):
+            for name in self._rng.sample(removed_names, min(MAX_REMOVED_NOTIFIED, len(removed_names))):
                 self._outbox.send(name, self._full_state_reply())
 
     # -- joins of others
@@ -123,7 +126,7 @@
         if known is not None and known.incarnation >= member.incarnation and known.address == member.address:
             self._outbox.send_to_address(member.address, self._full_state_reply())
             return None
-        self._member_table.remember_address(member.name, member.address)
+        self._member_table.record_address(member.name, member.address)
         observers = self._member_table.observers(member.name)
         if not is_relayed:
             for name in observers:
@@ -136,15 +139,17 @@
     def _record_member_without_view(self, now: float, member: Member) -> None:
         """Record a joiner while this member has no view either.
 
-        In a full table a joiner that was silent for long makes room, and any joiner does for a seed: the
-        first view depends on the seeds.
+        In a full table, a new joiner replaces one whose last request has expired. A seed replaces any joiner
+        that is not a seed, because the first view depends on the seeds.
         """
         joiners = self._members_without_view
-        joiners.pop(member.name, None)  # keeps the one that asked longest ago first
+        joiners.pop(member.name, None)  # keeps the joiners in the order of their last request
         if len(joiners) >= MAX_JOINERS:
             is_seed = member.address in self._seeds
-            no_seeds = (name for name, (joiner, _) in joiners.items() if joiner.address not in self._seeds)
-            oldest = next(no_seeds, None)
+            non_seed_names = (
+                name for name, (joiner, _) in joiners.items() if joiner.address not in self._seeds
+            )
+            oldest = next(non_seed_names, None)
             if oldest is None or not (is_seed or joiners[oldest][1] < self._fresh_since(now)):
                 self._outbox.count("joins_refused")
                 return
@@ -152,11 +157,11 @@
         joiners[member.name] = (member, now)
 
     def _fresh_since(self, now: float) -> float:
-        """Return since when a joiner must have asked to be taken for running."""
+        """Return the earliest time of a last request by which a joiner is considered running."""
         return now - JOINER_EXPIRY_INTERVALS * self._settings.join_interval_s
 
     def send_view_to_joiners(self, changes: tuple[Change, ...]) -> None:
-        """Send the view to the joiners it admitted, if this member is an observer of them."""
+        """Send the view to each joiner that it admitted and this member observes."""
         local_name = self._member_table.local_member.name
         for change in changes:
             name = change.member.name
@@ -166,13 +171,13 @@
     def _full_state_reply(self) -> Sync:
         return Sync(self._member_table.view, self._member_table.incarnations(), is_reply=True)
 
-    # -- a view received while this member has none
+    # -- views received before admission
 
     def accept_view(self, now: float, view: View) -> bool:
-        """Return whether a received view admits this member under an incarnation that it asked with.
+        """Return whether a received view admits this member under an incarnation that it requested.
 
-        If the view lists a later incarnation, of an earlier process with a later clock, this member joins
-        anew with one above it: the earlier process may have voted in this epoch.
+        If the view lists a later incarnation, of an earlier process whose clock was ahead, this member
+        requests to join with a higher one, because the earlier process may have voted in this epoch.
         """
         local = self._member_table.local_member
         listed = view.get(local.name)
@@ -180,8 +185,8 @@
             return False
         if listed.incarnation in self._requested_incarnations:
             return True
-        if listed.incarnation > (self._joining_as or local).incarnation:
+        if listed.incarnation > (self._join_candidate or local).incarnation:
             incarnation = max(listed.incarnation, local.incarnation) + 1
             self._member_table.local_member = replace(local, incarnation=incarnation)
-            self._joining_as, self.next_join_at = None, now
+            self._join_candidate, self.next_join_at = None, now
         return False
--- a/sablewheel/membership/leaving.py
+++ b/sablewheel/membership/leaving.py
@@ -1,4 +1,4 @@
-"""Leaving the fleet, announced repeatedly as a datagram may be lost. Pure."""
+"""Leaving the fleet, announced repeatedly because a datagram may be lost. No I/O."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Leaving:
-    """Once `has_started`, the member does nothing else on its timers."""
+    """Announces this member's leave; once `has_started`, the member's timers do nothing else."""
 
     def __init__(self, member_table: MemberTable, outbox: Outbox, settings: Settings) -> None:
         self._member_table, self._outbox, self._settings = member_table, outbox, settings
@@ -40,5 +40,5 @@
 
     @property
     def next_wakeup(self) -> float:
-        """When the leave is announced again; infinity if it is not."""
+        """When the leave is announced again; infinity if no announcement is left."""
         return self._next_send_at if self._retransmissions_left else math.inf
--- a/sablewheel/membership/member_table.py
+++ b/sablewheel/membership/member_table.py
@@ -1,6 +1,6 @@
-"""The members that this one knows: the agreed view, and what is known beyond it. Pure.
+"""The members known to this one: the agreed view, and data that the view does not hold.
 
-State outside the view is bounded and does not grow with the fleet.
+No I/O. State outside the view is bounded and does not grow with the fleet.
 """
 
 from __future__ import annotations
@@ -12,21 +12,21 @@
 from .rings import rings
 from .view import Member, View
 
-MAX_JOINERS = 2048  # names outside the view that wait for their observers: a whole fleet at its start
+MAX_JOINERS = 2048  # names outside the view that wait for admission, up to a whole fleet at its start
 
 
 class MemberTable:
-    """`view` is None until this member is admitted or founds the first view."""
+    """Known members and observers; `view` is None until this member is admitted or founds the first view."""
 
     def __init__(self, local_member: Member, settings: Settings, now: float) -> None:
         self.local_member, self.settings = local_member, settings
         self.view: View | None = None
-        self.raised_incarnations: dict[str, int] = {}  # above the view's; in a baseline all that are known
+        self.raised_incarnations: dict[str, int] = {}  # those above the view's; in a baseline all known ones
         self.addresses: dict[str, str] = {}  # of names outside the view
-        self.baseline_members: set[str] = set()  # in a baseline, the members as this one alone decided
+        self.baseline_members: set[str] = set()  # in a baseline, the members by this one's own decisions
         self._observers_by_subject: dict[str, tuple[str, ...]] = {}  # in the current view
         self._local_subjects: tuple[str, ...] | None = None  # in the current view
-        self._joined_at: dict[str, float] = {}  # of members that joined after this one
+        self._joined_at: dict[str, float] = {}  # by name, for members that joined after this one
         self._local_joined_at = now
 
     @property
@@ -75,7 +75,7 @@
         return [name for name in drawn if name != self.local_member.name and name not in excluded][:count]
 
     def joined_at(self, name: str) -> float:
-        """Return when a member joined; at the earliest when this member did."""
+        """Return when a member joined, or when this member did if that is later."""
         return self._joined_at.get(name, self._local_joined_at)
 
     # -- incarnations
@@ -93,11 +93,11 @@
         return self.local_member.incarnation if name == self.local_member.name else self.incarnation(name)
 
     def raise_incarnation(self, name: str, incarnation: int) -> bool:
-        """Record another member's incarnation and return whether it was news."""
+        """Record another member's incarnation and return whether it was new."""
         if incarnation <= self.incarnation(name):
             return False
         if self.uses_consensus and (self.view is None or name not in self.view):
-            return False  # bounds the table: anybody may send any name
+            return False  # bounds the table: any process may send any name
         self.raised_incarnations[name] = incarnation
         return True
 
@@ -106,8 +106,8 @@
         local = {self.local_member.name: self.local_member.incarnation}
         return tuple(sorted({**self.raised_incarnations, **local}.items()))
 
-    def knows_newer_than(self, incarnations: dict[str, int]) -> bool:
-        """Return whether this member knows an incarnation above both the view's and the ones given."""
+    def has_newer_incarnation(self, incarnations: dict[str, int]) -> bool:
+        """Return whether this member has an incarnation above both the view's and the given one."""
         return any(
             incarnation > max(incarnations.get(name, -1), self._view_incarnation(name))
             for name, incarnation in self.incarnations()
@@ -120,7 +120,7 @@
         member = self.view.get(name) if self.view is not None else None
         return member.address if member is not None else self.addresses.get(name, "")
 
-    def remember_address(self, name: str, address: str) -> None:
+    def record_address(self, name: str, address: str) -> None:
         """Record the address of a name outside the view, within the table's bound."""
         if name in self.addresses or len(self.addresses) < MAX_JOINERS:
             self.addresses[name] = address
@@ -150,7 +150,7 @@
     # -- a new view
 
     def install_view(self, now: float, view: View) -> None:
-        """Replace the view and drop what was recorded beyond the old one and no longer applies."""
+        """Replace the view and discard data beyond the old one that no longer applies."""
         previous, self.view = self.view, view
         self._update_join_times(now, previous, view)
         self.raised_incarnations = {
@@ -159,7 +159,7 @@
             if name in view and incarnation > self._view_incarnation(name)
         }
         for member in previous.members if previous is not None else ():
-            if member.name not in view:  # it may ask for the view that it was removed from
+            if member.name not in view:  # it may request the view that removed it
                 self.addresses[member.name] = member.address
         self.addresses = {name: address for name, address in self.addresses.items() if name not in view}
         for name in list(self.addresses)[:-MAX_JOINERS]:
@@ -178,6 +178,6 @@
         self._joined_at |= {member.name: now for member in view.members if member.name not in previous}
 
     def handle_removal(self) -> None:
-        """Drop the view, which no longer has this member; it rejoins with a higher incarnation."""
+        """Discard the view that removed this member, which rejoins with a higher incarnation."""
         self.view = None
         self.local_member = replace(self.local_member, incarnation=self.local_member.incarnation + 1)
--- a/sablewheel/membership/message_handler.py
+++ b/sablewheel/membership/message_handler.py
@@ -1,4 +1,4 @@
-"""Dispatches the messages that a member receives to its components. Pure."""
+"""Dispatches the messages that a member receives to its components. No I/O."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 class MessageTarget(Protocol):
-    """The node as the handler of its messages needs it."""
+    """The interface of a node that its message handler uses."""
 
     settings: Settings
     member_table: MemberTable
@@ -69,7 +69,7 @@
         """Handle an alert of any observer."""
 
     def handle_alive(self, now: float, name: str, incarnation: int) -> None:
-        """Handle news that a member is alive."""
+        """Handle an update that a member is alive."""
 
     def handle_leave(self, now: float, member: Member) -> None:
         """Handle an announced leave."""
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True)
 class Context:
-    """Where a message comes from and when it arrived."""
+    """The origin of a message and when it arrived."""
 
     now: float
     sender: str
@@ -95,7 +95,7 @@
         self._node = node
 
     def handle(self, now: float, message: Message, address: str) -> None:
-        """Handle a message that came from `address`; those of this member itself and of tools are ignored."""
+        """Handle a message from `address`; messages of this member itself and of tools are ignored."""
         node, body = self._node, message.body
         context = Context(now, message.envelope.sender, message.envelope.epoch, address)
         node.outbox.count("received")
@@ -168,7 +168,7 @@
             if name != node.local_member.name:
                 node.handle_alive(context.now, name, incarnation)
             elif incarnation > node.local_member.incarnation:
-                node.failure_detector.refute(incarnation)  # an earlier process of this member had it
+                node.failure_detector.refute(incarnation)  # an earlier process of this member used it
         view = node.state_sync.handle_sync(context.now, sync, context.sender)
         if view is not None:
             node.install_view(context.now, view, f"synced from {context.sender}", context.sender)
--- a/sablewheel/membership/messages.py
+++ b/sablewheel/membership/messages.py
@@ -1,7 +1,7 @@
 """Messages between members as plain values; `codec.py` translates them to and from bytes.
 
-Every message carries its sender and the epoch of the sender's view, so a member that is behind learns so from
-any message and asks for the view.
+Every message carries its sender and the epoch of the sender's view, so a member with an outdated view detects
+this from any message and requests the view.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 from .view import Fact, Member, Proposal, View
 
-Ballot = tuple[int, str]  # round and coordinator; in round 0, the fast round, every member votes on its own
+Ballot = tuple[int, str]  # round and coordinator; round 0 is the fast round, where all vote without one
 FAST_BALLOT: Ballot = (0, "")
 
 
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class FactReport:
-    """Update: a member's own value of a fact, for the view at `epoch`; its highest sequence counts."""
+    """Update: a member's own value of a fact, for the view at `epoch`; only the highest sequence counts."""
 
     epoch: int
     reporter: str
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True)
 class Nack:
-    """A helper's own probe failed too, so the fault is not the requester's link alone."""
+    """A helper reports that its probe failed too, so the fault is not only on the requester's link."""
 
     sequence: int
 
@@ -150,7 +150,7 @@
 
 @dataclass(frozen=True)
 class Promise:
-    """Classic round, phase 1: an acceptor's promise, with what it accepted last."""
+    """Classic round, phase 1: an acceptor's promise, with the ballot and value that it accepted last."""
 
     ballot: Ballot
     accepted_ballot: Ballot
@@ -182,11 +182,11 @@
 
 @dataclass(frozen=True)
 class MemberState:
-    """One member as the answering one knows it."""
+    """The state of one member, as seen by the member that answers."""
 
     name: str
     state: str  # alive, suspect, or faulty: its suspicion expired, and the view has not changed yet
-    in_view_s: float
+    in_view_s: float  # seconds since the member joined
     incarnation: int
 
 
@@ -200,7 +200,7 @@
     counters: tuple[tuple[str, int], ...] = ()
 
 
-RoundMessage = Vote | Prepare | Promise | Accept | Accepted  # of one epoch's consensus
+RoundMessage = Vote | Prepare | Promise | Accept | Accepted  # messages of one epoch's consensus
 
 Body = (
     Ping
--- a/sablewheel/membership/node.py
+++ b/sablewheel/membership/node.py
@@ -1,16 +1,16 @@
 """One member: failure detection (SWIM with Lifeguard), alerts of observers (Rapid), and the agreed view.
 
-Pure: `Node.step(now, event)` takes an event and returns the effects; the clock and the random generator are
+No I/O: `Node.step(now, event)` takes an event and returns the effects; the time and the random generator are
 passed in.
 
-The failure detector only forms this member's opinion of its links, and nobody is removed on one opinion. An
+The failure detector only evaluates this member's own links, and no member is removed on that alone. An
 observer whose suspicion of its subject expired sends an alert; a change is proposed when enough of a
 subject's observers agree (high watermark) and no other subject is between the watermarks; consensus decides
 on it.
 
-This module connects the components and defines their order: `failure_detector` and `suspicions` form the
-opinion, `cut_detector` the proposal, `fact_reports` the facts, `voting` the decision, `joining` and
-`state_sync` how members obtain the view. All of them share the `member_table`.
+This module connects the components and defines their order: `failure_detector` and `suspicions` detect
+failures, `cut_detector` derives the proposal, `fact_reports` the agreed facts, `voting` decides, and
+`joining` and `state_sync` provide members with the view. All of them share the `member_table`.
 """
 
 from __future__ import annotations
@@ -37,8 +37,8 @@
 from .view import Member, Proposal, View, changes_text, fingerprint
 from .voting import Voting
 
-MIN_WAKEUP_DELAY_S = 0.001  # against a busy loop on a timer that stays due
-MIN_PAUSE_S = 1.0  # a shorter delay of the timers is no pause of the process
+MIN_WAKEUP_DELAY_S = 0.001  # prevents a busy loop on a timer that stays due
+MIN_PAUSE_S = 1.0  # shorter delays of timers do not count as a pause of the process
 MIN_PAUSE_PERIODS = 2
 
 
@@ -54,7 +54,8 @@
         now: float,
     ) -> None:
         self.settings = settings
-        self.apply_changes: Callable[[View, Proposal], View] = View.apply  # simulated members share views
+        # Replaced by simulations whose members share views.
+        self.apply_changes: Callable[[View, Proposal], View] = View.apply
         table = self.member_table = MemberTable(local_member, settings, now)
         outbox = self.outbox = Outbox(table)
         self.gossip = Gossip(table, settings)
@@ -92,7 +93,7 @@
 
     @property
     def counters(self) -> dict[str, int]:
-        """Counters of the member's lifetime."""
+        """Counters since this member was created."""
         return self.outbox.counters
 
     def known_incarnation(self, name: str) -> int:
@@ -124,7 +125,7 @@
     def start_with_view(
         self, view: View, next_probe_at: float | None = None, next_sync_at: float | None = None
     ) -> None:
-        """Start in a fleet that exists already."""
+        """Start as a member of an existing fleet."""
         self.install_view(self._last_step_at, view, "given")
         self.outbox.start_step()
         if next_probe_at is not None:
@@ -184,7 +185,7 @@
                 self._message_handler.handle(now, message, source_address)
             case LeaveRequested():
                 self.leaving.start(now)
-                self.handle_leave(now, self.local_member)  # votes for its own removal while it runs
+                self.handle_leave(now, self.local_member)  # it still votes for its own removal
             case FactReported(fact):
                 if not self.leaving.has_started and self.fact_reports.report(fact):
                     self.cut_detector.mark_changed()
@@ -211,14 +212,14 @@
         other_founders = self.joining.request_join(now)
         if other_founders is None:
             return
-        # The epoch is the founder's clock, so that a fleet founded anew is above any view that a member still
-        # has.
+        # The epoch is taken from the founder's clock, so that it is above the epoch of any view of an earlier
+        # fleet that a member still has.
         epoch = max(self.local_member.incarnation, 1)
         self.install_view(now, View(epoch, tuple(sorted([self.local_member, *other_founders]))), "founded")
         for member in other_founders:
             self.outbox.send_to_address(member.address, self.state_sync.full_state(True))
 
-    # -- opinions, alerts and what follows from them
+    # -- failures, alerts and proposals
 
     def _handle_failure(self, now: float, name: str, incarnation: int) -> None:
         """Remove a failed member in a baseline; send an alert in the product's protocol."""
@@ -228,13 +229,13 @@
         member = self.view.get(name) if self.view is not None else None
         if self.view is None or member is None:
             return
-        self.cut_detector.mark_changed()  # a proposal depends on this member's own opinion as well
+        self.cut_detector.mark_changed()  # a proposal also depends on this member's own probes
         if name in self.member_table.subjects() or self.settings.injected_fault == "one-observer":
             failed = replace(member.without_metadata, incarnation=incarnation)
             self.handle_alert(now, Alert(self.view.epoch, self.local_member.name, False, failed))
 
     def handle_alert(self, now: float, alert: Alert) -> None:
-        """Handle an alert of any observer; one on this member itself is refuted."""
+        """Handle an alert of any observer; an alert on this member itself is refuted."""
         is_own_removal = alert.member.name == self.local_member.name and not alert.is_join
         if is_own_removal and not self.leaving.has_started:
             if alert.epoch == self.member_table.epoch and self.view is not None:
@@ -243,7 +244,7 @@
             self._propose_if_due(now)
 
     def handle_alive(self, now: float, name: str, incarnation: int) -> None:
-        """Handle news that another member is alive at an incarnation or a higher one."""
+        """Handle an update that another member is alive at an incarnation or a higher one."""
         if name == self.local_member.name:
             return
         if not self.member_table.uses_consensus:
@@ -303,7 +304,7 @@
             self.joining.send_view_to_joiners(cause)
         if not self.leaving.has_started and self.fact_reports.repeat_reports():
             self.cut_detector.mark_changed()
-        # Opinions that still stand are reported again for the new epoch.
+        # Failures that still hold are reported again for the new epoch.
         for name, suspicion in self.suspicions.by_name.items():
             if suspicion.faulty and suspicion.confirmed_by_own_probe:
                 self._handle_failure(now, name, suspicion.incarnation)
--- a/sablewheel/membership/outbox.py
+++ b/sablewheel/membership/outbox.py
@@ -1,4 +1,4 @@
-"""Collects the effects of one step: messages by name or address, log lines and counters. Pure."""
+"""Collects the effects of one step: messages by name or address, log lines and counters. No I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Outbox:
-    """`effects` belong to the current step; `counters` last as long as the member."""
+    """`effects` are those of the current step; `counters` accumulate over all steps."""
 
     def __init__(self, member_table: MemberTable) -> None:
         self._member_table = member_table
@@ -25,7 +25,7 @@
             self.send(name, body)
 
     def send(self, name: str, body: Body, fallback_address: str = "", epoch: int | None = None) -> None:
-        """Send to a member by name, or to the fallback address if the name is unknown; else to nobody."""
+        """Send to a member's address, or else to the fallback address; without either, send nothing."""
         address = self._member_table.address(name) or fallback_address
         if address:
             self.send_to_address(address, body, epoch)
--- a/sablewheel/membership/plan.py
+++ b/sablewheel/membership/plan.py
@@ -10,9 +10,8 @@
 Address = tuple[str, int]
 
 FAULTY_VARIANTS = ("no-suspicion", "no-incarnation", "one-observer", "one-at-a-time")
-SLOW_FAULTY_VARIANTS = (
-    "no-grace",
-)  # found only by more pauses than an experiment with processes has time for
+# Detected only by more pauses than an experiment with processes has time for.
+SLOW_FAULTY_VARIANTS = ("no-grace",)
 
 MAX_PORT = 65_535
 
@@ -35,7 +34,7 @@
     observers: int = 5
     high_watermark: int = 3
     low_watermark: int = 1
-    min_suspicion_periods: float = 5.0  # about how long a pause or a partition lasts without a removal
+    min_suspicion_periods: float = 5.0  # about the longest pause or partition without a removal
     max_suspicion_ratio: float = 6.0  # the longest suspicion, as a multiple of the shortest
     confirmations: int = 3  # independent suspicions after which the shortest suspicion applies
     max_health_score: int = 8
@@ -43,12 +42,12 @@
     max_updates_per_message: int = 16
     sync_interval_s: float = 5.0
     vote_timeout_s: float = 2.0
-    max_direct_vote_members: int = 64  # above this size votes travel by gossip, not from each to all
-    max_settle_s: float = 3.0  # the longest that a subject between the watermarks delays a proposal
+    max_direct_vote_members: int = 64  # in larger views votes are sent by gossip, not from each member to all
+    max_settle_s: float = 3.0  # maximum delay of a proposal by a subject between the watermarks
     join_interval_s: float = 1.0
     found_delay_s: float = 3.0
     min_founders: int = 1  # members without a view, the founder included, that a first view needs
-    heartbeat_timeout_s: float = 3.0  # of the baseline: the least that tolerates the same pause
+    heartbeat_timeout_s: float = 3.0  # of the heartbeat baseline; the shortest that tolerates the same pause
     mode: Mode = Mode.CONSENSUS
     injected_fault: str = ""
 
@@ -57,7 +56,7 @@
 class MembershipPlan:
     """Configuration of one member.
 
-    `advertise` is where other members reach this one, which may differ from where it listens.
+    `advertise` is the address at which other members reach this one; it may differ from `listen`.
     """
 
     listen: Address
@@ -66,11 +65,11 @@
     region: str
     seeds: tuple[str, ...]
     settings: Settings = field(default_factory=Settings)
-    metadata: Metadata = ()  # features that build on membership add to it
+    metadata: Metadata = ()  # extended by features that build on membership
 
 
 def address_of(text: str) -> Address | None:
-    """Parse "IPv4:PORT" as it stands in a packet; None if it is not an address."""
+    """Parse "IPv4:PORT" as in a packet; None if it is not an address."""
     host, colon, port = text.rpartition(":")
     if not (colon and port.isascii() and port.isdigit() and len(port) < 6 and 0 < int(port) <= MAX_PORT):
         return None
--- a/sablewheel/membership/probe_relay.py
+++ b/sablewheel/membership/probe_relay.py
@@ -1,4 +1,4 @@
-"""Indirect probes: asking helpers to probe a member, and probing on behalf of others. Pure."""
+"""Indirect probes: asking helpers to probe a member, and probing on behalf of others. No I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from .outbox import Outbox
 from .plan import Settings
 
-MAX_RELAYED_PROBES = 1024  # in progress for others; one more is left to the requester's other helpers
+MAX_RELAYED_PROBES = 1024  # in progress; further ones are left to the requester's other helpers
 RELAY_TIMEOUT_RATIO = 0.8  # of the probe timeout, so that a nack reaches the requester in time
 
 
@@ -26,7 +26,7 @@
 
 
 class ProbeRelay:
-    """`probes` are those in progress for other members, by this member's sequence number."""
+    """Requests and relays probes; `probes` are those relayed for others, by this member's sequence number."""
 
     def __init__(
         self,
@@ -50,13 +50,13 @@
             return
         sequence = self._next_sequence()
         if not self._member_table.address(request.target):
-            self._member_table.remember_address(request.target, request.address)
+            self._member_table.record_address(request.target, request.address)
         ends_at = now + self._settings.probe_timeout_s * RELAY_TIMEOUT_RATIO
         self.probes[sequence] = RelayedProbe(requester, request.sequence, request.target, ends_at)
         self._outbox.send(request.target, Ping(sequence, ()))
 
     def handle_ack(self, ack: Ack) -> bool:
-        """Pass an answer on to the requester; return whether it belongs to a relayed probe."""
+        """Forward an answer to the requester; return whether it belongs to a relayed probe."""
         probe = self.probes.pop(ack.sequence, None)
         if probe is None:
             return False
@@ -65,15 +65,15 @@
         return True
 
     def wakeup_times(self) -> list[float]:
-        """Return when the first relayed probe ends, if any: they last equally long, so they end in order."""
+        """Return when the first relayed probe ends, if any; with one timeout for all they end in order."""
         return [probe.ends_at for probe in islice(self.probes.values(), 1)]
 
     def expire(self, now: float) -> None:
-        """Report the probes that ended without an answer to their requesters."""
+        """Send a nack to the requester of each probe that ended without an answer."""
         while any(now >= ends_at for ends_at in self.wakeup_times()):
             probe = self.probes.pop(next(iter(self.probes)))
             self._outbox.send(probe.requester, Nack(probe.requester_sequence))
 
     def clear(self) -> None:
-        """Drop all relayed probes."""
+        """Discard all relayed probes."""
         self.probes.clear()
--- a/sablewheel/membership/rings.py
+++ b/sablewheel/membership/rings.py
@@ -1,7 +1,7 @@
 """The monitoring topology of Rapid: the observers of a member are its successors on K rings.
 
-Each ring orders the view's names by a keyed hash, so every member knows from the view alone who observes
-whom. Pure.
+Each ring orders the view's names by a keyed hash, so every member derives all observers from the
+view alone. No I/O.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import hashlib
 from functools import lru_cache
 
-MAX_CACHED_RINGS = 8  # views; computing the rings anew in each step would dominate its cost
+MAX_CACHED_RINGS = 8  # one per view; computing the rings in each step would dominate its cost
 
 
 class Rings:
--- a/sablewheel/membership/service.py
+++ b/sablewheel/membership/service.py
@@ -1,6 +1,6 @@
 """Membership in the server: passes events to the node and carries out its effects.
 
-Datagrams carry all messages but the full state, which is sent over TCP since it may be larger than a
+Datagrams carry all messages except the full state, which is sent over TCP since it may be larger than a
 datagram. Status requests of tools arrive over TCP on the same port.
 """
 
@@ -35,16 +35,16 @@
 from .plan import Address, MembershipPlan, address_of
 from .view import Fact, Member, Metadata, View, fingerprint
 
-MAX_CONCURRENT_FRAMES_IN = 32  # more wait in the kernel's accept queue
-SEND_POLL_INTERVAL_S = 0.005  # while a status reply is being sent
+MAX_CONCURRENT_FRAMES_IN = 32  # further ones wait in the kernel's accept queue
+SEND_POLL_INTERVAL_S = 0.005  # between checks whether a status reply has been sent
 VIEW_LOG_MESSAGES = ("view", "removed from view", "removed", "added", "leaving", "paused", "classic round")
 
 log = logging.getLogger(__name__)
-view_log = logging.getLogger(f"{__name__}.view")  # rate-limited apart: suspicions must not crowd out views
+view_log = logging.getLogger(f"{__name__}.view")  # its own rate limit: suspicions must not displace views
 
 
 class MembershipService:
-    """This server's membership of the fleet."""
+    """Runs this server's membership of the fleet."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         self._counters: dict[str, int] = {}
         local_member = _local_member(name, plan, metadata, scheduler.clock.now)
         rng = random.Random(f"{seed}-{name}-{local_member.incarnation}")
-        # The node runs on the steady clock, so that setting the wall clock moves no timeout.
+        # The node uses the monotonic clock, so that setting the wall clock does not affect timeouts.
         self.node = Node(local_member, plan.seeds, plan.settings, rng, clock())
         self._wakeup = Wakeup(scheduler, clock, self._handle_timer)
         self._frame_sender = FrameSender(scheduler, plan.listen[0], clock, self._count)
@@ -102,9 +102,9 @@
         return self.node.view
 
     def on_view(self, callback: Callable[[View], None]) -> None:
-        """Call back for the latest view, if there is one, and for each that is installed, once and in order.
+        """Call back for the latest view, if there is one, and for each installed later, once and in order.
 
-        This includes a view without this member, which was removed and has no view until it is admitted
+        This includes a view from which this member was removed; it then has no view until it is admitted
         again. An exception of a callback is logged and counted (`members_faults`); the other callbacks still
         run.
         """
@@ -113,14 +113,16 @@
             self._call_view_callback(callback, self._last_announced_view)
 
     def report_fact(self, fact: Fact) -> None:
-        """Report this member's own value of a fact; the fleet's value is `View.fact`.
+        """Report this member's own value of a fact; `View.fact` is the value that the fleet agreed on.
 
         Raises:
             ValueError: The key is empty, or the key or the value too long.
         """
         max_characters = codec.MAX_NAME_CHARACTERS
         if not 0 < len(fact.key) <= max_characters or len(fact.value) > max_characters:
-            raise ValueError(f"fact {fact.key!r}: over {max_characters} characters, or without a key")
+            raise ValueError(
+                f"fact {fact.key!r}: empty key, or key or value over {max_characters} characters"
+            )
         self._step(FactReported(fact))
 
     def leave(self) -> None:
@@ -201,7 +203,8 @@
             self._drop_packet(str(error), source)
             return
         if isinstance(message.body, StatusRequest | Sync):
-            self._drop_packet("belongs to TCP", source)  # a forged source must not cause a large answer
+            # A forged source address must not cause a large reply.
+            self._drop_packet("message type is accepted over TCP only", source)
             return
         self._handle_message(message, source)
 
@@ -229,7 +232,7 @@
         try:
             data = codec.encode(message)
         except codec.BadPacketError:
-            self._count("unsent")  # larger than a datagram
+            self._count("unsent")  # the message is larger than a datagram
             return
         if self._socket.send(data, address):
             self._count(f"out_{COUNTER_NAMES[type(message.body)]}")
@@ -269,7 +272,7 @@
                 case Sync():
                     self._handle_message(message, ("", 0))
                 case _:
-                    self._drop_packet("belongs to a datagram", ("tcp", 0))
+                    self._drop_packet("message type is accepted as a datagram only", ("tcp", 0))
         except codec.BadPacketError as error:
             self._drop_packet(str(error), ("tcp", 0))
         finally:
@@ -278,7 +281,7 @@
             stream.close()
 
     def _read_frame(self, stream: Stream) -> bytes | None:
-        """Return a frame with its header; None if the connection ends before."""
+        """Return a frame with its header; None if the connection closes before its end."""
         header_size = codec.FRAME_LENGTH.size
         data = bytearray()
         while len(data) < header_size or len(data) < header_size + codec.frame_length(
--- a/sablewheel/membership/state_sync.py
+++ b/sablewheel/membership/state_sync.py
@@ -1,4 +1,4 @@
-"""Full-state synchronization, which repairs what gossip lost: digests, requests for a newer view. Pure."""
+"""Full-state synchronization by digests and requests for a newer view, which repairs lost gossip. No I/O."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from .plan import Settings
 from .view import View, fingerprint
 
-MIN_SYNC_REQUEST_INTERVAL_S = 0.2  # between two requests for the view to one member
+MIN_SYNC_REQUEST_INTERVAL_S = 0.2  # between two requests to the same member
 
 
 class StateSync:
@@ -31,8 +31,8 @@
         self._member_table, self._joining, self._outbox = member_table, joining, outbox
         self._settings, self._rng = settings, rng
         self.next_sync_at = now + settings.sync_interval_s
-        self._view_requested_at: dict[str, float] = {}  # by the member that was asked
-        self._behind_since: float | None = None
+        self._view_requested_at: dict[str, float] = {}  # by recipient
+        self._behind_since: float | None = None  # when a message first had a later epoch, in a large view
 
     def full_state(self, is_reply: bool) -> Sync:
         """Return this member's view and incarnations."""
@@ -62,23 +62,23 @@
         return hashlib.blake2b(f"{view_text}|{sorted(raised.items())}".encode(), digest_size=12).digest()
 
     def request_newer_view(self, now: float, sender: str, epoch: int, address: str) -> None:
-        """Ask the sender of a message of a later epoch for its view, unless it was asked just now."""
+        """Request the view from the sender of a message with a later epoch, unless it was just requested."""
         if epoch <= self._member_table.epoch:
             return
-        if self._member_table.is_large:  # the own decision may follow shortly, and a large view is expensive
+        if self._member_table.is_large:  # this member may decide soon, and a large view is expensive
             self._behind_since = now if self._behind_since is None else self._behind_since
             if now < self._behind_since + self._settings.period_s:
                 return
         if now < self._view_requested_at.get(sender, -math.inf) + MIN_SYNC_REQUEST_INTERVAL_S:
             return
         if len(self._view_requested_at) >= MAX_JOINERS:
-            del self._view_requested_at[next(iter(self._view_requested_at))]  # asked longest ago
+            del self._view_requested_at[next(iter(self._view_requested_at))]  # the oldest request
         self._view_requested_at.pop(sender, None)
         self._view_requested_at[sender] = now
         self._outbox.send(sender, self.full_state(False), address)
 
     def handle_sync(self, now: float, sync: Sync, sender: str) -> View | None:
-        """Return the view of a full state, its incarnations already recorded, if it is to be installed."""
+        """Return the view of a full state if it is to be installed; the incarnations are already recorded."""
         current = self._member_table.view
         if current is None:
             if sync.view is not None and self._joining.accept_view(now, sync.view):
@@ -92,9 +92,9 @@
     def _is_behind(self, sync: Sync, current: View) -> bool:
         if sync.view is None or sync.view.epoch < current.epoch:
             return True
-        return self._member_table.knows_newer_than(dict(sync.incarnations))
+        return self._member_table.has_newer_incarnation(dict(sync.incarnations))
 
     def handle_view_installed(self) -> None:
-        """Forget the requests for a newer view."""
+        """Discard the requests for a newer view."""
         self._behind_since = None
         self._view_requested_at.clear()
--- a/sablewheel/membership/status_client.py
+++ b/sablewheel/membership/status_client.py
@@ -16,7 +16,7 @@
 
     Raises:
         OSError: The server cannot be reached or does not answer in time.
-        BadPacketError: The answer is no status.
+        BadPacketError: The answer is not a status reply.
     """
     with socket.create_connection(address, timeout_s) as connection:
         connection.settimeout(timeout_s)
@@ -25,8 +25,8 @@
         with connection.makefile("rb") as answer:
             header = answer.read(codec.FRAME_LENGTH.size)
             if len(header) < codec.FRAME_LENGTH.size:
-                raise codec.BadPacketError("the connection closed before the answer")
+                raise codec.BadPacketError("connection closed before the status reply")
             message = codec.decode(answer.read(codec.frame_length(header)), codec.MAX_FRAME_BYTES)
     if not isinstance(message.body, StatusReply):
-        raise codec.BadPacketError(f"{type(message.body).__name__} instead of an answer")
+        raise codec.BadPacketError(f"received {type(message.body).__name__} instead of a status reply")
     return message.envelope.sender, message.body
--- a/sablewheel/membership/value_codec.py
+++ b/sablewheel/membership/value_codec.py
@@ -1,4 +1,4 @@
-"""Translates the values inside membership messages to and from protobuf, checking their bounds."""
+"""Translates the values inside membership messages to and from protobuf, and checks their bounds."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class BadPacketError(ValueError):
-    """A packet that is foreign, incomplete or out of bounds; the text is the reason."""
+    """A packet that is malformed, out of bounds or of an unsupported version; the text is the reason."""
 
 
 def decode_name(text: str, field: str) -> str:
     """Check a name or key of a message."""
     if not text or len(text) > MAX_NAME_CHARACTERS:
-        raise BadPacketError(f"{field}: a name of 1 to {MAX_NAME_CHARACTERS} characters is wanted")
+        raise BadPacketError(f"{field}: a name must have 1 to {MAX_NAME_CHARACTERS} characters")
     return text
 
 
@@ -65,7 +65,7 @@
 def decode_fact(encoded: pb.Fact) -> Fact:
     """Decode a fact."""
     if len(encoded.value) > MAX_NAME_CHARACTERS:
-        raise BadPacketError(f"fact: a value of at most {MAX_NAME_CHARACTERS} characters is wanted")
+        raise BadPacketError(f"fact: a value must have at most {MAX_NAME_CHARACTERS} characters")
     return Fact(decode_name(encoded.key, "fact"), encoded.value)
 
 
@@ -133,4 +133,4 @@
             alert = encoded.alert
             observer = decode_name(alert.by, "by")
             return Alert(alert.epoch, observer, alert.join, decode_member(alert.member))
-    raise BadPacketError("news without an item")
+    raise BadPacketError("gossip update without an item")
--- a/sablewheel/membership/view.py
+++ b/sablewheel/membership/view.py
@@ -1,6 +1,6 @@
-"""The agreed view: an epoch, its members and facts, equal on every member that holds the epoch.
+"""The agreed view: an epoch, its members and facts, equal on all members at that epoch.
 
-Pure: no I/O and no clock. The observers of a member are its successors on K rings (`rings.py`), which follow
+No I/O and no clock. The observers of a member are its successors on K rings (`rings.py`), which follow
 from the names in the view alone.
 """
 
@@ -16,10 +16,10 @@
 MAX_METADATA_KEY_BYTES = 32
 MAX_METADATA_VALUE_BYTES = 200
 MAX_LONG_METADATA_VALUE_BYTES = {"class": 600}  # a hardware class is a small document
-MAX_PROPOSAL_METADATA_BYTES = 12_000  # of all joiners in a proposal: four proposals must fit a datagram
+MAX_PROPOSAL_METADATA_BYTES = 12_000  # of all joiners in a proposal, four of which must fit a datagram
 MAX_PROPOSAL_JOIN_BYTES = 24_000  # of all joiners in a proposal, about 300; the rest join with later views
-MAX_PROPOSAL_BYTES = 48_000  # of a proposal's members: alone it must fit a datagram
-MEMBER_OVERHEAD_BYTES = 48  # of a member in a packet, beside its texts
+MAX_PROPOSAL_BYTES = 48_000  # of a proposal's members; a single proposal must fit a datagram
+MEMBER_OVERHEAD_BYTES = 48  # of a member in a packet, without its texts
 METADATA_PAIR_OVERHEAD_BYTES = 12
 
 Metadata = tuple[tuple[str, str], ...]
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, order=True)
 class Member:
-    """One app server as the view knows it.
+    """An app server as listed in a view.
 
     Only the member itself raises its `incarnation`. `metadata` are the pairs of key and value that it
     publishes about itself, sorted by key and constant within one incarnation.
@@ -49,14 +49,16 @@
         keys = [key for key, _ in self.metadata]
         if len(keys) > MAX_METADATA_PAIRS or len(set(keys)) != len(keys) or keys != sorted(keys):
             raise ValueError(
-                f"{self.name} says: at most {MAX_METADATA_PAIRS} pairs are wanted, once a key, in order"
+                f"metadata of {self.name}: exceeds {MAX_METADATA_PAIRS} pairs, or keys repeated or not sorted"
             )
         for key, value in self.metadata:
             if not 0 < len(key.encode()) <= MAX_METADATA_KEY_BYTES:
-                raise ValueError(f"{self.name} says: a key of 1 to {MAX_METADATA_KEY_BYTES} bytes is wanted")
+                raise ValueError(
+                    f"metadata of {self.name}: a key must have 1 to {MAX_METADATA_KEY_BYTES} bytes"
+                )
             max_bytes = MAX_LONG_METADATA_VALUE_BYTES.get(key, MAX_METADATA_VALUE_BYTES)
             if len(value.encode()) > max_bytes:
-                raise ValueError(f"{self.name} says {key}: at most {max_bytes} bytes are wanted")
+                raise ValueError(f"metadata of {self.name}: value of {key} exceeds {max_bytes} bytes")
 
     def metadata_value(self, key: str) -> str:
         """Return the metadata under a key; empty if there is none."""
@@ -81,7 +83,7 @@
 
 
 class ChangeKind(Enum):
-    """What a change does to the view."""
+    """The effect of a change on the view."""
 
     JOIN = "join"
     REMOVE = "remove"
@@ -114,7 +116,7 @@
         return (self.member.name, self.fact.key, self.kind.value, self.member.incarnation, self.fact.value)
 
 
-Proposal = tuple[Change, ...]  # canonical, so that members who saw the same changes hold equal proposals
+Proposal = tuple[Change, ...]  # canonical, so that members with the same changes have equal proposals
 
 
 def canonical_proposal(changes: Iterable[Change]) -> Proposal:
@@ -140,7 +142,7 @@
     """Members sorted by name and facts sorted by key, at an epoch.
 
     Raises:
-        ValueError: A name or a fact is repeated or out of order.
+        ValueError: A name or the key of a fact is repeated or out of order.
     """
 
     epoch: int
@@ -150,10 +152,10 @@
     def __post_init__(self) -> None:
         keys = [fact.key for fact in self.facts]
         if len(set(keys)) != len(keys) or keys != sorted(keys):
-            raise ValueError("a view holds each fact once, in order")
+            raise ValueError("facts of a view must be unique and sorted by key")
         names = [member.name for member in self.members]
         if len(set(names)) != len(names) or names != sorted(names):
-            raise ValueError("a view holds each name once, in order")
+            raise ValueError("members of a view must be unique and sorted by name")
 
     @cached_property
     def names(self) -> tuple[str, ...]:
@@ -185,8 +187,8 @@
             if change.kind is ChangeKind.FACT:
                 facts[change.fact.key] = change.fact
             elif change.kind is ChangeKind.REMOVE:
-                known = members.get(change.member.name)
-                if known is not None and known.incarnation <= change.member.incarnation:
+                current = members.get(change.member.name)
+                if current is not None and current.incarnation <= change.member.incarnation:
                     del members[change.member.name]
             else:
                 members[change.member.name] = change.member
--- a/sablewheel/membership/voting.py
+++ b/sablewheel/membership/voting.py
@@ -1,4 +1,4 @@
-"""Voting on the next view: runs the consensus instance of the epoch and relays votes in large views. Pure."""
+"""Voting on the next view: runs the epoch's consensus instance and relays votes in large views. No I/O."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 VOTE_GOSSIP_FANOUT = 4  # members that the votes are relayed to at a time, in a large view
 VOTE_GOSSIPS_PER_PERIOD = 5
 MAX_TALLIES_PER_MESSAGE = 4
-MAX_TALLIES_BYTES = 52_000  # of the proposals in a message; a datagram holds little more
+MAX_TALLIES_BYTES = 52_000  # of all proposals in a message, a little below the limit of a datagram
 
 Tally = tuple[Proposal, int]  # a proposal and the bit mask of its voters
 
 
 class Voting:
-    """`on_decision(now, proposal)` is called with what was decided, once per epoch."""
+    """Runs the votes of an epoch and calls `on_decision(now, proposal)` once it has decided a proposal."""
 
     def __init__(
         self,
@@ -36,11 +36,11 @@
         self.consensus: ConsensusInstance | None = None
         self._round_started_at = self._next_vote_gossip_at = 0.0
         self._classic_rounds = 0
-        self._last_decision: tuple[int, Votes] | None = None  # an epoch and its votes, for members behind
+        self._last_decision: tuple[int, Votes] | None = None  # epoch and votes, for members that are behind
 
     @property
     def has_voted(self) -> bool:
-        """Whether this member's fast vote of the epoch is cast."""
+        """Whether this member has cast its fast vote of the epoch."""
         return self.consensus is not None and self.consensus.has_voted
 
     def propose(self, now: float, proposal: Proposal) -> None:
@@ -68,7 +68,8 @@
             return
         if epoch < view.epoch:
             if self._last_decision is not None and self._last_decision[0] == epoch:
-                self._outbox.send(sender, self._last_decision[1], epoch=epoch)  # it has not decided yet
+                # The sender has not decided yet.
+                self._outbox.send(sender, self._last_decision[1], epoch=epoch)
         elif epoch == view.epoch:
             consensus = self._current_consensus()
             if not consensus.votes:
@@ -78,13 +79,13 @@
             self._check_decision(now)
 
     def clear(self) -> None:
-        """Drop the consensus of the previous epoch."""
+        """Discard the consensus of the previous epoch."""
         self.consensus = None
 
     # -- timers
 
     def wakeup_times(self) -> list[float]:
-        """Return when a classic round starts and when votes are relayed."""
+        """Return the times at which a classic round starts and votes are relayed."""
         if not self._is_undecided():
             return []
         times = [self._classic_round_at()]
@@ -103,9 +104,9 @@
         return consensus is not None and consensus.decided is None and bool(consensus.votes)
 
     def _gossip_votes(self, now: float) -> None:
-        """Relay the known votes of a large view to a few members, again and again.
+        """Relay the known votes of a large view to a few members, periodically.
 
-        So a decision costs each member about log n messages and not one from each to each.
+        A decision then costs each member about log n messages instead of one message to each other member.
         """
         if self.consensus is None or not self._is_undecided() or not self._member_table.is_large:
             return
@@ -117,7 +118,7 @@
                 self._outbox.send(name, Votes(tuple(tallies)))
 
     def _start_classic_round_if_due(self, now: float) -> None:
-        """Start a classic round if the fast one did not decide in time; coordinators spread at random."""
+        """Start a classic round if none has decided in time; a random delay spreads the coordinators."""
         if self.consensus is None or not self._is_undecided() or now < self._classic_round_at():
             return
         self._classic_rounds += 1
@@ -159,7 +160,7 @@
 
 
 def fit_tallies(tallies: list[Tally]) -> list[Tally]:
-    """Return the first tallies, as many as fit a datagram and at least one.
+    """Return the first tallies: at least one, and as many as fit a datagram.
 
     A message that is too large would not be sent at all, and nothing would be decided.
     """
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -241,9 +241,9 @@
         (("a", ""), ("a", "")),
         tuple((f"k{place}", "") for place in range(9)),
     ):
-        with pytest.raises(ValueError, match="m1 says"):
+        with pytest.raises(ValueError, match="metadata of m1: "):
             Member("m1", "127.0.0.1:1", metadata=metadata)
-    with pytest.raises(codec.BadPacketError, match="m1 says clasp: at most 200 bytes"):
+    with pytest.raises(codec.BadPacketError, match="metadata of m1: value of clasp exceeds 200 bytes"):
         codec.decode(packet.replace(b"class", b"clasp"))  # 600 bytes are for a class alone
 
 
