--- a/tests/stories/membership.feature
+++ b/tests/stories/membership.feature
@@ -21,7 +21,7 @@
     Then within 5 seconds all agree on 5 servers
     And s3 has a higher incarnation than before
 
-  Scenario: A server whose clock was set back an hour rejoins all the same
+  Scenario: A server whose clock was set back an hour still rejoins
     Given a fleet of 5 servers
     When s3 crashes
     And s3 restarts with its clock -3600 seconds off
@@ -125,9 +125,9 @@
     Then within 10 seconds s3 is removed on all, in 1 change
     And nobody else was removed
 
-  Scenario: A server that is told to leave is removed at once
+  Scenario: A server that is asked to leave is removed at once
     Given a fleet of 8 servers
-    When s4 is told to leave
+    When s4 is asked to leave
     Then within 1 seconds s4 is removed on all, in 1 change
 
   Scenario: The metadata of a server is restored after a long pause
@@ -135,4 +135,4 @@
     When s2 is paused for 15 seconds
     And 25 seconds pass
     Then all agree on 5 servers
-    And all know the address metadata of each
+    And all list the address metadata of each
