--- a/sablewheel/membership/member_table.py
+++ b/sablewheel/membership/member_table.py
@@ -150,7 +150,7 @@
     # -- a new view
 
     def install_view(self, now: float, view: View) -> None:
-        """Replace the view and discard data beyond the old one that no longer applies."""
+        """Replace the view and discard data that no longer applies."""
         previous, self.view = self.view, view
         self._update_join_times(now, previous, view)
         self.raised_incarnations = {
--- a/sablewheel/membership/messages.py
+++ b/sablewheel/membership/messages.py
@@ -113,7 +113,7 @@
 
 @dataclass(frozen=True)
 class Sync:
-    """The sender's full state: its view and the incarnations it knows."""
+    """The sender's full state: its view and the incarnations that it has recorded."""
 
     view: View | None
     incarnations: tuple[tuple[str, int], ...] = ()
--- a/sablewheel/membership/suspicions.py
+++ b/sablewheel/membership/suspicions.py
@@ -61,7 +61,7 @@
         if suspected_by in suspicion.suspected_by or confirmations > self._settings.confirmations:
             return suspicion, False
         suspicion.suspected_by.add(suspected_by)
-        # Relayed with the name of the member whose probe failed, so that a relay does not count as another.
+        # Relayed with the name of the member whose probe failed, so that a relay is no new confirmation.
         self._gossip.disseminate(Suspect(name, incarnation, suspected_by))
         return suspicion, True
 
@@ -174,7 +174,7 @@
         return sorted(self._silent_since_pause)
 
     def failed_names(self) -> set[str]:
-        """Return the members whose suspicion expired and whom this member's own probes did not reach."""
+        """Return the members whose suspicion expired and that this member's own probes did not reach."""
         return {
             name
             for name, suspicion in self.by_name.items()
--- a/tests/stories/test_membership_stories.py
+++ b/tests/stories/test_membership_stories.py
@@ -29,7 +29,7 @@
         return [name for name in self.net.nodes if name not in self.net.dead]
 
     def changes(self, kind: str, since: float) -> dict[int, set[str]]:
-        """By epoch, the members removed (or added) by the views that were decided since then."""
+        """By epoch, the members removed (or added) by the views that were decided after `since`."""
         changes_by_epoch: dict[int, set[str]] = {}
         for logged_at, _, note in self.net.notes:
             names = re.findall(rf"\b{kind}:(\w+)@", str(note.fields.get("changes", "")))
@@ -67,9 +67,9 @@
     story.affected.add(name)
 
 
-@when(parsers.re(r"(?P<name>s\d+) restarts with its clock (?P<clock_offset_s>-?\d+) seconds off"))
-def restart_server(story: Story, name: str, clock_offset_s: str) -> None:
-    story.net.restart(name, float(clock_offset_s))
+@when(parsers.re(r"(?P<name>s\d+) restarts with its clock (?P<clock_shift_s>-?\d+) seconds off"))
+def restart_server(story: Story, name: str, clock_shift_s: str) -> None:
+    story.net.restart(name, float(clock_shift_s))
 
 
 @when(parsers.parse("{duration_s:d} seconds pass"))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -165,12 +165,12 @@
     assert set(net.views().values()) == {tuple(sorted(["m0", *others]))}
 
 
-@pytest.mark.parametrize("clock_offset_s", [-3600.0, 0.0, 3600.0])
-def test_a_restarted_member_does_not_vote_as_its_earlier_process(clock_offset_s: float) -> None:
+@pytest.mark.parametrize("clock_shift_s", [-3600.0, 0.0, 3600.0])
+def test_a_restarted_member_does_not_vote_as_its_earlier_process(clock_shift_s: float) -> None:
     net = start_fleet(5)
     incarnation_before = net.nodes["m3"].local_member.incarnation
     net.kill("m3")
-    net.restart("m3", clock_offset_s)
+    net.restart("m3", clock_shift_s)
     epoch_before = net.nodes["m0"].view.epoch  # type: ignore[union-attr]
     for _ in range(3000):
         net.run(net.now + 0.01)
@@ -414,7 +414,7 @@
 
 
 def changes(net: Net, since: float) -> list[str]:
-    """The changes of each view that was decided since then, by epoch."""
+    """The changes of each view that was decided after `since`, in the order of the epochs."""
     changes_by_epoch = {
         int(str(note.fields["epoch"])): str(note.fields["changes"])
         for logged_at, _, note in net.notes
