--- a/tests/stories/test_membership_stories.py
+++ b/tests/stories/test_membership_stories.py
@@ -29,7 +29,7 @@
         return [name for name in self.net.nodes if name not in self.net.dead]
 
     def changes(self, kind: str, since: float) -> dict[int, set[str]]:
-        """By epoch, the members removed (or added) by the views that were decided after `since`."""
+        """By epoch, the members removed (or added) by the views that were decided at or after `since`."""
         changes_by_epoch: dict[int, set[str]] = {}
         for logged_at, _, note in self.net.notes:
             names = re.findall(rf"\b{kind}:(\w+)@", str(note.fields.get("changes", "")))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -414,7 +414,7 @@
 
 
 def changes(net: Net, since: float) -> list[str]:
-    """The changes of each view that was decided after `since`, in the order of the epochs."""
+    """The changes of each view that was decided at or after `since`, in the order of the epochs."""
     changes_by_epoch = {
         int(str(note.fields["epoch"])): str(note.fields["changes"])
         for logged_at, _, note in net.notes
