--- a/sablewheel/protocol/interpreter.py
+++ b/sablewheel/protocol/interpreter.py
@@ -1,6 +1,6 @@
-"""The interpreter's protocol: lines of words, commands to it and notices from it.
+"""The interpreter's line protocol: encodes commands to it and parses notices from it.
 
-The protocol's own words stay in this module.
+The protocol's own words (verbs, outcomes, states) are used in this module only.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 MAX_LINE_BYTES = 4096
 MAX_PAYLOAD_BYTES = 1 << 20
 MAX_DIGITS = 19
-UNNUMBERED = (b"BANNER", b"TOPS", b"ERROR")
+UNNUMBERED_NOTICES = (b"BANNER", b"TOPS", b"ERROR")
 OUTCOMES = {
     b"success": Outcome.SUCCEEDED,
     b"failure": Outcome.ERROR,
@@ -25,7 +25,7 @@
 
 
 class Command(Enum):
-    """What a command asked for."""
+    """The kinds of commands."""
 
     START = auto()
     CANCEL = auto()
@@ -37,10 +37,10 @@
 
 
 class ProtocolError(ValueError):
-    """What was received is not a notice of this protocol.
+    """The received data is not a valid notice of this protocol.
 
     Attributes:
-        number: The number of the notice; 0 if it could not be parsed.
+        number: The number of the invalid notice; 0 if it could not be parsed.
         name: The id of the run that the notice ends; empty if it could not be parsed.
     """
 
@@ -50,11 +50,11 @@
 
 @dataclass(slots=True)
 class Greeting:
-    """The interpreter is up.
+    """The first notice on a link: the interpreter is running.
 
     Attributes:
-        cold: Whether it was booting `uptime_s` ago.
-        uptime_s: How long it has been up.
+        cold: Whether the interpreter was booting `uptime_s` ago.
+        uptime_s: For how long the interpreter has been running, in seconds.
     """
 
     cold: bool
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True)
 class RunFinished:
-    """A run is over.
+    """A run ended.
 
     Attributes:
         number: The number of this notice.
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True)
 class Gauges:
-    """The gauges, in the order of the settings, as queried under `tag`."""
+    """The gauges in the order of the settings, None if there is no value; `tag` is that of the query."""
 
     tag: bytes
     values: tuple[float | None, ...]
@@ -87,7 +87,7 @@
 
 @dataclass(slots=True)
 class CommandRejected:
-    """A command was not carried out."""
+    """The interpreter did not carry out a command."""
 
     command: Command
     name: bytes
@@ -95,7 +95,7 @@
 
 @dataclass(slots=True)
 class CallNeeded:
-    """A run waits for the result of a call of a dependency."""
+    """A run waits for the result of a dependency call."""
 
     number: int
     name: bytes
@@ -103,7 +103,7 @@
 
 @dataclass(slots=True)
 class IgnoredNotice:
-    """A numbered notice without a meaning."""
+    """A numbered notice whose content is not used."""
 
     number: int
 
@@ -138,10 +138,10 @@
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Notice]:
-        """Return the complete notices up to the first that is invalid.
+        """Return the complete notices before the first invalid one.
 
         Raises:
-            ProtocolError: The first one is invalid. It stays in the buffer, so each further call raises.
+            ProtocolError: The first notice is invalid. It stays in the buffer, so each further call raises.
         """
         self._buffer += data
         notices: list[Notice] = []
@@ -158,7 +158,7 @@
         line_end = self._buffer.find(b"\r\n")
         if line_end < 0:
             if len(self._buffer) > MAX_LINE_BYTES:
-                raise ProtocolError("a line without an end")
+                raise ProtocolError(f"line longer than {MAX_LINE_BYTES} bytes")
             return None
         words = bytes(self._buffer[:line_end]).split(b" ")
         try:
@@ -167,7 +167,7 @@
             if len(self._buffer) < notice_end:
                 return None
             if self._buffer[notice_end - 2 : notice_end] != b"\r\n":
-                raise ProtocolError("what follows a line does not end where its length says")
+                raise ProtocolError("payload is not followed by CR LF at its declared size")
             notice = _parse_notice(words, bytes(self._buffer[line_end + 2 : notice_end - 2]))
         except ProtocolError as error:
             _describe_notice(error, words)
@@ -177,14 +177,14 @@
 
 
 def _describe_notice(error: ProtocolError, words: list[bytes]) -> None:
-    """Note on `error` which notice is invalid, as far as that can be parsed."""
-    numbered = len(words) > 1 and words[0] not in UNNUMBERED and words[1].isdigit()
+    """Set the number and the run id of the invalid notice on `error`, if they can be parsed."""
+    numbered = len(words) > 1 and words[0] not in UNNUMBERED_NOTICES and words[1].isdigit()
     error.number = int(words[1][:MAX_DIGITS]) if numbered else 0
     error.name = words[2] if words[0] == b"VALUE" and len(words) > 2 else b""
 
 
 def _payload_size(words: list[bytes]) -> int | None:
-    """Return how many bytes follow a line, or None if nothing does."""
+    """Return the size in bytes of the payload that follows a line; None if there is none."""
     match words:
         case [b"VALUE", number, _, _, _, size] | [b"AWAIT", number, _, size]:
             _parse_integer(number)
@@ -206,13 +206,13 @@
             return CommandRejected(COMMANDS.get(command, Command.OTHER), name)
         case [b"TRACE", number, *_]:
             return IgnoredNotice(_parse_integer(number))
-    raise ProtocolError(f"not a notice: {b' '.join(words)[:80]!r}")
+    raise ProtocolError(f"unknown or malformed notice: {b' '.join(words)[:80]!r}")
 
 
 def _parse_run_finished(words: list[bytes], result: bytes) -> RunFinished:
     _, number, name, outcome, run_time_ms = words[:5]
     if outcome not in OUTCOMES:
-        raise ProtocolError(f"no such end: {outcome!r}")
+        raise ProtocolError(f"unknown outcome of a run: {outcome!r}")
     return RunFinished(
         _parse_integer(number), name, OUTCOMES[outcome], _parse_number(run_time_ms) / 1000, result
     )
@@ -224,11 +224,11 @@
     except ValueError:
         raise ProtocolError(f"not a number: {word[:40]!r}") from None
     if not isfinite(value) or value < 0:
-        raise ProtocolError(f"not a finite number: {word[:40]!r}")
+        raise ProtocolError(f"not a finite number of 0 or more: {word[:40]!r}")
     return value
 
 
 def _parse_integer(word: bytes, limit: int = 1 << 63) -> int:
     if not word.isdigit() or len(word) > MAX_DIGITS or int(word) > limit:
-        raise ProtocolError(f"not a whole number in range: {word[:40]!r}")
+        raise ProtocolError(f"not an integer from 0 to {limit}: {word[:40]!r}")
     return int(word)
--- a/sablewheel/protocol/resp.py
+++ b/sablewheel/protocol/resp.py
@@ -1,6 +1,6 @@
 """The clients' protocol: RESP arrays of bulk strings.
 
-The protocol's own words (verbs, field names, states) stay in this module.
+The protocol's own words (verbs, field names, states) are used in this module only.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 MAX_WORD_BYTES = 1 << 16
 MAX_BODY_BYTES = 2048
 MAX_DIGITS = 19
-MEMORY_LIMIT_KB = 2000.0  # exclusive
-# Python's own number parsers also accept signs, blanks, underscores and exponents.
+MEMORY_LIMIT_KB = 2000.0  # a request's memory has to be less
+# Patterns, since Python's own number parsers also accept signs, blanks, underscores and exponents.
 FIELD_PATTERNS = {
     b"ref": re.compile(rb"[0-9a-fA-F]{16}"),
     b"since": re.compile(rb"[0-9]{1,16}"),
@@ -58,13 +58,13 @@
 class RequestMessage:
     """One attempt of a request.
 
-    Fields that decisions depend on are parsed; the others stay as the bytes received. The last three are
-    present only where the settings say that clients send them.
+    Fields that decisions depend on are parsed; the others are kept as the bytes received. The last three
+    fields are set only if the settings say that clients send them.
 
     Attributes:
         arrived_at_unix: When the request reached the machine, in seconds of Unix time.
-        deadline_unix: When the client stops waiting, in seconds of Unix time.
-        cost_hint_s: The expected run time.
+        deadline_unix: When the client times out, in seconds of Unix time.
+        cost_hint_s: The expected run time, in seconds.
     """
 
     tag: int
@@ -106,11 +106,11 @@
         self._buffer = bytearray()
         self._position = 0
         self._words: list[bytes] = []
-        self._missing_words = 0  # of the open array
+        self._missing_words = 0  # number of words that the incomplete array lacks; 0 if there is none
 
     @property
     def partial(self) -> bool:
-        """Whether an array has begun but not ended."""
+        """Whether an array was received in part only."""
         return bool(self._buffer or self._missing_words)
 
     def feed(self, data: bytes) -> list[list[bytes]]:
@@ -138,7 +138,7 @@
                 if count is None:
                     return
                 if not count:
-                    raise ProtocolError("an empty array")
+                    raise ProtocolError("empty array")
                 self._words, self._missing_words = [], count
             word = self._parse_word()
             if word is None:
@@ -157,10 +157,10 @@
         digits = bytes(self._buffer[start + 1 : end if end >= 0 else None])
         if end < 0:
             if len(digits) > MAX_DIGITS + 1:
-                raise ProtocolError("a length without an end")
+                raise ProtocolError(f"length of more than {MAX_DIGITS} digits")
             return None
         if not digits.isdigit() or int(digits) > limit:
-            raise ProtocolError(f"not a length in range: {digits!r}")
+            raise ProtocolError(f"not a length from 0 to {limit}: {digits!r}")
         self._position = end + 2
         return int(digits)
 
@@ -175,7 +175,7 @@
             self._position = word_start
             return None
         if self._buffer[end : end + 2] != b"\r\n":
-            raise ProtocolError("a bulk string does not end where its length says")
+            raise ProtocolError("bulk string is not followed by CR LF at its declared length")
         self._position = end + 2
         return bytes(self._buffer[start:end])
 
@@ -187,7 +187,7 @@
         InvalidMessageError: The frame is not a valid message.
     """
     if len(words) < 2 or not words[1].isdigit() or len(words[1]) > MAX_DIGITS or not int(words[1]):
-        raise InvalidMessageError("no tag that can be read")
+        raise InvalidMessageError("missing or invalid tag")
     verb, tag = words[0], int(words[1])
     match verb, len(words):
         case b"RPC.CALL", 4 | 5:
@@ -196,17 +196,17 @@
             return CancelMessage(tag)
         case b"RPC.HEALTH", _:
             return HealthCheckMessage(tag)
-    raise InvalidMessageError(f"no such verb, or not with {len(words)} words: {verb[:40]!r}", tag)
+    raise InvalidMessageError(f"unknown verb, or not valid with {len(words)} words: {verb[:40]!r}", tag)
 
 
 def _parse_request(tag: int, words: list[bytes]) -> RequestMessage:
     body = words[4] if len(words) > 4 else b""
     if len(body) > MAX_BODY_BYTES:
-        raise InvalidMessageError(f"a body of {len(body)} bytes", tag)
+        raise InvalidMessageError(f"body of {len(body)} bytes, more than {MAX_BODY_BYTES}", tag)
     fields = _parse_fields(tag, words[3])
     memory_kb = float(fields[b"room"])
     if not 0 < memory_kb < MEMORY_LIMIT_KB:
-        raise InvalidMessageError(f"a figure out of range: room={memory_kb:g}", tag)
+        raise InvalidMessageError(f"field out of range: room={memory_kb:g}", tag)
     arrived_at_unix = int(fields[b"since"]) / 1000
     deadline_unix = arrived_at_unix + int(fields[b"allow"]) / 1000 if b"allow" in fields else None
     return RequestMessage(
@@ -227,41 +227,41 @@
 
 
 def _parse_fields(tag: int, word: bytes) -> dict[bytes, bytes]:
-    """Return the fields of a request by name, each of the form that the protocol gives it."""
+    """Return the fields of a request by name; the values of known fields match their patterns."""
     fields: dict[bytes, bytes] = {}
     for pair in word.split(b","):
         name, separator, value = pair.partition(b"=")
         if not separator or name in fields:
-            raise InvalidMessageError(f"not a field: {pair[:40]!r}", tag)
+            raise InvalidMessageError(f"malformed or repeated field: {pair[:40]!r}", tag)
         if name in FIELD_PATTERNS and not FIELD_PATTERNS[name].fullmatch(value):
-            raise InvalidMessageError(f"a field that can't be read: {pair[:60]!r}", tag)
+            raise InvalidMessageError(f"invalid field value: {pair[:60]!r}", tag)
         fields[name] = value
     for name in REQUIRED_FIELDS:
         if name not in fields:
-            raise InvalidMessageError(f"no field {name!r}", tag)
+            raise InvalidMessageError(f"missing field: {name!r}", tag)
     return fields
 
 
 def encode_completed(tag: int, advertised: float | None, result: bytes) -> bytes:
-    """Encode the answer of a request that was served."""
+    """Encode the answer to a completed request."""
     return _encode_array(b"%d" % tag, b"OK", _encode_fields(advertised), result)
 
 
 def encode_rejected(
     tag: int, advertised: float | None, retry_after_s: float, no_retry_elsewhere: bool
 ) -> bytes:
-    """Encode the answer of a request that was refused and never ran."""
+    """Encode the answer to a request that was rejected and never ran."""
     fields = _encode_fields(advertised, retry_after_s, no_retry_elsewhere)
     return _encode_array(b"%d" % tag, b"BUSY", fields, b"")
 
 
 def encode_failed(tag: int, advertised: float | None) -> bytes:
-    """Encode the answer of a request that failed."""
+    """Encode the answer to a request that failed."""
     return _encode_array(b"%d" % tag, b"FAILED", _encode_fields(advertised), b"")
 
 
 def encode_health(tag: int, advertised: float | None, healthy: bool) -> bytes:
-    """Encode the answer of a health check."""
+    """Encode the answer to a health check."""
     return _encode_array(b"%d" % tag, b"UP" if healthy else b"DOWN", _encode_fields(advertised), b"")
 
 
--- a/sablewheel/serving/client_table.py
+++ b/sablewheel/serving/client_table.py
@@ -1,17 +1,17 @@
-"""The clients that sent requests lately, by the number that they send."""
+"""The clients that sent requests recently, by client number."""
 
 from __future__ import annotations
 
 from ..overload.interface import Client
 
-MIN_CLIENTS = 1024  # retained in any case
-CLIENTS_PER_EXPECTED = 2  # a client that is restarted has a new number
+MIN_CLIENTS = 1024  # the smallest capacity
+CLIENTS_PER_EXPECTED = 2  # a restarted client has a new number
 
 
 class ClientTable:
-    """Clients in the order of their last requests; beyond the capacity the oldest are forgotten.
+    """Clients in the order of their last requests; beyond the capacity the oldest are evicted.
 
-    The controller takes a client that is forgotten and comes again for a new one.
+    The controller treats an evicted client that sends another request as a new client.
     """
 
     def __init__(self) -> None:
@@ -22,11 +22,11 @@
         return len(self._clients)
 
     def set_capacity(self, expected_clients: int, max_connections: int) -> None:
-        """Retain as many clients as are expected, and as may be connected."""
+        """Set the capacity from the numbers of expected clients and of possible connections."""
         self._capacity = max(MIN_CLIENTS, CLIENTS_PER_EXPECTED * expected_clients, max_connections)
 
     def get(self, name: bytes) -> Client:
-        """Return the client of this number, which sends a request."""
+        """Return the client with this number, and make it the most recent one."""
         client = self._clients.pop(name, None) or Client(name=name)
         self._clients[name] = client
         while len(self._clients) > self._capacity:
--- a/sablewheel/serving/connection.py
+++ b/sablewheel/serving/connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: frames become exchanges, and answers are written in the order they are given."""
+"""One client's connection: turns frames into exchanges, and writes answers in the order they are given."""
 
 from __future__ import annotations
 
@@ -14,16 +14,18 @@
 from .close_reasons import CloseReason, log_reason
 from .exchange import Exchange, RequestObserver, ServerStatus
 
-MAX_OPEN_REQUESTS = 32  # by the protocol
-FIRST_FRAME_TIMEOUT_S = 2.0  # from connecting to its end: clients connect when they have one to send
-FRAME_TIMEOUT_S = 2.0  # of any later frame, from its first byte
-MAX_DISCARDED_BYTES = 1 << 16  # read past a connection's end, so that no reset takes answers away
+MAX_OPEN_REQUESTS = 32  # on one connection, as the protocol specifies
+FIRST_FRAME_TIMEOUT_S = (
+    2.0  # from connecting to the end of the frame; clients connect when they have one to send
+)
+FRAME_TIMEOUT_S = 2.0  # for any later frame, from its first byte
+MAX_DISCARDED_BYTES = 1 << 16  # read after reading stopped, so that no reset destroys answers
 
 log = logging.getLogger(__name__)
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of its listener."""
+    """The part of the listener that connections use."""
 
     scheduler: Scheduler
     server_status: ServerStatus
@@ -34,29 +36,29 @@
         """Return the request of a message. Raises `InvalidMessageError`."""
 
     def arrived(self, exchange: Exchange) -> None:
-        """A request was received."""
+        """Called when a request was received."""
 
     def cancelled(self, exchange: Exchange) -> None:
-        """The client no longer waits."""
+        """Called when the client no longer waits for an answer."""
 
     def answer_queued(self, connection: Connection) -> None:
-        """The connection has something to write at the end of the round."""
+        """Called when the connection has data to write at the end of the round."""
 
     def closed(self, connection: Connection) -> None:
-        """The connection is no more."""
+        """Called when the connection was closed."""
 
 
 class Connection:
     """One client's connection, and the caller of the exchanges that it received.
 
     Attributes:
-        open: The exchanges whose clients wait, by tag.
-        last_used_at: When something was last read or written.
-        frame_deadline: When the frame that is awaited or incomplete must have ended.
+        open: The exchanges that are neither answered nor cancelled, by tag.
+        last_used_at: When data was last read or written.
+        frame_deadline: When the awaited or incomplete frame must be complete; infinity if there is none.
         has_received: Whether a complete frame was received.
         close_announced: Whether the client was asked to send no new request, or can send none.
-        reading_stopped: Whether nothing more is taken in; answers may still be owed.
-        shut_down_at: When the writing side was shut down, if it was.
+        reading_stopped: Whether received data is discarded; open requests are still answered.
+        shut_down_at: When the writing side was shut down; None if it was not.
     """
 
     def __init__(self, owner: ConnectionOwner, stream: Stream) -> None:
@@ -72,17 +74,17 @@
         self._parser = resp.Parser()
         self._answers: list[Callable[[float | None], bytes]] = []
         self._discarded_bytes = 0
-        self._peer_open = True  # until the end of what the peer sends was read
+        self._peer_open = True  # False once the end of the peer's stream was read
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is open and all answers are sent, also those of this round."""
+        """Whether no request is open and all answers are sent, including those of this round."""
         return not self.open and not self._answers and self.stream.all_sent
 
     # -- reading
 
     def serve(self) -> None:
-        """Read until the end. The peer may close its side alone and still wait for answers."""
+        """Read until the end of the stream. The peer may close only its side and still wait for answers."""
         try:
             while data := self.stream.read():
                 if not self.reading_stopped:
@@ -90,7 +92,7 @@
                 elif self._discard(len(data)):
                     break
         except Exception:
-            # What is still to be read here would be lost unread if the connection stayed open.
+            # If the connection stayed open, data that is not read yet would never be read.
             log.exception("connection closed by a fault")
             self._owner.count("faults")
             return self.close(CloseReason.FAULT)
@@ -126,7 +128,7 @@
         return None
 
     def _discard(self, size: int) -> bool:
-        """Discard what was read after reading stopped. Returns whether that is enough of it."""
+        """Discard data that was read after reading stopped. Returns whether the limit is exceeded."""
         if self.shut_down_at is not None and not self._discarded_bytes:
             self._owner.count("connections_crossed")
         self._discarded_bytes += size
@@ -171,9 +173,9 @@
         owner, tag = self._owner, message.tag
         owner.count("tickets_in")
         if tag in self.open:
-            raise resp.InvalidMessageError("a tag that is still open", tag)
+            raise resp.InvalidMessageError("tag of a request that is still open", tag)
         if len(self.open) >= MAX_OPEN_REQUESTS:
-            raise resp.InvalidMessageError("more open than allowed", tag)
+            raise resp.InvalidMessageError(f"more than {MAX_OPEN_REQUESTS} open requests", tag)
         request = owner.make_request(message)
         exchange = Exchange(
             message.name,
@@ -191,7 +193,7 @@
         try:
             owner.arrived(exchange)
         except Exception:
-            # An internal error costs the one request that met it; the others here go on.
+            # An internal error fails only this request; the others on the connection continue.
             log.exception("request failed by a fault", extra={"pairs": {"tag": tag}})
             owner.count("faults")
             exchange.fail()
@@ -205,14 +207,14 @@
     # -- closing
 
     def announce_close(self, reason: CloseReason) -> None:
-        """Ask the client to send no new request here, and to close the connection once all is answered."""
+        """Ask the client to send no new request here, and to close the connection once all are answered."""
         if not self.close_announced:
             self._log("close announced on connection", reason)
             self.close_announced = True
             self._queue(lambda _: resp.encode_close_notice())
 
     def stop_reading(self, reason: CloseReason) -> None:
-        """Take in nothing more. Requests received before get their answers, then the connection ends."""
+        """Accept no more data. Requests received before are answered, then the connection is shut down."""
         self._log("stopped reading from connection", reason)
         self.close_announced = self.reading_stopped = True
         self.frame_deadline = inf
@@ -220,10 +222,10 @@
             self.shut_down(reason)
 
     def shut_down(self, reason: CloseReason) -> None:
-        """Shut down the writing side, and read on until the client closes its own or its time is up.
+        """Shut down the writing side, and continue to read until the client closes its side or times out.
 
-        What the client sent meanwhile is discarded. The client sees the end of the stream, no answer and no
-        reset that would take along what it has not read yet, and sends its request again elsewhere.
+        Data that the client sends meanwhile is discarded. The client sees the end of the stream, no answer,
+        and sends its request again elsewhere. A reset would destroy answers that it has not read yet.
         """
         if not self._peer_open:
             return self.close(reason)
@@ -250,7 +252,7 @@
     # -- answers
 
     def completed(self, exchange: Exchange, result: bytes) -> None:
-        """Send a result."""
+        """Answer with a result."""
         tag = exchange.tag
         self._answer(exchange, "completed", lambda advertised: resp.encode_completed(tag, advertised, result))
 
@@ -269,7 +271,7 @@
         self._answer(exchange, "terminated", lambda advertised: resp.encode_failed(tag, advertised))
 
     def flush(self) -> None:
-        """Write the queued answers, each with the capacity that is advertised by now."""
+        """Write the queued answers, each with the capacity that is advertised at that time."""
         advertised = self._owner.server_status.advertised
         for encode in self._answers:
             self.stream.write(encode(advertised))
--- a/sablewheel/serving/deadline_backstop.py
+++ b/sablewheel/serving/deadline_backstop.py
@@ -1,4 +1,4 @@
-"""The backstop of the deadlines: answers at their deadlines what an internal error left without an answer."""
+"""Answers requests at their deadlines that an internal error left without an answer."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class DeadlineBackstop:
-    """A timer for each request that was open when the controller met an internal error.
+    """Timers for the requests that were open when an internal error occurred in the controller.
 
-    The controller answers each request by its deadline; this is for those it has lost sight of. It costs
-    nothing until the first such error.
+    Normally the controller answers each request by its deadline; this covers requests that it no longer
+    tracks after the error. There is no cost before the first such error.
 
-    Invariant: a request has one timer at most, and is forgotten at its deadline.
+    Invariant: a request has at most one timer, and is removed at its deadline.
     """
 
     def __init__(self, scheduler: Scheduler, on_overdue: Callable[[Exchange], None]) -> None:
@@ -22,11 +22,11 @@
         self._watched: set[Exchange] = set()
 
     def watch(self, exchanges: Iterable[Exchange], propagated: bool) -> None:
-        """Pass each of these that is not answered to `on_overdue` at its deadline.
+        """Pass each exchange that is not answered yet to `on_overdue` at its deadline.
 
         Args:
-            exchanges: Open requests; those already watched stay as they are.
-            propagated: Whether the deadlines that clients state count.
+            exchanges: Open requests; those already watched keep their timers.
+            propagated: Whether the deadlines that clients state apply.
         """
         for exchange in exchanges:
             if not exchange.closed and exchange not in self._watched:
--- a/sablewheel/serving/delayed_answers.py
+++ b/sablewheel/serving/delayed_answers.py
@@ -1,4 +1,4 @@
-"""Completed answers that wait, each for a bounded time, until their records are durable."""
+"""Delays completed answers, each for a bounded time, until their records are durable."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from ..transport.scheduler import Scheduler
 from .exchange import Caller, Exchange
 
-DEADLINE_MARGIN_S = 0.02  # a delayed answer leaves so long before its request's deadline
+DEADLINE_MARGIN_S = 0.02  # a delayed answer is sent at least so long before its request's deadline
 
 
 @dataclass(slots=True, eq=False)
 class DelayedAnswer:
-    """One answer; `mark` is the position in the log that must be durable before it leaves."""
+    """One answer; `mark` is the position in the log that must be durable before it is sent."""
 
     mark: int
     release_at: float
@@ -26,9 +26,9 @@
 class DelayedAnswers:
     """Answers in the order of their marks.
 
-    No answer waits longer than `max_delay_s`, nor past its own request's deadline by more than the one before
-    it may: a timely answer matters more than its record. `release` gets each answer, and whether it leaves
-    ahead of its mark.
+    No answer is delayed longer than `max_delay_s`, nor past its request's deadline, except while it waits for
+    the answer before it: a timely answer is more important than its record. `release` is called with each
+    answer and with whether it is sent before its mark is durable.
     """
 
     def __init__(
@@ -42,11 +42,11 @@
 
     @property
     def first_mark(self) -> int | None:
-        """The mark of the answer that leaves next."""
+        """The mark of the answer that is sent next; None if there is none."""
         return self._answers[0].mark if self._answers else None
 
     def delay(self, mark: int, exchange: Exchange, result: bytes, caller: Caller) -> None:
-        """Retain an answer until its mark is durable or its time is up."""
+        """Retain an answer until its mark is durable or its delay has expired."""
         now = self._scheduler.clock.now
         release_at = min(now + self._max_delay_s, max(exchange.request.deadline - DEADLINE_MARGIN_S, now))
         self._answers.append(DelayedAnswer(mark, release_at, exchange, result, caller))
--- a/sablewheel/serving/dispatcher.py
+++ b/sablewheel/serving/dispatcher.py
@@ -1,4 +1,4 @@
-"""Hands events to the controller in batches and carries out its actions. Takes no decision of its own."""
+"""Hands events to the controller in batches and carries out its actions. Makes no decisions of its own."""
 
 from __future__ import annotations
 
@@ -54,11 +54,13 @@
 class Dispatcher:
     """Connects the listener and the interpreter client to the controller.
 
-    The events of one round of poll are one batch; `end_round` has it decided and sends everything.
+    The events of one round of the event loop form one batch; `end_round` passes it to the controller and
+    sends the resulting commands and answers.
 
     Args:
-        gauge_indexes: Which of the interpreter's gauges are CPU use, connections and runnable work, if any.
-        on_interpreter_ready: Called once, when the interpreter is up for the first time.
+        gauge_indexes: The indexes of the interpreter's gauges for CPU use, connections and runnable work;
+            None for a gauge that is missing.
+        on_interpreter_ready: Called once, when the interpreter is running for the first time.
     """
 
     def __init__(
@@ -72,7 +74,7 @@
         on_interpreter_ready: Callable[[], None],
         result_store: ResultStore = NO_RESULT_STORE,
     ) -> None:
-        self.batches = 0  # decided so far
+        self.batches = 0  # number of batches decided so far
         self.outcomes = OutcomeCounters()
         self._scheduler, self._clock = scheduler, scheduler.clock
         self._server_settings, self._seed = server_settings, seed
@@ -85,31 +87,31 @@
         self._duplicate_checks = DuplicateChecks(
             self._clock, self._open_requests.ids, idempotency_keys, self._recent_runs, result_store
         )
-        self._controller: Controller | None = None  # until the interpreter is up
+        self._controller: Controller | None = None  # None until the interpreter is running
         self._interpreter_started_at = 0.0
         self._events: list[Event] = []
-        self._undecided_keys: set[bytes] = set()  # idempotency keys among the events
-        self._with_client_deadline: list[Exchange] = []  # among the events
+        self._undecided_keys: set[bytes] = set()  # idempotency keys of the pending events
+        self._with_client_deadline: list[Exchange] = []  # requests of pending events
         self._start_queue = StartQueue(scheduler, self._fail_not_started)
-        self._errors: list[Exception] = []  # of the controller, in this round
+        self._errors: list[Exception] = []  # internal errors of the controller in this round
         self._deadline_backstop = DeadlineBackstop(scheduler, self._fail_overdue)
         self._listener: RequestListener
         self._interpreter: InterpreterClient
 
     def attach(self, listener: RequestListener, interpreter: InterpreterClient) -> None:
-        """Set the two sides, which were given this object as their handler."""
+        """Set the listener and the interpreter client, which have this object as their handler."""
         self._listener, self._interpreter = listener, interpreter
         self._set_cancellation()
 
     @property
     def open_count(self) -> int:
-        """How many requests are not over."""
+        """The number of requests that are not finished."""
         return len(self._open_requests) + len(self._start_queue)
 
     def retune(
         self, server_settings: ServerSettings, gauge_indexes: tuple[int | None, int | None, int | None]
     ) -> None:
-        """Apply new settings to new requests; requests that were taken in go on by the old ones."""
+        """Apply new settings to new requests; the old settings still apply to requests already accepted."""
         self._gauge_indexes = gauge_indexes
         if self._controller is not None:
             server_settings = replace(
@@ -128,10 +130,10 @@
         discards = self._server_settings.cancellation is interface.Cancellation.DISCARDS_WORK
         self._interpreter.discards_cancelled_runs = discards
 
-    # -- the start
+    # -- start-up
 
     def interpreter_ready(self, cold: bool, uptime_s: float) -> None:
-        """The interpreter is up. The first time, the controller starts as of then."""
+        """Handle a greeting; the first one starts the controller, as of the start of the interpreter."""
         log.info("interpreter up", extra={"pairs": {"cold": cold, "age": uptime_s}})
         if self._controller is None:
             server_settings = replace(self._server_settings, starts_cold=cold)
@@ -143,7 +145,7 @@
             self._on_interpreter_ready()
 
     def recovery_finished(self, at_first_link: bool = False) -> None:
-        """Take in the requests that waited, once the interpreter is up and the result store is ready."""
+        """Accept the waiting requests, once the interpreter is running and the result store is ready."""
         if self._controller is None:
             return
         if self._result_store.ready:
@@ -170,21 +172,21 @@
     # -- events
 
     def arrived(self, exchange: Exchange) -> None:
-        """Take in a request, or fail it at once if it contradicts one that is known."""
+        """Accept a request, or fail it at once if it conflicts with a known request."""
         if self._must_wait_for_start(exchange):
             return self._wait_for_start(exchange)
         if self._duplicate_checks.reuses_id(exchange):
             return self._open_requests.fail(exchange, FailureReason.REPEATED_ID)
         request = exchange.request
         if exchange.idempotency_key is not None and is_keyed(exchange):
-            # The original may be in this very batch, and is known only once that is decided.
+            # The original may be in the current batch, and is known only after that batch is decided.
             if exchange.idempotency_key in self._undecided_keys:
                 self._decide()
             if (reason := self._duplicate_checks.link_original(exchange)) is not None:
                 return self._open_requests.fail(exchange, reason)
             if request.arrived_at >= self._clock.now:
-                # The round's clock stands while it reads. This request may have arrived since, and then its
-                # window ends later than one counted from the time that is known here.
+                # The clock's reading does not change while a round reads data. This request may have arrived
+                # after the reading, and then its window ends later than one that starts at the reading.
                 exchange.arrival_uncertainty_s = self._clock.read() - request.arrived_at
             self._undecided_keys.add(exchange.idempotency_key)
             self._result_store.prepare(exchange)
@@ -197,24 +199,24 @@
         self._events.append(interface.RequestArrived(request))
 
     def cancelled(self, exchange: Exchange) -> None:
-        """The client no longer waits."""
+        """Handle a cancellation: the client no longer waits."""
         if self._start_queue.discard(exchange):
             return
         self._events.append(interface.CallerGone(exchange.request))
         if exchange.state is ExchangeState.QUEUED:
-            if not exchange.request.started:  # one whose run was cancelled has run
+            if not exchange.request.started:  # a request whose run was cancelled has run
                 self._idempotency_keys.release(exchange)
             self._result_store.release(exchange)
         self._open_requests.finish_unless_running(exchange)
 
     def run_ended(self, exchange: Exchange, outcome: Outcome, run_time_s: float, result: bytes) -> None:
-        """A run is over. Its request and the duplicates attached to it get their answers."""
+        """Handle the end of a run: answer its request and the duplicates attached to it."""
         self._events.append(interface.RunEnded(exchange.request, run_time_s, outcome))
         exchange.run_time_s = run_time_s
         self._result_store.run_ended(exchange, outcome, result)
         if outcome is Outcome.NEVER_STARTED:
             self._recent_runs.discard(exchange.name)
-            # Now, so that no duplicate is attached to it; the controller's action comes when it is off.
+            # At once, so that no duplicate is attached to it; the controller's action for it comes later.
             self._idempotency_keys.release(exchange)
         if outcome is Outcome.SUCCEEDED:
             exchange.complete(result)
@@ -231,15 +233,15 @@
         return self._open_requests.finish(exchange)
 
     def call_needed(self, exchange: Exchange) -> None:
-        """The run waits for a call of a dependency."""
+        """Handle a run that waits for a dependency call."""
         self._events.append(interface.DependencyCallNeeded(exchange.request))
 
     def start_unconfirmed(self, exchange: Exchange) -> None:
-        """The run's command was written to a link that broke, so it may never have started."""
+        """Handle a run that may not have started, as its command was written to a link that broke."""
         self._events.append(interface.StartUnconfirmed(exchange.request))
 
     def shutdown_notice(self, remaining_s: float) -> None:
-        """The process will be stopped after `remaining_s`."""
+        """Notify the controller that the process will be stopped after `remaining_s`."""
         self._events.append(interface.ShutdownNotice(remaining_s))
 
     def _timer_fired(self) -> None:
@@ -257,10 +259,10 @@
     # -- the batch
 
     def end_round(self) -> None:
-        """Decide on all events and send everything, also what was decided beside an internal error.
+        """Have all events decided and send the results, including those beside an internal error.
 
         Raises:
-            Exception: The first internal error of the round, after all else was done.
+            Exception: The first internal error of the round, once everything else is done.
         """
         try:
             self._decide()
@@ -280,7 +282,7 @@
             raise error
 
     def _decide(self) -> None:
-        """Decide on batches until no event is left, as some actions cause an event at once."""
+        """Have batches decided until no event is left, as some actions cause new events."""
         while self._events and self._controller is not None:
             now = self._clock.read()
             events, self._events = self._events, []
@@ -314,7 +316,7 @@
                     self._apply_request_action(action)
 
     def _decision_failed(self, error: Exception) -> None:
-        """Note an internal error of the controller, which `end_round` raises once all else is done."""
+        """Record an internal error of the controller, which `end_round` raises after all else is done."""
         self._errors.append(error)
         propagated = self._server_settings.deadline_propagated
         self._deadline_backstop.watch(self._open_requests.all(), propagated)
@@ -331,7 +333,7 @@
                 self._apply_to_exchange(action, exchange)
             except Exception:
                 self._fail_after_internal_error(exchange)
-        elif isinstance(action, interface.Run):  # its client left in this very batch
+        elif isinstance(action, interface.Run):  # its client cancelled it in this batch
             self._events.append(interface.RunEnded(action.request, 0.0, Outcome.NEVER_STARTED))
 
     def _apply_to_exchange(self, action: RequestAction, exchange: Exchange) -> None:
@@ -359,8 +361,8 @@
             case interface.AttachToOriginal():
                 self._open_requests.attach_to_original(exchange)
             case _:
-                # The protocol can neither make nor skip a dependency's call.
-                # `configuration.placement_settings` gives the controller no dependency, so it asks for
+                # The protocol can neither make nor skip a dependency call.
+                # `configuration.placement_settings` gives the controller no dependency, so it requests
                 # neither.
                 pairs = {"action": type(action).__name__}
                 log.error("action not supported by the protocol", extra={"pairs": pairs})
@@ -381,11 +383,11 @@
     def _reject(self, exchange: Exchange, action: interface.Reject) -> None:
         exchange.reject(action.retry_after_s, action.no_retry_elsewhere)
         self.outcomes.count_rejection(exchange, action.reason, action.retry_after_s)
-        self._idempotency_keys.release(exchange)  # the controller releases none that expired
+        self._idempotency_keys.release(exchange)  # the controller does not release expired keys
         self._open_requests.finish_unless_running(exchange)
 
     def _fail_after_internal_error(self, exchange: Exchange) -> None:
-        """End a request whose action met an internal error; the other actions are carried out."""
+        """Fail a request whose action raised an internal error; the other actions are carried out."""
         log.exception("request failed by a fault", extra={"pairs": {"tag": exchange.tag}})
         self._scheduler.on_fault()
         if exchange.state in (ExchangeState.RUNNING, ExchangeState.ATTACHED):
@@ -398,9 +400,9 @@
     # -- shutdown
 
     def reject_draining(self, exchange: Exchange) -> None:
-        """Reject a request that never ran and never will on this server, which leaves.
+        """Reject a request that never ran and will not run on this server, which is draining.
 
-        A request that ran in any attempt, or may have, must not be rejected: its duplicates fail.
+        A request of which any attempt ran or may have run must not be rejected; it fails instead.
         """
         if exchange.request not in self._open_requests and self._duplicate_checks.is_known(exchange):
             return self._open_requests.fail(exchange, FailureReason.REPEATED_ID)
@@ -411,14 +413,14 @@
         self.outcomes.count_rejection(exchange, interface.RejectionReason.DRAINING, retry_after_s)
 
     def reject_waiting_for_start(self) -> None:
-        """Reject the requests that wait for a start that this server will not see."""
+        """Reject the requests that wait for a start-up that will not be completed."""
         for exchange in self._start_queue.take_all():
             self.reject_draining(exchange)
 
     def finish_all(self) -> None:
-        """Answer all open requests, since the process ends, and notify the controller that nobody waits.
+        """Answer all open requests, since the process stops, and report them to the controller as cancelled.
 
-        The controller cancels their runs where that is supported; other runs end without an answer.
+        The controller cancels their runs if that is supported; other runs end without an answer.
         """
         for exchange in self._open_requests.all():
             if exchange.closed:
--- a/sablewheel/serving/duplicate_checks.py
+++ b/sablewheel/serving/duplicate_checks.py
@@ -1,4 +1,4 @@
-"""Checks a request that arrives against those that are open or ran: ids used twice, and keyed duplicates."""
+"""Checks an arriving request against open and earlier requests: repeated ids, and keyed duplicates."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 def is_keyed(exchange: Exchange) -> bool:
-    """Whether the request is of a class that takes idempotency keys."""
+    """Whether the request's class uses idempotency keys."""
     return exchange.request.request_class.idempotency is Idempotency.KEYED
 
 
 class DuplicateChecks:
-    """Finds originals, and requests that contradict one that is known.
+    """Finds the originals of duplicates, and requests that conflict with a known request.
 
-    Clients that copy or mix up ids and idempotency keys must not change anything for the true request. The
-    price: a true request fails where a copy of its idempotency key came first and is still open.
+    Clients that copy or mix up ids and idempotency keys must not affect the correct request. One exception is
+    accepted: it fails if a request with a copy of its idempotency key arrived first and is still open.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         self._recent_runs, self._result_store = recent_runs, result_store
 
     def reuses_id(self, exchange: Exchange) -> bool:
-        """Whether the id is that of an open request, or of a run that only its id identifies."""
+        """Whether the id is that of an open request or, unless the request is keyed, of a recent run."""
         recent = exchange.name in self._recent_runs and not is_keyed(exchange)
         return exchange.name in self._open_ids or recent
 
@@ -47,7 +47,7 @@
         """Set the original of a keyed request, if it has one.
 
         Returns:
-            Why the request has to fail, or None if it is valid.
+            The reason why the request has to fail; None if it is valid.
         """
         original = self._find_original(exchange)
         exchange.original = original
@@ -55,14 +55,14 @@
             return None if original.has_same_content(exchange) else FailureReason.OTHER_CONTENT
         if exchange.name in self._recent_runs:
             return FailureReason.REPEATED_ID
-        # Its original may be forgotten, on either side of a restart, so it is neither run nor rejected.
+        # Its original may have been removed, before or after a restart, so it is neither run nor rejected.
         expired = self._idempotency_keys.may_have_expired(exchange.request.arrived_at, self._clock.now)
         if expired or self._result_store.may_have_run(exchange):
             return FailureReason.TOO_OLD
         return None
 
     def may_be_duplicate(self, exchange: Exchange) -> bool:
-        """Whether another attempt of this request ran or may run, in this process or one before it."""
+        """Whether another attempt of this request ran or may run, in this process or an earlier one."""
         if not is_keyed(exchange) or exchange.idempotency_key is None:
             return False
         if self._find_original(exchange) not in (None, exchange):
--- a/sablewheel/serving/exchange.py
+++ b/sablewheel/serving/exchange.py
@@ -1,9 +1,9 @@
-"""One attempt of a request on its way through the server.
+"""One attempt of a request while it is in the server.
 
-The listener creates an exchange, the dispatcher decides on it and the interpreter client runs it. What is
-passed on unchanged stays as the bytes received. An exchange gets at most one final answer. It reports the
-final outcome to its observer once; the observer passes on the answer of a completed request, and may delay it
-for a bounded time until its records are durable. All other answers leave at once.
+The listener creates an exchange, the dispatcher decides on it and the interpreter client runs it. Fields that
+are passed on unchanged are kept as the bytes received. An exchange gets at most one final answer. It reports
+the final outcome to its observer once; the observer passes on the answer of a completed request, and may
+delay it for a bounded time until its records are durable. All other answers are sent at once.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 
 def digest(request_class: bytes, body: bytes) -> bytes:
     """Return 16 bytes that identify the contents of a request, also after a restart."""
-    from hashlib import blake2b  # some MB that a server without a result store need not load
+    from hashlib import blake2b  # needs some MB, which a server without a result store saves
 
     return blake2b(request_class + b"\0" + body, digest_size=16).digest()
 
 
 class Caller(Protocol):
-    """Where a request came from and its answer goes: a client's connection or a forwarding server."""
+    """The source of a request and receiver of its answer: a client's connection or a forwarding server."""
 
     def completed(self, exchange: Exchange, result: bytes) -> None:
-        """Send the result."""
+        """Answer with the result."""
 
     def rejected(self, exchange: Exchange, retry_after_s: float, no_retry_elsewhere: bool) -> None:
         """Answer that the request never ran."""
@@ -36,19 +36,19 @@
 
 
 class RequestObserver(Protocol):
-    """Notified of each final outcome, once a request, before the answer is written."""
+    """Notified of the final outcome of each request, once and before the answer is written."""
 
     def completed(self, exchange: Exchange, result: bytes, caller: Caller) -> None:
-        """Pass the result to `caller.completed`, now or soon. A duplicate has an `exchange.original`."""
+        """Pass the result to `caller.completed`, perhaps later. Duplicates have an `exchange.original`."""
 
     def rejected(self, exchange: Exchange) -> None:
-        """The request never ran."""
+        """Called when the request is rejected and never ran."""
 
     def failed(self, exchange: Exchange) -> None:
-        """The request's answer is an error."""
+        """Called when the answer is an error."""
 
     def cancelled(self, exchange: Exchange) -> None:
-        """The client no longer waits, so there is no answer."""
+        """Called when the client no longer waits, so that there is no answer."""
 
 
 class NullObserver:
@@ -57,7 +57,7 @@
     __slots__ = ()
 
     def completed(self, exchange: Exchange, result: bytes, caller: Caller) -> None:
-        """Send the result at once."""
+        """Pass the result on at once."""
         caller.completed(exchange, result)
 
     def rejected(self, exchange: Exchange) -> None:
@@ -75,12 +75,12 @@
 
 @dataclass(slots=True)
 class ServerStatus:
-    """What this server reports to its clients.
+    """The status that this server reports to its clients.
 
     Attributes:
-        advertised: The capacity that goes with every answer, if any.
-        healthy: Whether the controller calls the server healthy.
-        interpreter_available: False once the interpreter has been away for long.
+        advertised: The capacity that is sent with every answer; None if there is none.
+        healthy: Whether the controller considers the server healthy.
+        interpreter_available: False once the interpreter has been disconnected for a long time.
     """
 
     advertised: float | None = None
@@ -89,7 +89,7 @@
 
 
 class ExchangeState(Enum):
-    """How far an exchange is."""
+    """The processing state of an exchange."""
 
     QUEUED = auto()
     RUNNING = auto()
@@ -98,26 +98,26 @@
 
 
 class Exchange:
-    """One attempt of a request, from its bytes to its answer.
+    """One attempt of a request, from its arrival to its answer.
 
-    Exchanges of keyed requests are retained for duplicates, without what those do not need.
+    Exchanges of keyed requests are retained for duplicates, without the data that duplicates do not need.
 
     Attributes:
         name: The id of the attempt, unique.
         tag: The number that the answer carries on its connection.
-        caller: Where the answer goes; None once it is given or nobody waits.
-        run_time_s: How long the run took, once it is over.
+        caller: The receiver of the answer; None once the request is answered or cancelled.
+        run_time_s: The run time, once the run has ended.
         notice_number: The number of the interpreter's notice that ended the run.
-        digest: Of class and body, where the exchange was recovered after a restart; else empty.
-        content_hash: Of class and body, to compare requests of one idempotency key.
-        billed: Whether the result of the run was given to somebody.
+        digest: The digest of class and body if the exchange was recovered after a restart; else empty.
+        content_hash: The hash of class and body, to compare requests with the same idempotency key.
+        billed: Whether the result of the run was sent to any caller.
         result: The result, as long as it is cached for duplicates.
         original: The exchange that this one is a duplicate of.
-        attached_duplicates: Duplicates that wait for the end of this one's run.
-        attached_at: When this one was attached to its original.
+        attached_duplicates: Duplicates that wait for the end of this exchange's run.
+        attached_at: When this exchange was attached to its original.
         arrival_uncertainty_s: By how much the request may have arrived later than stated.
-        client_deadline: When the client stops waiting, where clients state that.
-        session: The key of the request's session, where sessions are routed.
+        client_deadline: When the client times out; None if clients do not state that.
+        session: The key of the request's session; empty if sessions are not routed.
     """
 
     __slots__ = (
@@ -180,41 +180,45 @@
         return self.digest == digest(other.request_class, other.body)
 
     def deadline(self, propagated: bool) -> float:
-        """Return when the client stops waiting: as it states, if that counts, or by the request class."""
+        """Return when the client times out: as it states, if `propagated`, or else by the request class."""
         if propagated and self.client_deadline is not None:
             return self.client_deadline
         return self.request.arrived_at + self.request.request_class.timeout_s
 
     @property
     def closed(self) -> bool:
-        """Whether the answer is given, or nobody waits for it."""
+        """Whether the request was answered or cancelled."""
         return self.caller is None
 
     def complete(self, result: bytes) -> None:
-        """Answer with a result, if anybody waits."""
+        """Answer with a result, unless the request was answered or cancelled."""
         if (caller := self.detach()) is not None:
             self.observer.completed(self, result, caller)
 
     def reject(self, retry_after_s: float, no_retry_elsewhere: bool) -> None:
-        """Answer that the request never ran, if anybody waits."""
+        """Answer that the request never ran, unless it was answered or cancelled."""
         if (caller := self.detach()) is not None:
             self.observer.rejected(self)
             caller.rejected(self, retry_after_s, no_retry_elsewhere)
 
     def fail(self) -> None:
-        """Answer with an error, if anybody waits."""
+        """Answer with an error, unless the request was answered or cancelled."""
         if (caller := self.detach()) is not None:
             self.observer.failed(self)
             caller.failed(self)
 
     def cancel(self) -> bool:
-        """Note that nobody waits any more. Returns whether anybody did until now."""
+        """Mark the request as cancelled. Returns False if it was answered or cancelled before."""
         if self.detach() is None:
             return False
         self.observer.cancelled(self)
         return True
 
     def detach(self) -> Caller | None:
-        """Take over the duty to answer and to notify the observer. Returns None if nobody waits."""
+        """Remove and return the caller, which the calling code must answer after notifying the observer.
+
+        Returns:
+            None if the request was answered or cancelled.
+        """
         caller, self.caller = self.caller, None
         return caller
--- a/sablewheel/serving/fences.py
+++ b/sablewheel/serving/fences.py
@@ -1,7 +1,7 @@
-"""Proves which commands the interpreter has read.
+"""Tracks which commands the interpreter has provably read.
 
-A fence is a numbered query for gauges behind the commands of a round. Its answer proves that the commands
-before it were read.
+A fence is a numbered gauge query that is written after the commands of a round. Its answer proves that the
+commands before it were read.
 """
 
 from __future__ import annotations
@@ -9,32 +9,35 @@
 from collections import deque
 from math import inf
 
-LOSS_WINDOW_S = 0.05  # commands written so shortly before a break may be lost, whatever was answered since
-MAX_TRACKED_QUERIES = 4096  # older ones count as never answered
+LOSS_WINDOW_S = (
+    0.05  # commands written this shortly before a break may be lost, even if answered queries follow
+)
+MAX_TRACKED_QUERIES = 4096  # older queries count as never answered
 
 
 class Fences:
-    """The fences of one link after another; their numbers go on.
+    """The fences of all links, one link at a time; the numbers continue from link to link.
 
     Attributes:
-        last: The last fence that was written.
-        proven: The last fence that was answered.
-        safe: The last fence whose commands no break of the link can take back.
+        last: The number of the last fence that was written.
+        proven: The number of the last fence that was answered.
+        safe: The number of the last fence whose commands can no longer be lost by a break of the link.
     """
 
     def __init__(self) -> None:
         self.last = self.proven = self.safe = 0
-        # Of the present link: not answered, when written; answered but not safe yet, when answered.
+        # Of the present link: unanswered fences, each with the time when it was written, and answered fences
+        # that are not safe yet, each with the time of the answer.
         self._unanswered: deque[tuple[int, float]] = deque(maxlen=MAX_TRACKED_QUERIES)
         self._answered: deque[tuple[int, float]] = deque(maxlen=MAX_TRACKED_QUERIES)
 
     @property
     def next(self) -> int:
-        """The fence behind commands that are not written yet."""
+        """The number of the fence that will follow the commands that are not written yet."""
         return self.last + 1
 
     def write(self, now: float) -> int:
-        """Return the number of a fence that is written now."""
+        """Record a fence that is written now, and return its number."""
         self.last += 1
         self._unanswered.append((self.last, now))
         return self.last
@@ -45,12 +48,12 @@
         self._answered.clear()
 
     def answer(self, tag: bytes, now: float) -> int | None:
-        """Note the answer of a fence. Returns its number, or None if it proves nothing.
+        """Record the answer to a fence. Returns the fence's number, or None if the answer proves nothing.
 
-        An answer proves that what was written before its query was read, but a break may still take back the
-        last of that. It can't any more once a query is answered that was written LOSS_WINDOW_S after the
-        first answer was read, since the link was whole till then. Measured from reading to writing, this
-        holds in any stall.
+        An answer proves that the commands before its query were read, but the last of them may still be lost
+        in a break. They can no longer be lost once a query is answered that was written LOSS_WINDOW_S after
+        the first answer was read, since the link was intact until then. The time is measured from reading to
+        writing, so this also holds during a stall.
         """
         fence = int(tag) if tag.isdigit() else 0
         written_at = -inf
--- a/sablewheel/serving/hooks.py
+++ b/sablewheel/serving/hooks.py
@@ -1,4 +1,4 @@
-"""The hook for results that outlive a restart: what a result store must do, and the one that stores nothing.
+"""The hook for results that are kept across restarts: the result store, and one that stores nothing.
 
 The other hooks are defined where they are called: `RequestObserver` in `exchange.py`, and `RequestHandler`,
 which stands between the listener and the dispatcher, in `listener.py`.
@@ -15,41 +15,41 @@
 
 
 class ResultStore(Protocol):
-    """Remembers keyed runs over restarts."""
+    """Stores keyed runs across restarts."""
 
     @property
     def ready(self) -> bool:
-        """Whether all that is stored is known. Until then keyed requests wait; others are served."""
+        """Whether the stored runs are loaded. Until then keyed requests wait; others are served."""
 
     def recover_keys(
         self, interpreter_started_at: float, idempotency_keys: IdempotencyTable
     ) -> list[tuple[Request, float]]:
-        """Fill the idempotency table; called once the interpreter is up.
+        """Fill the idempotency table; called once the interpreter is running.
 
         Returns:
             The requests, each with the lifetime of its idempotency key in seconds.
         """
 
     def runs_to_adopt(self) -> tuple[list[Exchange], int]:
-        """Return runs of a predecessor that may still end, and the number of the last notice it read."""
+        """Return an earlier process's runs that may still end, and the number of the last notice it read."""
 
     def may_have_run(self, exchange: Exchange) -> bool:
-        """Whether a keyed request without a known original may have run in a predecessor."""
+        """Whether a keyed request without a known original may have run in an earlier process."""
 
     def prepare(self, exchange: Exchange) -> None:
-        """Note on a keyed request what else than cores its run would wait for, and whether it fits."""
+        """Set how long a keyed request's run would wait besides for cores, and when its key has capacity."""
 
     def reserve(self, exchange: Exchange) -> None:
-        """The controller reserved the idempotency key: the request may run."""
+        """Called when the controller has reserved the idempotency key: the request may run."""
 
     def release(self, exchange: Exchange) -> None:
-        """The request will not run, and its idempotency key is free."""
+        """Called when the request will not run and its idempotency key is free."""
 
     def before_run(self, exchange: Exchange, run: Callable[[Exchange], None]) -> None:
-        """Call `run` now, or once the run may start, or report that it never started."""
+        """Call `run` at once or when the run may start, or report that it never started."""
 
     def run_ended(self, exchange: Exchange, outcome: Outcome, result: bytes) -> None:
-        """A run is over; called before its answer is given."""
+        """Called when a run has ended, before its answer is sent."""
 
 
 class NullResultStore:
@@ -69,7 +69,7 @@
         return [], 0
 
     def may_have_run(self, exchange: Exchange) -> bool:
-        """Return False: without a store, that is not known of any request."""
+        """Return False: without a store, no earlier run is known."""
         return False
 
     def prepare(self, exchange: Exchange) -> None:
@@ -82,7 +82,7 @@
         """Do nothing."""
 
     def before_run(self, exchange: Exchange, run: Callable[[Exchange], None]) -> None:
-        """Call `run` now."""
+        """Call `run` at once."""
         run(exchange)
 
     def run_ended(self, exchange: Exchange, outcome: Outcome, result: bytes) -> None:
--- a/sablewheel/serving/idempotency_keys.py
+++ b/sablewheel/serving/idempotency_keys.py
@@ -1,7 +1,7 @@
 """The idempotency table: which exchange a request is a duplicate of, and the results cached for duplicates.
 
-The controller sets how long an entry is valid. It is looked up by when a duplicate reached the machine, not
-by when it is read, so it is retained for as long after it expired as a request may lie unread.
+The controller sets how long an entry is valid. Lookups use the time when a duplicate reached the machine, not
+the time when it is read, so an entry is retained after it expired for as long as a request may be unread.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class Entry:
-    """Who has an idempotency key, until when, and the entry that counts again if that never runs."""
+    """The exchange that holds an idempotency key, and the entry that becomes valid again if it never runs."""
 
     exchange: Exchange
     expires_at: float
@@ -27,13 +27,13 @@
 class IdempotencyTable:
     """Entries by idempotency key. Cached results are bounded by `max_result_bytes`.
 
-    A request that arrives after an entry expired takes the idempotency key over, and may then never run. So
-    its entry refers to that of the run before it, which counts again once the request releases the key.
+    A request that arrives after an entry expired takes over the idempotency key, but may never run. So its
+    entry refers to the entry of the previous run, which becomes valid again if the request releases the key.
 
     Args:
         max_wait_s: The longest timeout of any request class.
         slack_s: How much longer an entry is valid than the controller sets.
-        max_result_bytes: The bound of all cached results together.
+        max_result_bytes: The limit of the total size of cached results.
     """
 
     def __init__(self, max_wait_s: float, slack_s: float, max_result_bytes: int) -> None:
@@ -47,8 +47,8 @@
     def find(self, idempotency_key: bytes, arrived_at: float) -> Exchange | None:
         """Return the exchange that a request with this idempotency key is a duplicate of.
 
-        One that has not started counts after it expired as well: the later request might overtake it, and it
-        would then run within the window of that one.
+        An exchange that has not started is also returned after its entry expired. Otherwise the later request
+        might run first, and the earlier one would then run within the later one's window.
         """
         entry = self._entries.get(idempotency_key)
         if entry is None:
@@ -58,7 +58,7 @@
         return None
 
     def may_have_expired(self, arrived_at: float, now: float) -> bool:
-        """Whether the original of a request that arrived then may be swept already."""
+        """Whether the original of a request that arrived at `arrived_at` may already be swept."""
         return now - arrived_at > self.max_wait_s
 
     def reserve(self, exchange: Exchange, now: float, lifetime_s: float) -> None:
@@ -77,7 +77,7 @@
         heappush(self._expirations, (expires_at, idempotency_key))
 
     def release(self, exchange: Exchange) -> None:
-        """Give the entry back to the exchange before, if any: this one has not run and never will."""
+        """Remove the entry of an exchange that never runs, and restore the previous entry, if any."""
         idempotency_key = exchange.idempotency_key
         if idempotency_key is None or not self.is_reserved_by(exchange):
             return
@@ -87,7 +87,7 @@
             heappush(self._expirations, (previous.expires_at, idempotency_key))
 
     def is_reserved_by(self, exchange: Exchange) -> bool:
-        """Whether the entry of the exchange's idempotency key is its own."""
+        """Whether the exchange holds its idempotency key."""
         if exchange.idempotency_key is None:
             return False
         entry = self._entries.get(exchange.idempotency_key)
@@ -96,7 +96,7 @@
     def store_result(self, exchange: Exchange, result: bytes) -> None:
         """Cache a result for duplicates.
 
-        Beyond the bound the oldest results are dropped, and their duplicates fail.
+        Above the limit the oldest results are dropped, and their duplicates fail.
         """
         exchange.result = result
         self._cached[exchange] = None
--- a/sablewheel/serving/interpreter_client.py
+++ b/sablewheel/serving/interpreter_client.py
@@ -1,14 +1,15 @@
-"""The link to the interpreter: starts and cancels runs, receives their ends and the gauges.
-
-The link may break and come back. The interpreter numbers its notices and repeats those that a broken link
-missed. A query for gauges serves as a fence: its answer proves that the commands before it were read. The
-first fence of a link is written once the greeting has come; its answer shows that all repeated notices are
-in, and the link is ready.
-
-Commands given while no link is ready wait. A command that was written to a link that broke may have been
-carried out or not. It is written again only where a second run does no harm; for other runs the handler is
-notified that the start is unconfirmed. When the interpreter moves to another address, the old link serves
-until the new one stands, and is then left behind a fence, so that no command is under way between the two.
+"""The link to the interpreter: starts and cancels runs, receives their results and the gauges.
+
+The link may break and be opened again. The interpreter numbers its notices and repeats those that were lost
+with a broken link. A gauge query serves as a fence: its answer proves that the commands before it were read.
+The first fence of a link is written after the greeting; its answer shows that all repeated notices were
+received, and the link is ready.
+
+Commands given while no link is ready are queued. A command that was written to a link that broke may or may
+not have been carried out. It is written again only if a second run does no harm; for other runs the handler
+is notified that the start is unconfirmed. When the interpreter moves to another address, the old link is used
+until the new one is connected. It is then closed after a last fence was answered, so that no command is in
+transit on it when the new link is used.
 """
 
 from __future__ import annotations
@@ -27,14 +28,14 @@
 
 INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.02, 0.5  # between connection attempts
 GAUGES_INTERVAL_S, GAUGES_LIFETIME_S = 0.2, 0.5
-# Both in unanswered queries and not in seconds: a pause of the whole machine counts as one.
-MAX_UNANSWERED_QUERIES = 15  # the link is taken for dead
-MAX_UNANSWERED_FOR_START = 3  # then no command is written that may not be written twice
-HAND_OVER_TIMEOUT_S = 0.3  # for the fence on a link that is to be left; past it, it counts as broken
+# Both limits count unanswered queries, not seconds, so that a pause of the whole machine counts as one query.
+MAX_UNANSWERED_QUERIES = 15  # with more, the link counts as broken
+MAX_UNANSWERED_FOR_START = 3  # then no command is written that must not be repeated
+HAND_OVER_TIMEOUT_S = 0.3  # for the last fence on the old link, which then counts as broken
 HAND_OVER_CHECK_INTERVAL_S = 0.005
-ADOPTED_FENCE = -1  # of a run whose command was written by a predecessor of this process
+ADOPTED_FENCE = -1  # of a run whose command was written by an earlier process
 
-# The counters keep the names that alerts and dashboards know.
+# The names of the counters are used by alerts and dashboards.
 RUN_COUNTERS = {
     Outcome.SUCCEEDED: "runs_worked",
     Outcome.ERROR: "runs_error",
@@ -51,30 +52,30 @@
 
 
 class RunHandler(Protocol):
-    """Notified of what the interpreter reports."""
+    """Receives the interpreter's reports."""
 
     def interpreter_ready(self, cold: bool, uptime_s: float) -> None:
-        """The interpreter is up since `uptime_s`; `cold`: it was booting then."""
+        """Called at each greeting; the interpreter has run for `uptime_s`, and was booting then if `cold`."""
 
     def run_ended(self, exchange: Exchange, outcome: Outcome, run_time_s: float, result: bytes) -> None:
-        """A run is over."""
+        """Called when a run has ended."""
 
     def call_needed(self, exchange: Exchange) -> None:
-        """A run waits for a call of a dependency."""
+        """Called when a run waits for a dependency call."""
 
     def start_unconfirmed(self, exchange: Exchange) -> None:
-        """A run may or may not have started, and its command is not written again."""
+        """Called when a run may or may not have started, and its command is not written again."""
 
 
 class InterpreterClient:
-    """The one link to the interpreter.
+    """The client of the interpreter, with one link at a time.
 
     Args:
         connect: Opens a connection; returns None if that failed.
-        last_notice: The number of the last notice that was read, by a predecessor of this process.
+        last_notice: The number of the last notice that an earlier process read; 0 if there is none.
 
     Attributes:
-        discards_cancelled_runs: Whether the interpreter ends a cancelled run for good.
+        discards_cancelled_runs: Whether the interpreter discards the work of a cancelled run.
     """
 
     def __init__(
@@ -89,26 +90,29 @@
         self._scheduler, self._handler, self._count = scheduler, handler, count
         self._runs: dict[bytes, OpenRun] = {}
         self._stream: Stream | None = None
-        self._ready = False  # the first fence of the link was answered
+        self._ready = False  # whether the first fence of the link was answered
         self._last_notice = last_notice
-        self._unreadable_notice = 0  # the number of the notice that broke the link before, if it was the next
+        self._unreadable_notice = (
+            0  # number of the last notice that could not be parsed when it was the next one
+        )
         self._disconnected_since: float | None = scheduler.clock.now  # None while a link is ready
-        self._commands = bytearray()  # of this round
-        self._query_gauges = False  # at the end of this round
+        self._commands = bytearray()  # to be written at the end of this round
+        self._query_gauges = False  # whether the gauges are queried at the end of this round
         self._fences = Fences()
         self._gauges: tuple[float | None, ...] = ()
         self._gauges_received_at = 0.0
-        self._greeted = False  # on any link so far
-        self._answers_run_queries = False  # as the protocol says: one was answered by "nothing"
-        self._silent_queries = 0  # since the last byte received on this link, or while no greeting came
-        self._moves = 0  # addresses so far
+        self._greeted = False  # whether a greeting was received on any link so far
+        self._answers_run_queries = False  # whether one was answered by "nothing", as the protocol specifies
+        # Since the last data received on this link; link checks before its greeting count as well.
+        self._unanswered_queries = 0
+        self._address_count = 0  # number of addresses set so far
         self.connect_to(connect)
         scheduler.every(GAUGES_INTERVAL_S, self._check_link)
 
     def connect_to(self, connect: Callable[[], Stream | None]) -> None:
-        """Open links by `connect` from now on; the present one serves until a new one stands."""
-        self._moves += 1
-        self._scheduler.spawn(self._keep_connected, connect, self._moves)
+        """Open links by `connect` from now on; the present link is used until a new one is connected."""
+        self._address_count += 1
+        self._scheduler.spawn(self._keep_connected, connect, self._address_count)
 
     def gauges(self) -> tuple[float | None, ...]:
         """Return the gauges last received; empty if they are too old."""
@@ -117,7 +121,7 @@
 
     @property
     def disconnected_for_s(self) -> float:
-        """For how long no link has been ready: no run that was given since then has started."""
+        """For how long no link has been ready; no run requested in this time has started."""
         return (
             0.0 if self._disconnected_since is None else self._scheduler.clock.now - self._disconnected_since
         )
@@ -126,16 +130,16 @@
         """Start a run. The request's id must not be that of another open run."""
         run = self._runs[exchange.name] = OpenRun(exchange)
         self._count("runs_sent")
-        link_answers = self._silent_queries < MAX_UNANSWERED_FOR_START
-        if self._ready and (may_run_twice(exchange) or link_answers):
+        link_responds = self._unanswered_queries < MAX_UNANSWERED_FOR_START
+        if self._ready and (may_run_twice(exchange) or link_responds):
             self._write_start(run)
 
     def adopt(self, exchanges: list[Exchange], last_notice: int | None) -> None:
-        """Wait for the ends of runs that a predecessor of this process started.
+        """Wait for the ends of runs that an earlier process started.
 
         Args:
             exchanges: The requests of the runs, which are not started again.
-            last_notice: The number of the last notice that the predecessor read; None: as it is known here.
+            last_notice: The number of the last notice that the earlier process read; None: unchanged.
         """
         self._last_notice = self._last_notice if last_notice is None else last_notice
         for exchange in exchanges:
@@ -143,17 +147,17 @@
             run.fence = ADOPTED_FENCE
 
     def presume_lost(self, exchange: Exchange) -> None:
-        """Wait no longer for the end of this run; if it comes all the same, it is that of no open run."""
+        """Stop waiting for the end of a run; if it is reported later, it counts as that of an unknown run."""
         if exchange.name in self._runs:
             self._end_run(exchange.name, Outcome.LOST)
 
     def query_run(self, exchange: Exchange) -> None:
-        """Query whether a run goes on whose start is unconfirmed, now or once a link is ready.
+        """Query whether a run with an unconfirmed start is still running, now or once a link is ready.
 
-        The command to start it is written again. The interpreter ignores it while the run goes on, and
-        starts nothing for a request that is over, but reports that. So this is for answered requests only.
-        If a break loses the query, it is written again once the interpreter has reported so of any run: one
-        that started the run instead would start it twice.
+        The query is the start command, written again. The interpreter ignores it while the run continues. For
+        an answered request it starts nothing and reports that, so only answered requests are queried. A query
+        that is lost in a break is written again only once the interpreter has answered a query of any run
+        like that: an interpreter that starts the run instead would start it twice.
         """
         run = self._runs.get(exchange.name)
         if run is not None and run.unconfirmed and exchange.closed:
@@ -171,7 +175,7 @@
                 self._commands += interpreter.encode_cancel_run(exchange.name)
 
     def flush(self) -> None:
-        """Write the commands of this round, with a fence behind them."""
+        """Write the commands of this round, followed by a fence."""
         if self._stream is not None and (self._commands or self._query_gauges):
             fence = self._fences.write(self._scheduler.clock.now)
             self._stream.write(bytes(self._commands) + interpreter.encode_gauge_query(b"%d" % fence))
@@ -181,18 +185,19 @@
 
     # -- the link
 
-    def _keep_connected(self, connect: Callable[[], Stream | None], move: int) -> None:
-        """Serve links to one address until the interpreter moves."""
+    def _keep_connected(self, connect: Callable[[], Stream | None], address_number: int) -> None:
+        """Open and serve links to one address until the interpreter moves to another one."""
         backoff_s = INITIAL_BACKOFF_S
-        while move == self._moves:
+        while address_number == self._address_count:
             stream = self._try_connect(connect)
             if stream is None:
                 self._scheduler.sleep(backoff_s)
                 backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
                 continue
-            if move == self._moves:
-                self._leave_old_link()
-                # Also if it moved again meanwhile: this link serves until the next stands, unless one does.
+            if address_number == self._address_count:
+                self._close_old_link()
+                # Even if it moved again meanwhile: this link is used until the next is connected, unless
+                # that one is connected already.
                 if self._stream is None:
                     self._serve(stream)
                     self._scheduler.sleep(INITIAL_BACKOFF_S)
@@ -202,13 +207,13 @@
     def _try_connect(self, connect: Callable[[], Stream | None]) -> Stream | None:
         try:
             return connect()
-        except Exception:  # must not end the greenlet: nobody would connect again
+        except Exception:  # must not end the greenlet: no link would be opened after that
             self._count("faults")
-            log.exception("no link for a fault")
+            log.exception("connection attempt to the interpreter ended by a fault")
             return None
 
-    def _leave_old_link(self) -> None:
-        """Withhold commands until the old link has proven that it read all; then close it."""
+    def _close_old_link(self) -> None:
+        """Withhold commands until the interpreter has provably read all on the old link; then close that."""
         old = self._stream
         if old is None:
             return
@@ -218,12 +223,12 @@
             while self._stream is old and self._fences.proven < fence and self._scheduler.clock.now < until:
                 self._scheduler.sleep(HAND_OVER_CHECK_INTERVAL_S)
             if self._stream is old and self._fences.proven >= fence:
-                self._fences.safe = fence  # the link is left, and did not break
+                self._fences.safe = fence  # the link is closed on purpose, and did not break
         if self._stream is old:
             self._lose_link(old, "the interpreter moved")
 
     def _serve(self, stream: Stream) -> None:
-        """Receive notices until the link ends, for whatever reason."""
+        """Receive notices until the link ends for any reason."""
         self._count("links")
         try:
             self._receive(stream)
@@ -232,7 +237,7 @@
             self._count("notices_garbled")
             self._skip_unreadable(error)
             reason = error
-        except Exception as error:  # an internal error must not leave the server without its interpreter
+        except Exception as error:  # an internal error must not end the reconnection loop
             self._count("faults")
             log.exception("link broken by a fault")
             reason = error
@@ -240,7 +245,7 @@
             self._lose_link(stream, reason)
 
     def _lose_link(self, stream: Stream, reason: object) -> None:
-        """Close the link. Commands that were not written yet wait for the next."""
+        """Close the link. Commands that were not written yet are written to the next one."""
         unproven = sum(run.fence > self._fences.proven for run in self._runs.values())
         pairs = {"reason": reason, "open_runs": len(self._runs), "unproven": unproven}
         log.warning("link to the interpreter lost", extra={"pairs": pairs})
@@ -251,23 +256,23 @@
         self._fences.lose_link()
         for run in self._runs.values():
             if run.fence > self._fences.last or run.command_end > stream.bytes_sent:
-                run.fence = 0  # not all of its command was handed to the system, so nobody has read it
+                run.fence = 0  # its command was not completely handed to the system, so it was not read
             run.command_end = 0
         stream.close()
 
     def _receive(self, stream: Stream) -> None:
         """Read one link from its first message to its end."""
         parser = interpreter.Parser()
-        safe_before = self._fences.safe  # of the links before this one
-        opening_fence = 0  # none before the greeting, as no command is carried out till then
-        self._stream, self._silent_queries = stream, 0
+        safe_before = self._fences.safe  # on the links before this one
+        opening_fence = 0  # 0 before the greeting, as no command is carried out until then
+        self._stream, self._unanswered_queries = stream, 0
         stream.write(interpreter.encode_connect(self._last_notice))
         stream.flush()
         while data := stream.read():
-            was_silent, self._silent_queries = self._silent_queries >= MAX_UNANSWERED_FOR_START, 0
+            was_silent, self._unanswered_queries = self._unanswered_queries >= MAX_UNANSWERED_FOR_START, 0
             if was_silent and self._ready:
                 self._start_waiting()
-            # again with nothing new, until no notice is left or it raises
+            # repeated without new data, until no notice is left or the parser raises
             while notices := parser.feed(data):
                 data = b""
                 for notice in notices:
@@ -292,19 +297,19 @@
                 self._last_notice = max(self._last_notice, notice.number)
             case interpreter.CommandRejected():
                 self._handle_rejection(notice)
-                if notice.command is interpreter.Command.GAUGES:  # no gauges here, but a fence all the same
+                if notice.command is interpreter.Command.GAUGES:  # no gauges, but still the answer to a fence
                     self._pass_fence(notice.name, opening_fence, safe_before)
             case interpreter.Gauges():
                 self._gauges, self._gauges_received_at = notice.values, self._scheduler.clock.now
                 self._pass_fence(notice.tag, opening_fence, safe_before)
 
     def _skip_unreadable(self, error: interpreter.ProtocolError) -> None:
-        """Skip the next notice once it was unreadable twice in a row.
+        """Skip the next notice if it could not be parsed twice in a row.
 
-        A link that breaks for a notice receives it again after the break. If the interpreter sends what this
-        version does not know, or the same mistake each time, no run would ever end. The first time may be an
-        accident of the link, so the notice is read again. The run that it is about has no other notice: it is
-        lost, if its id can be parsed.
+        A notice that can't be parsed breaks the link and is repeated on the next link. If the interpreter
+        sends a notice that this version does not support, or repeats an invalid one, no run would ever end.
+        The first failure may be a transmission error, so the notice is read again. There is no other notice
+        of the run that it belongs to, so that run is lost, if its id can be parsed.
         """
         number = error.number
         if number and number == self._last_notice + 1:
@@ -316,17 +321,17 @@
             self._unreadable_notice = number
 
     def _pass_fence(self, tag: bytes, opening_fence: int, safe_before: int) -> None:
-        """Note an answered fence; the first one of a link makes the link ready."""
+        """Record an answered fence; the first one of a link makes the link ready."""
         fence = self._fences.answer(tag, self._scheduler.clock.now)
         if fence is not None and not self._ready and fence == opening_fence:
             self._link_ready(safe_before)
 
     def _link_ready(self, safe_before: int) -> None:
-        """Write the commands that waited, and again those that may not have been read and may run twice."""
+        """Write the queued commands, and repeat those that may not have been read and are safe to repeat."""
         disconnected_for_s = self.disconnected_for_s
         self._ready, self._disconnected_since = True, None
-        # A run that ends while its command is written again is started anew, and no query before can rule
-        # that out. So what may not run twice is left to its end, whether that is notified or not.
+        # A run that ends while its command is written again is started a second time, which no earlier query
+        # can rule out. So a run that must not be repeated is left to end, whether or not that is reported.
         unproven = [run for run in self._runs.values() if run.fence > safe_before]
         resent = [run for run in unproven if may_run_twice(run.exchange)]
         unconfirmed = [run for run in unproven if not may_run_twice(run.exchange) and not run.unconfirmed]
@@ -334,7 +339,7 @@
         for run in resent:
             self._resend(run)
         for run in unconfirmed:
-            self._leave_unconfirmed(run)
+            self._report_unconfirmed(run)
         for run in self._runs.values():
             if run.cancelled:
                 self._commands += interpreter.encode_cancel_run(run.exchange.name)
@@ -350,19 +355,19 @@
         log.info("link to the interpreter ready", extra={"pairs": pairs})
 
     def _start_waiting(self) -> int:
-        """Write the commands that were never written, but end the runs that nobody waits for any more.
+        """Write the start commands that were never written, and end the runs that no caller waits for.
 
         Returns:
-            How many commands were written.
+            The number of commands written.
         """
         waiting = [run for run in self._runs.values() if not run.fence]
-        wanted = [run for run in waiting if not run.exchange.closed or run.exchange.attached_duplicates]
-        for run in wanted:
+        awaited = [run for run in waiting if not run.exchange.closed or run.exchange.attached_duplicates]
+        for run in awaited:
             self._write_start(run)
         for run in waiting:
-            if run not in wanted:
+            if run not in awaited:
                 self._end_run(run.exchange.name, Outcome.NEVER_STARTED)
-        return len(wanted)
+        return len(awaited)
 
     def _resend(self, run: OpenRun) -> None:
         run.resent = True
@@ -370,7 +375,7 @@
         run.log_unproven("command resent after reconnect", self._scheduler.clock.now)
         self._write_start(run)
 
-    def _leave_unconfirmed(self, run: OpenRun) -> None:
+    def _report_unconfirmed(self, run: OpenRun) -> None:
         run.unconfirmed = True
         self._count("runs_unconfirmed")
         run.log_unproven("start of a run unconfirmed", self._scheduler.clock.now)
@@ -391,15 +396,16 @@
         self._commands += interpreter.encode_start_run(exchange.name, exchange.request_class, exchange.body)
 
     def _check_link(self) -> None:
-        """Query the gauges, and close a link that is open but dead.
+        """Query the gauges, and close a link that is open but does not respond.
 
-        So is one on which no greeting or no first answer comes, once the interpreter has greeted at all;
-        before, it may just not be up. To close a link that only stalls does no harm: it is opened again.
+        This includes a link without a greeting or a first answer, once there was a greeting on any link;
+        before that, the interpreter may not be running yet. Closing a link that only stalls does no harm, as
+        it is opened again.
         """
         self._query_gauges = self._query_gauges or self._ready
         if self._greeted and self._stream is not None:
-            self._silent_queries += 1
-            if self._silent_queries > MAX_UNANSWERED_QUERIES:
+            self._unanswered_queries += 1
+            if self._unanswered_queries > MAX_UNANSWERED_QUERIES:
                 self._count("links_silent")
                 self._stream.close()
 
@@ -413,13 +419,13 @@
             return
         if run.resent:
             run.log_result_of_resent(notice.number, self._scheduler.clock.now)
-            if self.discards_cancelled_runs:  # it may have started once more, and nobody counts that run
+            if self.discards_cancelled_runs:  # it may have started a second time, and that run is not tracked
                 self._commands += interpreter.encode_cancel_run(notice.name)
         run.exchange.notice_number = notice.number
         outcome = notice.outcome
         if run.query is RunQuery.WRITTEN and outcome is Outcome.NEVER_STARTED:
             self._answers_run_queries = True
-            outcome = Outcome.LOST  # nothing runs, but that does not prove that nothing ever ran
+            outcome = Outcome.LOST  # it is not running, which does not prove that it never ran
         self._end_run(notice.name, outcome, notice.run_time_s, notice.result)
 
     def _handle_call_needed(self, notice: interpreter.CallNeeded) -> None:
@@ -430,7 +436,7 @@
     def _handle_rejection(self, notice: interpreter.CommandRejected) -> None:
         """End a run whose command was not carried out.
 
-        It never started, unless its command was written before: then its idempotency key must not be
+        It never started, unless its command was also written earlier: then its idempotency key must not be
         released, or a duplicate would run a second time.
         """
         self._count("commands_rejected")
--- a/sablewheel/serving/listener.py
+++ b/sablewheel/serving/listener.py
@@ -1,4 +1,4 @@
-"""The clients' side: takes in connections, makes requests of messages, and closes what is unused or stuck."""
+"""The clients' connections: converts messages to requests, and closes unused or stuck connections."""
 
 from __future__ import annotations
 
@@ -17,37 +17,39 @@
 from .exchange import NO_OBSERVER, Exchange, RequestObserver, ServerStatus
 
 SWEEP_INTERVAL_S = 0.25
-CLOSE_GRACE_S = 1.0  # for a client to close an idle connection after an announcement
+CLOSE_GRACE_S = 1.0  # for a client to close an idle connection after the announcement
 LINGER_TIMEOUT_S = 0.5  # for a client to close a connection that was shut down
-# Once more than one part in so many of the table is used, unused connections are asked to close.
-CROWDED_DIVISOR = 4
+# While the table holds more than its size divided by this, connections that are unused for MIN_UNUSED_S are
+# asked to close.
+CLOSE_UNUSED_DIVISOR = 4
 MIN_UNUSED_S = 2.0
-# While the table is full, connections idle for so long are evicted, one part in so many of the table at a
-# time.
+# While the table is full, connections that are idle for MIN_IDLE_WHEN_FULL_S are evicted, at most the size of
+# the table divided by EVICTION_DIVISOR at a time.
 MIN_IDLE_WHEN_FULL_S = 0.1
 EVICTION_DIVISOR = 8
-# Of a request's arrival: no wait and no two readings of one clock differ by more.
+# Limits of a request's time of arrival: no request waits longer, and no two readings of one clock differ by
+# more.
 MAX_REQUEST_AGE_S, MAX_CLOCK_AHEAD_S = 60.0, 1.0
 
 log = logging.getLogger(__name__)
 
 
 class RequestHandler(Protocol):
-    """Notified of what clients sent."""
+    """Receives the clients' requests and cancellations."""
 
     def arrived(self, exchange: Exchange) -> None:
-        """A request was received."""
+        """Called when a request was received."""
 
     def cancelled(self, exchange: Exchange) -> None:
-        """The client no longer waits."""
+        """Called when the client no longer waits for an answer."""
 
 
 class RequestListener:
     """All clients' connections.
 
     Args:
-        max_connections: How many connections there may be.
-        expected_clients: How many clients the settings name.
+        max_connections: The limit of the number of connections.
+        expected_clients: The number of clients in the settings.
     """
 
     def __init__(
@@ -74,15 +76,15 @@
         scheduler.every(SWEEP_INTERVAL_S, self._sweep)
 
     def expect_clients(self, count: int) -> None:
-        """Retain as many clients as are expected, and as may be connected."""
+        """Set the number of expected clients, on which the number of retained clients depends."""
         self._clients.set_capacity(count, self._max_connections)
 
     def set_max_connections(self, max_connections: int) -> None:
-        """Set how many connections there may be; excess ones are closed as in a full table."""
+        """Set the limit of connections; excess connections are closed as in a full table."""
         self._max_connections = max_connections
 
     def set_idle_timeout(self, idle_timeout_s: float) -> None:
-        """Announce the close of connections that are idle for so long."""
+        """Set after how many idle seconds the close of a connection is announced."""
         self._idle_timeout_s = idle_timeout_s
 
     # -- connections
@@ -129,7 +131,7 @@
         """Return the request of a message, its names resolved.
 
         Raises:
-            InvalidMessageError: A name is unknown, the key is missing or the time is out of range.
+            InvalidMessageError: A name is unknown, the idempotency key is missing or the time is not valid.
         """
         request_class = self._request_classes.get(message.request_class)
         tenant = self._tenants.get(message.tenant)
@@ -140,7 +142,7 @@
         if tenant is None and self._tenants:
             raise resp.InvalidMessageError(f"unknown tenant: {message.tenant[:40]!r}", message.tag)
         if request_class.idempotency is Idempotency.KEYED and not message.idempotency_key:
-            raise resp.InvalidMessageError("no idempotency key in a keyed request class", message.tag)
+            raise resp.InvalidMessageError("missing idempotency key in a keyed request class", message.tag)
         arrived_at = self._arrived_at(message)
         return Request(
             request_class,
@@ -158,23 +160,23 @@
         now = self.scheduler.clock.now
         if not now - MAX_REQUEST_AGE_S < arrived_at < now + MAX_CLOCK_AHEAD_S:
             raise resp.InvalidMessageError(
-                f"a figure out of range: since={message.arrived_at_unix:.3f}", message.tag
+                f"field out of range: since={message.arrived_at_unix:.3f}", message.tag
             )
-        return min(arrived_at, now)  # the sender's reading, in whole milliseconds, may lie ahead of ours
+        return min(arrived_at, now)  # the sender's reading, in whole milliseconds, may be ahead of this one
 
     # -- the connection table
 
     def has_capacity(self) -> bool:
-        """Whether another connection may be taken in."""
+        """Whether another connection may be accepted."""
         return len(self.connections) < self._max_connections
 
     def evict_unused(self) -> None:
         """Close idle connections of a full table.
 
-        Those that never sent a frame are closed first, then the longest unused.
-        The close is not announced first, as new clients would have to wait for those that don't heed it. The
-        price: a client whose next request crosses the close has to send it again. Connections that are about
-        to close count as evicted, so that no more are closed than stand in the way.
+        Connections that never sent a frame are closed first, then those unused for the longest time. The
+        close is not announced, as new clients would have to wait for clients that ignore the announcement. As
+        a consequence, a client whose next request crosses the close has to send it again. Connections that
+        are already being closed count as evicted, so that no more are closed than necessary.
         """
         used_before = self.scheduler.clock.now - MIN_IDLE_WHEN_FULL_S
         limit = max(self._max_connections // EVICTION_DIVISOR, 1)
@@ -189,13 +191,13 @@
             if connection.idle and connection.last_used_at <= used_before and connection.shut_down_at is None
         ]
         idle.sort(key=lambda connection: (connection.has_received, connection.last_used_at))
-        # Only those to be closed are checked for unread bytes, since that is a system call each.
+        # Only connections that would be closed are checked for unread data: each check is a system call.
         evictable = (connection for connection in idle if not connection.stream.unread)
         for connection in islice(evictable, max(limit, 0)):
             self.count("connections_crowded_out")
             if connection.has_received:
                 connection.shut_down(CloseReason.CROWDED_OUT)
-            else:  # nothing was ever answered that a reset could take along
+            else:  # no answer was sent that a reset could destroy
                 connection.close(CloseReason.CROWDED_OUT)
 
     def announce_close(self) -> None:
@@ -204,12 +206,12 @@
             connection.announce_close(CloseReason.DRAINING)
 
     def stop_reading(self) -> None:
-        """Take in nothing more, since the process is about to end; each connection ends once it is answered.
+        """Accept no more data, since the process is about to stop; connections close once all is answered.
 
-        Unread bytes would make the end a reset, which takes along answers that clients have not read yet.
+        A close with unread data would be a reset, which destroys answers that the client has not read yet.
         """
         for connection in list(self.connections):
-            if not connection.stream.unread:  # else what was received is owed its answer first
+            if not connection.stream.unread:  # else the received requests must be answered first
                 connection.stop_reading(CloseReason.STOPPING)
 
     def _sweep(self) -> None:
@@ -219,7 +221,7 @@
         for connection in list(self.connections):
             if not self._close_overdue(connection, longest_timeout_s) and connection.idle:
                 self._close_idle(connection)
-        self._announce_close_when_crowded()
+        self._announce_close_to_unused()
 
     def _close_overdue(self, connection: Connection, longest_timeout_s: float) -> bool:
         """Close a connection whose peer has taken too long. Returns whether it was shut down or overdue."""
@@ -229,12 +231,12 @@
                 connection.close(CloseReason.LINGERED)
             return True
         if stream.stuck_since is not None and now > stream.stuck_since + longest_timeout_s + CLOSE_GRACE_S:
-            # Whatever it is owed is past its time.
+            # The deadlines of all its unsent answers have passed.
             self.count("connections_stuck")
             connection.close(CloseReason.STUCK)
             return True
         if now > connection.frame_deadline and stream.all_sent:
-            if not stream.unread:  # else its end was just received
+            if not stream.unread:  # else the rest of the frame may have just arrived
                 self.count("connections_unfinished" if connection.has_received else "connections_silent")
                 connection.stop_reading(CloseReason.UNFINISHED)
             return True
@@ -250,10 +252,10 @@
         elif self._idle_timeout_s is not None and now > connection.last_used_at + self._idle_timeout_s:
             connection.announce_close(CloseReason.UNUSED)
 
-    def _announce_close_when_crowded(self) -> None:
-        """Ask the longest unused connections to close while the table is more than a part full."""
+    def _announce_close_to_unused(self) -> None:
+        """Ask the connections unused for the longest time to close, while too many are open."""
         staying = [connection for connection in self.connections if not connection.close_announced]
-        excess = len(staying) - self._max_connections // CROWDED_DIVISOR
+        excess = len(staying) - self._max_connections // CLOSE_UNUSED_DIVISOR
         if excess > 0:
             used_before = self.scheduler.clock.now - MIN_UNUSED_S
             unused = [
--- a/sablewheel/serving/open_requests.py
+++ b/sablewheel/serving/open_requests.py
@@ -1,4 +1,4 @@
-"""The requests that are not over, and how they end."""
+"""The requests that are not finished, and how they are finished."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class OpenRequests:
-    """Requests until they are answered and off the interpreter.
+    """Requests that are not answered yet, or still run on the interpreter.
 
     Attributes:
         ids: The ids of the open requests.
@@ -32,12 +32,12 @@
         return request in self._exchanges
 
     def add(self, exchange: Exchange) -> None:
-        """Take in a request."""
+        """Add a request."""
         self._exchanges[exchange.request] = exchange
         self.ids.add(exchange.name)
 
     def get(self, request: Request) -> Exchange | None:
-        """Return the exchange of a request; None if it is over."""
+        """Return the exchange of a request; None if it is finished."""
         return self._exchanges.get(request)
 
     def all(self) -> list[Exchange]:
@@ -45,7 +45,7 @@
         return list(self._exchanges.values())
 
     def attach_to_original(self, exchange: Exchange) -> None:
-        """Answer with the result of the original once there is one, which may be now."""
+        """Answer with the result of the original once it has ended, which may be at once."""
         if exchange.state is not ExchangeState.QUEUED:
             return
         exchange.state, exchange.attached_at = ExchangeState.ATTACHED, self._clock.now
@@ -56,18 +56,18 @@
             original.attached_duplicates.append(exchange)
 
     def fail(self, exchange: Exchange, reason: FailureReason) -> None:
-        """Answer with an error, if anybody waits."""
+        """Answer with an error, unless the request was answered or cancelled."""
         if not exchange.closed:
             self._outcomes.count_failure(exchange, reason)
         exchange.fail()
 
     def finish_unless_running(self, exchange: Exchange) -> None:
-        """Drop a request that got its answer, unless its run goes on."""
+        """Remove an answered request, unless its run continues."""
         if exchange.state in (ExchangeState.QUEUED, ExchangeState.ATTACHED):
             self.finish(exchange)
 
     def finish(self, exchange: Exchange, result: bytes | None = None) -> None:
-        """Drop a request that is over, and answer its duplicates; the idempotency table may retain it."""
+        """Remove a finished request and answer its duplicates; the idempotency table may retain it."""
         exchange.state = ExchangeState.FINISHED
         exchange.body, exchange.original = b"", None
         if self._exchanges.pop(exchange.request, None) is not None:
--- a/sablewheel/serving/open_run.py
+++ b/sablewheel/serving/open_run.py
@@ -1,4 +1,4 @@
-"""A run on the interpreter whose end is not known."""
+"""A run on the interpreter whose end was not reported yet."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 from ..protocol.interpreter import RunFinished
 from .exchange import Exchange
 
-log = logging.getLogger(__name__)  # apart from the link's: there are many lines of runs when it breaks
+log = logging.getLogger(__name__)  # separate from the link's, as a break of the link may log many runs
 
 
 class RunQuery(Enum):
-    """How far the query is whether a run goes on whose start is unconfirmed."""
+    """The state of the query whether a run with an unconfirmed start is still running."""
 
     NONE = auto()
     WANTED = auto()
-    WRITTEN = auto()  # on some link, not answered
+    WRITTEN = auto()  # written on any link, but not answered
 
 
 class OpenRun:
-    """A run whose end is not known.
+    """A run whose end was not reported yet.
 
     Attributes:
-        fence: The query behind its command, whose answer proves that the command was read; 0: not written.
-        command_end: Where its command ends among the bytes of the present link; 0 if it is not among them.
+        fence: The number of the fence whose answer proves that its command was read; 0: not written.
+        command_end: The position of the end of its command in the present link's bytes; 0: not written there.
         sent_at: When its command was last written.
         unconfirmed: Whether the handler was notified that its start is unconfirmed.
         cancelled: Whether it is to be cancelled.
-        query: Whether the interpreter is queried whether it goes on.
+        query: The state of the query whether it is still running.
         resent: Whether its command was written again, though the first may have been carried out.
     """
 
--- a/sablewheel/serving/outcome_counters.py
+++ b/sablewheel/serving/outcome_counters.py
@@ -12,7 +12,7 @@
 
 
 class OutcomeCounters:
-    """Counters by name; `rejections` also counts those without a time to retry after."""
+    """Counters by name; `rejections` also counts rejections without a retry time."""
 
     def __init__(self) -> None:
         self.rejections: dict[str, int] = {}
--- a/sablewheel/serving/recent_runs.py
+++ b/sablewheel/serving/recent_runs.py
@@ -1,8 +1,8 @@
 """The ids of requests whose run started recently and must not be started again.
 
-A client gives each attempt an id of its own. An id that is received again is a copy, by a mistake or by a
-resend of what was thought to be lost. While the first is open, the table of open requests has it; after that,
-this one does.
+A client gives each attempt a unique id. An id that is received again is a copy, made by mistake or by
+resending a request that was considered lost. While the first request is open, the table of open requests has
+the id; after that, this table has it.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
     def add(self, name: bytes, now: float) -> None:
         """Retain the id of a run that starts now."""
-        self._expires_at.pop(name, None)  # so that the order stays that of the times
+        self._expires_at.pop(name, None)  # so that the ids stay in the order of the times
         self._expires_at[name] = now + self.lifetime_s
 
     def discard(self, name: bytes) -> None:
-        """Drop the id of a run that never started after all."""
+        """Drop the id of a run that never started."""
         self._expires_at.pop(name, None)
 
     def sweep(self, now: float) -> None:
--- a/sablewheel/serving/start_queue.py
+++ b/sablewheel/serving/start_queue.py
@@ -1,4 +1,4 @@
-"""Requests that arrived before the server can decide on them."""
+"""The queue of requests that arrive before the server can decide on them."""
 
 from __future__ import annotations
 
@@ -9,10 +9,11 @@
 
 
 class StartQueue:
-    """Retains requests until the interpreter is up and all that is stored is known, or their time is up.
+    """Retains requests until the interpreter is running and the stored runs are loaded, or until a timeout.
 
-    Before that, two attempts with one idempotency key would know neither of each other nor of an original
-    that ran before the start, and each would run. `on_timeout` gets each request whose time is up.
+    Before that, two attempts with the same idempotency key would not be linked to each other or to an
+    original that ran before the start, and each would run. `on_timeout` is called with each request that
+    times out.
     """
 
     def __init__(self, scheduler: Scheduler, on_timeout: Callable[[Exchange], None]) -> None:
@@ -33,7 +34,7 @@
         self._scheduler.after(max(timeout_s, 0.0), time_out)
 
     def discard(self, exchange: Exchange) -> bool:
-        """Drop a request. Returns whether it was here."""
+        """Remove a request. Returns whether it was queued."""
         if exchange not in self._exchanges:
             return False
         del self._exchanges[exchange]
--- a/sablewheel/transport/__init__.py
+++ b/sablewheel/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Greenlets over select.poll, and the streams and datagrams that wait on it."""
+"""An event loop of greenlets over select.poll, with streams and datagram sockets on it."""
--- a/sablewheel/transport/background.py
+++ b/sablewheel/transport/background.py
@@ -1,4 +1,4 @@
-"""Runs background tasks at the end of rounds, after all that requests needed."""
+"""Runs background tasks at the end of a round of the event loop, after the work for requests."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from .periodic import PeriodicScheduler, PeriodicTask
 from .scheduler import Scheduler, Timer
 
-MAX_ROUND_TIME_S = 0.002  # of all steps in one round without requests
-MIN_RECHECK_S = 0.01  # until the next round for tasks alone; rounds in quicker succession would be a load
+MAX_ROUND_TIME_S = 0.002  # run time of all steps in a round without requests
+MIN_RECHECK_S = 0.01  # until a round for background tasks only; more frequent rounds would be a load
 
 log = logging.getLogger(__name__)
 
@@ -19,7 +19,7 @@
     """The background tasks of one scheduler.
 
     Args:
-        batch_count: Returns a number that changes whenever a round carried requests.
+        batch_count: Returns a number that changes with each round that handled requests.
     """
 
     def __init__(self, scheduler: Scheduler, batch_count: Callable[[], int]) -> None:
@@ -30,7 +30,7 @@
         self._timer: Timer | None = None
 
     def add(self, name: str, priority: int, share: float, step: Callable[[], bool]) -> PeriodicTask:
-        """Add a task; `step` does one small piece and returns whether there is more to do now."""
+        """Add a task; `step` does a small unit of work and returns whether there is more to do now."""
         task = PeriodicTask(name, priority, share)
         self._periodic_scheduler.add(task)
         self._steps[name] = step
@@ -38,11 +38,11 @@
 
     def want(self, task: PeriodicTask) -> None:
         """Ask for a step of a task."""
-        self._periodic_scheduler.want(task, self._scheduler.clock.now)
+        self._periodic_scheduler.request_step(task, self._scheduler.clock.now)
 
     def end_round(self) -> None:
         """Run the steps for which there is time, and set a timer for the others."""
-        if not self._periodic_scheduler.wanted:
+        if not self._periodic_scheduler.has_pending:
             return
         count = self._batch_count()
         busy, self._last_count = count != self._last_count, count
@@ -60,7 +60,7 @@
             started = time.perf_counter()
             more = self._run_step(task)
             ended = time.perf_counter()
-            self._periodic_scheduler.done(task, now, ended - started, more)
+            self._periodic_scheduler.record_step(task, now, ended - started, more)
             if busy or ended - round_started > MAX_ROUND_TIME_S:
                 return
 
--- a/sablewheel/transport/datagram.py
+++ b/sablewheel/transport/datagram.py
@@ -1,4 +1,4 @@
-"""UDP sockets. What cannot be sent is dropped, as the network might have done."""
+"""UDP sockets. A datagram that cannot be sent is dropped, as it may be in the network."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from .scheduler import READABLE, Scheduler
 from .stream import Address
 
-MAX_DATAGRAMS_PER_ROUND = 64  # a flood of them must not keep requests waiting
-# Room for what a large fleet sends at once: by default some 250 small datagrams fit. The kernel may give
-# less.
+MAX_DATAGRAMS_PER_ROUND = 64  # so that a flood of datagrams does not delay requests
+# Large enough for a burst from a large fleet; the default size holds some 250 small datagrams. The kernel may
+# grant less.
 RECEIVE_BUFFER_BYTES = 1 << 21
 
 
@@ -27,7 +27,7 @@
         self._address = address
 
     def send(self, data: bytes) -> bool:
-        """Send a datagram. Returns whether the system took it."""
+        """Send a datagram. Returns whether the system accepted it."""
         return _send(self._socket, data, self._address)
 
     def close(self) -> None:
@@ -38,7 +38,7 @@
 class DatagramSocket:
     """A bound socket; `on_datagram` gets each datagram with its source.
 
-    A datagram longer than `max_bytes` is cut to one byte more.
+    A datagram longer than `max_bytes` is truncated to one byte more than that.
     """
 
     def __init__(
@@ -57,14 +57,14 @@
         scheduler.spawn(self._receive)
 
     def send(self, data: bytes, address: Address) -> bool:
-        """Send a datagram. Returns whether the system took it."""
+        """Send a datagram. Returns whether the system accepted it."""
         return _send(self._socket, data, address)
 
     def close(self) -> None:
         """Close the socket; safe to call twice."""
         if self._open:
             self._open = False
-            self._scheduler.forget(self._socket.fileno())
+            self._scheduler.unregister(self._socket.fileno())
             self._socket.close()
 
     def _receive(self) -> None:
@@ -75,7 +75,7 @@
                     return
                 try:
                     data, source = self._socket.recvfrom(self._max_bytes + 1)
-                except OSError:  # nothing is left, or an earlier send failed: neither ends the socket
+                except OSError:  # none is left, or an earlier send failed: neither closes the socket
                     break
                 self._on_datagram(data, source)
 
--- a/sablewheel/transport/listening_socket.py
+++ b/sablewheel/transport/listening_socket.py
@@ -1,4 +1,4 @@
-"""The listening socket: it outlasts a full table of descriptors, and closes without a reset for who waits."""
+"""The listening socket: survives a lack of descriptors, and closes without resetting connections."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 from .scheduler import READABLE, Scheduler
 from .stream import Address, Stream, close_socket
-from .system_call_errors import ACCEPTED_ONE_FAILED, NO_DESCRIPTOR
+from .system_call_errors import FAILED_BEFORE_ACCEPT_ERRORS, NO_DESCRIPTOR_ERRORS
 
-MAX_READ_BYTES = 16384  # a connection that sends at full speed gets one such read a round
+MAX_READ_BYTES = 16384  # a connection that sends at full speed gets one read of this size a round
 MAX_UNSENT_BYTES = 65536
 BACKLOG = 1024
-MAX_ACCEPT_FAILURES = 64  # connections that had failed already, skipped at a time
-MAX_LAST_CONNECTIONS = 2  # accepted while closing, whatever capacity there is: from the reserved descriptors
+MAX_ACCEPT_FAILURES = 64  # limit of already failed connections that are skipped in one pass
+MAX_FINAL_CONNECTIONS = 2  # accepted while closing even without capacity, with the reserved descriptors
 RETRY_INTERVAL_S = 0.02
-SO_ATTACH_FILTER = 26  # of Linux
+SO_ATTACH_FILTER = 26  # the value on Linux
 
 log = logging.getLogger(__name__)
 
@@ -28,17 +28,17 @@
     """Why accepting connections stopped."""
 
     QUEUE_EMPTY = auto()
-    NO_CAPACITY = auto()  # the table or the descriptors are used up
-    FAILED = auto()  # for another reason that may pass
+    NO_CAPACITY = auto()  # the connection table is full, or no descriptor is available
+    FAILED = auto()  # another error, which may be temporary
 
 
 class Listener:
     """Accepts connections while there is capacity.
 
     Args:
-        has_capacity: Whether another connection may be accepted.
-        on_accepted: Gets each connection.
-        on_full: Called while connections wait that can't be accepted.
+        has_capacity: Returns whether another connection may be accepted.
+        on_accepted: Called with each connection.
+        on_full: Called while connections are queued that can't be accepted.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         scheduler.spawn(self._run)
 
     def close(self) -> None:
-        """Accept what the kernel has queued, as far as there is capacity, and close; safe to call twice."""
+        """Accept the queued connections as far as there is capacity, and close; safe to call twice."""
         if self._open:
             self._accept_queued()
             self._close_socket()
@@ -72,8 +72,8 @@
     def close_if_queue_empty(self) -> bool:
         """Close, unless connections are left in the kernel's queue.
 
-        A connection that the kernel accepted may carry a complete request, and a close resets it unread. So
-        the queue is emptied first, and nothing lies between the last check of it and the close.
+        A connection in the kernel's queue may already carry a complete request, and closing the socket resets
+        it. So the queue is emptied first, and the socket is closed directly after the last check.
 
         Returns:
             Whether the socket is closed.
@@ -81,22 +81,22 @@
         if not self._open:
             return True
         result = self._accept_queued()
-        if result is not AcceptResult.QUEUE_EMPTY and self._has_queued:
+        if result is not AcceptResult.QUEUE_EMPTY and self._has_queued_connections:
             if result is AcceptResult.NO_CAPACITY:
                 self._on_full()
             return False
         self._drop_new_connections()
-        last: list[socket.socket] = []
-        closing = self._accept_last(last) or not self._has_queued
+        final: list[socket.socket] = []
+        closing = self._accept_final(final) or not self._has_queued_connections
         if closing:
             self._close_socket()
-        for sock in last:
+        for sock in final:
             self._admit(sock)
         return closing
 
     def _close_socket(self) -> None:
         self._open = False
-        self._scheduler.forget(self._socket.fileno())
+        self._scheduler.unregister(self._socket.fileno())
         close_socket(self._socket)
 
     def _run(self) -> None:
@@ -105,17 +105,17 @@
             try:
                 if not self._open or (result := self._accept_queued()) is AcceptResult.QUEUE_EMPTY:
                     continue
-                # Those that wait stay in the kernel's queue.
+                # Connections that were not accepted stay in the kernel's queue.
                 if result is AcceptResult.NO_CAPACITY:
                     self._on_full()
             except Exception:
-                # Must not end the greenlet: no connection would ever be accepted again.
-                log.exception("connection not taken for a fault")
+                # An error must not end the greenlet: no connection would be accepted after that.
+                log.exception("accepting connections interrupted by a fault")
                 self._scheduler.on_fault()
             self._scheduler.sleep(RETRY_INTERVAL_S)
 
     def _accept_queued(self) -> AcceptResult:
-        """Accept all that are queued, as far as there is capacity."""
+        """Accept the queued connections as far as there is capacity."""
         failures = 0
         while self._has_capacity():
             try:
@@ -124,27 +124,29 @@
                 return AcceptResult.QUEUE_EMPTY
             except OSError as error:
                 failures += 1
-                if error.errno in ACCEPTED_ONE_FAILED and failures <= MAX_ACCEPT_FAILURES:
+                if error.errno in FAILED_BEFORE_ACCEPT_ERRORS and failures <= MAX_ACCEPT_FAILURES:
                     continue
-                return AcceptResult.NO_CAPACITY if error.errno in NO_DESCRIPTOR else AcceptResult.FAILED
+                return (
+                    AcceptResult.NO_CAPACITY if error.errno in NO_DESCRIPTOR_ERRORS else AcceptResult.FAILED
+                )
             self._admit(sock)
         return AcceptResult.NO_CAPACITY
 
-    def _accept_last(self, last: list[socket.socket]) -> bool:
-        """Append what was queued since the last check to `last`, whatever capacity there is.
+    def _accept_final(self, final: list[socket.socket]) -> bool:
+        """Accept connections queued since the last check into `final`, even without capacity.
 
         Returns:
             Whether the queue is empty.
         """
         failures = 0
-        while len(last) < MAX_LAST_CONNECTIONS:
+        while len(final) < MAX_FINAL_CONNECTIONS:
             try:
-                last.append(self._socket.accept()[0])
+                final.append(self._socket.accept()[0])
             except BlockingIOError:
                 return True
             except OSError as error:
                 failures += 1
-                if error.errno not in ACCEPTED_ONE_FAILED or failures > MAX_ACCEPT_FAILURES:
+                if error.errno not in FAILED_BEFORE_ACCEPT_ERRORS or failures > MAX_ACCEPT_FAILURES:
                     return False
         return False
 
@@ -152,17 +154,18 @@
         try:
             stream = Stream(self._scheduler, sock, MAX_UNSENT_BYTES, MAX_READ_BYTES)
         except OSError:
-            close_socket(sock)  # reset since: no sign of a full table
+            close_socket(sock)  # reset meanwhile, which does not mean that the table is full
         else:
             self._on_accepted(stream)
 
     def _drop_new_connections(self) -> None:
-        """Let the kernel queue no new connection from here on; those that are queued stay.
+        """Make the kernel drop new connections from now on; those already queued stay.
 
-        A filter (classic BPF, Linux) that drops packets with the bit SYN in byte 13 of the TCP header. A
-        client that connects now repeats it a second later and is refused, which proves that nothing ran.
-        Neither a backlog of 0, which leaves one place, nor a shutdown, which resets the queue, does the same.
-        Where there is no such filter, the moment before the close stays as short as it can be.
+        Attaches a filter (classic BPF, Linux) that drops packets with the SYN bit in byte 13 of the TCP
+        header. A client that connects now repeats its attempt a second later and is refused, which proves
+        that nothing ran. The alternatives don't work: a backlog of 0 leaves one place, and a shutdown resets
+        the queue. If the filter can't be attached, a connection may still be queued between the last check
+        and the close.
         """
         load_flags, if_syn, drop, accept = (0x30, 0, 0, 13), (0x45, 0, 1, 2), (6, 0, 0, 0), (6, 0, 0, 65535)
         instructions = [
@@ -178,14 +181,14 @@
             return
 
     @property
-    def _has_queued(self) -> bool:
-        """Whether the kernel has connections that were not accepted here."""
+    def _has_queued_connections(self) -> bool:
+        """Whether the kernel's queue has connections that are not accepted yet."""
         poll = select.poll()
         poll.register(self._socket.fileno(), READABLE)
         try:
             return bool(poll.poll(0))
         except OSError:
-            return True  # unknown
+            return True  # unknown, so there may be some
 
 
 def _packed(type_code: str, number: int) -> bytes:
--- a/sablewheel/transport/scheduler.py
+++ b/sablewheel/transport/scheduler.py
@@ -1,7 +1,7 @@
 """The event loop: greenlets over `select.poll`, timers and signals.
 
-One round is one poll. All greenlets that it wakes run first, then the timers that are due, then the actions
-of `after_round`. So what was received at once is seen at once.
+Each round polls once. The greenlets that the poll wakes run first, then the timers that are due, then the
+actions of `after_round`. So data that was received at the same time is handled in the same round.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 
 READABLE, WRITABLE = select.POLLIN, select.POLLOUT
 ERROR_EVENTS = select.POLLHUP | select.POLLERR | select.POLLNVAL
-POLL_BACKOFF_S = 0.005  # after a poll that failed
-SIGNAL_PIPE_BACKOFF_S = 0.05  # after a read of it that failed
+POLL_BACKOFF_S = 0.005  # after a failed poll
+SIGNAL_PIPE_BACKOFF_S = 0.05  # after a failed read of the signal pipe
 
 log = logging.getLogger(__name__)
 
 
 class Timer:
-    """An action that is due at a time."""
+    """An action that is called at a given time."""
 
     __slots__ = ("action",)
 
@@ -37,18 +37,19 @@
         self.action: Callable[[], None] | None = action
 
     def cancel(self) -> None:
-        """Never call the action, or never again."""
+        """Cancel all further calls of the action."""
         self.action = None
 
 
 class Scheduler:
     """The event loop.
 
-    `wait`, `sleep` and `park` are for greenlets that `spawn` started; the rest may be called anywhere.
+    `wait`, `sleep` and `park` may only be called in greenlets that `spawn` started; the other methods may be
+    called anywhere.
 
     Attributes:
         after_round: Called at the end of each round.
-        on_fault: Called for each internal error that was survived.
+        on_fault: Called for each internal error that was caught.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -56,9 +57,9 @@
         self.after_round: list[Callable[[], None]] = []
         self.on_fault: Callable[[], None] = lambda: None
         self._poll = select.poll()
-        self._waiting: dict[int, dict[int, greenlet]] = {}  # by descriptor and event
+        self._waiting: dict[int, dict[int, greenlet]] = {}  # waiting greenlets by descriptor and event
         self._masks: dict[int, int] = {}  # registered events by descriptor
-        self._timers: list[tuple[float, int, Timer]] = []  # a heap
+        self._timers: list[tuple[float, int, Timer]] = []  # a heap of (due time, sequence number, timer)
         self._timer_count = 0
         self._ready: deque[tuple[greenlet, int]] = deque()
         self._hub = getcurrent()
@@ -76,17 +77,17 @@
             try:
                 function(*values)
             except Exception:
-                # An internal error in one greenlet must not end the others; one that must go on catches its
-                # own.
+                # An internal error in one greenlet must not end the others. A greenlet that has to continue
+                # after one catches it itself.
                 self._report_fault("greenlet ended by a fault")
 
         self._ready.append((greenlet(body, parent=self._hub), 0))
 
     def wait(self, descriptor: int, event: int, timeout_s: float = inf) -> bool:
-        """Wait until the descriptor is readable or writable, or broken. Returns whether it is in time."""
+        """Wait until the descriptor is ready for the event or has an error. Returns False on a timeout."""
         mask = self._masks.get(descriptor, 0)
         if not mask & event:
-            self._poll.register(descriptor, mask | event)  # first: it raises if that is no descriptor
+            self._poll.register(descriptor, mask | event)  # first, as it raises if the descriptor is invalid
             self._masks[descriptor] = mask | event
         current = getcurrent()
         self._waiting.setdefault(descriptor, {})[event] = current
@@ -112,7 +113,7 @@
         """Run a suspended greenlet in this round."""
         self._ready.append((waiter, 1))
 
-    def forget(self, descriptor: int) -> None:
+    def unregister(self, descriptor: int) -> None:
         """Unregister a descriptor that is about to be closed; greenlets that wait for it are resumed."""
         if self._masks.pop(descriptor, 0):
             self._poll.unregister(descriptor)
@@ -128,10 +129,10 @@
         return timer
 
     def every(self, interval_s: float, action: Callable[[], None]) -> Timer:
-        """Call `action` again and again, `interval_s` after its last call, until the timer is cancelled."""
+        """Call `action` repeatedly, `interval_s` after its last call, until the timer is cancelled."""
 
         def call() -> None:
-            self._set_timer(interval_s, timer)  # first, so that an internal error does not end all calls
+            self._set_timer(interval_s, timer)  # first, so that an internal error does not stop the calls
             action()
 
         timer = self.after(interval_s, call)
@@ -153,22 +154,25 @@
         signal.signal(number, self._note_signal)
 
     def _note_signal(self, number: int, _: object) -> None:
-        """Note a signal. This is the signal handler, called between any two steps of the program."""
+        """Record a signal. This is the signal handler, which may be called between any two instructions."""
         if number not in self._pending_signals:
             self._pending_signals.append(number)
 
     def _watch_signals(self, descriptor: int) -> None:
-        """Take signals whenever the pipe wakes the loop, not by its bytes: they are lost when it is full."""
+        """Handle pending signals when the pipe wakes the loop.
+
+        The bytes in the pipe are ignored, since they are lost when it is full.
+        """
         while True:
             self.wait(descriptor, READABLE)
             try:
                 os.read(descriptor, 65536)
             except BlockingIOError:
                 pass
-            except OSError:  # must not end the greenlet: no signal would be taken any more
+            except OSError:  # must not end the greenlet: no signal would be handled after that
                 self.sleep(SIGNAL_PIPE_BACKOFF_S)
             while self._pending_signals:
-                # an internal error must not end this one
+                # in a greenlet of its own, since an internal error must not end this one
                 self.spawn(self._on_signal[self._pending_signals.popleft()])
 
     # -- the loop
@@ -176,7 +180,7 @@
     def run(self) -> None:
         """Run rounds until `stop`; the round in which it is called is the last.
 
-        An internal error in an action ends that action, and not the process with all that is open.
+        An internal error in an action ends only that action, not the process with its open requests.
         """
         while not self._stopped:
             events = self._poll_once()
@@ -203,7 +207,7 @@
                     self._report_fault("timer's action ended by a fault")
 
     def _poll_once(self) -> list[tuple[int, int]]:
-        """Poll once; returns no event if poll(2) fails, as it may for want of memory."""
+        """Poll once; returns no event if poll(2) fails, as it may for lack of memory."""
         try:
             return self._poll.poll(self._timeout())
         except OSError:
@@ -241,7 +245,7 @@
             if events & (event | ERROR_EVENTS) and event in waiting:
                 self.resume(waiting.pop(event))
                 events &= ~event
-        # Polling is level-triggered, so an event that nobody waits for would be reported again at once.
+        # Polling is level-triggered, so an event that no greenlet waits for would be reported again at once.
         mask = self._masks.get(descriptor, 0) & ~(events & (READABLE | WRITABLE))
         if events & ERROR_EVENTS and not waiting:
             mask = 0
--- a/sablewheel/transport/stream.py
+++ b/sablewheel/transport/stream.py
@@ -10,7 +10,7 @@
 from greenlet import getcurrent, greenlet
 
 from .scheduler import READABLE, WRITABLE, Scheduler
-from .system_call_errors import CONNECTION_GONE, FailureCount
+from .system_call_errors import CONNECTION_LOST_ERRORS, FailureCount
 
 MAX_READ_BYTES = 131072
 READ_BUFFER = memoryview(bytearray(MAX_READ_BYTES))
@@ -18,16 +18,16 @@
 
 
 class Stream:
-    """One connection. What is written is sent at `flush`, or when the peer takes it.
+    """One connection. Written data is sent by `flush`, and the rest as the peer accepts it.
 
     Args:
-        max_unsent_bytes: While more than that is unsent, nothing is read from the peer.
-        max_read_bytes: How much is read at once.
+        max_unsent_bytes: While more bytes than that are unsent, nothing is read from the peer.
+        max_read_bytes: The largest number of bytes in one read.
 
     Attributes:
-        bytes_queued: All that was ever written here.
-        bytes_sent: All that was ever handed to the system.
-        stuck_since: Since when the peer has taken nothing of what is unsent.
+        bytes_queued: The total number of bytes written to this stream.
+        bytes_sent: The total number of bytes handed to the system.
+        stuck_since: Since when the peer has accepted none of the unsent data; None if all is sent.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         max_read_bytes: int = MAX_READ_BYTES,
     ) -> None:
         sock.setblocking(False)
-        with contextlib.suppress(OSError):  # without it small writes may be sent late, and that is all
+        with contextlib.suppress(OSError):  # without it, small writes may be delayed, but nothing else
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.open = True
         self.bytes_queued = self.bytes_sent = 0
@@ -48,14 +48,14 @@
         self._socket = sock
         self._unsent = bytearray()
         self._max_unsent_bytes, self._max_read_bytes = max_unsent_bytes, max_read_bytes
-        self._paused_reader: greenlet | None = None  # while too much is unsent
+        self._paused_reader: greenlet | None = None  # set while too much is unsent
         self._sending = False
 
     def read(self) -> bytes:
-        """Wait for data and return it; empty at the end of the stream, however it ended.
+        """Wait for data and return it; empty at the end of the stream or after an error.
 
-        While a peer does not take what was written to it, nothing is read from it, as a peer that never reads
-        would make the buffer grow without bound. The price: its cancellations lie unread as well.
+        Nothing is read while too much data is unsent, since a peer that never reads would make the buffer
+        grow without bound. As a consequence, its cancellations are not read either.
         """
         while self.open:
             if len(self._unsent) > self._max_unsent_bytes:
@@ -75,10 +75,10 @@
         return b""
 
     def _receive(self) -> bytes:
-        """Receive into the one buffer of all streams and return a copy.
+        """Receive into the buffer that all streams share, and return a copy.
 
-        A block as large as a read may be, cut down at once, would leave a hole in the heap beside whatever is
-        retained of it, and the process would grow though its objects do not.
+        Allocating a block of the maximum size for each read and shrinking it would fragment the heap, and the
+        process would grow although its objects do not.
         """
         size = self._socket.recv_into(READ_BUFFER, self._max_read_bytes)
         self._receive_failures.clear()
@@ -91,7 +91,7 @@
             self.bytes_queued += len(data)
 
     def flush(self) -> None:
-        """Send what can be sent now; the rest is sent as the peer takes it."""
+        """Send as much as possible now; the rest is sent as the peer accepts it."""
         if not self._sending:
             self._send()
             if self._unsent:
@@ -101,15 +101,15 @@
 
     @property
     def all_sent(self) -> bool:
-        """Whether all that was written is handed to the system."""
+        """Whether all written data was handed to the system."""
         return not self._unsent
 
     @property
     def unread(self) -> bool:
-        """Whether data was received that is not read yet.
+        """Whether the system has received data that is not read yet.
 
-        A connection must not be closed over a request that crossed the announcement of the close or an
-        eviction: it would be lost unread, though it reached the machine.
+        A connection with unread data must not be closed: a request that crossed the announcement of the close
+        or an eviction would be lost, although it reached the machine.
         """
         if not self.open:
             return False
@@ -117,28 +117,28 @@
             return bool(self._socket.recv(1, socket.MSG_PEEK))
         except BlockingIOError:
             return False
-        except OSError as error:  # nothing to lose where the connection is gone; else nobody knows
-            return error.errno not in CONNECTION_GONE
+        except OSError as error:  # no data is left on a lost connection; otherwise there may be some
+            return error.errno not in CONNECTION_LOST_ERRORS
 
     def shut_down_writing(self) -> None:
-        """Write nothing more and let the peer see it, while what it still sends is read.
+        """Shut down the writing side, so that the peer sees the end, while its data can still be read.
 
-        Only once all is sent. A close over data received in its very moment would reset the connection, and
-        take along what the peer has not read yet.
+        To be called only when all data is sent. A full close would reset the connection if data arrives at
+        the same moment, and the peer would lose the data that it has not read yet.
         """
         if self.open:
             try:
                 self._socket.shutdown(socket.SHUT_WR)
             except OSError:
-                self.close()  # broken already
+                self.close()  # already broken
 
     def close(self) -> None:
-        """Close the connection and drop what is unsent; safe to call twice."""
+        """Close the connection and drop unsent data; safe to call twice."""
         if self.open:
             self.open = False
             self._unsent.clear()
             self._resume_reader()
-            self._scheduler.forget(self._socket.fileno())
+            self._scheduler.unregister(self._socket.fileno())
             close_socket(self._socket)
 
     def _send(self) -> None:
@@ -177,7 +177,7 @@
 
 
 def close_socket(sock: socket.socket) -> None:
-    """Close a socket; the descriptor is free whatever close(2) returns."""
+    """Close a socket; its descriptor is released even if close(2) fails."""
     with contextlib.suppress(OSError):
         sock.close()
 
@@ -191,19 +191,19 @@
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     except OSError:
-        return None  # no descriptor for it now
+        return None  # no descriptor available
     try:
         sock.setblocking(False)
         if source:
             sock.bind((source, 0))
         code = sock.connect_ex(address)
-        if code in (errno.EINPROGRESS, errno.EINTR):  # either way it goes on by itself
+        if code in (errno.EINPROGRESS, errno.EINTR):  # in both cases the kernel continues to connect
             writable = scheduler.wait(sock.fileno(), WRITABLE, timeout_s)
             code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) if writable else errno.ETIMEDOUT
         if not code:
             return Stream(scheduler, sock)
     except OSError:
-        pass  # closed again already
-    scheduler.forget(sock.fileno())
+        pass  # could not be set up, or was closed at once
+    scheduler.unregister(sock.fileno())
     close_socket(sock)
     return None
--- a/sablewheel/transport/system_call_errors.py
+++ b/sablewheel/transport/system_call_errors.py
@@ -1,9 +1,9 @@
-"""What a failed system call on a socket means: the connection is gone, or it may go on.
+"""Classifies errors of system calls on sockets: either the connection is lost, or the call can be repeated.
 
-From the manual pages accept(2), recv(2), send(2), tcp(7) and ip(7). A call may fail for want of memory or
-descriptors, or report a network error that was pending and is gone with it. The connection may still stand,
-with requests on it that are owed an answer. So the call is repeated after a backoff that grows. A connection
-that stays broken shows it by an end of the stream or by failing more than MAX_FAILURES_IN_A_ROW times.
+Source: the manual pages accept(2), recv(2), send(2), tcp(7) and ip(7). A call may fail for lack of memory or
+descriptors, or report a pending network error, which is cleared thereby. The connection may still work, with
+open requests on it, so the call is repeated with exponential backoff. A connection counts as lost at the end
+of the stream, or after more than MAX_FAILURES_IN_A_ROW failures.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 import errno
 
 MAX_FAILURES_IN_A_ROW = 30  # six seconds with the backoffs, longer than any deadline
-INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.002, 0.25  # doubling
+INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.002, 0.25  # doubles with each failure in a row
 
-CONNECTION_GONE = frozenset(
+CONNECTION_LOST_ERRORS = frozenset(
     {
         errno.EBADF,
         errno.ENOTSOCK,
@@ -24,8 +24,8 @@
         errno.ECONNABORTED,
     }
 )
-# accept(2): this connection had failed already, which means nothing for the next one.
-ACCEPTED_ONE_FAILED = frozenset(
+# accept(2): this connection failed before it was accepted; the next one may be accepted.
+FAILED_BEFORE_ACCEPT_ERRORS = frozenset(
     {
         errno.ECONNABORTED,
         errno.ECONNRESET,
@@ -42,9 +42,9 @@
         errno.ETIMEDOUT,
     }
 )
-NO_DESCRIPTOR = frozenset({errno.EMFILE, errno.ENFILE})
-# At start-up: another attempt a little later may succeed.
-START_AGAIN = NO_DESCRIPTOR | frozenset(
+NO_DESCRIPTOR_ERRORS = frozenset({errno.EMFILE, errno.ENFILE})
+# Errors at start-up after which a later attempt may succeed.
+START_AGAIN = NO_DESCRIPTOR_ERRORS | frozenset(
     {
         errno.EADDRINUSE,
         errno.EADDRNOTAVAIL,
@@ -62,7 +62,7 @@
 
 
 def backoff_after(failures: int) -> float:
-    """Return the backoff in seconds after so many failures in a row (1 or more)."""
+    """Return the backoff in seconds after a number of failures in a row (1 or more)."""
     return min(INITIAL_BACKOFF_S * 2.0 ** (failures - 1), MAX_BACKOFF_S)
 
 
@@ -73,15 +73,15 @@
         self.in_a_row = 0
 
     def clear(self) -> None:
-        """Note a success."""
+        """Reset the count after a success."""
         self.in_a_row = 0
 
     def is_final(self, error: OSError) -> bool:
-        """Note a failure. Returns whether the connection has to be given up for it."""
+        """Count a failure. Returns whether the connection has to be closed."""
         self.in_a_row += 1
-        return error.errno in CONNECTION_GONE or self.in_a_row > MAX_FAILURES_IN_A_ROW
+        return error.errno in CONNECTION_LOST_ERRORS or self.in_a_row > MAX_FAILURES_IN_A_ROW
 
     @property
     def backoff_s(self) -> float:
-        """How long to wait before the next attempt; 0 after a success."""
+        """The time in seconds to wait before the next attempt; 0 after a success."""
         return backoff_after(self.in_a_row) if self.in_a_row else 0.0
--- a/sablewheel/transport/wakeup.py
+++ b/sablewheel/transport/wakeup.py
@@ -1,4 +1,4 @@
-"""One timer for a state machine without I/O: it fires at the next time that the machine asks for."""
+"""A timer for a state machine without I/O, which sets the time of its next call."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class Wakeup:
-    """Calls `on_wakeup` at the time set last, or sooner.
+    """Calls `on_wakeup` at the time set last, or earlier.
 
-    A timer that is set for sooner is left as it is, and `on_wakeup` finds nothing due.
+    A timer that is already set for an earlier time is not changed, so `on_wakeup` may find nothing due.
 
     Args:
-        clock: The time in seconds, as `set` takes it.
-        min_delay_s: The shortest delay, so that a time in the past does not keep the loop busy.
+        clock: Returns the time in seconds, on the same scale as `set`.
+        min_delay_s: The shortest delay in seconds, so that a time in the past does not keep the loop busy.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
         self._timer_set_for = 0.0
 
     def set(self, wake_at: float) -> None:
-        """Set the next time; infinity is none."""
+        """Set the time of the next call; infinity sets none."""
         if wake_at == inf or (self._timer is not None and self._timer_set_for <= wake_at):
             return
         self.cancel()
@@ -41,7 +41,7 @@
         self._timer = self._scheduler.after(max(wake_at - self._clock(), self._min_delay_s), self._fire)
 
     def cancel(self) -> None:
-        """Call nothing until the next `set`."""
+        """Cancel the call that is set, if any."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -51,6 +51,7 @@
         try:
             self._on_wakeup()
         except Exception:
-            # Nothing else would wake the machine; with no delay, a lasting fault would keep the loop busy.
+            # Otherwise the machine would not be called again. Without a delay, a persistent error would keep
+            # the loop busy.
             self.set(self._clock() + RETRY_AFTER_FAULT_S)
             raise
--- a/sablewheel/transport/worker_thread.py
+++ b/sablewheel/transport/worker_thread.py
@@ -1,4 +1,4 @@
-"""The one worker thread: it runs what blocks, and the results are handed to the event loop."""
+"""A worker thread that runs blocking jobs and hands their results to the event loop."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 from .scheduler import READABLE, Scheduler
 
-MAX_OPEN_JOBS = 64  # each feature has few of its own at a time
+MAX_OPEN_JOBS = 64  # each feature has only a few open at a time
 
 log = logging.getLogger(__name__)
-Done = Callable[[Any, BaseException | None], None]
+DoneCallback = Callable[[Any, BaseException | None], None]
 
 
 class WorkerThread:
-    """Runs jobs one after another, in the order given.
+    """Runs jobs one after another, in the order in which they are submitted.
 
     `done` of each job is called in a later round of the event loop, with the result or the error.
     """
 
     def __init__(self, scheduler: Scheduler, max_open_jobs: int = MAX_OPEN_JOBS) -> None:
-        self._jobs: SimpleQueue[tuple[Callable[[], Any], Done] | None] = SimpleQueue()
-        self._finished: deque[tuple[Done, Any, BaseException | None]] = deque()
+        self._jobs: SimpleQueue[tuple[Callable[[], Any], DoneCallback] | None] = SimpleQueue()
+        self._finished: deque[tuple[DoneCallback, Any, BaseException | None]] = deque()
         self._max_open_jobs, self._open_jobs = max_open_jobs, 0
         self._pipe_read, self._pipe_write = os.pipe()
         for descriptor in (self._pipe_read, self._pipe_write):
@@ -40,11 +40,11 @@
 
     @property
     def open_jobs(self) -> int:
-        """How many jobs are running, waiting or not reported yet."""
+        """The number of jobs that are queued, running or not reported yet."""
         return self._open_jobs
 
-    def submit(self, job: Callable[[], Any], done: Done) -> bool:
-        """Queue a job. Returns whether there was room for it."""
+    def submit(self, job: Callable[[], Any], done: DoneCallback) -> bool:
+        """Queue a job. Returns False if too many jobs are open."""
         if self._open_jobs >= self._max_open_jobs:
             return False
         self._open_jobs += 1
@@ -63,17 +63,17 @@
         return not self._thread.is_alive()
 
     def _work(self) -> None:
-        signal.pthread_sigmask(signal.SIG_BLOCK, signal.valid_signals())  # signals are the event loop's
+        signal.pthread_sigmask(signal.SIG_BLOCK, signal.valid_signals())  # the event loop handles signals
         while (entry := self._jobs.get()) is not None:
             job, done = entry
             result: Any = None
             error: BaseException | None = None
             try:
                 result = job()
-            except BaseException as caught:  # reported in the event loop, whatever it is
+            except BaseException as caught:  # any error is reported in the event loop
                 error = caught
             self._finished.append((done, result, error))
-            with contextlib.suppress(BlockingIOError):  # full: the event loop is about to wake anyway
+            with contextlib.suppress(BlockingIOError):  # pipe full: the event loop is about to wake anyway
                 os.write(self._pipe_write, b"!")
 
     def _watch_finished(self) -> None:
@@ -90,4 +90,4 @@
             try:
                 done(result, error)
             except Exception:
-                log.exception("a fault in what follows a job")
+                log.exception("callback of a job ended by a fault")
--- a/tests/test_scheduler_races.py
+++ b/tests/test_scheduler_races.py
@@ -238,7 +238,7 @@
     told: list[object] = []
 
     def forget() -> None:
-        scheduler.forget(one.fileno())
+        scheduler.unregister(one.fileno())
 
     def waiter() -> None:
         if forgotten_first:
@@ -272,7 +272,7 @@
             told.append("closed")
             return
         other = pairs[1 - which][0]
-        scheduler.forget(other.fileno())
+        scheduler.unregister(other.fileno())
         other.close()
         made.extend(socket.socketpair())
         assert made[0].fileno() == descriptors[1 - which]
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -118,7 +118,7 @@
     for _ in range(100):
         made.wait(1.0, 0.0005)
         clock.read()
-    assert clock.from_unix(made.unix) == pytest.approx(clock.now) and not clock._earlier
+    assert clock.from_unix(made.unix) == pytest.approx(clock.now) and not clock._earlier_settings
     assert clock.to_unix(clock.now) == pytest.approx(made.unix)
 
 
@@ -160,7 +160,7 @@
     def left() -> None:
         seen.append(scheduler.wait(two.fileno(), READABLE))
 
-    scheduler.after(0.05, lambda: scheduler.forget(two.fileno()))
+    scheduler.after(0.05, lambda: scheduler.unregister(two.fileno()))
     play(scheduler, patient, left)
     assert seen == [False, True]
 
--- a/tests/test_usage_metering.py
+++ b/tests/test_usage_metering.py
@@ -751,13 +751,13 @@
     for step in range(20_000):
         now += 0.001
         busy = step % 2 == 0
-        periodic_scheduler.want(low, now)
-        periodic_scheduler.want(high, now)
+        periodic_scheduler.request_step(low, now)
+        periodic_scheduler.request_step(high, now)
         periodic_task = periodic_scheduler.choose(now, busy)
         if periodic_task is not None:
-            assert not busy or now - periodic_task.wanted_since >= periodic_task.max_wait_s
+            assert not busy or now - periodic_task.pending_since >= periodic_task.max_wait_s
             took[periodic_task.name] += 0.001
-            periodic_scheduler.done(periodic_task, now, 0.001, more=True)
+            periodic_scheduler.record_step(periodic_task, now, 0.001, more=True)
     assert 0.9 * 2.0 <= took["high"] <= 0.1 * 20 + MAX_BUDGET_S + 0.001
     assert 4.0 <= took["low"] <= 0.5 * 20 + MAX_BUDGET_S + 0.001
 
@@ -765,7 +765,7 @@
 def test_a_starved_chore_has_its_step_in_spite_of_tickets() -> None:
     periodic_scheduler, periodic_task = PeriodicScheduler(), PeriodicTask("one", 1, 0.5, max_wait_s=0.25)
     periodic_scheduler.add(periodic_task)
-    periodic_scheduler.want(periodic_task, 10.0)
+    periodic_scheduler.request_step(periodic_task, 10.0)
     assert periodic_scheduler.choose(10.2, busy=True) is None and periodic_scheduler.next_step_in_s(
         10.2, busy=True
     ) == pytest.approx(0.05)
