--- a/sablewheel/serving/interpreter_client.py
+++ b/sablewheel/serving/interpreter_client.py
@@ -92,9 +92,7 @@
         self._stream: Stream | None = None
         self._ready = False  # whether the first fence of the link was answered
         self._last_notice = last_notice
-        self._unreadable_notice = (
-            0  # number of the last notice that could not be parsed when it was the next one
-        )
+        self._unreadable_notice = 0  # number of the last invalid notice that was the next one to read
         self._disconnected_since: float | None = scheduler.clock.now  # None while a link is ready
         self._commands = bytearray()  # to be written at the end of this round
         self._query_gauges = False  # whether the gauges are queried at the end of this round
@@ -213,7 +211,7 @@
             return None
 
     def _close_old_link(self) -> None:
-        """Withhold commands until the interpreter has provably read all on the old link; then close that."""
+        """Withhold commands until all on the old link were provably read, then close it."""
         old = self._stream
         if old is None:
             return
