--- a/sablewheel/__main__.py
+++ b/sablewheel/__main__.py
@@ -87,7 +87,7 @@
     Raises what the step raised last, once START_AGAIN_MOST seconds are over; at once for any other failure,
     and for an address in use, whose holder is waited for longer.
     """
-    from .transport.system_call_errors import START_AGAIN
+    from .transport.system_call_errors import RETRYABLE_STARTUP_ERRORS
 
     until = time.monotonic() + START_AGAIN_MOST
     while True:
@@ -95,7 +95,11 @@
             return step()
         except (OSError, ValueError) as error:
             cause = error if isinstance(error, OSError) else error.__cause__
-            passing = isinstance(cause, OSError) and cause.errno in START_AGAIN and cause.errno != EADDRINUSE
+            passing = (
+                isinstance(cause, OSError)
+                and cause.errno in RETRYABLE_STARTUP_ERRORS
+                and cause.errno != EADDRINUSE
+            )
             if not passing or time.monotonic() > until:
                 raise
         time.sleep(DOOR_AGAIN)
--- a/sablewheel/transport/system_call_errors.py
+++ b/sablewheel/transport/system_call_errors.py
@@ -44,7 +44,7 @@
 )
 NO_DESCRIPTOR_ERRORS = frozenset({errno.EMFILE, errno.ENFILE})
 # Errors at start-up after which a later attempt may succeed.
-START_AGAIN = NO_DESCRIPTOR_ERRORS | frozenset(
+RETRYABLE_STARTUP_ERRORS = NO_DESCRIPTOR_ERRORS | frozenset(
     {
         errno.EADDRINUSE,
         errno.EADDRNOTAVAIL,
