--- a/sablewheel/result_store/recorder.py
+++ b/sablewheel/result_store/recorder.py
@@ -372,7 +372,7 @@
         if self.ready:
             self._expire(self._scheduler.clock.now)
         if self._run_log.release_unneeded():
-            self._background.want(self._compaction)
+            self._background.request_step(self._compaction)
         self._scheduler.after(SWEEP_INTERVAL_S, self._sweep)
 
     def _compact(self) -> bool:
--- a/sablewheel/transport/background.py
+++ b/sablewheel/transport/background.py
@@ -36,8 +36,8 @@
         self._steps[name] = step
         return task
 
-    def want(self, task: PeriodicTask) -> None:
-        """Ask for a step of a task."""
+    def request_step(self, task: PeriodicTask) -> None:
+        """Request a step of a task."""
         self._periodic_scheduler.request_step(task, self._scheduler.clock.now)
 
     def end_round(self) -> None:
--- a/sablewheel/usage_metering/recorder.py
+++ b/sablewheel/usage_metering/recorder.py
@@ -123,7 +123,7 @@
             for one, number in predecessors.positions.last.items():
                 self._sender.exporter.known(one, number)
             send_next = background.add("ledger export", 2, 0.2, self._sender.send_next)
-            self._sender.schedule_send = lambda: background.want(send_next)  # type: ignore[method-assign]
+            self._sender.schedule_send = lambda: background.request_step(send_next)  # type: ignore[method-assign]
         self._schedule()
 
     def _log_recovery(self, predecessors: EarlierIncarnations) -> None:
