--- a/sablewheel/protocol/resp.py
+++ b/sablewheel/protocol/resp.py
@@ -157,7 +157,7 @@
         digits = bytes(self._buffer[start + 1 : end if end >= 0 else None])
         if end < 0:
             if len(digits) > MAX_DIGITS + 1:
-                raise ProtocolError(f"length of more than {MAX_DIGITS} digits")
+                raise ProtocolError(f"length without CR LF after {MAX_DIGITS} digits")
             return None
         if not digits.isdigit() or int(digits) > limit:
             raise ProtocolError(f"not a length from 0 to {limit}: {digits!r}")
--- a/sablewheel/serving/connection.py
+++ b/sablewheel/serving/connection.py
@@ -15,9 +15,8 @@
 from .exchange import Exchange, RequestObserver, ServerStatus
 
 MAX_OPEN_REQUESTS = 32  # on one connection, as the protocol specifies
-FIRST_FRAME_TIMEOUT_S = (
-    2.0  # from connecting to the end of the frame; clients connect when they have one to send
-)
+# From connecting to the end of the first frame: clients connect when they have a request to send.
+FIRST_FRAME_TIMEOUT_S = 2.0
 FRAME_TIMEOUT_S = 2.0  # for any later frame, from its first byte
 MAX_DISCARDED_BYTES = 1 << 16  # read after reading stopped, so that no reset destroys answers
 
--- a/sablewheel/serving/fences.py
+++ b/sablewheel/serving/fences.py
@@ -9,9 +9,8 @@
 from collections import deque
 from math import inf
 
-LOSS_WINDOW_S = (
-    0.05  # commands written this shortly before a break may be lost, even if answered queries follow
-)
+# Commands written this shortly before a break may be lost, even if later queries were answered.
+LOSS_WINDOW_S = 0.05
 MAX_TRACKED_QUERIES = 4096  # older queries count as never answered
 
 
--- a/sablewheel/serving/idempotency_keys.py
+++ b/sablewheel/serving/idempotency_keys.py
@@ -17,7 +17,13 @@
 
 @dataclass(slots=True)
 class Entry:
-    """The exchange that holds an idempotency key, and the entry that becomes valid again if it never runs."""
+    """The holder of an idempotency key.
+
+    Attributes:
+        exchange: The exchange that holds the key.
+        expires_at: Until when it holds the key.
+        previous: The entry that becomes valid again if the exchange never runs; None if there is none.
+    """
 
     exchange: Exchange
     expires_at: float
--- a/sablewheel/serving/interpreter_client.py
+++ b/sablewheel/serving/interpreter_client.py
@@ -33,7 +33,7 @@
 MAX_UNANSWERED_FOR_START = 3  # then no command is written that must not be repeated
 HAND_OVER_TIMEOUT_S = 0.3  # for the last fence on the old link, which then counts as broken
 HAND_OVER_CHECK_INTERVAL_S = 0.005
-ADOPTED_FENCE = -1  # of a run whose command was written by an earlier process
+ADOPTED_FENCE = -1  # fence of a run whose command was written by an earlier process
 
 # The names of the counters are used by alerts and dashboards.
 RUN_COUNTERS = {
