--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -1,4 +1,4 @@
-"""Parsers fed split at every byte and fed noise; what they make of whole frames."""
+"""The parsers on input that is split at every byte, random or invalid, and the encoders."""
 
 from __future__ import annotations
 
@@ -25,18 +25,20 @@
     return [(lambda: resp.Parser().feed, CALLS), (lambda: interpreter.Parser().feed, NOTICES)]  # type: ignore[list-item, return-value]
 
 
-@pytest.mark.parametrize("which", [0, 1])
-def test_frames_are_the_same_however_they_are_split(which: int) -> None:
-    new, data = feeds()[which]
-    whole = new()(data)
+@pytest.mark.parametrize("index", [0, 1])
+def test_frames_are_the_same_however_they_are_split(index: int) -> None:
+    make_feed, data = feeds()[index]
+    expected = make_feed()(data)
     for cut in range(len(data) + 1):
-        feed = new()
-        assert feed(data[:cut]) + feed(data[cut:]) == whole
-    feed = new()
-    assert [one for place in range(len(data)) for one in feed(data[place : place + 1])] == whole
+        feed = make_feed()
+        assert feed(data[:cut]) + feed(data[cut:]) == expected
+    feed = make_feed()
+    assert [
+        message for position in range(len(data)) for message in feed(data[position : position + 1])
+    ] == expected
 
 
-@pytest.mark.parametrize("which", [0, 1])
+@pytest.mark.parametrize("index", [0, 1])
 @settings(max_examples=300, derandomize=True, database=None, deadline=None)
 @given(
     st.lists(
@@ -44,10 +46,10 @@
     ),
     st.binary(max_size=60),
 )
-def test_noise_is_rejected_or_waited_for(which: int, pieces: list[bytes], tail: bytes) -> None:
-    new, _ = feeds()[which]
+def test_random_input_is_rejected_or_incomplete(index: int, pieces: list[bytes], tail: bytes) -> None:
+    make_feed, _ = feeds()[index]
     with contextlib.suppress(resp.ProtocolError, interpreter.ProtocolError):
-        new()(b"".join(pieces) + tail)
+        make_feed()(b"".join(pieces) + tail)
 
 
 @pytest.mark.parametrize(
@@ -64,7 +66,7 @@
         b"*x\r\n",
     ],
 )
-def test_what_is_no_array_of_bulk_strings_ends_the_connection(data: bytes) -> None:
+def test_input_that_is_no_array_of_bulk_strings_is_an_error(data: bytes) -> None:
     with pytest.raises(resp.ProtocolError):
         resp.Parser().feed(data)
 
@@ -85,12 +87,12 @@
         b"x" * 5000,
     ],
 )
-def test_what_is_no_notice_ends_the_link(data: bytes) -> None:
+def test_input_that_is_no_notice_is_an_error(data: bytes) -> None:
     with pytest.raises(interpreter.ProtocolError):
         interpreter.Parser().feed(data)
 
 
-def test_a_call_gives_what_decisions_need_and_leaves_the_rest_as_it_came() -> None:
+def test_the_fields_of_a_call_that_decisions_depend_on_are_parsed() -> None:
     words = frame(
         b"RPC.CALL",
         b"9",
@@ -99,13 +101,13 @@
         b",class_rank=0.6250,replay=%b,novel=x" % (NAME, NAME * 2),
         b"\0body",
     )
-    asked = resp.parse_message(resp.Parser().feed(words)[0])
-    assert asked == resp.RequestMessage(
+    message = resp.parse_message(resp.Parser().feed(words)[0])
+    assert message == resp.RequestMessage(
         9, NAME, b"record", b"4", b"acme", 1764576000.123, 24.5, NAME * 2, None, b"\0body"
     )
 
 
-FAULTY = {
+INVALID_VALUES = {
     b"ref": [b"", b"0a", b"0 a", b"g" * 16, b"0" * 17],
     b"since": [b"", b"x", b"-1", b"+1", b" 1", b"1_0", b"1e3", b"1.5", b"9" * 30, "\u0661".encode()],
     b"sender": [b"", b"-4", b"four", b"4" * 30],
@@ -116,21 +118,21 @@
 }
 
 
-@pytest.mark.parametrize("name", FAULTY)
-def test_faulty_fields_name_the_tag_where_it_can_be_read(name: bytes) -> None:
-    good = {b"ref": NAME, b"since": b"1764576000123", b"sender": b"4", b"room": b"1"}
-    for fields in [good | {name: value} for value in FAULTY[name]] + [{**good, b"": b""}]:
+@pytest.mark.parametrize("name", INVALID_VALUES)
+def test_an_invalid_field_is_reported_with_the_tag_if_that_is_valid(name: bytes) -> None:
+    valid = {b"ref": NAME, b"since": b"1764576000123", b"sender": b"4", b"room": b"1"}
+    for fields in [valid | {name: value} for value in INVALID_VALUES[name]] + [{**valid, b"": b""}]:
         words = [b"RPC.CALL", b"9", b"lookup", b",".join(b"%b=%b" % pair for pair in fields.items()), b""]
         for tag in (9, 0):
             words[1] = b"9" if tag else b"nine"
-            with pytest.raises(resp.InvalidMessageError) as fault:
+            with pytest.raises(resp.InvalidMessageError) as caught:
                 if fields.get(b"") is not None:
-                    words[3] = words[3].replace(name + b"=", b"novel=") if name in good else b"ref"
+                    words[3] = words[3].replace(name + b"=", b"novel=") if name in valid else b"ref"
                 resp.parse_message(words)
-            assert fault.value.tag == tag
+            assert caught.value.tag == tag
 
 
-def test_answers_and_commands_are_written_as_published() -> None:
+def test_answers_and_commands_are_encoded_as_specified() -> None:
     assert resp.encode_completed(7, 12.5, b"r") == frame(b"7", b"OK", b"pressure=12.5", b"r")
     assert resp.encode_rejected(8, None, 0.2504, True) == frame(b"8", b"BUSY", b"cooldown=250,nowhere=1", b"")
     assert resp.encode_rejected(8, 0.0, 0.0, False) == frame(b"8", b"BUSY", b"pressure=0", b"")
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -1,4 +1,4 @@
-"""The rules over random interleavings on the routing layer, with a made clock; a few plain cases."""
+"""The four rules over random interleavings of events with a fake clock, and single cases."""
 
 from __future__ import annotations
 
@@ -34,11 +34,11 @@
     advertisement_ttl_s=1.0,
     idle_timeout_s=30.0,
 )
-OFTEN = ["read"] * 2 + ["write"] * 3 + ["end"] * 3 + ["double", "bad"]
+FREQUENT_STEPS = ["read"] * 2 + ["write"] * 3 + ["end"] * 3 + ["double", "bad"]
 STEPS = st.lists(
     st.tuples(
         st.sampled_from(
-            ["cancel", "fail", "wait", "long", "cut", "lose", "gap", "move", "drain", "rush", *OFTEN]
+            ["cancel", "fail", "wait", "long", "cut", "lose", "gap", "move", "drain", "rush", *FREQUENT_STEPS]
         ),
         st.integers(0, 3),
     ),
@@ -57,49 +57,51 @@
 @given(STEPS)
 def test_rules_hold_over_any_interleaving(steps: list[tuple[str, int]]) -> None:
     server = SimulatedServer(SERVER_SETTINGS)
-    for step, which in steps:
+    for step, number in steps:
         deliver = True
         running, attempts = list(server.interpreter.running), server.attempts
         match step:
             case "read":
-                server.call(b"lookup", ago=0.4 * which)
+                server.call(b"lookup", ago=0.4 * number)
             case "write":
-                server.call(b"record", b"label%d" % which)
-            case "rush":  # two tries of one idempotency key and a cancel in one read
-                first = server.call(b"record", b"label%d" % which)
-                server.call(b"record", b"label%d" % which)
+                server.call(b"record", b"label%d" % number)
+            case "rush":  # attempts with one idempotency key and a cancellation in one read
+                first = server.call(b"record", b"label%d" % number)
+                server.call(b"record", b"label%d" % number)
                 server.cancel(first)
-                server.call(b"record", b"label%d" % which)
+                server.call(b"record", b"label%d" % number)
             case "cancel" if attempts:
-                server.cancel(attempts[-1 - which % len(attempts)])
+                server.cancel(attempts[-1 - number % len(attempts)])
             case "end" | "fail" if running:
-                server.end(running[which % len(running)], b"success" if step == "end" else b"failure")
+                server.end(running[number % len(running)], b"success" if step == "end" else b"failure")
             case "wait":
-                server.wait(0.1 * which)
+                server.wait(0.1 * number)
             case "long":
-                server.wait(2.0 * which)
+                server.wait(2.0 * number)
             case "cut":
                 server.cut(lost=False)
             case "lose":
-                server.call(b"record", b"label%d" % which)
+                server.call(b"record", b"label%d" % number)
                 server.settle(deliver=False)
                 server.cut(lost=True)
             case "gap":
-                server.linked = which > 0
-                server.cut(lost=which > 1)
+                server.linked = number > 0
+                server.cut(lost=number > 1)
             case "move":
                 server.linked = True
                 server.interpreter_client.connect_to(server._connect)
-            # the last notice once more
+            # the last notice is repeated
             case "double" if server.interpreter.notices and server.link is not None:
                 server.link.feed(server.interpreter.notices[-1] + b"TRACE 1 a remark\r\n")
-            case "bad":  # a copied idempotency key or name with another body, a faulty field, no end
-                stream, name = FakeStream(server.scheduler), running[0] if running else b"%016x" % which
+            case (
+                "bad"
+            ):  # a copied idempotency key or id with another body, an invalid field, or an incomplete frame
+                stream, name = FakeStream(server.scheduler), running[0] if running else b"%016x" % number
                 server.listener.accepted(stream)
-                faulty = call(1, name, b"record", server.now, b"another", b"label%d" % which)
-                stream.feed([faulty, faulty.replace(b"room=", b"boom="), faulty[:-9], b"\0"][which])
+                faulty = call(1, name, b"record", server.now, b"another", b"label%d" % number)
+                stream.feed([faulty, faulty.replace(b"room=", b"boom="), faulty[:-9], b"\0"][number])
             case "drain":
-                server.drain(1.0 + which)
+                server.drain(1.0 + number)
             case _:
                 deliver = False
         server.settle(deliver)
@@ -113,7 +115,7 @@
     )
 
 
-def test_a_run_ends_with_its_result_and_what_is_advertised() -> None:
+def test_a_completed_run_is_answered_with_its_result() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     attempt = server.call(b"lookup")
     server.settle()
@@ -123,7 +125,7 @@
     assert attempt.answers == [[b"1", b"OK", b"", b"made of " + attempt.body]]
 
 
-def test_duplicates_get_the_result_of_the_original_whether_they_come_before_or_after_its_end() -> None:
+def test_duplicates_get_the_result_of_the_original_whether_they_arrive_before_or_after_its_end() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     first, during = server.call(b"record", b"a"), server.call(b"record", b"a")
     server.settle()
@@ -136,7 +138,7 @@
     assert len(server.interpreter.applied) == 1
 
 
-def test_duplicates_of_what_failed_or_whose_result_was_dropped_end_in_an_error() -> None:
+def test_duplicates_of_a_failed_request_fail() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     first, during = server.call(b"record", b"a"), server.call(b"record", b"a")
     server.settle()
@@ -147,11 +149,11 @@
     assert [attempt.answers[0][1] for attempt in (first, during, after)] == [b"FAILED"] * 3
 
 
-@pytest.mark.parametrize("room", [True, False])
-def test_a_duplicate_that_comes_to_full_cores_waits_and_is_never_rejected(room: bool) -> None:
-    server = SimulatedServer(
-        replace(SERVER_SETTINGS, max_concurrency_per_core=1.0)
-    )  # no more may run than there are cores
+@pytest.mark.parametrize("core_freed", [True, False])
+def test_a_duplicate_that_arrives_while_all_cores_are_busy_waits_and_is_never_rejected(
+    core_freed: bool,
+) -> None:
+    server = SimulatedServer(replace(SERVER_SETTINGS, max_concurrency_per_core=1.0))  # at most one run a core
     first = server.call(b"record", b"a")
     server.settle()
     server.end(first.name)
@@ -162,16 +164,16 @@
     again = server.call(b"record", b"a")
     server.settle()
     assert not again.answers
-    if room:
+    if core_freed:
         server.end(runs[0].name)
         server.settle()
     else:
         server.wait(SERVER_SETTINGS.request_classes[1].timeout_s)
-    assert [words[1] for words in again.answers] == [b"OK" if room else b"FAILED"]
+    assert [words[1] for words in again.answers] == [b"OK" if core_freed else b"FAILED"]
     assert first.name not in server.interpreter.running
 
 
-def test_a_duplicate_counts_by_when_it_came_not_by_when_it_is_read() -> None:
+def test_the_idempotency_window_applies_to_the_arrival_of_a_duplicate_not_to_its_read() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     first = server.call(b"record", b"a")
     server.settle()
@@ -186,10 +188,10 @@
     assert len(server.interpreter.applied) == 2
 
 
-def test_cached_results_have_a_bound_in_bytes() -> None:
+def test_cached_results_are_limited_in_bytes() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     server.idempotency_keys._max_result_bytes = 100
-    attempts = [server.call(b"record", b"label%d" % which) for which in range(10)]
+    attempts = [server.call(b"record", b"label%d" % number) for number in range(10)]
     for attempt in attempts:
         server.settle()
         if attempt.name in server.interpreter.running:
@@ -202,7 +204,7 @@
     assert len(server.interpreter.applied) == 10
 
 
-def test_a_link_opened_before_the_interpreter_is_up_serves_once_it_is() -> None:
+def test_a_link_opened_before_the_interpreter_is_running_works_once_it_is() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     server.interpreter.up = False
     server.cut(lost=False)
@@ -215,25 +217,25 @@
     assert attempt.name in server.interpreter.running
 
 
-def test_a_broken_link_loses_no_end_and_applies_nothing_keyed_twice() -> None:
+def test_a_broken_link_loses_no_result_and_starts_no_keyed_run_twice() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
-    done, doubt = server.call(b"lookup"), server.call(b"record", b"b")
+    completed, unconfirmed = server.call(b"lookup"), server.call(b"record", b"b")
     server.settle()
     server.linked = False
     server.cut(lost=False)
     server.wait(0.1)
-    server.end(done.name)
-    held = server.call(b"lookup")
+    server.end(completed.name)
+    queued = server.call(b"lookup")
     server.wait(0.3)
-    assert not done.answers and len(server.interpreter.applied) == 2
+    assert not completed.answers and len(server.interpreter.applied) == 2
     server.linked = True
     server.wait(1.0)
-    assert done.answers[0][1] == b"OK" and held.name in server.interpreter.running
-    server.end(doubt.name)
-    server.end(held.name)
+    assert completed.answers[0][1] == b"OK" and queued.name in server.interpreter.running
+    server.end(unconfirmed.name)
+    server.end(queued.name)
     server.settle()
-    assert doubt.answers[0][1] == b"OK"
-    # Written just before the break, never arrived: applied again where that does no harm, and only there.
+    assert unconfirmed.answers[0][1] == b"OK"
+    # These commands are written just before the break and lost: only the idempotent one is sent again.
     idempotent, keyed = server.call(b"lookup"), server.call(b"record", b"c")
     server.settle(deliver=False)
     server.cut(lost=True)
@@ -246,13 +248,13 @@
 
 
 @pytest.mark.parametrize("request_class", [b"lookup", b"record"])
-def test_a_run_that_ends_as_its_link_comes_back_has_one_answer(request_class: bytes) -> None:
-    """The end crosses what the server sends on the new link; only a safe class may be begun once more."""
+def test_a_run_that_ends_as_its_link_is_reopened_has_one_answer(request_class: bytes) -> None:
+    """The run's end crosses the commands on the new link; only an idempotent run may start again."""
     server = SimulatedServer(SERVER_SETTINGS)
     keyed = request_class == b"record"
     attempt = server.call(request_class, b"a" if keyed else b"")
     server.settle(deliver=False)
-    server.cut(lost=False)  # the command arrives, the answer to the fence behind it does not
+    server.cut(lost=False)  # the command arrives, but the answer to the fence after it does not
     feed = server.interpreter.feed
 
     def feed_and_end(data: bytes) -> bytes:
@@ -262,12 +264,12 @@
     server.interpreter.feed = feed_and_end  # type: ignore[method-assign]
     server.wait(0.1)
     assert attempt.answers == [[b"1", b"OK", b"", b"made of " + attempt.body]]
-    again = 0 if keyed else 1
-    assert server.counts.count("runs_sent_again") == server.counts.count("ends_unknown") == again
-    assert len(server.interpreter.applied) == 1 + again and not server.interpreter.running
+    resent = 0 if keyed else 1
+    assert server.counts.count("runs_sent_again") == server.counts.count("ends_unknown") == resent
+    assert len(server.interpreter.applied) == 1 + resent and not server.interpreter.running
 
 
-def test_an_unreadable_notice_opens_the_link_again() -> None:
+def test_an_invalid_notice_reopens_the_link() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     attempt = server.call(b"lookup")
     server.settle()
@@ -279,31 +281,31 @@
     assert attempt.answers[0][1] == b"OK" and server.counts.count("links") == 2
 
 
-def test_rejected_and_empty_runs_end_their_requests() -> None:
+def test_a_rejected_command_and_a_run_that_never_started_fail_their_requests() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
-    attempt, two = server.call(b"lookup"), server.call(b"lookup")
+    rejected, never_started = server.call(b"lookup"), server.call(b"lookup")
     server.settle()
     assert server.link is not None
-    server.link.feed(b"ERROR APPLY %b\r\n" % attempt.name)
-    server.end(two.name, b"nothing")
+    server.link.feed(b"ERROR APPLY %b\r\n" % rejected.name)
+    server.end(never_started.name, b"nothing")
     server.settle()
-    assert [each.answers[0][1] for each in (attempt, two)] == [b"FAILED", b"FAILED"]
+    assert [attempt.answers[0][1] for attempt in (rejected, never_started)] == [b"FAILED", b"FAILED"]
     assert server.dispatcher.open_count == 0
 
 
-def test_more_than_32_open_are_failed_and_a_tag_used_twice_ends_its_connection() -> None:
+def test_requests_beyond_32_open_ones_fail_and_a_repeated_tag_closes_its_connection() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     attempts = [server.call(b"lookup") for _ in range(33)]
     server.settle()
     assert sum(bool(attempt.answers) and attempt.answers[0][1] == b"FAILED" for attempt in attempts) == 1
     server.client.feed(call(1, b"%016x" % 255, b"lookup", server.now, b""))
     server.settle()
-    attempts[0].cancelled = True  # no answer could tell which of the two is meant
+    attempts[0].cancelled = True  # an answer would not show which of the two requests it is for
     late = server.call(b"lookup")
     late.cancelled = True
     server.settle()
     assert not attempts[0].answers and not late.answers and server.client.open
-    while server.interpreter.running:  # what was taken before it is owed its answers, and then the end comes
+    while server.interpreter.running:  # requests accepted before are answered, then the connection is closed
         assert server.client.open
         server.end(next(iter(server.interpreter.running)))
         server.settle()
@@ -313,13 +315,14 @@
 
 
 def test_a_request_that_crosses_the_close_announcement_unread_is_answered_before_the_close() -> None:
-    """A drain on the fleet days closed a connection over a request that had come after the farewell."""
+    """Guards against closing a connection with an unread request, as a drain did after its announcement."""
     server = SimulatedServer(SERVER_SETTINGS)
     server.listener.set_idle_timeout(1.0)
     server.wait(2.0)
     connection = next(iter(server.listener.connections))
     assert connection.close_announced
-    reader, server.client.reader = server.client.reader, None  # the bytes come, the reader's turn has not
+    # The data arrives, but the reader does not run yet.
+    reader, server.client.reader = server.client.reader, None
     late = server.call(b"lookup")
     server.wait(2.0)
     assert server.client.open and connection in server.listener.connections
@@ -343,8 +346,8 @@
     assert not server.client.open
 
 
-def test_timers_count_from_the_opening_even_if_that_is_long_past() -> None:
-    server = SimulatedServer(SERVER_SETTINGS)  # its interpreter has been up for five seconds
+def test_timers_count_from_the_start_of_the_interpreter_even_if_that_is_long_past() -> None:
+    server = SimulatedServer(SERVER_SETTINGS)  # its interpreter has been running for five seconds
     attempt = server.call(b"lookup")
     server.settle()
     server.drain(0.5)
@@ -352,23 +355,23 @@
     assert attempt.answers[0][1] == b"FAILED"
 
 
-def test_a_request_whose_caller_leaves_in_the_same_read_takes_no_core() -> None:
+def test_a_request_that_is_cancelled_in_the_same_read_takes_no_core() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
-    for which in range(20):
-        server.cancel(server.call(b"record", b"label%d" % which))
+    for number in range(20):
+        server.cancel(server.call(b"record", b"label%d" % number))
         server.settle()
     attempt = server.call(b"lookup")
     server.settle()
     assert [name for name, *_ in server.interpreter.applied] == [attempt.name]
 
 
-def test_an_internal_error_costs_one_connection_or_one_link() -> None:
+def test_an_internal_error_affects_only_one_request_or_one_link() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     attempt = server.call(b"lookup")
     server.settle()
 
     def fault(*_: object) -> None:
-        raise RuntimeError("a fault of ours")
+        raise RuntimeError("injected error")
 
     server.dispatcher.run_ended = fault  # type: ignore[method-assign, assignment]
     server.end(attempt.name)
@@ -379,10 +382,10 @@
     answers = server.ask(call(99, b"%016x" % 255, b"lookup", server.now, b""))
     assert [words[:2] for words in answers] == [[b"99", b"FAILED"]]
     assert server.counts.count("faults") == 2  # the link's and the request's
-    assert server.ask(frame(b"RPC.HEALTH", b"100", b""))[0][1] == b"UP"  # the others on it go on
+    assert server.ask(frame(b"RPC.HEALTH", b"100", b""))[0][1] == b"UP"  # the connection still works
 
 
-def test_unused_connections_with_answers_to_take_are_not_cut_off() -> None:
+def test_unused_connections_with_unsent_answers_are_not_closed() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     server.listener.announce_close()
     server.client._unsent += b"an answer that the router has not taken yet"
@@ -393,7 +396,7 @@
     assert not server.client.open
 
 
-def test_commands_that_never_went_out_are_not_in_doubt() -> None:
+def test_commands_that_were_never_sent_are_not_unconfirmed() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     first = server.call(b"record", b"a")
     server.call(b"record", b"a")  # the first is decided in the middle of the round
@@ -403,7 +406,7 @@
     assert first.name in server.interpreter.running and server.counts.count("runs_sent_again") == 0
 
 
-def test_a_query_due_in_the_round_of_the_greeting_does_not_take_the_fence_away() -> None:
+def test_a_query_due_in_the_round_of_the_greeting_does_not_replace_the_fence() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     server.interpreter.up = False
     server.cut(lost=False)
@@ -418,7 +421,7 @@
     assert attempt.name in server.interpreter.running
 
 
-def test_a_cancellation_asked_for_while_there_is_no_link_goes_out_with_the_next() -> None:
+def test_a_cancellation_without_a_link_is_sent_on_the_next_one() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     attempt = server.call(b"lookup")
     server.settle()
@@ -433,33 +436,33 @@
     assert not server.interpreter.running and server.dispatcher.open_count == 0
 
 
-def test_nothing_arrives_later_than_it_is_decided() -> None:
+def test_no_time_of_arrival_is_later_than_the_decision() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     server.call(b"lookup", ago=-0.004)
     server.settle()
     assert [request.arrived_at for request in server.dispatcher._open_requests._exchanges] == [server.now]
 
 
-def test_an_interpreter_that_moves_leaves_no_run_in_doubt_and_takes_commands_in_order() -> None:
+def test_a_move_of_the_interpreter_leaves_no_run_unconfirmed_and_keeps_the_order_of_commands() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     ended = server.call(b"lookup")
     server.settle()
-    under_way = server.call(b"record", b"b")
+    in_transit = server.call(b"record", b"b")
     server.settle(deliver=False)
     server.interpreter_client.connect_to(server._connect)
     server.settle(deliver=False)
-    meanwhile = server.call(b"record", b"c")
+    during_move = server.call(b"record", b"c")
     server.settle(deliver=False)
-    server.interpreter.end(ended.name)  # told by the old link, as it is left
+    server.interpreter.end(ended.name)  # reported on the old link before that is closed
     server.wait(0.2)
     assert [name for name, *_ in server.interpreter.applied] == [
-        attempt.name for attempt in (ended, under_way, meanwhile)
+        attempt.name for attempt in (ended, in_transit, during_move)
     ]
     assert ended.answers[0][1] == b"OK" and not server.counts.count("runs_sent_again")
     assert server.counts.count("links") == 2 and sum(link.open for link in server.links) == 1
 
 
-def test_an_interpreter_that_cannot_be_had_at_its_new_address_is_kept_at_the_old() -> None:
+def test_an_interpreter_that_is_unreachable_at_its_new_address_is_used_at_the_old_one() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     server.interpreter_client.connect_to(lambda: None)
     attempt = server.call(b"record", b"a")
@@ -468,14 +471,14 @@
     server.settle()
     assert attempt.answers[0][1] == b"OK" and server.counts.count("links") == 1
     server.interpreter_client.connect_to(server._connect)
-    server.interpreter_client.connect_to(server._connect)  # twice at once: the last word counts
+    server.interpreter_client.connect_to(server._connect)  # two moves at once: the last one counts
     server.wait(0.5)
-    two = server.call(b"lookup")
+    later = server.call(b"lookup")
     server.settle()
-    assert two.name in server.interpreter.running and sum(link.open for link in server.links) == 1
+    assert later.name in server.interpreter.running and sum(link.open for link in server.links) == 1
 
 
-def test_an_idempotency_key_with_another_body_or_request_class_is_failed_and_the_true_one_unharmed() -> None:
+def test_an_idempotency_key_with_another_body_fails_and_the_original_is_unaffected() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     first = server.call(b"record", b"a")
     server.settle()
@@ -492,15 +495,16 @@
     assert first.answers[0][1] == again.answers[0][1] == b"OK" and server.dispatcher.open_count == 0
 
 
-def test_the_id_of_an_open_request_is_rejected_and_the_original_unharmed() -> None:
+def test_the_id_of_an_open_request_fails_and_the_original_is_unaffected() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
-    attempts = [server.call(b"record", b"a"), server.call(b"record", b"a")]  # one runs, one has joined it
-    attempts += [server.call(b"lookup") for _ in range(4)]  # one runs, the others are held
+    # One runs, the other is attached to it.
+    attempts = [server.call(b"record", b"a"), server.call(b"record", b"a")]
+    attempts += [server.call(b"lookup") for _ in range(4)]  # one runs, the others are queued
     server.settle()
     open_before = server.dispatcher.open_count
-    for place, attempt in enumerate(attempts):
-        answers = server.ask(call(900 + place, attempt.name, attempt.request_class, server.now, b"", b"b"))
-        assert [words[:2] for words in answers] == [[b"%d" % (900 + place), b"FAILED"]]
+    for index, attempt in enumerate(attempts):
+        answers = server.ask(call(900 + index, attempt.name, attempt.request_class, server.now, b"", b"b"))
+        assert [words[:2] for words in answers] == [[b"%d" % (900 + index), b"FAILED"]]
     assert server.dispatcher.open_count == open_before
     while server.interpreter.running:
         server.end(next(iter(server.interpreter.running)))
@@ -508,17 +512,17 @@
     assert all(attempt.answers[0][1] == b"OK" for attempt in attempts)
 
 
-def test_a_run_that_the_interpreter_does_not_know_leaves_no_trace() -> None:
+def test_a_run_that_the_interpreter_rejects_leaves_no_state() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
-    made_up = server.call(b"record", b"a")
+    rejected = server.call(b"record", b"a")
     server.settle()
     controller = server.dispatcher._controller
     assert server.link is not None and controller is not None
     server.interpreter.applied.clear()
     server.interpreter.running.clear()
-    server.link.feed(b"ERROR APPLY %b\r\n" % made_up.name)
+    server.link.feed(b"ERROR APPLY %b\r\n" % rejected.name)
     server.settle()
-    assert made_up.answers[0][1] == b"FAILED"
+    assert rejected.answers[0][1] == b"FAILED"
     assert (
         controller.credit_pool.started
         == controller.credit_pool.completed
@@ -527,41 +531,41 @@
     )
     assert not controller.service_times.response_s.values
     assert not any(controller.tenant_quotas.starts.values()) and not server.idempotency_keys._entries
-    true = server.call(b"record", b"a")
+    accepted = server.call(b"record", b"a")
     server.settle()
-    assert true.name in server.interpreter.running
+    assert accepted.name in server.interpreter.running
 
 
 def test_a_time_of_arrival_out_of_range_reaches_no_decision() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     calls = [
-        call(900 + place, b"%016x" % place, b"lookup", server.now - ago, b"")
-        for place, ago in enumerate((-1e6, -2.0, 61.0, 1e6))
+        call(900 + index, b"%016x" % index, b"lookup", server.now - ago, b"")
+        for index, ago in enumerate((-1e6, -2.0, 61.0, 1e6))
     ]
     answers = server.ask(b"".join(calls))
     assert [words[1] for words in answers] == [b"FAILED"] * 4 and not server.dispatcher.open_count
 
 
-def test_a_frame_that_does_not_end_ends_its_connection_and_one_that_asked_once_may_stay() -> None:
+def test_an_incomplete_frame_closes_its_connection_and_an_idle_client_stays_connected() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
-    silent, slow, once = (FakeStream(server.scheduler) for _ in range(3))
-    for stream in (silent, slow, once):
+    silent, slow, idle = (FakeStream(server.scheduler) for _ in range(3))
+    for stream in (silent, slow, idle):
         server.listener.accepted(stream)
-    once.feed(frame(b"RPC.HEALTH", b"1", b""))
+    idle.feed(frame(b"RPC.HEALTH", b"1", b""))
     for byte in call(1, b"%016x" % 1, b"lookup", server.now, b"x" * 50):
         slow.feed(bytes([byte]))
         server.wait(0.02)
-    assert not slow.open and not silent.open and once.open
-    once.feed(frame(b"RPC.HEALTH", b"2", b"") + b"*3\r\n")
+    assert not slow.open and not silent.open and idle.open
+    idle.feed(frame(b"RPC.HEALTH", b"2", b"") + b"*3\r\n")
     server.wait(1.0)
-    once.feed(b"$1\r\n")
+    idle.feed(b"$1\r\n")
     server.wait(0.5)
-    assert once.open
+    assert idle.open
     server.wait(1.0)
-    assert not once.open and server.client.open
+    assert not idle.open and server.client.open
 
 
-def test_many_unused_connections_is_reduced_longest_unused_first() -> None:
+def test_many_unused_connections_are_closed_longest_unused_first() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     streams = [FakeStream(server.scheduler) for _ in range(30)]
     for stream in streams:
@@ -574,43 +578,43 @@
     assert sum(stream.open for stream in streams) == 10
 
 
-def test_nothing_grows_with_new_ids_idempotency_keys_clients_and_connections() -> None:
-    tracemalloc.start()  # first: what replaces something older would look like growth
+def test_memory_does_not_grow_with_new_ids_idempotency_keys_clients_and_connections() -> None:
+    tracemalloc.start()  # first, since an object that replaces an older one would look like growth
     server, sizes = SimulatedServer(SERVER_SETTINGS), []
     server.listener.set_idle_timeout(1.0)
     try:
-        for place in range(4000):
-            request_class, idempotency_key = ((b"lookup", b""), (b"record", b"label%d" % place))[place % 2]
+        for index in range(4000):
+            request_class, idempotency_key = ((b"lookup", b""), (b"record", b"label%d" % index))[index % 2]
             stream = FakeStream(server.scheduler)
             server.listener.accepted(stream)
             frames = call(
-                1, b"%016x" % place, request_class, server.now, b"x" * 200, idempotency_key, 1000 + place
+                1, b"%016x" % index, request_class, server.now, b"x" * 200, idempotency_key, 1000 + index
             )
-            stream.feed(frames if place % 3 else frames + frame(b"RPC.CANCEL", b"1"))
+            stream.feed(frames if index % 3 else frames + frame(b"RPC.CANCEL", b"1"))
             server.settle()
             if server.interpreter.running:
                 server.end(next(iter(server.interpreter.running)))
             server.settle()
             server.wait(0.02)
-            for book in (server.interpreter.applied, server.interpreter.over, server.counts):
-                book.clear()
+            for records in (server.interpreter.applied, server.interpreter.over, server.counts):
+                records.clear()
             server.interpreter.notices[:] = [b""] * len(server.interpreter.notices)
-            if place in (2500, 3999):
+            if index in (2500, 3999):
                 gc.collect()
-                ours = [tracemalloc.Filter(True, "*/sablewheel/*"), tracemalloc.Filter(False, "*/tests/*")]
-                statistics = tracemalloc.take_snapshot().filter_traces(ours).statistics("lineno")
+                filters = [tracemalloc.Filter(True, "*/sablewheel/*"), tracemalloc.Filter(False, "*/tests/*")]
+                statistics = tracemalloc.take_snapshot().filter_traces(filters).statistics("lineno")
                 sizes.append(sum(statistic.size for statistic in statistics))
     finally:
         tracemalloc.stop()
     controller = server.dispatcher._controller
     assert sizes[1] < sizes[0] + 75_000 and controller is not None, sizes
-    assert not any(controller.tenant_quotas.starts.values())  # no shares, so no counts
+    assert not any(controller.tenant_quotas.starts.values())  # no quotas apply, so nothing is counted
     assert len(controller.clients.timeouts) == MAX_CLIENTS == 1024
 
 
-def test_a_link_that_is_open_but_silent_is_opened_again() -> None:
+def test_a_link_that_is_open_but_silent_is_reopened() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
-    server.links.clear()  # nothing that is written arrives any more, and nothing comes
+    server.links.clear()  # no data arrives in either direction any more
     attempt, keyed = server.call(b"lookup"), server.call(b"record", b"a")
     server.wait(2.5)
     assert server.counts.count("links") == 1 and not server.interpreter.running
@@ -621,31 +625,32 @@
     assert attempt.answers[0][1] == b"OK" and keyed.answers[0][1] == b"FAILED"
 
 
-def test_a_full_table_evicts_the_idle_but_not_one_with_a_request_unread() -> None:
-    """Crowding out closed connections whatever lay unread in them; those go next time, once read."""
+def test_a_full_table_evicts_idle_connections_but_none_with_an_unread_request() -> None:
+    """Guards against an eviction that closes a connection with unread data; it may be evicted once read."""
     server = SimulatedServer(SERVER_SETTINGS)
     server.wait(1.0)
     first = server.client
     others = [FakeStream(server.scheduler) for _ in range(7)]
     for number, stream in enumerate(others):
         server.listener.accepted(stream)
-        stream.feed(frame(b"RPC.HEALTH", b"%d" % number, b""))  # all have been heard: the oldest goes first
+        # All have sent a frame, so the oldest is evicted first.
+        stream.feed(frame(b"RPC.HEALTH", b"%d" % number, b""))
     server.wait(1.0)
-    first.reader = None  # a request has come on the oldest connection, the reader's turn has not
+    first.reader = None  # a request arrives on the oldest connection, but the reader does not run yet
     server.call(b"lookup")
     staying = [stream for stream in others if stream.open]
     assert len(staying) >= 5
-    server.listener.evict_unused()  # forty connections, a part in eight: five may go
-    server.listener.evict_unused()  # those on their way count: no more go than are in the way
+    server.listener.evict_unused()  # of forty connections an eighth is evicted at a time: five
+    server.listener.evict_unused()  # connections that are being closed count, so no more are evicted
     server.scheduler.run_ready()
     assert first.open and sum(not stream.open for stream in staying) == min(5, len(staying))
 
 
 @pytest.mark.parametrize("limit", [1.0, 0.0])
-def test_rejections_are_counted_by_reason_and_those_without_advice_apart(limit: float) -> None:
+def test_rejections_are_counted_by_reason_and_those_without_a_retry_time_separately(limit: float) -> None:
     server = SimulatedServer(replace(SERVER_SETTINGS, memory_kb=0.01, max_retry_after_s=limit))
     attempt = server.call(b"lookup")
     server.settle()
     assert attempt.answers[0][1] == b"BUSY"
-    alone = {} if limit else {"denied_without_advice": 1}
-    assert server.dispatcher.outcomes.rejections == {"denied_memory": 1, **alone}
+    without_retry_time = {} if limit else {"denied_without_advice": 1}
+    assert server.dispatcher.outcomes.rejections == {"denied_memory": 1, **without_retry_time}
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -1,4 +1,4 @@
-"""The scheduler on real descriptors: who is woken, when timers ring, and that nothing spins."""
+"""The clock, the event loop and the sockets on real descriptors."""
 
 from __future__ import annotations
 
@@ -30,19 +30,19 @@
         end.close()
 
 
-def play(scheduler: Scheduler, *actors: Callable[[], None], most: float = 0.3) -> int:
-    """Run the actors for a while; how many rounds that took."""
+def run_rounds(scheduler: Scheduler, *functions: Callable[[], None], max_time_s: float = 0.3) -> int:
+    """Run the functions as greenlets for a limited time; return the number of rounds."""
     rounds: list[int] = []
     scheduler.after_round.append(lambda: rounds.append(1))
-    for actor in actors:
-        scheduler.spawn(actor)
-    scheduler.after(most, scheduler.stop)
+    for function in functions:
+        scheduler.spawn(function)
+    scheduler.after(max_time_s, scheduler.stop)
     scheduler.run()
     return len(rounds)
 
 
-class MadeTime:
-    """The system's two clocks, as a test sets them."""
+class FakeSystemClocks:
+    """The system's two clocks, set by a test."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.unix, self.monotonic = 1000.0, 50.0
@@ -58,77 +58,77 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_the_clock_runs_with_real_time_however_the_wall_clock_is_set(
+def test_the_clock_follows_real_time_while_the_wall_clock_is_stepped(
     monkeypatch: pytest.MonkeyPatch, step: float
 ) -> None:
-    made = MadeTime(monkeypatch)
+    clocks = FakeSystemClocks(monkeypatch)
     clock = Clock()
     readings = [clock.now]
-    for span, by in [(1.0, 0.0), (0.25, step), (1.0, 0.0), (0.25, -step), (2.0, step)]:
-        made.wait(span, by)
+    for span, wall_clock_step in [(1.0, 0.0), (0.25, step), (1.0, 0.0), (0.25, -step), (2.0, step)]:
+        clocks.wait(span, wall_clock_step)
         readings.append(clock.read())
     assert readings == [1000.0, 1001.0, 1001.25, 1002.25, 1002.5, 1004.5]
-    assert clock.to_unix(clock.now) == made.unix
+    assert clock.to_unix(clock.now) == clocks.unix
 
 
 @pytest.mark.parametrize("read_between", [False, True])
 @pytest.mark.parametrize("step", [5.0, 3600.0, -5.0, -3600.0])
-def test_a_timestamp_is_read_by_the_setting_under_which_it_was_made(
+def test_a_timestamp_is_converted_by_the_setting_under_which_it_was_made(
     monkeypatch: pytest.MonkeyPatch, step: float, read_between: bool
 ) -> None:
-    made = MadeTime(monkeypatch)
+    clocks = FakeSystemClocks(monkeypatch)
     clock = Clock()
-    made.wait(10.0)
+    clocks.wait(10.0)
     clock.read()
-    before, true_before = made.unix, made.monotonic
-    made.wait(0.1, step)
+    before, true_before = clocks.unix, clocks.monotonic
+    clocks.wait(0.1, step)
     if read_between:
         clock.read()
-    made.wait(0.1)
-    after, true_after = made.unix, made.monotonic
-    made.wait(0.2)
-    apart = 950.0  # between the clock and the monotonic one, as it was made
-    assert clock.from_unix(before) == pytest.approx(true_before + apart)
-    assert clock.from_unix(after) == pytest.approx(true_after + apart)
-    made.wait(100.0)
+    clocks.wait(0.1)
+    after, true_after = clocks.unix, clocks.monotonic
+    clocks.wait(0.2)
+    offset = 950.0  # between the clock and the monotonic clock, from its creation on
+    assert clock.from_unix(before) == pytest.approx(true_before + offset)
+    assert clock.from_unix(after) == pytest.approx(true_after + offset)
+    clocks.wait(100.0)
     clock.read()
-    assert clock.from_unix(made.unix) == pytest.approx(made.monotonic + apart)
+    assert clock.from_unix(clocks.unix) == pytest.approx(clocks.monotonic + offset)
 
 
 @pytest.mark.parametrize("step", [3600.0, -3600.0])
-def test_a_timestamp_by_a_clock_that_was_not_stepped_along_is_still_understood(
+def test_a_timestamp_of_a_clock_that_was_not_stepped_is_still_converted(
     monkeypatch: pytest.MonkeyPatch, step: float
 ) -> None:
-    made = MadeTime(monkeypatch)
+    clocks = FakeSystemClocks(monkeypatch)
     clock = Clock()
-    made.wait(10.0, step)
+    clocks.wait(10.0, step)
     clock.read()
-    made.wait(300.0)
-    unstepped = made.unix - step - 0.5
+    clocks.wait(300.0)
+    unstepped = clocks.unix - step - 0.5
     assert clock.from_unix(unstepped) == pytest.approx(clock.now - 0.5)
-    assert clock.from_unix(made.unix - 0.5) == pytest.approx(clock.now - 0.5)
-    assert clock.from_unix(12.0) == 12.0 - step  # made up: nothing fits
+    assert clock.from_unix(clocks.unix - 0.5) == pytest.approx(clock.now - 0.5)
+    assert clock.from_unix(12.0) == 12.0 - step  # an arbitrary time, which no setting fits
 
 
-def test_a_clock_that_is_slewed_is_followed_and_counts_as_one_setting(
+def test_a_slewed_wall_clock_is_followed_and_counts_as_one_setting(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    made = MadeTime(monkeypatch)
+    clocks = FakeSystemClocks(monkeypatch)
     clock = Clock()
     for _ in range(100):
-        made.wait(1.0, 0.0005)
+        clocks.wait(1.0, 0.0005)
         clock.read()
-    assert clock.from_unix(made.unix) == pytest.approx(clock.now) and not clock._earlier_settings
-    assert clock.to_unix(clock.now) == pytest.approx(made.unix)
+    assert clock.from_unix(clocks.unix) == pytest.approx(clock.now) and not clock._earlier_settings
+    assert clock.to_unix(clock.now) == pytest.approx(clocks.unix)
 
 
-def test_timers_fire_in_order_never_early_and_not_once_cancelled() -> None:
+def test_timers_fire_in_order_never_early_and_not_after_cancellation() -> None:
     scheduler, fired = Scheduler(Clock()), []
     started = scheduler.clock.now
     for span in (0.05, 0.01, 0.03):
         scheduler.after(span, lambda span=span: fired.append((span, scheduler.clock.now)))  # type: ignore[misc]
     scheduler.after(0.02, lambda: fired.append((0.02, 0.0))).cancel()
-    play(scheduler, most=0.1)
+    run_rounds(scheduler, max_time_s=0.1)
     assert [span for span, _ in fired] == [0.01, 0.03, 0.05]
     assert all(now >= started + span for span, now in fired)
 
@@ -136,148 +136,149 @@
 def test_both_directions_of_a_descriptor_have_a_waiter_each(
     pair: tuple[socket.socket, socket.socket],
 ) -> None:
-    scheduler, (one, two), seen = Scheduler(Clock()), pair, []
+    scheduler, (local, remote), events = Scheduler(Clock()), pair, []
 
     def reader() -> None:
-        seen.append(("read", scheduler.wait(one.fileno(), READABLE)))
+        events.append(("read", scheduler.wait(local.fileno(), READABLE)))
 
     def writer() -> None:
-        seen.append(("write", scheduler.wait(one.fileno(), WRITABLE)))
-        two.send(b"x")
+        events.append(("write", scheduler.wait(local.fileno(), WRITABLE)))
+        remote.send(b"x")
 
-    play(scheduler, reader, writer)
-    assert seen == [("write", True), ("read", True)]
+    run_rounds(scheduler, reader, writer)
+    assert events == [("write", True), ("read", True)]
 
 
-def test_a_wait_ends_by_its_time_or_when_the_descriptor_goes(
+def test_a_wait_ends_at_its_timeout_or_when_the_descriptor_is_unregistered(
     pair: tuple[socket.socket, socket.socket],
 ) -> None:
-    scheduler, (one, two), seen = Scheduler(Clock()), pair, []
+    scheduler, (first, second), results = Scheduler(Clock()), pair, []
 
-    def patient() -> None:
-        seen.append(scheduler.wait(one.fileno(), READABLE, 0.02))
+    def wait_with_timeout() -> None:
+        results.append(scheduler.wait(first.fileno(), READABLE, 0.02))
 
-    def left() -> None:
-        seen.append(scheduler.wait(two.fileno(), READABLE))
+    def wait_without_timeout() -> None:
+        results.append(scheduler.wait(second.fileno(), READABLE))
 
-    scheduler.after(0.05, lambda: scheduler.unregister(two.fileno()))
-    play(scheduler, patient, left)
-    assert seen == [False, True]
+    scheduler.after(0.05, lambda: scheduler.unregister(second.fileno()))
+    run_rounds(scheduler, wait_with_timeout, wait_without_timeout)
+    assert results == [False, True]
 
 
-def test_what_nobody_waits_for_does_not_spin(pair: tuple[socket.socket, socket.socket]) -> None:
-    scheduler, (one, two) = Scheduler(Clock()), pair
+def test_events_without_a_waiter_do_not_spin(pair: tuple[socket.socket, socket.socket]) -> None:
+    scheduler, (local, remote) = Scheduler(Clock()), pair
 
-    def once() -> None:
-        scheduler.wait(one.fileno(), READABLE)
+    def wait_once() -> None:
+        scheduler.wait(local.fileno(), READABLE)
 
-    two.send(b"never read")
-    two.shutdown(socket.SHUT_WR)
-    assert play(scheduler, once) < 20
+    remote.send(b"never read")
+    remote.shutdown(socket.SHUT_WR)
+    assert run_rounds(scheduler, wait_once) < 20
 
 
-def test_a_fault_ends_its_own_greenlet_only() -> None:
-    scheduler, seen = Scheduler(Clock()), []
+def test_an_error_ends_only_its_own_greenlet() -> None:
+    scheduler, calls = Scheduler(Clock()), []
 
     def faulty() -> None:
-        raise RuntimeError("a fault of ours")
+        raise RuntimeError("injected error")
 
-    play(scheduler, faulty, lambda: seen.append(1), most=0.02)
-    assert seen == [1]
+    run_rounds(scheduler, faulty, lambda: calls.append(1), max_time_s=0.02)
+    assert calls == [1]
 
 
-def test_signals_are_taken_in_the_loop() -> None:
-    scheduler, seen = Scheduler(Clock()), []
+def test_signals_are_handled_in_the_loop() -> None:
+    scheduler, calls = Scheduler(Clock()), []
     before = signal.getsignal(signal.SIGUSR1)
     try:
 
-        def faulty() -> None:
-            seen.append(1)
-            raise RuntimeError("a fault of ours")
+        def handle_and_raise() -> None:
+            calls.append(1)
+            raise RuntimeError("injected error")
 
-        scheduler.on_signal(signal.SIGUSR1, faulty)
-        play(
+        scheduler.on_signal(signal.SIGUSR1, handle_and_raise)
+        run_rounds(
             scheduler,
             lambda: os.kill(os.getpid(), signal.SIGUSR1),
             lambda: scheduler.after(0.1, lambda: os.kill(os.getpid(), signal.SIGUSR1)),  # type: ignore[arg-type]
         )
-        assert seen == [1, 1]
+        assert calls == [1, 1]
     finally:
         signal.set_wakeup_fd(-1)
         signal.signal(signal.SIGUSR1, before)
 
 
 def test_a_stream_keeps_all_bytes_while_its_peer_does_not_read() -> None:
-    scheduler, ends, got = Scheduler(Clock()), [], bytearray()
+    scheduler, streams, received = Scheduler(Clock()), [], bytearray()
     data = bytes(range(256)) * 40_000
-    with socket.create_server(("127.0.0.1", 0)) as free:
-        address = free.getsockname()
+    with socket.create_server(("127.0.0.1", 0)) as unused_socket:
+        address = unused_socket.getsockname()
 
     def accepted(stream: Stream) -> None:
-        ends.append(stream)
+        streams.append(stream)
         stream.write(data)
         stream.flush()
 
-    listener = Listener(scheduler, address, lambda: len(ends) < 4, accepted, lambda: None)
+    listener = Listener(scheduler, address, lambda: len(streams) < 4, accepted, lambda: None)
 
     def peer() -> None:
         stream = connect(scheduler, address, 1.0)
         assert stream is not None
         scheduler.sleep(0.1)
-        while len(got) < len(data) and (more := stream.read()):
-            got.extend(more)
+        while len(received) < len(data) and (chunk := stream.read()):
+            received.extend(chunk)
         stream.close()
         listener.close()
         scheduler.stop()
 
-    play(scheduler, peer, most=20.0)
-    assert bytes(got) == data and ends[0].all_sent
+    run_rounds(scheduler, peer, max_time_s=20.0)
+    assert bytes(received) == data and streams[0].all_sent
 
 
-def test_a_read_takes_no_more_memory_than_what_came() -> None:
+def test_a_read_allocates_no_more_than_the_received_data() -> None:
     scheduler, peaks = Scheduler(Clock()), []
     with socket.create_server(("127.0.0.1", 0)) as listening_socket:
-        two = socket.create_connection(listening_socket.getsockname())
+        peer = socket.create_connection(listening_socket.getsockname())
         stream = Stream(scheduler, listening_socket.accept()[0])
 
     def reader() -> None:
         for _ in range(3):
-            two.send(b"x" * 100)
+            peer.send(b"x" * 100)
             tracemalloc.start()
             assert stream.read() == b"x" * 100
             peaks.append(tracemalloc.get_traced_memory()[1])
             tracemalloc.stop()
         stream.close()
 
-    play(scheduler, reader)
-    two.close()
+    run_rounds(scheduler, reader)
+    peer.close()
     assert len(peaks) == 3 and min(peaks) < 16_000, peaks
 
 
-def test_nobody_there_is_no_connection() -> None:
-    scheduler, seen = Scheduler(Clock()), []
-    with socket.create_server(("127.0.0.1", 0)) as free:
-        address = free.getsockname()
-    play(scheduler, lambda: seen.append(connect(scheduler, address, 0.2)))
-    assert seen == [None]
+def test_connecting_to_a_closed_port_gives_no_stream() -> None:
+    scheduler, results = Scheduler(Clock()), []
+    with socket.create_server(("127.0.0.1", 0)) as unused_socket:
+        address = unused_socket.getsockname()
+    run_rounds(scheduler, lambda: results.append(connect(scheduler, address, 0.2)))
+    assert results == [None]
 
 
-def test_a_datagram_socket_holds_what_1024_send_at_once_as_far_as_the_kernel_allows() -> None:
-    allowed = int(Path("/proc/sys/net/core/rmem_max").read_text())
-    scheduler, got = Scheduler(Clock()), list[bytes]()
-    box = DatagramSocket(scheduler, ("127.0.0.1", 0), 1000, lambda data, _: got.append(data))
-    room = box._socket.getsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF)
-    assert room == 2 * min(RECEIVE_BUFFER_BYTES, allowed)  # the kernel counts its own part
+def test_a_datagram_socket_buffers_1024_datagrams_as_far_as_the_kernel_allows() -> None:
+    max_buffer_bytes = int(Path("/proc/sys/net/core/rmem_max").read_text())
+    scheduler, received = Scheduler(Clock()), list[bytes]()
+    datagram_socket = DatagramSocket(scheduler, ("127.0.0.1", 0), 1000, lambda data, _: received.append(data))
+    buffer_bytes = datagram_socket._socket.getsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF)
+    # The kernel adds as much for its own data.
+    assert buffer_bytes == 2 * min(RECEIVE_BUFFER_BYTES, max_buffer_bytes)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
-        for number in range(1024):  # all before the first round, as while the process is busy
-            sender.sendto(b"%d" % number + bytes(100), box._socket.getsockname())
-    play(scheduler)
-    assert len(got) >= min(1024, room // 1280)
-    box.close()
+        for number in range(1024):  # all before the first round, as if the process were busy
+            sender.sendto(b"%d" % number + bytes(100), datagram_socket._socket.getsockname())
+    run_rounds(scheduler)
+    assert len(received) >= min(1024, buffer_bytes // 1280)
+    datagram_socket.close()
 
 
-class Ailing:
-    """A socket whose reads and writes fail for a while."""
+class FailingSocket:
+    """A socket whose reads and writes fail until a given time."""
 
     def __init__(self, sock: socket.socket, until: float) -> None:
         self._sock, self._until = sock, until
@@ -298,19 +299,19 @@
         return self._sock.send(*values)
 
 
-def test_a_connection_outlives_calls_that_fail_for_longer_than_a_second(
+def test_a_connection_survives_calls_that_fail_for_longer_than_a_second(
     pair: tuple[socket.socket, socket.socket],
 ) -> None:
-    scheduler, (one, two), got = Scheduler(Clock()), pair, list[bytes]()
-    stream = Stream(scheduler, one)
-    stream._socket = Ailing(one, time.monotonic() + 2.0)  # type: ignore[assignment]
+    scheduler, (local, remote), received = Scheduler(Clock()), pair, list[bytes]()
+    stream = Stream(scheduler, local)
+    stream._socket = FailingSocket(local, time.monotonic() + 2.0)  # type: ignore[assignment]
 
-    def actor() -> None:
-        got.append(stream.read())
+    def reader() -> None:
+        received.append(stream.read())
 
-    two.sendall(b"asked")
+    remote.sendall(b"asked")
     stream.write(b"told")
     stream.flush()
-    play(scheduler, actor, most=3.0)
-    assert got == [b"asked"] and two.recv(9) == b"told" and stream.open
+    run_rounds(scheduler, reader, max_time_s=3.0)
+    assert received == [b"asked"] and remote.recv(9) == b"told" and stream.open
     stream.close()
