--- a/sablewheel/serving/delayed_answers.py
+++ b/sablewheel/serving/delayed_answers.py
@@ -9,7 +9,7 @@
 from ..transport.scheduler import Scheduler
 from .exchange import Caller, Exchange
 
-DEADLINE_MARGIN_S = 0.02  # a delayed answer is sent at least so long before its request's deadline
+DEADLINE_MARGIN_S = 0.02  # a delayed answer is released this long before its request's deadline
 
 
 @dataclass(slots=True, eq=False)
--- a/sablewheel/serving/interpreter_client.py
+++ b/sablewheel/serving/interpreter_client.py
@@ -55,7 +55,7 @@
     """Receives the interpreter's reports."""
 
     def interpreter_ready(self, cold: bool, uptime_s: float) -> None:
-        """Called at each greeting; the interpreter has run for `uptime_s`, and was booting then if `cold`."""
+        """Called at each greeting; the interpreter started `uptime_s` ago, and had to boot then if `cold`."""
 
     def run_ended(self, exchange: Exchange, outcome: Outcome, run_time_s: float, result: bytes) -> None:
         """Called when a run has ended."""
@@ -207,7 +207,7 @@
             return connect()
         except Exception:  # must not end the greenlet: no link would be opened after that
             self._count("faults")
-            log.exception("connection attempt to the interpreter ended by a fault")
+            log.exception("no link for a fault")
             return None
 
     def _close_old_link(self) -> None:
--- a/sablewheel/serving/listener.py
+++ b/sablewheel/serving/listener.py
@@ -142,7 +142,7 @@
         if tenant is None and self._tenants:
             raise resp.InvalidMessageError(f"unknown tenant: {message.tenant[:40]!r}", message.tag)
         if request_class.idempotency is Idempotency.KEYED and not message.idempotency_key:
-            raise resp.InvalidMessageError("missing idempotency key in a keyed request class", message.tag)
+            raise resp.InvalidMessageError("no idempotency key in a keyed request class", message.tag)
         arrived_at = self._arrived_at(message)
         return Request(
             request_class,
--- a/tests/test_internal_errors.py
+++ b/tests/test_internal_errors.py
@@ -34,14 +34,14 @@
     age_s = 3.9 if step == "reject" else 0.0
     failing = server.call(b"record", b"a", ago=age_s)
     server.scheduler.run_ready()
-    good, other = server.call(b"record", b"b"), server.call(b"lookup")
+    succeeding, other = server.call(b"record", b"b"), server.call(b"lookup")
     server.settle()
     for name in list(server.interpreter.running):
         server.end(name)
     server.settle()
     assert errors == [True]
     assert [words[1] for words in failing.answers] == [b"BUSY" if step == "reject" else b"FAILED"]
-    assert good.answers[0][1] == other.answers[0][1] == b"OK"
+    assert succeeding.answers[0][1] == other.answers[0][1] == b"OK"
     assert not server.dispatcher.open_count
     controller = server.dispatcher._controller
     assert controller is not None
--- a/tests/test_scheduler_races.py
+++ b/tests/test_scheduler_races.py
@@ -22,7 +22,7 @@
 MAX_TIME_S = 2.0  # limit for each test
 
 
-def fault() -> None:
+def raise_error() -> None:
     raise RuntimeError("injected error")
 
 
@@ -59,14 +59,14 @@
 def test_an_error_in_a_timers_action_does_not_affect_other_timers_or_the_loop(
     scheduler: Scheduler, caplog: pytest.LogCaptureFixture
 ) -> None:
-    seen: list[str] = []
-    scheduler.on_fault = lambda: seen.append("fault")
-    scheduler.after(0.0, fault)
-    scheduler.after(0.0, lambda: seen.append("due in the same round"))
-    scheduler.after(0.01, lambda: seen.append("due later"))
+    events: list[str] = []
+    scheduler.on_fault = lambda: events.append("fault")
+    scheduler.after(0.0, raise_error)
+    scheduler.after(0.0, lambda: events.append("due in the same round"))
+    scheduler.after(0.01, lambda: events.append("due later"))
     scheduler.after(0.02, scheduler.stop)
     run_rounds(scheduler)
-    assert seen == ["fault", "due in the same round", "due later"]
+    assert events == ["fault", "due in the same round", "due later"]
     assert "injected error" in caplog.text
 
 
@@ -74,22 +74,22 @@
     scheduler: Scheduler, signals: int
 ) -> None:
     """As when no batch can be decided: a signal must still stop the process in order."""
-    seen: list[str] = []
-    scheduler.on_fault = lambda: seen.append("fault")
+    events: list[str] = []
+    scheduler.on_fault = lambda: events.append("fault")
     scheduler.on_signal(signals, scheduler.stop)
-    scheduler.after_round += [fault, lambda: seen.append("after it")]
+    scheduler.after_round += [raise_error, lambda: events.append("after it")]
     scheduler.after(0.05, lambda: os.kill(os.getpid(), signals))
     rounds = run_rounds(scheduler)
-    assert seen == ["fault", "after it"] * rounds
+    assert events == ["fault", "after it"] * rounds
     assert rounds < 10  # no spin
 
 
 def test_an_error_in_a_greenlet_is_counted(scheduler: Scheduler) -> None:
-    seen: list[str] = []
-    scheduler.on_fault = lambda: seen.append("fault")
+    events: list[str] = []
+    scheduler.on_fault = lambda: events.append("fault")
     scheduler.after(0.01, scheduler.stop)
-    run_rounds(scheduler, fault)
-    assert seen == ["fault"]
+    run_rounds(scheduler, raise_error)
+    assert events == ["fault"]
 
 
 def test_a_recurring_timer_continues_after_an_error_until_it_is_cancelled(scheduler: Scheduler) -> None:
@@ -100,7 +100,7 @@
         if len(calls) == 3:
             timer.cancel()
             scheduler.after(0.03, scheduler.stop)
-        fault()
+        raise_error()
 
     timer = scheduler.every(0.01, call_and_raise)
     run_rounds(scheduler)
@@ -116,7 +116,7 @@
         fired_at.append(scheduler.clock.now)
         if len(fired_at) == 2:
             scheduler.stop()
-        fault()
+        raise_error()
 
     Wakeup(scheduler, lambda: scheduler.clock.now, wake_and_raise).set(scheduler.clock.now)
     run_rounds(scheduler)
@@ -131,7 +131,7 @@
         if len(fired_at) == 2:
             return scheduler.stop()
         wakeup.set(scheduler.clock.now + 0.01)
-        fault()
+        raise_error()
 
     wakeup = Wakeup(scheduler, lambda: scheduler.clock.now, wake_and_raise)
     wakeup.set(scheduler.clock.now)
@@ -186,13 +186,13 @@
     scheduler: Scheduler, signals: int
 ) -> None:
     """Signals sent in a greenlet, a timer and at the end of a round are handled soon, never inside these."""
-    seen: list[str] = []
+    calls: list[str] = []
     inside: list[str] = []
 
     def handle() -> None:
         assert not inside
-        seen.append("taken")
-        if len(seen) == 3:
+        calls.append("taken")
+        if len(calls) == 3:
             scheduler.stop()
 
     def send() -> None:
@@ -206,14 +206,14 @@
     scheduler.after_round.append(lambda: pending.pop()() if pending else None)
     scheduler.spawn(lambda: scheduler.sleep(0.04) or send())  # type: ignore[func-returns-value]
     assert run_rounds(scheduler) < 20
-    assert seen == ["taken"] * 3
+    assert calls == ["taken"] * 3
 
 
 def test_a_signal_sent_twice_in_a_round_is_handled_and_so_is_the_next_one(
     scheduler: Scheduler, signals: int
 ) -> None:
-    seen: list[float] = []
-    scheduler.on_signal(signals, lambda: seen.append(scheduler.clock.now))
+    handled_at: list[float] = []
+    scheduler.on_signal(signals, lambda: handled_at.append(scheduler.clock.now))
 
     def twice() -> None:
         os.kill(os.getpid(), signals)
@@ -223,7 +223,7 @@
     scheduler.after(0.03, lambda: os.kill(os.getpid(), signals))
     scheduler.after(0.05, scheduler.stop)
     run_rounds(scheduler)
-    assert len(set(seen)) == 2
+    assert len(set(handled_at)) == 2
 
 
 # -- descriptors
@@ -295,13 +295,13 @@
 
 def test_an_invalid_descriptor_raises_each_time_and_leaves_no_state(scheduler: Scheduler) -> None:
     """A closed socket has the descriptor -1; guards against a second wait on it that never returned."""
-    seen: list[str] = []
+    results: list[str] = []
 
     def wait_on_closed() -> None:
         with pytest.raises(ValueError, match="negative"):
             scheduler.wait(-1, READABLE)
-        seen.append(f"{getcurrent() is not None}")
+        results.append(f"{getcurrent() is not None}")
 
     scheduler.after(0.02, scheduler.stop)
     run_rounds(scheduler, wait_on_closed, wait_on_closed)
-    assert seen == ["True", "True"] and not scheduler._masks and not scheduler._waiting.get(-1)
+    assert results == ["True", "True"] and not scheduler._masks and not scheduler._waiting.get(-1)
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -98,8 +98,8 @@
             ):  # a copied idempotency key or id with another body, an invalid field, or an incomplete frame
                 stream, name = FakeStream(server.scheduler), running[0] if running else b"%016x" % number
                 server.listener.accepted(stream)
-                faulty = call(1, name, b"record", server.now, b"another", b"label%d" % number)
-                stream.feed([faulty, faulty.replace(b"room=", b"boom="), faulty[:-9], b"\0"][number])
+                invalid = call(1, name, b"record", server.now, b"another", b"label%d" % number)
+                stream.feed([invalid, invalid.replace(b"room=", b"boom="), invalid[:-9], b"\0"][number])
             case "drain":
                 server.drain(1.0 + number)
             case _:
@@ -370,15 +370,15 @@
     attempt = server.call(b"lookup")
     server.settle()
 
-    def fault(*_: object) -> None:
+    def raise_error(*_: object) -> None:
         raise RuntimeError("injected error")
 
-    server.dispatcher.run_ended = fault  # type: ignore[method-assign, assignment]
+    server.dispatcher.run_ended = raise_error  # type: ignore[method-assign, assignment]
     server.end(attempt.name)
     server.wait(1.0)
     assert server.counts.count("links") == 2 and server.link is not None and server.link.open
     del server.dispatcher.run_ended
-    server.listener.handler = type("Faulty", (), {"arrived": fault, "gone": lambda *_: None})()
+    server.listener.handler = type("Faulty", (), {"arrived": raise_error, "gone": lambda *_: None})()
     answers = server.ask(call(99, b"%016x" % 255, b"lookup", server.now, b""))
     assert [words[:2] for words in answers] == [[b"99", b"FAILED"]]
     assert server.counts.count("faults") == 2  # the link's and the request's
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -179,10 +179,10 @@
 def test_an_error_ends_only_its_own_greenlet() -> None:
     scheduler, calls = Scheduler(Clock()), []
 
-    def faulty() -> None:
+    def raise_error() -> None:
         raise RuntimeError("injected error")
 
-    run_rounds(scheduler, faulty, lambda: calls.append(1), max_time_s=0.02)
+    run_rounds(scheduler, raise_error, lambda: calls.append(1), max_time_s=0.02)
     assert calls == [1]
 
 
