--- a/sablewheel/forwarding/__init__.py
+++ b/sablewheel/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""The forward path: a request, or anything else, to a peer of the fleet; imported only if it is on."""
+"""Connections between the servers of a fleet and request forwarding; imported only if the feature is on."""
--- a/sablewheel/forwarding/connection.py
+++ b/sablewheel/forwarding/connection.py
@@ -1,4 +1,4 @@
-"""The state of a connection to a peer, and of the frames queued for it."""
+"""State of a connection to a peer and of the frames queued for the peer."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class QueuedFrame:
-    """A frame that waits for its connection; `on_not_sent` is called if it is dropped."""
+    """A frame that is queued for a connection; `on_not_sent` is called if the frame is dropped."""
 
     data: bytes
     expires_at: float
@@ -31,26 +31,26 @@
     is_outgoing: bool
     last_received_at: float
     transit_times: TransitTimeEstimator = field(default_factory=TransitTimeEstimator)
-    unsent_bytes: int = 0  # handed to the stream since it had sent everything
-    departed_until: float | None = None  # set once the peer left the view: how long it is still listened to
+    unsent_bytes: int = 0  # written to the stream since it was last fully sent
+    departed_until: float | None = None  # when to disconnect a peer that left the view; None: it is a member
 
-    def send_at_once(self, message: pb.Frame) -> None:
-        """Send a frame past the queue."""
+    def send_immediately(self, message: pb.Frame) -> None:
+        """Send a frame ahead of the queued frames."""
         self.stream.write(encode_frame(message))
         self.stream.flush()
 
 
 @dataclass(eq=False)
 class Peer:
-    """The frames queued for a peer, and how it is reached."""
+    """A peer: its queued frames, its connection and the next connection attempt."""
 
     name: str
     retry_delay_s: float
     queue: deque[QueuedFrame] = field(default_factory=deque)
     queued_bytes: int = 0
-    connection: Connection | None = None  # the one that frames are sent on
-    connecting: bool = False
-    retry_at: float = 0.0
+    connection: Connection | None = None  # used for sending; None: not connected
+    is_connecting: bool = False
+    retry_at: float = 0.0  # earliest time of the next connection attempt
 
     def push(self, frame: QueuedFrame) -> None:
         """Queue a frame."""
--- a/sablewheel/forwarding/errors.py
+++ b/sablewheel/forwarding/errors.py
@@ -1,18 +1,18 @@
-"""Errors of sending a frame to a peer."""
+"""Errors raised when a frame cannot be sent to a peer."""
 
 from __future__ import annotations
 
 
 class SendError(Exception):
-    """A frame cannot be queued for a peer; none of its bytes were sent."""
+    """A frame could not be queued for a peer; none of its bytes were sent."""
 
 
 class PeerUnknownError(SendError):
-    """The peer is not in the agreed view, or this member is not."""
+    """The peer or this member is not in the agreed view."""
 
 
 class PeerUnavailableError(SendError):
-    """The peer could not be reached, and the next attempt to connect is not due yet."""
+    """The last connection attempt failed, and the next one is not due yet."""
 
 
 class FrameTooLargeError(SendError):
@@ -20,4 +20,4 @@
 
 
 class SendQueueFullError(SendError):
-    """The peer's queue holds as many frames or bytes as it may."""
+    """The peer's queue has reached its limit of frames or bytes."""
--- a/sablewheel/forwarding/events.py
+++ b/sablewheel/forwarding/events.py
@@ -1,4 +1,4 @@
-"""Events and effects of `ForwardingState.step`, as plain values."""
+"""Events that `ForwardingState.step` handles and effects that it returns, as plain values."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from ..overload.interface import Idempotency
 from .messages import Answer, Message, RequestData
 
-Key = tuple[str, int]  # of an admitted request: the peer that forwarded it, and its number there
+Key = tuple[str, int]  # of an admitted request: the peer that forwarded it and that peer's request number
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardRequested:
-    """A request of this member is to be forwarded under a new number; `tried` are peers ruled out already."""
+    """Forward a request of this member under a new number; `tried` lists the peers already ruled out."""
 
     number: int
     peer: str
@@ -25,15 +25,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerGone:
-    """The caller of a forwarded request no longer waits for it."""
+class RequestCancelled:
+    """The caller of a forwarded request cancelled it."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class RequestNotSent:
-    """A forwarded request never left this member."""
+    """A forwarded request was dropped before any byte of it was sent."""
 
     number: int
 
@@ -48,14 +48,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLost:
-    """A connection to a peer was lost, with the messages in transit."""
+    """A connection to a peer was lost, including the messages in transit."""
 
     peer: str
 
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A message arrived; it was in transit for `transit_s`, never underestimated."""
+    """A message arrived; `transit_s` is an upper estimate of its time in transit."""
 
     sender: str
     message: Message
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFinished:
-    """An admitted request has its answer; None: it cannot be served here and never ran."""
+    """An admitted request was answered; `answer` is None if it never ran because it cannot be served here."""
 
     key: Key
     answer: Answer | None
@@ -72,17 +72,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownStarted:
-    """This member shuts down and admits no more requests of peers."""
+    """This member is shutting down and admits no more requests from peers."""
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """The time `ForwardingState.wake_at` has come, or an earlier one."""
+    """A timer fired, at `ForwardingState.wake_at` or earlier."""
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send a message to a peer, unless it expires before."""
+    """Send a message to a peer unless it expires first."""
 
     to: str
     message: Message
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReturnRequest:
-    """A request is this member's again: it never ran, or may run again; `tried` are peers ruled out."""
+    """Take back a forwarded request that never ran or may run again; `tried` lists the peers ruled out."""
 
     number: int
     tried: frozenset[str]
@@ -99,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DeliverAnswer:
-    """The one answer of a forwarded request; `is_local`: it is this member's decision, not the peer's."""
+    """Deliver the only answer to a forwarded request; `is_local` if this member decided it, not the peer."""
 
     number: int
     answer: Answer
@@ -108,14 +108,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AskOwner:
-    """A keyed request may have run; ask its owner whether it may run again (`RerunDecided`)."""
+    """Ask the owner of a keyed request that may have run whether it may run again (`RerunDecided`)."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class AdmitRequest:
-    """Admit a peer's request here, at its age."""
+    """Admit a peer's request here; `age_s` is the time since it reached the first server."""
 
     key: Key
     request: RequestData
@@ -123,15 +123,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AbandonRequest:
-    """The caller of an admitted request no longer waits for it."""
+class CancelRequest:
+    """Cancel an admitted request whose answer can no longer be delivered or is no longer wanted."""
 
     key: Key
 
 
 Event: TypeAlias = (
     ForwardRequested
-    | CallerGone
+    | RequestCancelled
     | RequestNotSent
     | RerunDecided
     | ConnectionLost
@@ -140,4 +140,4 @@
     | ShutdownStarted
     | TimerFired
 )
-Effect: TypeAlias = Send | ReturnRequest | DeliverAnswer | AskOwner | AdmitRequest | AbandonRequest
+Effect: TypeAlias = Send | ReturnRequest | DeliverAnswer | AskOwner | AdmitRequest | CancelRequest
--- a/sablewheel/forwarding/forwarding_state.py
+++ b/sablewheel/forwarding/forwarding_state.py
@@ -1,17 +1,17 @@
-"""Forwarded requests: one hop and one outcome each, whatever happens to the peer or the connection. Pure.
+"""State machine for forwarded requests, without I/O: each is forwarded over one hop and has one outcome.
 
-Each member is both sides: it knows the peer and the deadline of each request that it forwarded, and the
-origin of each that it admitted. If the connection is lost or the peer does not acknowledge a request, its
-idempotency decides:
+This holds whether or not the peer or the connection fails. Each member has both roles: it records the peer
+and the deadline of each request that it forwarded, and the origin of each request that it admitted. If the
+connection is lost or the peer does not acknowledge a request, the idempotency of the request decides:
 
-- idempotent: it returns to its own server, which may run it or forward it again until the deadline
-- keyed: its owner, which knows what became of it, is asked whether it may run again; unless one says yes it
-fails,
-  as it may have run
-- non-idempotent: it fails if it may have arrived; it is never sent twice
+- idempotent: the request returns to the server that forwarded it, which may run it or forward it again until
+  the deadline
+- keyed: the owner of the request, which has a record of its runs, is asked whether it may run again; without
+  the owner's permission it fails, because it may have run
+- non-idempotent: the request fails if it may have arrived; it is never sent twice
 
-A request that was certainly never sent, or was refused, may go anywhere. An admitted request belongs to the
-receiver and goes no further: only `ForwardRequested` forwards, and nobody calls it for an admitted request.
+A request that was certainly never sent, or was refused, may be served by any member. An admitted request is
+not forwarded again: only `ForwardRequested` forwards a request, and it is not used for admitted requests.
 """
 
 from __future__ import annotations
@@ -24,10 +24,9 @@
 
 from ..overload.interface import Idempotency
 from .events import (
-    AbandonRequest,
     AdmitRequest,
     AskOwner,
-    CallerGone,
+    CancelRequest,
     ConnectionLost,
     DeliverAnswer,
     Effect,
@@ -35,6 +34,7 @@
     ForwardRequested,
     Key,
     MessageReceived,
+    RequestCancelled,
     RequestFinished,
     RequestNotSent,
     RerunDecided,
@@ -46,9 +46,9 @@
 from .messages import Acknowledged, Answer, Cancel, FinalStatus, ForwardRequest, Message, Refused
 from .plan import ForwardingSettings
 
-MIN_REMAINING_SLACKS = 2  # a request with less remaining time than so many answer slacks is not forwarded
+MIN_REMAINING_IN_SLACKS = 2  # in units of `answer_slack_s`; a request is forwarded only if more time remains
 
-# The counters keep the names that alerts and dashboards know.
+# The counters keep the names that alerts and dashboards use.
 ANSWER_COUNTERS = {
     FinalStatus.COMPLETED: "answer_completed",
     FinalStatus.REJECTED: "answer_denied",
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True)
 class ForwardedRequest:
-    """A request of this member at a peer."""
+    """A request of this member that was forwarded to a peer."""
 
     peer: str
     idempotency: Idempotency
@@ -70,35 +70,35 @@
 
 @dataclass
 class ForwardingState:
-    """The state of both sides.
+    """The requests that this member forwarded and those that it admitted from peers.
 
-    A number in `forwarded` has had no outcome yet, and one that is not there gets none any more.
+    A request in `forwarded` has no outcome yet; a request that was removed from it gets no further outcome.
     """
 
     settings: ForwardingSettings = field(default_factory=ForwardingSettings)
     forwarded: dict[int, ForwardedRequest] = field(default_factory=dict)
-    admitted: dict[Key, float] = field(default_factory=dict)  # with their deadlines
-    backed_off_peers: dict[str, float] = field(default_factory=dict)  # and until when
+    admitted: dict[Key, float] = field(default_factory=dict)  # deadlines
+    backed_off_peers: dict[str, float] = field(default_factory=dict)  # peer: end of its backoff
     counters: dict[str, int] = field(default_factory=dict)
     is_shutting_down: bool = False
 
     def __post_init__(self) -> None:
-        self._recent_keys: OrderedDict[Key, None] = OrderedDict()  # of finished requests of peers
+        self._recent_keys: OrderedDict[Key, None] = OrderedDict()  # finished, refused or cancelled
         self._admitted_per_peer: dict[str, int] = {}
-        self.wake_at = inf  # never later than the next timer; may be earlier
+        self.wake_at = inf  # time of the next `TimerFired`: the earliest deadline or earlier
 
     def step(self, now: float, event: Event) -> list[Effect]:
         """Handle an event and return the effects."""
         return _EVENT_HANDLERS[type(event)](self, now, event)
 
-    # -- this member's requests at peers
+    # -- requests forwarded to peers
 
     def _handle_forward_requested(self, now: float, event: ForwardRequested) -> list[Effect]:
         peer, settings = event.peer, self.settings
         is_ruled_out = self.backed_off_peers.get(peer, -inf) > now or peer in event.tried
         is_full = len(self.forwarded) >= settings.max_forwarded
-        is_late = event.remaining_s <= MIN_REMAINING_SLACKS * settings.answer_slack_s
-        if is_ruled_out or is_full or is_late:
+        is_too_late = event.remaining_s <= MIN_REMAINING_IN_SLACKS * settings.answer_slack_s
+        if is_ruled_out or is_full or is_too_late:
             self._count("not_passed")
             return [ReturnRequest(event.number, event.tried | {peer})]
         deadline = now + event.remaining_s - settings.answer_slack_s
@@ -111,7 +111,7 @@
         message = ForwardRequest(event.number, event.request, event.age_s, event.remaining_s)
         return [Send(peer, message, event.remaining_s)]
 
-    def _handle_caller_gone(self, now: float, event: CallerGone) -> list[Effect]:
+    def _handle_request_cancelled(self, now: float, event: RequestCancelled) -> list[Effect]:
         request = self.forwarded.pop(event.number, None)
         if request is None:
             return []
@@ -135,7 +135,7 @@
         return [self._return(now, number, request) if event.may_run_again else self._fail(number)]
 
     def _return(self, now: float, number: int, request: ForwardedRequest) -> Effect:
-        """Return a request that may go anywhere, unless its deadline has passed."""
+        """Return a request that any member may serve, or fail it if its deadline has passed."""
         if now >= request.deadline:
             return self._fail(number)
         self._count("back")
@@ -146,7 +146,7 @@
         return DeliverAnswer(number, Answer(number, FinalStatus.FAILED), True)
 
     def _handle_uncertain(self, now: float, number: int, request: ForwardedRequest) -> list[Effect]:
-        """Handle a request that may have arrived and will get no answer."""
+        """Handle a request that may have arrived at the peer but will not be answered by it."""
         if request.idempotency is Idempotency.IDEMPOTENT:
             del self.forwarded[number]
             return [self._return(now, number, request)]
@@ -157,7 +157,7 @@
         return self._fail_uncertain(number)
 
     def _fail_uncertain(self, number: int) -> list[Effect]:
-        """Fail a non-idempotent request that was sent, whatever became of it."""
+        """Fail a non-idempotent request that was sent, whether or not it ran."""
         del self.forwarded[number]
         return [self._fail(number)]
 
@@ -169,9 +169,9 @@
             if request.peer == peer and not request.owner_asked:
                 effects += self._handle_uncertain(now, number, request)
         for key in [key for key in self.admitted if key[0] == peer]:
-            self._close(key)
+            self._remove_admitted(key)
             self._count("abandoned")
-            effects.append(AbandonRequest(key))
+            effects.append(CancelRequest(key))
         return effects
 
     # -- timers
@@ -185,12 +185,12 @@
             elif request.ack_deadline <= now:
                 effects += self._handle_missing_ack(now, number, request)
         for key in [key for key, deadline in self.admitted.items() if deadline <= now]:
-            self._close(key)  # its own server has failed it by now
+            self._remove_admitted(key)  # the server that forwarded the request has already failed it
             self._count("overdue")
-            effects.append(AbandonRequest(key))
+            effects.append(CancelRequest(key))
         self.backed_off_peers = {peer: until for peer, until in self.backed_off_peers.items() if until > now}
-        waiting = (min(request.deadline, request.ack_deadline) for request in self.forwarded.values())
-        self.wake_at = min([inf, *waiting, *self.admitted.values()])
+        next_deadlines = (min(request.deadline, request.ack_deadline) for request in self.forwarded.values())
+        self.wake_at = min([inf, *next_deadlines, *self.admitted.values()])
         return effects
 
     def _time_out(self, number: int, request: ForwardedRequest) -> list[Effect]:
@@ -200,8 +200,8 @@
     def _handle_missing_ack(self, now: float, number: int, request: ForwardedRequest) -> list[Effect]:
         """Handle a request that its peer did not acknowledge in time.
 
-        The peer or the connection is stalled. An idempotent request goes elsewhere; any other waits for its
-        answer or for the loss of the connection.
+        The peer or the connection is stalled. An idempotent request returns to be served elsewhere; any other
+        request stays forwarded until it is answered, its connection is lost or its deadline passes.
         """
         request.ack_deadline = inf
         self._count("not_taken")
@@ -211,7 +211,7 @@
         cancel = Send(request.peer, Cancel(number), max(request.deadline - now, 0.0))
         return [cancel, *self._handle_uncertain(now, number, request)]
 
-    # -- messages of peers
+    # -- messages from peers
 
     def _handle_message(self, now: float, event: MessageReceived) -> list[Effect]:
         sender, message = event.sender, event.message
@@ -219,7 +219,7 @@
         if isinstance(message, ForwardRequest):
             return self._handle_forwarded(now, (sender, message.number), message, max(event.transit_s, 0.0))
         if isinstance(message, Cancel):
-            return self._handle_cancel((sender, message.number))
+            return self._handle_cancel_message((sender, message.number))
         return self._handle_response(now, sender, message)
 
     def _handle_response(self, now: float, sender: str, message: Message) -> list[Effect]:
@@ -241,7 +241,7 @@
                 return [DeliverAnswer(number, message, False)]
         return []
 
-    # -- requests of peers
+    # -- requests admitted from peers
 
     def _handle_forwarded(
         self, now: float, key: Key, message: ForwardRequest, transit_s: float
@@ -255,7 +255,7 @@
         is_full = self._admitted_per_peer.get(sender, 0) >= self.settings.max_admitted_per_peer
         if self.is_shutting_down or is_full or remaining_s <= answer_slack_s:
             self._count("declined")
-            self._remember(key)
+            self._add_recent_key(key)
             return [Send(sender, Refused(number), max(remaining_s, answer_slack_s))]
         self.admitted[key] = now + remaining_s
         self._admitted_per_peer[sender] = self._admitted_per_peer.get(sender, 0) + 1
@@ -264,20 +264,20 @@
         admit = AdmitRequest(key, message.request, message.age_s + transit_s)
         return [Send(sender, Acknowledged(number), remaining_s), admit]
 
-    def _handle_cancel(self, key: Key) -> list[Effect]:
+    def _handle_cancel_message(self, key: Key) -> list[Effect]:
         if key not in self.admitted:
-            self._remember(key)  # the request may arrive after its cancellation
+            self._add_recent_key(key)  # the request may arrive after its cancellation
             return []
-        self._close(key)
+        self._remove_admitted(key)
         self._count("cancelled")
-        return [AbandonRequest(key)]
+        return [CancelRequest(key)]
 
     def _handle_finished(self, now: float, event: RequestFinished) -> list[Effect]:
         key, answer = event.key, event.answer
         deadline = self.admitted.get(key)
         if deadline is None:
             return []
-        self._close(key)
+        self._remove_admitted(key)
         self._count("answered" if answer is not None else "unservable")
         return [Send(key[0], answer or Refused(key[1]), max(deadline - now, 0.0))]
 
@@ -286,19 +286,19 @@
         self.is_shutting_down = True
         return []
 
-    def _close(self, key: Key) -> None:
+    def _remove_admitted(self, key: Key) -> None:
         del self.admitted[key]
         self._admitted_per_peer[key[0]] -= 1
         if not self._admitted_per_peer[key[0]]:
             del self._admitted_per_peer[key[0]]
-        self._remember(key)
+        self._add_recent_key(key)
 
-    def _remember(self, key: Key) -> None:
+    def _add_recent_key(self, key: Key) -> None:
         self._recent_keys[key] = None
         while len(self._recent_keys) > self.settings.max_recent_numbers:
             self._recent_keys.popitem(last=False)
 
-    # -- small helpers
+    # -- backoff, timer and counters
 
     def _back_off(self, now: float, peer: str) -> None:
         self.backed_off_peers[peer] = now + self.settings.peer_backoff_s
@@ -314,7 +314,7 @@
     ForwardRequested: ForwardingState._handle_forward_requested,
     MessageReceived: ForwardingState._handle_message,
     RequestFinished: ForwardingState._handle_finished,
-    CallerGone: ForwardingState._handle_caller_gone,
+    RequestCancelled: ForwardingState._handle_request_cancelled,
     RequestNotSent: ForwardingState._handle_not_sent,
     RerunDecided: ForwardingState._handle_rerun_decided,
     ConnectionLost: ForwardingState._handle_connection_lost,
--- a/sablewheel/forwarding/frame_writer.py
+++ b/sablewheel/forwarding/frame_writer.py
@@ -1,4 +1,4 @@
-"""Writes the queued frames of peers to their connections, and drops those that expire."""
+"""Writes queued frames to the connections of their peers, and drops expired frames."""
 
 from __future__ import annotations
 
@@ -7,12 +7,15 @@
 from ..transport.scheduler import Scheduler
 from .connection import Connection, Peer, QueuedFrame
 
-MAX_UNSENT_BYTES = 65_536  # handed to a stream beyond what it has sent
-WRITE_RETRY_INTERVAL_S = 0.005  # while a stream takes no more
+MAX_UNSENT_BYTES = 65_536  # no further frame is written to a stream that has this many unsent bytes
+WRITE_RETRY_INTERVAL_S = 0.005  # while a stream's buffer is full
 
 
 class FrameWriter:
-    """`count(name)` increments a counter; `on_closed(connection)` is called for a stream found closed."""
+    """Writes the queues of the peers that are scheduled for writing.
+
+    `count(name)` increments a counter; `on_closed(connection)` is called if writing finds the stream closed.
+    """
 
     def __init__(
         self,
@@ -23,18 +26,18 @@
     ) -> None:
         self._scheduler, self._clock = scheduler, clock
         self._count, self._on_closed = count, on_closed
-        self._marked: dict[Peer, None] = {}
-        self._retry_is_set = False
+        self._scheduled_peers: dict[Peer, None] = {}
+        self._is_retry_scheduled = False
 
-    def mark(self, peer: Peer) -> None:
-        """Have a peer's queue written by the next flush."""
-        self._marked[peer] = None
+    def schedule(self, peer: Peer) -> None:
+        """Schedule a peer's queue to be written by the next flush."""
+        self._scheduled_peers[peer] = None
 
     def flush(self) -> None:
-        """Write the queues of the marked peers."""
-        if not self._marked:
+        """Write the queues of the scheduled peers."""
+        if not self._scheduled_peers:
             return
-        peers, self._marked = self._marked, {}
+        peers, self._scheduled_peers = self._scheduled_peers, {}
         for peer in peers:
             if peer.connection is not None:
                 self._write(peer, peer.connection)
@@ -53,27 +56,27 @@
             stream.write(frame.data)
         stream.flush()
         if not stream.open:
-            # Spawned, since the callbacks for a lost connection must not run while the round ends.
+            # Spawned because the callbacks for a lost connection must not run during the flush of a round.
             self._scheduler.spawn(self._on_closed, connection)
         elif peer.queue:
-            self.mark(peer)
-            self._set_retry()
+            self.schedule(peer)
+            self._schedule_retry()
 
-    def _set_retry(self) -> None:
-        if not self._retry_is_set:
-            self._retry_is_set = True
-            self._scheduler.after(WRITE_RETRY_INTERVAL_S, self._clear_retry)
+    def _schedule_retry(self) -> None:
+        if not self._is_retry_scheduled:
+            self._is_retry_scheduled = True
+            self._scheduler.after(WRITE_RETRY_INTERVAL_S, self._handle_retry)
 
-    def _clear_retry(self) -> None:
-        self._retry_is_set = False  # the flush at the end of this round writes on
+    def _handle_retry(self) -> None:
+        self._is_retry_scheduled = False  # the flush at the end of this round continues writing
 
     def drop_queue(self, peer: Peer, reason: str) -> None:
-        """Drop all frames queued for a peer; `reason` is the counter."""
+        """Drop all frames queued for a peer; `reason` is the counter to increment."""
         for frame in peer.pop_all():
             self._drop(frame, reason)
 
     def drop_expired(self, peer: Peer, now: float) -> None:
-        """Drop the frames at the head of a queue that have expired."""
+        """Drop expired frames from the head of a peer's queue."""
         while peer.queue and peer.queue[0].expires_at < now:
             self._drop(peer.pop(), "dropped_aged")
 
--- a/sablewheel/forwarding/frames.py
+++ b/sablewheel/forwarding/frames.py
@@ -1,6 +1,6 @@
-"""Frames on a connection between peers, and the estimate of how long they were in transit. Pure.
+"""Frames on a connection between peers and the estimate of their time in transit, without I/O.
 
-A frame is four bytes of length and a protobuf `Frame`.
+A frame is encoded as four bytes of length and a protobuf `Frame`.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 VERSION = 1
 LENGTH_BYTES = 4
-MAX_HELLO_BYTES = 1024  # of a frame before the sender is identified
-CLOCK_BOUND_LIFETIME_S = 60.0  # the bound on the difference of two clocks expires, as they drift
+MAX_HELLO_BYTES = 1024  # largest frame accepted before the sender is identified
+CLOCK_BOUND_LIFETIME_S = 60.0  # the bound on a clock difference expires because clocks drift
 
 
 class BadFrameError(ValueError):
-    """The bytes received are no frame; nothing after them can be read."""
+    """The received bytes are not a valid frame; the bytes after them cannot be decoded."""
 
 
 def encode_frame(message: pb.Frame) -> bytes:
@@ -37,7 +37,7 @@
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[pb.Frame]:
-        """Add received bytes and yield the frames that are complete.
+        """Add received bytes and yield the complete frames.
 
         Raises:
             BadFrameError: A frame is too large, malformed or of another version.
@@ -46,7 +46,9 @@
         while len(self._buffer) >= LENGTH_BYTES:
             size = int.from_bytes(self._buffer[:LENGTH_BYTES], "big")
             if not 0 < size <= self.max_frame_bytes:
-                raise BadFrameError(f"a frame of {size} bytes, 1 to {self.max_frame_bytes} are taken")
+                raise BadFrameError(
+                    f"invalid frame length: {size} bytes, expected 1 to {self.max_frame_bytes}"
+                )
             end = LENGTH_BYTES + size
             if len(self._buffer) < end:
                 return
@@ -59,27 +61,27 @@
     try:
         message = pb.Frame.FromString(encoded)
     except DecodeError:
-        raise BadFrameError("a frame that can't be read") from None
+        raise BadFrameError("frame is not a valid protobuf message") from None
     if message.version != VERSION:
-        raise BadFrameError(f"a frame of version {message.version}, {VERSION} is known here")
+        raise BadFrameError(f"unsupported frame version {message.version}, expected {VERSION}")
     if message.WhichOneof("body") is None:
-        raise BadFrameError("a frame of no kind that this version knows")
+        raise BadFrameError("frame has no known body")
     if not isfinite(message.sent):
-        raise BadFrameError("sent: a number is wanted")
+        raise BadFrameError("sent: must be a finite number")
     return message
 
 
 class TransitTimeEstimator:
     """Bounds how long a peer's frames were in transit, given two steady clocks with unrelated origins.
 
-    A frame sent at `sent_at` by the local clock and received at `received_at` by the peer's bounds the
-    difference of the clocks from one side. So a transit time is never underestimated, and overestimated by no
-    more than the fastest transit in the other direction.
+    A frame sent at `sent_at` by the local clock and received at `received_at` by the peer's clock gives a
+    lower bound on the difference of the clocks. A transit time is therefore never underestimated, and it is
+    overestimated by at most the fastest transit in the other direction.
     """
 
     def __init__(self) -> None:
-        self._clock_difference: float | None = None  # a lower bound of local minus peer
-        self._bounded_at = 0.0
+        self._clock_difference: float | None = None  # lower bound on local minus peer time; None: no echo yet
+        self._bound_set_at = 0.0
 
     @property
     def is_ready(self) -> bool:
@@ -87,17 +89,17 @@
         return self._clock_difference is not None
 
     def record_echo(self, now: float, sent_at: float, received_at: float) -> None:
-        """Record that the peer received a frame at `received_at` (its clock), sent at `sent_at` (local)."""
+        """Record that a frame sent at `sent_at` (local clock) arrived at `received_at` (peer's clock)."""
         difference = sent_at - received_at
-        if self._clock_difference is None or now > self._bounded_at + CLOCK_BOUND_LIFETIME_S:
-            self._clock_difference, self._bounded_at = difference, now
+        if self._clock_difference is None or now > self._bound_set_at + CLOCK_BOUND_LIFETIME_S:
+            self._clock_difference, self._bound_set_at = difference, now
         else:
             self._clock_difference = max(self._clock_difference, difference)
 
     def transit_s(self, now: float, sent_at: float) -> float:
-        """Return how long a frame was in transit, received now and sent at `sent_at` by the peer's clock.
+        """Return the transit time of a frame received at `now` and sent at `sent_at` (peer's clock).
 
-        Requires an echo (`is_ready`).
+        An echo must have been recorded (`is_ready`).
         """
         assert self._clock_difference is not None
         return max(now - sent_at - self._clock_difference, 0.0)
--- a/sablewheel/forwarding/handshake.py
+++ b/sablewheel/forwarding/handshake.py
@@ -1,6 +1,6 @@
 """The handshake of a connection: both sides identify themselves as members of the agreed view.
 
-The connecting side sends a hello, the accepting side answers with its own hello that echoes the first, and
+The connecting side sends a hello, the accepting side replies with its own hello that echoes the first, and
 the connecting side confirms with an echo. The echoes also start the estimate of transit times.
 """
 
@@ -17,14 +17,15 @@
 from .frames import BadFrameError, FrameReader, encode_frame
 from .plan import Address, ConnectionSettings
 
-ADDRESS_METADATA_KEY = "link"  # the member metadata with the address for connections
+ADDRESS_METADATA_KEY = "link"  # member metadata that holds the address to connect to
 
 
 class Handshake:
     """Identifies this member and its peers by the agreed view.
 
-    `count(name)` increments a counter; `on_bad_frame(peer, error)` is called for malformed frames. A view
-    with an earlier process of this member, from before `started_incarnation`, gives it no connections.
+    `count(name)` increments a counter; `on_bad_frame(peer, error)` is called for invalid frames. A view whose
+    incarnation of this member is older than `started_incarnation` describes an earlier process; with such a
+    view this process does not count as a member and gets no new connections.
     """
 
     def __init__(
@@ -41,7 +42,7 @@
         self._scheduler, self._settings, self._clock = scheduler, settings, clock
         self._node_name, self._started_incarnation = node_name, started_incarnation
         self._source_host, self._count, self._on_bad_frame = source_host, count, on_bad_frame
-        self._incarnation: int | None = None  # None: this member is not in the view
+        self._incarnation: int | None = None  # None: this process is not in the view
         self._epoch = 0
         self.peers: dict[str, tuple[int, Address]] = {}  # incarnation and address by name
 
@@ -51,7 +52,7 @@
         return self._incarnation is not None
 
     def install_view(self, view: View) -> None:
-        """Take the members of a view, where their metadata says that they are reached."""
+        """Adopt the members of a view that publish an address in their metadata."""
         self._epoch = view.epoch
         local = view.get(self._node_name)
         is_this_process = local is not None and local.incarnation >= self._started_incarnation
@@ -64,7 +65,7 @@
         }
 
     def connect(self, peer: str) -> Connection | None:
-        """Connect to a peer and identify both sides; None if it fails or takes longer than the timeout."""
+        """Connect to a peer and identify both sides; return None on failure or timeout."""
         incarnation, address = self.peers[peer]
         started, timeout_s = self._clock(), self._settings.connect_timeout_s
         stream = connect(self._scheduler, address, timeout_s, self._source_host)
@@ -74,7 +75,7 @@
         timeout = self._scheduler.after(max(started + timeout_s - self._clock(), 0.0), stream.close)
         connection = None
         try:
-            connection = self._greet(stream, peer, incarnation)
+            connection = self._identify_outgoing(stream, peer, incarnation)
         except BadFrameError as error:
             self._on_bad_frame(peer, error)
         finally:
@@ -83,9 +84,9 @@
             stream.close()
         return connection
 
-    def _greet(self, stream: Stream, peer: str, incarnation: int) -> Connection | None:
+    def _identify_outgoing(self, stream: Stream, peer: str, incarnation: int) -> Connection | None:
         reader = FrameReader()
-        _send(stream, self._hello(peer, None))
+        _send(stream, self._hello_frame(peer, None))
         answer = _read_frame(stream, reader)
         now = self._clock()
         if answer is None or answer.WhichOneof("body") != "hello" or not answer.hello.HasField("echo"):
@@ -101,11 +102,11 @@
         return connection
 
     def accept(self, stream: Stream) -> Connection | None:
-        """Identify a peer that connected; None, and the stream closed, if it fails or takes too long."""
+        """Identify a peer that connected; on failure or timeout close the stream and return None."""
         timeout = self._scheduler.after(self._settings.connect_timeout_s, stream.close)
         connection = None
         try:
-            connection = self._identify(stream)
+            connection = self._identify_incoming(stream)
         except BadFrameError as error:
             self._on_bad_frame("", error)
         finally:
@@ -114,35 +115,35 @@
                 stream.close()
         return connection
 
-    def _identify(self, stream: Stream) -> Connection | None:
+    def _identify_incoming(self, stream: Stream) -> Connection | None:
         reader = FrameReader()
-        first = _read_frame(stream, reader)
-        if first is None:
+        hello_frame = _read_frame(stream, reader)
+        if hello_frame is None:
             self._count("hellos_missing")
             return None
-        if first.WhichOneof("body") != "hello" or not self._is_valid(first.hello):
+        if hello_frame.WhichOneof("body") != "hello" or not self._is_valid(hello_frame.hello):
             self._count("hellos_refused")
             return None
-        hello, received_at = first.hello, self._clock()
-        _send(stream, self._hello(hello.name, pb.Echo(of=first.sent, got=received_at)))
+        hello, received_at = hello_frame.hello, self._clock()
+        _send(stream, self._hello_frame(hello.name, pb.Echo(of=hello_frame.sent, got=received_at)))
         answer = _read_frame(stream, reader)
         if answer is None or answer.WhichOneof("body") != "echo":
-            self._count("hellos_unanswered")  # this member is not the one that the peer wants
+            self._count("hellos_unanswered")  # the peer did not accept the identity of this member
             return None
         if not self._is_valid(hello):
-            return None  # the view changed meanwhile
+            return None  # the view changed during the handshake
         now = self._clock()
         connection = Connection(stream, reader, hello.name, hello.incarnation, False, last_received_at=now)
         connection.transit_times.record_echo(now, answer.echo.of, answer.echo.got)
         return connection
 
     def _is_valid(self, hello: pb.Hello) -> bool:
-        """Return whether a hello is of a member under its agreed incarnation, and addressed to this one."""
+        """Return whether a hello is from a member in its agreed incarnation and addressed to this member."""
         known = self.peers.get(hello.name)
         is_member = known is not None and known[0] == hello.incarnation and hello.name != self._node_name
         return is_member and hello.to == self._node_name and self.in_view
 
-    def _hello(self, recipient: str, echo: pb.Echo | None) -> pb.Frame:
+    def _hello_frame(self, recipient: str, echo: pb.Echo | None) -> pb.Frame:
         hello = pb.Hello(
             name=self._node_name,
             incarnation=self._incarnation or 0,
--- a/sablewheel/forwarding/messages.py
+++ b/sablewheel/forwarding/messages.py
@@ -1,7 +1,7 @@
-"""Messages between peers about a forwarded request, and their encoding. Pure.
+"""Messages between peers about a forwarded request, and their encoding.
 
-Request numbers are the sender's own and never repeat, not even over restarts: they start with its
-incarnation.
+Request numbers are assigned by the sender and never repeat, even across restarts, because they start with
+its incarnation.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 from . import forwarding_pb2 as pb
 
-MAX_NAME_BYTES = 64  # of a request's name, its class's, its tenant's, its idempotency key
+MAX_NAME_BYTES = 64  # limit of a request's name, request class, tenant, idempotency key, session and subject
 MAX_DURATION_S = 86400.0
 
 
 class BadMessageError(ValueError):
-    """A payload is no message; the text names the field."""
+    """A payload is not a valid message; the text names the invalid field, if any."""
 
 
 class FinalStatus(Enum):
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestData:
-    """The request itself; the idempotency key only of a keyed one."""
+    """The contents of a request; `idempotency_key` is set only for a keyed request."""
 
     name: bytes
     request_class: bytes
@@ -47,12 +47,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardRequest:
-    """Forwards a request: `age_s` since it reached the first server, `remaining_s` until its deadline."""
+    """Forwards a request; `age_s` is the time since it reached the first server."""
 
     number: int
     request: RequestData
     age_s: float
-    remaining_s: float
+    remaining_s: float  # until its deadline
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,14 +64,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The request was not admitted and will never run at the sender."""
+    """The request was not admitted and will never run at the sender of this message."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """The one answer to a request."""
+    """The only answer to a request."""
 
     number: int
     final: FinalStatus
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """The caller no longer waits for the request."""
+    """Cancels a forwarded request."""
 
     number: int
 
@@ -91,7 +91,7 @@
 
 
 # The protobuf enumeration keeps the names of the first version of the format.
-_FINAL_CODES = {
+_STATUS_CODES = {
     FinalStatus.COMPLETED: pb.Answer.COMPLETED,
     FinalStatus.REJECTED: pb.Answer.DENIED,
     FinalStatus.FAILED: pb.Answer.TERMINATED,
@@ -112,7 +112,7 @@
             packet.cancel.SetInParent()
         case Answer():
             answer = pb.Answer(
-                kind=_FINAL_CODES[message.final],
+                kind=_STATUS_CODES[message.final],
                 result=message.result,
                 come_back=message.retry_after_s,
                 nowhere=message.no_retry_elsewhere,
@@ -141,12 +141,12 @@
     """Decode the payload of a frame.
 
     Raises:
-        BadMessageError: It is malformed or a field is out of bounds.
+        BadMessageError: The payload is malformed or a field is out of bounds.
     """
     try:
         packet = pb.TicketMessage.FromString(data)
     except DecodeError:
-        raise BadMessageError("not a message") from None
+        raise BadMessageError("payload is not a valid protobuf message") from None
     number = packet.number
     match packet.WhichOneof("body"):
         case "passed":
@@ -159,12 +159,12 @@
             return Cancel(number)
         case "answer":
             return _decode_answer(number, packet.answer)
-    raise BadMessageError("a message of no kind that this version knows")
+    raise BadMessageError("message has no known body")
 
 
 def _decode_answer(number: int, answer: pb.Answer) -> Answer:
     if answer.kind not in (status.value for status in FinalStatus):
-        raise BadMessageError(f"answer: no such kind: {answer.kind}")
+        raise BadMessageError(f"answer: unknown kind {answer.kind}")
     retry_after_s = _bounded(answer.come_back, "come_back")
     return Answer(number, FinalStatus(answer.kind), answer.result, retry_after_s, answer.nowhere)
 
@@ -173,10 +173,10 @@
     for field in ("name", "track", "customer", "label"):
         value = getattr(encoded, field)
         if len(value) > MAX_NAME_BYTES or (field in ("name", "track") and not value):
-            raise BadMessageError(f"{field}: 1 to {MAX_NAME_BYTES} bytes are wanted")
+            raise BadMessageError(f"{field}: must be 1 to {MAX_NAME_BYTES} bytes long")
     for field in ("session", "subject"):
         if len(getattr(encoded, field)) > MAX_NAME_BYTES:
-            raise BadMessageError(f"{field}: at most {MAX_NAME_BYTES} characters are wanted")
+            raise BadMessageError(f"{field}: must be at most {MAX_NAME_BYTES} characters long")
     request = RequestData(
         encoded.name,
         encoded.track,
@@ -193,5 +193,5 @@
 
 def _bounded(value: float, field: str) -> float:
     if not (isfinite(value) and 0 <= value <= MAX_DURATION_S):
-        raise BadMessageError(f"{field}: 0 to {MAX_DURATION_S:g} is wanted, got {value:g}")
+        raise BadMessageError(f"{field}: must be 0 to {MAX_DURATION_S:g}, got {value:g}")
     return value
--- a/sablewheel/forwarding/peer_connections.py
+++ b/sablewheel/forwarding/peer_connections.py
@@ -1,9 +1,9 @@
-"""One TCP connection to each peer that is needed, made on demand; frames are dispatched by message type.
+"""TCP connections to peers, made on demand; received frames are dispatched by message type.
 
-Frames are unreliable: those in transit on a lost connection are lost, expired ones are dropped, and a full
-queue refuses more. `send` never blocks. Only members of the agreed view are listened to, under the agreed
-incarnation; one that left the view is listened to for a short while longer, on its existing connection, by
-handlers that expect answers from it.
+Delivery is unreliable: frames in transit on a lost connection are lost, expired frames are dropped, and a
+full queue refuses further frames. `send` never blocks. Frames are accepted only from members of the agreed
+view in their agreed incarnation. After a member has left the view, handlers that expect answers from it still
+receive frames from its existing connection for a limited time.
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
 from .handshake import Handshake
 from .plan import Address, ConnectionSettings
 
-MIN_CONNECTION_LIMIT = 64  # connections allowed with any view
-CONNECTIONS_PER_MEMBER = 2  # two members that connect to each other at once have both for a moment
-PAUSE_RATIO = 0.5  # of `max_silence_s`: a ping round later than that means that this process was paused
+MIN_CONNECTION_LIMIT = 64  # connections allowed however small the view is
+CONNECTIONS_PER_MEMBER = 2  # members that connect to each other simultaneously briefly have both connections
+PAUSE_DETECTION_RATIO = 0.5  # of `max_silence_s`; a ping round delayed by more means this process was paused
 
 log = logging.getLogger(__name__)
 FrameHandler = Callable[[str, bytes], None]
@@ -43,7 +43,8 @@
 class PeerConnections:
     """This member's connections to its peers.
 
-    A view that still has an earlier process of this member, from before `started_incarnation`, gives it none.
+    A view whose incarnation of this member is older than `started_incarnation` describes an earlier process;
+    with such a view this process does not count as a member and gets no new connections.
     """
 
     def __init__(
@@ -70,20 +71,20 @@
         )
         self._peers: dict[str, Peer] = {}
         self._connections: dict[Connection, None] = {}
-        self._unidentified_count = 0  # accepted connections in their handshake
+        self._unidentified_count = 0  # accepted connections whose handshake is not complete
         self._handlers: dict[str, _Registration] = {}
         self._loss_callbacks: list[Callable[[str], None]] = []
         self._writer = FrameWriter(scheduler, clock, self._count, self._handle_stream_closed)
-        self._pinging = False
+        self._is_pinging = False
         self._last_ping_round_at = 0.0
-        self._open = True
+        self._is_open = True
         self.counters: dict[str, int] = {}
-        self.last_transit_s = 0.0  # of the frame that a handler is called with, never underestimated
+        self.last_transit_s = 0.0  # transit time of the frame that is being handled; never underestimated
         self._listener = Listener(
             scheduler, listen, self._has_capacity, self._handle_accepted, lambda: self._count("crowded")
         )
 
-    # -- the interface to features
+    # -- interface for features
 
     def register_handler(
         self, message_type: str, handler: FrameHandler, accept_departed: bool = False
@@ -91,16 +92,19 @@
         """Call `handler(peer_name, payload)` for frames of a type.
 
         Args:
-            message_type: The type, which must not have a handler yet.
+            message_type: The message type.
             handler: Called with each frame.
-            accept_departed: Also for frames of a member that has just left the view.
+            accept_departed: Whether to call it also for frames of a member that recently left the view.
+
+        Raises:
+            ValueError: The message type already has a handler.
         """
         if message_type in self._handlers:
-            raise ValueError(f"kind {message_type!r} has its handler")
+            raise ValueError(f"message type {message_type!r} already has a handler")
         self._handlers[message_type] = _Registration(handler, accept_departed)
 
     def on_connection_lost(self, callback: Callable[[str], None]) -> None:
-        """Call back with a peer's name when a connection to it is lost, with the frames in transit."""
+        """Call back with a peer's name when a connection to it and the frames in transit are lost."""
         self._loss_callbacks.append(callback)
 
     def send(
@@ -112,18 +116,18 @@
         expires_in_s: float,
         on_not_sent: Callable[[], None] | None = None,
     ) -> None:
-        """Queue a frame for a peer; it is dropped if it is not sent within `expires_in_s`.
+        """Queue a frame for a peer; the frame is dropped if it is not sent within `expires_in_s`.
 
         Args:
             peer_name: The recipient.
             message_type: Selects the handler at the recipient.
             payload: The content.
             expires_in_s: The frame's lifetime in seconds.
-            on_not_sent: Called in a later round if the frame is dropped before any byte of it is sent.
+            on_not_sent: Called in a later scheduler round if the frame is dropped before any byte is sent.
 
         Raises:
             PeerUnknownError: The peer or this member is not in the view.
-            PeerUnavailableError: The peer could not be reached a moment ago.
+            PeerUnavailableError: The last connection attempt failed, and the next one is not due yet.
             FrameTooLargeError: The frame is too large.
             SendQueueFullError: The peer's queue is full.
         """
@@ -133,11 +137,11 @@
         data = encode_frame(pb.Frame(sent=now, data=data_message))
         self._check_queue(peer, len(data))
         peer.push(QueuedFrame(data, now + expires_in_s, on_not_sent))
-        self._writer.mark(peer)
-        if peer.connection is not None or peer.connecting:
+        self._writer.schedule(peer)
+        if peer.connection is not None or peer.is_connecting:
             return
         if self._has_capacity():
-            peer.connecting = True
+            peer.is_connecting = True
             self._scheduler.spawn(self._connect, peer)
         else:
             self._writer.drop_queue(peer, "refused_links")
@@ -146,24 +150,27 @@
         peer = self._peers.get(peer_name)
         is_member = peer_name in self._handshake.peers and self._handshake.in_view
         is_connected = peer is not None and peer.connection is not None
-        if not self._open or not (is_member or is_connected) or peer_name == self.node_name:
+        if not self._is_open or not (is_member or is_connected) or peer_name == self.node_name:
             self._refuse("refused_unknown", PeerUnknownError(peer_name))
         if peer is None:
             peer = self._peers[peer_name] = Peer(peer_name, self._settings.initial_retry_delay_s)
-        if peer.connection is None and not peer.connecting and now < peer.retry_at:
+        if peer.connection is None and not peer.is_connecting and now < peer.retry_at:
             self._refuse("refused_resting", PeerUnavailableError(peer_name))
         return peer
 
     def _check_queue(self, peer: Peer, frame_bytes: int) -> None:
         settings = self._settings
         if frame_bytes > settings.max_frame_bytes:
-            self._refuse("refused_large", FrameTooLargeError(f"{frame_bytes} bytes to {peer.name}"))
+            self._refuse(
+                "refused_large",
+                FrameTooLargeError(f"frame of {frame_bytes} bytes to {peer.name} exceeds the limit"),
+            )
         is_full = len(peer.queue) >= settings.max_queued_frames
         if is_full or peer.queued_bytes + frame_bytes > settings.max_queued_bytes:
             self._refuse("refused_full", SendQueueFullError(peer.name))
 
     def handle_view(self, view: View) -> None:
-        """Adopt a view: its members are the peers from now on."""
+        """Adopt a view, whose members become the peers."""
         now = self._clock()
         self._handshake.install_view(view)
         members = self._handshake.peers
@@ -176,7 +183,7 @@
             elif connection.departed_until is None:
                 connection.departed_until = now + self._settings.departed_linger_s
         for peer in list(self._peers.values()):
-            if peer.name not in members and peer.connection is None and not peer.connecting:
+            if peer.name not in members and peer.connection is None and not peer.is_connecting:
                 self._writer.drop_queue(peer, "dropped_parted")
                 del self._peers[peer.name]
 
@@ -187,49 +194,49 @@
 
     @property
     def max_connections(self) -> int:
-        """The current limit of connections: as many as the view needs, within the bound of the settings."""
+        """The current limit of connections: as many as the view needs, up to the configured maximum."""
         needed = CONNECTIONS_PER_MEMBER * len(self._handshake.peers)
         return min(self._settings.max_connections, max(MIN_CONNECTION_LIMIT, needed))
 
     @property
     def all_sent(self) -> bool:
-        """Whether everything that was queued has left this process."""
+        """Whether all queued frames were handed to the operating system."""
         return not any(peer.queue for peer in self._peers.values()) and all(
             connection.stream.all_sent for connection in self._connections
         )
 
     def flush(self) -> None:
-        """Write the queued frames to their connections, at the end of a round."""
+        """Write the queued frames to their connections; called at the end of each scheduler round."""
         self._writer.flush()
 
     def close(self) -> None:
-        """Say goodbye on all connections and close them."""
-        self._open = False
+        """Send a bye frame on all connections and close them."""
+        self._is_open = False
         self._listener.close()
         for connection in list(self._connections):
-            connection.send_at_once(pb.Frame(sent=self._clock(), bye=pb.Bye()))
+            connection.send_immediately(pb.Frame(sent=self._clock(), bye=pb.Bye()))
             connection.stream.close()
         self._connections.clear()
         self._peers.clear()
 
     def gauges(self) -> dict[str, object]:
-        """Return the values and counters of the connections for the metrics."""
+        """Return the gauges and counters of the connections for the metrics."""
         values: dict[str, object] = {
             "links": len(self._connections),
             "links_queued": sum(len(peer.queue) for peer in self._peers.values()),
         }
         return values | {f"links_{name}": count for name, count in sorted(self.counters.items())}
 
-    # -- making connections
+    # -- establishing connections
 
     def _connect(self, peer: Peer) -> None:
-        """Connect to a peer once; if it fails the queued frames are dropped."""
+        """Make one attempt to connect to a peer; if it fails, drop the queued frames."""
         connection = None
         try:
             if peer.name in self._handshake.peers and peer.connection is None:
                 connection = self._handshake.connect(peer.name)
         finally:
-            peer.connecting = False
+            peer.is_connecting = False
             if connection is None and peer.connection is None:
                 peer.retry_at = self._clock() + peer.retry_delay_s
                 peer.retry_delay_s = min(2 * peer.retry_delay_s, self._settings.max_retry_delay_s)
@@ -252,11 +259,11 @@
         if connection is not None:
             self._run_connection(connection)
 
-    # -- connections
+    # -- established connections
 
     def _run_connection(self, connection: Connection) -> None:
-        """Read from a connection until it ends."""
-        if not self._open or not connection.stream.open:
+        """Read from a connection until it is closed."""
+        if not self._is_open or not connection.stream.open:
             connection.stream.close()
             return
         connection.reader.max_frame_bytes = self._settings.max_frame_bytes
@@ -278,15 +285,15 @@
         ]
         for old in incoming:
             if not connection.is_outgoing:
-                self._close_connection(old, "replaced")  # the peer would not connect again if it still had it
+                self._close_connection(old, "replaced")  # the peer has lost it, or it would not connect again
         self._connections[connection] = None
         peer.connection, peer.retry_delay_s = connection, initial_retry_delay_s
-        self._writer.mark(peer)
+        self._writer.schedule(peer)
         self._count("made")
         opened_by = "us" if connection.is_outgoing else "them"
         log.info("peer connected", extra={"pairs": {"peer": connection.peer, "by": opened_by}})
-        if not self._pinging:
-            self._pinging, self._last_ping_round_at = True, self._clock()
+        if not self._is_pinging:
+            self._is_pinging, self._last_ping_round_at = True, self._clock()
             self._scheduler.after(self._settings.ping_interval_s, self._ping_connections)
 
     def _read_frames(self, connection: Connection) -> None:
@@ -301,12 +308,12 @@
             connection.last_received_at = self._clock()
 
     def _handle_frame(self, connection: Connection, message: pb.Frame) -> bool:
-        """Handle a frame; return False for a goodbye."""
+        """Handle a frame; return False for a bye frame."""
         now = self._clock()
         match message.WhichOneof("body"):
             case "ping":
                 echo = pb.Echo(of=message.sent, got=now)
-                connection.send_at_once(pb.Frame(sent=now, echo=echo))
+                connection.send_immediately(pb.Frame(sent=now, echo=echo))
             case "echo":
                 connection.transit_times.record_echo(now, message.echo.of, message.echo.got)
             case "data":
@@ -314,7 +321,7 @@
             case "bye":
                 return False
             case _:
-                raise BadFrameError("a hello on a link that stands")
+                raise BadFrameError("unexpected hello on an established connection")
         return True
 
     def _deliver(self, connection: Connection, message: pb.Frame, now: float) -> None:
@@ -335,9 +342,9 @@
         try:
             registration.handler(connection.peer, data.payload)
         except Exception:
-            # A programming error in one handler must not end the connection, which others use too.
+            # An error in one handler must not close the connection, which other handlers use too.
             self._count("faults")
-            log.exception("frame handler failed")
+            log.exception("frame handler raised an exception")
 
     def _handle_stream_closed(self, connection: Connection) -> None:
         self._close_connection(connection, "closed")
@@ -360,13 +367,13 @@
         peer.connection = others[-1] if others else None
         if peer.connection is None:
             self._writer.drop_queue(peer, "dropped_broken")
-            if peer.name not in self._handshake.peers and not peer.connecting:
+            if peer.name not in self._handshake.peers and not peer.is_connecting:
                 del self._peers[peer.name]
 
     def _ping_connections(self) -> None:
-        """Ping all connections, and close those silent for too long unless this process was paused itself."""
+        """Ping all connections, and close those silent for too long unless this process itself was paused."""
         now, settings = self._clock(), self._settings
-        max_interval_s = settings.ping_interval_s + PAUSE_RATIO * settings.max_silence_s
+        max_interval_s = settings.ping_interval_s + PAUSE_DETECTION_RATIO * settings.max_silence_s
         was_paused = now - self._last_ping_round_at > max_interval_s
         self._last_ping_round_at = now
         for connection in list(self._connections):
@@ -377,11 +384,11 @@
             elif connection.departed_until is not None and now > connection.departed_until:
                 self._close_connection(connection, "parted")
             else:
-                connection.send_at_once(pb.Frame(sent=now, ping=pb.Ping()))
+                connection.send_immediately(pb.Frame(sent=now, ping=pb.Ping()))
         for peer in self._peers.values():
             self._writer.drop_expired(peer, now)
-        self._pinging = bool(self._connections)
-        if self._pinging:
+        self._is_pinging = bool(self._connections)
+        if self._is_pinging:
             self._scheduler.after(settings.ping_interval_s, self._ping_connections)
 
     # -- counters and logs
@@ -392,7 +399,9 @@
 
     def _handle_bad_frame(self, peer: str, error: BadFrameError) -> None:
         self._count("frames_bad")
-        log.warning("bad frame", extra={"pairs": {"peer": peer, "reason": error}})
+        log.warning(
+            "invalid frame received; closing the connection", extra={"pairs": {"peer": peer, "reason": error}}
+        )
 
     def _count(self, name: str) -> None:
         self.counters[name] = self.counters.get(name, 0) + 1
--- a/sablewheel/forwarding/placement.py
+++ b/sablewheel/forwarding/placement.py
@@ -1,4 +1,4 @@
-"""Where requests are served, and whether they may run again: what other features decide for forwarding."""
+"""Decisions that other features make for forwarding: where a request is served, whether it may run again."""
 
 from __future__ import annotations
 
@@ -12,30 +12,30 @@
     """Decides which server serves a request."""
 
     def place(self, exchange: Exchange) -> str | None:
-        """Return the member that is to serve it; None: this one.
+        """Return the member that serves the request; None for this member.
 
-        Called again where the first member refused the request or is gone.
+        Called again if the first member refused the request or is unreachable.
         """
 
 
 class Owner(Protocol):
-    """Knows what became of a keyed request that may have run on a peer."""
+    """Decides whether a keyed request that may have run on a peer may run again."""
 
-    def may_run_again(self, exchange: Exchange, peer: str, told: Callable[[bool], None]) -> None:
-        """Call `told`, now or before the request's deadline: whether it certainly never ran."""
+    def may_run_again(self, exchange: Exchange, peer: str, on_decision: Callable[[bool], None]) -> None:
+        """Call `on_decision`, now or before the deadline, with whether the request certainly never ran."""
 
 
 class ServeLocally:
-    """The placer of a server without one: all requests are served where they arrive."""
+    """Default placer: serves all requests where they arrive."""
 
     def place(self, exchange: Exchange) -> str | None:
-        """Return None: serve the request here."""
+        """Return None, so that the request is served here."""
         return None
 
 
 class UnknownOwner:
-    """The owner of a server without one: any request may have run."""
+    """Default owner: assumes that any request may have run."""
 
-    def may_run_again(self, exchange: Exchange, peer: str, told: Callable[[bool], None]) -> None:
-        """Answer no."""
-        told(False)
+    def may_run_again(self, exchange: Exchange, peer: str, on_decision: Callable[[bool], None]) -> None:
+        """Decide that the request may not run again."""
+        on_decision(False)
--- a/sablewheel/forwarding/plan.py
+++ b/sablewheel/forwarding/plan.py
@@ -12,34 +12,32 @@
     """Bounds and timeouts of connections; `docs/forwarding.md` describes each of them."""
 
     max_frame_bytes: int = 1 << 20
-    max_queued_frames: int = 1024  # per peer, not yet handed to its connection
+    max_queued_frames: int = 1024  # per peer, not yet written to its connection
     max_queued_bytes: int = 4 << 20  # per peer
-    max_connections: int = 2048  # in both directions; below it as many as the view needs
-    connect_timeout_s: float = 0.5  # to the end of the handshake
+    max_connections: int = 2048  # in both directions; the limit in force follows the size of the view
+    connect_timeout_s: float = 0.5  # includes the handshake
     ping_interval_s: float = 0.2
-    max_silence_s: float = 0.8  # of a connection that is pinged, before it counts as lost
-    initial_retry_delay_s: float = 0.05  # between two attempts to reach a peer, doubling
+    max_silence_s: float = 0.8  # a pinged connection that receives nothing for longer is closed
+    initial_retry_delay_s: float = 0.05  # between two attempts to connect to a peer; doubles each time
     max_retry_delay_s: float = 0.5
-    departed_linger_s: float = (
-        3.0  # how long a peer that left the view may still return what it was forwarded
-    )
+    departed_linger_s: float = 3.0  # how long a peer that left the view may still answer forwarded requests
 
 
 @dataclass(frozen=True)
 class ForwardingSettings:
     """Bounds and timeouts of forwarded requests."""
 
-    max_forwarded: int = 4096  # without an answer
-    max_admitted_per_peer: int = 1024  # without an answer
-    max_recent_numbers: int = 8192  # of finished requests, to detect duplicates
-    ack_timeout_s: float = 0.25  # a peer that does not acknowledge a request within it is backed off from
-    peer_backoff_s: float = 0.5  # nothing is forwarded to such a peer for as long, unless it sends something
-    answer_slack_s: float = 0.02  # an answer is sent so long before the request's deadline
+    max_forwarded: int = 4096  # forwarded requests without an answer
+    max_admitted_per_peer: int = 1024  # admitted requests without an answer
+    max_recent_numbers: int = 8192  # finished requests that are remembered to detect duplicates
+    ack_timeout_s: float = 0.25  # a peer that acknowledges a request later than this is backed off
+    peer_backoff_s: float = 0.5  # nothing is forwarded to the peer for this long unless it sends a message
+    answer_slack_s: float = 0.02  # a request without an answer fails this long before its deadline
 
 
 @dataclass(frozen=True)
 class ForwardingPlan:
-    """Configuration; `advertise` is where peers connect to this member, published in its metadata."""
+    """Configuration; `advertise` is the address that peers connect to, published in the member's metadata."""
 
     listen: Address
     advertise: str
--- a/sablewheel/forwarding/service.py
+++ b/sablewheel/forwarding/service.py
@@ -1,13 +1,13 @@
 """Request forwarding in the server: a handler in front of the dispatcher, and the caller of peers' requests.
 
-A placer decides whether and to whom a request is forwarded, `forwarding_state` what becomes of it. A
-forwarded request still belongs to this server: its answer, rejection or error returns over the connection and
-is sent to the client as any other. A request of a peer is admitted as if a client had sent it, so the
-controller sees no difference; its caller is the peer.
-
-A forwarded request has no observer here: the server that runs it notifies its own, so that the request is
-counted once. One that ends here after all, as its connection was lost, is reported to the observer of this
-server.
+A placer decides whether and to which peer a request is forwarded; `forwarding_state` tracks it from then on.
+This server remains responsible for a forwarded request: its result, rejection or error returns over the
+connection and is sent to the client like any other answer. A request from a peer is admitted as if a client
+had sent it, so the controller treats it the same; its caller is the peer.
+
+A forwarded request has no observer here: the server that runs it notifies its own observer, so that the
+request is counted once. A request that ends here after all, for example because its connection was lost, is
+reported to the observer of this server.
 """
 
 from __future__ import annotations
@@ -25,10 +25,9 @@
 from ..transport.wakeup import Wakeup
 from .errors import SendError
 from .events import (
-    AbandonRequest,
     AdmitRequest,
     AskOwner,
-    CallerGone,
+    CancelRequest,
     ConnectionLost,
     DeliverAnswer,
     Effect,
@@ -36,6 +35,7 @@
     ForwardRequested,
     Key,
     MessageReceived,
+    RequestCancelled,
     RequestFinished,
     RequestNotSent,
     RerunDecided,
@@ -61,19 +61,19 @@
 from .placement import Owner, Placer, ServeLocally, UnknownOwner
 
 MESSAGE_TYPE = "ticket"
-MAX_FORWARD_ATTEMPTS = 2  # peers that one request is forwarded to, one after the other
-SEQUENCE_BITS = 20  # of a request number, below the incarnation of this process in milliseconds
+MAX_FORWARD_ATTEMPTS = 2  # peers that a request is forwarded to in sequence before it is served here
+SEQUENCE_BITS = 20  # low bits of a request number; the incarnation in milliseconds is above them
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(eq=False, slots=True)
 class RemoteRequest:
-    """A request of this server at a peer."""
+    """A request of this server that was forwarded to a peer."""
 
     exchange: Exchange
     peer: str
-    observer: RequestObserver
+    observer: RequestObserver  # notified if the request ends on this server
 
 
 class ForwardedCaller:
@@ -107,8 +107,9 @@
 class ForwardingService:
     """This server's forwarding; other features set `placer`, `owner` and the two handlers.
 
-    `forwarded_handler` handles the requests of peers, None: the inner handler. `returned_handler(exchange,
-    peer, tried)` decides on a request of this server that returned from a peer, None: it is placed again.
+    `forwarded_handler` handles the requests from peers; if it is None, the inner handler does.
+    `returned_handler(exchange, peer, tried)` decides on a request of this server that returned from a peer;
+    if it is None, the request is placed again.
     """
 
     def __init__(
@@ -135,13 +136,13 @@
         self._numbers: dict[Exchange, int] = {}
         self._remote_names: set[bytes] = set()
         self._admitted: dict[Key, Exchange] = {}
-        self._peer_clients: dict[str, Client] = {}  # the controller knows each peer as a client
+        self._peer_clients: dict[str, Client] = {}  # each peer is one client to the controller
         self._wakeup = Wakeup(scheduler, clock, self._handle_timer)
         self.counters: dict[str, int] = {}
         connections.register_handler(MESSAGE_TYPE, self._handle_payload, accept_departed=True)
         connections.on_connection_lost(lambda peer: self._step(ConnectionLost(peer)))
 
-    # -- the request handler in front of the dispatcher
+    # -- request handler in front of the dispatcher
 
     def handler(self, inner: RequestHandler) -> RequestHandler:
         """Set the handler of requests that are served here, and return this one."""
@@ -151,28 +152,28 @@
     def arrived(self, exchange: Exchange) -> None:
         """Forward a request or pass it to the inner handler."""
         if exchange.name in self._remote_names:
-            exchange.fail()  # the name of an open request, which the dispatcher would fail too
+            exchange.fail()  # an open request has the same name; the dispatcher would fail it too
             return
         self._place(exchange)
 
     def cancelled(self, exchange: Exchange) -> None:
-        """Cancel a request whose caller no longer waits for it."""
+        """Cancel a request whose caller no longer waits for the answer."""
         number = self._numbers.get(exchange)
         if number is None:
             assert self._inner is not None
             self._inner.cancelled(exchange)
             return
-        self._take_back(number)
-        self._step(CallerGone(number))
+        self._remove_remote(number)
+        self._step(RequestCancelled(number))
 
-    # -- the interface to other features
+    # -- interface for other features
 
     def is_forwarded(self, name: bytes) -> bool:
-        """Return whether a request of this name is at a peer."""
+        """Return whether a request with this name is forwarded to a peer."""
         return name in self._remote_names
 
     def return_to_origin(self, exchange: Exchange) -> None:
-        """Return a peer's request, which never ran here and never will."""
+        """Return a request to the peer that forwarded it; it never ran here and never will."""
         caller = exchange.detach()
         if isinstance(caller, ForwardedCaller):
             self.finish(caller.key, None)
@@ -182,12 +183,12 @@
         self._serve_here(exchange)
 
     def forward_to(self, exchange: Exchange, peer: str, tried: frozenset[str] = frozenset()) -> bool:
-        """Forward a request that nobody has decided on yet; return whether it could be."""
+        """Forward a request that is neither served nor forwarded yet; return whether this was possible."""
         request = exchange.request
         data = self._request_data(exchange)
         if data is None or peer in tried:
             return False
-        # The clock is read anew: the time that this round took so far is part of the request's age.
+        # Read the clock again: the time since the start of this round is part of the request's age.
         age_s = max(self._scheduler.clock.read() - request.arrived_at, 0.0)
         remaining_s = request.request_class.timeout_s - age_s
         if remaining_s <= 0:
@@ -203,22 +204,22 @@
         return True
 
     def start_shutdown(self) -> None:
-        """Admit no more requests of peers."""
+        """Admit no more requests from peers."""
         self._step(ShutdownStarted())
 
     def handle_view(self, view: View) -> None:
-        """Forget the peers that are not in a new view."""
+        """Remove the clients of peers that are not in a new view and have no admitted requests."""
         for name in [name for name in self._peer_clients if name not in view]:
             if not any(key[0] == name for key in self._admitted):
                 del self._peer_clients[name]
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request is forwarded or admitted."""
+        """Whether no request is currently forwarded to a peer or admitted from one."""
         return not self._admitted and not self._remote
 
     def gauges(self) -> dict[str, object]:
-        """Return the values and counters of forwarding for the metrics."""
+        """Return the gauges and counters of forwarding for the metrics."""
         values: dict[str, object] = {
             "forward_away": len(self._remote),
             "forward_guests": len(self._admitted),
@@ -227,7 +228,7 @@
         return values | {f"forward_{name}": count for name, count in sorted(counters.items())}
 
     def finish(self, key: Key, answer: Answer | None) -> None:
-        """Send the answer of a peer's request; None: it is returned."""
+        """Send the answer to a peer's request; None returns the request to the peer."""
         self._admitted.pop(key, None)
         self._step(RequestFinished(key, answer))
 
@@ -242,9 +243,9 @@
         try:
             return self.placer.place(exchange)
         except Exception:
-            # A programming error in the placer must not cost the request: it can be served here.
+            # An error in the placer must not fail the request, which can be served here.
             self._count("faults")
-            log.exception("placing a request failed, serving it here")
+            log.exception("request placer raised an exception; serving the request here")
             return None
 
     def _serve_here(self, exchange: Exchange) -> None:
@@ -258,7 +259,9 @@
             message = decode(payload)
         except BadMessageError as error:
             self._count("bad")
-            log.warning("message dropped", extra={"pairs": {"from": sender, "reason": error}})
+            log.warning(
+                "invalid forwarding message dropped", extra={"pairs": {"from": sender, "reason": error}}
+            )
             return
         self._step(MessageReceived(sender, message, self._connections.last_transit_s))
 
@@ -276,8 +279,8 @@
                 self._send(peer, message, expires_in_s)
             case AdmitRequest(key, request, age_s):
                 self._admit(key, request, age_s)
-            case AbandonRequest(key):
-                self._abandon(key)
+            case CancelRequest(key):
+                self._cancel_admitted(key)
             case DeliverAnswer(number, answer, is_local):
                 self._deliver_answer(number, answer, is_local)
             case ReturnRequest(number, tried):
@@ -286,7 +289,7 @@
                 self._ask_owner(number)
 
     def _send(self, peer: str, message: Message, expires_in_s: float) -> None:
-        """Send a message; only a forwarded request that certainly never left is reported."""
+        """Send a message; report `RequestNotSent` only if no byte of a forwarded request was sent."""
         number = message.number
         on_not_sent = None
         if isinstance(message, ForwardRequest):
@@ -299,16 +302,16 @@
             if on_not_sent is not None:
                 on_not_sent()
             elif isinstance(message, Answer) and message.result:
-                # The result is too large for a frame or the queue: an error is better than no answer.
+                # The result is too large for a frame or the queue: send a failure instead of no answer.
                 self._count("results_unsent")
                 self._send(peer, Answer(number, FinalStatus.FAILED), expires_in_s)
 
     def _not_sent_callback(self, number: int) -> Callable[[], None]:
         return lambda: self._step(RequestNotSent(number))
 
-    # -- this server's requests
+    # -- requests forwarded to peers
 
-    def _take_back(self, number: int) -> RemoteRequest | None:
+    def _remove_remote(self, number: int) -> RemoteRequest | None:
         remote = self._remote.pop(number, None)
         if remote is not None:
             del self._numbers[remote.exchange]
@@ -316,7 +319,7 @@
         return remote
 
     def _deliver_answer(self, number: int, answer: Answer, is_local: bool) -> None:
-        remote = self._take_back(number)
+        remote = self._remove_remote(number)
         if remote is None:
             return
         exchange = remote.exchange
@@ -331,7 +334,7 @@
                 exchange.fail()
 
     def _handle_returned(self, number: int, tried: frozenset[str]) -> None:
-        remote = self._take_back(number)
+        remote = self._remove_remote(number)
         if remote is None or remote.exchange.closed:
             return
         remote.exchange.observer = remote.observer
@@ -350,7 +353,7 @@
             )
 
     def _request_data(self, exchange: Exchange) -> RequestData | None:
-        """Return what is sent of a request; None if a name in it cannot be sent."""
+        """Return the contents to forward; None if the tenant is unknown or a name is too long."""
         request = exchange.request
         tenant = self._tenant_name(request.tenant) if request.tenant is not None else b""
         if tenant is None:
@@ -372,14 +375,14 @@
         )
 
     def _tenant_name(self, tenant: Tenant) -> bytes | None:
-        if tenant not in self._tenant_names:  # reloaded settings bring new objects
+        if tenant not in self._tenant_names:  # reloading the settings creates new objects
             self._tenant_names = {known: name for name, known in self._tenants.items()}
         return self._tenant_names.get(tenant)
 
-    # -- requests of peers
+    # -- requests admitted from peers
 
     def _admit(self, key: Key, data: RequestData, age_s: float) -> None:
-        """Admit a peer's request; one with names that are unknown here is returned, and never ran here."""
+        """Admit a peer's request; return it if its class or tenant is unknown or its idempotency key missing."""
         request_class, tenant = self._request_classes.get(data.request_class), self._tenants.get(data.tenant)
         if request_class is None or not self._is_admissible(data, request_class, tenant):
             self._count("unknown_names")
@@ -410,7 +413,7 @@
             return False
         return request_class.idempotency is not Idempotency.KEYED or bool(data.idempotency_key)
 
-    def _abandon(self, key: Key) -> None:
+    def _cancel_admitted(self, key: Key) -> None:
         exchange = self._admitted.pop(key, None)
         handler = self.forwarded_handler or self._inner
         if exchange is not None and exchange.cancel() and handler is not None:
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarding: its rules in a simulated fleet, connections over loopback with faulty peers, and whole servers.
+"""Tests of forwarding: rules, a simulated fleet, loopback connections with faulty peers, and whole servers.
 
 Every wait is bounded.
 """
@@ -18,7 +18,7 @@
 
 from sablewheel.experiments.fleet import LISTEN, Block
 from sablewheel.experiments.forwarding import KEYS, Scenario
-from sablewheel.experiments.forwarding import REQUEST_CLASSES as SHARES
+from sablewheel.experiments.forwarding import REQUEST_CLASSES as REQUEST_CLASS_SHARES
 from sablewheel.experiments.simulated_fleet import SimulatedFleet
 from sablewheel.experiments.testbed import Testbed, free_port
 from sablewheel.forwarding import forwarding_pb2 as pb
@@ -30,15 +30,15 @@
     SendQueueFullError,
 )
 from sablewheel.forwarding.events import (
-    AbandonRequest,
     AdmitRequest,
     AskOwner,
-    CallerGone,
+    CancelRequest,
     ConnectionLost,
     DeliverAnswer,
     Effect,
     ForwardRequested,
     MessageReceived,
+    RequestCancelled,
     RequestFinished,
     RequestNotSent,
     RerunDecided,
@@ -71,7 +71,7 @@
 from sablewheel.serving.exchange import NO_OBSERVER, Exchange
 from sablewheel.transport.scheduler import Clock, Scheduler
 
-PATIENCE = 5.0
+WAIT_TIMEOUT_S = 5.0
 
 
 def request_data(
@@ -81,36 +81,36 @@
 
 
 def forward_requested(
-    number: int, idempotency: Idempotency = Idempotency.IDEMPOTENT, left: float = 2.0, to: str = "b"
+    number: int, idempotency: Idempotency = Idempotency.IDEMPOTENT, remaining_s: float = 2.0, peer: str = "b"
 ) -> ForwardRequested:
-    return ForwardRequested(number, to, idempotency, request_data(b"%d" % number), 0.1, left)
+    return ForwardRequested(number, peer, idempotency, request_data(b"%d" % number), 0.1, remaining_s)
 
 
 def completed_answer(number: int) -> Answer:
     return Answer(number, FinalStatus.COMPLETED, b"result")
 
 
-# -- the rules, one by one
+# -- forwarding rules
 
 
 def test_an_answer_is_delivered_once_and_only_from_the_peer_that_has_the_request() -> None:
-    core = ForwardingState()
-    core.step(0.0, forward_requested(1))
-    assert core.step(0.1, MessageReceived("c", completed_answer(1))) == []
-    assert core.step(0.1, MessageReceived("b", completed_answer(1))) == [
+    state = ForwardingState()
+    state.step(0.0, forward_requested(1))
+    assert state.step(0.1, MessageReceived("c", completed_answer(1))) == []
+    assert state.step(0.1, MessageReceived("b", completed_answer(1))) == [
         DeliverAnswer(1, completed_answer(1), False)
     ]
     assert (
-        core.step(0.2, MessageReceived("b", completed_answer(1)))
-        == core.step(9.0, TimerFired())
-        == core.step(9.0, ConnectionLost("b"))
+        state.step(0.2, MessageReceived("b", completed_answer(1)))
+        == state.step(9.0, TimerFired())
+        == state.step(9.0, ConnectionLost("b"))
         == []
     )
-    assert core.counters["late"] == 2
+    assert state.counters["late"] == 2
 
 
 @pytest.mark.parametrize(
-    ("idempotency", "becomes"),
+    ("idempotency", "expected"),
     [
         (Idempotency.IDEMPOTENT, [ReturnRequest(1, frozenset("b"))]),
         (Idempotency.KEYED, [AskOwner(1)]),
@@ -118,27 +118,27 @@
     ],
 )
 def test_idempotency_decides_on_a_request_whose_connection_is_lost(
-    idempotency: Idempotency, becomes: list[Effect]
+    idempotency: Idempotency, expected: list[Effect]
 ) -> None:
-    core = ForwardingState()
-    core.step(0.0, forward_requested(1, idempotency))
-    core.step(0.1, MessageReceived("b", Acknowledged(1)))
-    assert core.step(0.5, ConnectionLost("c")) == []
-    assert core.step(0.5, ConnectionLost("b")) == becomes
+    state = ForwardingState()
+    state.step(0.0, forward_requested(1, idempotency))
+    state.step(0.1, MessageReceived("b", Acknowledged(1)))
+    assert state.step(0.5, ConnectionLost("c")) == []
+    assert state.step(0.5, ConnectionLost("b")) == expected
 
 
 def test_the_owner_decides_whether_a_keyed_request_runs_again() -> None:
-    for again in (True, False):
-        core = ForwardingState()
-        core.step(0.0, forward_requested(1, Idempotency.KEYED))
-        core.step(0.1, ConnectionLost("b"))
-        told = core.step(0.2, RerunDecided(1, again))
-        error = DeliverAnswer(1, Answer(1, FinalStatus.FAILED), True)
-        assert told == [ReturnRequest(1, frozenset("b")) if again else error]
-    core = ForwardingState()
-    core.step(0.0, forward_requested(1, Idempotency.KEYED))
-    core.step(0.1, ConnectionLost("b"))  # the owner says nothing: an error when its time is up
-    assert DeliverAnswer(1, Answer(1, FinalStatus.FAILED), True) in core.step(2.0, TimerFired())
+    for may_run_again in (True, False):
+        state = ForwardingState()
+        state.step(0.0, forward_requested(1, Idempotency.KEYED))
+        state.step(0.1, ConnectionLost("b"))
+        effects = state.step(0.2, RerunDecided(1, may_run_again))
+        failure = DeliverAnswer(1, Answer(1, FinalStatus.FAILED), True)
+        assert effects == [ReturnRequest(1, frozenset("b")) if may_run_again else failure]
+    state = ForwardingState()
+    state.step(0.0, forward_requested(1, Idempotency.KEYED))
+    state.step(0.1, ConnectionLost("b"))  # without a decision of the owner the request fails at its deadline
+    assert DeliverAnswer(1, Answer(1, FinalStatus.FAILED), True) in state.step(2.0, TimerFired())
 
 
 @pytest.mark.parametrize("idempotency", list(Idempotency))
@@ -146,88 +146,96 @@
 def test_a_request_that_never_ran_returns_whatever_its_idempotency(
     idempotency: Idempotency, event: Any
 ) -> None:
-    core = ForwardingState()
-    core.step(0.0, forward_requested(1, idempotency))
-    assert core.step(0.1, event) == [ReturnRequest(1, frozenset("b"))]
+    state = ForwardingState()
+    state.step(0.0, forward_requested(1, idempotency))
+    assert state.step(0.1, event) == [ReturnRequest(1, frozenset("b"))]
 
 
 def test_only_an_idempotent_request_returns_when_the_peer_does_not_acknowledge_it() -> None:
-    core = ForwardingState()
+    state = ForwardingState()
     for number, idempotency in enumerate(Idempotency, 1):
-        core.step(0.0, forward_requested(number, idempotency))
-    assert core.wake_at <= ForwardingSettings().ack_timeout_s
-    effects = core.step(core.wake_at, TimerFired())
-    assert [one for one in effects if not isinstance(one, Send)] == [ReturnRequest(1, frozenset("b"))]
+        state.step(0.0, forward_requested(number, idempotency))
+    assert state.wake_at <= ForwardingSettings().ack_timeout_s
+    effects = state.step(state.wake_at, TimerFired())
+    assert [effect for effect in effects if not isinstance(effect, Send)] == [
+        ReturnRequest(1, frozenset("b"))
+    ]
     assert isinstance(effects[0], Send) and effects[0].message == Cancel(1)
-    assert core.step(0.3, forward_requested(9)) == [ReturnRequest(9, frozenset("b"))]  # backed off
-    core.step(0.4, MessageReceived("b", Acknowledged(2)))
-    assert isinstance(core.step(0.4, forward_requested(10))[0], Send)  # until it sends something
+    assert state.step(0.3, forward_requested(9)) == [
+        ReturnRequest(9, frozenset("b"))
+    ]  # the peer is backed off
+    state.step(0.4, MessageReceived("b", Acknowledged(2)))
+    assert isinstance(
+        state.step(0.4, forward_requested(10))[0], Send
+    )  # a message from the peer ends the backoff
 
 
 def test_every_request_is_answered_before_its_deadline() -> None:
-    core = ForwardingState()
+    state = ForwardingState()
     for number, idempotency in enumerate(Idempotency, 1):
-        core.step(0.0, forward_requested(number, idempotency, left=1.0))
-        core.step(0.1, MessageReceived("b", Acknowledged(number)))
-    assert core.wake_at < 1.0
-    told = [one for one in core.step(0.99, TimerFired()) if isinstance(one, DeliverAnswer)]
-    assert {one.number for one in told} == {1, 2, 3} and not core.forwarded
+        state.step(0.0, forward_requested(number, idempotency, remaining_s=1.0))
+        state.step(0.1, MessageReceived("b", Acknowledged(number)))
+    assert state.wake_at < 1.0
+    answers = [effect for effect in state.step(0.99, TimerFired()) if isinstance(effect, DeliverAnswer)]
+    assert {answer.number for answer in answers} == {1, 2, 3} and not state.forwarded
 
 
 def test_the_remaining_time_shrinks_by_the_transit_and_a_late_request_is_refused() -> None:
-    core = ForwardingState()
-    effects = core.step(5.0, MessageReceived("a", ForwardRequest(7, request_data(), 0.2, 1.0), 0.3))
-    assert AdmitRequest(("a", 7), request_data(), 0.5) in effects and core.admitted["a", 7] == pytest.approx(
+    state = ForwardingState()
+    effects = state.step(5.0, MessageReceived("a", ForwardRequest(7, request_data(), 0.2, 1.0), 0.3))
+    assert AdmitRequest(("a", 7), request_data(), 0.5) in effects and state.admitted["a", 7] == pytest.approx(
         5.7
     )
-    assert core.step(5.0, MessageReceived("a", ForwardRequest(8, request_data(), 0.2, 1.0), 1.0))[
+    assert state.step(5.0, MessageReceived("a", ForwardRequest(8, request_data(), 0.2, 1.0), 1.0))[
         0
     ].message == Refused(8)  # type: ignore[union-attr]
-    assert core.step(5.8, TimerFired()) == [AbandonRequest(("a", 7))]
+    assert state.step(5.8, TimerFired()) == [CancelRequest(("a", 7))]
 
 
 def test_a_duplicate_is_admitted_once_and_a_cancel_may_overtake_its_request() -> None:
-    core = ForwardingState(ForwardingSettings(max_admitted_per_peer=2))
-    assert len(core.step(0.0, MessageReceived("a", ForwardRequest(1, request_data(), 0.0, 1.0)))) == 2
-    assert core.step(0.0, MessageReceived("a", ForwardRequest(1, request_data(), 0.0, 1.0))) == []
-    assert core.step(0.1, RequestFinished(("a", 1), completed_answer(1)))[0].message == completed_answer(1)  # type: ignore[union-attr]
-    assert core.step(0.1, MessageReceived("a", ForwardRequest(1, request_data(), 0.0, 1.0))) == []
+    state = ForwardingState(ForwardingSettings(max_admitted_per_peer=2))
+    assert len(state.step(0.0, MessageReceived("a", ForwardRequest(1, request_data(), 0.0, 1.0)))) == 2
+    assert state.step(0.0, MessageReceived("a", ForwardRequest(1, request_data(), 0.0, 1.0))) == []
+    assert state.step(0.1, RequestFinished(("a", 1), completed_answer(1)))[0].message == completed_answer(1)  # type: ignore[union-attr]
+    assert state.step(0.1, MessageReceived("a", ForwardRequest(1, request_data(), 0.0, 1.0))) == []
     assert (
-        core.step(0.1, MessageReceived("a", Cancel(2)))
-        == core.step(0.1, MessageReceived("a", ForwardRequest(2, request_data(), 0.0, 1.0)))
+        state.step(0.1, MessageReceived("a", Cancel(2)))
+        == state.step(0.1, MessageReceived("a", ForwardRequest(2, request_data(), 0.0, 1.0)))
         == []
     )
     for number in (3, 4):
-        core.step(0.2, MessageReceived("a", ForwardRequest(number, request_data(), 0.0, 1.0)))
-    refusal = core.step(0.2, MessageReceived("a", ForwardRequest(5, request_data(), 0.0, 1.0)))[0]
+        state.step(0.2, MessageReceived("a", ForwardRequest(number, request_data(), 0.0, 1.0)))
+    refusal = state.step(0.2, MessageReceived("a", ForwardRequest(5, request_data(), 0.0, 1.0)))[0]
     assert refusal.message == Refused(5)  # type: ignore[union-attr]
-    # The bound is a peer's own.
-    assert len(core.step(0.2, MessageReceived("c", ForwardRequest(5, request_data(), 0.0, 1.0)))) == 2
-    assert set(core.step(0.3, ConnectionLost("a"))) == {AbandonRequest(("a", 3)), AbandonRequest(("a", 4))}
-    assert core.step(0.3, MessageReceived("c", Cancel(5))) == [AbandonRequest(("c", 5))]
+    # The limit applies to each peer separately.
+    assert len(state.step(0.2, MessageReceived("c", ForwardRequest(5, request_data(), 0.0, 1.0)))) == 2
+    assert set(state.step(0.3, ConnectionLost("a"))) == {CancelRequest(("a", 3)), CancelRequest(("a", 4))}
+    assert state.step(0.3, MessageReceived("c", Cancel(5))) == [CancelRequest(("c", 5))]
 
 
 def test_a_member_that_shuts_down_refuses_new_requests_and_finishes_admitted_ones() -> None:
-    core = ForwardingState()
-    core.step(0.0, MessageReceived("a", ForwardRequest(1, request_data(), 0.0, 1.0)))
-    core.step(0.1, ShutdownStarted())
-    assert core.step(0.1, MessageReceived("a", ForwardRequest(2, request_data(), 0.0, 1.0))) == [
+    state = ForwardingState()
+    state.step(0.0, MessageReceived("a", ForwardRequest(1, request_data(), 0.0, 1.0)))
+    state.step(0.1, ShutdownStarted())
+    assert state.step(0.1, MessageReceived("a", ForwardRequest(2, request_data(), 0.0, 1.0))) == [
         Send("a", Refused(2), 1.0)
     ]
-    assert core.step(0.2, RequestFinished(("a", 1), completed_answer(1)))[0].message == completed_answer(1)  # type: ignore[union-attr]
+    assert state.step(0.2, RequestFinished(("a", 1), completed_answer(1)))[0].message == completed_answer(1)  # type: ignore[union-attr]
 
 
-def test_a_request_is_cancelled_when_its_caller_is_gone() -> None:
-    core = ForwardingState()
-    core.step(0.0, forward_requested(1))
-    assert [one.message for one in core.step(0.1, CallerGone(1)) if isinstance(one, Send)] == [Cancel(1)]
-    assert core.step(0.2, MessageReceived("b", completed_answer(1))) == []
+def test_a_request_is_cancelled_at_the_peer_when_its_caller_cancels_it() -> None:
+    state = ForwardingState()
+    state.step(0.0, forward_requested(1))
+    assert [
+        effect.message for effect in state.step(0.1, RequestCancelled(1)) if isinstance(effect, Send)
+    ] == [Cancel(1)]
+    assert state.step(0.2, MessageReceived("b", completed_answer(1))) == []
 
 
-# -- a fleet in which everything goes wrong
+# -- random faults in a simulated fleet
 
 
-class SendsTwice(ForwardingState):
+class DuplicateSendState(ForwardingState):
     """A faulty variant that sends a non-idempotent request again when its connection is lost."""
 
     def _fail_uncertain(self, number: int) -> list[Effect]:
@@ -239,7 +247,7 @@
     """Four members that forward requests; links lose and duplicate messages, members pause and restart."""
 
     seed: int
-    make: Callable[[], ForwardingState] = ForwardingState
+    make_state: Callable[[], ForwardingState] = ForwardingState
 
     def run(self) -> None:
         self.runs, self.outcomes, self.idempotencies = (
@@ -247,51 +255,53 @@
             Counter[int](),
             dict[int, Idempotency](),
         )
-        self.due: dict[int, float] = {}
-        self.late: list[int] = []
-        self.lost_with: set[int] = set()
-        chance = random.Random(self.seed)
+        self.deadlines: dict[int, float] = {}
+        self.late_answers: list[int] = []
+        self.lost_with_origin: set[int] = set()
+        rng = random.Random(self.seed)
         names = ["a", "b", "c", "d"]
-        fleet = self.fleet = SimulatedFleet(MessageReceived, TimerFired(), self.seed, self.heard)
+        fleet = self.fleet = SimulatedFleet(MessageReceived, TimerFired(), self.seed, self.handle_effect)
         for name in names:
-            fleet.add(name, lambda _: self.make())
-        for a in names:
-            for b in names:
-                link = fleet.link(a, b)
+            fleet.add(name, lambda _: self.make_state())
+        for sender in names:
+            for receiver in names:
+                link = fleet.link(sender, receiver)
                 link.drop, link.double, link.most = 0.05, 0.1, 0.05
-        self.origin: dict[int, str] = {}
+        self.origins: dict[int, str] = {}
         for number in range(1, 400):
             fleet.run(0.02)
-            name, to = chance.sample(names, 2)
-            idempotency = chance.choice(list(Idempotency))
-            self.idempotencies[number], self.origin[number], self.due[number] = (
+            origin, peer = rng.sample(names, 2)
+            idempotency = rng.choice(list(Idempotency))
+            self.idempotencies[number], self.origins[number], self.deadlines[number] = (
                 idempotency,
-                name,
+                origin,
                 fleet.now + 1.0,
             )
-            paused = fleet.paused.get(name, 0.0) > fleet.now
-            if paused:
-                self.lost_with.add(number)
+            is_paused = fleet.paused.get(origin, 0.0) > fleet.now
+            if is_paused:
+                self.lost_with_origin.add(number)
             else:
-                fleet.tell(name, forward_requested(number, idempotency, 1.0, to))
-            match chance.randrange(12):
+                fleet.tell(origin, forward_requested(number, idempotency, 1.0, peer))
+            match rng.randrange(12):
                 case 0:
-                    fleet.cut([name], [to], both=chance.random() < 0.5)
-                    fleet.tell(name, ConnectionLost(to))
+                    fleet.cut([origin], [peer], both=rng.random() < 0.5)
+                    fleet.tell(origin, ConnectionLost(peer))
                 case 1:
                     fleet.heal()
                 case 2:
-                    fleet.pause(to, 0.4)
+                    fleet.pause(peer, 0.4)
                 case 3 if number % 10 == 0:
-                    self.lost_with |= {one for one, who in self.origin.items() if who == to}
-                    fleet.add(to, lambda _: self.make())
-                    for one in names:
-                        if one != to:
-                            fleet.tell(one, ConnectionLost(to))
+                    self.lost_with_origin |= {
+                        earlier for earlier, member in self.origins.items() if member == peer
+                    }
+                    fleet.add(peer, lambda _: self.make_state())
+                    for name in names:
+                        if name != peer:
+                            fleet.tell(name, ConnectionLost(peer))
         fleet.heal()
         fleet.run(5.0)
 
-    def heard(self, now: float, name: str, effect: Any) -> None:
+    def handle_effect(self, now: float, name: str, effect: Any) -> None:
         match effect:
             case AdmitRequest(key, request, _):
                 self.runs[request.name] += 1
@@ -299,17 +309,18 @@
                 self.fleet.later(0.1, lambda: self.fleet.tell(name, answer))
             case ReturnRequest(number, _):
                 self.runs[b"%d" % number] += 1
-                self.out(now, number)
+                self.record_outcome(now, number)
             case DeliverAnswer(number, _, _):
-                self.out(now, number)
+                self.record_outcome(now, number)
             case AskOwner(number):
                 self.fleet.tell(name, RerunDecided(number, False))
 
-    def out(self, now: float, number: int) -> None:
+    def record_outcome(self, now: float, number: int) -> None:
         self.outcomes[number] += 1
-        awake = self.fleet.paused.get(self.origin[number], 0.0)  # who stands still answers nobody
-        if now > max(self.due[number], awake) + 0.01:
-            self.late.append(number)
+        # A paused member cannot answer before it resumes.
+        resumed_at = self.fleet.paused.get(self.origins[number], 0.0)
+        if now > max(self.deadlines[number], resumed_at) + 0.01:
+            self.late_answers.append(number)
 
     def second_runs(self) -> int:
         return sum(
@@ -321,23 +332,23 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_each_request_has_one_outcome_and_only_idempotent_ones_run_twice(seed: int) -> None:
-    story = RandomFleet(seed)
-    story.run()
-    counted = set(story.idempotencies) - story.lost_with
-    assert len(counted) > 50 and all(story.outcomes[number] == 1 for number in counted)
-    assert max(story.outcomes.values()) == 1 and story.second_runs() == 0 and not story.late
+    fleet = RandomFleet(seed)
+    fleet.run()
+    expected = set(fleet.idempotencies) - fleet.lost_with_origin
+    assert len(expected) > 50 and all(fleet.outcomes[number] == 1 for number in expected)
+    assert max(fleet.outcomes.values()) == 1 and fleet.second_runs() == 0 and not fleet.late_answers
 
 
 def test_the_random_fleet_detects_a_second_run_of_a_non_idempotent_request() -> None:
-    second = 0
+    second_runs = 0
     for seed in range(6):
-        story = RandomFleet(seed, SendsTwice)
-        story.run()
-        second += story.second_runs()
-    assert second > 0
+        fleet = RandomFleet(seed, DuplicateSendState)
+        fleet.run()
+        second_runs += fleet.second_runs()
+    assert second_runs > 0
 
 
-# -- bytes
+# -- encoding and transit times
 
 
 @pytest.mark.parametrize(
@@ -357,34 +368,36 @@
 
 
 def test_noise_raises_bad_message_error_only() -> None:
-    rng, whole = random.Random(3), encode(ForwardRequest(1, request_data(), 0.1, 1.0))
+    rng, encoded = random.Random(3), encode(ForwardRequest(1, request_data(), 0.1, 1.0))
     for _ in range(2000):
-        data = bytearray(whole)
+        data = bytearray(encoded)
         for _ in range(rng.randrange(1, 5)):
             data[rng.randrange(len(data))] = rng.randrange(256)
         try:
             decode(bytes(data[: rng.randrange(len(data) + 1)]))
         except BadMessageError:
             continue
-    for bad in (float("nan"), float("inf"), -1.0):
-        told = pb.TicketMessage(number=1, passed=pb.Pass(name=b"n", track=b"t", age=bad))
+    for age_s in (float("nan"), float("inf"), -1.0):
+        message = pb.TicketMessage(number=1, passed=pb.Pass(name=b"n", track=b"t", age=age_s))
         with pytest.raises(BadMessageError, match="age"):
-            decode(told.SerializeToString())
+            decode(message.SerializeToString())
 
 
 def test_a_transit_time_is_never_underestimated() -> None:
     rng = random.Random(5)
     for _ in range(200):
-        ahead, hops, now = rng.uniform(-1e6, 1e6), TransitTimeEstimator(), 0.0
+        offset, estimator, now = rng.uniform(-1e6, 1e6), TransitTimeEstimator(), 0.0
         for _ in range(20):
-            there, back = rng.uniform(0.0, 0.5), rng.uniform(0.0, 0.5)
-            hops.record_echo(now + there + back, now, now + there + ahead)
+            outbound_s, return_s = rng.uniform(0.0, 0.5), rng.uniform(0.0, 0.5)
+            estimator.record_echo(now + outbound_s + return_s, now, now + outbound_s + offset)
             now += 1.0
-            true = rng.uniform(0.0, 2.0)
-            assert true - 1e-6 <= hops.transit_s(now + true, now + ahead) <= true + 0.5 + 1e-6
+            actual_s = rng.uniform(0.0, 2.0)
+            assert (
+                actual_s - 1e-6 <= estimator.transit_s(now + actual_s, now + offset) <= actual_s + 0.5 + 1e-6
+            )
 
 
-# -- links over loopback
+# -- connections over loopback
 
 
 Body = Callable[[Scheduler], None]
@@ -408,7 +421,7 @@
 
 
 def wait(scheduler: Scheduler, reached: Callable[[], object]) -> None:
-    until = scheduler.clock.read() + PATIENCE
+    until = scheduler.clock.read() + WAIT_TIMEOUT_S
     while not reached():
         assert scheduler.clock.read() < until, "not within its time"
         scheduler.sleep(0.005)
@@ -642,7 +655,7 @@
     run_greenlet(body)
 
 
-# -- requests between two servers
+# -- requests forwarded between two servers
 
 
 class RecordingHandler:
@@ -836,7 +849,11 @@
         assert f"sablewheel: membership.listen: {stage.host('m1')}:" in stage.processes["m1"].tail(50)
         stage.processes["m1"] = testbed.processes[-2]
         asks = testbed.router(
-            "r-m0", [f"{stage.host('m0')}:{LISTEN}"], rate=40, seconds=2.0, request_classes=SHARES
+            "r-m0",
+            [f"{stage.host('m0')}:{LISTEN}"],
+            rate=40,
+            seconds=2.0,
+            request_classes=REQUEST_CLASS_SHARES,
         )
         assert asks.popen.wait(20.0) == 0
         tries = list(testbed.held("r-m0"))
