--- a/sablewheel/forwarding/service.py
+++ b/sablewheel/forwarding/service.py
@@ -382,7 +382,7 @@
     # -- requests admitted from peers
 
     def _admit(self, key: Key, data: RequestData, age_s: float) -> None:
-        """Admit a peer's request; return it if its class or tenant is unknown or its idempotency key missing."""
+        """Admit a peer's request, or return it: unknown class or tenant, or no idempotency key."""
         request_class, tenant = self._request_classes.get(data.request_class), self._tenants.get(data.tenant)
         if request_class is None or not self._is_admissible(data, request_class, tenant):
             self._count("unknown_names")
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -205,8 +205,8 @@
     )
     for number in (3, 4):
         state.step(0.2, MessageReceived("a", ForwardRequest(number, request_data(), 0.0, 1.0)))
-    refusal = state.step(0.2, MessageReceived("a", ForwardRequest(5, request_data(), 0.0, 1.0)))[0]
-    assert refusal.message == Refused(5)  # type: ignore[union-attr]
+    effect = state.step(0.2, MessageReceived("a", ForwardRequest(5, request_data(), 0.0, 1.0)))[0]
+    assert effect.message == Refused(5)  # type: ignore[union-attr]
     # The limit applies to each peer separately.
     assert len(state.step(0.2, MessageReceived("c", ForwardRequest(5, request_data(), 0.0, 1.0)))) == 2
     assert set(state.step(0.3, ConnectionLost("a"))) == {CancelRequest(("a", 3)), CancelRequest(("a", 4))}
@@ -295,9 +295,9 @@
                         earlier for earlier, member in self.origins.items() if member == peer
                     }
                     fleet.add(peer, lambda _: self.make_state())
-                    for name in names:
-                        if name != peer:
-                            fleet.tell(name, ConnectionLost(peer))
+                    for other in names:
+                        if other != peer:
+                            fleet.tell(other, ConnectionLost(peer))
         fleet.heal()
         fleet.run(5.0)
 
@@ -404,38 +404,38 @@
 
 
 def run_greenlet(body: Body) -> None:
-    """Run `body` as a greenlet of a scheduler of its own."""
-    scheduler, faults = Scheduler(Clock()), list[BaseException]()
+    """Run `body` as a greenlet of a new scheduler and raise its error."""
+    scheduler, errors = Scheduler(Clock()), list[BaseException]()
 
     def run() -> None:
         try:
             body(scheduler)
-        except BaseException as trouble:
-            faults.append(trouble)
+        except BaseException as error:
+            errors.append(error)
         scheduler.stop()
 
     scheduler.spawn(run)
     scheduler.run()
-    if faults:
-        raise faults[0]
+    if errors:
+        raise errors[0]
 
 
-def wait(scheduler: Scheduler, reached: Callable[[], object]) -> None:
-    until = scheduler.clock.read() + WAIT_TIMEOUT_S
-    while not reached():
-        assert scheduler.clock.read() < until, "not within its time"
+def wait(scheduler: Scheduler, condition: Callable[[], object]) -> None:
+    deadline = scheduler.clock.read() + WAIT_TIMEOUT_S
+    while not condition():
+        assert scheduler.clock.read() < deadline, "condition not met within the timeout"
         scheduler.sleep(0.005)
 
 
-class Net:
-    """Members of one view, each with its links."""
+class LoopbackFleet:
+    """Members of one view, each with its connections, on loopback."""
 
     def __init__(self, scheduler: Scheduler, names: str, **settings: float | int) -> None:
         self.scheduler = scheduler
         self.ports = {name: free_port() for name in names}
-        self.heard: list[tuple[str, str, bytes]] = []
-        self.broken: list[tuple[str, str]] = []
-        self.links: dict[str, PeerConnections] = {}
+        self.received: list[tuple[str, str, bytes]] = []  # recipient, sender and payload
+        self.lost_connections: list[tuple[str, str]] = []  # notified member and its peer
+        self.connections: dict[str, PeerConnections] = {}
         self.settings = ConnectionSettings(**settings)  # type: ignore[arg-type]
         self.view = View(1, tuple(self.member(name) for name in sorted(names)))
 
@@ -445,69 +445,71 @@
         )
 
     def start(self, name: str) -> PeerConnections:
-        links = PeerConnections(self.scheduler, ("127.0.0.1", self.ports[name]), self.settings, name, 1)
-        links.register_handler("word", lambda sender, payload: self.heard.append((name, sender, payload)))
-        links.on_connection_lost(lambda peer: self.broken.append((name, peer)))
-        links.handle_view(self.view)
-        self.scheduler.after_round.append(links.flush)
-        self.links[name] = links
-        return links
+        connections = PeerConnections(self.scheduler, ("127.0.0.1", self.ports[name]), self.settings, name, 1)
+        connections.register_handler(
+            "word", lambda sender, payload: self.received.append((name, sender, payload))
+        )
+        connections.on_connection_lost(lambda peer: self.lost_connections.append((name, peer)))
+        connections.handle_view(self.view)
+        self.scheduler.after_round.append(connections.flush)
+        self.connections[name] = connections
+        return connections
 
     def close(self) -> None:
-        for one in self.links.values():
-            one.close()
+        for connections in self.connections.values():
+            connections.close()
 
 
-def refusal(
-    links: PeerConnections,
+def send_error(
+    connections: PeerConnections,
     peer_name: str,
     message_type: str,
     payload: bytes,
     expires_in_s: float,
     on_not_sent: Callable[[], None] | None = None,
 ) -> type[SendError] | None:
-    """Send a frame; the type of the error if it is refused."""
+    """Send a frame; return the type of the error if it is refused."""
     try:
-        links.send(peer_name, message_type, payload, expires_in_s=expires_in_s, on_not_sent=on_not_sent)
+        connections.send(peer_name, message_type, payload, expires_in_s=expires_in_s, on_not_sent=on_not_sent)
     except SendError as error:
         return type(error)
     return None
 
 
 def hello(name: str, to: str, incarnation: int = 1, version: int = 1) -> bytes:
-    told = pb.Frame(sent=0.0, hello=pb.Hello(name=name, incarnation=incarnation, epoch=1, to=to))
-    data = bytearray(encode_frame(told))
+    frame = pb.Frame(sent=0.0, hello=pb.Hello(name=name, incarnation=incarnation, epoch=1, to=to))
+    data = bytearray(encode_frame(frame))
     if version != 1:
-        told.version = version
-        data[4:] = told.SerializeToString()
+        frame.version = version
+        data[4:] = frame.SerializeToString()
     return bytes(data)
 
 
 def test_frames_arrive_in_order_over_connections_made_on_demand() -> None:
     def body(scheduler: Scheduler) -> None:
-        net = Net(scheduler, "ab")
-        a, b = net.start("a"), net.start("b")
+        fleet = LoopbackFleet(scheduler, "ab")
+        a, b = fleet.start("a"), fleet.start("b")
         assert not a.is_connected("b")
         for number in range(500):
-            assert refusal(a, "b", "word", b"%d" % number, 2.0) is None
-            assert refusal(b, "a", "word", b"%d" % number, 2.0) is None
-        wait(scheduler, lambda: len(net.heard) == 1000)
+            assert send_error(a, "b", "word", b"%d" % number, 2.0) is None
+            assert send_error(b, "a", "word", b"%d" % number, 2.0) is None
+        wait(scheduler, lambda: len(fleet.received) == 1000)
         for name in "ab":
-            assert [int(one[2]) for one in net.heard if one[0] == name] == list(range(500))
-        assert a.all_sent and 0.0 <= a.last_transit_s < 1.0 and not net.broken
-        assert refusal(a, "nobody", "word", b"", 1.0) is PeerUnknownError
-        assert refusal(a, "a", "word", b"", 1.0) is PeerUnknownError
-        assert refusal(a, "b", "word", b"x" * (1 << 20), 1.0) is FrameTooLargeError
+            assert [int(frame[2]) for frame in fleet.received if frame[0] == name] == list(range(500))
+        assert a.all_sent and 0.0 <= a.last_transit_s < 1.0 and not fleet.lost_connections
+        assert send_error(a, "nobody", "word", b"", 1.0) is PeerUnknownError
+        assert send_error(a, "a", "word", b"", 1.0) is PeerUnknownError
+        assert send_error(a, "b", "word", b"x" * (1 << 20), 1.0) is FrameTooLargeError
         a.send("b", "other", b"", expires_in_s=1.0)
         wait(scheduler, lambda: b.counters.get("frames_unknown") == 1)
-        net.close()
+        fleet.close()
         wait(scheduler, lambda: not b.is_connected("a"))
 
     run_greenlet(body)
 
 
 @pytest.mark.parametrize(
-    ("what", "counted"),
+    ("data", "counter"),
     [
         (hello("x", "b"), "hellos_refused"),
         (hello("a", "b", incarnation=7), "hellos_refused"),
@@ -523,134 +525,135 @@
     ],
 )
 def test_a_foreign_stale_malformed_or_silent_peer_is_counted_and_harms_no_connection(
-    what: bytes, counted: str
+    data: bytes, counter: str
 ) -> None:
     def body(scheduler: Scheduler) -> None:
-        net = Net(scheduler, "abc", connect_timeout_s=0.2)
-        b, c = net.start("b"), net.start("c")
-        assert refusal(c, "b", "word", b"1", 2.0) is None
-        wait(scheduler, lambda: len(net.heard) == 1)
-        with socket.create_connection(("127.0.0.1", net.ports["b"])) as peer:
-            peer.sendall(what)
-            wait(scheduler, lambda: b.counters.get(counted))
-            assert refusal(c, "b", "word", b"2", 2.0) is None
-            wait(scheduler, lambda: len(net.heard) == 2)
-            assert ("b", "c") not in net.broken and ("c", "b") not in net.broken
-        net.close()
+        fleet = LoopbackFleet(scheduler, "abc", connect_timeout_s=0.2)
+        b, c = fleet.start("b"), fleet.start("c")
+        assert send_error(c, "b", "word", b"1", 2.0) is None
+        wait(scheduler, lambda: len(fleet.received) == 1)
+        with socket.create_connection(("127.0.0.1", fleet.ports["b"])) as peer:
+            peer.sendall(data)
+            wait(scheduler, lambda: b.counters.get(counter))
+            assert send_error(c, "b", "word", b"2", 2.0) is None
+            wait(scheduler, lambda: len(fleet.received) == 2)
+            assert ("b", "c") not in fleet.lost_connections and ("c", "b") not in fleet.lost_connections
+        fleet.close()
 
     run_greenlet(body)
 
 
 class SilentPeer:
-    """A peer that says hello as it should, and then neither reads nor says anything."""
+    """A peer that completes the handshake and then neither reads nor sends anything."""
 
-    def __init__(self, net: Net, name: str) -> None:
-        self.door = socket.create_server(("127.0.0.1", net.ports[name]))
-        self.door.setblocking(False)
+    def __init__(self, fleet: LoopbackFleet, name: str) -> None:
+        self.listener = socket.create_server(("127.0.0.1", fleet.ports[name]))
+        self.listener.setblocking(False)
         self.name, self.accepted = name, list[socket.socket]()
 
-    def greet(self, scheduler: Scheduler, to: str) -> None:
-        def came() -> bool:
+    def complete_handshake(self, scheduler: Scheduler, to: str) -> None:
+        def accept_connection() -> bool:
             try:
-                self.accepted.append(self.door.accept()[0])
+                self.accepted.append(self.listener.accept()[0])
             except BlockingIOError:
                 return False
             return True
 
-        wait(scheduler, came)
-        peer, frames, told = self.accepted[-1], FrameReader(), list[pb.Frame]()
+        wait(scheduler, accept_connection)
+        peer, reader, frames = self.accepted[-1], FrameReader(), list[pb.Frame]()
         peer.setblocking(False)
 
-        def heard() -> bool:
+        def receive_frame() -> bool:
             try:
-                told.extend(frames.feed(peer.recv(65536)))
+                frames.extend(reader.feed(peer.recv(65536)))
             except BlockingIOError:
                 return False
-            return bool(told)
+            return bool(frames)
 
-        wait(scheduler, heard)
-        echo = pb.Echo(of=told[0].sent, got=0.0)
+        wait(scheduler, receive_frame)
+        echo = pb.Echo(of=frames[0].sent, got=0.0)
         peer.sendall(encode_frame(pb.Frame(hello=pb.Hello(name=self.name, incarnation=1, to=to, echo=echo))))
 
 
 def test_a_peer_that_does_not_read_fills_only_its_own_queue_and_counts_as_lost() -> None:
     def body(scheduler: Scheduler) -> None:
-        net = Net(scheduler, "abz", max_queued_bytes=1 << 20, max_silence_s=0.6)
-        a, _ = net.start("a"), net.start("b")
-        deaf, unsent = SilentPeer(net, "z"), list[int]()
-        assert refusal(a, "z", "word", b"x", 5.0) is None
-        deaf.greet(scheduler, "a")
+        fleet = LoopbackFleet(scheduler, "abz", max_queued_bytes=1 << 20, max_silence_s=0.6)
+        a, _ = fleet.start("a"), fleet.start("b")
+        silent_peer, unsent = SilentPeer(fleet, "z"), list[int]()
+        assert send_error(a, "z", "word", b"x", 5.0) is None
+        silent_peer.complete_handshake(scheduler, "a")
         wait(scheduler, lambda: a.is_connected("z"))
-        taken = 0
-        for _ in range(400):  # more than kernel, window and queue hold together
-            refused = refusal(a, "z", "word", b"x" * 60_000, 5.0, lambda: unsent.append(1))
-            assert refused in (None, SendQueueFullError)
-            taken += refused is None
+        accepted = 0
+        for _ in range(400):  # more than the socket buffers, the stream and the queue hold together
+            error = send_error(a, "z", "word", b"x" * 60_000, 5.0, lambda: unsent.append(1))
+            assert error in (None, SendQueueFullError)
+            accepted += error is None
             scheduler.sleep(0.0)
         assert a.counters["refused_full"] > 0 and a._peers["z"].queued_bytes <= 1 << 20
-        assert refusal(a, "b", "word", b"fine", 1.0) is None
-        wait(scheduler, lambda: ("b", "a", b"fine") in net.heard)
-        wait(scheduler, lambda: ("a", "z") in net.broken)
-        assert a.counters["lost_silent"] == 1 and ("a", "b") not in net.broken
+        assert send_error(a, "b", "word", b"fine", 1.0) is None
+        wait(scheduler, lambda: ("b", "a", b"fine") in fleet.received)
+        wait(scheduler, lambda: ("a", "z") in fleet.lost_connections)
+        assert a.counters["lost_silent"] == 1 and ("a", "b") not in fleet.lost_connections
         wait(scheduler, lambda: len(unsent) == a.counters["dropped_broken"] > 0)
-        assert len(unsent) < taken  # what was handed over may have arrived, and nobody is told otherwise
-        net.close()
+        # Frames written to the stream may have arrived, so `on_not_sent` is not called for them.
+        assert len(unsent) < accepted
+        fleet.close()
 
     run_greenlet(body)
 
 
 def test_frames_to_an_unreachable_peer_are_dropped_and_then_refused_until_the_next_attempt() -> None:
     def body(scheduler: Scheduler) -> None:
-        net, unsent = Net(scheduler, "ab"), list[int]()
-        a = net.start("a")
-        assert refusal(a, "b", "word", b"1", 5.0, lambda: unsent.append(1)) is None
+        fleet, unsent = LoopbackFleet(scheduler, "ab"), list[int]()
+        a = fleet.start("a")
+        assert send_error(a, "b", "word", b"1", 5.0, lambda: unsent.append(1)) is None
         wait(scheduler, lambda: unsent == [1])
-        assert refusal(a, "b", "word", b"2", 5.0) is PeerUnavailableError
+        assert send_error(a, "b", "word", b"2", 5.0) is PeerUnavailableError
         assert a.counters["refused_resting"] == 1
-        net.start("b")
-        wait(scheduler, lambda: refusal(a, "b", "word", b"3", 5.0) is None)
-        wait(scheduler, lambda: net.heard == [("b", "a", b"3")])
-        net.close()
+        fleet.start("b")
+        wait(scheduler, lambda: send_error(a, "b", "word", b"3", 5.0) is None)
+        wait(scheduler, lambda: fleet.received == [("b", "a", b"3")])
+        fleet.close()
 
     run_greenlet(body)
 
 
 def test_a_restarted_peer_replaces_its_connection_and_a_departed_one_may_still_answer() -> None:
     def body(scheduler: Scheduler) -> None:
-        net = Net(scheduler, "abc", departed_linger_s=0.4)
-        a, b, c = (net.start(name) for name in "abc")
-        owed: list[bytes] = []
-        a.register_handler("owed", lambda _, payload: owed.append(payload), accept_departed=True)
-        for one in (b, c):
-            assert refusal(one, "a", "word", b"1", 2.0) is None
-        wait(scheduler, lambda: len(net.heard) == 2)
-        a.handle_view(View(2, (net.member("a"), net.member("b", 2))))  # b is a new self, c has left
-        assert ("a", "b") in net.broken and ("a", "c") not in net.broken
-        assert refusal(c, "a", "owed", b"answer", 2.0) is None
-        assert refusal(c, "a", "word", b"2", 2.0) is None
-        wait(scheduler, lambda: owed == [b"answer"] and a.counters.get("frames_parted") == 1)
-        wait(scheduler, lambda: ("a", "c") in net.broken)
-        assert len(net.heard) == 2 and a.counters["lost_parted"] == 1 and a.counters["lost_stale"] == 1
-        net.close()
+        fleet = LoopbackFleet(scheduler, "abc", departed_linger_s=0.4)
+        a, b, c = (fleet.start(name) for name in "abc")
+        answers: list[bytes] = []
+        a.register_handler("owed", lambda _, payload: answers.append(payload), accept_departed=True)
+        for member in (b, c):
+            assert send_error(member, "a", "word", b"1", 2.0) is None
+        wait(scheduler, lambda: len(fleet.received) == 2)
+        a.handle_view(View(2, (fleet.member("a"), fleet.member("b", 2))))  # b restarted, c left
+        assert ("a", "b") in fleet.lost_connections and ("a", "c") not in fleet.lost_connections
+        assert send_error(c, "a", "owed", b"answer", 2.0) is None
+        assert send_error(c, "a", "word", b"2", 2.0) is None
+        wait(scheduler, lambda: answers == [b"answer"] and a.counters.get("frames_parted") == 1)
+        wait(scheduler, lambda: ("a", "c") in fleet.lost_connections)
+        assert len(fleet.received) == 2 and a.counters["lost_parted"] == 1 and a.counters["lost_stale"] == 1
+        fleet.close()
 
     run_greenlet(body)
 
 
 def test_a_member_uses_the_agreed_incarnation_and_not_that_of_an_earlier_process() -> None:
     def body(scheduler: Scheduler) -> None:
-        net = Net(scheduler, "ab")
-        a, b = net.start("a"), net.start("b")
-        early, later = (View(number, (net.member("a", number), net.member("b"))) for number in (0, 3))
-        for one in (a, b):
-            one.handle_view(early)  # the view has a as it was before its start
-        assert refusal(a, "b", "word", b"1", 1.0) is PeerUnknownError
-        assert refusal(b, "a", "word", b"2", 1.0) is None
+        fleet = LoopbackFleet(scheduler, "ab")
+        a, b = fleet.start("a"), fleet.start("b")
+        old_view, new_view = (View(epoch, (fleet.member("a", epoch), fleet.member("b"))) for epoch in (0, 3))
+        for member in (a, b):
+            member.handle_view(old_view)  # this view has an earlier process of a
+        assert send_error(a, "b", "word", b"1", 1.0) is PeerUnknownError
+        assert send_error(b, "a", "word", b"2", 1.0) is None
         wait(scheduler, lambda: a.counters.get("hellos_refused") and b.counters.get("connects_refused"))
-        for one in (a, b):
-            one.handle_view(later)
-        assert refusal(a, "b", "word", b"3", 1.0) is None
-        wait(scheduler, lambda: net.heard == [("b", "a", b"3")])
-        net.close()
+        for member in (a, b):
+            member.handle_view(new_view)
+        assert send_error(a, "b", "word", b"3", 1.0) is None
+        wait(scheduler, lambda: fleet.received == [("b", "a", b"3")])
+        fleet.close()
 
     run_greenlet(body)
 
@@ -659,33 +662,33 @@
 
 
 class RecordingHandler:
-    """A handler that keeps what arrives."""
+    """A request handler that records arrived and cancelled requests."""
 
     def __init__(self) -> None:
-        self.open: list[Exchange] = []
-        self.left: list[Exchange] = []
+        self.open_requests: list[Exchange] = []
+        self.cancelled_requests: list[Exchange] = []
 
     def arrived(self, exchange: Exchange) -> None:
-        self.open.append(exchange)
+        self.open_requests.append(exchange)
 
     def cancelled(self, exchange: Exchange) -> None:
-        self.left.append(exchange)
+        self.cancelled_requests.append(exchange)
 
 
 class RecordingCaller:
-    """Whom answers reach."""
+    """A caller that records the answers to its requests."""
 
     def __init__(self) -> None:
-        self.told: list[Any] = []
+        self.answers: list[Any] = []
 
     def completed(self, exchange: Exchange, result: bytes) -> None:
-        self.told.append(("completed", result))
+        self.answers.append(("completed", result))
 
     def rejected(self, exchange: Exchange, retry_after_s: float, no_retry_elsewhere: bool) -> None:
-        self.told.append(("denied", retry_after_s, no_retry_elsewhere))
+        self.answers.append(("denied", retry_after_s, no_retry_elsewhere))
 
     def failed(self, exchange: Exchange) -> None:
-        self.told.append(("terminated",))
+        self.answers.append(("terminated",))
 
 
 REQUEST_CLASSES = {
@@ -705,42 +708,47 @@
 
 class Pair:
     def __init__(self, scheduler: Scheduler) -> None:
-        self.net = Net(scheduler, "ab", max_silence_s=0.6)
-        self.handlers, self.forwards = dict[str, RecordingHandler](), dict[str, ForwardingService]()
-        for place, name in enumerate("ab"):
-            links = self.net.start(name)
-            forward = ForwardingService(
-                scheduler, links, ForwardingState(), place + 1, {**REQUEST_CLASSES}, {}, lambda: NO_OBSERVER
+        self.fleet = LoopbackFleet(scheduler, "ab", max_silence_s=0.6)
+        self.handlers, self.services = dict[str, RecordingHandler](), dict[str, ForwardingService]()
+        for index, name in enumerate("ab"):
+            connections = self.fleet.start(name)
+            service = ForwardingService(
+                scheduler,
+                connections,
+                ForwardingState(),
+                index + 1,
+                {**REQUEST_CLASSES},
+                {},
+                lambda: NO_OBSERVER,
             )
             self.handlers[name] = RecordingHandler()
-            forward.handler(self.handlers[name])
-            forward.placer = FixedPlacer(
-                "b"
-            )  # on b as well: what was forwarded there must not be forwarded again
-            self.forwards[name] = forward
-        self.scheduler, self.router, self.count = scheduler, RecordingCaller(), 0
-
-    def ask(self, request_class: bytes, waited: float = 0.0) -> Exchange:
-        self.count += 1
-        kind = REQUEST_CLASSES[request_class]
-        idempotency_key = b"l%d" % self.count if kind.idempotency is Idempotency.KEYED else None
-        request = Request(kind, Client(), None, self.scheduler.clock.now - waited, 10.0)
+            service.handler(self.handlers[name])
+            # Also on b, which must not forward a request that it admitted from a.
+            service.placer = FixedPlacer("b")
+            self.services[name] = service
+        self.scheduler, self.caller, self.request_count = scheduler, RecordingCaller(), 0
+
+    def send_request(self, request_class: bytes, age_s: float = 0.0) -> Exchange:
+        self.request_count += 1
+        settings = REQUEST_CLASSES[request_class]
+        idempotency_key = b"l%d" % self.request_count if settings.idempotency is Idempotency.KEYED else None
+        request = Request(settings, Client(), None, self.scheduler.clock.now - age_s, 10.0)
         exchange = Exchange(
-            b"n%d" % self.count, request_class, b"body", 1, idempotency_key, request, self.router
+            b"n%d" % self.request_count, request_class, b"body", 1, idempotency_key, request, self.caller
         )
-        self.forwards["a"].arrived(exchange)
+        self.services["a"].arrived(exchange)
         return exchange
 
     def admitted_request(self) -> Exchange:
-        wait(self.scheduler, lambda: self.handlers["b"].open)
-        return self.handlers["b"].open.pop()
+        wait(self.scheduler, lambda: self.handlers["b"].open_requests)
+        return self.handlers["b"].open_requests.pop()
 
 
-def with_pair(body: Callable[[Scheduler, Pair], None]) -> None:
+def run_with_pair(body: Callable[[Scheduler, Pair], None]) -> None:
     def run(scheduler: Scheduler) -> None:
         pair = Pair(scheduler)
         body(scheduler, pair)
-        pair.net.close()
+        pair.fleet.close()
 
     run_greenlet(run)
 
@@ -748,13 +756,13 @@
 def test_a_forwarded_request_is_admitted_at_the_peer_and_answered_once_here() -> None:
     def body(scheduler: Scheduler, pair: Pair) -> None:
         answers: list[tuple[Callable[[Exchange], None], Any]] = [
-            (lambda one: one.complete(b"made"), ("completed", b"made")),
-            (lambda one: one.reject(0.75, True), ("denied", 0.75, True)),
-            (lambda one: one.fail(), ("terminated",)),
+            (lambda exchange: exchange.complete(b"made"), ("completed", b"made")),
+            (lambda exchange: exchange.reject(0.75, True), ("denied", 0.75, True)),
+            (lambda exchange: exchange.fail(), ("terminated",)),
         ]
         for request_class in REQUEST_CLASSES:
-            for answer, told in answers:
-                exchange = pair.ask(request_class, waited=0.4)
+            for answer, expected in answers:
+                exchange = pair.send_request(request_class, age_s=0.4)
                 admitted_request = pair.admitted_request()
                 assert (admitted_request.name, admitted_request.request_class, admitted_request.body) == (
                     exchange.name,
@@ -767,106 +775,108 @@
                 )
                 assert admitted_request.request.arrived_at <= exchange.request.arrived_at + 0.05
                 answer(admitted_request)
-                wait(scheduler, lambda: pair.router.told)
-                assert pair.router.told == [told]
-                pair.router.told.clear()
-        assert not pair.handlers["a"].open and all(one.is_idle for one in pair.forwards.values())
+                wait(scheduler, lambda: pair.caller.answers)
+                assert pair.caller.answers == [expected]
+                pair.caller.answers.clear()
+        assert not pair.handlers["a"].open_requests and all(
+            service.is_idle for service in pair.services.values()
+        )
 
-    with_pair(body)
+    run_with_pair(body)
 
 
 def test_a_cancel_is_forwarded_and_the_name_of_an_open_request_is_refused() -> None:
     def body(scheduler: Scheduler, pair: Pair) -> None:
-        exchange = pair.ask(b"stamp")
+        exchange = pair.send_request(b"stamp")
         admitted_request = pair.admitted_request()
-        pair.count -= 1
-        pair.ask(b"stamp")  # a copy of its name
-        assert pair.router.told == [("terminated",)]
+        pair.request_count -= 1
+        pair.send_request(b"stamp")  # reuses the name of the open request
+        assert pair.caller.answers == [("terminated",)]
         assert exchange.cancel()
-        pair.forwards["a"].cancelled(exchange)
-        wait(scheduler, lambda: pair.handlers["b"].left == [admitted_request])
-        assert pair.router.told == [("terminated",)] and pair.forwards["a"].is_idle
+        pair.services["a"].cancelled(exchange)
+        wait(scheduler, lambda: pair.handlers["b"].cancelled_requests == [admitted_request])
+        assert pair.caller.answers == [("terminated",)] and pair.services["a"].is_idle
 
-    with_pair(body)
+    run_with_pair(body)
 
 
 def test_a_request_too_large_to_send_is_served_here_and_a_result_too_large_fails() -> None:
     def body(scheduler: Scheduler, pair: Pair) -> None:
-        pair.ask(b"stamp")
+        pair.send_request(b"stamp")
         pair.admitted_request().complete(b"x" * (2 << 20))
-        wait(scheduler, lambda: pair.router.told)
-        assert pair.router.told == [("terminated",)]
+        wait(scheduler, lambda: pair.caller.answers)
+        assert pair.caller.answers == [("terminated",)]
         request = Request(REQUEST_CLASSES[b"stamp"], Client(), None, scheduler.clock.now, 10.0)
-        long = Exchange(b"n" * 65, b"stamp", b"body", 1, None, request, pair.router)
-        pair.forwards["a"].arrived(long)
-        assert pair.handlers["a"].open == [long]
+        oversized = Exchange(b"n" * 65, b"stamp", b"body", 1, None, request, pair.caller)
+        pair.services["a"].arrived(oversized)
+        assert pair.handlers["a"].open_requests == [oversized]
 
-    with_pair(body)
+    run_with_pair(body)
 
 
 def test_a_lost_connection_ends_each_request_by_its_idempotency() -> None:
     def body(scheduler: Scheduler, pair: Pair) -> None:
-        asked = {request_class: pair.ask(request_class) for request_class in REQUEST_CLASSES}
-        wait(scheduler, lambda: len(pair.handlers["b"].open) == 3)
-        pair.net.links["b"].close()
-        wait(scheduler, lambda: len(pair.router.told) == 2)
-        assert pair.router.told == [("terminated",)] * 2
-        assert pair.handlers["a"].open == [asked[b"lookup"]]
-        late = pair.handlers["b"].open[0]
-        late.complete(b"too late")
+        exchanges = {request_class: pair.send_request(request_class) for request_class in REQUEST_CLASSES}
+        wait(scheduler, lambda: len(pair.handlers["b"].open_requests) == 3)
+        pair.fleet.connections["b"].close()
+        wait(scheduler, lambda: len(pair.caller.answers) == 2)
+        assert pair.caller.answers == [("terminated",)] * 2
+        assert pair.handlers["a"].open_requests == [exchanges[b"lookup"]]
+        late_exchange = pair.handlers["b"].open_requests[0]
+        late_exchange.complete(b"too late")
         scheduler.sleep(0.05)
-        assert len(pair.router.told) == 2
-        pair.ask(b"stamp")  # nobody is reached: it never left, so it is served here
-        wait(scheduler, lambda: len(pair.handlers["a"].open) == 2)
+        assert len(pair.caller.answers) == 2
+        pair.send_request(b"stamp")  # the peer is unreachable, so the request is not sent and is served here
+        wait(scheduler, lambda: len(pair.handlers["a"].open_requests) == 2)
 
-    with_pair(body)
+    run_with_pair(body)
 
 
 def test_a_request_that_the_peer_does_not_know_is_served_here() -> None:
     def body(scheduler: Scheduler, pair: Pair) -> None:
-        del pair.forwards["b"]._request_classes[b"record"]
-        exchange = pair.ask(b"record")
-        wait(scheduler, lambda: pair.handlers["a"].open == [exchange])
-        pair.forwards["a"].placer = FixedPlacer(None)
-        pair.ask(b"lookup")
-        pair.forwards["a"].placer = None  # type: ignore[assignment]  # a fault in who places costs no request
-        pair.ask(b"lookup")
-        assert len(pair.handlers["a"].open) == 3 and pair.forwards["a"].counters["faults"] == 1
+        del pair.services["b"]._request_classes[b"record"]
+        exchange = pair.send_request(b"record")
+        wait(scheduler, lambda: pair.handlers["a"].open_requests == [exchange])
+        pair.services["a"].placer = FixedPlacer(None)
+        pair.send_request(b"lookup")
+        pair.services["a"].placer = None  # type: ignore[assignment]  # an error in the placer fails no request
+        pair.send_request(b"lookup")
+        assert len(pair.handlers["a"].open_requests) == 3 and pair.services["a"].counters["faults"] == 1
 
-    with_pair(body)
+    run_with_pair(body)
 
 
 def test_two_servers_serve_each_others_requests_and_shut_down_cleanly() -> None:
     with Testbed(1) as testbed, closing(Block()) as block:
-        stage = Scenario(testbed, block.second, "spread", 0, 2, 1, keys=KEYS)
-        for name in stage.names:
-            stage.start(name)
-        for name in stage.names:
-            stage.wait_up(name)
-        assert stage.wait_agreed(stage.names, 20.0) is not None, stage.processes["m0"].tail()
-        stage.start("m1")  # a second one finds its doors taken, and says which
-        assert stage.processes["m1"].popen.wait(20.0) == 1
-        assert f"sablewheel: membership.listen: {stage.host('m1')}:" in stage.processes["m1"].tail(50)
-        stage.processes["m1"] = testbed.processes[-2]
-        asks = testbed.router(
+        scenario = Scenario(testbed, block.second, "spread", 0, 2, 1, keys=KEYS)
+        for name in scenario.names:
+            scenario.start(name)
+        for name in scenario.names:
+            scenario.wait_up(name)
+        assert scenario.wait_agreed(scenario.names, 20.0) is not None, scenario.processes["m0"].tail()
+        scenario.start("m1")  # a second process finds its addresses in use and reports which
+        assert scenario.processes["m1"].popen.wait(20.0) == 1
+        assert f"sablewheel: membership.listen: {scenario.host('m1')}:" in scenario.processes["m1"].tail(50)
+        scenario.processes["m1"] = testbed.processes[-2]
+        router = testbed.router(
             "r-m0",
-            [f"{stage.host('m0')}:{LISTEN}"],
+            [f"{scenario.host('m0')}:{LISTEN}"],
             rate=40,
             seconds=2.0,
             request_classes=REQUEST_CLASS_SHARES,
         )
-        assert asks.popen.wait(20.0) == 0
-        tries = list(testbed.held("r-m0"))
-        assert len(tries) > 40 and {one["how"] for one in tries} <= {"completed", "denied"}
-        guests = (testbed.folder / "m1.guests").read_text().splitlines()
-        assert len(guests) > 0.4 * len(tries)
-        assert [stage.processes[name].leave() for name in stage.names] == [0, 0]
-        assert int(testbed.counters(stage.processes["m0"])["forward_answer_completed"]) > 0
-        stage.relay.close()
+        assert router.popen.wait(20.0) == 0
+        attempts = list(testbed.held("r-m0"))
+        assert len(attempts) > 40 and {attempt["how"] for attempt in attempts} <= {"completed", "denied"}
+        forwarded = (testbed.folder / "m1.guests").read_text().splitlines()
+        assert len(forwarded) > 0.4 * len(attempts)
+        assert [scenario.processes[name].leave() for name in scenario.names] == [0, 0]
+        assert int(testbed.counters(scenario.processes["m0"])["forward_answer_completed"]) > 0
+        scenario.relay.close()
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         ("forwarding:\n  listen: 127.0.0.1:7702", "3: forwarding: needs the section membership"),
         ("forwarding:\n  listen: 0.0.0.0:7702", "advertise is needed"),
@@ -875,8 +885,8 @@
         ("forwarding:\n  listen: 127.0.0.1:7702\n  link-most: 64", "links-most may be meant"),
     ],
 )
-def test_faults_of_the_section_are_reported_by_key(tmp_path: Path, text: str, says: str) -> None:
+def test_faults_of_the_section_are_reported_by_key(tmp_path: Path, text: str, message: str) -> None:
     file = tmp_path / "features.yaml"
     file.write_text(f"version: 1\n\n{text}\n")
-    with pytest.raises(FaultyFeaturesError, match=says):
+    with pytest.raises(FaultyFeaturesError, match=message):
         read(file)
