--- a/sablewheel/forwarding/peer_connections.py
+++ b/sablewheel/forwarding/peer_connections.py
@@ -92,12 +92,9 @@
         """Call `handler(peer_name, payload)` for frames of a type.
 
         Args:
-            message_type: The message type.
+            message_type: The message type, which must not have a handler yet.
             handler: Called with each frame.
             accept_departed: Whether to call it also for frames of a member that recently left the view.
-
-        Raises:
-            ValueError: The message type already has a handler.
         """
         if message_type in self._handlers:
             raise ValueError(f"message type {message_type!r} already has a handler")
@@ -161,10 +158,7 @@
     def _check_queue(self, peer: Peer, frame_bytes: int) -> None:
         settings = self._settings
         if frame_bytes > settings.max_frame_bytes:
-            self._refuse(
-                "refused_large",
-                FrameTooLargeError(f"frame of {frame_bytes} bytes to {peer.name} exceeds the limit"),
-            )
+            self._refuse("refused_large", FrameTooLargeError(f"frame of {frame_bytes} bytes to {peer.name}"))
         is_full = len(peer.queue) >= settings.max_queued_frames
         if is_full or peer.queued_bytes + frame_bytes > settings.max_queued_bytes:
             self._refuse("refused_full", SendQueueFullError(peer.name))
@@ -399,9 +393,7 @@
 
     def _handle_bad_frame(self, peer: str, error: BadFrameError) -> None:
         self._count("frames_bad")
-        log.warning(
-            "invalid frame received; closing the connection", extra={"pairs": {"peer": peer, "reason": error}}
-        )
+        log.warning("invalid frame, closing connection", extra={"pairs": {"peer": peer, "reason": error}})
 
     def _count(self, name: str) -> None:
         self.counters[name] = self.counters.get(name, 0) + 1
--- a/sablewheel/forwarding/service.py
+++ b/sablewheel/forwarding/service.py
@@ -259,9 +259,7 @@
             message = decode(payload)
         except BadMessageError as error:
             self._count("bad")
-            log.warning(
-                "invalid forwarding message dropped", extra={"pairs": {"from": sender, "reason": error}}
-            )
+            log.warning("invalid message dropped", extra={"pairs": {"from": sender, "reason": error}})
             return
         self._step(MessageReceived(sender, message, self._connections.last_transit_s))
 
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -623,13 +623,13 @@
         fleet = LoopbackFleet(scheduler, "abc", departed_linger_s=0.4)
         a, b, c = (fleet.start(name) for name in "abc")
         answers: list[bytes] = []
-        a.register_handler("owed", lambda _, payload: answers.append(payload), accept_departed=True)
+        a.register_handler("departed", lambda _, payload: answers.append(payload), accept_departed=True)
         for member in (b, c):
             assert send_error(member, "a", "word", b"1", 2.0) is None
         wait(scheduler, lambda: len(fleet.received) == 2)
         a.handle_view(View(2, (fleet.member("a"), fleet.member("b", 2))))  # b restarted, c left
         assert ("a", "b") in fleet.lost_connections and ("a", "c") not in fleet.lost_connections
-        assert send_error(c, "a", "owed", b"answer", 2.0) is None
+        assert send_error(c, "a", "departed", b"answer", 2.0) is None
         assert send_error(c, "a", "word", b"2", 2.0) is None
         wait(scheduler, lambda: answers == [b"answer"] and a.counters.get("frames_parted") == 1)
         wait(scheduler, lambda: ("a", "c") in fleet.lost_connections)
@@ -756,9 +756,9 @@
 def test_a_forwarded_request_is_admitted_at_the_peer_and_answered_once_here() -> None:
     def body(scheduler: Scheduler, pair: Pair) -> None:
         answers: list[tuple[Callable[[Exchange], None], Any]] = [
-            (lambda exchange: exchange.complete(b"made"), ("completed", b"made")),
-            (lambda exchange: exchange.reject(0.75, True), ("denied", 0.75, True)),
-            (lambda exchange: exchange.fail(), ("terminated",)),
+            (lambda admitted: admitted.complete(b"made"), ("completed", b"made")),
+            (lambda admitted: admitted.reject(0.75, True), ("denied", 0.75, True)),
+            (lambda admitted: admitted.fail(), ("terminated",)),
         ]
         for request_class in REQUEST_CLASSES:
             for answer, expected in answers:
