--- a/sablewheel/storage/__init__.py
+++ b/sablewheel/storage/__init__.py
@@ -1,1 +1,1 @@
-"""The durable log: records in segments, recovery, group commit on a worker thread, and the disk's state."""
+"""The durable log: records in segments, recovery, group commit on a worker thread, and disk health."""
--- a/sablewheel/storage/group_commit.py
+++ b/sablewheel/storage/group_commit.py
@@ -1,6 +1,6 @@
-"""Group commit: records are gathered while a commit is in flight, and go out together with the next one.
+"""Group commit: records that arrive during a commit are written together by the next one.
 
-It runs in the event loop; the log itself runs on a worker thread.
+This module runs in the event loop; the log itself runs on a worker thread.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from .health import DiskHealth, DiskState
 from .log import CommitError, Log, LogPosition
 
-MAX_PENDING_BYTES = 1 << 20  # gathered and not yet durable
+MAX_PENDING_BYTES = 1 << 20  # of records that are not durable yet
 
 log = logging.getLogger(__name__)
 
@@ -22,69 +22,70 @@
 
 
 class GroupCommitLog:
-    """A log whose appends return at once and become durable in groups.
+    """A log whose `append` returns at once; records become durable in groups.
 
-    Invariant: all records up to `durable_through` are durable; those after it, up to `last_number`, are in
-    flight or pending, in this order.
+    Invariant: all records up to number `durable_through` are durable. Later records, up to `last_number`, are
+    first the ones in flight, then the pending ones.
 
     Args:
         scheduler: The event loop.
-        bridge: Runs jobs on the worker thread, in order.
-        records: The log, recovered.
-        slow_after_s: A commit that takes longer makes the disk count as slow.
-        on_durable: Called with `durable_through` each time it moves.
+        worker_thread: Runs blocking jobs in order.
+        recovered_log: The log, after its recovery.
+        slow_after_s: The disk is reported as slow when a commit takes longer than this.
+        on_durable: Called with `durable_through` after each successful commit.
         on_disk_state: Called when the disk's state changes.
     """
 
     def __init__(
         self,
         scheduler: Scheduler,
-        bridge: WorkerThread,
-        records: Log,
+        worker_thread: WorkerThread,
+        recovered_log: Log,
         slow_after_s: float,
         on_durable: Callable[[int], None],
         on_disk_state: Callable[[DiskState], None],
     ) -> None:
-        self._scheduler, self._bridge, self._log = scheduler, bridge, records
+        self._scheduler, self._worker_thread, self._log = scheduler, worker_thread, recovered_log
         self._on_durable, self._on_disk_state = on_durable, on_disk_state
         self._health = DiskHealth(slow_after_s)
         self._disk_state = DiskState.WORKING
         self._pending: list[bytes] = []
         self._in_flight: list[bytes] = []
         self._undurable_bytes = 0
-        self.durable_through = self.last_number = records.last_number
+        self.durable_through = self.last_number = recovered_log.last_number
         self._released_through = 0
 
     @property
     def idle(self) -> bool:
-        """Whether what is appended now would be committed at once."""
+        """Whether a record appended now would be committed at the next flush."""
         return self.all_durable and self._health.may_commit(self._scheduler.clock.now)
 
     @property
     def all_durable(self) -> bool:
-        """Whether nothing is pending or in flight."""
+        """Whether no record is pending or in flight."""
         return not self._in_flight and not self._pending
 
     @property
     def disk_state(self) -> DiskState:
-        """The state of the disk as last reported."""
+        """The state of the disk that was reported last."""
         return self._disk_state
 
     @property
     def first_segment(self) -> int:
-        """The first segment that is not released, as positions count them."""
+        """The index of the first segment that is not released, as in `LogPosition.segment`."""
         return self._log.first_segment
 
     @property
     def size_bytes(self) -> int:
-        """Bytes on disk."""
+        """The size of the log on disk."""
         return self._log.size_bytes
 
     def append(self, payload: bytes) -> int | None:
-        """Gather a record for the next commit.
+        """Add a record to the next commit.
 
         Returns:
-            Its number, durable once `durable_through` reaches it; None if too much is pending.
+            The record's number; the record is durable once `durable_through` reaches it. None if too many
+            bytes are not durable yet.
         """
         if self._undurable_bytes + len(payload) > MAX_PENDING_BYTES and self._undurable_bytes:
             return None
@@ -94,7 +95,10 @@
         return self.last_number
 
     def flush(self) -> None:
-        """At the end of an event-loop round: start a commit of what is pending, if none is in flight."""
+        """Start a commit of the pending records if none is in flight.
+
+        Called at the end of each event-loop round.
+        """
         now = self._scheduler.clock.now
         self._report_state(self._health.check(now))
         if not self._health.may_commit(now) or self.all_durable:
@@ -102,37 +106,37 @@
         if not self._in_flight:
             self._in_flight, self._pending = self._pending, []
         batch = self._in_flight
-        if self._bridge.submit(lambda: self._log.commit(batch), self._on_committed):
+        if self._worker_thread.submit(lambda: self._log.commit(batch), self._on_committed):
             self._health.commit_started(now)
 
     def read(self, position: LogPosition, max_bytes: int, on_read: OnRead) -> bool:
-        """Read durable records from a position on, on the worker thread.
+        """Read durable records on the worker thread, starting at a position.
 
         Returns:
-            Whether reading has begun; `on_read` is called only then, with no records if reading failed.
+            Whether the read was queued. `on_read` is called only then, with no records if the read failed.
         """
 
-        def done(result: Any, error: BaseException | None) -> None:
+        def on_done(result: Any, error: BaseException | None) -> None:
             if error is not None:
                 log.error("reading the log failed", extra={"pairs": {"reason": error}})
             on_read(*(result if error is None else ([], position)))
 
-        return self._bridge.submit(lambda: self._log.read(position, max_bytes), done)
+        return self._worker_thread.submit(lambda: self._log.read(position, max_bytes), on_done)
 
     def release(self, position: LogPosition, keep_bytes: int) -> None:
-        """Delete segments wholly before a position while more than `keep_bytes` remain."""
-        self._bridge.submit(lambda: self._log.release(position, keep_bytes), _log_release_error)
+        """Delete the oldest segments before a position, but keep at least `keep_bytes` bytes before it."""
+        self._worker_thread.submit(lambda: self._log.release(position, keep_bytes), _log_release_error)
 
     def release_through(self, number: int) -> None:
-        """Delete segments whose records all have numbers up to this one."""
-        if number > self._released_through and self._bridge.submit(
+        """Delete the oldest segments that only have records up to this number."""
+        if number > self._released_through and self._worker_thread.submit(
             lambda: self._log.release_through(number), _log_release_error
         ):
             self._released_through = number
 
     def close(self) -> None:
-        """Close the log on the worker thread, after all jobs submitted before."""
-        self._bridge.submit(self._log.close, lambda _, __: None)
+        """Close the log on the worker thread, after all jobs that were submitted earlier."""
+        self._worker_thread.submit(self._log.close, lambda _, __: None)
 
     def _on_committed(self, last_number: Any, error: BaseException | None) -> None:
         now = self._scheduler.clock.now
@@ -145,7 +149,7 @@
             self._health.commit_failed(now, isinstance(error, CommitError) and error.is_disk_full)
             if self._disk_state in (DiskState.WORKING, DiskState.SLOW):
                 log.error("log commit failed", extra={"pairs": {"reason": error}})
-            self._scheduler.after(self._health.retry_at - now, lambda: None)  # a round in which to retry
+            self._scheduler.after(self._health.retry_at - now, lambda: None)  # a round for the retry
         self._report_state(self._health.state)
         if error is None:
             self._on_durable(self.durable_through)
--- a/sablewheel/storage/log.py
+++ b/sablewheel/storage/log.py
@@ -1,8 +1,9 @@
-"""The log: numbered records in segments, written in groups, read from any position, released from the front.
+"""The log: numbered records in segment files, written in groups, read from any position, freed oldest first.
 
-Blocking: it runs on a worker thread, or in a tool. Each start writes segments of its own and never changes
-those before it, so recovery only reads. After a fault nothing more is written to that segment either: what a
-failed fsync has left in the page cache can't be trusted, so the same records go to a new segment.
+All calls block, so they run on a worker thread or in a command-line tool. Each incarnation of a server writes
+its own segments and never changes older ones, so recovery only reads them. After a fault, nothing more is
+written to the segment in use: the page cache cannot be trusted after a failed fsync, so the same records are
+written to a new segment.
 """
 
 from __future__ import annotations
@@ -15,27 +16,30 @@
 from . import records
 from .files import SegmentFiles
 
-MAX_SEGMENT_BYTES = 1 << 26  # that recovery reads of one file; segments are written far smaller
+MAX_SEGMENT_BYTES = 1 << 26  # limit of recovery's read of one file; segments are written far smaller
 READ_CHUNK_BYTES = 1 << 18
-NO_LIMIT = 1 << 63  # above every record's number
+NO_LIMIT = 1 << 63  # above every record number
 MAX_NAME_ATTEMPTS = 10**6
 
 
 class CommitError(OSError):
-    """A commit that failed; none of its records counts as durable."""
+    """A commit failed; none of its records counts as durable."""
 
     @property
     def is_disk_full(self) -> bool:
-        """Whether more space would help."""
+        """Whether the commit failed because the disk, a quota or the log's own limit is full."""
         return self.errno in (errno.ENOSPC, errno.EDQUOT)
 
 
 @dataclass(frozen=True)
 class LogPosition:
-    """Where a record begins, or where reading continues. Positions are ordered as the log is."""
+    """The position of a record, or the position at which reading continues.
 
-    segment: int  # counted in the order of the log, from 0, released ones included
-    offset: int
+    Later records have a larger segment, or the same segment and a larger offset.
+    """
+
+    segment: int  # index of the segment in the log, from 0, counting released segments
+    offset: int  # in bytes from the start of the segment
 
 
 LOG_START = LogPosition(0, 0)
@@ -43,25 +47,25 @@
 
 @dataclass
 class Segment:
-    """One file: its valid size in bytes, and the numbers of its first and last record."""
+    """One segment file."""
 
     name: str
-    first: int
-    size: int
-    last: int  # below `first` while it has no record
-    sealed: bool = True
+    first_number: int  # number of the first record
+    size: int  # valid bytes
+    last_number: int  # number of the last record; below `first_number` if there is no record
+    sealed: bool = True  # nothing more is written to it
 
 
 @dataclass
 class RecoveryReport:
-    """What recovery read."""
+    """The results of a recovery."""
 
     records: int = 0
     bytes: int = 0
     segments: int = 0
-    torn_bytes: int = 0  # at the ends of segments, left by a kill or a fault: never promised to anybody
-    damage: list[str] = field(default_factory=list)  # records lost, each with file and place
-    duplicate_records: int = 0  # of commits that failed and were written again to a later segment
+    torn_bytes: int = 0  # of unfinished writes at the ends of segments, never reported as durable
+    damage: list[str] = field(default_factory=list)  # descriptions of the damage, each with its file
+    duplicate_records: int = 0  # records of failed commits that were written again to a later segment
 
 
 RecordVisitor = Callable[[int, bytes, LogPosition], None]
@@ -70,14 +74,15 @@
 class Log:
     """One log in one folder.
 
-    Invariant: `last_number` is durable, and `size_bytes` is the sum of the valid bytes of its segments.
+    Invariant: the records up to `last_number` are durable, and `size_bytes` is the sum of the valid bytes of
+    all segments.
 
     Args:
-        files: The folder.
+        files: The segment files of the folder.
         kind: The name of the log, at most 8 bytes.
-        incarnation: The writer's incarnation, 8 bytes.
-        max_bytes: Bound of all segments together; past it a commit is refused as on a full disk.
-        segment_bytes: A segment of this size is followed by a new one.
+        incarnation: The incarnation of the writing server, 8 bytes.
+        max_bytes: The size limit of the log; a commit beyond it fails as on a full disk.
+        segment_bytes: Once a segment reaches this size, the next commit starts a new one.
     """
 
     def __init__(
@@ -98,7 +103,7 @@
     # -- recovery
 
     def recover(self, visit: RecordVisitor) -> RecoveryReport:
-        """Read the whole log in order; `visit` gets each record once: number, payload, position."""
+        """Read the whole log in order and call `visit` once per record, with number, payload and position."""
         report = RecoveryReport()
         headers = [(name, self._read_header(name, report)) for name in self._files.names()]
         readable = [(name, header) for name, header in headers if header is not None]
@@ -115,20 +120,20 @@
             return _decode_header_of(self._kind, data)
         except records.SegmentError as error:
             size = self._files.size(name)
-            if size < records.HEADER_SIZE:  # killed while it was created: it holds no record
+            if size < records.HEADER_SIZE:  # the server was killed before it wrote the first record
                 report.torn_bytes += size
                 self._files.remove(name)
             else:
-                report.damage.append(f"{name}: {error}; {size} bytes left as they are")
+                report.damage.append(f"{name}: {error}; {size} bytes left unchanged")
             return None
 
     def _recover_segment(
         self, name: str, header: records.Header, limit: int, report: RecoveryReport, visit: RecordVisitor
     ) -> None:
         data = self._files.read(name, 0, MAX_SEGMENT_BYTES)
-        segment = Segment(name, header.first, records.HEADER_SIZE, header.first - 1)
+        segment = Segment(name, header.first_number, records.HEADER_SIZE, header.first_number - 1)
         index, damaged = len(self._segments), False
-        for item in records.scan(data, header.first):
+        for item in records.scan(data, header.first_number):
             if isinstance(item, records.Damage):
                 if item.torn:
                     report.torn_bytes += item.end - item.offset
@@ -143,11 +148,11 @@
                 report.damage.append(
                     f"{name}: records {self.last_number + 1} to {item.number - 1} are missing"
                 )
-            self.last_number = segment.last = item.number
+            self.last_number = segment.last_number = item.number
             segment.size = item.end
             report.records += 1
             visit(item.number, item.payload, LogPosition(index, item.offset))
-        if segment.last >= segment.first:
+        if segment.last_number >= segment.first_number:
             self._segments.append(segment)
             self.size_bytes += segment.size
         elif not damaged:
@@ -156,18 +161,20 @@
     # -- writing
 
     def commit(self, payloads: Sequence[bytes]) -> int:
-        """Make all records durable, in order.
+        """Write the records in order and make them durable.
 
         Returns:
-            The number of the last one.
+            The number of the last record.
 
         Raises:
-            CommitError: The disk failed or is full; none of the records counts.
+            CommitError: The disk failed or is full; none of the records counts as durable.
         """
-        first = self.last_number + 1
-        data = b"".join(records.encode_record(first + index, one) for index, one in enumerate(payloads))
+        first_number = self.last_number + 1
+        data = b"".join(
+            records.encode_record(first_number + index, payload) for index, payload in enumerate(payloads)
+        )
         if self.size_bytes + len(data) + records.HEADER_SIZE > self._max_bytes:
-            raise CommitError(errno.ENOSPC, f"the log has reached its bound of {self._max_bytes} bytes")
+            raise CommitError(errno.ENOSPC, f"the log has reached its limit of {self._max_bytes} bytes")
         try:
             segment = self._writable_segment()
             self._files.append(segment.name, data)
@@ -178,7 +185,7 @@
         segment.size += len(data)
         self.size_bytes += len(data)
         self.last_number += len(payloads)
-        segment.last = self.last_number
+        segment.last_number = self.last_number
         return self.last_number
 
     def _writable_segment(self) -> Segment:
@@ -186,71 +193,71 @@
             if self._segments[-1].size < self._segment_bytes:
                 return self._segments[-1]
             self._segments[-1].sealed = True
-        first = self.last_number + 1
-        header = records.encode_header(records.Header(self._kind, self._incarnation, first))
-        name = self._unused_name(first)
+        first_number = self.last_number + 1
+        header = records.encode_header(records.Header(self._kind, self._incarnation, first_number))
+        name = self._unused_name(first_number)
         self._files.create(name)
-        segment = Segment(name, first, 0, self.last_number, sealed=False)
+        segment = Segment(name, first_number, 0, self.last_number, sealed=False)
         self._segments.append(segment)
         self._files.append(name, header)
         segment.size = len(header)
         self.size_bytes += len(header)
         return segment
 
-    def _unused_name(self, first: int) -> str:
+    def _unused_name(self, first_number: int) -> str:
         existing = set(self._files.names())
         names = (
-            f"{first:016x}-{attempt:04x}-{self._incarnation.hex()}.seg"
+            f"{first_number:016x}-{attempt:04x}-{self._incarnation.hex()}.seg"
             for attempt in range(MAX_NAME_ATTEMPTS)
         )
         return next(name for name in names if name not in existing)
 
     def _seal_after_fault(self) -> None:
-        """Write no more to the last segment, and cut off what is not valid if the disk allows it."""
+        """Seal the last segment, and try to remove its invalid end, or the segment if it has no record."""
         if not self._segments or self._segments[-1].sealed:
             return
         segment = self._segments[-1]
         segment.sealed = True
         try:
-            if segment.last < segment.first:
+            if segment.last_number < segment.first_number:
                 self._segments.pop()
                 self.size_bytes -= segment.size
                 self._files.remove(segment.name)
             else:
                 self._files.truncate(segment.name, segment.size)
         except OSError:
-            pass  # recovery knows records behind the valid end by their numbers, and counts each once
+            pass  # recovery skips records behind the valid end if their numbers occur again later
 
     # -- reading
 
     def read(
         self, position: LogPosition, max_bytes: int
     ) -> tuple[list[tuple[bytes, LogPosition]], LogPosition]:
-        """Read records from a position on, about `max_bytes` bytes of them.
+        """Read about `max_bytes` bytes of records, starting at a position.
 
         Returns:
-            The payloads, each with its position, and the position where reading continues.
+            The payloads, each with its position, and the position at which to continue reading.
         """
-        found: list[tuple[bytes, LogPosition]] = []
-        number, offset, remaining = position.segment, position.offset, max_bytes
-        if number < self._released_segments:
-            number, offset = self._released_segments, 0
-        while number - self._released_segments < len(self._segments):
-            segment = self._segments[number - self._released_segments]
+        entries: list[tuple[bytes, LogPosition]] = []
+        segment_index, offset, remaining = position.segment, position.offset, max_bytes
+        if segment_index < self._released_segments:
+            segment_index, offset = self._released_segments, 0
+        while segment_index - self._released_segments < len(self._segments):
+            segment = self._segments[segment_index - self._released_segments]
             offset = max(offset, records.HEADER_SIZE)
             for record in self._read_segment(segment, offset, remaining):
-                found.append((record.payload, LogPosition(number, record.offset)))
+                entries.append((record.payload, LogPosition(segment_index, record.offset)))
                 remaining -= record.end - record.offset
                 offset = record.end
             if remaining <= 0:
-                return found, LogPosition(number, offset)
+                return entries, LogPosition(segment_index, offset)
             if segment is self._segments[-1]:
-                return found, LogPosition(number, min(offset, segment.size))
-            number, offset = number + 1, 0
-        return found, LogPosition(number, offset)
+                return entries, LogPosition(segment_index, min(offset, segment.size))
+            segment_index, offset = segment_index + 1, 0
+        return entries, LogPosition(segment_index, offset)
 
     def _read_segment(self, segment: Segment, offset: int, max_bytes: int) -> Iterator[records.Record]:
-        """Records of one segment from an offset on, until they add up to `max_bytes`."""
+        """Yield records of one segment, starting at an offset, until they add up to `max_bytes`."""
         while offset < segment.size and max_bytes > 0:
             data = self._read_chunk(segment, offset, max_bytes)
             end = 0
@@ -258,16 +265,16 @@
                 yield records.Record(record.number, record.payload, offset + end, offset + record.end)
                 max_bytes -= record.end - end
                 end = record.end
-            if not end:  # damaged here, which recovery has reported: continue behind it
+            if not end:  # damage, which recovery has reported: continue behind it
                 remainder = self._files.read(segment.name, offset, segment.size - offset)
-                next_record = records.find_next_record(remainder, 1, segment.first - 1)
+                next_record = records.find_next_record(remainder, 1, segment.first_number - 1)
                 if next_record is None:
                     return
                 end = next_record.offset
             offset += end
 
     def _read_chunk(self, segment: Segment, offset: int, max_bytes: int) -> bytes:
-        """Bytes from an offset on that hold at least one record, if a record begins there."""
+        """Return bytes, starting at an offset, that hold at least one whole record if one begins there."""
         prefix = self._files.read(segment.name, offset, records.RECORD.size)
         if len(prefix) < records.RECORD.size:
             return b""
@@ -278,28 +285,28 @@
     # -- releasing
 
     def release(self, position: LogPosition, keep_bytes: int) -> int:
-        """Delete segments wholly before a position, the oldest first, while more than `keep_bytes` remain.
+        """Delete the oldest segments before a position, but keep at least `keep_bytes` bytes before it.
 
         Returns:
-            The bytes freed.
+            The number of bytes freed.
         """
         freed = 0
         while self._segments and self._released_segments < position.segment:
-            before = self._segments[: position.segment - self._released_segments]
+            releasable = self._segments[: position.segment - self._released_segments]
             oldest = self._segments[0]
-            if sum(one.size for one in before) - oldest.size < keep_bytes or not oldest.sealed:
+            if sum(segment.size for segment in releasable) - oldest.size < keep_bytes or not oldest.sealed:
                 break
             freed += self._release_oldest()
         return freed
 
     def release_through(self, number: int) -> int:
-        """Delete segments whose records all have numbers up to this one.
+        """Delete the oldest segments that only have records up to this number.
 
         Returns:
-            The bytes freed.
+            The number of bytes freed.
         """
         freed = 0
-        while self._segments and self._segments[0].sealed and self._segments[0].last <= number:
+        while self._segments and self._segments[0].sealed and self._segments[0].last_number <= number:
             freed += self._release_oldest()
         return freed
 
@@ -313,24 +320,24 @@
 
     @property
     def first_segment(self) -> int:
-        """The first segment that is not released, as positions count them."""
+        """The index of the first segment that is not released, as in `LogPosition.segment`."""
         return self._released_segments
 
     def close(self) -> None:
-        """Release the folder."""
+        """Close the folder so that another process can open it."""
         self._files.close()
 
 
 def read_folder(folder: Path, kind: bytes, notes: list[str]) -> Iterator[tuple[int, bytes]]:
-    """Read the records of a folder that may be in use, as recovery would; takes no lock.
+    """Read the records of a folder as recovery does, but without a lock: the folder may be in use.
 
     Args:
         folder: The log's folder.
         kind: The name of the log.
-        notes: Gets a line for each unreadable segment and each damage.
+        notes: Receives a line for each unreadable segment and each damaged range.
 
     Yields:
-        Number and payload of each record, in order.
+        The number and payload of each record, in order.
     """
     segments: list[tuple[Path, records.Header]] = []
     for path in sorted(folder.glob("*.seg")):
@@ -345,8 +352,8 @@
         try:
             data = path.read_bytes()
         except FileNotFoundError:
-            continue  # released meanwhile
-        for item in records.scan(data, header.first):
+            continue  # the server released the segment meanwhile
+        for item in records.scan(data, header.first_number):
             if isinstance(item, records.Damage):
                 if not item.torn:
                     notes.append(_describe_damage(str(path), item))
@@ -363,12 +370,12 @@
 
 
 def _number_limits(headers: Sequence[records.Header]) -> list[int]:
-    """For each segment the first record's number of the next one.
+    """Return, for each segment, the number of the first record in the next segment.
 
-    Records of a segment from there on were not durable: they were written again to the next one.
+    Records of a segment from that number on were not durable: they were written again to the next segment.
     """
-    return [*(header.first for header in headers[1:]), NO_LIMIT][: len(headers)]
+    return [*(header.first_number for header in headers[1:]), NO_LIMIT][: len(headers)]
 
 
 def _describe_damage(name: str, damage: records.Damage) -> str:
-    return f"{name}: bytes {damage.offset} to {damage.end} are no record"
+    return f"{name}: bytes {damage.offset} to {damage.end} hold no valid record"
--- a/sablewheel/storage/records.py
+++ b/sablewheel/storage/records.py
@@ -1,8 +1,8 @@
-"""The bytes of a segment: a header, then numbered records, each with its length and checksum.
+"""The binary format of a segment: a header, then numbered records, each with its length and checksum.
 
-Pure; the format is described in docs/state-format.md. A record ends where its length says, and counts only if
-its checksum is right and its number is above that of the record before it. Bytes that are no record are
-skipped up to the next valid record, which is found by its number, and reported as damage.
+This module does no I/O; docs/state-format.md describes the format. A record is valid only if its checksum is
+right and its number is above that of the record before it. Bytes that form no valid record are reported as
+damage and skipped up to the next valid record, which is found by searching for its number.
 """
 
 from __future__ import annotations
@@ -14,29 +14,29 @@
 
 VERSION = 1
 MAGIC = b"SWSEG"
-HEADER = struct.Struct(">5sB8s8sQ")  # magic, version, kind, the writer's incarnation, first record's number
+HEADER = struct.Struct(">5sB8s8sQ")  # magic, version, kind, writer's incarnation, first record number
 HEADER_SIZE = HEADER.size + 4
-RECORD = struct.Struct(">IIQ")  # payload's length, checksum of number and payload, number
+RECORD = struct.Struct(">IIQ")  # length of the payload, checksum of number and payload, number
 MAX_PAYLOAD_BYTES = 1 << 24
-MAX_NUMBERS_SEARCHED = 256  # numbers that are searched for behind a damaged record
+MAX_NUMBERS_SEARCHED = 256  # how many record numbers are searched for behind damage
 
 
 class SegmentError(ValueError):
-    """The header of a segment can't be read, or is of another version or kind."""
+    """The header of a segment cannot be read, or has another version or kind."""
 
 
 @dataclass(frozen=True)
 class Header:
-    """A segment's header: `kind` names the log, `first` is the number of its first record."""
+    """The header of a segment."""
 
-    kind: bytes
-    incarnation: bytes
-    first: int
+    kind: bytes  # name of the log
+    incarnation: bytes  # of the server that wrote the segment
+    first_number: int  # number of the first record
 
 
 @dataclass(frozen=True)
 class Record:
-    """A valid record, with the offsets of its begin and end in its segment."""
+    """A valid record; `offset` and `end` are its byte range in the segment."""
 
     number: int
     payload: bytes
@@ -46,46 +46,46 @@
 
 @dataclass(frozen=True)
 class Damage:
-    """A range of bytes that holds no valid record; `torn`: no valid record comes after it."""
+    """A byte range of a segment that holds no valid record."""
 
     offset: int
     end: int
-    torn: bool
+    torn: bool  # no valid record follows, so it may be an interrupted write
 
 
 def encode_header(header: Header) -> bytes:
-    """The bytes of a segment's header."""
+    """Encode the header of a segment."""
     kind, incarnation = header.kind.ljust(8, b"\0"), header.incarnation.ljust(8, b"\0")
-    data = HEADER.pack(MAGIC, VERSION, kind, incarnation, header.first)
+    data = HEADER.pack(MAGIC, VERSION, kind, incarnation, header.first_number)
     return data + crc32(data).to_bytes(4, "big")
 
 
 def decode_header(data: bytes) -> Header:
-    """The header of a segment.
+    """Decode the header of a segment.
 
     Raises:
-        SegmentError: The data is too short, damaged, of another version or no segment.
+        SegmentError: The data is too short, damaged, of another version or not a segment.
     """
     if len(data) < HEADER_SIZE:
-        raise SegmentError(f"a header of {len(data)} bytes, {HEADER_SIZE} wanted")
-    magic, version, kind, incarnation, first = HEADER.unpack_from(data)
+        raise SegmentError(f"header truncated: got {len(data)} of {HEADER_SIZE} bytes")
+    magic, version, kind, incarnation, first_number = HEADER.unpack_from(data)
     if magic != MAGIC:
         raise SegmentError("not a segment")
     if crc32(data[: HEADER.size]) != int.from_bytes(data[HEADER.size : HEADER_SIZE], "big"):
-        raise SegmentError("the header's checksum is wrong")
+        raise SegmentError("the checksum of the header is wrong")
     if version != VERSION:
-        raise SegmentError(f"version {version}, this program reads {VERSION}")
-    return Header(kind.rstrip(b"\0"), incarnation, first)
+        raise SegmentError(f"unsupported version {version}, expected {VERSION}")
+    return Header(kind.rstrip(b"\0"), incarnation, first_number)
 
 
 def encode_record(number: int, payload: bytes) -> bytes:
-    """The bytes of one record."""
+    """Encode one record."""
     number_bytes = number.to_bytes(8, "big")
     return RECORD.pack(len(payload), crc32(payload, crc32(number_bytes)), number) + payload
 
 
 def decode_record(data: bytes, offset: int, last_number: int) -> Record | None:
-    """The valid record at an offset, or None if there is none whose number is above `last_number`."""
+    """Return the record at an offset, or None if it is not valid or its number is not above `last_number`."""
     if len(data) - offset < RECORD.size:
         return None
     size, checksum, number = RECORD.unpack_from(data, offset)
@@ -98,16 +98,16 @@
     return Record(number, payload, offset, end)
 
 
-def scan(data: bytes, first: int) -> Iterator[Record | Damage]:
-    """All records of a segment's bytes in order, and the damage between them.
+def scan(data: bytes, min_number: int) -> Iterator[Record | Damage]:
+    """Yield the records of a segment in order, and the damage between them.
 
-    Numbers may be skipped: only the reader of the whole log knows whether records are missing.
+    Numbers may be skipped: only a reader of the whole log can tell whether records are missing.
 
     Args:
-        data: The bytes of the segment from its header on.
-        first: The lowest number that a record may have.
+        data: The bytes of the segment, including its header.
+        min_number: The lowest number that a record may have.
     """
-    offset, last_number = HEADER_SIZE, first - 1
+    offset, last_number = HEADER_SIZE, min_number - 1
     while offset < len(data):
         record = decode_record(data, offset, last_number)
         if record is None:
@@ -120,15 +120,18 @@
 
 
 def find_next_record(data: bytes, offset: int, last_number: int) -> Record | None:
-    """The first valid record at or behind an offset, found by the numbers that may follow `last_number`."""
-    first_found: Record | None = None
+    """Return the first valid record at or behind an offset, or None.
+
+    The bytes are searched for the `MAX_NUMBERS_SEARCHED` numbers that follow `last_number`.
+    """
+    earliest: Record | None = None
     for number in range(last_number + 1, last_number + 1 + MAX_NUMBERS_SEARCHED):
         position, number_bytes = offset + 8, number.to_bytes(8, "big")
-        limit = first_found.offset + 8 if first_found else len(data)
+        limit = earliest.offset + 8 if earliest else len(data)
         while 0 <= (position := data.find(number_bytes, position)) < limit:
             record = decode_record(data, position - 8, last_number)
             if record is not None and record.number == number:
-                first_found = record
+                earliest = record
                 break
             position += 1
-    return first_found
+    return earliest
--- a/tests/test_result_store.py
+++ b/tests/test_result_store.py
@@ -599,7 +599,7 @@
     (name,) = disk.files.names()
     disk.files.data[name][60] ^= 1
     refused = town.restart()
-    assert "no record" in refused.failures[0] and not refused.recorder.ready
+    assert "hold no valid record" in refused.failures[0] and not refused.recorder.ready
     unknown = refused.call(b"record", b"never seen")
     refused.settle()
     assert not unknown.answers and not refused.recorder._run_log.store
