--- a/sablewheel/result_store/__init__.py
+++ b/sablewheel/result_store/__init__.py
@@ -1,1 +1,1 @@
-"""Results of keyed runs that outlive a restart: a retry gets the original answer and never runs again."""
+"""Results of keyed runs that persist over restarts: a retry gets the original answer and never runs again."""
--- a/sablewheel/result_store/clock_readings.py
+++ b/sablewheel/result_store/clock_readings.py
@@ -1,8 +1,8 @@
-"""How long idempotency windows still last after a restart, by clocks that may have been set meanwhile.
+"""The remaining length of idempotency windows after a restart, although clocks may have been set meanwhile.
 
-The host's time since its boot goes on through a restart of the server and cannot be set. Within one boot it
-tells how much time has passed, whatever the wall clock says. After a reboot it tells nothing; then no time is
-taken to have passed, so a window may be open for too long, never too short.
+The host's time since boot continues while the server restarts and cannot be set, so within one boot it shows
+how much time has passed, whatever the wall clock shows. After a reboot the elapsed time is unknown and counts
+as zero, so a window may be open for too long, but never too short.
 """
 
 from __future__ import annotations
@@ -18,22 +18,22 @@
 
 @dataclass(frozen=True)
 class ClockReading:
-    """Both clocks at one moment, in seconds."""
+    """The values of both clocks at one moment."""
 
     unix_s: float
-    since_boot_s: float
-    boot_id: bytes
+    since_boot_s: float  # the host's time since boot
+    boot_id: bytes  # identifies the boot; empty if the host does not have it
 
 
 def read_clocks(clock: Clock | None = None) -> ClockReading:
-    """Read the server's clock and the host's time since its boot.
+    """Read the server's clock and the host's time since boot.
 
-    Windows are kept by the server's clock and not by the wall clock, which may be set while the server runs.
-    Within an incarnation the two clocks that are read run alike, so they differ only by what happened between
-    two incarnations.
+    Idempotency windows use the server's clock and not the wall clock, which may be set while the server runs.
+    Within an incarnation both clocks that are read advance equally, so their difference changes only between
+    incarnations.
 
     Args:
-        clock: The server's clock; without one, a clock that begins now.
+        clock: The server's clock; None for a clock that starts now.
     """
     try:
         boot_id = bytes.fromhex(BOOT_ID_FILE.read_text().strip().replace("-", ""))
@@ -44,12 +44,12 @@
 
 
 def clock_offset_s(then: ClockReading, now: ClockReading) -> float:
-    """Return what must be added to a time noted `then` so that it is right by the clock of `now`."""
+    """Return the seconds to add to a time by the clock of `then` to convert it to the clock of `now`."""
     if then.boot_id == now.boot_id and now.since_boot_s >= then.since_boot_s:
         return (now.unix_s - now.since_boot_s) - (then.unix_s - then.since_boot_s)
     return now.unix_s - then.unix_s
 
 
 def rebased_expiry(expires_at: float, then: ClockReading, now: ClockReading, max_window_s: float) -> float:
-    """Return when a window ends by the clock of `now`, at most `max_window_s` from now."""
+    """Convert the end of a window to the clock of `now`; it is at most `max_window_s` from now."""
     return min(expires_at + clock_offset_s(then, now), now.unix_s + max_window_s)
--- a/sablewheel/result_store/codec.py
+++ b/sablewheel/result_store/codec.py
@@ -1,4 +1,4 @@
-"""The protobuf messages of runs and clock readings."""
+"""Encoding of runs and clock readings as protobuf messages."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def encode_intent(run: KeyedRun) -> pb.Intent:
-    """Encode a run's intent."""
+    """Encode the intent of a run, which is written before it starts."""
     return pb.Intent(
         label=run.idempotency_key,
         sameness=run.request_digest,
@@ -27,7 +27,7 @@
 
 
 def encode_outcome(run: KeyedRun) -> pb.Outcome:
-    """Encode the outcome of a run that has one."""
+    """Encode the outcome of a finished run."""
     return pb.Outcome(
         label=run.idempotency_key,
         name=run.request_name,
--- a/sablewheel/result_store/folder.py
+++ b/sablewheel/result_store/folder.py
@@ -1,4 +1,4 @@
-"""A server's folder, read beside the server or compacted while it is down."""
+"""Command-line access to a server's folder: read it at any time, or compact it while the server is down."""
 
 from __future__ import annotations
 
@@ -16,43 +16,46 @@
 from .recovery import RecoveredRuns
 
 RUNS_PER_RECORD = 1000
-UNBOUNDED = 1 << 50
+UNBOUNDED = 1 << 50  # no limit on runs or bytes
 
 
 def load_folder(folder: Path, max_window_s: float, now: ClockReading) -> tuple[RecoveredRuns, list[str]]:
-    """Return what a start would recover, without bounds, and what is wrong with the folder."""
+    """Return the runs that a start would recover, without capacity limits, and the faults of the folder."""
     notes: list[str] = []
-    recovered = _empty(max_window_s)
+    recovered = _unbounded_runs(max_window_s)
     for number, payload in read_folder(folder, LOG_KIND, notes):
         try:
             recovered.apply(number, pb.Record.FromString(payload))
         except DecodeError:
-            notes.append(f"{folder}, record {number}: not a record of this program")
+            notes.append(f"{folder}, record {number}: cannot be decoded")
     recovered.finish(now)
     return recovered, notes
 
 
 def compact_folder(folder: Path, max_window_s: float, now: ClockReading) -> tuple[int, int, int]:
-    """Write the open runs anew and release the rest of the log once they are durable; take the folder's lock.
+    """Write the runs with open windows to new records and delete the older ones, holding the folder's lock.
 
     Returns:
-        The bytes before and after, and the number of idempotency keys that are retained.
+        The size of the log in bytes before and after, and the number of runs that were written.
+
+    Raises:
+        InUseError: A server or another command has locked the folder.
     """
     files = DiskFiles(folder)
     try:
         log = Log(files, LOG_KIND, os.urandom(8), UNBOUNDED)
-        recovered = _empty(max_window_s)
+        recovered = _unbounded_runs(max_window_s)
         log.recover(lambda number, payload, _: recovered.apply(number, pb.Record.FromString(payload)))
         recovered.finish(now)
         bytes_before, last_record = log.size_bytes, log.last_number
         runs = sorted(recovered.table.runs.values(), key=lambda run: run.expires_at)
-        for first in range(0, max(len(runs), 1), RUNS_PER_RECORD):
-            batch = runs[first : first + RUNS_PER_RECORD]
+        for start in range(0, max(len(runs), 1), RUNS_PER_RECORD):
+            batch = runs[start : start + RUNS_PER_RECORD]
             record = pb.Record(moment=encode_clock_reading(now), snapshot=True)
             record.intents.extend(encode_intent(run) for run in batch)
             finished = (run for run in batch if run.state is not RunState.INTENDED)
             record.outcomes.extend(encode_outcome(run) for run in finished)
-            if first == 0:  # the number of the last notice that was read stays known
+            if start == 0:  # preserve the number of the last notice that was read
                 record.outcomes.append(pb.Outcome(how=pb.FAILED, notice=recovered.last_notice))
             log.commit([record.SerializeToString()])
         log.release_through(last_record)
@@ -61,5 +64,5 @@
         files.close()
 
 
-def _empty(max_window_s: float) -> RecoveredRuns:
+def _unbounded_runs(max_window_s: float) -> RecoveredRuns:
     return RecoveredRuns(KeyedRunTable(UNBOUNDED, UNBOUNDED), max_window_s)
--- a/sablewheel/result_store/plan.py
+++ b/sablewheel/result_store/plan.py
@@ -1,4 +1,4 @@
-"""The settings of the result store, as plain values."""
+"""The settings of the result store."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 
 
 class ColdStartRule(Enum):
-    """What a server without stored runs does with keyed requests that an earlier incarnation may have run."""
+    """How a server without stored runs handles keyed requests that an earlier incarnation may have run."""
 
-    RUN = "run"  # run them: what a killed server had in flight is no longer its duty
-    EARLY = "early"  # fail those that had reached the host before this incarnation started
+    RUN = "run"  # run them: requests in flight at a kill are not the server's responsibility
+    EARLY = "early"  # fail those that reached the host before this incarnation started
     STRICT = "strict"  # fail all until one idempotency window has passed
-    WAIT = "wait"  # report that the server is not up until then
+    WAIT = "wait"  # report that the server is not up until one idempotency window has passed
 
 
 class UnreadableFolderRule(Enum):
-    """What a server does whose folder cannot be read."""
+    """How a server handles a folder that cannot be read."""
 
-    REFUSE = "refuse"  # do not start
-    COLD = "cold"  # start as if it were empty, by the cold start rule
+    REFUSE = "refuse"  # do not start the server
+    COLD = "cold"  # start as with an empty folder, by the cold start rule
 
 
 @dataclass(frozen=True)
 class ResultStorePlan:
-    """What the features file sets."""
+    """The settings of the result store in the features file."""
 
-    folder: Path | None = None  # None: no lasting disk, only the cold start rule applies
+    folder: Path | None = None  # None without a persistent disk: only the cold start rule applies
     cold_start: ColdStartRule = ColdStartRule.RUN
     unreadable: UnreadableFolderRule = UnreadableFolderRule.REFUSE
     max_runs: int = 200_000
@@ -35,5 +35,5 @@
     max_disk_bytes: int = 512 << 20
     segment_bytes: int = 4 << 20
     commit_interval_s: float = 0.04
-    max_answer_delay_s: float = 0.25  # for which an answer waits until its outcome is durable
-    interpreter_survives: bool = False  # whether the interpreter outlives a restart of the server
+    max_answer_delay_s: float = 0.25  # limit on the wait of an answer for its durable outcome
+    interpreter_survives: bool = False  # whether the interpreter keeps running when the server restarts
--- a/sablewheel/result_store/recorder.py
+++ b/sablewheel/result_store/recorder.py
@@ -1,8 +1,8 @@
-"""The result store of one server: an intent before each keyed run, an outcome after it.
+"""The result store of one server: writes an intent before each keyed run and an outcome after it.
 
-A keyed run starts when its intent is durable, and its answer leaves when its outcome is. So whatever is
-killed when, a retry finds the original's result, or that it may have run, and never runs again within its
-window.
+A keyed run starts when its intent is durable, and its answer is sent when its outcome is durable. So after a
+kill at any moment, a retry finds the result of the original request, or that it may have run. The retry does
+not run again within the idempotency window.
 """
 
 from __future__ import annotations
@@ -35,70 +35,80 @@
 SLOW_COMMIT_S = 0.1
 SWEEP_INTERVAL_S = 0.25
 DISK_FULL_RETRY_S = 1.0
-RECOVERED_RUN_BYTES = 150  # estimated size on the disk of a recovered run without its result
+RECOVERED_RUN_BYTES = 150  # estimated size on disk of a recovered run without its result
 MAX_LOGGED_DAMAGES = 20
 
 log = logging.getLogger(__name__)
 
 
 class Recorder:
-    """Stores the keyed runs of one server; an observer that delays their answers, in front of another one."""
+    """Stores the keyed runs of one server, and delays their answers as an observer that wraps another one."""
 
     def __init__(
         self,
         scheduler: Scheduler,
         background: Background,
-        bridge: WorkerThread | None,
+        worker_thread: WorkerThread | None,
         plan: ResultStorePlan,
         incarnation: bytes,
         request_classes: dict[bytes, RequestClass],
         inner: RequestObserver,
-        never_begun: StartRun,
-        remembered: Callable[[], None],
-        fail: Callable[[str], None],
+        on_never_started: StartRun,
+        on_recovery_finished: Callable[[], None],
+        on_start_failed: Callable[[str], None],
         count: Callable[[str], None],
-        moment: Callable[[], ClockReading] | None = None,
+        clock_reader: Callable[[], ClockReading] | None = None,
     ) -> None:
-        """Begin to read the folder, if there is one.
+        """Begin to recover the folder, if there is one.
 
         Args:
             scheduler: Runs the timers.
             background: Runs the compaction.
-            bridge: The worker thread; needed with a folder.
+            worker_thread: The worker thread; required with a folder.
             plan: The settings.
-            incarnation: The name of this incarnation of the server.
+            incarnation: The identifier of this incarnation of the server.
             request_classes: The request classes by name.
-            inner: The observer that everything is passed on to.
-            never_begun: Called with an exchange whose run will not begin, since nobody waits for it.
-            remembered: Called when the folder is read.
-            fail: Called with the reason why the server must not start.
+            inner: The wrapped observer, which receives all calls.
+            on_never_started: Called with an exchange whose run does not start since no client waits for it.
+            on_recovery_finished: Called when the folder is recovered.
+            on_start_failed: Called with the reason why the server must not start.
             count: Increments a counter.
-            moment: Reads the clocks; `read_clocks` by default.
+            clock_reader: Reads the clocks; `read_clocks` by default.
         """
         self._scheduler, self._plan, self._count, self._inner = scheduler, plan, count, inner
-        self._never_begun, self._remembered, self._fail = never_begun, remembered, fail
-        self._request_classes, self._bridge = request_classes, bridge
-        self._read_clocks = moment or (lambda: read_clocks(scheduler.clock))
-        keyed = [one for one in request_classes.values() if one.idempotency is Idempotency.KEYED]
-        self._max_window_s = max((one.idempotency_window_s for one in keyed), default=0.0)
+        self._on_never_started, self._on_recovery_finished, self._on_start_failed = (
+            on_never_started,
+            on_recovery_finished,
+            on_start_failed,
+        )
+        self._request_classes, self._worker_thread = request_classes, worker_thread
+        self._read_clocks = clock_reader or (lambda: read_clocks(scheduler.clock))
+        keyed_classes = [
+            request_class
+            for request_class in request_classes.values()
+            if request_class.idempotency is Idempotency.KEYED
+        ]
+        self._max_window_s = max(
+            (request_class.idempotency_window_s for request_class in keyed_classes), default=0.0
+        )
         self.started_at = scheduler.clock.now
         self._table = KeyedRunTable(plan.max_runs, plan.max_bytes)
         self._planner = CompactionPlanner(plan.segment_bytes)
-        self._holding = DelayedAnswers(scheduler, plan.max_answer_delay_s, self._release_answer)
+        self._delayed_answers = DelayedAnswers(scheduler, plan.max_answer_delay_s, self._release_answer)
         self._run_log = RunLog(
             scheduler,
             plan.commit_interval_s,
             self._table,
             self._planner,
             self._read_clocks,
-            self._holding.durable,
-            self._let_run,
+            self._delayed_answers.durable,
+            self._start_waiting_run,
         )
-        self._is_leaving = self._is_damaged = False
-        self._prepared_count = 0  # in this round: requests that may want capacity beside the stored runs
-        self._adopted: dict[bytes, Exchange] = {}
+        self._is_shutting_down = self._is_damaged = False
+        self._prepared_count = 0  # requests prepared in this round, each of which may add a run
+        self._adopted_runs: dict[bytes, Exchange] = {}
         self.last_notice = 0
-        self._last_write_at: float | None = None  # of the earlier incarnation, by the present clock
+        self._last_write_at: float | None = None  # by the previous incarnation, in current clock time
         self.ready = plan.folder is None
         if plan.folder is not None:
             self._recover(plan.folder, incarnation)
@@ -106,17 +116,19 @@
         self._background = background
         scheduler.after(SWEEP_INTERVAL_S, self._sweep)
 
-    # -- the start
+    # -- recovery
 
     def _recover(self, folder: Path, incarnation: bytes) -> None:
-        """Read the folder on the worker thread; idempotent requests are served meanwhile."""
-        assert self._bridge is not None
+        """Recover the folder on the worker thread; requests that are not keyed are served meanwhile."""
+        assert self._worker_thread is not None
         runs = RecoveredRuns(self._table, self._max_window_s)
-        read_folder_in_background(self._bridge, self._plan, folder, incarnation, runs, self._on_folder_read)
+        read_folder_in_background(
+            self._worker_thread, self._plan, folder, incarnation, runs, self._on_folder_read
+        )
 
     def _on_folder_read(self, folder: RecoveredFolder | UnreadableFolderError) -> None:
         if isinstance(folder, UnreadableFolderError):
-            self._fail(str(folder))
+            self._on_start_failed(str(folder))
             return
         self._is_damaged = bool(folder.damages)
         for damage in folder.damages[:MAX_LOGGED_DAMAGES]:
@@ -129,15 +141,15 @@
             "rebased": folder.runs.rebase_count,
             "torn_bytes": folder.report.torn_bytes,
             "damaged": len(folder.report.damage),
-            "took": round(folder.took_s, 4),
+            "took": round(folder.duration_s, 4),
         }
         log.info("result store recovered", extra={"pairs": pairs})
         self.ready = True
-        self._remembered()
+        self._on_recovery_finished()
 
     def _use_folder(self, folder: RecoveredFolder) -> None:
-        """Take over the recovered runs, and write to the folder's log from now on."""
-        assert self._bridge is not None
+        """Use the recovered runs, and write to the log of the folder from now on."""
+        assert self._worker_thread is not None
         runs = folder.runs
         runs.finish(self._read_clocks())
         self._last_write_at = runs.last_write_at
@@ -145,61 +157,73 @@
         for idempotency_key in sorted(runs.record_numbers, key=runs.record_numbers.__getitem__):
             size = RECOVERED_RUN_BYTES + len(self._table.runs[idempotency_key].result)
             self._planner.add(idempotency_key, runs.record_numbers[idempotency_key], size)
-        scheduler, on_fence = self._scheduler, self._run_log.on_fence
+        scheduler, on_records_durable = self._scheduler, self._run_log.on_records_durable
         store = GroupCommitLog(
-            scheduler, self._bridge, folder.log, SLOW_COMMIT_S, on_fence, self._on_disk_changed
+            scheduler,
+            self._worker_thread,
+            folder.log,
+            SLOW_COMMIT_S,
+            on_records_durable,
+            self._on_disk_state_changed,
         )
         self._run_log.open(store)
 
-    def recover_keys(self, born: float, idempotency_keys: IdempotencyTable) -> list[tuple[Request, float]]:
-        """Put the recovered runs into the idempotency table once the interpreter is up.
+    def recover_keys(
+        self, interpreter_started_at: float, idempotency_keys: IdempotencyTable
+    ) -> list[tuple[Request, float]]:
+        """Add the recovered runs to the idempotency table once the interpreter is up.
 
-        A run without an outcome is waited for where the interpreter survived the earlier incarnation of the
-        server. Otherwise it may have run or not, and its retries get a final error.
+        If the interpreter has been running since the previous incarnation of the server, a run without an
+        outcome is adopted and its end is awaited. Otherwise it may have run or not, and its retries get a
+        final error.
 
         Args:
-            born: When the interpreter started.
+            interpreter_started_at: When the interpreter started.
             idempotency_keys: The table to fill.
 
         Returns:
-            The requests, which are finished, and for how many seconds their idempotency keys are valid.
+            The finished requests, each with the remaining lifetime of its idempotency key in seconds.
         """
-        now, recalled = self._scheduler.clock.now, []
+        now, recovered = self._scheduler.clock.now, []
         last_write_at = self._last_write_at
-        survived = self._plan.interpreter_survives and last_write_at is not None and born < last_write_at
-        if not survived:
+        interpreter_survived = (
+            self._plan.interpreter_survives
+            and last_write_at is not None
+            and interpreter_started_at < last_write_at
+        )
+        if not interpreter_survived:
             self.last_notice = 0
             self._run_log.renumber_notices()
         for run in sorted(self._table.runs.values(), key=lambda run: run.expires_at):
             request_class = self._request_classes.get(run.request_class.encode())
             if request_class is None:
                 continue
-            if run.state is RunState.INTENDED and not survived:
+            if run.state is RunState.INTENDED and not interpreter_survived:
                 run.state = RunState.FAILED
                 self._run_log.add_outcome(encode_outcome(run))
                 self._count("recall_unknown")
             exchange = finished_exchange(run, request_class)
             if run.state is RunState.INTENDED:
                 exchange.state = ExchangeState.RUNNING
-                self._adopted[run.request_name] = exchange
+                self._adopted_runs[run.request_name] = exchange
                 self._count("recall_adopted")
             remaining_s = run.expires_at - now
             idempotency_keys.reserve(exchange, now, remaining_s)
             if run.state is RunState.SUCCEEDED:
                 idempotency_keys.store_result(exchange, run.result)
-            recalled.append((exchange.request, remaining_s))
+            recovered.append((exchange.request, remaining_s))
             self._count("recall_labels")
-        return recalled
+        return recovered
 
     def runs_to_adopt(self) -> tuple[list[Exchange], int]:
-        """Return the runs that the interpreter may still end, and the last notice that was read."""
-        return list(self._adopted.values()), self.last_notice
+        """Return the recovered runs that may still end, and the number of the last notice that was read."""
+        return list(self._adopted_runs.values()), self.last_notice
 
     def up_at(self) -> float:
-        """Return when the server may report that it is up."""
+        """Return the time from which the server may report that it is up; infinity if not known yet."""
         plan = self._plan
         if not self.ready and (plan.interpreter_survives or plan.cold_start is ColdStartRule.WAIT):
-            return inf  # what to ask the interpreter for, or whether to wait, is not known yet
+            return inf  # the recovery decides which notices to request, or whether to wait
         is_recovered = self._run_log.store is not None and self._last_write_at is not None
         if is_recovered and not self._is_damaged:
             return self.started_at
@@ -208,7 +232,7 @@
     # -- before a run
 
     def may_have_run(self, exchange: Exchange) -> bool:
-        """Whether a keyed request without a stored original may have run in an earlier incarnation."""
+        """Return whether a keyed request without a stored run may have run in an earlier incarnation."""
         rule, request = self._plan.cold_start, exchange.request
         is_recovered = self._run_log.store is not None and not self._is_damaged
         if rule in (ColdStartRule.RUN, ColdStartRule.WAIT) or is_recovered:
@@ -220,9 +244,9 @@
         return False
 
     def prepare(self, exchange: Exchange) -> None:
-        """Set for how long a run waits for its intent, and when its idempotency key has capacity.
+        """Set the expected wait for a durable intent, and the time until there is capacity for another run.
 
-        The controller weighs both against the request's deadline.
+        The controller compares both with the deadline of the request.
         """
         if self._run_log.store is None:
             return
@@ -238,7 +262,7 @@
             self._count("recall_no_room")
 
     def reserve(self, exchange: Exchange) -> None:
-        """Store a keyed request's intent at once, so that its commit passes while it waits for a core."""
+        """Store the intent of a keyed request, so that it is committed while the request is queued."""
         request, idempotency_key = exchange.request, exchange.idempotency_key
         if self._run_log.store is None or idempotency_key is None or not _is_keyed(exchange):
             return
@@ -254,7 +278,7 @@
         self._run_log.add_intent(run)
 
     def release(self, exchange: Exchange) -> None:
-        """Free the idempotency key of a request that will never run here."""
+        """Free the idempotency key of a request that will not run on this server."""
         run = self._find_run(exchange)
         if run is None or run.state is not RunState.INTENDED:
             return
@@ -273,29 +297,29 @@
         return run if run is not None and run.request_name == exchange.name else None
 
     def before_run(self, exchange: Exchange, run: StartRun) -> None:
-        """Start a run now if its intent is durable or not needed, otherwise as soon as it is durable."""
+        """Start a run now if its intent is durable or not needed, otherwise once the intent is durable."""
         keyed_run = self._find_run(exchange)
         if keyed_run is None or self._run_log.is_intent_durable(keyed_run):
             run(exchange)
         else:
             self._run_log.wait_for_intent(keyed_run, WaitingRun(exchange, run))
 
-    def _let_run(self, waiting_run: WaitingRun) -> None:
-        """Start a run whose intent is durable; if nobody waits for it any more it does not begin."""
+    def _start_waiting_run(self, waiting_run: WaitingRun) -> None:
+        """Start a run whose intent is durable, if a client still waits for it."""
         exchange = waiting_run.exchange
         if exchange.state is not ExchangeState.RUNNING:
             return
         if exchange.closed and not exchange.attached_duplicates:
             self._count("recall_not_begun")
-            self._never_begun(exchange)
+            self._on_never_started(exchange)
         else:
             waiting_run.start(exchange)
 
     # -- after a run
 
     def run_ended(self, exchange: Exchange, outcome: Outcome, result: bytes) -> None:
-        """Store the outcome of a keyed run, or that it never began."""
-        self._adopted.pop(exchange.name, None)
+        """Store the outcome of a keyed run, or that it never started."""
+        self._adopted_runs.pop(exchange.name, None)
         idempotency_key = exchange.idempotency_key
         if self._run_log.store is None or idempotency_key is None or not _is_keyed(exchange):
             return
@@ -303,14 +327,14 @@
             self.release(exchange)
         elif not self._store_outcome(exchange, idempotency_key, outcome, result):
             return
-        if exchange.request.stage is Stage.FINISHED:  # an adopted run, which the controller knows as finished
+        if exchange.request.stage is Stage.FINISHED:  # adopted: already finished for the controller
             exchange.request.outcome = outcome
         self._run_log.count_outcome()
 
     def _store_outcome(
         self, exchange: Exchange, idempotency_key: bytes, outcome: Outcome, result: bytes
     ) -> bool:
-        """Store an outcome; return False if the run is not stored any more."""
+        """Store an outcome; return False if the run is no longer in the table."""
         state = RunState.SUCCEEDED if outcome is Outcome.SUCCEEDED else RunState.FAILED
         run = self._table.finish(idempotency_key, exchange.name, state, result)
         if run is None:
@@ -323,7 +347,7 @@
         return True
 
     def completed(self, exchange: Exchange, result: bytes, caller: Caller) -> None:
-        """Pass on a result once its outcome is durable; at once if the disk is failing."""
+        """Pass on a result once its outcome is durable, or at once if the disk is failing."""
         run_log = self._run_log
         is_stored = run_log.store is not None and exchange.idempotency_key is not None
         if not is_stored or not _is_keyed(exchange) or run_log.durable_outcome_count >= run_log.outcome_count:
@@ -332,7 +356,7 @@
             self._count("recall_answers_ahead")
             self._inner.completed(exchange, result, caller)
         else:
-            self._holding.delay(run_log.outcome_count, exchange, result, caller)
+            self._delayed_answers.delay(run_log.outcome_count, exchange, result, caller)
 
     def rejected(self, exchange: Exchange) -> None:
         """Pass on a rejection."""
@@ -343,26 +367,31 @@
         self._inner.failed(exchange)
 
     def cancelled(self, exchange: Exchange) -> None:
-        """Pass on that nobody waits for the answer any more."""
+        """Pass on a cancellation: no client waits for the answer any more."""
         self._inner.cancelled(exchange)
 
-    def _release_answer(self, answer: DelayedAnswer, ahead: bool) -> None:
-        """Pass on a delayed answer; `ahead` if its outcome is not durable yet."""
-        if ahead:
+    def _release_answer(self, answer: DelayedAnswer, is_early: bool) -> None:
+        """Pass on a delayed answer.
+
+        Args:
+            answer: The answer.
+            is_early: Whether its outcome is not durable yet.
+        """
+        if is_early:
             self._count("recall_answers_ahead")
         self._inner.completed(answer.exchange, answer.result, answer.caller)
 
-    # -- rounds, the disk and time
+    # -- rounds, disk state and expiry
 
     def end_round(self) -> None:
-        """Write what this round has brought."""
+        """Write the intents and outcomes of this round."""
         self._prepared_count = 0
-        self._run_log.end_round(is_leaving=self._is_leaving)
+        self._run_log.end_round(is_shutting_down=self._is_shutting_down)
 
-    def _on_disk_changed(self, disk: DiskState) -> None:
-        self._count(f"recall_disk_{disk.value}")
-        if disk in (DiskState.FULL, DiskState.FAILING):
-            self._holding.release_all()
+    def _on_disk_state_changed(self, state: DiskState) -> None:
+        self._count(f"recall_disk_{state.value}")
+        if state in (DiskState.FULL, DiskState.FAILING):
+            self._delayed_answers.release_all()
 
     def _expire(self, now: float) -> None:
         for run in self._table.expire(now):
@@ -371,29 +400,29 @@
     def _sweep(self) -> None:
         if self.ready:
             self._expire(self._scheduler.clock.now)
-        if self._run_log.release_unneeded():
+        if self._run_log.release_unneeded_segments():
             self._background.want(self._compaction)
         self._scheduler.after(SWEEP_INTERVAL_S, self._sweep)
 
     def _compact(self) -> bool:
-        """Run a step of the compaction; return False, since the next sweep asks for another one."""
+        """Run one step of the compaction; return False since the next sweep requests the next step."""
         if self._run_log.compact_batch():
             self._count("recall_carried")
         return False
 
-    # -- the end
+    # -- shutdown
 
     def parting(self) -> None:
-        """Write without delay from now on, since the server leaves."""
-        self._is_leaving = True
+        """Write without delay from now on, since the server shuts down."""
+        self._is_shutting_down = True
 
     def settled(self) -> bool:
-        """Whether all is durable and no answer is delayed."""
-        return self._run_log.store is None or (not self._holding and self._run_log.settled())
+        """Return whether all intents and outcomes are durable and no answer is delayed."""
+        return self._run_log.store is None or (not self._delayed_answers and self._run_log.settled())
 
     def close(self) -> None:
-        """Let all delayed answers leave, write what is left and close the folder."""
-        self._holding.release_all()
+        """Send all delayed answers, write the remaining intents and outcomes and close the folder."""
+        self._delayed_answers.release_all()
         self._run_log.close()
 
     def gauges(self) -> dict[str, object]:
@@ -402,7 +431,7 @@
             "recall_live": len(self._table.runs),
             "recall_bytes": self._table.total_bytes,
             "recall_results_dropped": self._table.dropped_result_count,
-            "recall_held": len(self._holding),
+            "recall_held": len(self._delayed_answers),
         }
         store = self._run_log.store
         if store is not None:
--- a/sablewheel/result_store/recovery.py
+++ b/sablewheel/result_store/recovery.py
@@ -1,7 +1,7 @@
-"""The runs that a log's records describe: a fold over the records in their order. Pure.
+"""Reconstruction of the keyed runs from the records of the log, in their order. No I/O.
 
-Windows are rebased whenever the clocks show that the host was rebooted or its clock was set. So no clock cuts
-a window short, and what was over before a restart stays over.
+Windows are rebased whenever the clock readings show that the host was rebooted or its clock was set. So no
+clock change shortens a window, and a window that ended before a restart stays ended.
 """
 
 from __future__ import annotations
@@ -12,28 +12,28 @@
 from .clock_readings import ClockReading, clock_offset_s
 from .keyed_runs import KeyedRun, KeyedRunTable, RunState
 
-MIN_CLOCK_STEP_S = 0.05  # by which two readings may differ although no clock was set
+MIN_CLOCK_STEP_S = 0.05  # smaller differences between two readings are not a clock change
 STATES = {pb.WORKED: RunState.SUCCEEDED, pb.FAILED: RunState.FAILED}
 
 
 @dataclass
 class RecoveredRuns:
-    """What is known after the records so far."""
+    """The state after the records applied so far."""
 
     table: KeyedRunTable
     max_window_s: float
-    last_reading: ClockReading | None = None  # of the last record
-    last_notice: int = 0  # the last notice of the interpreter that is known to be read
-    record_numbers: dict[bytes, int] = field(default_factory=dict)  # idempotency key -> record of its intent
+    last_reading: ClockReading | None = None  # in the last record
+    last_notice: int = 0  # number of the last notice of the interpreter that was read
+    record_numbers: dict[bytes, int] = field(default_factory=dict)  # idempotency key -> record of the intent
     record_count: int = 0
-    last_write_at: float | None = None  # by the present clock; None without a record, or after a reboot
+    last_write_at: float | None = None  # by the current clock; None without a record or after a reboot
     rebase_count: int = 0
 
     def apply(self, number: int, record: pb.Record) -> None:
         """Apply the next record of the log."""
         moment = record.moment
         reading = ClockReading(moment.unix_us / 1e6, moment.boot_us / 1e6, moment.boot)
-        self._advance(reading)
+        self._advance_clock(reading)
         self.record_count += 1
         if record.anew:
             self.last_notice = 0
@@ -65,19 +65,19 @@
             self.table.finish(outcome.label, outcome.name, state, outcome.result)
 
     def finish(self, now: ClockReading) -> None:
-        """Rebase all windows to the present clock at the end of the log."""
+        """Rebase all windows to the current clock after the last record."""
         if self.last_reading is not None and self.last_reading.boot_id == now.boot_id:
             self.last_write_at = self.last_reading.unix_s + clock_offset_s(self.last_reading, now)
-        self._advance(now)
+        self._advance_clock(now)
         self.record_numbers = {key: self.record_numbers[key] for key in self.table.runs}
 
-    def _advance(self, reading: ClockReading) -> None:
-        earlier, self.last_reading = self.last_reading, reading
-        if earlier is None:
+    def _advance_clock(self, reading: ClockReading) -> None:
+        previous, self.last_reading = self.last_reading, reading
+        if previous is None:
             return
-        offset_s = clock_offset_s(earlier, reading)
+        offset_s = clock_offset_s(previous, reading)
         if abs(offset_s) > MIN_CLOCK_STEP_S:
-            self.table.expire(earlier.unix_s)  # what was over by the earlier clock stays over
+            self.table.expire(previous.unix_s)  # windows that ended by the previous clock stay ended
             self.table.shift_clock(offset_s, reading.unix_s + self.max_window_s)
             self.rebase_count += 1
         for run in self.table.expire(reading.unix_s):
--- a/sablewheel/result_store/run_log.py
+++ b/sablewheel/result_store/run_log.py
@@ -1,4 +1,4 @@
-"""The log of intents and outcomes: what is written when, and who waits until it is durable."""
+"""The log of intents and outcomes: when they are written, and which runs wait until they are durable."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from .keyed_runs import KeyedRun, KeyedRunTable, RunState
 from .log_compaction import CompactionPlanner
 
-MAX_COMMIT_TIMES = 50  # of the last commits, from which the wait for the next one is estimated
+MAX_COMMIT_TIMES = 50  # how many recent commits are used to estimate the duration of the next one
 COMMIT_TIME_QUANTILE = 0.9
 
 StartRun = Callable[[Exchange], None]
@@ -35,15 +35,15 @@
     """A record that is being made durable."""
 
     number: int
-    outcome_count: int  # of all outcomes up to this record
-    waiting_runs: list[WaitingRun]
+    outcome_count: int  # all outcomes up to this record
+    waiting_runs: list[WaitingRun]  # runs that start when the record is durable
 
 
 class RunLog:
     """Collects intents and outcomes, and writes them as one record whenever the store is idle.
 
-    Invariant: a run that waits is let go only once the record of its intent is durable;
-    `durable_outcome_count` never counts an outcome that is not durable.
+    Invariant: a waiting run starts only once the record of its intent is durable, and `durable_outcome_count`
+    never includes an outcome that is not durable.
     """
 
     def __init__(
@@ -53,23 +53,23 @@
         table: KeyedRunTable,
         planner: CompactionPlanner,
         read_clocks: Callable[[], ClockReading],
-        on_durable: Callable[[int], None],
-        let_run: Callable[[WaitingRun], None],
+        on_outcomes_durable: Callable[[int], None],
+        on_intent_durable: Callable[[WaitingRun], None],
     ) -> None:
-        """Start without a store: nothing is written until `open`.
+        """Create a log without a store: nothing is written until `open`.
 
         Args:
-            scheduler: Wakes the server for the next commit.
-            commit_interval_s: The least time between two commits.
-            table: The runs.
-            planner: Is told where each run is stored.
+            scheduler: Starts a round for the next commit.
+            commit_interval_s: The minimum time between two commits.
+            table: The keyed runs.
+            planner: Receives the record number and size of each stored run.
             read_clocks: Reads the clocks for each record.
-            on_durable: Called with the number of outcomes that are durable.
-            let_run: Called for each run whose intent is durable.
+            on_outcomes_durable: Called with the number of durable outcomes.
+            on_intent_durable: Called for each waiting run when its intent is durable.
         """
         self._scheduler, self._commit_interval_s = scheduler, commit_interval_s
         self._table, self._planner, self._read_clocks = table, planner, read_clocks
-        self._on_durable, self._let_run = on_durable, let_run
+        self._on_outcomes_durable, self._on_intent_durable = on_outcomes_durable, on_intent_durable
         self.store: GroupCommitLog | None = None
         self._intents: list[KeyedRun] = []
         self._outcomes: list[pb.Outcome] = []
@@ -84,23 +84,23 @@
         """Write to a store from now on."""
         self.store = store
 
-    # -- what is to be written
+    # -- unwritten intents and outcomes
 
     @property
     def has_unwritten(self) -> bool:
-        """Whether intents or outcomes wait to be written."""
+        """Whether there are intents or outcomes that are not written yet."""
         return bool(self._intents or self._outcomes)
 
     def renumber_notices(self) -> None:
-        """Note in the next record that the interpreter numbers its notices anew."""
+        """Record, with the next record, that the interpreter restarts the numbering of its notices."""
         self._are_notices_renumbered = self.store is not None
 
     def add_intent(self, run: KeyedRun) -> None:
-        """Write a run's intent with the next record."""
+        """Write the intent of a run with the next record."""
         self._intents.append(run)
 
     def cancel_intent(self, run: KeyedRun) -> bool:
-        """Drop an intent that is not written yet; return False if it is."""
+        """Remove an intent that is not written yet; return False if it is already written."""
         if run not in self._intents:
             return False
         self._intents.remove(run)
@@ -111,15 +111,15 @@
         self._outcomes.append(outcome)
 
     def count_outcome(self) -> None:
-        """Let later answers wait until all that is to be written now is durable."""
+        """Count an outcome: answers from now on wait until all current outcomes are durable."""
         self.outcome_count += 1
 
     def is_intent_durable(self, run: KeyedRun) -> bool:
-        """Whether a run may start as far as its intent goes."""
+        """Return whether the intent of a run is durable, so that the run may start."""
         return self.store is not None and 0 < run.intent_record <= self.store.durable_through
 
     def wait_for_intent(self, run: KeyedRun, waiting_run: WaitingRun) -> None:
-        """Let a run wait until the record of its intent is durable."""
+        """Delay a run until the record of its intent is durable."""
         waiting_runs = self._waiting_runs
         for record in self._pending_records:
             if record.number == run.intent_record:
@@ -129,20 +129,24 @@
     # -- commits
 
     def commit_wait_s(self, now: float) -> float:
-        """Return how long an intent may take to be durable: as recent slow ones, or as the present one."""
+        """Estimate the seconds until a new intent is durable.
+
+        The estimate is the `COMMIT_TIME_QUANTILE` of recent commits, or the duration of the current commit
+        if that is longer, plus the commit interval.
+        """
         ranked = sorted(self._commit_times_s)
-        usual_s = ranked[int(COMMIT_TIME_QUANTILE * len(ranked))] if ranked else 0.0
-        present_s = now - self._commit_started_at if self._commit_started_at else 0.0
-        return max(usual_s, present_s) + self._commit_interval_s
+        expected_s = ranked[int(COMMIT_TIME_QUANTILE * len(ranked))] if ranked else 0.0
+        current_s = now - self._commit_started_at if self._commit_started_at else 0.0
+        return max(expected_s, current_s) + self._commit_interval_s
 
-    def end_round(self, *, is_leaving: bool) -> None:
-        """Write what has come together, unless the last commit was too recent."""
+    def end_round(self, *, is_shutting_down: bool) -> None:
+        """Write the collected intents and outcomes, unless the last commit was too recent."""
         store = self.store
         if store is None:
             return
         now, due_at = self._scheduler.clock.now, self._last_commit_at + self._commit_interval_s
         if (self.has_unwritten or self._are_notices_renumbered) and store.idle:
-            if now >= due_at or is_leaving:
+            if now >= due_at or is_shutting_down:
                 self._write(store, now)
             else:
                 self._scheduler.after(due_at - now, lambda: None)
@@ -161,13 +165,13 @@
             if self._table.runs.get(run.idempotency_key) is run:
                 self._planner.add(run.idempotency_key, number, intent.ByteSize())
         for outcome in self._outcomes:
-            self._planner.grow(outcome.label, outcome.ByteSize())
+            self._planner.add_size(outcome.label, outcome.ByteSize())
         self._pending_records.append(PendingRecord(number, self.outcome_count, self._waiting_runs))
         self._intents, self._outcomes, self._waiting_runs = [], [], []
         self._last_commit_at = self._commit_started_at = now
 
-    def on_fence(self, number: int) -> None:
-        """Let go what waited for the records up to a number, which are durable."""
+    def on_records_durable(self, number: int) -> None:
+        """Start runs and release answers that wait for the records up to a number, which are now durable."""
         if self._commit_started_at:
             self._commit_times_s.append(self._scheduler.clock.now - self._commit_started_at)
             self._commit_started_at = 0.0
@@ -176,22 +180,22 @@
             record = self._pending_records.popleft()
             self.durable_outcome_count = record.outcome_count
             waiting_runs += record.waiting_runs
-        self._on_durable(self.durable_outcome_count)
+        self._on_outcomes_durable(self.durable_outcome_count)
         for waiting_run in waiting_runs:
-            self._let_run(waiting_run)
+            self._on_intent_durable(waiting_run)
 
     # -- compaction
 
-    def release_unneeded(self) -> bool:
-        """Release the log's front that no live run needs; return whether a compaction is under way."""
+    def release_unneeded_segments(self) -> bool:
+        """Release the oldest segments without live runs; return whether a compaction is in progress."""
         store = self.store
         if store is None:
             return False
-        store.release_through(self._planner.oldest_needed(store.durable_through) - 1)
-        return self._planner.is_pass_under_way(store.size_bytes, store.last_number)
+        store.release_through(self._planner.oldest_needed_record(store.durable_through) - 1)
+        return self._planner.maybe_begin_pass(store.size_bytes, store.last_number)
 
     def compact_batch(self) -> bool:
-        """Write the oldest live runs anew, if nothing else is to be written; return whether that was done."""
+        """Rewrite the oldest live runs if there is nothing else to write; return whether any were written."""
         store = self.store
         if store is None or not store.idle or self.has_unwritten:
             return False
@@ -210,19 +214,19 @@
         store.flush()
         return True
 
-    # -- the end
+    # -- shutdown
 
     @property
     def is_disk_failing(self) -> bool:
-        """Whether nothing can be made durable at present."""
+        """Whether the disk is full or failing, so that nothing can be made durable."""
         return self.store is not None and self.store.disk_state in (DiskState.FULL, DiskState.FAILING)
 
     def settled(self) -> bool:
-        """Whether all is durable."""
+        """Return whether all intents and outcomes are durable."""
         return self.store is None or (not self.has_unwritten and self.store.all_durable)
 
     def close(self) -> None:
-        """Write what is left and close the store."""
+        """Write the remaining intents and outcomes and close the store."""
         store = self.store
         if store is None:
             return
@@ -233,7 +237,7 @@
 
 
 def _add_run(record: pb.Record, run: KeyedRun) -> int:
-    """Add all that is known of a run to a record; return its size in bytes."""
+    """Add the intent and any outcome of a run to a record; return their size in bytes."""
     intent = encode_intent(run)
     record.intents.append(intent)
     if run.state is RunState.INTENDED:
--- a/sablewheel/result_store/startup.py
+++ b/sablewheel/result_store/startup.py
@@ -1,4 +1,4 @@
-"""What a start reads from the folder, and how retries find the recovered runs."""
+"""Recovery of the folder at the start, and the exchanges by which retries find the recovered runs."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from ..overload.interface import Client, Outcome, Request, RequestClass, Stage
 from ..serving.exchange import Exchange, ExchangeState
-from ..storage import log as durable
+from ..storage import log as storage_log
 from ..storage.files import DiskFiles
 from ..transport.worker_thread import WorkerThread
 from . import result_store_pb2 as pb
@@ -21,64 +21,64 @@
 
 @dataclass(frozen=True)
 class RecoveredFolder:
-    """A folder that was read."""
+    """The contents of a folder."""
 
-    log: durable.Log
+    log: storage_log.Log
     runs: RecoveredRuns
-    report: durable.RecoveryReport
-    damages: list[str]  # each with its place
-    took_s: float
+    report: storage_log.RecoveryReport
+    damages: list[str]  # descriptions, each with its location
+    duration_s: float  # of the recovery
 
 
 class UnreadableFolderError(Exception):
-    """A folder that cannot be read, where the plan does not let the server start without it."""
+    """The folder cannot be read, and by its settings the server must not start without it."""
 
 
 def read_folder_in_background(
-    bridge: WorkerThread,
+    worker_thread: WorkerThread,
     plan: ResultStorePlan,
     folder: Path,
     incarnation: bytes,
     runs: RecoveredRuns,
     on_done: Callable[[RecoveredFolder | UnreadableFolderError], None],
 ) -> None:
-    """Read a folder on the worker thread.
+    """Recover a folder on the worker thread.
 
     Args:
-        bridge: The worker thread.
+        worker_thread: The worker thread.
         plan: The settings.
         folder: The folder to read.
-        incarnation: The name of this incarnation of the server.
+        incarnation: The identifier of this incarnation of the server.
         runs: Receives the records.
-        on_done: Called on the server's thread with the folder, or the reason not to start.
+        on_done: Called in the event loop with the folder, or with the error that prevents the start.
     """
-    begun_at = time.perf_counter()
-    log = durable.Log(DiskFiles(folder), LOG_KIND, incarnation, plan.max_disk_bytes, plan.segment_bytes)
+    started_at = time.perf_counter()
+    log = storage_log.Log(DiskFiles(folder), LOG_KIND, incarnation, plan.max_disk_bytes, plan.segment_bytes)
 
-    def read() -> durable.RecoveryReport:
+    def read() -> storage_log.RecoveryReport:
         return log.recover(lambda number, payload, _: runs.apply(number, pb.Record.FromString(payload)))
 
-    def finish(report: durable.RecoveryReport | None, error: BaseException | None) -> None:
+    def finish(report: storage_log.RecoveryReport | None, error: BaseException | None) -> None:
         damages = report.damage if report is not None else [f"{error}"]
         if damages and plan.unreadable is UnreadableFolderRule.REFUSE:
             on_done(UnreadableFolderError(f"recall: {folder}: {damages[0]}"))
             return
-        took_s = time.perf_counter() - begun_at
-        on_done(RecoveredFolder(log, runs, report or durable.RecoveryReport(), damages, took_s))
+        duration_s = time.perf_counter() - started_at
+        on_done(RecoveredFolder(log, runs, report or storage_log.RecoveryReport(), damages, duration_s))
 
-    bridge.submit(read, finish)
+    worker_thread.submit(read, finish)
 
 
 def finished_exchange(run: KeyedRun, request_class: RequestClass) -> Exchange:
-    """Return the exchange of a recovered run, as its retries find it."""
+    """Return an exchange for a recovered run, for its retries to find."""
     request = Request(request_class, Client(), None, run.arrived_at, 0.0)
     request.stage, request.started, request.answered = Stage.FINISHED, True, True
-    is_over = run.state is not RunState.INTENDED
-    if is_over:
+    has_outcome = run.state is not RunState.INTENDED
+    if has_outcome:
         request.outcome = Outcome.ERROR if run.state is RunState.FAILED else Outcome.SUCCEEDED
     request_class_name = run.request_class.encode()
     exchange = Exchange(run.request_name, request_class_name, b"", 0, run.idempotency_key, request, None)
     exchange.state = ExchangeState.FINISHED
     exchange.digest = run.request_digest
-    exchange.billed = is_over
+    exchange.billed = has_outcome
     return exchange
--- a/tests/test_result_store.py
+++ b/tests/test_result_store.py
@@ -272,15 +272,15 @@
                 idempotency_key = chance.choice(list(lies))
                 planner.remove(idempotency_key)
                 del lies[idempotency_key]
-        if planner.is_pass_under_way(sum(log.values()), number):
+        if planner.maybe_begin_pass(sum(log.values()), number):
             idempotency_keys = planner.next_batch(sum(log.values()))
             for idempotency_key in idempotency_keys:
                 planner.add(idempotency_key, number, 50)
                 lies[idempotency_key] = number
             log[number] += 50 * len(idempotency_keys)
             carried += len(idempotency_keys)
-        assert planner.oldest_needed(number) <= min(lies.values(), default=number + 1)
-        log = {one: size for one, size in log.items() if one >= planner.oldest_needed(number)}
+        assert planner.oldest_needed_record(number) <= min(lies.values(), default=number + 1)
+        log = {one: size for one, size in log.items() if one >= planner.oldest_needed_record(number)}
         assert sum(log.values()) <= 3 * (2 * 50 * 30 + 400)
     assert carried <= 600 * 4  # it is no work without end
 
