--- a/sablewheel/program/feature_registry.py
+++ b/sablewheel/program/feature_registry.py
@@ -122,7 +122,7 @@
         up_at=recorder.up_at,
         last_notice=lambda: recorder.last_notice,
         end_round=recorder.end_round,
-        closing=recorder.parting,
+        closing=recorder.begin_shutdown,
         settled=recorder.settled,
         close=lambda _: recorder.close(),
         gauges=recorder.gauges,
--- a/sablewheel/result_store/recorder.py
+++ b/sablewheel/result_store/recorder.py
@@ -412,7 +412,7 @@
 
     # -- shutdown
 
-    def parting(self) -> None:
+    def begin_shutdown(self) -> None:
         """Write without delay from now on, since the server shuts down."""
         self._is_shutting_down = True
 
