--- a/tests/fake_disk.py
+++ b/tests/fake_disk.py
@@ -1,4 +1,4 @@
-"""A disk in memory: knows what was synced, fails on request, and loses unsynced writes in any allowed way."""
+"""A disk in memory: tracks synced data, fails on request, and loses unsynced writes in any possible way."""
 
 from __future__ import annotations
 
@@ -7,7 +7,10 @@
 
 
 class FakeFiles:
-    """Segment files in memory. `fail` maps a method's name to the errors that its next calls raise."""
+    """Segment files in memory.
+
+    `fail` maps the name of a method to the errors of its next calls; None for a call that succeeds.
+    """
 
     def __init__(self) -> None:
         self.data: dict[str, bytearray] = {}
@@ -66,16 +69,16 @@
         pass
 
     def crash(self, rng: random.Random) -> FakeFiles:
-        """The disk after a power failure: any of the unsynced writes may be there, complete or torn."""
-        after = FakeFiles()
+        """Return the disk after a power failure, with any of the unsynced writes, complete or torn."""
+        files = FakeFiles()
         for name, durable in self.durable.items():
             data = bytearray(durable)
-            for offset, piece in self.unsynced[name]:
-                remaining = piece[: rng.randint(0, len(piece))] if rng.random() < 0.5 else piece
+            for offset, write in self.unsynced[name]:
+                written = write[: rng.randint(0, len(write))] if rng.random() < 0.5 else write
                 if rng.random() < 0.4:
                     continue
                 data.extend(b"\0" * (offset - len(data)))
-                data[offset : offset + len(remaining)] = remaining
-            after.data[name] = data
-            after.durable[name], after.unsynced[name] = bytes(data), []
-        return after
+                data[offset : offset + len(written)] = written
+            files.data[name] = data
+            files.durable[name], files.unsynced[name] = bytes(data), []
+        return files
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,4 +1,4 @@
-"""The durable log at every crash point and with every disk fault, and group commit over it."""
+"""The durable log: recovery at every crash point, disk faults, and group commit."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
 
 
 def recover(files: FakeFiles, **bounds: int) -> tuple[list[bytes], Log, list[str]]:
-    log, found = open_log(files, b"incarn99", **bounds), []
-    report = log.recover(lambda _, payload, __: found.append(payload))
-    return found, log, report.damage
+    log, recovered = open_log(files, b"incarn99", **bounds), []
+    report = log.recover(lambda _, payload, __: recovered.append(payload))
+    return recovered, log, report.damage
 
 
 def read_all(log: Log) -> list[bytes]:
@@ -44,20 +44,20 @@
 
 
 def payloads(count: int, start: int = 0) -> list[bytes]:
-    return [b"payload %d " % place * (place % 4 + 1) for place in range(start, start + count)]
+    return [b"payload %d " % index * (index % 4 + 1) for index in range(start, start + count)]
 
 
 def test_committed_records_are_recovered_in_order_over_many_segments_and_incarnations() -> None:
     files = FakeFiles()
-    want: list[bytes] = []
-    for turn in range(4):
-        log = open_log(files, b"incarn%02d" % turn)
-        assert read_all(log) == want
+    expected: list[bytes] = []
+    for incarnation in range(4):
+        log = open_log(files, b"incarn%02d" % incarnation)
+        assert read_all(log) == expected
         for group in range(5):
-            group_payloads = payloads(3, 100 * turn + 10 * group)
+            group_payloads = payloads(3, 100 * incarnation + 10 * group)
             log.commit(group_payloads)
-            want += group_payloads
-    assert recover(files)[0] == want and len(files.names()) > 4
+            expected += group_payloads
+    assert recover(files)[0] == expected and len(files.names()) > 4
 
 
 def test_recovery_of_a_log_cut_at_any_byte_stops_at_the_last_valid_record() -> None:
@@ -71,26 +71,26 @@
         files = FakeFiles()
         files.create(name)
         files.append(name, complete[:cut])
-        found, after, damage = recover(files)
-        assert found == payloads(sum(end <= cut for end in ends)) and not damage
-        after.commit([b"next"])  # continues behind the last valid record, and is recovered
-        assert recover(files)[0] == [*found, b"next"]
+        recovered, log_after_cut, damage = recover(files)
+        assert recovered == payloads(sum(end <= cut for end in ends)) and not damage
+        log_after_cut.commit([b"next"])  # continues behind the last valid record
+        assert recover(files)[0] == [*recovered, b"next"]
 
 
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(seed=st.integers(0, 10**9))
 def test_durable_records_survive_a_power_failure_between_any_two_writes(seed: int) -> None:
-    """What was written after the last sync may be there, torn or missing, in any order."""
+    """Writes after the last sync may be present, torn or missing, in any order."""
     rng, files = random.Random(seed), FakeFiles()
     durable: list[bytes] = []
     attempted: list[bytes] = []
-    for turn in range(rng.randint(1, 4)):
-        log = open_log(files, b"incarn%02d" % turn, segment_bytes=rng.choice((100, 400)))
+    for incarnation in range(rng.randint(1, 4)):
+        log = open_log(files, b"incarn%02d" % incarnation, segment_bytes=rng.choice((100, 400)))
         recovered = read_all(log)
         assert recovered[: len(durable)] == durable
-        durable = list(recovered)  # what was recovered once counts from then on
+        durable = list(recovered)  # a recovered record must be recovered again later
         for _ in range(rng.randint(0, 5)):
-            group = [b"%d.%d" % (turn, rng.getrandbits(40)) for _ in range(rng.randint(1, 4))]
+            group = [b"%d.%d" % (incarnation, rng.getrandbits(40)) for _ in range(rng.randint(1, 4))]
             faults: list[OSError | None] = [None, OSError(errno.EIO, "input/output error")]
             files.fail = {rng.choice(("append", "sync", "create")): [rng.choice(faults)]}
             try:
@@ -100,10 +100,10 @@
                 continue
             durable += group
         files.fail = {}
-        if rng.random() < 0.3:  # killed in the middle of a commit
+        if rng.random() < 0.3:  # a kill in the middle of a commit
             files.fail = {
-                "sync": [OSError(errno.EIO, "killed here")],
-                "truncate": [OSError(errno.EIO, "too")],
+                "sync": [OSError(errno.EIO, "killed during sync")],
+                "truncate": [OSError(errno.EIO, "killed before truncate")],
             }
             group = [b"lost %d" % rng.getrandbits(30)]
             attempted += group
@@ -111,31 +111,29 @@
                 log.commit(group)
             files.fail = {}
         files = files.crash(rng)
-    found, _, damage = recover(files)
+    final_payloads, _, damage = recover(files)
     assert not damage
-    assert [payload for payload in found if payload in durable] == durable
-    assert all(payload in durable or payload in attempted for payload in found)
+    assert [payload for payload in final_payloads if payload in durable] == durable
+    assert all(payload in durable or payload in attempted for payload in final_payloads)
 
 
 @settings(derandomize=True, max_examples=100, deadline=None)
-@given(place=st.integers(0, 5), offset=st.integers(0, 400), bit=st.integers(0, 7))
-def test_a_flipped_bit_loses_its_record_and_no_other(place: int, offset: int, bit: int) -> None:
+@given(index=st.integers(0, 5), offset=st.integers(0, 400), bit=st.integers(0, 7))
+def test_a_flipped_bit_loses_its_record_and_no_other(index: int, offset: int, bit: int) -> None:
     files = FakeFiles()
     log = open_log(files, segment_bytes=1 << 20)
-    want = payloads(6)
-    log.commit(want)
+    expected = payloads(6)
+    log.commit(expected)
     (name,) = files.names()
-    valid = [
-        record for record in records.scan(bytes(files.data[name]), 1) if isinstance(record, records.Record)
-    ]
-    hit = valid[place]
-    at = hit.offset + offset % (hit.end - hit.offset)
-    files.data[name][at] ^= 1 << bit
-    found, _, damage = recover(files)
-    if place < 5:
-        assert found == want[:place] + want[place + 1 :] and damage and name in damage[0]
+    valid = [item for item in records.scan(bytes(files.data[name]), 1) if isinstance(item, records.Record)]
+    record = valid[index]
+    position = record.offset + offset % (record.end - record.offset)
+    files.data[name][position] ^= 1 << bit
+    recovered, _, damage = recover(files)
+    if index < 5:
+        assert recovered == expected[:index] + expected[index + 1 :] and damage and name in damage[0]
     else:
-        assert found == want[:5]  # at the very end it can't be told from a torn write
+        assert recovered == expected[:5]  # in the last record it looks like a torn write
 
 
 def test_a_full_disk_refuses_complete_groups_and_accepts_them_once_there_is_space() -> None:
@@ -144,38 +142,41 @@
     log.commit(payloads(2))
     files.capacity_bytes = sum(map(len, files.data.values())) + 20
     for _ in range(3):
-        with pytest.raises(CommitError) as fault:
+        with pytest.raises(CommitError) as raised:
             log.commit(payloads(3, 10))
-        assert fault.value.is_disk_full
+        assert raised.value.is_disk_full
     files.capacity_bytes = 1 << 60
     assert log.commit(payloads(3, 10)) == 5
-    found, _, damage = recover(files)
-    assert found == payloads(2) + payloads(3, 10) and not damage
+    recovered, _, damage = recover(files)
+    assert recovered == payloads(2) + payloads(3, 10) and not damage
 
 
 def test_after_a_failed_sync_the_same_records_go_to_a_new_segment() -> None:
-    """What a failed fsync leaves in the page cache can't be trusted, even where the next one passes."""
+    """The page cache cannot be trusted after a failed fsync, even if the next fsync succeeds."""
     files = FakeFiles()
     log = open_log(files, segment_bytes=1 << 20)
     log.commit(payloads(2))
-    files.fail = {"sync": [OSError(errno.EIO, "input/output error")], "truncate": [OSError(errno.EIO, "too")]}
-    with pytest.raises(CommitError) as fault:
+    files.fail = {
+        "sync": [OSError(errno.EIO, "input/output error")],
+        "truncate": [OSError(errno.EIO, "input/output error")],
+    }
+    with pytest.raises(CommitError) as raised:
         log.commit([b"again"])
-    assert not fault.value.is_disk_full
+    assert not raised.value.is_disk_full
     log.commit([b"again"])
     assert len(files.names()) == 2
     assert recover(files)[0] == [*payloads(2), b"again"]  # written twice, recovered once
 
 
-def test_the_logs_own_bound_acts_as_a_full_disk_and_release_frees_space() -> None:
+def test_the_size_limit_of_the_log_acts_as_a_full_disk_and_release_frees_space() -> None:
     files = FakeFiles()
     log = open_log(files, max_bytes=1000, segment_bytes=150)
     committed = 0
-    with pytest.raises(CommitError) as fault:
+    with pytest.raises(CommitError) as raised:
         while True:
             log.commit([b"x" * 60])
             committed += 1
-    assert fault.value.is_disk_full and committed > 5
+    assert raised.value.is_disk_full and committed > 5
     _, end = log.read(LOG_START, 1 << 20)
     assert log.release(end, keep_bytes=0) > 0
     log.commit([b"x" * 60])
@@ -184,24 +185,24 @@
 def test_reading_continues_from_any_position_and_skips_released_segments() -> None:
     files = FakeFiles()
     log = open_log(files)
-    want = payloads(40)
-    for payload in want:
+    expected = payloads(40)
+    for payload in expected:
         log.commit([payload])
-    found: list[bytes] = []
+    read: list[bytes] = []
     position, positions = LOG_START, []
     while True:
-        batch, after = log.read(position, 50)
-        found += [payload for payload, _ in batch]
+        batch, next_position = log.read(position, 50)
+        read += [payload for payload, _ in batch]
         positions += [record_position for _, record_position in batch]
-        if after == position:
+        if next_position == position:
             break
-        position = after
-    assert found == want
-    for number in (0, 7, 39):
-        assert log.read(positions[number], 1)[0][0][0] == want[number]
+        position = next_position
+    assert read == expected
+    for index in (0, 7, 39):
+        assert log.read(positions[index], 1)[0][0][0] == expected[index]
     log.release(positions[20], keep_bytes=0)
     rest, _ = log.read(LOG_START, 1 << 20)
-    assert [payload for payload, _ in rest] == want[want.index(rest[0][0]) :] and len(rest) <= 25
+    assert [payload for payload, _ in rest] == expected[expected.index(rest[0][0]) :] and len(rest) <= 25
     log.commit([b"new"])
     assert log.read(position, 1 << 20)[0][-1][0] == b"new"
 
@@ -221,12 +222,12 @@
     open_log(files).commit(payloads(2))
     (name,) = files.names()
     files.data[name][:] = change(bytes(files.data[name]))
-    found, _, damage = recover(files)
-    assert not found
+    recovered, _, damage = recover(files)
+    assert not recovered
     assert (reason in damage[0]) if reason else not damage
 
 
-def test_a_folder_has_one_writer_whose_lock_ends_with_it(tmp_path: Path) -> None:
+def test_a_folder_has_one_writer_which_holds_its_lock_until_closed(tmp_path: Path) -> None:
     first = DiskFiles(tmp_path)
     with pytest.raises(InUseError, match="in use"):
         DiskFiles(tmp_path)
@@ -242,18 +243,18 @@
 
 
 def test_a_failed_close_closes_no_other_descriptor(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    files, real = DiskFiles(tmp_path), os.close
+    files, real_close = DiskFiles(tmp_path), os.close
     closed: list[int] = []
 
-    def failing(descriptor: int) -> None:
-        real(descriptor)
+    def failing_close(descriptor: int) -> None:
+        real_close(descriptor)
         closed.append(descriptor)
         raise OSError(errno.EIO, "input/output error")
 
     files.create("1.seg")
     files.append("1.seg", b"one")
     files.sync("1.seg")
-    monkeypatch.setattr(os, "close", failing)
+    monkeypatch.setattr(os, "close", failing_close)
     files._close_open_file()
     files._close_open_file()
     monkeypatch.undo()
@@ -268,10 +269,10 @@
     assert not health.may_commit(1.0) and health.check(1.05) is DiskState.WORKING
     assert health.check(1.2) is DiskState.SLOW
     backoffs = []
-    for turn in range(8):
-        now = 10.0 * (turn + 1)
-        health.commit_failed(now, is_disk_full=turn % 2 == 0)
-        assert health.check(now) is (DiskState.FULL if turn % 2 == 0 else DiskState.FAILING)
+    for attempt in range(8):
+        now = 10.0 * (attempt + 1)
+        health.commit_failed(now, is_disk_full=attempt % 2 == 0)
+        assert health.check(now) is (DiskState.FULL if attempt % 2 == 0 else DiskState.FAILING)
         assert not health.may_commit(now)
         backoffs.append(health.retry_at - now)
         assert health.may_commit(health.retry_at)
@@ -308,7 +309,7 @@
     stop_when_durable()
     scheduler.run()
     assert numbers == list(range(1, 51)) and store.durable_through == 50 and store.all_durable
-    # Fewer reports than records: they went out in groups. The reported number only grows.
+    # Fewer reports than records: the records were committed in groups. The reported number only grows.
     assert durable_numbers == sorted(set(durable_numbers)) and len(durable_numbers) < 50
     assert states == [DiskState.FAILING, DiskState.WORKING]
     assert recover(files)[0] == [b"one of fifty"] * 50
--- a/tests/test_stored_files.py
+++ b/tests/test_stored_files.py
@@ -1,8 +1,8 @@
-"""Files written by version 0.2.0 (commit f8a8656), before the terms of the code changed, are read as before.
+"""Files written by version 0.2.0 (commit f8a8656), before the identifiers were renamed, stay readable.
 
-The fixture holds one small set of each kind, written by the programs of that commit in one run: the result
-store of a server that was killed, its usage metering folder, and the collector's journal. `expected.json` is
-what that commit's own readers made of them.
+The fixture contains one small set of files of each kind, written by the programs of that commit in one run:
+the result store of a server that was killed, its usage metering folder, and the journal of the collector.
+`expected.json` contains the results of the readers of that commit.
 """
 
 from __future__ import annotations
@@ -22,41 +22,41 @@
 
 FIXTURE = Path(__file__).parent / "fixtures" / "stored_by_0_2_0"
 EXPECTED: dict[str, Any] = json.loads((FIXTURE / "expected.json").read_text())
-LONGEST_WINDOW_S = 6.0
+MAX_WINDOW_S = 6.0
 
 
 @pytest.fixture
 def stored(tmp_path: Path) -> Path:
-    """A copy that a test may write to."""
+    """Return a copy of the fixture that a test may change."""
     return Path(shutil.copytree(FIXTURE, tmp_path / "stored"))
 
 
 def run(*arguments: str) -> str:
-    """What a command prints; it has to succeed."""
-    finished = CliRunner().invoke(main, list(arguments))
-    assert finished.exit_code == 0, finished.output
-    return finished.output
+    """Run a command, which must succeed, and return its output."""
+    result = CliRunner().invoke(main, list(arguments))
+    assert result.exit_code == 0, result.output
+    return result.output
 
 
 def test_a_result_store_is_read_with_all_its_runs(stored: Path) -> None:
     expected = EXPECTED["result_store"]
-    unix, since_boot, boot = expected["now"]
+    unix_s, since_boot_s, boot_id = expected["now"]
     recovered, faults = load_folder(
-        stored / "result_store", LONGEST_WINDOW_S, ClockReading(unix, since_boot, bytes.fromhex(boot))
+        stored / "result_store", MAX_WINDOW_S, ClockReading(unix_s, since_boot_s, bytes.fromhex(boot_id))
     )
-    entries = sorted(recovered.table.runs.values(), key=lambda entry: entry.idempotency_key)
+    runs = sorted(recovered.table.runs.values(), key=lambda keyed_run: keyed_run.idempotency_key)
     assert faults == []
     assert (recovered.record_count, recovered.last_notice) == (expected["records"], expected["last_notice"])
     assert [
         [
-            entry.idempotency_key.decode(),
-            entry.request_name.decode(),
-            entry.request_class,
-            entry.state.value,
-            hashlib.sha256(entry.result).hexdigest()[:16],
-            round(entry.expires_at, 6),
+            keyed_run.idempotency_key.decode(),
+            keyed_run.request_name.decode(),
+            keyed_run.request_class,
+            keyed_run.state.value,
+            hashlib.sha256(keyed_run.result).hexdigest()[:16],
+            round(keyed_run.expires_at, 6),
         ]
-        for entry in entries
+        for keyed_run in runs
     ] == expected["entries"]
 
 
@@ -74,7 +74,7 @@
 
 
 def test_a_usage_metering_folder_agrees_with_the_journal(stored: Path) -> None:
-    printed = run(
+    output = run(
         "ledger",
         "reconcile",
         "--book",
@@ -82,4 +82,4 @@
         "--json",
         str(stored / "usage_metering"),
     )
-    assert json.loads(printed) == EXPECTED["reconcile"]
+    assert json.loads(output) == EXPECTED["reconcile"]
