--- a/sablewheel/result_store/clock_readings.py
+++ b/sablewheel/result_store/clock_readings.py
@@ -22,7 +22,7 @@
 
     unix_s: float
     since_boot_s: float  # the host's time since boot
-    boot_id: bytes  # identifies the boot; empty if the host does not have it
+    boot_id: bytes  # identifier of the boot; empty if it cannot be read
 
 
 def read_clocks(clock: Clock | None = None) -> ClockReading:
--- a/sablewheel/result_store/plan.py
+++ b/sablewheel/result_store/plan.py
@@ -35,5 +35,5 @@
     max_disk_bytes: int = 512 << 20
     segment_bytes: int = 4 << 20
     commit_interval_s: float = 0.04
-    max_answer_delay_s: float = 0.25  # limit on the wait of an answer for its durable outcome
+    max_answer_delay_s: float = 0.25  # longest time that an answer waits for its durable outcome
     interpreter_survives: bool = False  # whether the interpreter keeps running when the server restarts
--- a/sablewheel/result_store/recovery.py
+++ b/sablewheel/result_store/recovery.py
@@ -22,7 +22,7 @@
 
     table: KeyedRunTable
     max_window_s: float
-    last_reading: ClockReading | None = None  # in the last record
+    last_reading: ClockReading | None = None  # clocks of the last record
     last_notice: int = 0  # number of the last notice of the interpreter that was read
     record_numbers: dict[bytes, int] = field(default_factory=dict)  # idempotency key -> record of the intent
     record_count: int = 0
--- a/sablewheel/result_store/startup.py
+++ b/sablewheel/result_store/startup.py
@@ -27,7 +27,7 @@
     runs: RecoveredRuns
     report: storage_log.RecoveryReport
     damages: list[str]  # descriptions, each with its location
-    duration_s: float  # of the recovery
+    duration_s: float  # how long the recovery took
 
 
 class UnreadableFolderError(Exception):
--- a/sablewheel/storage/group_commit.py
+++ b/sablewheel/storage/group_commit.py
@@ -14,7 +14,7 @@
 from .health import DiskHealth, DiskState
 from .log import CommitError, Log, LogPosition
 
-MAX_PENDING_BYTES = 1 << 20  # of records that are not durable yet
+MAX_PENDING_BYTES = 1 << 20  # limit on the size of records that are not durable yet
 
 log = logging.getLogger(__name__)
 
--- a/sablewheel/storage/log.py
+++ b/sablewheel/storage/log.py
@@ -16,7 +16,7 @@
 from . import records
 from .files import SegmentFiles
 
-MAX_SEGMENT_BYTES = 1 << 26  # limit of recovery's read of one file; segments are written far smaller
+MAX_SEGMENT_BYTES = 1 << 26  # most that recovery reads of one file; segments are written far smaller
 READ_CHUNK_BYTES = 1 << 18
 NO_LIMIT = 1 << 63  # above every record number
 MAX_NAME_ATTEMPTS = 10**6
@@ -63,7 +63,7 @@
     records: int = 0
     bytes: int = 0
     segments: int = 0
-    torn_bytes: int = 0  # of unfinished writes at the ends of segments, never reported as durable
+    torn_bytes: int = 0  # unfinished writes at the ends of segments, never reported as durable
     damage: list[str] = field(default_factory=list)  # descriptions of the damage, each with its file
     duplicate_records: int = 0  # records of failed commits that were written again to a later segment
 
@@ -120,7 +120,7 @@
             return _decode_header_of(self._kind, data)
         except records.SegmentError as error:
             size = self._files.size(name)
-            if size < records.HEADER_SIZE:  # the server was killed before it wrote the first record
+            if size < records.HEADER_SIZE:  # the server was killed while creating it
                 report.torn_bytes += size
                 self._files.remove(name)
             else:
--- a/sablewheel/storage/records.py
+++ b/sablewheel/storage/records.py
@@ -30,7 +30,7 @@
     """The header of a segment."""
 
     kind: bytes  # name of the log
-    incarnation: bytes  # of the server that wrote the segment
+    incarnation: bytes  # incarnation of the server that wrote the segment
     first_number: int  # number of the first record
 
 
--- a/tests/test_result_store.py
+++ b/tests/test_result_store.py
@@ -134,8 +134,8 @@
 
 def test_capacity_is_computed_from_stored_runs_not_from_removed_ones() -> None:
     table = KeyedRunTable(max_runs=2, max_bytes=10 * RUN_BYTES)
-    table.add(keyed_run(b"removed", 101.0))
-    table.remove(b"removed", b"n")
+    table.add(keyed_run(b"gone", 101.0))
+    table.remove(b"gone", b"n")
     table.add(keyed_run(b"a", 105.0))
     table.add(keyed_run(b"b", 105.0))
     assert table.capacity_in_s(100.0) == 5.0
@@ -606,7 +606,7 @@
     disk = Disk(FakeFiles())
     server = ResultStoreServer(monkeypatch, disk, segment_bytes=500)
     table = server.recorder._table
-    complete_request(server, b"long window")
+    complete_request(server, b"lives long")
     # A run with a long window must not prevent the release of later records: compaction rewrites it.
     (long_lived_run,) = table.runs.values()
     long_lived_run.expires_at += 1000.0
