--- a/sablewheel/feature_policy/__init__.py
+++ b/sablewheel/feature_policy/__init__.py
@@ -1,1 +1,1 @@
-"""Feature policies: what each traffic class requires or prefers, in force on the whole fleet at one epoch."""
+"""Feature policies: the features that each flow requires or prefers, active fleet-wide from one epoch on."""
--- a/sablewheel/feature_policy/applying.py
+++ b/sablewheel/feature_policy/applying.py
@@ -1,7 +1,7 @@
-"""What a class's plan changes for the controller: settings that it has, nothing else. Pure.
+"""Application of a class's plan to the controller's settings. Pure.
 
-Only features that the policy names anywhere are its matter; all others stay as the server's settings say. A
-plan takes away and never adds: what the settings don't have no policy switches on.
+Only features that the policy names are governed by it; all others stay as the server's settings say. A plan
+only disables or limits features: it never enables one that the settings don't have.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from .translation import ClassPlan
 
 
-def governed(policy: Policy, catalogue: Catalogue = CATALOGUE) -> frozenset[str]:
-    """The features that a policy has a say in."""
+def governed_features(policy: Policy, catalogue: Catalogue = CATALOGUE) -> frozenset[str]:
+    """Return the features that a policy governs: those that it names, and those that these need."""
     named = {
         name
         for flow in policy.flows
-        for fallback_level in range(flow.no_fallback_level + 1)
-        for name in flow.wants(fallback_level)
+        for fallback_level in range(flow.last_fallback_level + 1)
+        for name in flow.required_features(fallback_level)
     }
     named |= {name for flow in policy.flows for name in flow.forbid}
     needed = {other for name in named if name in catalogue for other in catalogue[name].needs}
@@ -28,36 +28,39 @@
 
 
 def settings(server_settings: ServerSettings, policy: Policy, plan: ClassPlan | None) -> ServerSettings:
-    """Return the settings that the controller is to go by under this policy.
+    """Return the settings of the controller under this policy.
 
-    `plan` None: the class of this host has none, and runs none of what the policy has a say in.
+    `plan` is None if the translation has no plan for the class of this host; then no governed feature runs.
     """
-    named, on = governed(policy), plan.features if plan is not None else {}
-    off = named - set(on)
-    if "stop-runs" in off and server_settings.cancellation is Cancellation.DISCARDS_WORK:
+    named, enabled = governed_features(policy), plan.features if plan is not None else {}
+    disabled = named - set(enabled)
+    if "stop-runs" in disabled and server_settings.cancellation is Cancellation.DISCARDS_WORK:
         server_settings = replace(server_settings, cancellation=Cancellation.UNSUPPORTED)
-    if "pause-runs" in off and server_settings.cancellation is Cancellation.SUSPENDS:
+    if "pause-runs" in disabled and server_settings.cancellation is Cancellation.SUSPENDS:
         server_settings = replace(server_settings, cancellation=Cancellation.UNSUPPORTED)
-    if "told-waits" in off:
+    if "told-waits" in disabled:
         server_settings = replace(server_settings, deadline_propagated=False)
-    if "customer-quotas" in off:
-        server_settings = replace(
-            server_settings, over_quota_weight=1.0
-        )  # work beyond a share counts like any other
-    if "customer-quotas" in on:
-        share = on["customer-quotas"].get("percent", 100) / 100
-        tenants = tuple(replace(one, quota_per_s=one.quota_per_s * share) for one in server_settings.tenants)
+    if "customer-quotas" in disabled:
+        # Work over a quota has the same weight as other work.
+        server_settings = replace(server_settings, over_quota_weight=1.0)
+    if "customer-quotas" in enabled:
+        quota_ratio = enabled["customer-quotas"].get("percent", 100) / 100
+        tenants = tuple(
+            replace(tenant, quota_per_s=tenant.quota_per_s * quota_ratio)
+            for tenant in server_settings.tenants
+        )
         server_settings = replace(server_settings, tenants=tenants)
-    if "kept-results" in off:
+    if "kept-results" in disabled:
         server_settings = replace(server_settings, coalesce_reads_for_s=0.0)
-    if "kept-results" in on:
-        most = float(on["kept-results"].get("seconds", 1))
+    if "kept-results" in enabled:
+        max_seconds = float(enabled["kept-results"].get("seconds", 1))
         server_settings = replace(
-            server_settings, coalesce_reads_for_s=min(server_settings.coalesce_reads_for_s, most)
+            server_settings, coalesce_reads_for_s=min(server_settings.coalesce_reads_for_s, max_seconds)
         )
-    if "cost-hints" in off:
+    if "cost-hints" in disabled:
         request_classes = tuple(
-            replace(one, objective_s_per_hint=0.0) for one in server_settings.request_classes
+            replace(request_class, objective_s_per_hint=0.0)
+            for request_class in server_settings.request_classes
         )
         server_settings = replace(server_settings, request_classes=request_classes)
     return server_settings
--- a/sablewheel/feature_policy/codec.py
+++ b/sablewheel/feature_policy/codec.py
@@ -1,4 +1,7 @@
-"""Messages of policies to bytes and back: docs/policy-format.md. What is none is an error that names it."""
+"""Encoding and decoding of policy messages; the format is in docs/policy-format.md.
+
+Input that is not a valid message raises an error that names the invalid field.
+"""
 
 from __future__ import annotations
 
@@ -9,51 +12,52 @@
 from .messages import MAX_CHUNK_BYTES, BundleChunk, BundleRejected, Fetch, Message, Offer
 
 VERSION = 1
-MAX_REASON_CHARACTERS = 400  # characters
+MAX_REASON_CHARACTERS = 400
 
 
 class BadMessageError(ValueError):
-    """What came is no message; the text names the field."""
+    """The data is not a valid message; the text names the invalid field."""
 
 
 def encode(message: Message) -> bytes:
     """Return the bytes of a message."""
-    told = pb.PolicyMessage(version=VERSION, name=message.name)
+    encoded = pb.PolicyMessage(version=VERSION, name=message.name)
     match message:
         case Offer():
-            told.offer.SetInParent()
-        case Fetch(_, at):
-            told.fetch.SetInParent()
-            told.fetch.at = at
-        case BundleChunk(_, at, total, data):
-            told.piece.at, told.piece.total, told.piece.data = at, total, data
-            told.piece.SetInParent()
-        case BundleRejected(_, why):
-            told.refused.why = why[:MAX_REASON_CHARACTERS]
-            told.refused.SetInParent()
-    return told.SerializeToString()
+            encoded.offer.SetInParent()
+        case Fetch(_, offset):
+            encoded.fetch.SetInParent()
+            encoded.fetch.at = offset
+        case BundleChunk(_, offset, total, data):
+            encoded.piece.at, encoded.piece.total, encoded.piece.data = offset, total, data
+            encoded.piece.SetInParent()
+        case BundleRejected(_, reason):
+            encoded.refused.why = reason[:MAX_REASON_CHARACTERS]
+            encoded.refused.SetInParent()
+    return encoded.SerializeToString()
 
 
 def decode(data: bytes) -> Message:
-    """Raises `BadMessageError`."""
-    told = pb.PolicyMessage()
+    """Return the message in the bytes; raises `BadMessageError`."""
+    decoded = pb.PolicyMessage()
     try:
-        told.ParseFromString(data)
+        decoded.ParseFromString(data)
     except DecodeError:
-        raise BadMessageError("not a message of policies") from None
-    if told.version != VERSION:
-        raise BadMessageError(f"version {told.version}, {VERSION} is spoken here")
-    if policy_bundle.order(told.name) == policy_bundle.NONE:
-        raise BadMessageError(f"name: {told.name!r:.60}")
-    match told.WhichOneof("body"):
+        raise BadMessageError("not a valid policy message") from None
+    if decoded.version != VERSION:
+        raise BadMessageError(f"unsupported version {decoded.version}, expected {VERSION}")
+    if policy_bundle.order(decoded.name) == policy_bundle.NONE:
+        raise BadMessageError(f"name: not a bundle name: {decoded.name!r:.60}")
+    match decoded.WhichOneof("body"):
         case "offer":
-            return Offer(told.name)
-        case "fetch" if told.fetch.at <= policy_bundle.MAX_BUNDLE_BYTES:
-            return Fetch(told.name, told.fetch.at)
+            return Offer(decoded.name)
+        case "fetch" if decoded.fetch.at <= policy_bundle.MAX_BUNDLE_BYTES:
+            return Fetch(decoded.name, decoded.fetch.at)
         case "piece" if (
-            len(told.piece.data) <= MAX_CHUNK_BYTES and told.piece.total <= policy_bundle.MAX_BUNDLE_BYTES
+            len(decoded.piece.data) <= MAX_CHUNK_BYTES
+            and decoded.piece.total <= policy_bundle.MAX_BUNDLE_BYTES
         ):
-            return BundleChunk(told.name, told.piece.at, told.piece.total, told.piece.data)
-        case "refused" if len(told.refused.why) <= MAX_REASON_CHARACTERS:
-            return BundleRejected(told.name, told.refused.why)
-    raise BadMessageError("body: none, or past its bounds")
+            return BundleChunk(decoded.name, decoded.piece.at, decoded.piece.total, decoded.piece.data)
+        case "refused" if len(decoded.refused.why) <= MAX_REASON_CHARACTERS:
+            return BundleRejected(decoded.name, decoded.refused.why)
+    raise BadMessageError("body: missing or over its size limits")
--- a/sablewheel/feature_policy/fleet_state.py
+++ b/sablewheel/feature_policy/fleet_state.py
@@ -1,4 +1,4 @@
-"""What one member of the fleet knows for the rollout: the view, its members' capabilities and the facts."""
+"""The rollout's view of the fleet: the members, their host capabilities and the agreed facts."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from .policy_bundle import active, order
 from .rollout_events import Effect, LogEntry, ProposeFact
 
-STAGED = "policy/staged"  # the fact that names the bundle which more than half of the members hold
-ACTIVE = "policy/active"  # the fact that names the bundle in force, with each flow's fallback level
+STAGED = "policy/staged"  # the fact that names the bundle that more than half of the members hold
+ACTIVE = "policy/active"  # the fact that names the active bundle, with each flow's fallback level
 
 
 class Output:
-    """The effects of one step, when the next one is due, and the counters."""
+    """The effects of one step, the times of the next steps, and the counters."""
 
     def __init__(self) -> None:
         self.effects: list[Effect] = []
@@ -24,27 +24,28 @@
         self.counts: dict[str, int] = {}
 
     def begin_step(self) -> None:
-        """Forget the effects and timers of the step before."""
+        """Discard the effects and timers of the previous step."""
         self.effects, self.timers = [], []
 
     @property
     def wake_at(self) -> float:
-        """When the next step is due; infinite if none is."""
+        """When the next step is due, in seconds of the caller's clock; infinite if none is."""
         return min(self.timers, default=inf)
 
-    def log(self, what: str, **fields: object) -> None:
-        """Add a line for the log."""
-        self.effects.append(LogEntry(what, fields))
+    def log(self, event: str, **fields: object) -> None:
+        """Add a log line."""
+        self.effects.append(LogEntry(event, fields))
 
     def count(self, name: str) -> None:
-        """Add one to a counter."""
+        """Increment a counter."""
         self.counts[name] = self.counts.get(name, 0) + 1
 
 
 class FleetState:
-    """The view as this member has it. `own_capabilities` are the same that it has in the view's metadata.
+    """The fleet as this member sees it.
 
-    With `believes_itself` its own proposals count as facts: a fault that the experiments must catch.
+    `own_capabilities` are those in this member's metadata. With `trust_own_proposals` the member's own
+    proposals count as facts, which is a fault that experiments must detect.
     """
 
     def __init__(
@@ -53,18 +54,18 @@
         own_capabilities: HostCapabilities,
         rules: Rules,
         output: Output,
-        believes_itself: bool = False,
+        trust_own_proposals: bool = False,
     ) -> None:
         self.node_name, self.own_capabilities, self.rules = node_name, own_capabilities, rules
         self.view: View | None = None
         self.capabilities: dict[str, HostCapabilities] = {}
         self.joined_at = self.changed_at = 0.0  # seconds of the caller's clock
-        self._output, self._believes_itself = output, believes_itself
+        self._output, self._trust_own_proposals = output, trust_own_proposals
         self._proposed: dict[str, str] = {}
         self._next_peer_index = 0
 
     def update(self, now: float, view: View) -> None:
-        """Take a new view."""
+        """Replace the view."""
         if self.view is None:
             self.joined_at = now
         if self.view is None or _incarnations(view) != _incarnations(self.view):
@@ -75,7 +76,7 @@
             try:
                 self.capabilities[member.name] = host_capabilities.read(member.metadata_value("class"))
             except HostCapabilitiesError:
-                self._output.count("classes_bad")  # it can run nothing that is known here
+                self._output.count("classes_bad")  # this member is taken to run no feature
 
     @property
     def is_member(self) -> bool:
@@ -84,7 +85,7 @@
 
     @property
     def members(self) -> tuple[Member, ...]:
-        """The members of the view; none before there is one."""
+        """The members of the view; empty before the first view."""
         return self.view.members if self.view is not None else ()
 
     @property
@@ -98,8 +99,8 @@
         return [name for name in self.names if name != self.node_name]
 
     @property
-    def place(self) -> int:
-        """This member's place in the view's order."""
+    def position(self) -> int:
+        """This member's index in the view's order."""
         return self.view.positions.get(self.node_name, 0) if self.view is not None else 0
 
     @property
@@ -108,7 +109,7 @@
         return tuple(sorted(set(self.capabilities.values())))
 
     def next_peer(self) -> str:
-        """Return another member, each in its turn; empty if there is none."""
+        """Return another member, in round-robin order; empty if there is none."""
         others = self.others
         if not others:
             return ""
@@ -118,22 +119,22 @@
     # -- facts
 
     def fact(self, key: str) -> str:
-        """Return what the fleet has agreed on under a key; empty for nothing."""
+        """Return the value that the fleet has agreed on for a key; empty if there is none."""
         agreed = self._agreed(key)
-        return self._proposed.get(key, agreed) if self._believes_itself else agreed
+        return self._proposed.get(key, agreed) if self._trust_own_proposals else agreed
 
     @property
     def active_name(self) -> str:
-        """The name of the bundle in force."""
+        """The name of the active bundle; empty if there is none."""
         return active(self.fact(ACTIVE))[0]
 
     @property
     def newest_known(self) -> str:
-        """The greater name of those that are staged and in force."""
+        """The greater of the names of the staged and the active bundle."""
         return max(self.fact(STAGED), self.active_name, key=order)
 
     def propose(self, key: str, value: str) -> None:
-        """Propose a fact, if this member has not done so already."""
+        """Propose a fact, unless this member already proposed it or it is agreed on."""
         if value != self._proposed.get(key, self._agreed(key)):
             self._proposed[key] = value
             self._output.effects.append(ProposeFact(Fact(key, value)))
--- a/sablewheel/feature_policy/host_capabilities.py
+++ b/sablewheel/feature_policy/host_capabilities.py
@@ -1,9 +1,9 @@
-"""What servers have or have not: the features that a policy may name, and what one server can run of them.
+"""The features that a policy may name, and the capabilities of a server that decide which of them it can run.
 
-Pure. A feature's needs, conflicts and costs stand here once; the translation, its check and the document's
-reader all go by them. `HostCapabilities` is one server's part: from its settings and its start-up checks,
-told to the others with membership as canonical JSON. Figures are rounded down to steps, so that servers of
-one kind are one class and none claims more than it has.
+Pure. A feature's needs, conflicts and costs are defined here only; the translation, its verification and the
+document's reader all use them. `HostCapabilities` describes one server, by its settings and its start-up
+checks, and is sent to the other members with membership as canonical JSON. Figures are rounded down to steps,
+so that similar servers are of one class and none claims more than it has.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 
 from ..overload.interface import Cancellation, ServerSettings
 
-MAX_METADATA_VALUE_BYTES = 200  # bytes: the bound of a value in `Member.says`
-MEMORY_DIVISOR = 2  # features may take one part in so many of the program's memory
-CORES_DIVISOR = 4  # and of its cores
-DESCRIPTORS_DIVISOR = 4
-LINKS, DISK, DROPS, PAUSES, GONE, WAITS, CUSTOMERS, LABELS = (
+MAX_METADATA_VALUE_BYTES = 200  # membership's limit on a value of a member's metadata
+MEMORY_DIVISOR = 2  # features may take 1/2 of the program's memory
+CORES_DIVISOR = 4  # and 1/4 of its cores
+DESCRIPTORS_DIVISOR = 4  # and 1/4 of its file descriptors
+LINKS, DISK, DISCARDS_WORK, SUSPENDS_WORK, DISCONNECTS, DEADLINES, TENANT_QUOTAS, IDEMPOTENCY_KEYS = (
     "links",
     "disk",
     "drops",
@@ -33,67 +33,87 @@
     "customers",
     "labels",
 )
-TRAITS = (LINKS, DISK, DROPS, PAUSES, GONE, WAITS, CUSTOMERS, LABELS)  # bits, in this order: append only
+TRAITS = (
+    LINKS,
+    DISK,
+    DISCARDS_WORK,
+    SUSPENDS_WORK,
+    DISCONNECTS,
+    DEADLINES,
+    TENANT_QUOTAS,
+    IDEMPOTENCY_KEYS,
+)  # the index is the bit in `HostCapabilities.traits`: append only
 
 
 class HostCapabilitiesError(ValueError):
-    """No host capabilities; the text names the field."""
+    """A text or value that is not valid host capabilities; the text names the invalid field."""
 
 
 @dataclass(frozen=True)
 class Parameter:
-    """A whole number of a feature; each unit above `least` costs. A larger value serves a smaller demand."""
+    """An integer parameter of a feature.
+
+    Each unit above `least` costs `memory` bytes, `millicores` and `descriptors`. A plan with a larger value
+    also satisfies a flow that requires a smaller one.
+    """
 
     name: str
     least: int
     most: int
-    memory: int = 0  # bytes a unit
+    memory: int = 0  # bytes per unit
     millicores: int = 0
     descriptors: int = 0
 
 
 @dataclass(frozen=True)
 class Feature:
-    """`code` is its bit in what members say and never another's; `traits` are what a server must have."""
+    """A feature that policies may name.
+
+    `code` is its bit in `HostCapabilities.codes` and must never be reused for another feature. `traits` are
+    those that a server must have, `needs` the features that must be enabled with it, and `conflicts` those
+    that must not.
+    """
 
     name: str
     code: int
-    says: str
+    description: str
     traits: tuple[str, ...] = ()
     needs: tuple[str, ...] = ()
     conflicts: tuple[str, ...] = ()
-    memory: int = 0  # bytes, at the least of its parameters
+    memory: int = 0  # bytes, with all parameters at their least values
     millicores: int = 0
     descriptors: int = 0
     parameters: tuple[Parameter, ...] = ()
 
     def parameter(self, name: str) -> Parameter | None:
-        """Return the parameter of a name; None if there is none."""
-        return next((one for one in self.parameters if one.name == name), None)
+        """Return the parameter with a name; None if there is none."""
+        return next((parameter for parameter in self.parameters if parameter.name == name), None)
 
     def cost(self, values: Mapping[str, int]) -> tuple[int, int, int]:
-        """Bytes, millicores and descriptors with these values; one that is absent stands at its least."""
+        """Return the bytes, millicores and descriptors at these values; absent ones are at their least."""
         total = [self.memory, self.millicores, self.descriptors]
-        for one in self.parameters:
-            units = max(values.get(one.name, one.least) - one.least, 0)
-            for place, each in enumerate((one.memory, one.millicores, one.descriptors)):
-                total[place] += units * each
+        for parameter in self.parameters:
+            units = max(values.get(parameter.name, parameter.least) - parameter.least, 0)
+            for index, unit_cost in enumerate(
+                (parameter.memory, parameter.millicores, parameter.descriptors)
+            ):
+                total[index] += units * unit_cost
         return total[0], total[1], total[2]
 
 
 Catalogue = Mapping[str, Feature]
 MB = 1 << 20
 
-# What servers of this build have, from interface.Machine and the features file. Costs are upper bounds by the
-# features' own bounds, not measurements: a label is 320 bytes with its entry, a session 256.
+# The features of this build, from ServerSettings and the features file. Costs are upper bounds derived from
+# the features' own limits: an idempotency key takes 320 bytes with its entry, a session 256.
 CATALOGUE: Catalogue = MappingProxyType(
     {
-        one.name: one
-        for one in (
+        feature.name: feature
+        for feature in (
             Feature(
                 "forward-near",
                 0,
-                "tickets passed on within the zone",
+                "requests forwarded within the zone",
                 (LINKS,),
                 memory=2 * MB,
                 millicores=20,
@@ -103,7 +123,7 @@
             Feature(
                 "forward-far",
                 1,
-                "tickets passed on to other zones",
+                "requests forwarded to other zones",
                 (LINKS,),
                 ("forward-near",),
                 memory=2 * MB,
@@ -113,8 +133,8 @@
             Feature(
                 "replicated-labels",
                 2,
-                "one run a label over the whole fleet",
-                (LINKS, LABELS),
+                "one run per idempotency key in the whole fleet",
+                (LINKS, IDEMPOTENCY_KEYS),
                 memory=4 * MB,
                 millicores=50,
                 descriptors=4,
@@ -126,8 +146,8 @@
             Feature(
                 "durable-recall",
                 3,
-                "labelled runs remembered over restarts",
-                (DISK, LABELS),
+                "results of keyed requests kept across restarts",
+                (DISK, IDEMPOTENCY_KEYS),
                 memory=4 * MB,
                 millicores=50,
                 descriptors=8,
@@ -136,7 +156,7 @@
             Feature(
                 "sessions",
                 4,
-                "who serves a session stays the same",
+                "all requests of a session served by one member",
                 (LINKS,),
                 ("forward-near",),
                 memory=2 * MB,
@@ -146,63 +166,72 @@
             Feature(
                 "stop-runs",
                 5,
-                "running work is stopped and its work is lost",
-                (DROPS,),
+                "running requests cancelled, with their progress lost",
+                (DISCARDS_WORK,),
                 conflicts=("pause-runs",),
                 millicores=5,
             ),
             Feature(
                 "pause-runs",
                 6,
-                "running work is paused and taken up again",
-                (PAUSES,),
+                "running requests suspended and resumed",
+                (SUSPENDS_WORK,),
                 conflicts=("stop-runs",),
                 millicores=5,
             ),
-            Feature("callers-gone", 7, "work that nobody waits for any more is ended", (GONE,), millicores=5),
-            Feature("told-waits", 8, "order by how long callers still wait", (WAITS,), millicores=5),
+            Feature(
+                "callers-gone", 7, "requests of disconnected clients cancelled", (DISCONNECTS,), millicores=5
+            ),
+            Feature(
+                "told-waits",
+                8,
+                "queue ordered by the deadlines that callers send",
+                (DEADLINES,),
+                millicores=5,
+            ),
             Feature(
                 "customer-quotas",
                 9,
-                "customers are held to their quotas",
-                (CUSTOMERS,),
+                "tenants limited to their quotas",
+                (TENANT_QUOTAS,),
                 millicores=10,
                 parameters=(Parameter("percent", 1, 100),),
             ),
             Feature(
                 "kept-results",
                 10,
-                "a read's result is shared for a while",
+                "results of reads shared with later requests for a limited time",
                 memory=1 * MB,
                 millicores=5,
                 parameters=(Parameter("seconds", 1, 3600, memory=64 << 10),),
             ),
-            Feature("cost-hints", 11, "goals stretch with what callers say of the work", millicores=5),
-            Feature("rank-order", 12, "order by the callers' rank", millicores=5),
+            Feature("cost-hints", 11, "latency objectives scaled by the callers' cost hints", millicores=5),
+            Feature("rank-order", 12, "queue ordered by the callers' rank", millicores=5),
         )
     }
 )
-# Features of a server's program that need a section of the features file.
+# The section of the features file without which a feature is disabled.
 SECTIONS = {"replicated-labels": "replication", "sessions": "affinity", "durable-recall": "recall"}
-# The controller knows no rank (`class_rank` is read and not used), so no server of this build has it.
+# The controller does not support ranks (`class_rank` is read, but not used), so no server of this build can
+# run rank-order.
 UNKNOWN_HERE = frozenset({"rank-order"})
 
 
-def down(value: float) -> int:
-    """The largest step not above `value`: four steps an octave."""
-    whole = int(value)
-    if whole < 8:
-        return max(whole, 0)
-    step = 1 << (whole.bit_length() - 3)
-    return whole - whole % step
+def round_down_to_step(value: float) -> int:
+    """Return the largest step not above `value`; steps are 4 per power of two."""
+    integer = int(value)
+    if integer < 8:
+        return max(integer, 0)
+    step = 1 << (integer.bit_length() - 3)
+    return integer - integer % step
 
 
 @dataclass(frozen=True, order=True)
 class HostCapabilities:
-    """What one server can do; equal ones are one class of hosts.
+    """The capabilities of one server; servers with equal capabilities are one class of hosts.
 
     `speed` is in thousandths of the reference core, `memory` in kB, `warm` (the warm-up) in seconds;
-    `codes` and `traits` are bits by `Feature.code` and by the place in TRAITS. All figures are rounded down
+    `codes` is a bit set by `Feature.code`, `traits` one by the index in TRAITS. All figures are rounded down
     to steps.
     """
 
@@ -217,13 +246,13 @@
     def __post_init__(self) -> None:
         for name, value in asdict(self).items():
             if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value < 1 << 50:
-                raise HostCapabilitiesError(f"{name}: a whole number from 0 is wanted, got {value!r:.40}")
+                raise HostCapabilitiesError(f"{name}: must be an integer of at least 0, got {value!r:.40}")
 
     @cached_property
     def said(self) -> str:
-        """Canonical JSON: what the view carries, and the name of the class.
+        """Canonical JSON, which members publish in their metadata and which identifies the class.
 
-        At most MAX_METADATA_VALUE_BYTES bytes; raises `HostCapabilitiesError` for more.
+        Raises `HostCapabilitiesError` if it is over MAX_METADATA_VALUE_BYTES bytes.
         """
         text = json.dumps(
             {key: value for key, value in asdict(self).items() if value},
@@ -231,22 +260,24 @@
             separators=(",", ":"),
         )
         if len(text) > MAX_METADATA_VALUE_BYTES:
-            raise HostCapabilitiesError(f"an ability of {len(text)} bytes, over {MAX_METADATA_VALUE_BYTES}")
+            raise HostCapabilitiesError(
+                f"host capabilities of {len(text)} bytes, over {MAX_METADATA_VALUE_BYTES}"
+            )
         return text
 
     @cached_property
     def key(self) -> str:
-        """A short name of the class, for logs and people."""
+        """A short name of the class, for logs and error messages."""
         return hashlib.blake2b(self.said.encode(), digest_size=4).hexdigest()
 
     @property
     def capacity(self) -> float:
-        """Reference cores' worth of work."""
+        """The processing capacity in reference cores."""
         return self.cores * self.speed / 1000
 
     @property
-    def room(self) -> tuple[int, int, int]:
-        """Bytes, millicores and descriptors that features may take."""
+    def feature_budget(self) -> tuple[int, int, int]:
+        """The bytes, millicores and descriptors that features may take."""
         return (
             self.memory * 1024 // MEMORY_DIVISOR,
             int(self.capacity * 1000) // CORES_DIVISOR,
@@ -254,31 +285,33 @@
         )
 
     def has(self, trait: str) -> bool:
-        """Whether the host has a trait."""
+        """Return whether the host has a trait."""
         return bool(self.traits >> TRAITS.index(trait) & 1)
 
-    def lacks(self, feature: Feature) -> str:
-        """Why this server can't have a feature at all; empty if it can."""
+    def unsupported_reason(self, feature: Feature) -> str:
+        """Return why this server can't run a feature at all; empty if it can."""
         if not self.codes >> feature.code & 1:
-            return "its build does not know it"
-        missing = [one for one in feature.traits if not self.has(one)]
-        return f"it has no {', '.join(missing)}" if missing else ""
+            return "the build of this class does not support it"
+        missing = [trait for trait in feature.traits if not self.has(trait)]
+        return f"this class has no {', '.join(missing)}" if missing else ""
 
 
 def read(text: str) -> HostCapabilities:
-    """Return the capabilities that a member has in its metadata; raises `HostCapabilitiesError`.
+    """Return the capabilities in a member's metadata; raises `HostCapabilitiesError`.
 
-    Keys of newer builds are passed over.
+    Unknown keys, which newer builds may send, are ignored.
     """
     if len(text) > MAX_METADATA_VALUE_BYTES:
-        raise HostCapabilitiesError(f"an ability of {len(text)} bytes, over {MAX_METADATA_VALUE_BYTES}")
+        raise HostCapabilitiesError(
+            f"host capabilities of {len(text)} bytes, over {MAX_METADATA_VALUE_BYTES}"
+        )
     try:
-        told = json.loads(text)
+        decoded = json.loads(text)
     except ValueError:
         raise HostCapabilitiesError(f"not JSON: {text!r:.40}") from None
-    if not isinstance(told, dict):
-        raise HostCapabilitiesError(f"an object is wanted, got {text!r:.40}")
-    known = {key: value for key, value in told.items() if key in HostCapabilities.__dataclass_fields__}
+    if not isinstance(decoded, dict):
+        raise HostCapabilitiesError(f"must be a JSON object, got {text!r:.40}")
+    known = {key: value for key, value in decoded.items() if key in HostCapabilities.__dataclass_fields__}
     if "cores" not in known:
         raise HostCapabilitiesError("cores: missing")
     return HostCapabilities(**known)
@@ -286,10 +319,12 @@
 
 @dataclass(frozen=True)
 class StartUp:
-    """What the start-up checks and the rest of the program found.
+    """Results of the start-up checks and of the rest of the program's configuration.
 
-    Bytes of the program's memory, descriptors for clients' connections, whether there is a lasting disk and
-    links to peers, speed against the reference core, and features that this server does not run.
+    `memory_bytes` is the program's memory, `descriptors` the number of file descriptors for clients'
+    connections, `disk` and `links` whether there are persistent storage and links to peers, `speed` the speed
+    of one core relative to the reference core, `without` the features that this server does not run, and
+    `hears_gone` whether disconnected clients are detected.
     """
 
     memory_bytes: int
@@ -302,35 +337,41 @@
 
 
 def lasting(folder: Path) -> bool:
-    """Whether a folder, or the nearest one above it that is there, can be written to."""
+    """Return whether a folder, or its nearest existing parent, is writable."""
     while not folder.exists() and folder != folder.parent:
         folder = folder.parent
     return os.access(folder, os.W_OK)
 
 
-def of(machine: ServerSettings, start: StartUp, catalogue: Catalogue = CATALOGUE) -> HostCapabilities:
-    """The host capabilities of a server with these settings."""
-    without = set(start.without)
-    if not machine.coalesce_reads_for_s:
-        without.add("kept-results")
-    if not any(one.objective_s_per_hint for one in machine.request_classes):
-        without.add("cost-hints")
-    has = {
-        LINKS: start.links,
-        DISK: start.disk,
-        DROPS: machine.cancellation is Cancellation.DISCARDS_WORK,
-        PAUSES: machine.cancellation is Cancellation.SUSPENDS,
-        GONE: start.hears_gone,
-        WAITS: machine.deadline_propagated,
-        CUSTOMERS: any(one.quota_per_s > 0 for one in machine.tenants),
-        LABELS: any(one.idempotency_window_s > 0 for one in machine.request_classes),
+def of(
+    server_settings: ServerSettings, startup: StartUp, catalogue: Catalogue = CATALOGUE
+) -> HostCapabilities:
+    """Return the host capabilities of a server with these settings."""
+    disabled_features = set(startup.without)
+    if not server_settings.coalesce_reads_for_s:
+        disabled_features.add("kept-results")
+    if not any(request_class.objective_s_per_hint for request_class in server_settings.request_classes):
+        disabled_features.add("cost-hints")
+    trait_present = {
+        LINKS: startup.links,
+        DISK: startup.disk,
+        DISCARDS_WORK: server_settings.cancellation is Cancellation.DISCARDS_WORK,
+        SUSPENDS_WORK: server_settings.cancellation is Cancellation.SUSPENDS,
+        DISCONNECTS: startup.hears_gone,
+        DEADLINES: server_settings.deadline_propagated,
+        TENANT_QUOTAS: any(tenant.quota_per_s > 0 for tenant in server_settings.tenants),
+        IDEMPOTENCY_KEYS: any(
+            request_class.idempotency_window_s > 0 for request_class in server_settings.request_classes
+        ),
     }
     return HostCapabilities(
-        cores=machine.cores,
-        speed=down(start.speed * 1000),
-        memory=down(start.memory_bytes / 1024),
-        descriptors=down(start.descriptors),
-        traits=sum(1 << place for place, one in enumerate(TRAITS) if has[one]),
-        codes=sum(1 << one.code for one in catalogue.values() if one.name not in without),
-        warm=down(machine.warm_up_s),
+        cores=server_settings.cores,
+        speed=round_down_to_step(startup.speed * 1000),
+        memory=round_down_to_step(startup.memory_bytes / 1024),
+        descriptors=round_down_to_step(startup.descriptors),
+        traits=sum(1 << index for index, trait in enumerate(TRAITS) if trait_present[trait]),
+        codes=sum(
+            1 << feature.code for feature in catalogue.values() if feature.name not in disabled_features
+        ),
+        warm=round_down_to_step(server_settings.warm_up_s),
     )
--- a/sablewheel/feature_policy/messages.py
+++ b/sablewheel/feature_policy/messages.py
@@ -1,43 +1,46 @@
-"""What members say to each other of policies; bytes are `codec`'s matter."""
+"""Messages that members exchange about policies; `codec` encodes them."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MAX_CHUNK_BYTES = 12 << 10  # bytes of a bundle in one message
+MAX_CHUNK_BYTES = 12 << 10  # bundle bytes in one message
 
 
 @dataclass(frozen=True)
 class Offer:
-    """I hold this one."""
+    """Announces that the sender holds the bundle `name`."""
 
     name: str
 
 
 @dataclass(frozen=True)
 class Fetch:
-    """Let node name have it from this byte on."""
+    """Requests the bundle `name` from byte `offset` on."""
 
     name: str
-    at: int
+    offset: int
 
 
 @dataclass(frozen=True)
 class BundleChunk:
-    """Some of it; `total` 0: I hold none of that name."""
+    """Bytes of the bundle `name` from byte `offset` on.
+
+    `total` is the size of the bundle in bytes; 0 if the sender does not hold it.
+    """
 
     name: str
-    at: int
+    offset: int
     total: int
     data: bytes
 
 
 @dataclass(frozen=True)
 class BundleRejected:
-    """I hold it for wrong, and so do not stage it."""
+    """Reports that the sender found the bundle `name` invalid and does not stage it."""
 
     name: str
-    why: str
+    reason: str
 
 
 Message = Offer | Fetch | BundleChunk | BundleRejected
--- a/sablewheel/feature_policy/plan.py
+++ b/sablewheel/feature_policy/plan.py
@@ -1,4 +1,4 @@
-"""What policies are set to, as plain values; all spans are seconds."""
+"""Settings of feature policies as plain values; all durations are in seconds."""
 
 from __future__ import annotations
 
@@ -7,18 +7,22 @@
 
 @dataclass(frozen=True)
 class Rules:
-    """Spans in seconds. `up_margin`: room for a flow's load so many times over is wanted to step up."""
+    """Timing of the rollout, in seconds.
 
-    dwell_down: float = 2.0
-    dwell_up: float = 20.0
+    `up_margin` is the multiple of a flow's load that the members must have capacity for before the flow steps
+    up to a better fallback level.
+    """
+
+    dwell_down: float = 2.0  # how long capacity must be short before a step down
+    dwell_up: float = 20.0  # how long capacity must suffice before a step up
     up_margin: float = 1.25
-    rest: float = 10.0  # after any change, before one upwards
-    settle: float = 2.0  # a view must last so long before its classes are translated for
-    stagger: float = 5.0  # each member waits so long for the one before it in the view to do it
-    translate_within: float = 120.0
-    fetch_within: float = 1.0
-    offer_every: float = 2.0
-    retry_after_s: float = 2.0  # what rejected callers are told
+    rest: float = 10.0  # least time from any change to a step up
+    settle: float = 2.0  # how long a view must be unchanged before its classes are translated
+    stagger: float = 5.0  # delay per position in the view before a member acts if its predecessors did not
+    translate_within: float = 120.0  # timeout of a translation
+    fetch_within: float = 1.0  # timeout of one request for a chunk
+    offer_every: float = 2.0  # interval between offers
+    retry_after_s: float = 2.0  # retry delay sent to rejected callers
 
     def __post_init__(self) -> None:
         if self.up_margin < 1:
@@ -33,8 +37,9 @@
 class PolicyPlan:
     """Settings of feature policies in one server.
 
-    `file`: the operators' document, read at SIGHUP, and at the start of a fleet that has none; None: this
-    member takes what others are given. `speed`: of one core against the reference core.
+    `file` is the path of the operators' document, read at SIGHUP and at the start of a fleet that has no
+    policy; None if this member only takes policies from other members. `speed` is the speed of one core
+    relative to the reference core. `broken` is one of FAULTY_VARIANTS, for experiments that must detect it.
     """
 
     file: str | None = None
--- a/sablewheel/feature_policy/policy.py
+++ b/sablewheel/feature_policy/policy.py
@@ -1,6 +1,7 @@
-"""A routing policy as plain values: what the document's reader makes, and what goes between members. Pure.
+"""A routing policy as plain values, made by the document's reader and sent between members. Pure.
 
-Members hold it as canonical JSON: a server that serves never reads YAML, and both texts have bounds.
+Members exchange it as canonical JSON, so that a serving process never reads YAML. Both texts have size
+limits.
 """
 
 from __future__ import annotations
@@ -13,34 +14,39 @@
 from typing import Any
 
 MAX_FLOWS = 200
-MAX_FLOWS_WITH_FALLBACK = 90  # flows with a fallbacks: each has a digit in a fact of 128 characters
+MAX_FLOWS_WITH_FALLBACK = 90  # each has a digit in a fact of 128 characters
 MAX_FALLBACK_LEVELS = 8
 MAX_PRIORITY_WEIGHT = 1_000_000
-MAX_POLICY_BYTES = 1 << 20  # bytes of its canonical text
+MAX_POLICY_BYTES = 1 << 20  # of the canonical text
 
-Values = Mapping[str, int]
-Wants = Mapping[str, Values]  # feature -> its parameters, each at least so much
+ParameterValues = Mapping[str, int]
+RequiredFeatures = Mapping[str, ParameterValues]  # by feature, the least value of each parameter
 
 
 class PolicyError(ValueError):
-    """A text that is no policy."""
+    """The text is not a valid policy."""
 
 
 @dataclass(frozen=True)
 class FallbackLevel:
-    """One step of a fallbacks: what it takes, and what a request served with it is worth more."""
+    """A fallback level of a flow.
 
-    wants: Wants
-    worth: int
+    `features` are needed besides the required ones, `priority_weight` is added to that of the flow, and
+    `line` is the line in the document, 0 if unknown.
+    """
+
+    features: RequiredFeatures
+    priority_weight: int
     line: int = 0
 
 
 @dataclass(frozen=True)
 class Flow:
-    """Requests that are one traffic class to the policy.
+    """A set of requests that the policy treats alike.
 
-    Empty tuples match any. `cores`: its load over the fleet, in reference cores. `lines`: where its parts
-    stand in the document.
+    Empty tuples match any request. `cores` is the flow's load in the whole fleet, in reference cores,
+    `priority_weight` its weight with the required features only, and `fallbacks` are its fallback levels,
+    best first.
     """
 
     name: str
@@ -48,40 +54,40 @@
     tenants: tuple[str, ...] = ()
     zones: tuple[str, ...] = ()
     cores: float = 0.0
-    worth: int = 1
-    require: Wants = field(default_factory=dict)
+    priority_weight: int = 1
+    require: RequiredFeatures = field(default_factory=dict)
     fallbacks: tuple[FallbackLevel, ...] = ()
     forbid: tuple[str, ...] = ()
-    lines: Mapping[str, int] = field(default_factory=dict)  # of `require.NAME`, `forbid.NAME`
+    lines: Mapping[str, int] = field(default_factory=dict)  # in the document: `require.NAME`, `forbid.NAME`
 
     @property
-    def no_fallback_level(self) -> int:
-        """The last fallback level, on which nothing is preferred."""
+    def last_fallback_level(self) -> int:
+        """The last fallback level, which needs only the required features."""
         return len(self.fallbacks)
 
-    def wants(self, fallback_level: int) -> Wants:
-        """Everything that a class must run to serve it on this fallback level."""
-        if fallback_level >= self.no_fallback_level:
+    def required_features(self, fallback_level: int) -> RequiredFeatures:
+        """Return the features that a class must run to serve the flow on this fallback level."""
+        if fallback_level >= self.last_fallback_level:
             return self.require
-        both: dict[str, Values] = dict(self.require)
-        for name, values in self.fallbacks[fallback_level].wants.items():
-            mine = dict(both.get(name, {}))
+        features: dict[str, ParameterValues] = dict(self.require)
+        for name, values in self.fallbacks[fallback_level].features.items():
+            merged = dict(features.get(name, {}))
             for parameter, value in values.items():
-                mine[parameter] = max(value, mine.get(parameter, value))
-            both[name] = mine
-        return both
+                merged[parameter] = max(value, merged.get(parameter, value))
+            features[name] = merged
+        return features
 
-    def earns(self, fallback_level: int) -> int:
+    def priority_weight_at(self, fallback_level: int) -> int:
         """Return the priority weight of the flow on a fallback level."""
-        return self.worth + (
-            self.fallbacks[fallback_level].worth if fallback_level < self.no_fallback_level else 0
+        return self.priority_weight + (
+            self.fallbacks[fallback_level].priority_weight if fallback_level < self.last_fallback_level else 0
         )
 
-    def takes(self, request_class: str, tenant: str, zone: str) -> bool:
-        """Whether a request is of this flow."""
+    def matches(self, request_class: str, tenant: str, zone: str) -> bool:
+        """Return whether a request belongs to this flow."""
         return all(
-            not those or one in those
-            for one, those in (
+            not accepted or value in accepted
+            for value, accepted in (
                 (request_class, self.request_classes),
                 (tenant, self.tenants),
                 (zone, self.zones),
@@ -91,9 +97,10 @@
 
 @dataclass(frozen=True)
 class Policy:
-    """A document that was read.
+    """The content of a policy document.
 
-    `number` is the document's own version, which only grows; a request is of the first flow that takes it.
+    `number` is the document's own version, which only increases. A request belongs to the first flow that
+    matches.
     """
 
     number: int
@@ -102,13 +109,13 @@
 
     @cached_property
     def text(self) -> str:
-        """Canonical JSON: equal policies have equal texts."""
-        told = {
+        """Canonical JSON; equal policies have equal texts."""
+        fields = {
             "number": self.number,
             "file": self.file,
-            "flows": [_announced_to_listeners(one) for one in self.flows],
+            "flows": [_encode_flow(flow) for flow in self.flows],
         }
-        return json.dumps(told, sort_keys=True, separators=(",", ":"))
+        return json.dumps(fields, sort_keys=True, separators=(",", ":"))
 
     @cached_property
     def digest(self) -> str:
@@ -116,66 +123,73 @@
         return hashlib.blake2b(self.text.encode(), digest_size=6).hexdigest()
 
     def flow(self, request_class: str, tenant: str, zone: str) -> Flow | None:
-        """Return the flow of a request; None if no flow takes it."""
-        return next((one for one in self.flows if one.takes(request_class, tenant, zone)), None)
+        """Return the flow of a request; None if no flow matches it."""
+        return next((flow for flow in self.flows if flow.matches(request_class, tenant, zone)), None)
 
-    def named(self, name: str) -> Flow:
-        """Return the flow of a name; raises `StopIteration` if there is none."""
-        return next(one for one in self.flows if one.name == name)
+    def flow_named(self, name: str) -> Flow:
+        """Return the flow with a name; raises `StopIteration` if there is none."""
+        return next(flow for flow in self.flows if flow.name == name)
 
 
-def _announced_to_listeners(flow: Flow) -> dict[str, object]:
+def _encode_flow(flow: Flow) -> dict[str, object]:
     return {
         "name": flow.name,
         "tracks": flow.request_classes,
         "customers": flow.tenants,
         "zones": flow.zones,
         "cores": flow.cores,
-        "worth": flow.worth,
+        "worth": flow.priority_weight,
         "require": flow.require,
-        "ladder": [{"wants": one.wants, "worth": one.worth, "line": one.line} for one in flow.fallbacks],
+        "ladder": [
+            {"wants": level.features, "worth": level.priority_weight, "line": level.line}
+            for level in flow.fallbacks
+        ],
         "forbid": flow.forbid,
         "lines": flow.lines,
     }
 
 
 def load(text: str) -> Policy:
-    """The policy of a canonical text; raises `PolicyError`."""
+    """Return the policy in a canonical text; raises `PolicyError`."""
     if len(text) > MAX_POLICY_BYTES:
         raise PolicyError(f"over {MAX_POLICY_BYTES} bytes")
     try:
-        told = json.loads(text)
-        flows = tuple(_flow(one) for one in told["flows"])
-        made = Policy(int(told["number"]), flows, str(told["file"]))
-    except (KeyError, TypeError, AttributeError, ValueError) as trouble:
-        raise PolicyError(f"{type(trouble).__name__}: {trouble!s:.120}") from None
-    if len(flows) > MAX_FLOWS or sum(bool(one.fallbacks) for one in flows) > MAX_FLOWS_WITH_FALLBACK:
+        decoded = json.loads(text)
+        flows = tuple(_decode_flow(flow) for flow in decoded["flows"])
+        policy = Policy(int(decoded["number"]), flows, str(decoded["file"]))
+    except (KeyError, TypeError, AttributeError, ValueError) as error:
+        raise PolicyError(f"{type(error).__name__}: {error!s:.120}") from None
+    if len(flows) > MAX_FLOWS or sum(bool(flow.fallbacks) for flow in flows) > MAX_FLOWS_WITH_FALLBACK:
         raise PolicyError("too many flows")
-    if any(len(one.fallbacks) > MAX_FALLBACK_LEVELS for one in flows) or made.text != text:
-        raise PolicyError("not canonical")
-    return made
+    if any(len(flow.fallbacks) > MAX_FALLBACK_LEVELS for flow in flows) or policy.text != text:
+        raise PolicyError("text is not canonical")
+    return policy
 
 
-def _flow(told: Mapping[str, Any]) -> Flow:
+def _decode_flow(fields: Mapping[str, Any]) -> Flow:
     return Flow(
-        name=str(told["name"]),
-        request_classes=_names(told["tracks"]),
-        tenants=_names(told["customers"]),
-        zones=_names(told["zones"]),
-        cores=float(told["cores"]),
-        worth=int(told["worth"]),
-        require=_wants(told["require"]),
+        name=str(fields["name"]),
+        request_classes=_decode_names(fields["tracks"]),
+        tenants=_decode_names(fields["customers"]),
+        zones=_decode_names(fields["zones"]),
+        cores=float(fields["cores"]),
+        priority_weight=int(fields["worth"]),
+        require=_decode_features(fields["require"]),
         fallbacks=tuple(
-            FallbackLevel(_wants(one["wants"]), int(one["worth"]), int(one["line"])) for one in told["ladder"]
+            FallbackLevel(_decode_features(level["wants"]), int(level["worth"]), int(level["line"]))
+            for level in fields["ladder"]
         ),
-        forbid=_names(told["forbid"]),
-        lines={str(key): int(line) for key, line in told["lines"].items()},
+        forbid=_decode_names(fields["forbid"]),
+        lines={str(key): int(line) for key, line in fields["lines"].items()},
     )
 
 
-def _names(told: list[Any]) -> tuple[str, ...]:
-    return tuple(str(one) for one in told)
+def _decode_names(names: list[Any]) -> tuple[str, ...]:
+    return tuple(str(name) for name in names)
 
 
-def _wants(told: Mapping[str, Any]) -> Wants:
-    return {str(name): {str(key): int(n) for key, n in values.items()} for name, values in told.items()}
+def _decode_features(features: Mapping[str, Any]) -> RequiredFeatures:
+    return {
+        str(name): {str(key): int(value) for key, value in values.items()}
+        for name, values in features.items()
+    }
--- a/sablewheel/feature_policy/rollout.py
+++ b/sablewheel/feature_policy/rollout.py
@@ -1,11 +1,11 @@
-"""How a policy comes into force on all members at once. Pure.
-
-A bundle is offered, fetched and verified; each member that holds it proposes so, and when more than half do
-it is a fact (staged). Then, if every flow that requires something has members for its load even with the
-largest zone lost, they propose that it shall be in force, and with that fact it is (active), on every
-member at the same epoch; the one before is retired. All that a member does follows from the view and from
-the bundle that the fact names: who lacks that bundle rejects until it has fetched it, and guesses nothing.
-Facts need more than half of the view, so a minority changes nothing.
+"""The rollout, which activates a policy on all members at the same epoch. Pure.
+
+A bundle is offered, fetched and verified. Each member that holds it proposes it as staged, which becomes a
+fact when more than half of the members propose it. Then, if every flow with required features has enough
+capacity for its load even without the largest zone, they propose it as active. With that fact it is active on
+every member at the same epoch, and the previous bundle is retired. All decisions of a member follow from the
+view and from the bundle that the fact names; a member that lacks this bundle rejects requests until it has
+fetched it. Facts need more than half of the view, so a minority can't change the policy.
 """
 
 from __future__ import annotations
@@ -32,41 +32,42 @@
 from .serving_levels import ServingLevels
 from .translation import NOT_PLACED
 
+# Faults that experiments enable, to check that they are detected.
 FAULTY_VARIANTS = (
     "ignore-class",
     "minority-activates",
     "no-dwell",
     "unverified",
-)  # faulty variants of experiments
+)
 
 
 class Rollout:
-    """One member's part: takes events, gives effects; its parts hold the state."""
+    """The rollout on one member, which turns events into effects; its components hold the state."""
 
     def __init__(
         self,
         node_name: str,
         own_capabilities: HostCapabilities,
         rules: Rules,
-        broken: str = "",
+        faulty_variant: str = "",
         catalogue: Catalogue = CATALOGUE,
     ) -> None:
-        self._broken = broken
-        if broken == "no-dwell":
+        self._faulty_variant = faulty_variant
+        if faulty_variant == "no-dwell":
             rules = Rules(dwell_down=0.0, dwell_up=0.0, up_margin=1.0, rest=0.0, settle=rules.settle)
         self._output = Output()
         self.fleet = FleetState(
-            node_name, own_capabilities, rules, self._output, broken == "minority-activates"
+            node_name, own_capabilities, rules, self._output, faulty_variant == "minority-activates"
         )
-        self._store = BundleStore(self.fleet, self._output, catalogue, broken != "unverified")
+        self._store = BundleStore(self.fleet, self._output, catalogue, faulty_variant != "unverified")
         self._transfer = BundleTransfer(self.fleet, self._store, rules, self._output)
         self._levels = ServingLevels(self.fleet, rules, self._output)
         self._intake = DocumentIntake(self.fleet, self._store, rules, self._output)
-        self._serving: list[tuple[str, ...]] | None = None  # by flow, who may serve it; cached
+        self._serving: list[tuple[str, ...]] | None = None  # by flow, the members that may serve it; cached
         self._announced: tuple[str, str] = ("", "")
         self._waiting_reason = ""
 
-    # -- what the service asks
+    # -- state
 
     @property
     def wake_at(self) -> float:
@@ -80,22 +81,22 @@
 
     @property
     def bundles(self) -> dict[str, PolicyBundle]:
-        """The bundles that are here, by name."""
+        """The stored bundles by name."""
         return self._store.bundles
 
     @property
     def active(self) -> PolicyBundle | None:
-        """The bundle in force, if it is here."""
+        """The active bundle; None if there is none or it is not stored here."""
         return self.bundles.get(self.fleet.active_name)
 
     @property
     def fallback_levels(self) -> tuple[int, ...]:
-        """Each flow's fallback level in the whole fleet; empty without an active bundle here."""
+        """Each flow's fallback level in the whole fleet; empty if the active bundle is not stored here."""
         name, digits = active(self.fleet.fact(ACTIVE))
         return self.bundles[name].fallback_levels(digits) if name in self.bundles else ()
 
     def route(self, request_class: str, tenant: str, zone: str) -> Route:
-        """Return where a request may be served under the policy in force."""
+        """Return where a request may be served under the active policy."""
         if self.fleet.view is None:
             return Route(False, reason="this server is not in the fleet's view yet")
         name = self.fleet.active_name
@@ -104,38 +105,44 @@
         bundle = self.bundles.get(name)
         if bundle is None:
             rejected = name in self._store.rejected
-            reason = "the policy that holds was refused here" if rejected else "it is not here yet"
+            reason = (
+                "this member rejected the active policy"
+                if rejected
+                else "the active policy has not been fetched yet"
+            )
             return Route(False, reason=reason)
         flow = bundle.policy.flow(request_class, tenant, zone)
-        if flow is None or self._broken == "ignore-class":
+        if flow is None or self._faulty_variant == "ignore-class":
             return HERE if flow is None else Route(True, flow.name)
         if self._serving is None:
             self._serving = self._levels.serving_members(bundle, self.fallback_levels)
-        place = bundle.policy.flows.index(flow)
-        members = self._serving[place]
+        index = bundle.policy.flows.index(flow)
+        members = self._serving[index]
         if self.fleet.node_name in members:
             return Route(True, flow.name)
-        wants = ", ".join(flow.require) or "what it wants"
+        required_names = ", ".join(flow.require) or "the features of this flow"
         if not members:
-            return Route(False, flow.name, (), f"no member can run {wants}")
-        able = self._levels.level_of(bundle, place, self.fleet.node_name) != NOT_PLACED
-        reason = "others run more of what it prefers" if able else f"this class can't run {wants}"
+            return Route(False, flow.name, (), f"no member can run {required_names}")
+        able = self._levels.level_of(bundle, index, self.fleet.node_name) != NOT_PLACED
+        reason = (
+            "others run more of its preferred features" if able else f"this class can't run {required_names}"
+        )
         return Route(False, flow.name, members, reason, able)
 
     def able(self) -> dict[str, frozenset[str]]:
-        """Return by flow that requires or forbids anything the members that can serve it.
+        """Return the members that can serve each flow that requires or forbids features.
 
-        Empty where no policy is in force, or it is not here.
+        It is empty if no policy is active, or the active one is not stored here.
         """
         bundle = self.active
         if bundle is None or self.fleet.view is None:
             return {}
         return self._levels.able_members(bundle)
 
-    # -- the step
+    # -- events
 
     def step(self, now: float, event: Event) -> list[Effect]:
-        """Take one event; return what is to be done, in order."""
+        """Process one event; return its effects in order."""
         self._output.begin_step()
         match event:
             case ViewChanged(view):
@@ -148,8 +155,8 @@
                 self._message_received(now, sender, message)
             case DocumentProposed():
                 self._intake.propose(event)
-            case TranslationFinished(made, faults):
-                self._intake.translated(made, faults)
+            case TranslationFinished(bundle, faults):
+                self._intake.translated(bundle, faults)
             case TimerFired():
                 pass
         if self.fleet.is_member:
@@ -177,33 +184,33 @@
                 self._output.log("policy refused by a member", policy=name, member=sender, reason=why)
 
     def _staged_fact_due(self) -> str:
-        """Return the newest bundle here, if it is above what is in force and what is staged."""
+        """Return the newest stored bundle if it is above the active and the staged one, else the fact."""
         fact = self.fleet.fact(STAGED)
-        known = max(order(fact), order(self.fleet.active_name))
+        newest_known = max(order(fact), order(self.fleet.active_name))
         newest = self._store.newest
-        return newest if order(newest) > known else fact
+        return newest if order(newest) > newest_known else fact
 
     def _active_fact_due(self, now: float) -> str:
-        """Return what should be in force: the staged bundle, once every flow has members for its load."""
+        """Return the due active fact: the staged bundle, once every flow has capacity for its load."""
         fact, staged = self.fleet.fact(ACTIVE), self.fleet.fact(STAGED)
         name, digits = active(fact)
-        new = self.bundles.get(staged)
-        if new is not None and order(staged) > order(name):
-            reason = self._levels.lack_of_capacity(new)
+        staged_bundle = self.bundles.get(staged)
+        if staged_bundle is not None and order(staged) > order(name):
+            reason = self._levels.lack_of_capacity(staged_bundle)
             if not reason:
-                return f"{staged}:{new.digits(self._levels.first_levels(new))}"
+                return f"{staged}:{staged_bundle.digits(self._levels.first_levels(staged_bundle))}"
             if reason != self._waiting_reason:
                 self._waiting_reason = reason
                 self._output.log("staged policy waits", policy=staged, reason=reason)
         bundle = self.bundles.get(name)
         if bundle is None:
-            self._levels.forget_pending_steps()
+            self._levels.cancel_pending_steps()
             return fact
         levels = self._levels.levels_due(now, bundle, bundle.fallback_levels(digits))
         return f"{name}:{bundle.digits(levels)}"
 
     def _announce_active(self, now: float) -> None:
-        """Apply and log what is in force, where that is new."""
+        """Apply and log the active bundle and its levels, if they changed."""
         name, digits = active(self.fleet.fact(ACTIVE))
         bundle = self.bundles.get(name)
         current = (name, digits) if bundle is not None else ("", "")
@@ -218,7 +225,7 @@
             self._output.effects.append(ApplyPlan(bundle, plan))
         if bundle is not None:
             self._log_active(bundle, digits)
-        self._store.forget_old()
+        self._store.evict_old()
 
     def _log_active(self, bundle: PolicyBundle, digits: str) -> None:
         levels = ",".join(
--- a/sablewheel/feature_policy/rollout_events.py
+++ b/sablewheel/feature_policy/rollout_events.py
@@ -1,4 +1,4 @@
-"""What the rollout of a policy is told, what it asks for, and where it lets requests go."""
+"""The events and effects of the rollout of a policy, and the routes that it returns for requests."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class ViewChanged:
-    """The agreed view is a new one."""
+    """The fleet agreed on a new view."""
 
     view: View
 
@@ -28,7 +28,10 @@
 
 @dataclass(frozen=True)
 class DocumentProposed:
-    """The operators' document, to be taken in: at once, or if the fleet has none (`only_first`)."""
+    """The operators proposed a document.
+
+    With `only_first` it is used only if the fleet has no policy yet.
+    """
 
     text: str
     file: str
@@ -37,7 +40,7 @@
 
 @dataclass(frozen=True)
 class TranslationFinished:
-    """What a `StartTranslation` came to: a bundle, or why there is none."""
+    """The translation of a `StartTranslation` ended with a bundle, or with faults if `made` is None."""
 
     made: PolicyBundle | None
     faults: tuple[str, ...] = ()
@@ -45,7 +48,7 @@
 
 @dataclass(frozen=True)
 class TimerFired:
-    """The shell calls at `Rollout.wake_at` or sooner."""
+    """A timer fired, at `Rollout.wake_at` or earlier."""
 
 
 Event = ViewChanged | MessageReceived | DocumentProposed | TranslationFinished | TimerFired
@@ -61,14 +64,14 @@
 
 @dataclass(frozen=True)
 class ProposeFact:
-    """Propose a fact to membership, which agrees on it with the view."""
+    """Propose a fact to membership, which agrees on facts together with the view."""
 
     fact: Fact
 
 
 @dataclass(frozen=True)
 class StartTranslation:
-    """Translate in a process of its own: a document, or the bundle in force for more classes."""
+    """Translate in a separate process: a document, or with `base` that bundle for additional classes."""
 
     text: str
     file: str
@@ -78,7 +81,10 @@
 
 @dataclass(frozen=True)
 class ApplyPlan:
-    """What this server's class is to run from now on; no plan: its class has none, no bundle: none holds."""
+    """Apply a plan to this server.
+
+    `plan` is None if the bundle has none for this server's class, and `bundle` if no policy is active here.
+    """
 
     bundle: PolicyBundle | None
     plan: ClassPlan | None
@@ -86,7 +92,7 @@
 
 @dataclass(frozen=True)
 class LogEntry:
-    """A line for the log."""
+    """Write a log line."""
 
     what: str
     fields: dict[str, object]
@@ -99,8 +105,9 @@
 class Route:
     """Where a request may be served.
 
-    `here`: it belongs here; else to `others`, or to nobody, for the `reason`. `able`: this server runs all
-    that its flow requires, so it serves it if those can't be reached: a preference rejects nothing.
+    With `here` this server serves it. Otherwise the members `others` do, or none if that is empty, for the
+    `reason`. With `able` this server runs all features that the flow requires. Then it serves the request if
+    the others can't be reached, as a request is never rejected because of a preference.
     """
 
     here: bool
--- a/sablewheel/feature_policy/service.py
+++ b/sablewheel/feature_policy/service.py
@@ -1,8 +1,10 @@
-"""PolicyService in the server: views, frames and timers become the rollout's events, and its effects go out.
+"""The service that connects the rollout to the server.
 
-Decides nothing. Its gate stands right before the dispatch, where what peers pass on comes by as well: a
-request is served here, or passed to a member that may, or rejected at once with the cause counted and logged.
-A translation is done by a process of its own, which is looked after and never waited for.
+It turns views, frames and timers into events of the rollout and carries out the effects; all decisions are
+the rollout's. Its gate is the last handler before the dispatcher, so that it also sees the requests that
+peers forward. A request is served here, forwarded to a member that may serve it, or rejected at once with
+the cause counted and logged. Translations run in a separate process that is polled, so that the server
+never blocks.
 """
 
 from __future__ import annotations
@@ -48,45 +50,49 @@
     ViewChanged,
 )
 
-KIND = "policy"
-MESSAGE_EXPIRES_IN_S = 2.0  # a message is worth nothing later: what it asks for is asked again
-PROCESS_POLL_INTERVAL_S = 0.05  # at the process that translates
-AVOID_MEMBER_S = 3.0  # seconds that a member is passed over after its link broke, while there are others
-MAX_CACHED_ROUTES = 4096  # of request classes and tenants, remembered until something changes
+MESSAGE_TYPE = "policy"
+MESSAGE_EXPIRES_IN_S = 2.0  # older messages are useless, as requests are repeated
+PROCESS_POLL_INTERVAL_S = 0.05  # for the translation process
+AVOID_MEMBER_S = 3.0  # for which a member is avoided after its connection was lost, if there are others
+MAX_CACHED_ROUTES = 4096  # by request class, tenant and zone; cleared at every event
 
 log = logging.getLogger(__name__)
-changes = logging.getLogger(f"{__name__}.changes")  # bounded apart: rejections must not hide what holds
+# This logger has its own rate limit, so that rejections can't suppress changes of the policy.
+changes = logging.getLogger(f"{__name__}.changes")
 
 
 class Fleet(Protocol):
-    """Membership, as it is needed here."""
+    """The part of membership that the service uses."""
 
     @property
     def node_name(self) -> str:
         """The name of this member."""
 
     def on_view(self, callback: Callable[[View], None]) -> None:
-        """Call back with each view."""
+        """Call `callback` with each new view."""
 
     def report_fact(self, fact: Fact) -> None:
         """Propose a fact."""
 
 
 class Links(Protocol):
-    """The forward path's links, as they are needed here."""
+    """The part of the forwarding links that the service uses."""
 
     def send(self, peer_name: str, message_type: str, payload: bytes, *, expires_in_s: float) -> None:
         """Queue a frame for a peer; raises `SendError`."""
 
     def register_handler(self, message_type: str, handler: Callable[[str, bytes], None]) -> None:
-        """Call a handler with the frames of a kind."""
+        """Call `handler` with the sender and the payload of each frame of a type."""
 
     def on_connection_lost(self, callback: Callable[[str], None]) -> None:
-        """Call back with the name of a peer whose connection broke."""
+        """Call `callback` with the name of each peer whose connection is lost."""
 
 
 class PolicyService:
-    """This server's part in the fleet's policy. `changed` is called when `machine` gives another one."""
+    """This server's part in the fleet's policy.
+
+    `settings_changed` is called when `server_settings` would return different settings.
+    """
 
     def __init__(
         self,
@@ -96,20 +102,20 @@
         links: Links,
         own_capabilities: HostCapabilities,
         tenants: dict[bytes, Tenant],
-        changed: Callable[[], None],
+        settings_changed: Callable[[], None],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._scheduler, self._plan, self._fleet, self._links = scheduler, plan, fleet, links
-        self._tenants, self._settings_changed, self._clock = tenants, changed, clock
+        self._tenants, self._settings_changed, self._clock = tenants, settings_changed, clock
         self.rollout = Rollout(fleet.node_name, own_capabilities, plan.rules, plan.broken)
         self._view: View | None = None
         self._applied: ApplyPlan | None = None
         self._names: dict[Tenant | None, str] = {}
         self._routes: dict[tuple[bytes, Tenant | None, str], Route] = {}
-        self._logged_reasons: dict[str, str] = {}  # by flow, the last cause of a rejection that was logged
+        self._logged_reasons: dict[str, str] = {}  # by flow, the last logged reason of a rejection
         self._listeners: list[Callable[[int, dict[str, frozenset[str]]], None]] = []
         self._announced_to_listeners: tuple[int, dict[str, frozenset[str]]] = (0, {})
-        self._broken: dict[str, float] = {}  # when the last link to each broke
+        self._connection_lost_at: dict[str, float] = {}  # by peer, when its last connection was lost
         self._next_peer_index = 0
         self._wake = Wakeup(scheduler, clock, self._timer_fired, 0.005)
         self._process: subprocess.Popen[bytes] | None = None
@@ -117,89 +123,93 @@
         self._process_deadline_s = 0.0
         self._open = True
         self.counts: dict[str, int] = {}
-        links.register_handler(KIND, self._frame_received)
-        links.on_connection_lost(lambda peer: self._broken.update({peer: clock()}))
+        links.register_handler(MESSAGE_TYPE, self._frame_received)
+        links.on_connection_lost(lambda peer: self._connection_lost_at.update({peer: clock()}))
         fleet.on_view(self._view_changed)
         if plan.file is not None:
-            self._proposed_document(only_first=True)
+            self._propose_document(only_first=True)
 
-    # -- what the program asks
+    # -- lifecycle and state
 
     def server_settings(self, server_settings: ServerSettings) -> ServerSettings:
-        """The settings as the policy that holds would have them."""
+        """Return the settings with the active policy applied."""
         applied = self._applied
         if applied is None or applied.bundle is None:
             return server_settings
         return settings(server_settings, applied.bundle.policy, applied.plan)
 
     def reload(self) -> None:
-        """SIGHUP: the operators' document is read anew."""
+        """Read the operators' document again, at SIGHUP."""
         if self._plan.file is not None:
-            self._proposed_document(only_first=False)
+            self._propose_document(only_first=False)
 
     def close(self) -> None:
-        """End the process that translates; nothing is done from now on."""
+        """Terminate the translation process and ignore all later events."""
         self._open = False
         self._wake.cancel()
-        self._end_process()
+        self._terminate_process()
 
     def gauges(self) -> dict[str, object]:
-        """Return the values printed beside the counters."""
-        held = self.rollout.active
-        told: dict[str, object] = {
-            "policy": held.name if held is not None else "-",
+        """Return the values that are reported with the counters."""
+        active = self.rollout.active
+        gauges: dict[str, object] = {
+            "policy": active.name if active is not None else "-",
             "policy_rungs": "".join(str(fallback_level) for fallback_level in self.rollout.fallback_levels)
             or "-",
             "policy_class": self.rollout.fleet.own_capabilities.key,
         }
         counts = {**self.rollout.counts, **self.counts}
-        return told | {f"policy_{name}": count for name, count in sorted(counts.items())}
+        return gauges | {f"policy_{name}": count for name, count in sorted(counts.items())}
 
     def on_active(self, callback: Callable[[int, dict[str, frozenset[str]]], None]) -> None:
-        """Call back with the policy in force, at once and whenever it changes.
+        """Call `callback` with the active policy, at once and whenever it changes.
 
-        The arguments are the document's number (0: none in force, or not here) and `Rollout.able`.
+        The arguments are the number of the policy, 0 if none is active or stored here, and `Rollout.able()`.
         """
         self._listeners.append(callback)
         callback(*self._announced_to_listeners)
 
-    # -- the gate, and where else a request may go
+    # -- requests
 
     def gate(self, inner: RequestHandler) -> RequestHandler:
-        """Return a handler in front of another, which lets in what may be served here."""
+        """Return a handler that passes the requests that may be served here to `inner`."""
         return Gate(self, inner)
 
     def route(self, exchange: Exchange) -> Route:
-        """Where it may be served; of a request that a peer passed on, the zone where it came in counts."""
+        """Return where a request may be served; a forwarded request is of the zone of the forwarding peer."""
         zone = self._zone(getattr(exchange.caller, "sender", self._fleet.node_name))
         key = (exchange.request_class, exchange.request.tenant, zone)
-        found = self._routes.get(key)
-        if found is None:
-            tenant = self._name(exchange.request.tenant)
-            found = self.rollout.route(exchange.request_class.decode("utf-8", "replace"), tenant, zone)
+        route = self._routes.get(key)
+        if route is None:
+            tenant = self._tenant_name(exchange.request.tenant)
+            route = self.rollout.route(exchange.request_class.decode("utf-8", "replace"), tenant, zone)
             if len(self._routes) >= MAX_CACHED_ROUTES:
                 self._routes.clear()
-            self._routes[key] = found
-        return found
+            self._routes[key] = route
+        return route
 
     def place(self, exchange: Exchange) -> str | None:
-        """The member that is to serve a request in this one's place, by turns, near first; None: this."""
+        """Return the member to forward a request to, round-robin and preferably in this zone; or None."""
         route = self.route(exchange)
         if route.here or not route.others:
             return None
         now = self._clock()
-        well = [
-            one for one in route.others if now >= self._broken.get(one, -inf) + AVOID_MEMBER_S
+        reachable = [
+            member
+            for member in route.others
+            if now >= self._connection_lost_at.get(member, -inf) + AVOID_MEMBER_S
         ] or route.others
-        near = [one for one in well if self._zone(one) == self._zone(self._fleet.node_name)]
-        those = near or well
+        same_zone = [
+            member for member in reachable if self._zone(member) == self._zone(self._fleet.node_name)
+        ]
+        candidates = same_zone or reachable
         self._next_peer_index += 1
-        return those[self._next_peer_index % len(those)]
+        return candidates[self._next_peer_index % len(candidates)]
 
     def reject(self, exchange: Exchange, route: Route) -> None:
-        """At once, before it costs anything; where others may serve it the caller is free to go to them."""
-        what = "elsewhere" if route.others else "nobody" if route.flow else "unknown"
-        self._count(f"denied_{what}")
+        """Reject a request before it takes resources; the caller may try the members that may serve it."""
+        cause = "elsewhere" if route.others else "nobody" if route.flow else "unknown"
+        self._count(f"denied_{cause}")
         if self._logged_reasons.get(route.flow) != route.reason:
             self._logged_reasons[route.flow] = route.reason
             pairs = {"flow": route.flow or "-", "reason": route.reason, "others": len(route.others)}
@@ -207,10 +217,10 @@
         no_retry_elsewhere = bool(route.flow) and not route.others
         exchange.reject(self._plan.rules.retry_after_s if no_retry_elsewhere else 0.0, no_retry_elsewhere)
 
-    def served(self, route: Route) -> None:
-        """Note that a request is served here."""
+    def record_served(self, route: Route) -> None:
+        """Count and log that a request is served here."""
         if not route.here:
-            self._count("served_below")  # with less than it prefers, as the others were not reached
+            self._count("served_below")  # below the flow's level, as the other members were not reached
         if route.flow in self._logged_reasons:
             del self._logged_reasons[route.flow]
             log.info("flow served again", extra={"pairs": {"flow": route.flow}})
@@ -219,36 +229,38 @@
         member = self._view.get(name) if self._view is not None else None
         return member.zone if member is not None else ""
 
-    def _name(self, tenant: Tenant | None) -> str:
-        if tenant not in self._names:  # new settings make new objects
-            self._names = {one: name.decode("utf-8", "replace") for name, one in self._tenants.items()}
+    def _tenant_name(self, tenant: Tenant | None) -> str:
+        if tenant not in self._names:  # new settings come with new Tenant objects
+            self._names = {each: name.decode("utf-8", "replace") for name, each in self._tenants.items()}
             self._names[None] = ""
         return self._names.get(tenant, "")
 
-    # -- events in
+    # -- events
 
     def _view_changed(self, view: View) -> None:
         self._view = view
-        self._broken = {name: when for name, when in self._broken.items() if name in view}
+        self._connection_lost_at = {
+            name: lost_at for name, lost_at in self._connection_lost_at.items() if name in view
+        }
         self._step(ViewChanged(view))
 
     def _frame_received(self, sender: str, payload: bytes) -> None:
         try:
             message = codec.decode(payload)
-        except codec.BadMessageError as trouble:
+        except codec.BadMessageError as error:
             self._count("messages_bad")
-            log.warning("message dropped", extra={"pairs": {"from": sender, "reason": trouble}})
+            log.warning("message dropped", extra={"pairs": {"from": sender, "reason": error}})
             return
         self._step(MessageReceived(sender, message))
 
-    def _proposed_document(self, only_first: bool) -> None:
+    def _propose_document(self, only_first: bool) -> None:
         assert self._plan.file is not None
         try:
             with open(self._plan.file, encoding="utf-8") as file:
                 text = file.read(MAX_POLICY_BYTES)
-        except (OSError, UnicodeDecodeError) as trouble:
+        except (OSError, UnicodeDecodeError) as error:
             self._count("unread")
-            log.error("policy not read", extra={"pairs": {"file": self._plan.file, "reason": trouble}})
+            log.error("policy not read", extra={"pairs": {"file": self._plan.file, "reason": error}})
             return
         self._step(DocumentProposed(text, self._plan.file, only_first))
 
@@ -258,7 +270,7 @@
         try:
             effects = self.rollout.step(self._clock(), event)
         except Exception:
-            # A fault of ours in here must not take the server's requests along.
+            # An error in the rollout must not affect the server's requests.
             self._count("faults")
             log.exception("policy step ended by a fault")
             effects = []
@@ -266,121 +278,123 @@
         for effect in effects:
             self._carry_out(effect)
         self._wake.set(self.rollout.wake_at)
-        held = self.rollout.active
-        told = (held.policy.number if held is not None else 0, self.rollout.able())
-        if told != self._announced_to_listeners:
-            self._announced_to_listeners = told
+        active = self.rollout.active
+        announcement = (active.policy.number if active is not None else 0, self.rollout.able())
+        if announcement != self._announced_to_listeners:
+            self._announced_to_listeners = announcement
             for callback in self._listeners:
-                callback(*told)
+                callback(*announcement)
 
     def _timer_fired(self) -> None:
         self._step(TimerFired())
 
-    # -- effects out
+    # -- effects
 
     def _carry_out(self, effect: Effect) -> None:
         match effect:
-            case Send(to, message):
-                self._send(to, message)
+            case Send(member, message):
+                self._send(member, message)
             case ProposeFact(fact):
                 self._fleet.report_fact(fact)
             case ApplyPlan():
                 self._applied = effect
                 self._settings_changed()
             case StartTranslation():
-                self._start(effect)
-            case LogEntry(what, fields):
-                (changes if what == "policy active" else log).info(what, extra={"pairs": fields})
+                self._start_translation(effect)
+            case LogEntry(event, fields):
+                (changes if event == "policy active" else log).info(event, extra={"pairs": fields})
 
-    def _send(self, to: str, message: Message) -> None:
+    def _send(self, member: str, message: Message) -> None:
         try:
-            self._links.send(to, KIND, codec.encode(message), expires_in_s=MESSAGE_EXPIRES_IN_S)
+            self._links.send(member, MESSAGE_TYPE, codec.encode(message), expires_in_s=MESSAGE_EXPIRES_IN_S)
         except SendError:
             self._count("unsent")
         else:
             self._count("sent")
 
-    def _start(self, what: StartTranslation) -> None:
-        """Start a translation in a process of its own.
+    def _start_translation(self, translation: StartTranslation) -> None:
+        """Start a translation in a separate process.
 
-        Its input and output are files, so that nobody waits for a pipe.
+        Its input and output are files, so that neither process blocks on a pipe.
         """
-        self._end_process()
+        self._terminate_process()
         job = {
-            "text": what.text,
-            "file": what.file,
-            "classes": [one.said for one in what.classes],
-            "base": what.base.text if what.base is not None else None,
+            "text": translation.text,
+            "file": translation.file,
+            "classes": [host_class.said for host_class in translation.classes],
+            "base": translation.base.text if translation.base is not None else None,
         }
-        words = [sys.executable, "-m", f"{__package__}.translating"]
+        command = [sys.executable, "-m", f"{__package__}.translating"]
         try:
-            with tempfile.TemporaryFile() as told:
-                told.write(json.dumps(job).encode())
-                told.seek(0)
-                self._process_output = tempfile.TemporaryFile()  # noqa: SIM115  kept until the job is over
+            with tempfile.TemporaryFile() as job_file:
+                job_file.write(json.dumps(job).encode())
+                job_file.seek(0)
+                self._process_output = tempfile.TemporaryFile()  # noqa: SIM115  open until the job ends
                 self._process = subprocess.Popen(
-                    words, stdin=told, stdout=self._process_output, stderr=subprocess.DEVNULL
+                    command, stdin=job_file, stdout=self._process_output, stderr=subprocess.DEVNULL
                 )
-        except OSError as trouble:
-            self._end_process()
-            self._scheduler.spawn(self._step, TranslationFinished(None, (f"no process for it: {trouble}",)))
+        except OSError as error:
+            self._terminate_process()
+            self._scheduler.spawn(
+                self._step, TranslationFinished(None, (f"could not start the translation process: {error}",))
+            )
             return
         self._process_deadline_s = self._clock() + self._plan.rules.translate_within
-        self._scheduler.after(PROCESS_POLL_INTERVAL_S, self._check_process)
+        self._scheduler.after(PROCESS_POLL_INTERVAL_S, self._poll_process)
 
-    def _check_process(self) -> None:
-        job, out = self._process, self._process_output
-        if job is None or out is None:
+    def _poll_process(self) -> None:
+        process, output = self._process, self._process_output
+        if process is None or output is None:
             return
-        if job.poll() is None:
+        if process.poll() is None:
             if self._clock() < self._process_deadline_s:
-                self._scheduler.after(PROCESS_POLL_INTERVAL_S, self._check_process)
+                self._scheduler.after(PROCESS_POLL_INTERVAL_S, self._poll_process)
                 return
-            self._end_process()
-            return self._step(TranslationFinished(None, ("the translation took too long",)))
-        out.seek(0)
-        data = out.read(policy_bundle.MAX_BUNDLE_BYTES)
-        self._end_process()
+            self._terminate_process()
+            return self._step(TranslationFinished(None, ("the translation process timed out",)))
+        output.seek(0)
+        data = output.read(policy_bundle.MAX_BUNDLE_BYTES)
+        self._terminate_process()
         self._step(self._answer(data))
 
     def _answer(self, data: bytes) -> TranslationFinished:
         try:
-            told = json.loads(data)
-            if "faults" in told:
-                return TranslationFinished(None, tuple(str(one) for one in told["faults"]))
-            return TranslationFinished(policy_bundle.load(told["bundle"]))
-        except (ValueError, KeyError, TypeError, BundleError) as trouble:
-            return TranslationFinished(None, (f"the translation's process failed: {trouble}",))
-
-    def _end_process(self) -> None:
-        job, out, self._process, self._process_output = self._process, self._process_output, None, None
-        if job is not None and job.poll() is None:
-            job.kill()
-            job.wait()
-        if out is not None:
-            out.close()
+            result = json.loads(data)
+            if "faults" in result:
+                return TranslationFinished(None, tuple(str(fault) for fault in result["faults"]))
+            return TranslationFinished(policy_bundle.load(result["bundle"]))
+        except (ValueError, KeyError, TypeError, BundleError) as error:
+            return TranslationFinished(None, (f"the translation process failed: {error}",))
+
+    def _terminate_process(self) -> None:
+        process, output, self._process, self._process_output = self._process, self._process_output, None, None
+        if process is not None and process.poll() is None:
+            process.kill()
+            process.wait()
+        if output is not None:
+            output.close()
 
     def _count(self, name: str) -> None:
         self.counts[name] = self.counts.get(name, 0) + 1
 
 
 class Gate:
-    """Right before the dispatch: nothing is served that the policy has served elsewhere."""
+    """The handler before the dispatcher, which rejects requests that the policy assigns to other members."""
 
-    __slots__ = ("_inner", "_policies")
+    __slots__ = ("_inner", "_service")
 
-    def __init__(self, policies: PolicyService, inner: RequestHandler) -> None:
-        self._policies, self._inner = policies, inner
+    def __init__(self, service: PolicyService, inner: RequestHandler) -> None:
+        self._service, self._inner = service, inner
 
     def arrived(self, exchange: Exchange) -> None:
-        """Serve, or reject at once with the cause counted and logged."""
-        route = self._policies.route(exchange)
+        """Serve a request, or reject it at once."""
+        route = self._service.route(exchange)
         if route.here or route.able:
-            self._policies.served(route)
+            self._service.record_served(route)
             self._inner.arrived(exchange)
         else:
-            self._policies.reject(exchange, route)
+            self._service.reject(exchange, route)
 
     def cancelled(self, exchange: Exchange) -> None:
-        """Pass on that nobody waits for the answer any more."""
+        """Forward the cancellation of a request."""
         self._inner.cancelled(exchange)
--- a/sablewheel/feature_policy/translate.py
+++ b/sablewheel/feature_policy/translate.py
@@ -1,13 +1,14 @@
-"""From a policy and the hardware classes to what each class runs: of greatest worth within what it has.
+"""Translation of a policy into the plans of greatest total weight that the classes of hosts can run.
 
-The one place that imports OR-tools (CP-SAT), one thread and a fixed seed; it takes seconds, so never in a
-process that serves. What is worth most is a sum over classes, and classes only touch where a flow would have
-none: so each class is solved by itself first, and all together only if that leaves a flow without one. What
-the solver chooses is a fallback level for each flow and class; features and parameters follow as the least
-that these take. `verify` checks the result without the solver.
+This is the only module that imports OR-tools (CP-SAT), with one thread and a fixed seed. Solving takes
+seconds, so it never runs in a serving process. The objective is a sum over classes, and classes are coupled
+only by the rule that some class serves each flow. So each class is first solved on its own, and all of them
+together only if that leaves a flow unserved. The solver chooses a fallback level for each flow and class;
+features and parameters follow as the least that these levels need. `verify` checks the result without the
+solver.
 
-When nothing holds, the error names a smallest set of lines that can't hold together: the solver's sufficient
-assumptions, thinned line by line (deletion) until each that is left is needed.
+If no translation exists, the error names a smallest set of conflicting lines: the solver's sufficient
+assumptions, reduced by deleting lines one at a time until each of the rest is needed.
 """
 
 from __future__ import annotations
@@ -19,264 +20,309 @@
 from ortools.sat.python import cp_model
 
 from .host_capabilities import CATALOGUE, Catalogue, Feature, HostCapabilities
-from .policy import Flow, Policy, Wants
+from .policy import Flow, Policy, RequiredFeatures
 from .translation import MAX_CLASSES, NOT_PLACED, ClassPlan, Translation
 
-MAX_TOTAL_SOLVER_UNITS = (
-    60.0  # of the solver's own deterministic units, about seconds, for all classes together
-)
-MIN_SOLVER_UNITS = 0.25  # for one of them; past its time the best that was found is taken
-MAX_JOINT_PROBLEM_SIZE = 2000  # classes times flows that are solved all together
-MAX_CANDIDATE_CLASSES = 4  # classes tried for a flow that has none, in larger fleets
-MAX_EXACT_CORE_SIZE = (
-    3  # lines up to which a smallest set is looked for by size; larger ones are only minimal
-)
+# Time limits in the solver's deterministic units, each of which takes about a second.
+MAX_TOTAL_SOLVER_UNITS = 60.0  # for all classes together
+MIN_SOLVER_UNITS = 0.25  # for one class; at the time limit the best solution so far is used
+MAX_JOINT_PROBLEM_SIZE = 2000  # classes times flows; larger problems are not solved jointly
+MAX_CANDIDATE_CLASSES = 4  # classes tried for an unserved flow in larger fleets
+MAX_EXACT_CORE_SIZE = 3  # lines; larger conflicting sets are minimal, but not always of the smallest size
 
-FOUND = (cp_model.OPTIMAL, cp_model.FEASIBLE)
+SOLVED = (cp_model.OPTIMAL, cp_model.FEASIBLE)
 
 Line = tuple[str, str]  # a flow's name, and `require.FEATURE` or `forbid.FEATURE`
 
 
 @dataclass(frozen=True)
 class Conflict:
-    """One of the lines that can't hold together; `kind` is the class it is so on, or `any`."""
+    """One of a set of conflicting lines.
+
+    `kind` is the key of the class on which they conflict, or `any`.
+    """
 
     file: str
     line: int
     flow: str
     kind: str
     key: str
-    says: str = ""
+    reason: str = ""
 
 
 class InfeasibleError(ValueError):
-    """No translation keeps all that is required; a line for each conflict."""
+    """No translation satisfies all requirements; the text has a line for each conflict."""
 
     def __init__(self, conflicts: Sequence[Conflict]) -> None:
         self.conflicts = tuple(conflicts)
         super().__init__(
             "\n".join(
-                f"{one.file}:{one.line}: flows.{one.flow}.{one.key}: class {one.kind}: {one.says}"
-                for one in conflicts
+                f"{conflict.file}:{conflict.line}: flows.{conflict.flow}.{conflict.key}: "
+                f"class {conflict.kind}: {conflict.reason}"
+                for conflict in conflicts
             )
         )
 
 
 class UndecidedError(RuntimeError):
-    """The solver's time was up before it found anything."""
+    """The solver found neither a solution nor a proof that there is none within its time limit."""
 
 
 def translate(
     policy: Policy,
-    abilities: Iterable[HostCapabilities],
+    host_classes: Iterable[HostCapabilities],
     catalogue: Catalogue = CATALOGUE,
     base: Translation | None = None,
 ) -> Translation:
     """Return the translation for these classes.
 
-    With `base`, of the same policy, its classes stay as they are and new ones join. Raises
-    `InfeasibleError`, `UndecidedError`, or `ValueError` for too many classes.
+    With `base`, a translation of the same policy, the plans of its classes are kept and plans of new classes
+    are added. Raises `InfeasibleError`, `UndecidedError`, or `ValueError` for no or too many classes.
     """
-    kept = dict(base.classes) if base is not None else {}
-    asked = sorted(set(abilities))
-    classes = [one for one in asked if one not in kept]
-    if len(classes) + len(kept) > MAX_CLASSES:
-        kept = {one: plan for one, plan in kept.items() if one in asked}
-    if not asked or len(classes) + len(kept) > MAX_CLASSES:
-        raise ValueError(f"{len(classes) + len(kept)} classes; 1 to {MAX_CLASSES} are wanted")
-    fallback_levels = {one: plan.fallback_levels for one, plan in kept.items()}
-    most = max(MAX_TOTAL_SOLVER_UNITS / max(len(classes), 1), MIN_SOLVER_UNITS)
-    fallback_levels |= {one: _solve(policy, [one], catalogue, most=most)[one] for one in classes}
-    if bare := _bare(policy, fallback_levels):
-        alone = [flow for flow in bare if not _anywhere(flow, asked, catalogue)]
-        if alone:
-            raise InfeasibleError(_why_alone(policy, alone, asked, catalogue))
-        large = len(asked) * len(policy.flows) > MAX_JOINT_PROBLEM_SIZE
-        mended = _mend(policy, {one: fallback_levels[one] for one in asked}, catalogue) if large else None
+    kept_plans = dict(base.classes) if base is not None else {}
+    requested = sorted(set(host_classes))
+    new_classes = [host_class for host_class in requested if host_class not in kept_plans]
+    if len(new_classes) + len(kept_plans) > MAX_CLASSES:
+        kept_plans = {host_class: plan for host_class, plan in kept_plans.items() if host_class in requested}
+    if not requested or len(new_classes) + len(kept_plans) > MAX_CLASSES:
+        raise ValueError(f"{len(new_classes) + len(kept_plans)} classes; must be 1 to {MAX_CLASSES}")
+    fallback_levels = {host_class: plan.fallback_levels for host_class, plan in kept_plans.items()}
+    solver_units = max(MAX_TOTAL_SOLVER_UNITS / max(len(new_classes), 1), MIN_SOLVER_UNITS)
+    fallback_levels |= {
+        host_class: _solve(policy, [host_class], catalogue, solver_units=solver_units)[host_class]
+        for host_class in new_classes
+    }
+    if unserved := _unserved_flows(policy, fallback_levels):
+        unservable = [flow for flow in unserved if not _is_servable(flow, requested, catalogue)]
+        if unservable:
+            raise InfeasibleError(_single_flow_conflicts(policy, unservable, requested, catalogue))
+        is_large = len(requested) * len(policy.flows) > MAX_JOINT_PROBLEM_SIZE
+        reassigned = (
+            _assign_unserved_flows(
+                policy, {host_class: fallback_levels[host_class] for host_class in requested}, catalogue
+            )
+            if is_large
+            else None
+        )
         try:
-            fallback_levels = mended or _solve(policy, asked, catalogue, covered=range(len(policy.flows)))
+            fallback_levels = reassigned or _solve(
+                policy, requested, catalogue, covered=range(len(policy.flows))
+            )
         except InfeasibleError:
-            raise InfeasibleError(_why_together(policy, asked, catalogue)) from None
-    plans = {one: plan_of(policy, those, catalogue) for one, those in fallback_levels.items()}
+            raise InfeasibleError(_joint_conflicts(policy, requested, catalogue)) from None
+    plans = {host_class: plan_of(policy, levels, catalogue) for host_class, levels in fallback_levels.items()}
     revision = base.revision + 1 if base is not None else 0
     return Translation(policy.number, revision, policy.digest, plans)
 
 
-Rungs = dict[HostCapabilities, tuple[int, ...]]
+LevelsByClass = dict[HostCapabilities, tuple[int, ...]]
 
 
-def _bare(policy: Policy, fallback_levels: Rungs) -> list[Flow]:
-    """Flows that no class serves."""
+def _unserved_flows(policy: Policy, fallback_levels: LevelsByClass) -> list[Flow]:
+    """Return the flows that no class serves."""
     return [
         flow
-        for place, flow in enumerate(policy.flows)
-        if all(those[place] == NOT_PLACED for those in fallback_levels.values())
+        for index, flow in enumerate(policy.flows)
+        if all(levels[index] == NOT_PLACED for levels in fallback_levels.values())
     ]
 
 
-def _mend(policy: Policy, fallback_levels: Rungs, catalogue: Catalogue) -> Rungs | None:
-    """Put each flow that nobody serves on the class where that costs least, one after another.
+def _assign_unserved_flows(
+    policy: Policy, fallback_levels: LevelsByClass, catalogue: Catalogue
+) -> LevelsByClass | None:
+    """Assign each unserved flow in turn to the class where that reduces the weight least.
 
-    For large fleets; None if that comes to nothing. What stays is the best for each class with what was put
-    on it, and no proof that another choice of classes would not be worth a little more: all together would
-    take minutes.
+    Used for large fleets, where a joint solution would take minutes. Returns None if it fails. The result is
+    optimal for each class with the flows assigned to it, but another choice of classes may have a slightly
+    greater weight.
     """
     fallback_levels, forced = dict(fallback_levels), dict[HostCapabilities, set[int]]()
     for _ in range(2 * len(policy.flows)):
-        bare = _bare(policy, fallback_levels)
-        if not bare:
+        unserved = _unserved_flows(policy, fallback_levels)
+        if not unserved:
             return fallback_levels
-        flow, place = bare[0], policy.flows.index(bare[0])
-        fit = [one for one in fallback_levels if not _fits(one, flow, _lines(flow), catalogue)]
-        found: list[tuple[int, int, HostCapabilities, tuple[int, ...]]] = []
-        for one in sorted(fit, key=lambda one: (len(forced.get(one, ())), one))[:MAX_CANDIDATE_CLASSES]:
+        flow, index = unserved[0], policy.flows.index(unserved[0])
+        candidates = [
+            host_class
+            for host_class in fallback_levels
+            if not _misfit_reason(host_class, flow, _lines(flow), catalogue)
+        ]
+        options: list[tuple[int, int, HostCapabilities, tuple[int, ...]]] = []
+        for host_class in sorted(
+            candidates, key=lambda host_class: (len(forced.get(host_class, ())), host_class)
+        )[:MAX_CANDIDATE_CLASSES]:
             try:
-                then = _solve(policy, [one], catalogue, {*forced.get(one, ()), place}, most=MIN_SOLVER_UNITS)[
-                    one
-                ]
+                new_levels = _solve(
+                    policy,
+                    [host_class],
+                    catalogue,
+                    {*forced.get(host_class, ()), index},
+                    solver_units=MIN_SOLVER_UNITS,
+                )[host_class]
             except (InfeasibleError, UndecidedError):
                 continue
-            left = len(_bare(policy, fallback_levels | {one: then}))
-            found.append((left, _worth(policy, fallback_levels[one]) - _worth(policy, then), one, then))
-        if not found or min(found)[0] >= len(bare):
+            still_unserved = len(_unserved_flows(policy, fallback_levels | {host_class: new_levels}))
+            options.append(
+                (
+                    still_unserved,
+                    _total_weight(policy, fallback_levels[host_class]) - _total_weight(policy, new_levels),
+                    host_class,
+                    new_levels,
+                )
+            )
+        if not options or min(options)[0] >= len(unserved):
             return None
-        _, _, one, fallback_levels[one] = min(found)
-        forced.setdefault(one, set()).add(place)
+        _, _, host_class, fallback_levels[host_class] = min(options)
+        forced.setdefault(host_class, set()).add(index)
     return None
 
 
-def _worth(policy: Policy, fallback_levels: Sequence[int]) -> int:
+def _total_weight(policy: Policy, fallback_levels: Sequence[int]) -> int:
     return sum(
-        _weight(flow, fallback_level)
+        _objective_weight(flow, fallback_level)
         for flow, fallback_level in zip(policy.flows, fallback_levels, strict=True)
         if fallback_level != NOT_PLACED
     )
 
 
 def plan_of(policy: Policy, fallback_levels: Sequence[int], catalogue: Catalogue) -> ClassPlan:
-    """The least features and parameters that serve these flows on these fallback levels."""
+    """Return the plan with the least features and parameters for these fallback levels of the flows."""
     features: dict[str, dict[str, int]] = {}
     for flow, fallback_level in zip(policy.flows, fallback_levels, strict=True):
         if fallback_level != NOT_PLACED:
-            _join(features, flow.wants(fallback_level), catalogue)
+            _add_required(features, flow.required_features(fallback_level), catalogue)
     return ClassPlan({name: features[name] for name in sorted(features)}, tuple(fallback_levels))
 
 
-def _join(features: dict[str, dict[str, int]], wants: Wants, catalogue: Catalogue) -> None:
-    for name, values in wants.items():
-        mine = features.setdefault(name, {one.name: one.least for one in catalogue[name].parameters})
+def _add_required(
+    features: dict[str, dict[str, int]], required: RequiredFeatures, catalogue: Catalogue
+) -> None:
+    for name, values in required.items():
+        merged = features.setdefault(
+            name, {parameter.name: parameter.least for parameter in catalogue[name].parameters}
+        )
         for key, value in values.items():
-            mine[key] = max(mine[key], value)
-        _join(features, {other: {} for other in catalogue[name].needs if other not in features}, catalogue)
+            merged[key] = max(merged[key], value)
+        _add_required(
+            features, {other: {} for other in catalogue[name].needs if other not in features}, catalogue
+        )
 
 
-def _weight(flow: Flow, fallback_level: int) -> int:
-    """What it earns there, by its load: who brings much goes first. Never 0, or it might go unserved."""
-    return flow.earns(fallback_level) * max(1, round(flow.cores * 1000)) + 1
+def _objective_weight(flow: Flow, fallback_level: int) -> int:
+    """Return the weight of a flow in the objective, in proportion to its load.
+
+    It is never 0, or the solver might leave the flow unserved.
+    """
+    return flow.priority_weight_at(fallback_level) * max(1, round(flow.cores * 1000)) + 1
 
 
 # -- the model
 
 
-class _Class:
-    """One class's part of a model, all of it literals.
+class _ClassModel:
+    """One class's part of a model, which consists of literals only.
 
-    A feature, a parameter past each value that is wanted, a flow on a fallback level. But for the
-    capacities it is a closure, whose linear relaxation is tight.
+    There is a literal for each feature, for each parameter being at least a requested value, and for each
+    flow on each fallback level. Apart from the capacity limits the constraints are a closure problem, whose
+    linear relaxation is tight.
     """
 
     def __init__(
         self,
         model: cp_model.CpModel,
-        one: HostCapabilities,
+        capabilities: HostCapabilities,
         catalogue: Catalogue,
         flows: Sequence[Flow],
         lines: Mapping[Line, cp_model.IntVar] | None = None,
     ) -> None:
         self.model, self.lines = model, lines
-        self.one = one
-        self.on: dict[str, cp_model.IntVar] = {}
-        self.past: dict[tuple[str, str], dict[int, cp_model.IntVar]] = {}
+        self.capabilities = capabilities
+        self.enabled: dict[str, cp_model.IntVar] = {}
+        self.at_least: dict[tuple[str, str], dict[int, cp_model.IntVar]] = {}
         self._costs: list[list[cp_model.LinearExprT]] = [[], [], []]
-        for name, values in sorted(_used(flows, catalogue).items()):
+        for name, values in sorted(_used_features(flows, catalogue).items()):
             self._add_feature(catalogue[name], values)
-        for name, on in self.on.items():
+        for name, enabled in self.enabled.items():
             for other in catalogue[name].needs:
-                model.add_implication(on, self.on[other])
+                model.add_implication(enabled, self.enabled[other])
             for other in catalogue[name].conflicts:
-                if other in self.on:
-                    model.add_bool_or([on.negated(), self.on[other].negated()])
-        for total, room in zip(self._costs, one.room, strict=True):
+                if other in self.enabled:
+                    model.add_bool_or([enabled.negated(), self.enabled[other].negated()])
+        for total, limit in zip(self._costs, capabilities.feature_budget, strict=True):
             if total:
-                model.add(sum(total) <= room)
-        self.fallback_levels = [self._flow(flow) for flow in flows]
+                model.add(sum(total) <= limit)
+        self.fallback_levels = [self._add_flow(flow) for flow in flows]
 
     def _add_feature(self, feature: Feature, values: Mapping[str, Iterable[int]]) -> None:
-        """Add a feature's literals and what it costs, a literal for each value that is wanted."""
-        on = self.on[feature.name] = self.model.new_bool_var(feature.name)
-        if self.one.lacks(feature):
-            self.model.add(on == 0)
+        """Add the literals of a feature and of each requested value of its parameters, and their costs."""
+        enabled = self.enabled[feature.name] = self.model.new_bool_var(feature.name)
+        if self.capabilities.unsupported_reason(feature):
+            self.model.add(enabled == 0)
         for total, cost in zip(self._costs, feature.cost({}), strict=True):
-            total.append(cost * on)
+            total.append(cost * enabled)
         for parameter in feature.parameters:
-            below, below_at = on, parameter.least
-            past = self.past[feature.name, parameter.name] = {parameter.least: on}
+            lower, lower_value = enabled, parameter.least
+            at_least = self.at_least[feature.name, parameter.name] = {parameter.least: enabled}
             for value in sorted(values[parameter.name]):
-                literal = past[value] = self.model.new_bool_var(f"{feature.name}.{parameter.name}>={value}")
-                self.model.add_implication(literal, below)
-                each = (parameter.memory, parameter.millicores, parameter.descriptors)
-                for total, cost in zip(self._costs, each, strict=True):
-                    total.append(cost * (value - below_at) * literal)
-                below, below_at = literal, value
-
-    def _flow(self, flow: Flow) -> list[cp_model.IntVar]:
+                literal = at_least[value] = self.model.new_bool_var(
+                    f"{feature.name}.{parameter.name}>={value}"
+                )
+                self.model.add_implication(literal, lower)
+                unit_costs = (parameter.memory, parameter.millicores, parameter.descriptors)
+                for total, cost in zip(self._costs, unit_costs, strict=True):
+                    total.append(cost * (value - lower_value) * literal)
+                lower, lower_value = literal, value
+
+    def _add_flow(self, flow: Flow) -> list[cp_model.IntVar]:
         served = [
             self.model.new_bool_var(f"{flow.name}/{fallback_level}")
-            for fallback_level in range(flow.no_fallback_level + 1)
+            for fallback_level in range(flow.last_fallback_level + 1)
         ]
         self.model.add_at_most_one(served)
-        for fallback_level, here in enumerate(served):
-            for name, values in flow.wants(fallback_level).items():
-                unless = self._unless(here, (flow.name, f"require.{name}"))
-                self.model.add_bool_or([*unless, self.on[name]])
+        for fallback_level, served_here in enumerate(served):
+            for name, values in flow.required_features(fallback_level).items():
+                waivers = self._waivers(served_here, (flow.name, f"require.{name}"))
+                self.model.add_bool_or([*waivers, self.enabled[name]])
                 for key, value in values.items():
-                    self.model.add_bool_or([*unless, self.past[name, key][value]])
+                    self.model.add_bool_or([*waivers, self.at_least[name, key][value]])
             for name in flow.forbid:
-                if name in self.on:
-                    unless = self._unless(here, (flow.name, f"forbid.{name}"))
-                    self.model.add_bool_or([*unless, self.on[name].negated()])
+                if name in self.enabled:
+                    waivers = self._waivers(served_here, (flow.name, f"forbid.{name}"))
+                    self.model.add_bool_or([*waivers, self.enabled[name].negated()])
         return served
 
-    def _unless(self, here: cp_model.IntVar, line: Line) -> list[cp_model.LiteralT]:
-        """Not served so, or the line is not among those that are to hold."""
+    def _waivers(self, served_here: cp_model.IntVar, line: Line) -> list[cp_model.LiteralT]:
+        """Return the literals that waive the line: the flow is not served so, or the line is not enforced."""
         if self.lines is None or line not in self.lines:
-            return [here.negated()]
-        return [here.negated(), self.lines[line].negated()]
+            return [served_here.negated()]
+        return [served_here.negated(), self.lines[line].negated()]
 
 
-def _used(flows: Sequence[Flow], catalogue: Catalogue) -> dict[str, dict[str, set[int]]]:
-    """The features that flows want and those need, and of each parameter the values above the least."""
+def _used_features(flows: Sequence[Flow], catalogue: Catalogue) -> dict[str, dict[str, set[int]]]:
+    """Return all features that the flows need, and the requested values of each parameter above its least."""
     used: dict[str, dict[str, set[int]]] = {}
-    for wants in (
-        flow.wants(fallback_level) for flow in flows for fallback_level in range(flow.no_fallback_level + 1)
+    for required in (
+        flow.required_features(fallback_level)
+        for flow in flows
+        for fallback_level in range(flow.last_fallback_level + 1)
     ):
         closure: dict[str, dict[str, int]] = {}
-        _join(closure, wants, catalogue)
+        _add_required(closure, required, catalogue)
         for name, values in closure.items():
-            for one in catalogue[name].parameters:
-                those = used.setdefault(name, {}).setdefault(one.name, set())
-                if values[one.name] > one.least:
-                    those.add(values[one.name])
+            for parameter in catalogue[name].parameters:
+                parameter_values = used.setdefault(name, {}).setdefault(parameter.name, set())
+                if values[parameter.name] > parameter.least:
+                    parameter_values.add(values[parameter.name])
             used.setdefault(name, {})
     return used
 
 
-def _solver(most: float = MAX_TOTAL_SOLVER_UNITS) -> cp_model.CpSolver:
+def _solver(solver_units: float = MAX_TOTAL_SOLVER_UNITS) -> cp_model.CpSolver:
     solver = cp_model.CpSolver()
     solver.parameters.num_workers = 1
     solver.parameters.random_seed = 1
     solver.parameters.linearization_level = 2
-    solver.parameters.max_deterministic_time = most
+    solver.parameters.max_deterministic_time = solver_units
     return solver
 
 
@@ -286,157 +332,177 @@
     catalogue: Catalogue,
     forced: Iterable[int] = (),
     covered: Iterable[int] = (),
-    most: float = MAX_TOTAL_SOLVER_UNITS,
-) -> Rungs:
-    """Return fallback levels by class.
+    solver_units: float = MAX_TOTAL_SOLVER_UNITS,
+) -> LevelsByClass:
+    """Return the fallback levels of each class.
 
-    Each class serves the flows `forced`, and at least one those `covered`. Raises `InfeasibleError` without
-    conflicts.
+    Every class serves each flow of `forced`, and at least one class each flow of `covered`; both are indices.
+    Raises `InfeasibleError` without conflicts, or `UndecidedError`.
     """
     model = cp_model.CpModel()
-    parts = [_Class(model, one, catalogue, policy.flows) for one in classes]
-    for place in forced:
-        for part in parts:
-            model.add_bool_or(part.fallback_levels[place])
-    for place in covered:
-        model.add_bool_or([literal for part in parts for literal in part.fallback_levels[place]])
+    class_models = [_ClassModel(model, host_class, catalogue, policy.flows) for host_class in classes]
+    for index in forced:
+        for class_model in class_models:
+            model.add_bool_or(class_model.fallback_levels[index])
+    for index in covered:
+        model.add_bool_or(
+            [literal for class_model in class_models for literal in class_model.fallback_levels[index]]
+        )
     model.maximize(
         sum(
-            _weight(flow, fallback_level) * literal
-            for part in parts
-            for flow, literals in zip(policy.flows, part.fallback_levels, strict=True)
+            _objective_weight(flow, fallback_level) * literal
+            for class_model in class_models
+            for flow, literals in zip(policy.flows, class_model.fallback_levels, strict=True)
             for fallback_level, literal in enumerate(literals)
         )
     )
-    solver = _solver(most)
+    solver = _solver(solver_units)
     status: object = solver.solve(model)
     if status == cp_model.INFEASIBLE:
         raise InfeasibleError(())
-    if status not in FOUND:
-        raise UndecidedError(f"nothing found within {most:g} of the solver's units")
+    if status not in SOLVED:
+        raise UndecidedError(f"no solution within {solver_units:g} deterministic units of the solver")
     return {
-        part.one: tuple(
+        class_model.capabilities: tuple(
             next(
                 (fallback_level for fallback_level, literal in enumerate(literals) if solver.value(literal)),
                 NOT_PLACED,
             )
-            for literals in part.fallback_levels
+            for literals in class_model.fallback_levels
         )
-        for part in parts
+        for class_model in class_models
     }
 
 
-# -- why nothing holds
+# -- conflicts
 
 
 def _lines(flow: Flow) -> list[Line]:
-    wants = [(flow.name, f"require.{name}") for name in flow.require]
-    return [*wants, *((flow.name, f"forbid.{name}") for name in flow.forbid)]
+    required = [(flow.name, f"require.{name}") for name in flow.require]
+    return [*required, *((flow.name, f"forbid.{name}") for name in flow.forbid)]
 
 
-def _fits(one: HostCapabilities, flow: Flow, lines: Iterable[Line], catalogue: Catalogue) -> str:
-    """Why a class can't serve a flow with these of its lines; empty if it can."""
+def _misfit_reason(
+    host_class: HostCapabilities, flow: Flow, lines: Iterable[Line], catalogue: Catalogue
+) -> str:
+    """Return why a class can't serve a flow under these of its lines; empty if it can."""
     keys = {key for _, key in lines}
-    wants: Wants = {name: values for name, values in flow.require.items() if f"require.{name}" in keys}
+    required: RequiredFeatures = {
+        name: values for name, values in flow.require.items() if f"require.{name}" in keys
+    }
     features: dict[str, dict[str, int]] = {}
-    _join(features, wants, catalogue)
+    _add_required(features, required, catalogue)
     total = [0, 0, 0]
     for name, values in features.items():
         feature = catalogue[name]
-        if why := one.lacks(feature):
-            return f"{name}: {why}"
+        if reason := host_class.unsupported_reason(feature):
+            return f"{name}: {reason}"
         for other in feature.conflicts:
             if other in features:
-                return f"{name} can't run beside {other}"
+                return f"{name} conflicts with {other}"
         if name in flow.forbid and f"forbid.{name}" in keys:
-            return f"{name} is needed and forbidden"
+            return f"{name} is both needed and forbidden"
         total = [a + b for a, b in zip(total, feature.cost(values), strict=True)]
-    for what, took, room in zip(("bytes", "millicores", "descriptors"), total, one.room, strict=True):
-        if took > room:
-            return f"features take {took} {what}, it has {room} for them"
+    for resource, amount, limit in zip(
+        ("bytes", "millicores", "descriptors"), total, host_class.feature_budget, strict=True
+    ):
+        if amount > limit:
+            return f"features take {amount} {resource}, over the limit of {limit}"
     return ""
 
 
-def _anywhere(flow: Flow, classes: Iterable[HostCapabilities], catalogue: Catalogue) -> bool:
-    return any(not _fits(one, flow, _lines(flow), catalogue) for one in classes)
+def _is_servable(flow: Flow, classes: Iterable[HostCapabilities], catalogue: Catalogue) -> bool:
+    return any(not _misfit_reason(host_class, flow, _lines(flow), catalogue) for host_class in classes)
 
 
-def _why_alone(
+def _single_flow_conflicts(
     policy: Policy, flows: Sequence[Flow], classes: Sequence[HostCapabilities], catalogue: Catalogue
 ) -> list[Conflict]:
-    """For flows that no class can serve, of each class the smallest set of the flow's own lines."""
-    found = []
+    """Return the smallest conflicting sets of lines, by class, of flows that no class can serve."""
+    conflicts = []
     for flow in flows:
-        for one in classes:
+        for host_class in classes:
 
-            def bad(lines: Sequence[Line], one: HostCapabilities = one, flow: Flow = flow) -> bool:
-                return bool(_fits(one, flow, lines, catalogue))
+            def is_conflict(
+                lines: Sequence[Line], host_class: HostCapabilities = host_class, flow: Flow = flow
+            ) -> bool:
+                return bool(_misfit_reason(host_class, flow, lines, catalogue))
 
-            those = _smallest(_lines(flow), bad)
-            says = _fits(one, flow, those, catalogue)
-            found += [_conflict(policy, line, one.key, says) for line in those]
-    return found
+            smallest = _smallest_conflict(_lines(flow), is_conflict)
+            reason = _misfit_reason(host_class, flow, smallest, catalogue)
+            conflicts += [_conflict(policy, line, host_class.key, reason) for line in smallest]
+    return conflicts
 
 
-def _why_together(
+def _joint_conflicts(
     policy: Policy, classes: Sequence[HostCapabilities], catalogue: Catalogue
 ) -> list[Conflict]:
-    """Each flow has a class by itself, and all of them have not."""
-    every = [line for flow in policy.flows for line in _lines(flow)]
+    """Return a smallest conflicting set of lines where each flow could be served, but not all of them."""
+    all_lines = [line for flow in policy.flows for line in _lines(flow)]
 
-    def core(lines: Sequence[Line]) -> list[Line] | None:
-        """Lines among these that can't hold together; None if they all can."""
+    def find_core(lines: Sequence[Line]) -> list[Line] | None:
+        """Return those of these lines that conflict; None if there is no conflict."""
         model = cp_model.CpModel()
-        guards = {line: model.new_bool_var(".".join(line)) for line in every}
-        named = {flow.name for flow in policy.flows if any(line[0] == flow.name for line in lines)}
+        guards = {line: model.new_bool_var(".".join(line)) for line in all_lines}
+        flow_names = {flow.name for flow in policy.flows if any(line[0] == flow.name for line in lines)}
         flows = [
-            Flow(one.name, cores=one.cores, require=one.require, forbid=one.forbid, lines=one.lines)
-            for one in policy.flows
-            if one.name in named
+            Flow(flow.name, cores=flow.cores, require=flow.require, forbid=flow.forbid, lines=flow.lines)
+            for flow in policy.flows
+            if flow.name in flow_names
         ]
-        parts = [_Class(model, one, catalogue, flows, guards) for one in classes]
-        for place in range(len(flows)):
-            model.add_bool_or([literal for part in parts for literal in part.fallback_levels[place]])
-        chosen = set(lines)
+        class_models = [_ClassModel(model, host_class, catalogue, flows, guards) for host_class in classes]
+        for index in range(len(flows)):
+            model.add_bool_or(
+                [literal for class_model in class_models for literal in class_model.fallback_levels[index]]
+            )
+        enforced = set(lines)
         model.add_assumptions([guards[line] for line in lines])
-        for line in every:
-            if line not in chosen:
+        for line in all_lines:
+            if line not in enforced:
                 model.add(guards[line] == 0)
         solver = _solver()
         status: object = solver.solve(model)
-        if status in FOUND:
+        if status in SOLVED:
             return None
         if status != cp_model.INFEASIBLE:
-            raise UndecidedError(f"no smallest set within {MAX_TOTAL_SOLVER_UNITS:g} of the solver's units")
-        numbers = {guards[line].index: line for line in lines}
-        sufficient = [numbers[n] for n in solver.sufficient_assumptions_for_infeasibility() if n in numbers]
+            raise UndecidedError(
+                f"no conflict set within {MAX_TOTAL_SOLVER_UNITS:g} deterministic units of the solver"
+            )
+        lines_by_index = {guards[line].index: line for line in lines}
+        sufficient = [
+            lines_by_index[index]
+            for index in solver.sufficient_assumptions_for_infeasibility()
+            if index in lines_by_index
+        ]
         return sufficient or list(lines)
 
-    start = core(every)
-    if start is None:  # each flow is placed here, though not by the model before: no line is at fault
-        raise UndecidedError("two solutions contradict each other")
-    those = _smallest(start, lambda lines: core(lines) is not None)
-    return [_conflict(policy, line, "any", f"{len(those)} lines can't hold together") for line in those]
+    start = find_core(all_lines)
+    if start is None:  # all flows can be served, which the earlier model denied: no line is at fault
+        raise UndecidedError("the solver's results contradict each other")
+    smallest = _smallest_conflict(start, lambda lines: find_core(lines) is not None)
+    return [
+        _conflict(policy, line, "any", f"{len(smallest)} lines conflict with each other") for line in smallest
+    ]
 
 
-def _smallest(lines: Sequence[Line], bad: Callable[[Sequence[Line]], bool]) -> list[Line]:
-    """Return a smallest set of lines that is bad, up to MAX_EXACT_CORE_SIZE lines.
+def _smallest_conflict(lines: Sequence[Line], is_conflict: Callable[[Sequence[Line]], bool]) -> list[Line]:
+    """Return a smallest set of conflicting lines.
 
-    Past that one with none to spare.
+    A set of more than MAX_EXACT_CORE_SIZE lines may not be the smallest, but each of its lines is needed.
     """
-    left = list(lines)
-    for line in list(left):
-        fewer = [one for one in left if one != line]
-        if fewer and bad(fewer):
-            left = fewer
+    remaining = list(lines)
+    for line in list(remaining):
+        reduced = [other for other in remaining if other != line]
+        if reduced and is_conflict(reduced):
+            remaining = reduced
     if len(lines) <= 12:
-        for size in range(1, min(MAX_EXACT_CORE_SIZE + 1, len(left))):
-            for some in combinations(lines, size):
-                if bad(some):
-                    return list(some)
-    return left
+        for size in range(1, min(MAX_EXACT_CORE_SIZE + 1, len(remaining))):
+            for subset in combinations(lines, size):
+                if is_conflict(subset):
+                    return list(subset)
+    return remaining
 
 
-def _conflict(policy: Policy, line: Line, kind: str, says: str) -> Conflict:
+def _conflict(policy: Policy, line: Line, kind: str, reason: str) -> Conflict:
     flow, key = line
-    return Conflict(policy.file, policy.named(flow).lines.get(key, 0), flow, kind, key, says)
+    return Conflict(policy.file, policy.flow_named(flow).lines.get(key, 0), flow, kind, key, reason)
--- a/sablewheel/feature_policy/translating.py
+++ b/sablewheel/feature_policy/translating.py
@@ -1,7 +1,9 @@
-"""A translation in a process of its own: it takes seconds, and a library that servers don't load.
+"""The program of the translation process.
 
-Without arguments it reads a job from standard input, as servers give it; with FILE and MEMBER it prints
-what FILE would come to for the fleet of a running member (ADDRESS:PORT).
+A translation takes seconds and needs a library that servers don't load, so it runs in a separate process.
+
+Without arguments it reads a job of a server from standard input. With the arguments FILE and MEMBER it prints
+the translation of the document FILE for the fleet of a running member (ADDRESS:PORT).
 """
 
 from __future__ import annotations
@@ -18,58 +20,61 @@
 from .translate import InfeasibleError, UndecidedError, translate
 
 
-def done(job: dict[str, Any]) -> dict[str, Any]:
-    """The answer to a job; whatever is wrong with it is in `faults`."""
+def run_job(job: dict[str, Any]) -> dict[str, Any]:
+    """Return the result of a job: `bundle`, or `faults` if it failed."""
     try:
-        classes = [host_capabilities.read(str(one)) for one in job["classes"]]
+        classes = [host_capabilities.read(str(text)) for text in job["classes"]]
         base = policy_bundle.load(job["base"]) if job.get("base") else None
         policy = base.policy if base is not None else read(str(job["text"]), str(job.get("file", "policy")))
-        made = translate(policy, classes, base=base.translation if base is not None else None)
-        return {"bundle": PolicyBundle(policy, made).text}
-    except (FaultyPolicyError, InfeasibleError) as trouble:
-        return {"faults": str(trouble).splitlines()}
-    except (HostCapabilitiesError, BundleError, UndecidedError, KeyError, ValueError) as trouble:
-        return {"faults": [f"{type(trouble).__name__}: {trouble}"]}
+        translation = translate(policy, classes, base=base.translation if base is not None else None)
+        return {"bundle": PolicyBundle(policy, translation).text}
+    except (FaultyPolicyError, InfeasibleError) as error:
+        return {"faults": str(error).splitlines()}
+    except (HostCapabilitiesError, BundleError, UndecidedError, KeyError, ValueError) as error:
+        return {"faults": [f"{type(error).__name__}: {error}"]}
 
 
-def shown(file: str, member: str) -> int:
-    """Print what a document would come to for the fleet of a running member."""
+def print_translation(file: str, member: str) -> int:
+    """Print the translation of a document for the fleet of a running member; returns the exit code."""
     from ..membership.codec import BadPacketError
     from ..membership.plan import address_of
     from ..membership.status_client import query_status
 
-    place = address_of(member)
-    if place is None:
-        print(f"{member}: an IPv4 address and a port are wanted", file=sys.stderr)
+    address = address_of(member)
+    if address is None:
+        print(f"{member}: must be an IPv4 address and a port", file=sys.stderr)
         return 2
     try:
         text = Path(file).read_text(encoding="utf-8")
-        told = query_status(place, 3.0)[1]
-    except (OSError, UnicodeDecodeError, BadPacketError) as trouble:
-        print(f"{file}, {member}: {trouble}", file=sys.stderr)
+        status = query_status(address, 3.0)[1]
+    except (OSError, UnicodeDecodeError, BadPacketError) as error:
+        print(f"{file}, {member}: {error}", file=sys.stderr)
         return 1
-    members = told.view.members if told.view is not None else ()
-    said = [one.metadata_value("class") for one in members if one.metadata_value("class")]
-    answer = done({"text": text, "file": file, "classes": sorted(set(said))})
-    if "faults" in answer:
-        print("\n".join(answer["faults"]), file=sys.stderr)
+    members = status.view.members if status.view is not None else ()
+    class_texts = [each.metadata_value("class") for each in members if each.metadata_value("class")]
+    result = run_job({"text": text, "file": file, "classes": sorted(set(class_texts))})
+    if "faults" in result:
+        print("\n".join(result["faults"]), file=sys.stderr)
         return 1
-    made = policy_bundle.load(answer["bundle"])
-    for one, plan in sorted(made.translation.classes.items()):
-        print(f"class {one.key}: {one.said}, {_many(said, one)} members")
+    bundle = policy_bundle.load(result["bundle"])
+    for capabilities, plan in sorted(bundle.translation.classes.items()):
+        print(
+            f"class {capabilities.key}: {capabilities.said}, "
+            f"{_count_members(class_texts, capabilities)} members"
+        )
         for name, values in plan.features.items():
             print(f"  runs {name} {' '.join(f'{key}={value}' for key, value in values.items())}".rstrip())
-        for flow, level in zip(made.policy.flows, plan.fallback_levels, strict=True):
-            served = f"fallback level {level} of {flow.no_fallback_level}" if level >= 0 else "not served"
-            print(f"  flow {flow.name}: {served}")
+        for flow, level in zip(bundle.policy.flows, plan.fallback_levels, strict=True):
+            service = f"fallback level {level} of {flow.last_fallback_level}" if level >= 0 else "not served"
+            print(f"  flow {flow.name}: {service}")
     return 0
 
 
-def _many(said: list[str], one: HostCapabilities) -> int:
-    return sum(host_capabilities.read(each) == one for each in said)
+def _count_members(class_texts: list[str], capabilities: HostCapabilities) -> int:
+    return sum(host_capabilities.read(text) == capabilities for text in class_texts)
 
 
 if __name__ == "__main__":
     if len(sys.argv) == 3:
-        sys.exit(shown(*sys.argv[1:]))
-    json.dump(done(json.load(sys.stdin)), sys.stdout)
+        sys.exit(print_translation(*sys.argv[1:]))
+    json.dump(run_job(json.load(sys.stdin)), sys.stdout)
--- a/sablewheel/feature_policy/translation.py
+++ b/sablewheel/feature_policy/translation.py
@@ -1,4 +1,4 @@
-"""What a policy comes to for each hardware class: the translation, its canonical text, its reader. Pure."""
+"""The translation of a policy into a plan for each class of hosts, and its canonical text. Pure."""
 
 from __future__ import annotations
 
@@ -10,32 +10,35 @@
 
 from . import host_capabilities
 from .host_capabilities import HostCapabilities, HostCapabilitiesError
-from .policy import Values
+from .policy import ParameterValues
 
-MAX_TRANSLATION_BYTES = 2 << 20  # bytes of its text
+MAX_TRANSLATION_BYTES = 2 << 20  # of the canonical text
 MAX_CLASSES = 256
-NOT_PLACED = -1
+NOT_PLACED = -1  # instead of a fallback level: the class does not serve the flow
 
 
 class TranslationError(ValueError):
-    """A text that is no translation."""
+    """The text is not a valid translation."""
 
 
 @dataclass(frozen=True)
 class ClassPlan:
-    """What one class of hosts runs.
+    """The plan of one class of hosts.
 
-    Features with their parameters, and for each of the policy's flows, by place, the fallback level on
-    which it is served there, or NOT_PLACED.
+    `features` are those that it runs, with their parameters. `fallback_levels` has for each flow, in the
+    order of the policy, the fallback level on which the class serves it, or NOT_PLACED.
     """
 
-    features: Mapping[str, Values]
+    features: Mapping[str, ParameterValues]
     fallback_levels: tuple[int, ...]
 
 
 @dataclass(frozen=True)
 class Translation:
-    """For the policy with this number and digest; `revision` grows when classes came that it did not know."""
+    """The plans of all classes for the policy with this number and digest.
+
+    `revision` increases when plans for new classes are added.
+    """
 
     number: int
     revision: int
@@ -44,17 +47,17 @@
 
     @cached_property
     def text(self) -> str:
-        """Canonical JSON: equal translations have equal texts."""
+        """Canonical JSON; equal translations have equal texts."""
         classes = [
             {
-                "class": one.said,
+                "class": capabilities.said,
                 "features": {name: dict(values) for name, values in plan.features.items()},
                 "rungs": list(plan.fallback_levels),
             }
-            for one, plan in sorted(self.classes.items())
+            for capabilities, plan in sorted(self.classes.items())
         ]
-        told = {"number": self.number, "revision": self.revision, "policy": self.policy, "classes": classes}
-        return json.dumps(told, sort_keys=True, separators=(",", ":"))
+        fields = {"number": self.number, "revision": self.revision, "policy": self.policy, "classes": classes}
+        return json.dumps(fields, sort_keys=True, separators=(",", ":"))
 
     @cached_property
     def digest(self) -> str:
@@ -63,37 +66,47 @@
 
     @property
     def name(self) -> str:
-        """NUMBER.REVISION:DIGEST, as facts name it."""
+        """The name in facts, as NUMBER.REVISION:DIGEST."""
         return f"{self.number}.{self.revision}:{self.digest}"
 
     @property
     def order(self) -> tuple[int, int, str]:
-        """Of two translations the greater one holds."""
+        """The sort key; the greater of two translations takes precedence."""
         return (self.number, self.revision, self.digest)
 
 
 def read(text: str) -> Translation:
-    """Raises `TranslationError`; what it says is not checked against any policy."""
+    """Return the translation in a canonical text; raises `TranslationError`.
+
+    The plans are not verified against a policy.
+    """
     if len(text) > MAX_TRANSLATION_BYTES:
         raise TranslationError(f"over {MAX_TRANSLATION_BYTES} bytes")
     try:
-        told = json.loads(text)
-        if len(told["classes"]) > MAX_CLASSES:
+        decoded = json.loads(text)
+        if len(decoded["classes"]) > MAX_CLASSES:
             raise TranslationError(f"over {MAX_CLASSES} classes")
         classes: dict[HostCapabilities, ClassPlan] = {}
-        for one in told["classes"]:
+        for fields in decoded["classes"]:
             features = {
-                str(name): {str(key): _whole(value) for key, value in values.items()}
-                for name, values in one["features"].items()
+                str(name): {str(key): _decode_integer(value) for key, value in values.items()}
+                for name, values in fields["features"].items()
             }
-            plan = ClassPlan(features, tuple(_whole(fallback_level) for fallback_level in one["rungs"]))
-            classes[host_capabilities.read(one["class"])] = plan
-        return Translation(_whole(told["number"]), _whole(told["revision"]), str(told["policy"]), classes)
-    except (KeyError, TypeError, AttributeError, ValueError, HostCapabilitiesError) as trouble:
-        raise TranslationError(f"{type(trouble).__name__}: {trouble!s:.120}") from None
-
-
-def _whole(value: object) -> int:
+            plan = ClassPlan(
+                features, tuple(_decode_integer(fallback_level) for fallback_level in fields["rungs"])
+            )
+            classes[host_capabilities.read(fields["class"])] = plan
+        return Translation(
+            _decode_integer(decoded["number"]),
+            _decode_integer(decoded["revision"]),
+            str(decoded["policy"]),
+            classes,
+        )
+    except (KeyError, TypeError, AttributeError, ValueError, HostCapabilitiesError) as error:
+        raise TranslationError(f"{type(error).__name__}: {error!s:.120}") from None
+
+
+def _decode_integer(value: object) -> int:
     if not isinstance(value, int) or isinstance(value, bool) or not -1 <= value < 1 << 50:
-        raise TranslationError(f"a whole number is wanted, got {value!r:.40}")
+        raise TranslationError(f"must be an integer, got {value!r:.40}")
     return value
--- a/tests/stories/capability.feature
+++ b/tests/stories/capability.feature
@@ -19,7 +19,7 @@
   Scenario: A flow goes to the servers that run what it prefers while they are enough
     Given the policy "pay" number 1 holds
     Then pay is on fallback level 0 everywhere
-    And diskless-0 does not serve pay but names others, as "others run more of what it prefers"
+    And diskless-0 does not serve pay but names others, as "others run more of its preferred features"
 
   Scenario: A document with faults changes nothing and all of them are told
     Given the policy "pay" number 1 holds
@@ -160,7 +160,7 @@
   Scenario: A server that starts anew denies until it has the policy that holds
     Given the policy "pay" number 1 holds
     When rich-0 starts anew and nobody answers it
-    Then rich-0 denies pay, as "it is not here yet"
+    Then rich-0 denies pay, as "the active policy has not been fetched yet"
     When it is answered again
     Then version 1.0 holds everywhere within 15 s
     And rich-0 serves pay
--- a/tests/stories/test_capability_stories.py
+++ b/tests/stories/test_capability_stories.py
@@ -405,8 +405,10 @@
             held = fleet.member(name).rollout.active
             for flow in ("pay", "look") if held is not None else ():
                 route = fleet.route(name, flow)
-                wants = held.policy.named(flow).require if held is not None else {}
-                lacking = [one for one in wants if CLASSES[fleet.kinds[name]].lacks(CATALOGUE[one])]
+                wants = held.policy.flow_named(flow).require if held is not None else {}
+                lacking = [
+                    one for one in wants if CLASSES[fleet.kinds[name]].unsupported_reason(CATALOGUE[one])
+                ]
                 if (route.here or route.able) and lacking:
                     unfit.append(f"{fleet.made.now:.1f} {name} {flow}: {lacking}")
 
--- a/tests/test_feature_policy.py
+++ b/tests/test_feature_policy.py
@@ -63,13 +63,13 @@
     policy = read(TEXT)
     assert policy.number == 3 and policy.flow("pay", "any", "z1") is policy.flows[0]
     assert policy.flow("look", "any", "z1") is policy.flows[1]
-    assert policy.flows[0].wants(0) == {
+    assert policy.flows[0].required_features(0) == {
         "replicated-labels": {"copies": 3},
         "durable-recall": {},
         "sessions": {"most": 2000},
     }
     assert load(policy.text) == policy and load(policy.text).digest == policy.digest
-    assert policy.flows[0].earns(1) == 12 and policy.flows[0].earns(2) == 10
+    assert policy.flows[0].priority_weight_at(1) == 12 and policy.flows[0].priority_weight_at(2) == 10
 
 
 def test_all_faults_are_told_at_once_each_with_its_line_and_what_would_do() -> None:
@@ -79,22 +79,24 @@
         read(text, "policy.yaml")
     told = str(caught.value).splitlines()
     assert [line.split(":")[1] for line in told] == ["9", "12", "13", "19"], told
-    assert "copies may be meant" in told[0] and "also under forbid" in told[1]
-    assert "less than the 5 of the rung above" in told[2] and "kept-results may be meant" in told[3]
+    assert "did you mean copies?" in told[0] and "also under forbid" in told[1]
+    assert (
+        "less than the 5 of the fallback level above" in told[2] and "did you mean kept-results?" in told[3]
+    )
 
 
 @pytest.mark.parametrize(
     ("change", "line", "says"),
     [
         (("policy: 3", "policy: x"), 2, "valid integer"),
-        (("worth: 10", "wroth: 10"), 7, "worth may be meant"),
-        (("copies: 3", "copies: 9"), 9, "1 to 7 is wanted, got 9"),
+        (("worth: 10", "wroth: 10"), 7, r"did you mean worth\?"),
+        (("copies: 3", "copies: 9"), 9, "must be 1 to 7, got 9"),
         (("forbid: [stop-runs]", "forbid: [replicated-labels]"), 9, "also under forbid"),
         (("[stop-runs]", "[stop-runs"), 16, "not YAML"),
         (
             ("      replicated-labels: {copies: 3}", "      stop-runs:\n      pause-runs:"),
             9,
-            "can't run beside",
+            "conflicts with",
         ),
     ],
 )
@@ -118,9 +120,9 @@
         host_capabilities.read(one.said) == one
         and len(one.said) <= host_capabilities.MAX_METADATA_VALUE_BYTES
     )
-    assert not one.lacks(host_capabilities.CATALOGUE["durable-recall"])
-    assert "no pauses" in one.lacks(host_capabilities.CATALOGUE["pause-runs"])
-    assert "does not know" in one.lacks(host_capabilities.CATALOGUE["rank-order"])
+    assert not one.unsupported_reason(host_capabilities.CATALOGUE["durable-recall"])
+    assert "no pauses" in one.unsupported_reason(host_capabilities.CATALOGUE["pause-runs"])
+    assert "does not support" in one.unsupported_reason(host_capabilities.CATALOGUE["rank-order"])
     near = host_capabilities.of(server_settings, StartUp(199_000_000, 1010, disk=True, links=True))
     assert near == one and near != host_capabilities.of(
         server_settings, StartUp(200_000_000, 1012, links=True)
@@ -201,18 +203,19 @@
 
 @st.composite
 def flows(draw: st.DrawFn, name: str) -> Flow:
-    def wants() -> dict[str, dict[str, int]]:
+    def draw_features() -> dict[str, dict[str, int]]:
         made = draw(WANTS)
         return {one: {"n": draw(N)} if one == "q" else values for one, values in made.items()}
 
     fallbacks = [
-        FallbackLevel(wants(), worth) for worth in sorted(draw(st.sets(st.integers(1, 9), max_size=2)))[::-1]
+        FallbackLevel(draw_features(), worth)
+        for worth in sorted(draw(st.sets(st.integers(1, 9), max_size=2)))[::-1]
     ]
     forbid = tuple(draw(st.sets(st.sampled_from("pqrs"), max_size=1)))
     return Flow(
         name,
-        worth=draw(st.integers(0, 9)),
-        require=wants(),
+        priority_weight=draw(st.integers(0, 9)),
+        require=draw_features(),
         fallbacks=tuple(fallbacks),
         forbid=forbid,
         lines={f"{kind}.{one}": 1 for kind in ("require", "forbid") for one in "pqrs"},
@@ -236,7 +239,7 @@
     for one in classes:
         options = []
         for fallback_levels in itertools.product(
-            *(range(NOT_PLACED, flow.no_fallback_level + 1) for flow in policy.flows)
+            *(range(NOT_PLACED, flow.last_fallback_level + 1) for flow in policy.flows)
         ):
             plan = plan_of(policy, fallback_levels, FEW)
             alone = verify(Translation(1, 0, policy.digest, {one: plan}), policy, one, FEW)
@@ -251,7 +254,7 @@
 
 def worth(made: Translation, policy: Policy) -> int:
     return sum(
-        flow.earns(fallback_level) + 1
+        flow.priority_weight_at(fallback_level) + 1
         for plan in made.classes.values()
         for flow, fallback_level in zip(policy.flows, plan.fallback_levels, strict=True)
         if fallback_level != NOT_PLACED
@@ -292,7 +295,7 @@
         *(
             replace(plan, features={**plan.features, name: {}})
             for name, what in FEW.items()
-            if one.lacks(what) or any(other in plan.features for other in what.conflicts)
+            if one.unsupported_reason(what) or any(other in plan.features for other in what.conflicts)
         ),
         replace(plan, features={**plan.features, "unheard-of": {}}),
         replace(plan, fallback_levels=plan.fallback_levels[:-1]),
@@ -306,7 +309,7 @@
             replace(
                 plan,
                 fallback_levels=tuple(
-                    [*fallback_levels[:n], flow.no_fallback_level + 1, *fallback_levels[n + 1 :]]
+                    [*fallback_levels[:n], flow.last_fallback_level + 1, *fallback_levels[n + 1 :]]
                 ),
             )
             for n, flow in enumerate(policy.flows)
--- a/tests/test_feature_policy_service.py
+++ b/tests/test_feature_policy_service.py
@@ -16,7 +16,7 @@
 from sablewheel.feature_policy.plan import PolicyPlan, Rules
 from sablewheel.feature_policy.policy_bundle import PolicyBundle
 from sablewheel.feature_policy.service import PolicyService
-from sablewheel.feature_policy.translating import shown
+from sablewheel.feature_policy.translating import print_translation
 from sablewheel.membership.view import Fact, Member, View
 from sablewheel.overload.interface import (
     Cancellation,
@@ -234,5 +234,5 @@
 def test_the_tool_says_when_the_member_cannot_be_asked(tmp_path: Path) -> None:
     file = tmp_path / "policy.yaml"
     file.write_text(POLICY)
-    assert shown(str(file), "127.0.0.1:9") == 1 and shown(str(file), "nowhere") == 2
-    assert shown(str(tmp_path / "none"), "127.0.0.1:9") == 1
+    assert print_translation(str(file), "127.0.0.1:9") == 1 and print_translation(str(file), "nowhere") == 2
+    assert print_translation(str(tmp_path / "none"), "127.0.0.1:9") == 1
