--- a/sablewheel/experiments/policy_fleet.py
+++ b/sablewheel/experiments/policy_fleet.py
@@ -81,7 +81,7 @@
         broken: str,
     ) -> None:
         incarnation = int(now * 1000) + 1
-        me = Member(name, name, zone, "r1", incarnation, (("class", host_capabilities.said),))
+        me = Member(name, name, zone, "r1", incarnation, (("class", host_capabilities.text),))
         self.node = Node(me, seeds, SETTINGS, random.Random(f"{seed}-{name}-{incarnation}"), now)
         self.rollout = Rollout(name, host_capabilities, RULES, broken)
 
--- a/sablewheel/feature_policy/host_capabilities.py
+++ b/sablewheel/feature_policy/host_capabilities.py
@@ -249,7 +249,7 @@
                 raise HostCapabilitiesError(f"{name}: must be an integer of at least 0, got {value!r:.40}")
 
     @cached_property
-    def said(self) -> str:
+    def text(self) -> str:
         """Canonical JSON, which members publish in their metadata and which identifies the class.
 
         Raises `HostCapabilitiesError` if it is over MAX_METADATA_VALUE_BYTES bytes.
@@ -268,7 +268,7 @@
     @cached_property
     def key(self) -> str:
         """A short name of the class, for logs and error messages."""
-        return hashlib.blake2b(self.said.encode(), digest_size=4).hexdigest()
+        return hashlib.blake2b(self.text.encode(), digest_size=4).hexdigest()
 
     @property
     def capacity(self) -> float:
--- a/sablewheel/feature_policy/service.py
+++ b/sablewheel/feature_policy/service.py
@@ -321,7 +321,7 @@
         job = {
             "text": translation.text,
             "file": translation.file,
-            "classes": [host_class.said for host_class in translation.classes],
+            "classes": [host_class.text for host_class in translation.classes],
             "base": translation.base.text if translation.base is not None else None,
         }
         command = [sys.executable, "-m", f"{__package__}.translating"]
--- a/sablewheel/feature_policy/translating.py
+++ b/sablewheel/feature_policy/translating.py
@@ -59,7 +59,7 @@
     bundle = policy_bundle.load(result["bundle"])
     for capabilities, plan in sorted(bundle.translation.classes.items()):
         print(
-            f"class {capabilities.key}: {capabilities.said}, "
+            f"class {capabilities.key}: {capabilities.text}, "
             f"{_count_members(class_texts, capabilities)} members"
         )
         for name, values in plan.features.items():
--- a/sablewheel/feature_policy/translation.py
+++ b/sablewheel/feature_policy/translation.py
@@ -50,7 +50,7 @@
         """Canonical JSON; equal translations have equal texts."""
         classes = [
             {
-                "class": capabilities.said,
+                "class": capabilities.text,
                 "features": {name: dict(values) for name, values in plan.features.items()},
                 "rungs": list(plan.fallback_levels),
             }
--- a/sablewheel/program/feature_registry.py
+++ b/sablewheel/program/feature_registry.py
@@ -349,7 +349,7 @@
         "policy",
         _build_feature_policy,
         derived_metadata=lambda plan, placement_settings, features: (
-            ("class", _host_capabilities(plan, placement_settings, features).said),
+            ("class", _host_capabilities(plan, placement_settings, features).text),
         ),
     ),
     FeatureDeclaration("replication", _build_replication),
--- a/tests/test_feature_policy.py
+++ b/tests/test_feature_policy.py
@@ -117,8 +117,8 @@
     )
     one = host_capabilities.of(server_settings, StartUp(200_000_000, 1012, disk=True, links=True))
     assert (
-        host_capabilities.read(one.said) == one
-        and len(one.said) <= host_capabilities.MAX_METADATA_VALUE_BYTES
+        host_capabilities.read(one.text) == one
+        and len(one.text) <= host_capabilities.MAX_METADATA_VALUE_BYTES
     )
     assert not one.unsupported_reason(host_capabilities.CATALOGUE["durable-recall"])
     assert "no pauses" in one.unsupported_reason(host_capabilities.CATALOGUE["pause-runs"])
@@ -127,7 +127,7 @@
     assert near == one and near != host_capabilities.of(
         server_settings, StartUp(200_000_000, 1012, links=True)
     )
-    assert host_capabilities.read(one.said[:-1] + ',"turbo":9}') == one  # of a newer build
+    assert host_capabilities.read(one.text[:-1] + ',"turbo":9}') == one  # of a newer build
     for text in ("", "[]", "{}", '{"cores":-1}', '{"cores":true}', '{"cores":' + "9" * 300 + "}"):
         with pytest.raises(HostCapabilitiesError):
             host_capabilities.read(text)
@@ -407,10 +407,10 @@
         )
         return dict(json.loads(done.stdout))
 
-    first = asked(text=TEXT, file="p.yaml", classes=[RICH.said])
-    then = policy_bundle.load(str(asked(base=first["bundle"], classes=[RICH.said, NO_DISK.said])["bundle"]))
+    first = asked(text=TEXT, file="p.yaml", classes=[RICH.text])
+    then = policy_bundle.load(str(asked(base=first["bundle"], classes=[RICH.text, NO_DISK.text])["bundle"]))
     assert then.translation.revision == 1 and set(then.translation.classes) == {RICH, NO_DISK}
-    faulty = asked(text="version: 1\npolicy: x", file="p.yaml", classes=[RICH.said])
+    faulty = asked(text="version: 1\npolicy: x", file="p.yaml", classes=[RICH.text])
     assert "p.yaml:2" in str(faulty["faults"])
     assert asked(text=TEXT, classes=["nonsense"])["faults"]
 
--- a/tests/test_feature_policy_service.py
+++ b/tests/test_feature_policy_service.py
@@ -81,7 +81,7 @@
     # what tests call
     def install(self, epoch: int, classes: dict[str, str], **facts: str) -> None:
         members = [
-            Member(name, name, "z1", "r1", 1, (("class", CLASSES[kind].said),))
+            Member(name, name, "z1", "r1", 1, (("class", CLASSES[kind].text),))
             for name, kind in classes.items()
         ]
         told = [Fact(f"policy/{key}", value) for key, value in facts.items()]
