--- a/sablewheel/experiments/policy_fleet.py
+++ b/sablewheel/experiments/policy_fleet.py
@@ -185,7 +185,7 @@
         told = sorted(
             (int(str(note.fields["epoch"])), when, (note.fields["policy"], note.fields["fallback_levels"]))
             for when, _, note in self.notes
-            if note.what == "policy active"
+            if note.event == "policy active"
         )
         return sum(was[2] != now[2] for was, now in pairwise(told) if now[1] >= since)
 
@@ -195,7 +195,7 @@
         """
         found: dict[str, set[str]] = {}
         for _, _, note in self.notes:
-            if note.what == "policy active":
+            if note.event == "policy active":
                 told = f"{note.fields['policy']}" + (
                     f" {note.fields['fallback_levels']}" if fallback_levels else ""
                 )
@@ -203,7 +203,7 @@
         return found
 
     def said(self, what: str) -> list[LogEntry]:
-        return [note for _, _, note in self.notes if note.what == what]
+        return [note for _, _, note in self.notes if note.event == what]
 
     # -- what the cores ask of the world
 
--- a/sablewheel/feature_policy/rollout_events.py
+++ b/sablewheel/feature_policy/rollout_events.py
@@ -94,7 +94,7 @@
 class LogEntry:
     """Write a log line."""
 
-    what: str
+    event: str
     fields: dict[str, object]
 
 
--- a/tests/stories/test_capability_stories.py
+++ b/tests/stories/test_capability_stories.py
@@ -259,7 +259,7 @@
 @then("it came into force at the same epoch everywhere")
 def _(told: Told) -> None:
     notes = [
-        (name, note.fields["epoch"]) for _, name, note in told.fleet.notes if note.what == "policy active"
+        (name, note.fields["epoch"]) for _, name, note in told.fleet.notes if note.event == "policy active"
     ]
     assert sorted(name for name, _ in notes) == told.fleet.names and len({epoch for _, epoch in notes}) == 1
 
@@ -279,7 +279,7 @@
     gone = [
         name
         for _, name, note in told.fleet.notes
-        if note.what == "policy retired" and str(note.fields["policy"]).startswith(f"{version}:")
+        if note.event == "policy retired" and str(note.fields["policy"]).startswith(f"{version}:")
     ]
     assert set(gone) == set(told.fleet.names)
 
@@ -339,7 +339,7 @@
 
 @then(parsers.parse("{name} refused it"))
 def _(told: Told, name: str) -> None:
-    assert name in {who for _, who, note in told.fleet.notes if note.what == "policy refused"}
+    assert name in {who for _, who, note in told.fleet.notes if note.event == "policy refused"}
 
 
 @then(parsers.parse('a policy waits, since "{why}"'))
