--- a/sablewheel/experiments/policy_member.py
+++ b/sablewheel/experiments/policy_member.py
@@ -40,13 +40,13 @@
 
     def _answer(self, data: bytes) -> TranslationFinished:
         told = super()._answer(data)
-        if told.made is None or told.made.policy.number != TAMPERED:
+        if told.bundle is None or told.bundle.policy.number != TAMPERED:
             return told
-        made = told.made.translation
+        made = told.bundle.translation
         best = max(made.classes.values(), key=lambda plan: len(plan.features))
         wrong = replace(made, classes=dict.fromkeys(made.classes, best))
         announce(WRONG_TRANSLATION)
-        return TranslationFinished(PolicyBundle(told.made.policy, wrong))
+        return TranslationFinished(PolicyBundle(told.bundle.policy, wrong))
 
 
 def weakest(request_class: bytes) -> None:
--- a/sablewheel/feature_policy/rollout_events.py
+++ b/sablewheel/feature_policy/rollout_events.py
@@ -40,9 +40,9 @@
 
 @dataclass(frozen=True)
 class TranslationFinished:
-    """The translation of a `StartTranslation` ended with a bundle, or with faults if `made` is None."""
+    """The translation of a `StartTranslation` ended with a bundle, or with faults if `bundle` is None."""
 
-    made: PolicyBundle | None
+    bundle: PolicyBundle | None
     faults: tuple[str, ...] = ()
 
 
