--- a/sablewheel/feature_policy/host_capabilities.py
+++ b/sablewheel/feature_policy/host_capabilities.py
@@ -343,7 +343,7 @@
     return os.access(folder, os.W_OK)
 
 
-def of(
+def from_settings(
     server_settings: ServerSettings, startup: StartUp, catalogue: Catalogue = CATALOGUE
 ) -> HostCapabilities:
     """Return the host capabilities of a server with these settings."""
--- a/sablewheel/program/feature_registry.py
+++ b/sablewheel/program/feature_registry.py
@@ -212,7 +212,7 @@
         speed=plan.speed,
         without=frozenset(absent),
     )
-    return host_capabilities.of(placement_settings.server_settings, start)
+    return host_capabilities.from_settings(placement_settings.server_settings, start)
 
 
 def _build_feature_policy(feature_context: FeatureContext, plan: PolicyPlan) -> FeatureHooks:
