--- a/sablewheel/feature_policy/host_capabilities.py
+++ b/sablewheel/feature_policy/host_capabilities.py
@@ -318,7 +318,7 @@
 
 
 @dataclass(frozen=True)
-class StartUp:
+class StartupChecks:
     """Results of the start-up checks and of the rest of the program's configuration.
 
     `memory_bytes` is the program's memory, `descriptors` the number of file descriptors for clients'
@@ -344,7 +344,7 @@
 
 
 def from_settings(
-    server_settings: ServerSettings, startup: StartUp, catalogue: Catalogue = CATALOGUE
+    server_settings: ServerSettings, startup: StartupChecks, catalogue: Catalogue = CATALOGUE
 ) -> HostCapabilities:
     """Return the host capabilities of a server with these settings."""
     disabled_features = set(startup.without)
--- a/sablewheel/program/feature_registry.py
+++ b/sablewheel/program/feature_registry.py
@@ -204,7 +204,7 @@
         for name, section in host_capabilities.SECTIONS.items()
         if getattr(features, section, None) is None
     }
-    start = host_capabilities.StartUp(
+    start = host_capabilities.StartupChecks(
         placement_settings.memory_bytes,
         placement_settings.max_connections,
         disk=folder is not None and host_capabilities.lasting(folder),
--- a/tests/test_feature_policy.py
+++ b/tests/test_feature_policy.py
@@ -21,7 +21,7 @@
     HostCapabilities,
     HostCapabilitiesError,
     Parameter,
-    StartUp,
+    StartupChecks,
 )
 from sablewheel.feature_policy.messages import MAX_CHUNK_BYTES, BundleChunk, BundleRejected, Fetch, Offer
 from sablewheel.feature_policy.policy import FallbackLevel, Flow, Policy, load
@@ -115,7 +115,9 @@
         (Tenant(3.0),),
         cancellation=Cancellation.DISCARDS_WORK,
     )
-    one = host_capabilities.from_settings(server_settings, StartUp(200_000_000, 1012, disk=True, links=True))
+    one = host_capabilities.from_settings(
+        server_settings, StartupChecks(200_000_000, 1012, disk=True, links=True)
+    )
     assert (
         host_capabilities.read(one.text) == one
         and len(one.text) <= host_capabilities.MAX_METADATA_VALUE_BYTES
@@ -123,9 +125,11 @@
     assert not one.unsupported_reason(host_capabilities.CATALOGUE["durable-recall"])
     assert "no pauses" in one.unsupported_reason(host_capabilities.CATALOGUE["pause-runs"])
     assert "does not support" in one.unsupported_reason(host_capabilities.CATALOGUE["rank-order"])
-    near = host_capabilities.from_settings(server_settings, StartUp(199_000_000, 1010, disk=True, links=True))
+    near = host_capabilities.from_settings(
+        server_settings, StartupChecks(199_000_000, 1010, disk=True, links=True)
+    )
     assert near == one and near != host_capabilities.from_settings(
-        server_settings, StartUp(200_000_000, 1012, links=True)
+        server_settings, StartupChecks(200_000_000, 1012, links=True)
     )
     assert host_capabilities.read(one.text[:-1] + ',"turbo":9}') == one  # of a newer build
     for text in ("", "[]", "{}", '{"cores":-1}', '{"cores":true}', '{"cores":' + "9" * 300 + "}"):
