--- a/sablewheel/feature_policy/host_capabilities.py
+++ b/sablewheel/feature_policy/host_capabilities.py
@@ -323,8 +323,8 @@
 
     `memory_bytes` is the program's memory, `descriptors` the number of file descriptors for clients'
     connections, `disk` and `links` whether there are persistent storage and links to peers, `speed` the speed
-    of one core relative to the reference core, `without` the features that this server does not run, and
-    `hears_gone` whether disconnected clients are detected.
+    of one core relative to the reference core, `disabled_features` the features that this server does not
+    run, and `detects_disconnects` whether disconnected clients are detected.
     """
 
     memory_bytes: int
@@ -332,8 +332,8 @@
     disk: bool = False
     links: bool = False
     speed: float = 1.0
-    without: frozenset[str] = UNKNOWN_HERE
-    hears_gone: bool = True
+    disabled_features: frozenset[str] = UNKNOWN_HERE
+    detects_disconnects: bool = True
 
 
 def lasting(folder: Path) -> bool:
@@ -347,7 +347,7 @@
     server_settings: ServerSettings, startup: StartupChecks, catalogue: Catalogue = CATALOGUE
 ) -> HostCapabilities:
     """Return the host capabilities of a server with these settings."""
-    disabled_features = set(startup.without)
+    disabled_features = set(startup.disabled_features)
     if not server_settings.coalesce_reads_for_s:
         disabled_features.add("kept-results")
     if not any(request_class.objective_s_per_hint for request_class in server_settings.request_classes):
@@ -357,7 +357,7 @@
         DISK: startup.disk,
         DISCARDS_WORK: server_settings.cancellation is Cancellation.DISCARDS_WORK,
         SUSPENDS_WORK: server_settings.cancellation is Cancellation.SUSPENDS,
-        DISCONNECTS: startup.hears_gone,
+        DISCONNECTS: startup.detects_disconnects,
         DEADLINES: server_settings.deadline_propagated,
         TENANT_QUOTAS: any(tenant.quota_per_s > 0 for tenant in server_settings.tenants),
         IDEMPOTENCY_KEYS: any(
--- a/sablewheel/program/feature_registry.py
+++ b/sablewheel/program/feature_registry.py
@@ -210,7 +210,7 @@
         disk=folder is not None and host_capabilities.lasting(folder),
         links=features.forwarding is not None,
         speed=plan.speed,
-        without=frozenset(absent),
+        disabled_features=frozenset(absent),
     )
     return host_capabilities.from_settings(placement_settings.server_settings, start)
 
