--- a/sablewheel/feature_policy/host_capabilities.py
+++ b/sablewheel/feature_policy/host_capabilities.py
@@ -336,7 +336,7 @@
     detects_disconnects: bool = True
 
 
-def lasting(folder: Path) -> bool:
+def is_writable(folder: Path) -> bool:
     """Return whether a folder, or its nearest existing parent, is writable."""
     while not folder.exists() and folder != folder.parent:
         folder = folder.parent
--- a/sablewheel/program/feature_registry.py
+++ b/sablewheel/program/feature_registry.py
@@ -207,7 +207,7 @@
     start = host_capabilities.StartupChecks(
         placement_settings.memory_bytes,
         placement_settings.max_connections,
-        disk=folder is not None and host_capabilities.lasting(folder),
+        disk=folder is not None and host_capabilities.is_writable(folder),
         links=features.forwarding is not None,
         speed=plan.speed,
         disabled_features=frozenset(absent),
