--- a/sablewheel/feature_policy/host_capabilities.py
+++ b/sablewheel/feature_policy/host_capabilities.py
@@ -214,7 +214,7 @@
 SECTIONS = {"replicated-labels": "replication", "sessions": "affinity", "durable-recall": "recall"}
 # The controller does not support ranks (`class_rank` is read, but not used), so no server of this build can
 # run rank-order.
-UNKNOWN_HERE = frozenset({"rank-order"})
+UNSUPPORTED_FEATURES = frozenset({"rank-order"})
 
 
 def round_down_to_step(value: float) -> int:
@@ -332,7 +332,7 @@
     disk: bool = False
     links: bool = False
     speed: float = 1.0
-    disabled_features: frozenset[str] = UNKNOWN_HERE
+    disabled_features: frozenset[str] = UNSUPPORTED_FEATURES
     detects_disconnects: bool = True
 
 
--- a/sablewheel/program/feature_registry.py
+++ b/sablewheel/program/feature_registry.py
@@ -198,7 +198,7 @@
 
     recall = features.recall
     folder = recall.folder if recall is not None else None
-    absent = set(host_capabilities.UNKNOWN_HERE)
+    absent = set(host_capabilities.UNSUPPORTED_FEATURES)
     absent |= {
         name
         for name, section in host_capabilities.SECTIONS.items()
