--- a/sablewheel/experiments/policy_member.py
+++ b/sablewheel/experiments/policy_member.py
@@ -38,8 +38,8 @@
         super().__init__(scheduler, replace(plan, broken=kind if kind in FAULTY_VARIANTS else ""), *rest)
         announce(kind)
 
-    def _answer(self, data: bytes) -> TranslationFinished:
-        told = super()._answer(data)
+    def _parse_result(self, data: bytes) -> TranslationFinished:
+        told = super()._parse_result(data)
         if told.bundle is None or told.bundle.policy.number != TAMPERED:
             return told
         made = told.bundle.translation
--- a/sablewheel/feature_policy/service.py
+++ b/sablewheel/feature_policy/service.py
@@ -355,9 +355,9 @@
         output.seek(0)
         data = output.read(policy_bundle.MAX_BUNDLE_BYTES)
         self._terminate_process()
-        self._step(self._answer(data))
+        self._step(self._parse_result(data))
 
-    def _answer(self, data: bytes) -> TranslationFinished:
+    def _parse_result(self, data: bytes) -> TranslationFinished:
         try:
             result = json.loads(data)
             if "faults" in result:
