--- a/sablewheel/experiments/policy_member.py
+++ b/sablewheel/experiments/policy_member.py
@@ -35,7 +35,9 @@
 
     def __init__(self, scheduler: Any, plan: PolicyPlan, *rest: Any) -> None:
         kind = sys.argv[1]
-        super().__init__(scheduler, replace(plan, broken=kind if kind in FAULTY_VARIANTS else ""), *rest)
+        super().__init__(
+            scheduler, replace(plan, faulty_variant=kind if kind in FAULTY_VARIANTS else ""), *rest
+        )
         announce(kind)
 
     def _parse_result(self, data: bytes) -> TranslationFinished:
--- a/sablewheel/feature_policy/plan.py
+++ b/sablewheel/feature_policy/plan.py
@@ -39,10 +39,11 @@
 
     `file` is the path of the operators' document, read at SIGHUP and at the start of a fleet that has no
     policy; None if this member only takes policies from other members. `speed` is the speed of one core
-    relative to the reference core. `broken` is one of FAULTY_VARIANTS, for experiments that must detect it.
+    relative to the reference core. `faulty_variant` is one of FAULTY_VARIANTS, for experiments that
+    must detect it.
     """
 
     file: str | None = None
     speed: float = 1.0
     rules: Rules = field(default_factory=Rules)
-    broken: str = ""
+    faulty_variant: str = ""
--- a/sablewheel/feature_policy/service.py
+++ b/sablewheel/feature_policy/service.py
@@ -107,7 +107,7 @@
     ) -> None:
         self._scheduler, self._plan, self._fleet, self._links = scheduler, plan, fleet, links
         self._tenants, self._settings_changed, self._clock = tenants, settings_changed, clock
-        self.rollout = Rollout(fleet.node_name, own_capabilities, plan.rules, plan.broken)
+        self.rollout = Rollout(fleet.node_name, own_capabilities, plan.rules, plan.faulty_variant)
         self._view: View | None = None
         self._applied: ApplyPlan | None = None
         self._names: dict[Tenant | None, str] = {}
