--- a/sablewheel/feature_policy/host_capabilities.py
+++ b/sablewheel/feature_policy/host_capabilities.py
@@ -291,9 +291,9 @@
     def unsupported_reason(self, feature: Feature) -> str:
         """Return why this server can't run a feature at all; empty if it can."""
         if not self.codes >> feature.code & 1:
-            return "the build of this class does not support it"
+            return "its build does not know it"
         missing = [trait for trait in feature.traits if not self.has(trait)]
-        return f"this class has no {', '.join(missing)}" if missing else ""
+        return f"it has no {', '.join(missing)}" if missing else ""
 
 
 def read(text: str) -> HostCapabilities:
