--- a/sablewheel/experiments/policy_member.py
+++ b/sablewheel/experiments/policy_member.py
@@ -35,18 +35,20 @@
 
     def __init__(self, scheduler: Any, plan: PolicyPlan, *rest: Any) -> None:
         kind = sys.argv[1]
-        super().__init__(scheduler, replace(plan, broken=kind if kind in FAULTY_VARIANTS else ""), *rest)
+        super().__init__(
+            scheduler, replace(plan, faulty_variant=kind if kind in FAULTY_VARIANTS else ""), *rest
+        )
         announce(kind)
 
-    def _answer(self, data: bytes) -> TranslationFinished:
-        told = super()._answer(data)
-        if told.made is None or told.made.policy.number != TAMPERED:
+    def _parse_result(self, data: bytes) -> TranslationFinished:
+        told = super()._parse_result(data)
+        if told.bundle is None or told.bundle.policy.number != TAMPERED:
             return told
-        made = told.made.translation
+        made = told.bundle.translation
         best = max(made.classes.values(), key=lambda plan: len(plan.features))
         wrong = replace(made, classes=dict.fromkeys(made.classes, best))
         announce(WRONG_TRANSLATION)
-        return TranslationFinished(PolicyBundle(told.made.policy, wrong))
+        return TranslationFinished(PolicyBundle(told.bundle.policy, wrong))
 
 
 def weakest(request_class: bytes) -> None:
--- a/sablewheel/program/feature_registry.py
+++ b/sablewheel/program/feature_registry.py
@@ -198,21 +198,21 @@
 
     recall = features.recall
     folder = recall.folder if recall is not None else None
-    absent = set(host_capabilities.UNKNOWN_HERE)
+    absent = set(host_capabilities.UNSUPPORTED_FEATURES)
     absent |= {
         name
         for name, section in host_capabilities.SECTIONS.items()
         if getattr(features, section, None) is None
     }
-    start = host_capabilities.StartUp(
+    start = host_capabilities.StartupChecks(
         placement_settings.memory_bytes,
         placement_settings.max_connections,
-        disk=folder is not None and host_capabilities.lasting(folder),
+        disk=folder is not None and host_capabilities.is_writable(folder),
         links=features.forwarding is not None,
         speed=plan.speed,
-        without=frozenset(absent),
+        disabled_features=frozenset(absent),
     )
-    return host_capabilities.of(placement_settings.server_settings, start)
+    return host_capabilities.from_settings(placement_settings.server_settings, start)
 
 
 def _build_feature_policy(feature_context: FeatureContext, plan: PolicyPlan) -> FeatureHooks:
@@ -349,7 +349,7 @@
         "policy",
         _build_feature_policy,
         derived_metadata=lambda plan, placement_settings, features: (
-            ("class", _host_capabilities(plan, placement_settings, features).said),
+            ("class", _host_capabilities(plan, placement_settings, features).text),
         ),
     ),
     FeatureDeclaration("replication", _build_replication),
