--- a/sablewheel/experiments/collector.py
+++ b/sablewheel/experiments/collector.py
@@ -70,7 +70,7 @@
         kinds = {"ack-before-apply": AckBeforeApply, "no-dedup": NoDedup}
         if variant == "no-seal":
             journal.close()
-            journal = NoSealBook(plan.book, plan.calendar)
+            journal = NoSealBook(plan.journal_path, plan.calendar)
         return kinds.get(variant, Collector)(scheduler, plan, journal, log)
 
     return made
--- a/sablewheel/experiments/ledger_size.py
+++ b/sablewheel/experiments/ledger_size.py
@@ -153,7 +153,7 @@
 
 def post(folder: Path, entries: int) -> bool:
     """What the collector does with every block, a round's worth in a transaction."""
-    journal = Journal(folder / "book.sqlite", Calendar(length=Length.DAY, lag=0.0))
+    journal = Journal(folder / "book.sqlite", Calendar(length=Length.DAY, lag_s=0.0))
     known: dict[bytes, collecting.LastBlock] = {}
     journal.begin()
     for place, sealed in enumerate(blocks(entries)):
--- a/sablewheel/program/collector_process.py
+++ b/sablewheel/program/collector_process.py
@@ -37,7 +37,7 @@
         JournalError: The address can't be listened on.
     """
     log, scheduler = logger(), Scheduler(Clock())
-    journal = Journal(plan.book, plan.calendar)
+    journal = Journal(plan.journal_path, plan.calendar)
     try:
         collector = make(scheduler, plan, journal, log)
     except OSError as error:
@@ -51,7 +51,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         scheduler.on_signal(number, scheduler.stop)
     scheduler.on_signal(signal.SIGUSR1, print_counters)
-    log.info("collecting", listen=f"{plan.listen[0]}:{plan.listen[1]}", book=str(plan.book))
+    log.info("collecting", listen=f"{plan.listen[0]}:{plan.listen[1]}", book=str(plan.journal_path))
     scheduler.run()
     collector.close()
     print_counters()
--- a/sablewheel/program/feature_settings/collector.py
+++ b/sablewheel/program/feature_settings/collector.py
@@ -28,13 +28,13 @@
     def plan(self) -> CollectorPlan:
         """Return the plan of the feature."""
         return CollectorPlan(
-            book=Path(self.book),
+            journal_path=Path(self.book),
             listen=host_and_port(self.listen),
             calendar=self.period.plan(),
             customers=frozenset(self.customers),
-            frame_most=self.frame_most_kb * 1024,
-            connections_most=self.connections_most,
-            silent_most=self.silent_most_s,
-            skew_most=self.skew_most_s,
-            close_every=self.close_every_s,
+            max_frame_bytes=self.frame_most_kb * 1024,
+            max_connections=self.connections_most,
+            idle_timeout_s=self.silent_most_s,
+            max_clock_skew_s=self.skew_most_s,
+            close_check_interval_s=self.close_every_s,
         )
--- a/sablewheel/usage_metering/collector.py
+++ b/sablewheel/usage_metering/collector.py
@@ -103,10 +103,10 @@
     # -- connections
 
     def _room(self) -> bool:
-        return len(self.connections) < self._plan.connections_most
+        return len(self.connections) < self._plan.max_connections
 
     def _accepted(self, stream: Stream) -> None:
-        connection = Connection(self, stream, self._plan.frame_most)
+        connection = Connection(self, stream, self._plan.max_frame_bytes)
         self.connections[connection] = None
         self.count("connections")
         self.scheduler.spawn(connection.serve)
@@ -136,10 +136,10 @@
         now = self.scheduler.clock.now
         for connection in list(self.connections):
             silent = now - connection.last_received_at
-            if silent > self._plan.silent_most or (not connection.server and silent > GREETING_TIMEOUT_S):
+            if silent > self._plan.idle_timeout_s or (not connection.server and silent > GREETING_TIMEOUT_S):
                 self.count("connections_silent")
                 self.dropped(connection)
-        if now >= self._last_close_check_s + self._plan.close_every:
+        if now >= self._last_close_check_s + self._plan.close_check_interval_s:
             self._close_due_periods()
         self.scheduler.after(SWEEP_INTERVAL_S, self._sweep)
 
@@ -264,7 +264,7 @@
                 self.count("entries", block.last_sequence - block.first_sequence + 1)
                 self._check_tenants(block)
                 skew = block.written_us / 1e6 - self._clock()
-                if skew > self._plan.skew_most:
+                if skew > self._plan.max_clock_skew_s:
                     self.count("blocks_from_the_future")
                     self._log.warning("clock ahead", server=connection.server, by=round(skew))
                 incarnation, number = block.incarnation, block.number
--- a/sablewheel/usage_metering/export.py
+++ b/sablewheel/usage_metering/export.py
@@ -156,7 +156,7 @@
         self.link = Link.RESTING
         self.unsettled: deque[SealedBlock] = deque()
         self._bytes = 0
-        self._backoff_s = plan.first_rest
+        self._backoff_s = plan.initial_backoff_s
         self._wake_at_s = 0.0  # when a rest, or the patience for an answer, is over
         self._sent: dict[
             bytes, int
@@ -178,13 +178,15 @@
             case TimerFired():
                 return self._tick(now)
             case Connected() if self.link is Link.CONNECTING:
-                self.link, self._wake_at_s = Link.GREETING, now + self._plan.answer_within
+                self.link, self._wake_at_s = Link.GREETING, now + self._plan.answer_timeout_s
                 return [Greet()]
             case ConnectionLost(reason) if self.link is not Link.RESTING:
                 return [Counted("broken", reason), *self._give_up(now)]
             case RejectedByCollector(fault, detail) if self.link is not Link.RESTING:
                 effects = [Counted(f"refused_{fault}", detail), Disconnect(), *self._give_up(now)]
-                self._wake_at_s = max(self._wake_at_s, now + min(REJECTED_BACKOFF_S, self._plan.last_rest))
+                self._wake_at_s = max(
+                    self._wake_at_s, now + min(REJECTED_BACKOFF_S, self._plan.max_backoff_s)
+                )
                 return effects
             case WelcomeReceived(version, have) if self.link is Link.GREETING:
                 return self._welcomed(now, version, have)
@@ -198,7 +200,7 @@
         if now < self._wake_at_s or (self.link is Link.STREAMING and not self.unsettled):
             return []
         if self.link is Link.RESTING:
-            self.link, self._wake_at_s = Link.CONNECTING, now + self._plan.answer_within
+            self.link, self._wake_at_s = Link.CONNECTING, now + self._plan.answer_timeout_s
             return [Connect()]
         return [Counted("silent", self.link.value), Disconnect(), *self._give_up(now)]
 
@@ -209,7 +211,7 @@
         """
         self.link = Link.RESTING
         self._wake_at_s = now + self._backoff_s * (0.5 + self._chance())
-        self._backoff_s = min(2 * self._backoff_s, self._plan.last_rest)
+        self._backoff_s = min(2 * self._backoff_s, self._plan.max_backoff_s)
         return []
 
     def _distrust(self, now: float, detail: str) -> list[Effect]:
@@ -218,7 +220,7 @@
         Nothing is discarded on its claim.
         """
         effects = [Counted("claims_unsent", detail), Disconnect(), *self._give_up(now)]
-        self._wake_at_s = max(self._wake_at_s, now + min(REJECTED_BACKOFF_S, self._plan.last_rest))
+        self._wake_at_s = max(self._wake_at_s, now + min(REJECTED_BACKOFF_S, self._plan.max_backoff_s))
         return effects
 
     def _welcomed(self, now: float, version: int, have: Mapping[bytes, tuple[int, bytes]]) -> list[Effect]:
@@ -241,7 +243,7 @@
         # than what it confirmed once, if it was restored from a copy.
         self.unsettled.clear()
         self._bytes = 0
-        self.link, self._wake_at_s, self._backoff_s = Link.STREAMING, 0.0, self._plan.first_rest
+        self.link, self._wake_at_s, self._backoff_s = Link.STREAMING, 0.0, self._plan.initial_backoff_s
         return [*effects, RewindTo(have)]
 
     def _confirmed(self, now: float, incarnation: bytes, number: int) -> list[Effect]:
@@ -258,7 +260,7 @@
         )
         for _ in range(place + 1):  # they are applied in the order in which they were sent
             effects.append(self._settle())
-        self._wake_at_s = now + self._plan.answer_within if self.unsettled else 0.0
+        self._wake_at_s = now + self._plan.answer_timeout_s if self.unsettled else 0.0
         return effects
 
     def _settle(self) -> BlockSettled:
@@ -274,7 +276,7 @@
             self._bytes += len(block.data)
             effects.append(Send(block))
         if blocks and not self._wake_at_s:
-            self._wake_at_s = now + self._plan.answer_within
+            self._wake_at_s = now + self._plan.answer_timeout_s
         return effects
 
     def known(self, incarnation: bytes, number: int) -> None:
--- a/sablewheel/usage_metering/journal.py
+++ b/sablewheel/usage_metering/journal.py
@@ -85,7 +85,7 @@
                 "format": str(FORMAT_VERSION),
                 "zone": calendar.zone,
                 "length": calendar.length.value,
-                "lag": repr(calendar.lag),
+                "lag": repr(calendar.lag_s),
                 "closed_through": "0",
             }
             statements = [one for one in SCHEMA.split(";") if one.strip()]
--- a/sablewheel/usage_metering/period_closing.py
+++ b/sablewheel/usage_metering/period_closing.py
@@ -44,7 +44,7 @@
 
     def due(self, period: Period) -> bool:
         """Whether an open period may be closed now."""
-        lag = round(self.periods.calendar.lag * 1e6)
+        lag = round(self.periods.calendar.lag_s * 1e6)
         return not self.jumped and period.end + lag <= self.now
 
     def closed(self, period: Period) -> None:
--- a/sablewheel/usage_metering/plan.py
+++ b/sablewheel/usage_metering/plan.py
@@ -1,4 +1,4 @@
-"""Settings of usage metering as plain values, made by the reader of the features file; spans in seconds."""
+"""Settings of usage metering as plain values, made by the reader of the features file."""
 
 from __future__ import annotations
 
@@ -8,21 +8,24 @@
 
 
 class Depth(Enum):
-    """MEMORY: nothing outlives the process but what was exported. DURABLE: entries are on disk first."""
+    """Where entries are stored.
+
+    MEMORY: only exported entries survive the process. DURABLE: entries are written to disk first.
+    """
 
     MEMORY = "memory"
     DURABLE = "durable"
 
 
 class Answers(Enum):
-    """Whether a completed answer waits until its entry is durable, or leaves at once. Durable depth only."""
+    """Whether a completed answer is sent once its entry is durable, or at once; for the durable depth."""
 
     AFTER_ENTRY = "after-entry"
     BEFORE_ENTRY = "before-entry"
 
 
 class Length(Enum):
-    """How long a period is."""
+    """Length of a period."""
 
     HOUR = "hour"
     DAY = "day"
@@ -31,22 +34,22 @@
 
 @dataclass(frozen=True)
 class Calendar:
-    """Periods: a time zone's name, a length, and how long after its end a period is kept open."""
+    """The division of time into periods; a period stays open for `lag_s` after its end."""
 
     zone: str = "UTC"
     length: Length = Length.DAY
-    lag: float = 3600.0
+    lag_s: float = 3600.0
 
 
 @dataclass(frozen=True)
 class ExportPlan:
-    """Where entries go, and with how much patience. Rests double from `first_rest` to `last_rest`."""
+    """Settings of the export; the backoff doubles from `initial_backoff_s` to `max_backoff_s`."""
 
     address: tuple[str, int]
-    answer_within: float = 5.0
-    first_rest: float = 0.2
-    last_rest: float = 30.0
-    window_bytes: int = 1 << 18  # sent and not yet acknowledged
+    answer_timeout_s: float = 5.0
+    initial_backoff_s: float = 0.2
+    max_backoff_s: float = 30.0
+    window_bytes: int = 1 << 18  # limit for blocks sent and not yet acknowledged
 
 
 @dataclass(frozen=True)
@@ -56,27 +59,27 @@
     depth: Depth = Depth.MEMORY
     folder: Path | None = None
     answers: Answers = Answers.AFTER_ENTRY
-    hold_most: float = 0.25  # how long an answer waits for its entry
-    entries_most: int = 20_000  # kept one by one in memory; what is beyond is folded to totals
-    totals_most: int = 5_000  # rows of totals; beyond it the oldest periods are joined
-    disk_bytes_most: int = 1 << 30
-    keep_bytes: int = 64 << 20  # acknowledged, and kept for a collector that was restored
-    commit_every: float = 0.04  # two commits are at least so far apart: what comes meanwhile shares one
-    block_every: float = 0.25
+    max_answer_delay_s: float = 0.25  # longest wait of an answer for its entry to be durable
+    max_entries: int = 20_000  # single entries in memory; older ones are folded into totals
+    max_total_rows: int = 5_000  # beyond this, the oldest periods are merged
+    max_disk_bytes: int = 1 << 30
+    retained_bytes: int = 64 << 20  # acknowledged records on disk, for a restored collector
+    commit_interval_s: float = 0.04  # least time between commits; entries in between share one
+    block_interval_s: float = 0.25
     calendar: Calendar = Calendar()
     export: ExportPlan | None = None
 
 
 @dataclass(frozen=True)
 class CollectorPlan:
-    """The collector: its journal, its door, its periods. `customers` empty: any name is taken."""
+    """Settings of the collector. If `customers` is empty, any tenant name is accepted."""
 
-    book: Path
+    journal_path: Path
     listen: tuple[str, int]
     calendar: Calendar = Calendar()
     customers: frozenset[str] = frozenset()
-    frame_most: int = 1 << 22
-    connections_most: int = 2048  # one a server, and for a while one of its predecessor
-    silent_most: float = 600.0
-    skew_most: float = 300.0
-    close_every: float = 5.0
+    max_frame_bytes: int = 1 << 22
+    max_connections: int = 2048  # one per server, and briefly one of its earlier incarnation
+    idle_timeout_s: float = 600.0
+    max_clock_skew_s: float = 300.0
+    close_check_interval_s: float = 5.0
--- a/sablewheel/usage_metering/recorder.py
+++ b/sablewheel/usage_metering/recorder.py
@@ -87,9 +87,9 @@
     ) -> None:
         self._scheduler, self._plan, self._count, self._names = scheduler, plan, count, names
         self._entries_buffer = EntryBuffer(
-            server, incarnation, Periods(plan.calendar), plan.entries_most, plan.totals_most
+            server, incarnation, Periods(plan.calendar), plan.max_entries, plan.max_total_rows
         )
-        self._held = DelayedAnswers(scheduler, plan.hold_most, self._release)
+        self._held = DelayedAnswers(scheduler, plan.max_answer_delay_s, self._release)
         self._fences: deque[tuple[int, int]] = deque()  # record number, last sequence in it
         self._durable_sequence = self._marked = 0
         self._cut_at = scheduler.clock.now
@@ -105,7 +105,7 @@
         predecessors = EarlierIncarnations()
         if plan.depth is Depth.DURABLE:
             assert plan.folder is not None
-            records = durable.Log(DiskFiles(plan.folder), KIND, incarnation, plan.disk_bytes_most)
+            records = durable.Log(DiskFiles(plan.folder), KIND, incarnation, plan.max_disk_bytes)
             self.recovery = records.recover(predecessors.note_block)
             self._log_recovery(predecessors)
             self._bridge = bridge or WorkerThread(scheduler)
@@ -115,7 +115,7 @@
         if plan.export is not None:
             source: Any
             if self._store is not None:
-                source = DurableSource(self._store, predecessors.positions, plan.keep_bytes)
+                source = DurableSource(self._store, predecessors.positions, plan.retained_bytes)
             else:
                 source = MemorySource(self._entries_buffer, incarnation, self._cut_for_export)
                 self._memory_source = source
@@ -161,7 +161,7 @@
                 self._count("ledger_answers_ahead")
             return caller.completed(exchange, result)
         self._held.delay(sequence, exchange, result, caller)
-        wait = self._cut_at + self._plan.commit_every - self._scheduler.clock.now
+        wait = self._cut_at + self._plan.commit_interval_s - self._scheduler.clock.now
         if len(self._held) == 1 and wait > 0:
             self._scheduler.after(wait, lambda: None)  # a round to commit in
 
@@ -222,13 +222,13 @@
         """Whether the entry buffer holds what is worth a block by itself."""
         if self._entries_buffer.empty:
             return False
-        aged = self._scheduler.clock.now - self._cut_at >= self._plan.block_every
+        aged = self._scheduler.clock.now - self._cut_at >= self._plan.block_interval_s
         return aged or self._leaving or self._entries_buffer.kept >= FULL_BLOCK_ENTRIES
 
     def _seal_durably(self, store: GroupCommitLog) -> None:
         now = self._scheduler.clock.now
-        if store.idle and (now >= self._cut_at + self._plan.commit_every or self._leaving):
-            quiet = now - self._cut_at >= self._plan.block_every or self._leaving
+        if store.idle and (now >= self._cut_at + self._plan.commit_interval_s or self._leaving):
+            quiet = now - self._cut_at >= self._plan.block_interval_s or self._leaving
             mark = quiet and self._answered() > self._marked and self._entries_buffer.empty
             if mark or (not self._entries_buffer.empty and (self._held or self._block_is_due())):
                 self._cut_at = now
@@ -262,7 +262,7 @@
         """Rounds come with requests; without any, what lies in the entry buffer still has its time."""
         if self._sender is not None and self._sender.is_streaming:
             self._sender.schedule_send()
-        self._scheduler.after(self._plan.block_every, self._schedule)
+        self._scheduler.after(self._plan.block_interval_s, self._schedule)
 
     # -- the disk
 
--- a/sablewheel/usage_metering/sender.py
+++ b/sablewheel/usage_metering/sender.py
@@ -123,7 +123,7 @@
 
     def _run_connection(self, turn: int) -> None:
         """One connection from its making to its end."""
-        stream = connect(self._scheduler, self._plan.address, self._plan.answer_within)
+        stream = connect(self._scheduler, self._plan.address, self._plan.answer_timeout_s)
         if turn != self._turn:
             if stream is not None:
                 stream.close()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -258,8 +258,8 @@
 
 def test_the_collector_takes_1024_servers_and_as_many_more_that_are_new_in_their_place() -> None:
     plan = CollectorPlan(Path("book"), ("127.0.0.1", 1))
-    assert CollectorSection(book="book", listen="127.0.0.1:1").plan().connections_most == (
-        plan.connections_most
+    assert CollectorSection(book="book", listen="127.0.0.1:1").plan().max_connections == (
+        plan.max_connections
     )
     crowd = SimpleNamespace(connections=dict.fromkeys(range(2 * LEAST - 1)), _plan=plan)
     assert Collector._room(crowd)  # type: ignore[arg-type]
--- a/tests/test_usage_metering.py
+++ b/tests/test_usage_metering.py
@@ -63,7 +63,7 @@
 MICROSECONDS_PER_SECOND = 1_000_000
 NOON = 1_796_126_400  # 2026-12-01T12:00Z
 INCARNATION = b"incarn01"
-HOURS = Calendar("UTC", Length.HOUR, lag=60.0)
+HOURS = Calendar("UTC", Length.HOUR, lag_s=60.0)
 SERVER_SETTINGS = ServerSettings(
     request_classes=(
         RequestClass(Idempotency.IDEMPOTENT, 1.0, 4.0),
@@ -94,7 +94,7 @@
         self.files = FakeFiles()
         monkeypatch.setattr(usage_recorder, "DiskFiles", lambda _: self.files)
         monkeypatch.setattr(usage_recorder, "WorkerThread", SlowBridge)
-        plan = LedgerPlan(Depth.DURABLE, Path("made"), answers, commit_every=0.0, entries_most=50)
+        plan = LedgerPlan(Depth.DURABLE, Path("made"), answers, commit_interval_s=0.0, max_entries=50)
         background = Background(self.scheduler, lambda: 0)
         names = {SERVER_SETTINGS.tenants[0]: "acme"}
         self.usage_recorder = UsageRecorder(
@@ -154,7 +154,7 @@
         super().__init__(SERVER_SETTINGS)
         self.exports: list[FakeStream] = []
         monkeypatch.setattr(sender, "connect", lambda *_: self._open_export())
-        plan = LedgerPlan(block_every=0.1, export=ExportPlan(("127.0.0.1", 1)))
+        plan = LedgerPlan(block_interval_s=0.1, export=ExportPlan(("127.0.0.1", 1)))
         background = Background(self.scheduler, lambda: 0)
         names = {SERVER_SETTINGS.tenants[0]: "acme"}
         self.usage_recorder = UsageRecorder(
@@ -541,7 +541,7 @@
         self.scheduler = Scheduler(Clock())
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.address = free.getsockname()
-        plan = CollectorPlan(path, self.address, HOURS, frame_most=1 << 16, **more)
+        plan = CollectorPlan(path, self.address, HOURS, max_frame_bytes=1 << 16, **more)
         self.lines: list[tuple[str, dict[str, Any]]] = []
         self.collector: Collector | None = None
         self.ready = threading.Event()
@@ -553,7 +553,7 @@
     def _run(self) -> None:
         scheduler = self.scheduler = Scheduler(Clock())
         self.collector = Collector(
-            scheduler, self.plan, Journal(self.plan.book, HOURS), self, clock=lambda: NOON
+            scheduler, self.plan, Journal(self.plan.journal_path, HOURS), self, clock=lambda: NOON
         )
         self.stop = False
 
@@ -676,7 +676,7 @@
     data = forged.SerializeToString()
     last_received_at = peer.send(SealedBlock(INCARNATION, 2, 4, data, blocks.digest(data)))
     assert last_received_at is not None and last_received_at.refused.fault == "changed"
-    journal = Journal(door.plan.book, read_only=True)
+    journal = Journal(door.plan.journal_path, read_only=True)
     assert next(journal.rows("select count(*) from lines"))[0] == 4 and not list(journal.verify())
 
 
@@ -692,7 +692,7 @@
 
 def test_a_book_that_can_not_be_written_acknowledges_nothing_until_it_can(door: Door) -> None:
     some = sealed_blocks("n1", 1)
-    lock = sqlite3.connect(door.plan.book, isolation_level=None)
+    lock = sqlite3.connect(door.plan.journal_path, isolation_level=None)
     assert door.collector is not None
     lock.execute("begin immediate")
     peer = ClientConnection(door)
@@ -712,7 +712,7 @@
         peer = ClientConnection(door)
         peer.greet()
         peer.send(sealed_blocks("n1", 1)[0])
-        journal = Journal(door.plan.book, read_only=True)
+        journal = Journal(door.plan.journal_path, read_only=True)
         (acme, zenith) = reports.statements(journal, "2026-12-01T12+00:00")
         assert acme.known and not zenith.known and zenith.tickets == 1
         assert "NOT a customer" in statement.as_text([zenith])
@@ -730,7 +730,7 @@
     last_received_at = peer.send(some[2])
     assert last_received_at is not None and last_received_at.acknowledged.number == 3
     peer.send(some[3])
-    journal = Journal(door.plan.book, read_only=True)
+    journal = Journal(door.plan.journal_path, read_only=True)
     found, _ = reconcile_folders(journal, [])
     assert "blocks 2 to 2: damaged on disk" in found.gaps[0] and not list(journal.verify())
 
--- a/tests/test_usage_metering_decisions.py
+++ b/tests/test_usage_metering_decisions.py
@@ -493,7 +493,7 @@
 
 
 def at_noon() -> tuple[PeriodCloser, float]:
-    period_closer = PeriodCloser(Periods(Calendar("UTC", Length.HOUR, lag=600.0)))
+    period_closer = PeriodCloser(Periods(Calendar("UTC", Length.HOUR, lag_s=600.0)))
     noon = moment("2026-12-01T12:00+00:00") / MICROSECONDS_PER_SECOND
     period_closer.observe_clocks(noon, 1000.0)
     return period_closer, noon
