--- a/sablewheel/experiments/collector.py
+++ b/sablewheel/experiments/collector.py
@@ -25,8 +25,11 @@
 class AckBeforeApply(Collector):
     """Acknowledges what it has only read; it is posted a while later, if the process lives so long."""
 
-    def _batch(
-        self, connection: Connection, batch: pb.Batch, posted: list[tuple[Connection, pb.Acknowledged]]
+    def _handle_batch(
+        self,
+        connection: Connection,
+        batch: pb.Batch,
+        acknowledgements: list[tuple[Connection, pb.Acknowledged]],
     ) -> None:
         block = pb.Block.FromString(batch.block)
         told = pb.Acknowledged(incarnation=block.incarnation, number=block.number)
--- a/sablewheel/experiments/ledger_cost.py
+++ b/sablewheel/experiments/ledger_cost.py
@@ -101,7 +101,7 @@
             most = max(most, used)
             if place < entries / 2:
                 half = max(half, used)
-    kept = entry_buffer.kept
+    kept = entry_buffer.individual_count
     block = pb.Block.FromString(entry_buffer.cut(0.0, 0, 1 << 30).data)
     sums = sum(one.entries for one in block.totals if one.billed) + sum(one.billed for one in block.entries)
     runs = sum(one.run_us for one in block.totals) + sum(one.run_us for one in block.entries)
--- a/sablewheel/experiments/ledger_size.py
+++ b/sablewheel/experiments/ledger_size.py
@@ -99,7 +99,7 @@
                 name=place.to_bytes(8, "big"),
             )
         )
-        if entry_buffer.kept >= BLOCK:
+        if entry_buffer.individual_count >= BLOCK:
             yield entry_buffer.cut(START / 1e6, entry_buffer.last, BLOCK)
     if not entry_buffer.empty:
         yield entry_buffer.cut(START / 1e6, entry_buffer.last, BLOCK)
--- a/sablewheel/program/feature_registry.py
+++ b/sablewheel/program/feature_registry.py
@@ -93,7 +93,7 @@
     return FeatureHooks(
         observer=recorder,
         end_round=recorder.end_round,
-        closing=recorder.parting,
+        closing=recorder.closing,
         settled=recorder.settled,
         close=recorder.close,
         gauges=recorder.gauges,
--- a/sablewheel/usage_metering/__init__.py
+++ b/sablewheel/usage_metering/__init__.py
@@ -1,1 +1,1 @@
-"""Usage metering: entries for final outcomes, exported exactly once, in periods that close."""
+"""Usage metering: an entry for each final outcome, exported exactly once, posted in billing periods."""
--- a/sablewheel/usage_metering/aggregation.py
+++ b/sablewheel/usage_metering/aggregation.py
@@ -1,7 +1,8 @@
-"""Buffer entries between their request and their block; fold the oldest into totals. Pure.
+"""Buffer entries until they are put into a block; fold the oldest into totals. Pure.
 
-Nothing is lost when the buffer is full: what is folded still counts, exactly, by tenant, request class,
-outcome, period and what else a bill needs; only the single entries are gone, and the totals say so.
+No usage is lost when the buffer is full: folded entries are summed exactly by tenant, request class, outcome,
+period and the other fields that a bill needs. Only the single entries are dropped, and the totals show how
+many.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 @dataclass(slots=True)
 class Sums:
-    """What one row of totals adds up; all whole numbers, so that sums are exact."""
+    """The sums of one row of totals, as integers so that they are exact."""
 
     entries: int = 0
     run_us: int = 0
@@ -36,13 +37,13 @@
 
 
 class TotalsTable:
-    """Rows of totals, at most `rows_most`: beyond it the two oldest periods become one span of time."""
+    """Rows of totals; above `max_rows` rows, the two oldest periods are merged into one span of time."""
 
-    def __init__(self, periods: Periods, rows_most: int) -> None:
-        self._periods, self._rows_most = periods, rows_most
+    def __init__(self, periods: Periods, max_rows: int) -> None:
+        self._periods, self._max_rows = periods, max_rows
         self.rows: dict[Key, Sums] = {}
         self.entries = 0
-        self.joined = 0  # how often periods had to be joined
+        self.merge_count = 0  # number of times that two periods were merged
 
     def add(self, entry: pb.Entry) -> None:
         """Add one entry to the row of its period, tenant, request class and outcome."""
@@ -63,23 +64,23 @@
             self.rows[key].add(sums)
             return
         self.rows[key] = sums
-        while len(self.rows) > self._rows_most and self._join_oldest():
-            self.joined += 1
+        while len(self.rows) > self._max_rows and self._merge_oldest_periods():
+            self.merge_count += 1
 
-    def _join_oldest(self) -> bool:
+    def _merge_oldest_periods(self) -> bool:
         spans = sorted({key[:2] for key in self.rows})
         if len(spans) < 2:
-            return False  # one span: its rows are bounded by tenants and request classes
-        one, other = spans[0], spans[1]
-        both = (min(one[0], other[0]), max(one[1], other[1]))
+            return False  # a single span; its rows are bounded by tenants and request classes
+        oldest, next_oldest = spans[0], spans[1]
+        merged_span = (min(oldest[0], next_oldest[0]), max(oldest[1], next_oldest[1]))
         rows, self.rows = self.rows, {}
         for key, sums in rows.items():
-            new: Key = (*both, *key[2:]) if key[:2] in (one, other) else key
-            self.rows.setdefault(new, Sums()).add(sums)
+            merged_key: Key = (*merged_span, *key[2:]) if key[:2] in (oldest, next_oldest) else key
+            self.rows.setdefault(merged_key, Sums()).add(sums)
         return True
 
     def take(self) -> list[pb.Total]:
-        """All rows, in an order of their own; none are left."""
+        """Remove all rows and return them, sorted by their keys."""
         rows, self.rows, self.entries = self.rows, {}, 0
         return [
             pb.Total(
@@ -101,59 +102,62 @@
 
 
 class EntryBuffer:
-    """Entries of one incarnation in sequence; `cut` makes the next block of the chain of them.
+    """The entries of one incarnation that are not in a block yet; `cut` returns the next block of the chain.
 
-    Invariant: `first` .. `last` are the sequence numbers not yet in a block; the folded come first, the
-    entries follow one by one, and there are never more than `entries_most` of these.
+    Invariant: `first` .. `last` are the sequence numbers not yet in a block. The folded ones come first, then
+    at most `max_entries` single entries.
     """
 
     def __init__(
-        self, server: str, incarnation: bytes, periods: Periods, entries_most: int, totals_most: int
+        self, server: str, incarnation: bytes, periods: Periods, max_entries: int, max_total_rows: int
     ) -> None:
-        self._server, self._incarnation, self._entries_most = server, incarnation, entries_most
+        self._server, self._incarnation, self._max_entries = server, incarnation, max_entries
         self._entries: deque[bytes] = deque()
-        self._folded = TotalsTable(periods, totals_most)
+        self._folded_totals = TotalsTable(periods, max_total_rows)
         self._unsure: list[pb.Unsure] = []
         self._previous = b""
-        self.number = 0  # of the last block
+        self.number = 0  # number of the last block; 0 if there is none
         self.first, self.last = 1, 0
-        self.folded_ever = 0
+        self.folded_count = 0
 
     @property
-    def waiting(self) -> int:
-        """Entries not yet in a block, folded ones included."""
+    def unsealed_count(self) -> int:
+        """Number of entries not yet in a block, folded ones included."""
         return self.last - self.first + 1
 
     @property
-    def kept(self) -> int:
-        """Entries held one by one."""
+    def individual_count(self) -> int:
+        """Number of entries that are not folded."""
         return len(self._entries)
 
     @property
     def empty(self) -> bool:
-        """Whether there is nothing that a block would have to carry."""
-        return not self.waiting and not self._unsure
+        """Whether there is neither an entry nor a flag to put into a block."""
+        return not self.unsealed_count and not self._unsure
 
     def add(self, entry: pb.Entry) -> int:
-        """Takes an entry, gives it its sequence number; folds the oldest if there are too many."""
+        """Add an entry and return its sequence number; fold the oldest entries if there are too many."""
         self.last += 1
         entry.sequence = self.last
         self._entries.append(entry.SerializeToString())
-        while len(self._entries) > self._entries_most:
-            self._folded.add(pb.Entry.FromString(self._entries.popleft()))
-            self.folded_ever += 1
+        while len(self._entries) > self._max_entries:
+            self._folded_totals.add(pb.Entry.FromString(self._entries.popleft()))
+            self.folded_count += 1
         return self.last
 
-    def flag(self, incarnation: bytes, after: int, through: int) -> None:
-        """Answers to these entries of an incarnation before this one may never have left."""
+    def flag_unanswered(self, incarnation: bytes, after: int, through: int) -> None:
+        """Flag entries of an earlier incarnation whose answers may not have been sent.
+
+        The entries are those with sequence numbers above `after`, up to and including `through`.
+        """
         self._unsure.append(
             pb.Unsure(incarnation=incarnation, after_sequence=after, through_sequence=through)
         )
 
-    def cut(self, now: float, answered: int, entries_most: int) -> SealedBlock:
-        """The next block: totals if there are any, then up to `entries_most` entries."""
-        taken = [self._entries.popleft() for _ in range(min(entries_most, len(self._entries)))]
-        folded = self._folded.entries
+    def cut(self, now: float, answered: int, max_entries: int) -> SealedBlock:
+        """Return the next block: totals if there are any, then up to `max_entries` entries."""
+        taken = [self._entries.popleft() for _ in range(min(max_entries, len(self._entries)))]
+        folded = self._folded_totals.entries
         self.number += 1
         head = pb.Block(
             server=self._server,
@@ -164,7 +168,7 @@
             first_sequence=self.first,
             last_sequence=self.first + folded + len(taken) - 1,
             answered=answered,
-            totals=self._folded.take(),
+            totals=self._folded_totals.take(),
             unsure=self._unsure,
         )
         self._unsure = []
--- a/sablewheel/usage_metering/blocks.py
+++ b/sablewheel/usage_metering/blocks.py
@@ -1,8 +1,8 @@
-"""Serialize entries to blocks and check blocks: the chain that export and reconciliation rest on. Pure.
+"""Serialize entries to blocks, and check blocks and their chain. Pure.
 
-A block is written once and goes everywhere as these bytes. It names its server and incarnation, has a
-number without gaps, carries the digest of the block before it, and accounts for a range of sequence numbers
-without gaps: first those folded into totals, then one entry each.
+A block is serialized once, and the same bytes are stored and exported. It has its server and incarnation, a
+number (consecutive within the incarnation), the digest of the previous block, and a contiguous range of
+sequence numbers: first those folded into totals, then those of single entries.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 
 from . import usage_metering_pb2 as pb
 
-ENTRY_TAG = bytes([11 << 3 | 2])  # of Block.entries
+ENTRY_TAG = bytes([11 << 3 | 2])  # the protobuf tag of Block.entries
 INCARNATION_SIZE = 8
 MAX_NAME_CHARACTERS = 256
 MAX_COUNT = 1 << 40
 
 
 class BlockError(ValueError):
-    """Bytes that are no block, or one that contradicts itself; the message names the field."""
+    """The bytes are not a block, or the block is inconsistent; the message names the field."""
 
 
 @dataclass(frozen=True)
 class SealedBlock:
-    """A block as it goes to disk and over the wire."""
+    """A serialized block, as it is stored and exported."""
 
     incarnation: bytes
     number: int
@@ -51,70 +51,74 @@
 
 
 def seal(head: pb.Block, entries: Iterable[bytes]) -> SealedBlock:
-    """A block of its head, which holds all but the entries, and of entries that are bytes already."""
+    """Serialize a block from `head`, which has all fields but the entries, and from serialized entries."""
     parts = [head.SerializeToString()]
-    for one in entries:
-        parts += (ENTRY_TAG, _varint(len(one)), one)
+    for entry in entries:
+        parts += (ENTRY_TAG, _varint(len(entry)), entry)
     data = b"".join(parts)
     return SealedBlock(head.incarnation, head.number, head.last_sequence, data, digest(data))
 
 
 def read(data: bytes) -> pb.Block:
-    """The block of these bytes, checked within itself; raises `BlockError`."""
+    """Parse a block and check its consistency; raises `BlockError`."""
     try:
         block = pb.Block.FromString(data)
     except DecodeError:
         raise BlockError("not a block: the bytes can't be read") from None
     if not block.server or len(block.server) > MAX_NAME_CHARACTERS:
-        raise BlockError(f"server: a name of 1 to {MAX_NAME_CHARACTERS} characters is wanted")
+        raise BlockError(f"server: a name of 1 to {MAX_NAME_CHARACTERS} characters is required")
     if len(block.incarnation) != INCARNATION_SIZE:
-        raise BlockError(f"incarnation: {INCARNATION_SIZE} bytes are wanted, got {len(block.incarnation)}")
+        raise BlockError(f"incarnation: {INCARNATION_SIZE} bytes are required, got {len(block.incarnation)}")
     if not block.number:
         raise BlockError("number: counts from 1")
     if len(block.previous) != (32 if block.number > 1 else 0):
-        raise BlockError("previous: a digest of 32 bytes is wanted, and none in the first block")
+        raise BlockError("previous: a digest of 32 bytes is required, and none in the first block")
     _check_sequences(block)
-    for place, total in enumerate(block.totals):
-        _check_counts(f"totals[{place}]", total.customer, total.track, total.outcome)
+    for index, total in enumerate(block.totals):
+        _check_counts(f"totals[{index}]", total.customer, total.track, total.outcome)
         if total.billed and total.outcome != pb.COMPLETED:
-            raise BlockError(f"totals[{place}].billed: of an outcome that is not completed")
+            raise BlockError(f"totals[{index}].billed: the outcome is not completed")
         if total.end_us <= total.first_us or not 0 < total.entries < MAX_COUNT:
-            raise BlockError(f"totals[{place}]: a period and entries are wanted")
+            raise BlockError(f"totals[{index}]: a period and entries are required")
     return block
 
 
 def _check_sequences(block: pb.Block) -> None:
-    held = block.last_sequence - block.first_sequence + 1
-    folded = sum(one.entries for one in block.totals)
-    if not block.first_sequence or held < 0 or held != folded + len(block.entries):
-        raise BlockError(f"sequence: {held} numbers for {folded} folded and {len(block.entries)} entries")
+    sequence_count = block.last_sequence - block.first_sequence + 1
+    folded = sum(total.entries for total in block.totals)
+    if not block.first_sequence or sequence_count < 0 or sequence_count != folded + len(block.entries):
+        raise BlockError(
+            f"sequence: {sequence_count} numbers for {folded} folded and {len(block.entries)} entries"
+        )
     first = block.first_sequence + folded
-    for place, entry in enumerate(block.entries):
-        if entry.sequence != first + place:
-            raise BlockError(f"entries[{place}].sequence: {entry.sequence} where {first + place} was due")
-        _check_counts(f"entries[{place}]", entry.customer, entry.track, entry.outcome)
+    for index, entry in enumerate(block.entries):
+        if entry.sequence != first + index:
+            raise BlockError(
+                f"entries[{index}].sequence: {entry.sequence} where {first + index} was expected"
+            )
+        _check_counts(f"entries[{index}]", entry.customer, entry.track, entry.outcome)
         if entry.billed and entry.outcome != pb.COMPLETED:
-            raise BlockError(f"entries[{place}].billed: of an outcome that is not completed")
+            raise BlockError(f"entries[{index}].billed: the outcome is not completed")
 
 
 def _check_counts(where: str, customer: str, track: str, outcome: int) -> None:
     if len(customer) > MAX_NAME_CHARACTERS or len(track) > MAX_NAME_CHARACTERS:
-        raise BlockError(f"{where}: a name of more than {MAX_NAME_CHARACTERS} characters")
+        raise BlockError(f"{where}: a name is longer than {MAX_NAME_CHARACTERS} characters")
     if outcome not in (pb.COMPLETED, pb.DENIED, pb.TERMINATED, pb.GONE):
-        raise BlockError(f"{where}.outcome: {outcome} is none")
+        raise BlockError(f"{where}.outcome: {outcome} is not an outcome")
 
 
-def follows(block: pb.Block, number: int, last_digest: bytes, last_sequence: int) -> str | None:
-    """What contradicts that a block is the next one after these; None if nothing does."""
+def chain_violation(block: pb.Block, number: int, last_digest: bytes, last_sequence: int) -> str | None:
+    """Return why a block does not follow the last block that is described; None if it does."""
     if block.number != number + 1:
         return f"number: {block.number} where {number + 1} was due"
     if block.previous != last_digest:
-        return f"previous: block {block.number} does not follow the block {number} that is known"
+        return f"previous: block {block.number} does not follow the block {number} in the journal"
     if block.first_sequence != last_sequence + 1:
         return f"sequence: {block.first_sequence} where {last_sequence + 1} was due"
     return None
 
 
 def describe(entries: Sequence[pb.Entry]) -> str:
-    """Return the first sequence numbers of some entries, for a message."""
-    return ", ".join(f"{one.sequence}" for one in entries[:5]) + (" ..." if len(entries) > 5 else "")
+    """Return the sequence numbers of the first five entries, for a message."""
+    return ", ".join(f"{entry.sequence}" for entry in entries[:5]) + (" ..." if len(entries) > 5 else "")
--- a/sablewheel/usage_metering/collecting.py
+++ b/sablewheel/usage_metering/collecting.py
@@ -1,8 +1,7 @@
-"""Decide what a collector does with a batch: apply it once, recognise it, or reject it by name. Pure.
+"""Decide whether a collector applies a batch, acknowledges it again or refuses it. Pure.
 
-The order of the blocks of one incarnation is all the state it needs: the last number in the journal, its
-digest and its last sequence number. A block that comes again is recognised by its number and must have the
-same digest.
+The state is the last block of each incarnation in the journal: its number, its digest and its last sequence
+number. A block that is received again is identified by its number and must have the same digest.
 """
 
 from __future__ import annotations
@@ -18,7 +17,7 @@
 class LastBlock:
     """The last block of an incarnation in the journal.
 
-    An empty `digest` means that blocks were lost and the chain begins anew.
+    If `digest` is empty, blocks were lost and the next block starts a new chain.
     """
 
     number: int = 0
@@ -28,7 +27,7 @@
 
 @dataclass(frozen=True)
 class Apply:
-    """The next block; it may go into the journal."""
+    """The block is the next one and is to be posted to the journal."""
 
     block: pb.Block
     digest: bytes
@@ -37,7 +36,7 @@
 
 @dataclass(frozen=True)
 class AlreadyApplied:
-    """It is in the journal already: acknowledged, not applied."""
+    """The block is in the journal already; it is acknowledged and not applied."""
 
     incarnation: bytes
     number: int
@@ -45,7 +44,7 @@
 
 @dataclass(frozen=True)
 class Refusal:
-    """Told to the server by name, and the connection ends."""
+    """The name and the details of a fault; they are sent to the server, and the connection is closed."""
 
     fault: str
     detail: str
@@ -55,66 +54,73 @@
 
 
 def check_greeting(hello: pb.Hello, version: int) -> Refusal | None:
-    """What is wrong with a greeting, if anything."""
+    """Return the refusal of an invalid greeting; None if it is valid."""
     if hello.version != version:
-        return Refusal("version", f"{hello.version}, this collector speaks {version}")
+        return Refusal("version", f"version {hello.version}; this collector supports version {version}")
     if not hello.server or len(hello.server) > blocks.MAX_NAME_CHARACTERS or not hello.server.isprintable():
         return Refusal(
-            "server", f"a printable name of 1 to {blocks.MAX_NAME_CHARACTERS} characters is wanted"
+            "server", f"a printable name of 1 to {blocks.MAX_NAME_CHARACTERS} characters is required"
         )
     if len(hello.incarnation) != blocks.INCARNATION_SIZE:
-        return Refusal("incarnation", f"{blocks.INCARNATION_SIZE} bytes are wanted")
+        return Refusal("incarnation", f"{blocks.INCARNATION_SIZE} bytes are required")
     return None
 
 
 def decide_batch(
-    server: str, batch: pb.Batch, known: dict[bytes, LastBlock], kept: dict[tuple[bytes, int], bytes]
+    server: str,
+    batch: pb.Batch,
+    last_blocks: dict[bytes, LastBlock],
+    journal_digests: dict[tuple[bytes, int], bytes],
 ) -> BatchDecision:
-    """Decide on a batch of a server.
+    """Decide on a batch from a server.
 
-    `known` has the last block by incarnation; `kept` has digests of blocks in the journal, where looked up.
+    `last_blocks` has the last block by incarnation; `journal_digests` has the digests of those blocks in the
+    journal that were looked up, by incarnation and number.
     """
     if blocks.digest(batch.block) != batch.digest:
-        return Refusal("digest", "the bytes are not those that the digest was made of")
+        return Refusal("digest", "the bytes are not those that the digest was computed from")
     try:
         block = blocks.read(batch.block)
-    except blocks.BlockError as trouble:
-        return Refusal("block", str(trouble))
+    except blocks.BlockError as error:
+        return Refusal("block", str(error))
     if block.server != server:
-        return Refusal("server", f"a block of {block.server!r} from {server!r}")
-    last = known.get(block.incarnation, LastBlock())
+        return Refusal("server", f"a block of server {block.server!r} on the connection of server {server!r}")
+    last = last_blocks.get(block.incarnation, LastBlock())
     if block.number <= last.number:
-        held = kept.get((block.incarnation, block.number), batch.digest)
+        journal_digest = journal_digests.get((block.incarnation, block.number), batch.digest)
         if block.number == last.number and last.digest:
-            held = last.digest
-        if held != batch.digest:
-            return Refusal("changed", f"block {block.number} is in the book with another digest")
+            journal_digest = last.digest
+        if journal_digest != batch.digest:
+            return Refusal("changed", f"block {block.number} is in the journal with another digest")
         return AlreadyApplied(block.incarnation, block.number)
     if last.number and not last.digest and block.number == last.number + 1:
-        return Apply(block, batch.digest, len(batch.block))  # behind a loss that was told
-    against = blocks.follows(block, last.number, last.digest, last.last_sequence)
-    if against is not None:
-        return Refusal("gap" if block.number > last.number + 1 else "chain", against)
+        return Apply(block, batch.digest, len(batch.block))  # the first block after reported lost blocks
+    violation = blocks.chain_violation(block, last.number, last.digest, last.last_sequence)
+    if violation is not None:
+        return Refusal("gap" if block.number > last.number + 1 else "chain", violation)
     return Apply(block, batch.digest, len(batch.block))
 
 
 @dataclass
 class ConnectedIncarnations:
-    """Which incarnations of each name are connected: two at a time are two servers with one name."""
+    """The connected incarnations by server name, with their numbers of connections.
+
+    Two incarnations at the same time mean that two servers have the same name.
+    """
 
     connected: dict[str, dict[bytes, int]] = field(default_factory=dict)
 
-    def connected_again(self, server: str, incarnation: bytes) -> bool:
-        """Whether another incarnation of that name is here as well."""
-        here = self.connected.setdefault(server, {})
-        here[incarnation] = here.get(incarnation, 0) + 1
-        return len(here) > 1
-
-    def disconnected(self, server: str, incarnation: bytes) -> None:
-        """Note that a connection of an incarnation has ended."""
-        here = self.connected.get(server, {})
-        here[incarnation] = here.get(incarnation, 1) - 1
-        if here[incarnation] <= 0:
-            here.pop(incarnation, None)
-        if not here:
+    def add(self, server: str, incarnation: bytes) -> bool:
+        """Add a connection; return whether another incarnation of that name is connected."""
+        incarnations = self.connected.setdefault(server, {})
+        incarnations[incarnation] = incarnations.get(incarnation, 0) + 1
+        return len(incarnations) > 1
+
+    def remove(self, server: str, incarnation: bytes) -> None:
+        """Remove a connection of an incarnation."""
+        incarnations = self.connected.get(server, {})
+        incarnations[incarnation] = incarnations.get(incarnation, 1) - 1
+        if incarnations[incarnation] <= 0:
+            incarnations.pop(incarnation, None)
+        if not incarnations:
             self.connected.pop(server, None)
--- a/sablewheel/usage_metering/corrections.py
+++ b/sablewheel/usage_metering/corrections.py
@@ -1,7 +1,7 @@
-"""Corrections: what may be corrected, by whom, and what a correction says. Pure.
+"""Corrections of billed usage, and the checks that they must pass. Pure.
 
-A correction never changes a line. It is a line of its own in the period in which it is made, with the sums it
-adds or takes away, what it refers to, why, and who made it.
+A correction never changes a line. It is a separate line in the period in which it is made, with the sums that
+it adds or deducts, its target, its reason and its author.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 
 class CorrectionError(ValueError):
-    """A correction that can't be made; the message names what is wrong."""
+    """The correction is not allowed; the message names the field and the cause."""
 
 
 @dataclass(frozen=True)
 class Target:
-    """What a correction refers to: one entry, or a tenant's use in a closed period."""
+    """The target of a correction: one entry, or a tenant's usage in a closed period."""
 
     server: str = ""
     incarnation: bytes = b""
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Correction:
-    """What it adds to its tenant's sums; negative where it takes away. Run time in microseconds."""
+    """The sums added to a tenant's usage, negative for deductions; run time in microseconds."""
 
     target: Target
     customer: str
@@ -47,7 +47,7 @@
 
 
 def target(text: str) -> Target:
-    """`SERVER/INCARNATION/SEQUENCE`, or `period NAME`."""
+    """Parse `SERVER/INCARNATION/SEQUENCE` or `period NAME`; raises `CorrectionError`."""
     if text.startswith("period ") and text[7:].strip():
         return Target(period=text[7:].strip())
     match = ENTRY.fullmatch(text.removeprefix("entry "))
@@ -59,44 +59,51 @@
 
 
 def check(
-    one: Correction,
+    correction: Correction,
     closed: bool | None,
     billed: tuple[str, str, int, int] | None,
-    made_before: int,
+    already_deducted: int,
 ) -> None:
-    """Raises `CorrectionError` if it may not be made.
+    """Check that a correction is allowed.
 
-    For a period: `closed` tells whether it is, None if it is not known. For an entry: `billed` holds its
-    tenant, request class, billed requests and run time, None if there is no such entry. `made_before` is the
-    sum of requests that earlier corrections of the same target have taken away from this tenant.
+    Args:
+        correction: The correction.
+        closed: For a period, whether it is closed; None if it is not in the journal.
+        billed: For an entry, its tenant, request class, billed requests and run time; None if there is none.
+        already_deducted: Requests that earlier corrections of this target have deducted for this tenant.
+
+    Raises:
+        CorrectionError: The correction is not allowed.
     """
-    _check_texts_and_sums(one)
-    if one.target.period:
+    _check_texts_and_sums(correction)
+    if correction.target.period:
         if closed is None:
-            raise CorrectionError(f"period: {one.target.period!r} is not in the book")
+            raise CorrectionError(f"period: {correction.target.period!r} is not in the book")
         if not closed:
-            raise CorrectionError(f"period: {one.target.period!r} is open; wait until it is closed")
+            raise CorrectionError(
+                f"period: {correction.target.period!r} is open; only closed periods are corrected"
+            )
         return
     if billed is None:
-        raise CorrectionError(f"entry: there is no {one.target}")
+        raise CorrectionError(f"entry: there is no {correction.target}")
     customer, track, tickets, run_us = billed
-    if (customer, track) != (one.customer, one.track):
+    if (customer, track) != (correction.customer, correction.track):
         raise CorrectionError(f"customer: the entry is of {customer!r}, track {track!r}")
-    if one.tickets < 0 and -one.tickets > tickets - made_before:
+    if correction.tickets < 0 and -correction.tickets > tickets - already_deducted:
         raise CorrectionError(
-            f"tickets: the entry bills {tickets}, of which {made_before} were taken away before"
+            f"tickets: the entry bills {tickets}, of which {already_deducted} were taken away before"
         )
-    if -one.run_us > run_us:
-        raise CorrectionError(f"run time: the entry bills {run_us / 1e6:g} s only")
+    if -correction.run_us > run_us:
+        raise CorrectionError(f"run time: the entry bills only {run_us / 1e6:g} s")
 
 
-def _check_texts_and_sums(one: Correction) -> None:
-    """Raise `CorrectionError` for a missing or long text, and for sums that are empty or out of range."""
-    if not one.reason.strip() or len(one.reason) > MAX_REASON_CHARACTERS:
-        raise CorrectionError(f"reason: a text of 1 to {MAX_REASON_CHARACTERS} characters is wanted")
-    if not one.author.strip() or len(one.author) > MAX_AUTHOR_CHARACTERS:
-        raise CorrectionError(f"author: a name of 1 to {MAX_AUTHOR_CHARACTERS} characters is wanted")
-    if not one.tickets and not one.run_us:
+def _check_texts_and_sums(correction: Correction) -> None:
+    """Raise `CorrectionError` for a missing or too long text, and for sums that are zero or out of range."""
+    if not correction.reason.strip() or len(correction.reason) > MAX_REASON_CHARACTERS:
+        raise CorrectionError(f"reason: a text of 1 to {MAX_REASON_CHARACTERS} characters is required")
+    if not correction.author.strip() or len(correction.author) > MAX_AUTHOR_CHARACTERS:
+        raise CorrectionError(f"author: a name of 1 to {MAX_AUTHOR_CHARACTERS} characters is required")
+    if not correction.tickets and not correction.run_us:
         raise CorrectionError("tickets, run time: it corrects nothing")
-    if abs(one.tickets) > MAX_COUNT or abs(one.run_us) > MAX_COUNT * 1000:
+    if abs(correction.tickets) > MAX_COUNT or abs(correction.run_us) > MAX_COUNT * 1000:
         raise CorrectionError("tickets, run time: out of range")
--- a/sablewheel/usage_metering/export.py
+++ b/sablewheel/usage_metering/export.py
@@ -1,8 +1,9 @@
-"""The exporter's side of the export as a state machine: one step takes an event, gives effects. Pure.
+"""The server's side of the export as a state machine: a step takes an event and returns effects. Pure.
 
-Blocks go out in the order of the log. Those sent and not yet acknowledged are kept as the bytes they are and
-go out again, the same, after any break. The collector says at each start what it has; that alone decides
-what is sent next. Whatever it claims to have that was never sent to it, it is not believed.
+Blocks are sent in the order of the log. Blocks that were sent and are not acknowledged yet are sent again as
+the same bytes after a reconnect. At the start of each connection the collector sends the blocks that it has,
+which alone decides the next block to send. A collector that claims blocks that were never sent to it is
+disconnected.
 """
 
 from __future__ import annotations
@@ -17,13 +18,13 @@
 from .plan import ExportPlan
 
 VERSION = 1
-REJECTED_BACKOFF_S = 60.0  # after a rejection, which no hurry will mend
+REJECTED_BACKOFF_S = 60.0  # least backoff after a rejection, which an early retry rarely resolves
 
 
-class Link(Enum):
-    """Where the exporter stands."""
+class LinkState(Enum):
+    """State of the connection to the collector."""
 
-    RESTING = "resting"
+    BACKING_OFF = "resting"
     CONNECTING = "connecting"
     GREETING = "greeting"
     STREAMING = "streaming"
@@ -31,19 +32,19 @@
 
 @dataclass(frozen=True)
 class Connected:
-    """The connection stands."""
+    """The connection is established."""
 
 
 @dataclass(frozen=True)
 class ConnectionLost:
-    """There is none, or none any more."""
+    """The connection failed or was closed."""
 
     reason: str
 
 
 @dataclass(frozen=True)
 class WelcomeReceived:
-    """What the collector has of this server: by incarnation, its last block's number and digest."""
+    """The last block that the collector has, as number and digest, by incarnation of this server."""
 
     version: int
     have: Mapping[bytes, tuple[int, bytes]]
@@ -51,7 +52,7 @@
 
 @dataclass(frozen=True)
 class BlocksAcknowledged:
-    """This block of an incarnation and all before it are in the journal."""
+    """A block of an incarnation and all blocks before it are in the journal."""
 
     incarnation: bytes
     number: int
@@ -59,7 +60,7 @@
 
 @dataclass(frozen=True)
 class RejectedByCollector:
-    """The collector rejects, by name."""
+    """The collector refused the connection or a frame, with the name of the fault."""
 
     fault: str
     detail: str
@@ -67,14 +68,14 @@
 
 @dataclass(frozen=True)
 class BlocksOffered:
-    """Blocks that are next in the log, in order."""
+    """The next blocks of the log, in order."""
 
     blocks: tuple[SealedBlock, ...]
 
 
 @dataclass(frozen=True)
 class TimerFired:
-    """Time has passed."""
+    """The timer fired."""
 
 
 Event: TypeAlias = (
@@ -90,7 +91,7 @@
 
 @dataclass(frozen=True)
 class Connect:
-    """Try to connect."""
+    """Open a connection."""
 
 
 @dataclass(frozen=True)
@@ -100,14 +101,14 @@
 
 @dataclass(frozen=True)
 class Send:
-    """Send this block."""
+    """Send a block."""
 
     block: SealedBlock
 
 
 @dataclass(frozen=True)
-class TellLost:
-    """Tell the collector that blocks through this one of an incarnation can't come any more."""
+class ReportLost:
+    """Report to the collector that an incarnation's blocks up to `through` are lost."""
 
     incarnation: bytes
     through: int
@@ -116,14 +117,14 @@
 
 @dataclass(frozen=True)
 class RewindTo:
-    """Go back in the log: the first block that the collector lacks is the next to be offered."""
+    """Reposition the source at the first block that the collector does not have."""
 
     have: Mapping[bytes, tuple[int, bytes]]
 
 
 @dataclass(frozen=True)
 class BlockSettled:
-    """This block will never be asked for again, but by a collector that was restored."""
+    """A block is in the journal; only a collector that was restored from a backup requests it again."""
 
     block: SealedBlock
 
@@ -135,150 +136,159 @@
 
 @dataclass(frozen=True)
 class Counted:
-    """For log and counters: a name, and what there is to say."""
+    """An occurrence to count and log: its name, and the details if there are any."""
 
     name: str
     detail: str = ""
 
 
-Effect: TypeAlias = Connect | Greet | Send | TellLost | RewindTo | BlockSettled | Disconnect | Counted
+Effect: TypeAlias = Connect | Greet | Send | ReportLost | RewindTo | BlockSettled | Disconnect | Counted
 
 
 class ExportState:
-    """One server's export. `chance()` gives 0 to 1, for the jitter of its rests.
+    """One server's export; `chance()` returns a number from 0 to 1 for the jitter of the backoff.
 
-    Invariant: `unsettled` are blocks sent at least once and not known to be in the journal, in the log's
-    order and at most `window_bytes` of them but for one; no block is offered to it twice between two rewinds.
+    Invariant: `unsettled` are the blocks that were sent at least once and are not known to be in the journal,
+    in the log's order. Their size exceeds `window_bytes` by at most one block. No block is offered twice
+    between two rewinds.
     """
 
     def __init__(self, plan: ExportPlan, chance: Callable[[], float]) -> None:
         self._plan, self._chance = plan, chance
-        self.link = Link.RESTING
+        self.link = LinkState.BACKING_OFF
         self.unsettled: deque[SealedBlock] = deque()
-        self._bytes = 0
+        self._unsettled_bytes = 0
         self._backoff_s = plan.initial_backoff_s
-        self._wake_at_s = 0.0  # when a rest, or the patience for an answer, is over
-        self._sent: dict[
-            bytes, int
-        ] = {}  # by incarnation: the last number ever sent, or said to be had at a start
+        self._wake_at_s = 0.0  # end of the backoff, or of the wait for the collector; 0 if none
+        self._last_numbers: dict[bytes, int] = {}  # the last block number sent or stored, by incarnation
 
     @property
-    def wants(self) -> int:
-        """How many bytes of further blocks it would send now."""
-        return max(self._plan.window_bytes - self._bytes, 0) if self.link is Link.STREAMING else 0
+    def window_bytes_left(self) -> int:
+        """Bytes of further blocks that may be sent now; 0 if not streaming."""
+        return (
+            max(self._plan.window_bytes - self._unsettled_bytes, 0) if self.link is LinkState.STREAMING else 0
+        )
 
     @property
     def wake_at(self) -> float:
-        """When a tick is due; 0: none is."""
+        """Time at which `TimerFired` is due; 0 if none is."""
         return self._wake_at_s
 
     def step(self, now: float, event: Event) -> list[Effect]:
-        """Take one event; return what is to be done, in order."""
+        """Handle one event; return the effects to apply, in order."""
         match event:
             case TimerFired():
-                return self._tick(now)
-            case Connected() if self.link is Link.CONNECTING:
-                self.link, self._wake_at_s = Link.GREETING, now + self._plan.answer_timeout_s
+                return self._handle_timer(now)
+            case Connected() if self.link is LinkState.CONNECTING:
+                self.link, self._wake_at_s = LinkState.GREETING, now + self._plan.answer_timeout_s
                 return [Greet()]
-            case ConnectionLost(reason) if self.link is not Link.RESTING:
-                return [Counted("broken", reason), *self._give_up(now)]
-            case RejectedByCollector(fault, detail) if self.link is not Link.RESTING:
-                effects = [Counted(f"refused_{fault}", detail), Disconnect(), *self._give_up(now)]
+            case ConnectionLost(reason) if self.link is not LinkState.BACKING_OFF:
+                return [Counted("broken", reason), *self._back_off(now)]
+            case RejectedByCollector(fault, detail) if self.link is not LinkState.BACKING_OFF:
+                effects = [Counted(f"refused_{fault}", detail), Disconnect(), *self._back_off(now)]
                 self._wake_at_s = max(
                     self._wake_at_s, now + min(REJECTED_BACKOFF_S, self._plan.max_backoff_s)
                 )
                 return effects
-            case WelcomeReceived(version, have) if self.link is Link.GREETING:
-                return self._welcomed(now, version, have)
-            case BlocksAcknowledged(incarnation, number) if self.link is Link.STREAMING:
-                return self._confirmed(now, incarnation, number)
-            case BlocksOffered(blocks) if self.link is Link.STREAMING:
-                return self._offered(now, blocks)
+            case WelcomeReceived(version, have) if self.link is LinkState.GREETING:
+                return self._handle_welcome(now, version, have)
+            case BlocksAcknowledged(incarnation, number) if self.link is LinkState.STREAMING:
+                return self._handle_acknowledgement(now, incarnation, number)
+            case BlocksOffered(blocks) if self.link is LinkState.STREAMING:
+                return self._send_blocks(now, blocks)
         return []
 
-    def _tick(self, now: float) -> list[Effect]:
-        if now < self._wake_at_s or (self.link is Link.STREAMING and not self.unsettled):
+    def _handle_timer(self, now: float) -> list[Effect]:
+        if now < self._wake_at_s or (self.link is LinkState.STREAMING and not self.unsettled):
             return []
-        if self.link is Link.RESTING:
-            self.link, self._wake_at_s = Link.CONNECTING, now + self._plan.answer_timeout_s
+        if self.link is LinkState.BACKING_OFF:
+            self.link, self._wake_at_s = LinkState.CONNECTING, now + self._plan.answer_timeout_s
             return [Connect()]
-        return [Counted("silent", self.link.value), Disconnect(), *self._give_up(now)]
+        return [Counted("silent", self.link.value), Disconnect(), *self._back_off(now)]
 
-    def _give_up(self, now: float) -> list[Effect]:
-        """Back off, each time twice as long and with jitter.
+    def _back_off(self, now: float) -> list[Effect]:
+        """Back off, doubling the time at each failure and adding jitter.
 
-        A collector that comes back after an outage must not meet all servers at one moment.
+        The jitter keeps all servers from connecting at the same moment after an outage of the collector.
         """
-        self.link = Link.RESTING
+        self.link = LinkState.BACKING_OFF
         self._wake_at_s = now + self._backoff_s * (0.5 + self._chance())
         self._backoff_s = min(2 * self._backoff_s, self._plan.max_backoff_s)
         return []
 
-    def _distrust(self, now: float, detail: str) -> list[Effect]:
-        """Disconnect from a collector that claims what it can't have, and retry much later.
+    def _reject_claim(self, now: float, detail: str) -> list[Effect]:
+        """Disconnect from a collector that claims blocks it can't have, and retry much later.
 
-        Nothing is discarded on its claim.
+        No block is discarded because of the claim.
         """
-        effects = [Counted("claims_unsent", detail), Disconnect(), *self._give_up(now)]
+        effects = [Counted("claims_unsent", detail), Disconnect(), *self._back_off(now)]
         self._wake_at_s = max(self._wake_at_s, now + min(REJECTED_BACKOFF_S, self._plan.max_backoff_s))
         return effects
 
-    def _welcomed(self, now: float, version: int, have: Mapping[bytes, tuple[int, bytes]]) -> list[Effect]:
+    def _handle_welcome(
+        self, now: float, version: int, have: Mapping[bytes, tuple[int, bytes]]
+    ) -> list[Effect]:
         if version != VERSION:
-            return [Counted("version", f"{version}"), Disconnect(), *self._give_up(now)]
+            return [Counted("version", f"{version}"), Disconnect(), *self._back_off(now)]
         for block in self.unsettled:
-            number, known = have.get(block.incarnation, (0, b""))
-            if number == block.number and known != block.digest:
-                return self._distrust(now, f"block {number} with another digest")
+            number, journal_digest = have.get(block.incarnation, (0, b""))
+            if number == block.number and journal_digest != block.digest:
+                return self._reject_claim(now, f"block {number} with another digest")
         for incarnation, (number, _) in have.items():
-            if incarnation in self._sent and number > self._sent[incarnation]:
-                return self._distrust(now, f"block {number}, {self._sent[incarnation]} was the last sent")
+            if incarnation in self._last_numbers and number > self._last_numbers[incarnation]:
+                return self._reject_claim(
+                    now, f"block {number}, but {self._last_numbers[incarnation]} was the last one sent"
+                )
         effects: list[Effect] = []
         while (
             self.unsettled
             and self.unsettled[0].number <= have.get(self.unsettled[0].incarnation, (0, b""))[0]
         ):
             effects.append(self._settle())
-        # The rest is offered anew, the same bytes, from where the collector says it is: also further back
-        # than what it confirmed once, if it was restored from a copy.
+        # The remaining blocks are sent again, as the same bytes, starting after the last block of the collector.
+        # That may be before blocks that it acknowledged earlier, if it was restored from a backup.
         self.unsettled.clear()
-        self._bytes = 0
-        self.link, self._wake_at_s, self._backoff_s = Link.STREAMING, 0.0, self._plan.initial_backoff_s
+        self._unsettled_bytes = 0
+        self.link, self._wake_at_s, self._backoff_s = LinkState.STREAMING, 0.0, self._plan.initial_backoff_s
         return [*effects, RewindTo(have)]
 
-    def _confirmed(self, now: float, incarnation: bytes, number: int) -> list[Effect]:
-        if number > self._sent.get(incarnation, 0):
-            return self._distrust(now, f"block {number}, {self._sent.get(incarnation, 0)} was the last sent")
+    def _handle_acknowledgement(self, now: float, incarnation: bytes, number: int) -> list[Effect]:
+        if number > self._last_numbers.get(incarnation, 0):
+            return self._reject_claim(
+                now, f"block {number}, {self._last_numbers.get(incarnation, 0)} was the last sent"
+            )
         effects: list[Effect] = []
-        place = next(
+        index = next(
             (
-                place
-                for place, one in enumerate(self.unsettled)
-                if one.incarnation == incarnation and one.number == number
+                index
+                for index, block in enumerate(self.unsettled)
+                if block.incarnation == incarnation and block.number == number
             ),
             -1,
         )
-        for _ in range(place + 1):  # they are applied in the order in which they were sent
+        for _ in range(index + 1):  # blocks are applied in the order in which they were sent
             effects.append(self._settle())
         self._wake_at_s = now + self._plan.answer_timeout_s if self.unsettled else 0.0
         return effects
 
     def _settle(self) -> BlockSettled:
         block = self.unsettled.popleft()
-        self._bytes -= len(block.data)
+        self._unsettled_bytes -= len(block.data)
         return BlockSettled(block)
 
-    def _offered(self, now: float, blocks: tuple[SealedBlock, ...]) -> list[Effect]:
+    def _send_blocks(self, now: float, blocks: tuple[SealedBlock, ...]) -> list[Effect]:
         effects: list[Effect] = []
         for block in blocks:
-            self._sent[block.incarnation] = max(self._sent.get(block.incarnation, 0), block.number)
+            self._last_numbers[block.incarnation] = max(
+                self._last_numbers.get(block.incarnation, 0), block.number
+            )
             self.unsettled.append(block)
-            self._bytes += len(block.data)
+            self._unsettled_bytes += len(block.data)
             effects.append(Send(block))
         if blocks and not self._wake_at_s:
             self._wake_at_s = now + self._plan.answer_timeout_s
         return effects
 
-    def known(self, incarnation: bytes, number: int) -> None:
-        """This many blocks of an incarnation exist here: the collector may have that many, and no more."""
-        self._sent[incarnation] = max(self._sent.get(incarnation, 0), number)
+    def note_existing_blocks(self, incarnation: bytes, number: int) -> None:
+        """Record that an incarnation has blocks up to `number`; the collector can't have later ones."""
+        self._last_numbers[incarnation] = max(self._last_numbers.get(incarnation, 0), number)
--- a/sablewheel/usage_metering/frames.py
+++ b/sablewheel/usage_metering/frames.py
@@ -1,4 +1,4 @@
-"""The export's frames: four bytes of length, then a Frame. Bytes in, frames out, fed as they come. Pure."""
+"""Encode and decode the export's frames: a length of four bytes, then a `Frame` message. Pure."""
 
 from __future__ import annotations
 
@@ -12,46 +12,46 @@
 
 
 class FrameError(ValueError):
-    """What came is no frame; nothing after it can be read."""
+    """The received bytes are not a frame; the rest of the stream can't be decoded."""
 
 
-def frame(kind: pb.Frame) -> bytes:
+def encode_frame(message: pb.Frame) -> bytes:
     """Return the bytes of one frame."""
-    data = kind.SerializeToString()
+    data = message.SerializeToString()
     return len(data).to_bytes(LENGTH_BYTES, "big") + data
 
 
-class Frames:
-    """Takes bytes as they come, gives the frames that are complete; `most` bounds one frame, in bytes."""
+class FrameDecoder:
+    """Decodes frames from a byte stream; a frame has at most `max_bytes` bytes."""
 
-    def __init__(self, most: int) -> None:
-        self._most = most
-        self._bytes = bytearray()
+    def __init__(self, max_bytes: int) -> None:
+        self._max_bytes = max_bytes
+        self._buffer = bytearray()
 
     @property
-    def partial(self) -> bool:
+    def has_partial_frame(self) -> bool:
         """Whether bytes of an incomplete frame are buffered."""
-        return bool(self._bytes)
+        return bool(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[pb.Frame]:
-        """Take more bytes and yield the frames that are complete; raises `FrameError`."""
-        self._bytes += data
-        at = 0
+        """Add received bytes and yield the complete frames; raises `FrameError`."""
+        self._buffer += data
+        position = 0
         try:
-            while len(self._bytes) - at >= LENGTH_BYTES:
-                size = int.from_bytes(self._bytes[at : at + LENGTH_BYTES], "big")
-                if not 0 < size <= self._most:
-                    raise FrameError(f"a frame of {size} bytes, 1 to {self._most} are taken")
-                if len(self._bytes) - at < LENGTH_BYTES + size:
+            while len(self._buffer) - position >= LENGTH_BYTES:
+                size = int.from_bytes(self._buffer[position : position + LENGTH_BYTES], "big")
+                if not 0 < size <= self._max_bytes:
+                    raise FrameError(f"a frame of {size} bytes; 1 to {self._max_bytes} are accepted")
+                if len(self._buffer) - position < LENGTH_BYTES + size:
                     return
-                whole = bytes(self._bytes[at + LENGTH_BYTES : at + LENGTH_BYTES + size])
-                at += LENGTH_BYTES + size
+                payload = bytes(self._buffer[position + LENGTH_BYTES : position + LENGTH_BYTES + size])
+                position += LENGTH_BYTES + size
                 try:
-                    read = pb.Frame.FromString(whole)
+                    message = pb.Frame.FromString(payload)
                 except DecodeError:
-                    raise FrameError("a frame that can't be read") from None
-                if read.WhichOneof("kind") is None:
-                    raise FrameError("a frame of no kind that this version knows")
-                yield read
+                    raise FrameError("a frame that can't be decoded") from None
+                if message.WhichOneof("kind") is None:
+                    raise FrameError("a frame of a kind that this version does not support")
+                yield message
         finally:
-            del self._bytes[:at]
+            del self._buffer[:position]
--- a/sablewheel/usage_metering/journal.py
+++ b/sablewheel/usage_metering/journal.py
@@ -1,8 +1,8 @@
-"""The collector's journal: SQLite, one transaction a round, lines that are only ever added.
+"""The collector's journal: an SQLite file to which lines are only added, one transaction per round.
 
-A line's digest covers the line and the digest of the one before it in its period; a period's seal covers
-its last line's digest, its number of lines and the seal before. So a line that is lost, inserted or changed
-later is found by `verify`, with its place.
+A line's digest covers the line and the digest of the previous line of its period. A period's seal covers the
+digest of its last line, its number of lines and the seal of the period closed before it. `verify` therefore
+finds and locates a line that was lost, inserted or changed.
 """
 
 from __future__ import annotations
@@ -36,21 +36,21 @@
 
 
 class JournalError(RuntimeError):
-    """A journal that can't be used; the message says why."""
+    """The journal can't be used, or lacks the requested data; the message has the cause."""
 
 
 @dataclass
-class BlockSource:
-    """One incarnation of a server, as the journal has it."""
+class JournalSource:
+    """One incarnation of a server, as recorded in the journal."""
 
     id: int
     server: str
     incarnation: bytes
-    known: LastBlock
+    last_block: LastBlock
 
 
 class Journal:
-    """One file. Writers use `with journal.transaction()`; a journal has one writer."""
+    """A journal file. Writes are made between `begin` and `commit`."""
 
     def __init__(self, path: Path, calendar: Calendar | None = None, read_only: bool = False) -> None:
         self.path = path
@@ -66,54 +66,54 @@
                 self._db.execute("pragma synchronous=full")
             self._db.execute("pragma cache_size=-16000")
             self._prepare(calendar)
-        except sqlite3.DatabaseError as trouble:
-            raise JournalError(f"{path}: {trouble}") from None
-        except OSError as trouble:
-            raise JournalError(f"{path}: {trouble.strerror}") from None
+        except sqlite3.DatabaseError as error:
+            raise JournalError(f"{path}: {error}") from None
+        except OSError as error:
+            raise JournalError(f"{path}: {error.strerror}") from None
         self.period_closer = PeriodCloser(self.periods, closed_through=int(self._meta("closed_through") or 0))
         self.period_closer.now = self.period_closer.closed_through
-        self._sources: dict[tuple[str, bytes], BlockSource] = {}
-        self._period_ids: dict[
+        self._sources: dict[tuple[str, bytes], JournalSource] = {}
+        self._period_states: dict[
             int, tuple[int, int, bytes]
-        ] = {}  # by start: id, lines, head; in a transaction
+        ] = {}  # id, lines and head by the period's start, within a transaction
 
     def _prepare(self, calendar: Calendar | None) -> None:
         if not self._db.execute("select 1 from sqlite_master where name = 'meta'").fetchone():
             if calendar is None:
                 raise JournalError(f"{self.path}: not a book of this program")
-            told = {
+            meta = {
                 "format": str(FORMAT_VERSION),
                 "zone": calendar.zone,
                 "length": calendar.length.value,
                 "lag": repr(calendar.lag_s),
                 "closed_through": "0",
             }
-            statements = [one for one in SCHEMA.split(";") if one.strip()]
+            statements = [statement for statement in SCHEMA.split(";") if statement.strip()]
             self._db.execute("begin immediate")
             for statement in statements:
                 self._db.execute(statement)
-            self._db.executemany("insert into meta values(?, ?)", told.items())
+            self._db.executemany("insert into meta values(?, ?)", meta.items())
             self._db.execute("commit")
         if self._meta("format") != str(FORMAT_VERSION):
             raise JournalError(
-                f"{self.path}: format {self._meta('format')}, this program reads {FORMAT_VERSION}"
+                f"{self.path}: format {self._meta('format')}, this program reads format {FORMAT_VERSION}"
             )
-        kept = Calendar(
+        stored = Calendar(
             self._meta("zone") or "UTC", Length(self._meta("length")), float(self._meta("lag") or 0.0)
         )
-        if calendar is not None and (calendar.zone, calendar.length) != (kept.zone, kept.length):
+        if calendar is not None and (calendar.zone, calendar.length) != (stored.zone, stored.length):
             raise JournalError(
-                f"{self.path}: the book's periods are {kept.length.value}s of {kept.zone}, not"
+                f"{self.path}: the book's periods are {stored.length.value}s of {stored.zone}, not"
                 f" {calendar.length.value}s of {calendar.zone}; a book keeps its calendar"
             )
-        self.periods = Periods(kept if calendar is None else calendar)
+        self.periods = Periods(stored if calendar is None else calendar)
 
     def _meta(self, key: str) -> str | None:
         row = self._db.execute("select value from meta where key = ?", (key,)).fetchone()
         return row[0] if row else None
 
-    def name_customers(self, names: frozenset[str]) -> None:
-        """Who is a tenant, as the collector is told; empty: any name."""
+    def set_customers(self, names: frozenset[str]) -> None:
+        """Store the names of known tenants; if empty, any name is accepted."""
         self.begin()
         self._db.execute("insert or replace into meta values('customers', ?)", (json.dumps(sorted(names)),))
         self.commit()
@@ -127,43 +127,43 @@
         self._db.close()
 
     def rows(self, query: str, *values: object) -> Iterator[Any]:
-        """For reports: the rows of a query, one by one."""
+        """Iterate over the rows of a query, for reports."""
         return self._db.execute(query, values)
 
-    # -- writing: all between `begin` and `commit`, or none of it
+    # -- writing, in transactions from `begin` to `commit`
 
     def begin(self) -> None:
         """Begin a transaction."""
-        self._period_ids.clear()
+        self._period_states.clear()
         self._db.execute("begin immediate")
-        # Another writer (a correction made by hand, or the collector beside it) may have closed periods.
+        # Another writer, the collector or the `correct` command, may have closed periods.
         self.period_closer.closed_through = max(
             self.period_closer.closed_through, int(self._meta("closed_through") or 0)
         )
 
     def commit(self) -> None:
-        """Write the heads of the periods that have grown, and commit."""
-        for period, lines, head in self._period_ids.values():
+        """Write the heads of the periods that have new lines, and commit."""
+        for period, lines, head in self._period_states.values():
             self._db.execute("update periods set lines = ?, head = ? where id = ?", (lines, head, period))
-        self._period_ids.clear()
+        self._period_states.clear()
         self._db.execute("commit")
 
     def roll_back(self) -> None:
-        """Undo the transaction and forget what was cached in it."""
-        self._period_ids.clear()
+        """Roll the transaction back and clear the caches."""
+        self._period_states.clear()
         self._sources.clear()
         if self._db.in_transaction:
             self._db.execute("rollback")
 
-    def known(self, server: str) -> dict[bytes, LastBlock]:
-        """By incarnation: the last block of this server that is in the journal."""
+    def last_blocks(self, server: str) -> dict[bytes, LastBlock]:
+        """Return the last block in the journal by incarnation of a server."""
         rows = self._db.execute(
             "select incarnation, number, digest, last_sequence from sources where server = ?", (server,)
         )
-        return {bytes(one[0]): LastBlock(one[1], bytes(one[2]), one[3]) for one in rows}
+        return {bytes(row[0]): LastBlock(row[1], bytes(row[2]), row[3]) for row in rows}
 
-    def held(self, server: str, incarnation: bytes, number: int) -> bytes | None:
-        """The digest under which a block is in the journal."""
+    def block_digest(self, server: str, incarnation: bytes, number: int) -> bytes | None:
+        """Return the digest of a block in the journal; None if it is not there."""
         row = self._db.execute(
             "select b.digest from blocks b join sources s on b.source = s.id"
             " where s.server = ? and s.incarnation = ? and b.number = ?",
@@ -171,9 +171,9 @@
         ).fetchone()
         return bytes(row[0]) if row else None
 
-    def apply(self, server: str, one: Apply, received: float) -> None:
-        """Post a block that was judged to be the next; within a transaction."""
-        block, now = one.block, round(received * 1e6)
+    def apply(self, server: str, decision: Apply, received_at: float) -> None:
+        """Post a block that `decide_batch` accepted; to be called within a transaction."""
+        block, now = decision.block, round(received_at * 1e6)
         source = self._source(server, block.incarnation, now)
         cursor = self._db.execute(
             "insert into blocks(source, number, digest, first_sequence, last_sequence, size, written_us,"
@@ -181,35 +181,35 @@
             (
                 source.id,
                 block.number,
-                one.digest,
+                decision.digest,
                 block.first_sequence,
                 block.last_sequence,
-                one.data_size,
+                decision.data_size,
                 block.written_us,
                 now,
             ),
         )
-        place = cursor.lastrowid or 0
+        block_id = cursor.lastrowid or 0
         by_period: dict[int, list[Line]] = {}
         periods: dict[int, Period] = {}
-        for period, line in self._lines(place, block):
+        for period, line in self._lines(block_id, block):
             periods[period.start] = period
             by_period.setdefault(period.start, []).append(line)
         for start, lines in by_period.items():
             self._post(periods[start], lines)
         for flag in block.unsure:
-            before = self._source(server, flag.incarnation, now)
+            flagged_source = self._source(server, flag.incarnation, now)
             self._db.execute(
                 "insert into unsure values(?, ?, ?, ?)",
-                (before.id, flag.after_sequence, flag.through_sequence, place),
+                (flagged_source.id, flag.after_sequence, flag.through_sequence, block_id),
             )
-        source.known = LastBlock(block.number, one.digest, block.last_sequence)
+        source.last_block = LastBlock(block.number, decision.digest, block.last_sequence)
         self._db.execute(
             "update sources set number = ?, digest = ?, last_sequence = ?, last_seen_us = ?, skew_us = ?,"
             " answered = ? where id = ?",
             (
                 block.number,
-                one.digest,
+                decision.digest,
                 block.last_sequence,
                 now,
                 block.written_us - now,
@@ -218,38 +218,48 @@
             ),
         )
 
-    def lose(self, server: str, incarnation: bytes, through: int, reason: str, received: float) -> bool:
-        """Blocks up to one can't come any more: noted as a hole, and the chain goes on behind it."""
-        now = round(received * 1e6)
+    def record_hole(
+        self, server: str, incarnation: bytes, through: int, reason: str, received_at: float
+    ) -> bool:
+        """Record the loss of blocks up to `through`; return False if all of them are in the journal.
+
+        The next block starts a new chain.
+        """
+        now = round(received_at * 1e6)
         source = self._source(server, incarnation, now)
-        if through <= source.known.number:
+        if through <= source.last_block.number:
             return False
         self._db.execute(
             "insert into holes values(?, ?, ?, ?, ?)",
-            (source.id, source.known.number, through, reason[:200], now),
+            (source.id, source.last_block.number, through, reason[:200], now),
         )
-        source.known = LastBlock(through, b"", source.known.last_sequence)
+        source.last_block = LastBlock(through, b"", source.last_block.last_sequence)
         self._db.execute("update sources set number = ?, digest = x'' where id = ?", (through, source.id))
         return True
 
-    def correct(self, one: Correction, made: float) -> str:
-        """Add a correction to the open period; its name. Raises `CorrectionError` if it may not be made."""
-        self.period_closer.observe_clocks(made, made)
+    def correct(self, correction: Correction, made_at: float) -> str:
+        """Post a correction to the current period and return its name; raises `CorrectionError`."""
+        self.period_closer.observe_clocks(made_at, made_at)
         self.begin()
         try:
-            target = one.target
-            closed, billed = self._target(target)
-            taken = sum(
+            target = correction.target
+            closed, billed = self._find_target(target)
+            already_deducted = sum(
                 -json.loads(more)["tickets"]
                 for more, customer in self._db.execute("select more, customer from lines where kind = 2")
-                if customer == one.customer
+                if customer == correction.customer
                 and json.loads(more)["target"] == str(target)
                 and json.loads(more)["tickets"] < 0
             )
-            check(one, closed, billed, taken)
+            check(correction, closed, billed, already_deducted)
             period = self.period_closer.current_period()
             more = json.dumps(
-                {"target": str(target), "tickets": one.tickets, "reason": one.reason, "author": one.author},
+                {
+                    "target": str(target),
+                    "tickets": correction.tickets,
+                    "reason": correction.reason,
+                    "author": correction.author,
+                },
                 sort_keys=True,
             )
             line = (
@@ -257,17 +267,17 @@
                 0,
                 0,
                 target.period or None,
-                one.customer,
-                one.track,
+                correction.customer,
+                correction.track,
                 int(pb.COMPLETED),
                 0,
                 0,
                 1,
-                one.tickets,
-                one.run_us,
+                correction.tickets,
+                correction.run_us,
                 0,
                 0,
-                round(made * 1e6),
+                round(made_at * 1e6),
                 None,
                 None,
                 more,
@@ -279,7 +289,7 @@
             raise
         return period.name
 
-    def _target(self, target: Target) -> tuple[bool | None, tuple[str, str, int, int] | None]:
+    def _find_target(self, target: Target) -> tuple[bool | None, tuple[str, str, int, int] | None]:
         if target.period:
             row = self._db.execute("select seal from periods where name = ?", (target.period,)).fetchone()
             return (None if row is None else row[0] is not None), None
@@ -293,7 +303,10 @@
         return None, row
 
     def close_due(self) -> list[str]:
-        """Close and seal what is due by the period_closer, oldest first; the names. Within a transaction."""
+        """Close and seal the periods that are due, oldest first; return their names.
+
+        To be called within a transaction.
+        """
         closed = []
         for name, start, end in self._db.execute(
             "select name, start_us, end_us from periods where seal is null order by start_us"
@@ -302,7 +315,7 @@
             if not self.period_closer.due(period):
                 break
             self._seal(period)
-            self.period_closer.closed(period)
+            self.period_closer.mark_closed(period)
             closed.append(name)
         if closed:
             self._db.execute(
@@ -312,18 +325,18 @@
         return closed
 
     def _seal(self, period: Period) -> None:
-        number, before = self._db.execute(
+        last_sealed, previous_seal = self._db.execute(
             "select coalesce(max(sealed), 0),"
             " (select seal from periods order by sealed desc limit 1) from periods"
         ).fetchone()
-        place, lines, head = self._period(period)
-        seal = seal_digest(bytes(before or b""), period.name, lines, head)
+        period_id, lines, head = self._period_state(period)
+        seal = seal_digest(bytes(previous_seal or b""), period.name, lines, head)
         self._db.execute(
             "update periods set closed_us = ?, seal = ?, sealed = ? where id = ?",
-            (self.period_closer.now, seal, number + 1, place),
+            (self.period_closer.now, seal, last_sealed + 1, period_id),
         )
 
-    def _source(self, server: str, incarnation: bytes, now: int) -> BlockSource:
+    def _source(self, server: str, incarnation: bytes, now: int) -> JournalSource:
         key = (server, incarnation)
         if key not in self._sources:
             self._db.execute(
@@ -337,18 +350,18 @@
             ).fetchone()
             if len(self._sources) > 1000:
                 self._sources.clear()
-            self._sources[key] = BlockSource(row[0], *key, LastBlock(row[1], bytes(row[2]), row[3]))
+            self._sources[key] = JournalSource(row[0], *key, LastBlock(row[1], bytes(row[2]), row[3]))
         return self._sources[key]
 
-    def _lines(self, place: int, block: pb.Block) -> Iterator[tuple[Period, Line]]:
+    def _lines(self, block_id: int, block: pb.Block) -> Iterator[tuple[Period, Line]]:
         period_closer, sequence = self.period_closer, block.first_sequence
         for total in block.totals:
-            period, belongs = period_closer.place(total.first_us, total.end_us)
+            period, belongs = period_closer.posting_period(total.first_us, total.end_us)
             yield (
                 period,
                 (
                     TOTAL,
-                    place,
+                    block_id,
                     sequence,
                     belongs,
                     total.customer,
@@ -369,12 +382,12 @@
             )
             sequence += total.entries
         for entry in block.entries:
-            period, belongs = period_closer.place(entry.ended_us, entry.ended_us)
+            period, belongs = period_closer.posting_period(entry.ended_us, entry.ended_us)
             yield (
                 period,
                 (
                     ENTRY,
-                    place,
+                    block_id,
                     entry.sequence,
                     belongs,
                     entry.customer,
@@ -395,17 +408,17 @@
             )
 
     def _post(self, period: Period, lines: Iterable[Line]) -> None:
-        place, count, head = self._period(period)
+        period_id, count, head = self._period_state(period)
         rows = []
         for line in lines:
             head = line_digest(head, line)
             count += 1
-            rows.append((place, count, head, *line))
+            rows.append((period_id, count, head, *line))
         self._db.executemany(f"insert into lines(period, place, digest, {LINE}) values({LINE_SLOTS})", rows)
-        self._period_ids[period.start] = (place, count, head)
+        self._period_states[period.start] = (period_id, count, head)
 
-    def _period(self, period: Period) -> tuple[int, int, bytes]:
-        if period.start not in self._period_ids:
+    def _period_state(self, period: Period) -> tuple[int, int, bytes]:
+        if period.start not in self._period_states:
             self._db.execute(
                 "insert or ignore into periods(name, start_us, end_us, lines, head) values(?, ?, ?, 0, x'')",
                 (period.name, period.start, period.end),
@@ -413,11 +426,11 @@
             row = self._db.execute(
                 "select id, lines, head from periods where name = ?", (period.name,)
             ).fetchone()
-            self._period_ids[period.start] = (row[0], row[1], bytes(row[2]))
-        return self._period_ids[period.start]
+            self._period_states[period.start] = (row[0], row[1], bytes(row[2]))
+        return self._period_states[period.start]
 
     # -- checking
 
     def verify(self) -> Iterator[str]:
-        """Yield every fault found, with its place; nothing if the journal is as it was written."""
+        """Yield each fault with its location; nothing if the journal is unchanged since it was written."""
         yield from find_faults(self.rows, self.period_closer.closed_through)
--- a/sablewheel/usage_metering/journal_schema.py
+++ b/sablewheel/usage_metering/journal_schema.py
@@ -38,15 +38,17 @@
     " asked_bytes, answer_bytes, ended_us, name, run, more"
 )
 LINE_SLOTS = ", ".join("?" * 21)
-Line = tuple[Any, ...]  # the columns of LINE, in that order
+Line = tuple[Any, ...]  # the values of the columns in `LINE`
 
 
-def line_digest(before: bytes, line: Line) -> bytes:
-    """The digest of a line behind another; bytes stand as hexadecimal in what is digested."""
-    text = json.dumps([one.hex() if isinstance(one, bytes) else one for one in line], separators=(",", ":"))
-    return hashlib.sha256(before + text.encode()).digest()
+def line_digest(previous_digest: bytes, line: Line) -> bytes:
+    """Return the digest of a line, chained to the previous one; bytes are digested as hexadecimal text."""
+    text = json.dumps(
+        [value.hex() if isinstance(value, bytes) else value for value in line], separators=(",", ":")
+    )
+    return hashlib.sha256(previous_digest + text.encode()).digest()
 
 
-def seal_digest(before: bytes, name: str, lines: int, head: bytes) -> bytes:
-    """Return the seal of a period behind the seal before it."""
-    return hashlib.sha256(before + f"{name}\n{lines}\n".encode() + head).digest()
+def seal_digest(previous_seal: bytes, name: str, lines: int, head: bytes) -> bytes:
+    """Return the seal of a period, chained to the previous seal."""
+    return hashlib.sha256(previous_seal + f"{name}\n{lines}\n".encode() + head).digest()
--- a/sablewheel/usage_metering/period_closing.py
+++ b/sablewheel/usage_metering/period_closing.py
@@ -1,8 +1,9 @@
-"""When a period closes, by a clock that may be set back or jump; and where what comes late is put. Pure.
+"""Decide when a period closes, by a clock that may jump, and where late entries are posted. Pure.
 
-A closed period never opens again. The collector closes by its own clock, and only while that clock agrees
-with the steady one: after a jump it waits until the new time has held for a while, so that a clock set a year
-ahead for a minute closes nothing. Set back, it closes nothing until the time it had reached is reached again.
+A closed period is never reopened. The collector closes periods by its wall clock, and only while that clock
+agrees with the monotonic clock. After a jump, the new time must hold for `JUMP_CONFIRMATION_S`, so that a
+clock set a year ahead for a minute closes no period. A clock that was set back closes no period until it has
+reached the latest accepted time again.
 """
 
 from __future__ import annotations
@@ -11,63 +12,76 @@
 
 from .periods import Period, Periods
 
-MAX_CLOCK_JUMP_S = 30.0  # seconds by which clock and steady clock may part between two looks
-BELIEVE_AFTER_S = 300.0  # seconds for which a clock that jumped must go on steadily before it is believed
+MAX_CLOCK_JUMP_S = 30.0  # largest difference between the advances of both clocks, per reading
+JUMP_CONFIRMATION_S = 300.0  # time without another jump before the new time is accepted
 
 
 @dataclass
 class PeriodCloser:
-    """`closed_through`: all periods that end by then are closed, in microseconds; it only grows."""
+    """Decides which periods are closed.
+
+    Attributes:
+        periods: The calendar's periods.
+        closed_through: All periods that end by this time are closed, in microseconds; it never decreases.
+        now: The accepted time in microseconds; it never decreases.
+        jump_s: The jump of the wall clock that is not accepted yet; 0 if there is none.
+        confirmation_s: Time without another jump before a jump is accepted.
+    """
 
     periods: Periods
     closed_through: int = 0
-    now: int = 0  # the time that is believed, microseconds; never goes back
-    jumped: float = 0.0  # by how much the clock left the steady one, until that is believed
-    hold: float = BELIEVE_AFTER_S
-    _clock: float = 0.0
-    _steady: float = 0.0
-    _until: float = 0.0
+    now: int = 0
+    jump_s: float = 0.0
+    confirmation_s: float = JUMP_CONFIRMATION_S
+    _last_clock: float = 0.0
+    _last_steady: float = 0.0
+    _confirmed_at: float = 0.0
 
     def observe_clocks(self, clock: float, steady: float) -> int:
-        """A reading of both clocks, in seconds; the time that is believed, in microseconds."""
-        if self._steady:
-            parted = (clock - self._clock) - (steady - self._steady)
-            if abs(parted) > MAX_CLOCK_JUMP_S:
-                self.jumped += parted
-                self._until = steady + self.hold
-        if self.jumped and steady >= self._until:
-            self.jumped = 0.0
-        self._clock, self._steady = clock, steady
-        believed = clock - self.jumped
-        self.now = max(self.now, round(believed * 1e6))
+        """Take a reading of the wall clock and the monotonic clock, in seconds; return the accepted time."""
+        if self._last_steady:
+            drift_s = (clock - self._last_clock) - (steady - self._last_steady)
+            if abs(drift_s) > MAX_CLOCK_JUMP_S:
+                self.jump_s += drift_s
+                self._confirmed_at = steady + self.confirmation_s
+        if self.jump_s and steady >= self._confirmed_at:
+            self.jump_s = 0.0
+        self._last_clock, self._last_steady = clock, steady
+        accepted = clock - self.jump_s
+        self.now = max(self.now, round(accepted * 1e6))
         return self.now
 
     def due(self, period: Period) -> bool:
         """Whether an open period may be closed now."""
         lag = round(self.periods.calendar.lag_s * 1e6)
-        return not self.jumped and period.end + lag <= self.now
+        return not self.jump_s and period.end + lag <= self.now
 
-    def closed(self, period: Period) -> None:
-        """Note that a period was closed."""
+    def mark_closed(self, period: Period) -> None:
+        """Record that a period was closed."""
         self.closed_through = max(self.closed_through, period.end)
 
     def is_closed(self, period: Period) -> bool:
         """Whether a period was closed."""
         return period.end <= self.closed_through
 
-    def place(self, start: int, end: int) -> tuple[Period, str | None]:
-        """Where what belongs to a span of time is posted, and if that is not its own period, the name of it.
+    def posting_period(self, start: int, end: int) -> tuple[Period, str | None]:
+        """Return the period to post a span of time to, and the name of its own period if that is another one.
 
-        One moment is a span from itself to itself. What belongs to a closed period goes to the open one of
-        now; a span that is no single period of this calendar goes there too and keeps its ends as its name.
+        A single moment is a span with equal ends. Entries of a closed period are posted to the current
+        period. So is a span that is not within one period of this calendar; its name has its first and last
+        period.
         """
-        own = self.periods.of(start)
-        single = end <= own.end
-        if single and not self.is_closed(own):
-            return own, None
-        name = own.name if single else f"{own.name}..{self.periods.of(max(end - 1, start)).name}"
+        own_period = self.periods.of(start)
+        is_single_period = end <= own_period.end
+        if is_single_period and not self.is_closed(own_period):
+            return own_period, None
+        name = (
+            own_period.name
+            if is_single_period
+            else f"{own_period.name}..{self.periods.of(max(end - 1, start)).name}"
+        )
         return self.current_period(), name
 
     def current_period(self) -> Period:
-        """The period of now; never a closed one, wherever the clock disconnected."""
+        """Return the period of the accepted time, or the first open one if that period is closed."""
         return self.periods.of(max(self.now, self.closed_through))
--- a/sablewheel/usage_metering/periods.py
+++ b/sablewheel/usage_metering/periods.py
@@ -1,8 +1,8 @@
-"""Periods of a calendar: which one a moment belongs to, where it begins and ends, what it is called. Pure.
+"""The periods of a calendar, with their starts, ends and names. Pure.
 
-A day is a date of the zone, however long its clocks made it; an hour is a whole clock hour between two
-changes of the zone's offset, so that where clocks go back the hour that comes twice is two periods, told
-apart by their offsets. Moments are Unix microseconds, as they stand in entries.
+A day is a date of the time zone and may be longer or shorter than 24 hours. An hour is a clock hour between
+two changes of the zone's offset; the hour that occurs twice when clocks are set back is two periods with
+different offsets in their names. Moments are Unix microseconds, as in entries.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 FIRST_MOMENT_US, LAST_MOMENT_US = (
     0,
     253_000_000_000 * MICROSECONDS_PER_SECOND,
-)  # moments that a calendar knows: 1970 to 9987
+)  # the range of a calendar: 1970 to 9987
 NAMES = {
     Length.HOUR: re.compile(r"\d{4}-\d\d-\d\dT\d\d(:\d\d)?[+-]\d\d:\d\d(:\d\d)?"),
     Length.DAY: re.compile(r"\d{4}-\d\d-\d\d"),
@@ -28,12 +28,12 @@
 
 
 class PeriodError(ValueError):
-    """A name that is no period of the calendar, or a zone that does not exist."""
+    """The name is not a period of the calendar, or the time zone does not exist."""
 
 
 @dataclass(frozen=True, order=True)
 class Period:
-    """From `start`, included, to `end`, excluded; `name` is its own within its calendar."""
+    """A period from `start`, inclusive, to `end`, exclusive; `name` is unique within its calendar."""
 
     start: int
     end: int
@@ -49,7 +49,7 @@
 
 
 class Periods:
-    """The periods of one calendar; what was asked for lately is remembered."""
+    """The periods of one calendar; caches the most recently used ones."""
 
     def __init__(self, calendar: Calendar) -> None:
         self.calendar = calendar
@@ -58,7 +58,7 @@
         self._last: Period | None = None
 
     def of(self, moment: int) -> Period:
-        """The period that a moment belongs to; moments no calendar knows are taken as its first or last."""
+        """Return the period of a moment; moments out of range are clamped to it."""
         last = self._last
         if last is None or not last.start <= moment < last.end:
             self._last = last = self._find(
@@ -71,27 +71,27 @@
         return self.of(period.end)
 
     def named(self, name: str) -> Period:
-        """The period of a name; raises `PeriodError` that says what names read like."""
+        """Return the period of a name; raises `PeriodError` with an example of a name."""
         length = self.calendar.length
         if not NAMES[length].fullmatch(name):
             example = self.of(1_764_576_000 * MICROSECONDS_PER_SECOND).name
             raise PeriodError(
-                f"{name!r} is no {length.value} of {self.calendar.zone}: one is called {example}"
+                f"{name!r} is no {length.value} of {self.calendar.zone}; a valid name is {example}"
             )
         try:
             text = {Length.HOUR: name, Length.DAY: name, Length.MONTH: f"{name}-01"}[length]
-            told = datetime.fromisoformat(text)
-        except ValueError as trouble:
-            raise PeriodError(f"{name!r}: {trouble}") from None
-        moment = told if told.tzinfo else told.replace(tzinfo=self._zone)
+            parsed = datetime.fromisoformat(text)
+        except ValueError as error:
+            raise PeriodError(f"{name!r}: {error}") from None
+        moment = parsed if parsed.tzinfo else parsed.replace(tzinfo=self._zone)
         period = self.of(int(moment.timestamp()) * MICROSECONDS_PER_SECOND)
         if period.name != name:
             raise PeriodError(
-                f"{self.calendar.zone} has no {length.value} {name!r}; near it is {period.name}"
+                f"{self.calendar.zone} has no {length.value} {name!r}; the nearest is {period.name}"
             )
         return period
 
-    # -- the calendar's arithmetic, in whole seconds
+    # -- calendar arithmetic, in whole seconds
 
     def _find_by_second(self, second: int) -> Period:
         local = datetime.fromtimestamp(second, self._zone)
@@ -99,19 +99,19 @@
             return self._hour(second, local)
         date = local.date()
         if self.calendar.length is Length.DAY:
-            first, after, name = date, date + timedelta(days=1), f"{date:%Y-%m-%d}"
+            first, next_first, name = date, date + timedelta(days=1), f"{date:%Y-%m-%d}"
         else:
             first = date.replace(day=1)
-            after = (first + timedelta(days=32)).replace(day=1)
+            next_first = (first + timedelta(days=32)).replace(day=1)
             name = f"{date:%Y-%m}"
         return Period(
             self._midnight(first) * MICROSECONDS_PER_SECOND,
-            self._midnight(after) * MICROSECONDS_PER_SECOND,
+            self._midnight(next_first) * MICROSECONDS_PER_SECOND,
             f"{name:0>4}",
         )
 
     def _midnight(self, date: object) -> int:
-        """The first second of a date; where clocks skip midnight, the moment they skip at."""
+        """Return the first second of a date; if clocks skip midnight, the second at which they skip."""
         local = datetime.fromisoformat(f"{date}T00:00:00").replace(tzinfo=self._zone)
         return int(local.astimezone(UTC).timestamp())
 
@@ -120,19 +120,19 @@
 
     def _hour(self, second: int, local: datetime) -> Period:
         offset = self._offset(second)
-        since = local.minute * 60 + local.second
-        start, end = second - since, second - since + 3600
+        seconds_into_hour = local.minute * 60 + local.second
+        start, end = second - seconds_into_hour, second - seconds_into_hour + 3600
         if self._offset(start) != offset:
-            start = self._change(start, second)
+            start = self._find_offset_change(start, second)
         if self._offset(end - 1) != offset:
-            end = self._change(second, end - 1)
-        begins = datetime.fromtimestamp(start, self._zone)
-        name = begins.strftime("%Y-%m-%dT%H" if not begins.minute else "%Y-%m-%dT%H:%M")
-        zone = begins.isoformat()[19:]
-        return Period(start * MICROSECONDS_PER_SECOND, end * MICROSECONDS_PER_SECOND, name + zone)
-
-    def _change(self, before: int, after: int) -> int:
-        """The first second with the offset that `after` has; `before` has another."""
+            end = self._find_offset_change(second, end - 1)
+        local_start = datetime.fromtimestamp(start, self._zone)
+        name = local_start.strftime("%Y-%m-%dT%H" if not local_start.minute else "%Y-%m-%dT%H:%M")
+        offset_text = local_start.isoformat()[19:]
+        return Period(start * MICROSECONDS_PER_SECOND, end * MICROSECONDS_PER_SECOND, name + offset_text)
+
+    def _find_offset_change(self, before: int, after: int) -> int:
+        """Return the first second with the offset at `after`; the offset at `before` is another."""
         offset = self._offset(after)
         while after - before > 1:
             middle = (before + after) // 2
--- a/sablewheel/usage_metering/positions.py
+++ b/sablewheel/usage_metering/positions.py
@@ -1,4 +1,4 @@
-"""A sparse index of the log: where a collector must be offered blocks from. Pure."""
+"""A sparse index of the blocks in the log, to find the position at which an export resumes. Pure."""
 
 from __future__ import annotations
 
@@ -8,41 +8,49 @@
 
 from ..storage.log import LOG_START, LogPosition
 
-NOTE_INTERVAL_BYTES = 1 << 18  # bytes of a segment between two notes
+NOTE_INTERVAL_BYTES = 1 << 18  # distance between two notes of a segment
 
 
 @dataclass
 class BlockIndex:
-    """Notes of blocks in the log's order, one for each segment and each `NOTE_INTERVAL_BYTES` bytes of it."""
+    """Notes of blocks in the log's order: their positions, incarnations and numbers.
+
+    There is at least one note for each segment, for each `NOTE_INTERVAL_BYTES` bytes of it, and for each
+    change of incarnation.
+    """
 
     notes: list[tuple[LogPosition, bytes, int]] = field(default_factory=list)
-    last: dict[bytes, int] = field(default_factory=dict)  # by incarnation, its last block that is known
+    last: dict[bytes, int] = field(default_factory=dict)  # the last known block number by incarnation
 
-    def note(self, place: LogPosition, incarnation: bytes, number: int) -> None:
-        """A block seen at a place; places come in order, those before the last note are known already."""
+    def note(self, position: LogPosition, incarnation: bytes, number: int) -> None:
+        """Note a block at a position; positions up to the last note were noted before and are skipped."""
         self.last[incarnation] = max(self.last.get(incarnation, 0), number)
         if self.notes:
-            before, held, _ = self.notes[-1]
-            near = place.segment == before.segment and place.offset < before.offset + NOTE_INTERVAL_BYTES
-            if (place.segment, place.offset) <= (before.segment, before.offset) or (
-                near and held == incarnation
-            ):
+            previous_position, previous_incarnation, _ = self.notes[-1]
+            is_near = (
+                position.segment == previous_position.segment
+                and position.offset < previous_position.offset + NOTE_INTERVAL_BYTES
+            )
+            if (position.segment, position.offset) <= (
+                previous_position.segment,
+                previous_position.offset,
+            ) or (is_near and previous_incarnation == incarnation):
                 return
-        self.notes.append((place, incarnation, number))
+        self.notes.append((position, incarnation, number))
 
     def start(self, have: Mapping[bytes, int]) -> LogPosition:
-        """A place at or before the first block that a collector with these lacks."""
-        for turn, (place, incarnation, _) in enumerate(self.notes):
-            after = self.notes[turn + 1] if turn + 1 < len(self.notes) else None
-            if after is not None and after[1] == incarnation:
-                through = after[2] - 1
+        """Return a position at or before the first block missing from a collector that has `have`."""
+        for index, (position, incarnation, _) in enumerate(self.notes):
+            next_note = self.notes[index + 1] if index + 1 < len(self.notes) else None
+            if next_note is not None and next_note[1] == incarnation:
+                through = next_note[2] - 1
             else:
                 through = self.last.get(incarnation, 0)
-            if have.get(incarnation, 0) < through or after is None:
-                return place
+            if have.get(incarnation, 0) < through or next_note is None:
+                return position
         return LOG_START
 
-    def forget_before(self, segment: int) -> None:
-        """Segments before this one are gone."""
-        place = bisect_right(self.notes, segment - 1, key=lambda one: one[0].segment)
-        del self.notes[:place]
+    def remove_before(self, segment: int) -> None:
+        """Remove the notes of segments before this one, which were deleted."""
+        index = bisect_right(self.notes, segment - 1, key=lambda note: note[0].segment)
+        del self.notes[:index]
--- a/sablewheel/usage_metering/reconcile.py
+++ b/sablewheel/usage_metering/reconcile.py
@@ -1,7 +1,7 @@
-"""Reconciliation: what servers have on their own disks against what the collector has in its journal. Pure.
+"""Reconcile the blocks on servers' disks with those in the collector's journal. Pure.
 
-Blocks are compared by digest, so only those that differ are opened. Findings name server, incarnation, block
-and entry; what is only not exported yet is told apart from what is missing.
+Blocks are compared by digest, and entries only where digests differ. Findings name the server, incarnation,
+block and entry. Blocks that are not exported yet are counted separately from missing ones.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class ServerBlock:
-    """One block of a server's own file."""
+    """A block in a server's own files."""
 
     server: str
     incarnation: bytes
@@ -25,69 +25,74 @@
 
 @dataclass
 class ReconciliationReport:
-    """What reconciliation found. Lists name things; counts are of requests."""
+    """The result of reconciliation: counts, and findings as text."""
 
-    same: int = 0  # blocks that agree
-    pending: int = 0  # blocks that the journal has not reached yet
+    same: int = 0  # blocks with equal digests
+    pending: int = 0  # blocks that are not exported yet
     pending_entries: int = 0
     gaps: list[str] = field(default_factory=list)
     doubles: list[str] = field(default_factory=list)
     changed: list[str] = field(default_factory=list)
-    unmatched: list[str] = field(default_factory=list)  # incarnations in the journal without files
+    unmatched: list[str] = field(default_factory=list)  # incarnations in the journal that have no files
     billed: dict[tuple[str, str], tuple[int, int]] = field(
         default_factory=dict
-    )  # server, tenant: own, journal
+    )  # by server and tenant: requests billed in the files, in the journal
 
     @property
     def clean(self) -> bool:
-        """Whether nothing is missing, doubled or different."""
-        wrong = [one for one in self.billed.values() if one[0] != one[1]]
-        return not (self.gaps or self.doubles or self.changed or wrong)
+        """Whether no block is missing, duplicated or different, and all billed counts agree."""
+        mismatched = [counts for counts in self.billed.values() if counts[0] != counts[1]]
+        return not (self.gaps or self.doubles or self.changed or mismatched)
 
 
-Held = Callable[[str, bytes, int], bytes | None]  # a block's digest in the journal
-Reached = Callable[[str, bytes], int]  # the last number in the journal
-Changed = Callable[[ServerBlock, pb.Block], list[str]]  # which entries of a block differ
+JournalDigest = Callable[
+    [str, bytes, int], bytes | None
+]  # returns a block's digest in the journal, None if it is not there
+LastJournalNumber = Callable[[str, bytes], int]  # returns the last block number in the journal
+DifferingEntries = Callable[[ServerBlock, pb.Block], list[str]]  # returns the entries of a block that differ
 
 
 def compare(
-    own: Iterable[tuple[ServerBlock, pb.Block]],
-    held: Held,
-    reached: Reached,
-    changed: Changed,
-    difference: ReconciliationReport,
+    server_blocks: Iterable[tuple[ServerBlock, pb.Block]],
+    journal_digest: JournalDigest,
+    last_journal_number: LastJournalNumber,
+    differing_entries: DifferingEntries,
+    report: ReconciliationReport,
 ) -> set[tuple[str, bytes]]:
-    """One server's blocks, in their order, against the journal; the incarnations that were seen."""
+    """Compare a server's blocks, in order, with the journal; return the server's incarnations."""
     last: dict[tuple[str, bytes], int] = {}
-    for one, block in own:
-        key = (one.server, one.incarnation)
-        where = f"{one.server}/{one.incarnation.hex()}, block {one.number}"
-        before = last.get(key)
-        if before is not None and one.number <= before:
-            difference.doubles.append(f"{where}: twice in the server's files")
+    for server_block, block in server_blocks:
+        key = (server_block.server, server_block.incarnation)
+        location = f"{server_block.server}/{server_block.incarnation.hex()}, block {server_block.number}"
+        previous = last.get(key)
+        if previous is not None and server_block.number <= previous:
+            report.doubles.append(f"{location}: twice in the server's files")
             continue
-        if before is not None and one.number > before + 1:
-            difference.gaps.append(
-                f"{where}: blocks {before + 1} to {one.number - 1} not in the server's files"
+        if previous is not None and server_block.number > previous + 1:
+            report.gaps.append(
+                f"{location}: blocks {previous + 1} to {server_block.number - 1} not in the server's files"
             )
-        last[key] = one.number
-        digest = held(*key, one.number)
+        last[key] = server_block.number
+        digest = journal_digest(*key, server_block.number)
         if digest is None:
-            if one.number > reached(*key):
-                difference.pending += 1
-                difference.pending_entries += one.entries
+            if server_block.number > last_journal_number(*key):
+                report.pending += 1
+                report.pending_entries += server_block.entries
             else:
-                difference.gaps.append(f"{where}: {one.entries} entries not in the book")
-        elif digest != one.digest:
-            difference.changed += [f"{where}: {what}" for what in changed(one, block) or ["another digest"]]
+                report.gaps.append(f"{location}: {server_block.entries} entries not in the book")
+        elif digest != server_block.digest:
+            report.changed += [
+                f"{location}: {detail}"
+                for detail in differing_entries(server_block, block) or ["another digest"]
+            ]
         else:
-            difference.same += 1
+            report.same += 1
         if digest is not None:
-            _add_billed(difference, one.server, block)
+            _add_billed(report, server_block.server, block)
     return set(last)
 
 
-def _add_billed(difference: ReconciliationReport, server: str, block: pb.Block) -> None:
+def _add_billed(report: ReconciliationReport, server: str, block: pb.Block) -> None:
     sums: dict[str, int] = {}
     for entry in block.entries:
         if entry.billed:
@@ -96,23 +101,27 @@
         if total.billed:
             sums[total.customer] = sums.get(total.customer, 0) + total.entries
     for customer, tickets in sums.items():
-        before = difference.billed.get((server, customer), (0, 0))
-        difference.billed[server, customer] = (before[0] + tickets, before[1])
+        counts = report.billed.get((server, customer), (0, 0))
+        report.billed[server, customer] = (counts[0] + tickets, counts[1])
 
 
-def differing(block: pb.Block, lines: dict[int, tuple[str, str, int, bool, int]]) -> list[str]:
-    """Return the entries of a block that the journal has otherwise.
+def list_differences(block: pb.Block, lines: dict[int, tuple[str, str, int, bool, int]]) -> list[str]:
+    """Return up to 20 differences between a block's entries and the journal's lines.
 
     `lines` has tenant, request class, outcome, billed and run time by sequence number.
     """
-    found = []
+    differences = []
     for entry in block.entries:
-        own = (entry.customer, entry.track, int(entry.outcome), entry.billed, entry.run_us)
+        server_line = (entry.customer, entry.track, int(entry.outcome), entry.billed, entry.run_us)
         if entry.sequence not in lines:
-            found.append(f"entry {entry.sequence} is not in the book")
-        elif lines[entry.sequence] != own:
-            found.append(f"entry {entry.sequence} differs: own {own}, book {lines[entry.sequence]}")
-    known = {entry.sequence for entry in block.entries}
+            differences.append(f"entry {entry.sequence} is not in the book")
+        elif lines[entry.sequence] != server_line:
+            differences.append(
+                f"entry {entry.sequence} differs: own {server_line}, book {lines[entry.sequence]}"
+            )
+    block_sequences = {entry.sequence for entry in block.entries}
     if not block.totals:
-        found += [f"entry {one} is in the book only" for one in sorted(set(lines) - known)]
-    return found[:20]
+        differences += [
+            f"entry {sequence} is in the book only" for sequence in sorted(set(lines) - block_sequences)
+        ]
+    return differences[:20]
--- a/sablewheel/usage_metering/recorder.py
+++ b/sablewheel/usage_metering/recorder.py
@@ -1,9 +1,10 @@
-"""Usage metering in the server: an entry for each final outcome, and answers that wait for it.
+"""Usage metering in the server: record an entry for each final outcome, and delay its answer.
 
-With the durable depth and `after-entry`, a completed answer leaves when its entry is on disk, so that
-whatever a client holds is metered, also after a kill. It waits for a bounded time, and not at all while the
-disk is known to be full or failing: then the answer goes ahead, counted, and the entry is kept in memory
-until it can be written, folded into totals if necessary. No request is lost for the sake of metering.
+With the durable depth and `after-entry`, a completed answer is sent once its entry is on disk, so that every
+answer that a client has received is metered, even if the server is killed. The delay is bounded, and there is
+none while the disk is known to be full or failing. Then the answer is sent and counted as early, and the
+entry stays in memory until it can be written, folded into totals if necessary. Metering never causes the loss
+of a request.
 """
 
 from __future__ import annotations
@@ -34,13 +35,13 @@
 
 KIND = b"ledger"
 SLOW_COMMIT_S = 0.1
-FULL_BLOCK_ENTRIES = 256  # entries that are worth a block before its time
+FULL_BLOCK_ENTRIES = 256  # a block is cut before `block_interval_s` at this size
 
 log = logging.getLogger(__name__)
 
 
 class EarlierIncarnations:
-    """What the log tells of incarnations before this one: which of their answers may never have left."""
+    """The earlier incarnations in the log, with their answers that may not have been sent."""
 
     def __init__(self) -> None:
         self.last_sequence: dict[bytes, int] = {}
@@ -49,29 +50,29 @@
         self.positions = BlockIndex()
 
     def note_block(self, _: int, payload: bytes, place: durable.LogPosition) -> None:
-        """Note one block of the log that is recovered."""
+        """Note a block from the recovery of the log."""
         block = pb.Block.FromString(payload)
         self.positions.note(place, block.incarnation, block.number)
-        one = block.incarnation
-        self.last_sequence[one] = max(self.last_sequence.get(one, 0), block.last_sequence)
-        self.answered[one] = max(self.answered.get(one, 0), block.answered)
+        incarnation = block.incarnation
+        self.last_sequence[incarnation] = max(self.last_sequence.get(incarnation, 0), block.last_sequence)
+        self.answered[incarnation] = max(self.answered.get(incarnation, 0), block.answered)
         self.flagged.update(flag.incarnation for flag in block.unsure)
 
     def unsure(self) -> list[tuple[bytes, int, int]]:
-        """Return ranges of entries whose answers may never have left their server.
+        """Return ranges of entries whose answers may not have been sent.
 
-        Each is an incarnation with the sequence numbers after and through: those that no block says were
-        answered, and that are not flagged yet.
+        Each range is an incarnation, the sequence number before the range and the last one in it. These
+        entries are neither recorded as answered nor flagged in any block.
         """
         return [
-            (one, self.answered[one], last)
-            for one, last in self.last_sequence.items()
-            if last > self.answered[one] and one not in self.flagged
+            (incarnation, self.answered[incarnation], last)
+            for incarnation, last in self.last_sequence.items()
+            if last > self.answered[incarnation] and incarnation not in self.flagged
         ]
 
 
 class UsageRecorder:
-    """The observer of one server's requests. `names` gives tenants their names."""
+    """Observes the requests of one server; `names` has the names of its tenants."""
 
     def __init__(
         self,
@@ -83,267 +84,286 @@
         names: dict[Tenant, str],
         chance: Callable[[], float],
         count: Callable[[str], None],
-        bridge: WorkerThread | None = None,
+        worker_thread: WorkerThread | None = None,
     ) -> None:
         self._scheduler, self._plan, self._count, self._names = scheduler, plan, count, names
-        self._entries_buffer = EntryBuffer(
+        self._entry_buffer = EntryBuffer(
             server, incarnation, Periods(plan.calendar), plan.max_entries, plan.max_total_rows
         )
-        self._held = DelayedAnswers(scheduler, plan.max_answer_delay_s, self._release)
-        self._fences: deque[tuple[int, int]] = deque()  # record number, last sequence in it
-        self._durable_sequence = self._marked = 0
-        self._cut_at = scheduler.clock.now
-        self._leaving = False
+        self._delayed_answers = DelayedAnswers(scheduler, plan.max_answer_delay_s, self._release)
+        self._record_sequences: deque[tuple[int, int]] = (
+            deque()
+        )  # per record not durable yet: its number, its last sequence
+        self._durable_sequence = self._logged_answered = 0
+        self._last_cut_at = scheduler.clock.now
+        self._is_closing = False
         self._store: GroupCommitLog | None = None
-        self._bridge: WorkerThread | None = None
-        self._shared = bridge is not None  # then its owner closes it, behind all who use it
+        self._worker_thread: WorkerThread | None = None
+        self._worker_is_shared = worker_thread is not None  # if so, its owner closes it after all its users
         self._sender: ExportSender | None = None
-        self._memory_source: MemorySource | None = None  # without a disk: blocks that only this process has
-        self._tracks: dict[bytes, str] = {}
+        self._memory_source: MemorySource | None = None  # for the memory depth
+        self._class_names: dict[bytes, str] = {}
         self.recovery = durable.RecoveryReport()
-        self._waits = plan.depth is Depth.DURABLE and plan.answers is Answers.AFTER_ENTRY
-        predecessors = EarlierIncarnations()
+        self._delays_answers = plan.depth is Depth.DURABLE and plan.answers is Answers.AFTER_ENTRY
+        earlier = EarlierIncarnations()
         if plan.depth is Depth.DURABLE:
             assert plan.folder is not None
             records = durable.Log(DiskFiles(plan.folder), KIND, incarnation, plan.max_disk_bytes)
-            self.recovery = records.recover(predecessors.note_block)
-            self._log_recovery(predecessors)
-            self._bridge = bridge or WorkerThread(scheduler)
+            self.recovery = records.recover(earlier.note_block)
+            self._log_recovery(earlier)
+            self._worker_thread = worker_thread or WorkerThread(scheduler)
             self._store = GroupCommitLog(
-                scheduler, self._bridge, records, SLOW_COMMIT_S, self._fenced, self._disk_changed
+                scheduler,
+                self._worker_thread,
+                records,
+                SLOW_COMMIT_S,
+                self._on_records_durable,
+                self._on_disk_state,
             )
         if plan.export is not None:
             source: Any
             if self._store is not None:
-                source = DurableSource(self._store, predecessors.positions, plan.retained_bytes)
+                source = DurableSource(self._store, earlier.positions, plan.retained_bytes)
             else:
-                source = MemorySource(self._entries_buffer, incarnation, self._cut_for_export)
+                source = MemorySource(self._entry_buffer, incarnation, self._cut_for_export)
                 self._memory_source = source
             self._sender = ExportSender(scheduler, plan.export, server, incarnation, source, chance, count)
-            for one, number in predecessors.positions.last.items():
-                self._sender.exporter.known(one, number)
+            for incarnation_, last_number in earlier.positions.last.items():
+                self._sender.export_state.note_existing_blocks(incarnation_, last_number)
             send_next = background.add("ledger export", 2, 0.2, self._sender.send_next)
             self._sender.schedule_send = lambda: background.want(send_next)  # type: ignore[method-assign]
-        self._schedule()
+        self._run_periodically()
 
-    def _log_recovery(self, predecessors: EarlierIncarnations) -> None:
-        found = self.recovery
-        for flag in predecessors.unsure():
-            self._entries_buffer.flag(*flag)
+    def _log_recovery(self, earlier: EarlierIncarnations) -> None:
+        recovery = self.recovery
+        for flag in earlier.unsure():
+            self._entry_buffer.flag_unanswered(*flag)
             self._count("ledger_incarnations_flagged")
         pairs = {
-            "records": found.records,
-            "bytes": found.bytes,
-            "segments": found.segments,
-            "torn_bytes": found.torn_bytes,
-            "damaged": len(found.damage),
+            "records": recovery.records,
+            "bytes": recovery.bytes,
+            "segments": recovery.segments,
+            "torn_bytes": recovery.torn_bytes,
+            "damaged": len(recovery.damage),
         }
         log.info("ledger recovered", extra={"pairs": pairs})
-        for damage in found.damage[:20]:
+        for damage in recovery.damage[:20]:
             log.error("ledger damaged", extra={"pairs": {"where": damage}})
 
-    # -- what the seam tells
+    # -- request outcomes
 
     def completed(self, exchange: Exchange, result: bytes, caller: Caller) -> None:
         """Record a completed request; its answer may wait until the entry is durable."""
-        first = (
+        original = (
             exchange.original if exchange.state is ExchangeState.ATTACHED else None
-        )  # whose result it gets
-        run = first if first is not None else exchange
+        )  # the attempt that has the run
+        run = original if original is not None else exchange
         billed, run.billed = not run.billed, True
-        sequence = self._note(exchange, pb.COMPLETED, run if billed else None, len(result), first)
+        sequence = self._add_entry(exchange, pb.COMPLETED, run if billed else None, len(result), original)
         if (
-            not self._waits
+            not self._delays_answers
             or self._store is None
             or self._store.disk_state in (DiskState.FULL, DiskState.FAILING)
         ):
-            if self._waits:
+            if self._delays_answers:
                 self._count("ledger_answers_ahead")
             return caller.completed(exchange, result)
-        self._held.delay(sequence, exchange, result, caller)
-        wait = self._cut_at + self._plan.commit_interval_s - self._scheduler.clock.now
-        if len(self._held) == 1 and wait > 0:
-            self._scheduler.after(wait, lambda: None)  # a round to commit in
+        self._delayed_answers.delay(sequence, exchange, result, caller)
+        delay_s = self._last_cut_at + self._plan.commit_interval_s - self._scheduler.clock.now
+        if len(self._delayed_answers) == 1 and delay_s > 0:
+            self._scheduler.after(delay_s, lambda: None)  # wake the event loop for the commit
 
     def rejected(self, exchange: Exchange) -> None:
         """Record a rejected request."""
-        self._note(exchange, pb.DENIED)
+        self._add_entry(exchange, pb.DENIED)
 
     def failed(self, exchange: Exchange) -> None:
         """Record a failed request."""
-        self._note(exchange, pb.TERMINATED)
+        self._add_entry(exchange, pb.TERMINATED)
 
     def cancelled(self, exchange: Exchange) -> None:
         """Record a request that its caller has cancelled."""
-        self._note(exchange, pb.GONE)
+        self._add_entry(exchange, pb.GONE)
 
-    def _note(
+    def _add_entry(
         self,
         exchange: Exchange,
         outcome: pb.Outcome,
-        billed: Exchange | None = None,
+        billed_run: Exchange | None = None,
         answer_bytes: int = 0,
-        first: Exchange | None = None,
+        original: Exchange | None = None,
     ) -> int:
-        ticket, now = exchange.request, self._scheduler.clock.now
-        track = self._tracks.get(exchange.request_class)
-        if track is None:
-            track = self._tracks[exchange.request_class] = exchange.request_class.decode("utf-8", "replace")
-        goal = ticket.request_class.latency_objective_s + ticket.request_class.objective_s_per_hint * (
-            ticket.cost_hint or 0.0
+        request, now = exchange.request, self._scheduler.clock.now
+        class_name = self._class_names.get(exchange.request_class)
+        if class_name is None:
+            class_name = self._class_names[exchange.request_class] = exchange.request_class.decode(
+                "utf-8", "replace"
+            )
+        objective_s = (
+            request.request_class.latency_objective_s
+            + request.request_class.objective_s_per_hint * (request.cost_hint or 0.0)
         )
         entry = pb.Entry(
-            customer=self._names.get(ticket.tenant, "") if ticket.tenant is not None else "",
-            track=track,
+            customer=self._names.get(request.tenant, "") if request.tenant is not None else "",
+            track=class_name,
             outcome=outcome,
             ended_us=round(self._scheduler.clock.to_unix(now) * 1e6),
-            arrived_us=round(self._scheduler.clock.to_unix(ticket.arrived_at) * 1e6),
-            run_us=round(billed.run_time_s * 1e6) if billed is not None else 0,
+            arrived_us=round(self._scheduler.clock.to_unix(request.arrived_at) * 1e6),
+            run_us=round(billed_run.run_time_s * 1e6) if billed_run is not None else 0,
             asked_bytes=len(exchange.body),
             answer_bytes=answer_bytes,
-            goal_kept=outcome == pb.COMPLETED and now - ticket.arrived_at <= goal,
-            beyond_share=ticket.over_quota,
-            billed=billed is not None,
-            name=_id(exchange.name),
-            run=_id(first.name) if first is not None else b"",
+            goal_kept=outcome == pb.COMPLETED and now - request.arrived_at <= objective_s,
+            beyond_share=request.over_quota,
+            billed=billed_run is not None,
+            name=_decode_id(exchange.name),
+            run=_decode_id(original.name) if original is not None else b"",
         )
-        return self._entries_buffer.add(entry)
+        return self._entry_buffer.add(entry)
 
     # -- rounds
 
     def end_round(self) -> None:
-        """After the answers of the round were written: what may be sealed is sealed."""
+        """Cut the blocks that are due; called after the answers of the round were written."""
         if self._store is not None:
-            self._seal_durably(self._store)
+            self._seal_to_log(self._store)
         elif self._sender is not None and self._sender.is_streaming and self._block_is_due():
             self._sender.schedule_send()
 
     def _block_is_due(self) -> bool:
-        """Whether the entry buffer holds what is worth a block by itself."""
-        if self._entries_buffer.empty:
+        """Whether the entry buffer has enough entries, or old enough ones, for a block."""
+        if self._entry_buffer.empty:
             return False
-        aged = self._scheduler.clock.now - self._cut_at >= self._plan.block_interval_s
-        return aged or self._leaving or self._entries_buffer.kept >= FULL_BLOCK_ENTRIES
+        is_old = self._scheduler.clock.now - self._last_cut_at >= self._plan.block_interval_s
+        return is_old or self._is_closing or self._entry_buffer.individual_count >= FULL_BLOCK_ENTRIES
 
-    def _seal_durably(self, store: GroupCommitLog) -> None:
+    def _seal_to_log(self, store: GroupCommitLog) -> None:
         now = self._scheduler.clock.now
-        if store.idle and (now >= self._cut_at + self._plan.commit_interval_s or self._leaving):
-            quiet = now - self._cut_at >= self._plan.block_interval_s or self._leaving
-            mark = quiet and self._answered() > self._marked and self._entries_buffer.empty
-            if mark or (not self._entries_buffer.empty and (self._held or self._block_is_due())):
-                self._cut_at = now
-                self._marked = self._answered()
-                while mark or not self._entries_buffer.empty:
-                    mark = False
-                    block = self._cut(now, self._marked, MAX_BLOCK_ENTRIES)
-                    number = store.append(block.data)
-                    assert number is not None  # the store was idle, and one entry buffer is within its bound
-                    self._fences.append((number, block.last_sequence))
-                    if len(self._fences) >= 16:
-                        break  # the rest with the next commit
+        if store.idle and (now >= self._last_cut_at + self._plan.commit_interval_s or self._is_closing):
+            is_interval_over = now - self._last_cut_at >= self._plan.block_interval_s or self._is_closing
+            needs_empty_block = (
+                is_interval_over and self._answered() > self._logged_answered and self._entry_buffer.empty
+            )
+            if needs_empty_block or (
+                not self._entry_buffer.empty and (self._delayed_answers or self._block_is_due())
+            ):
+                self._last_cut_at = now
+                self._logged_answered = self._answered()
+                while needs_empty_block or not self._entry_buffer.empty:
+                    needs_empty_block = False
+                    block = self._cut(now, self._logged_answered, MAX_BLOCK_ENTRIES)
+                    record_number = store.append(block.data)
+                    assert (
+                        record_number is not None
+                    )  # the store was idle, and a full entry buffer is within its limit
+                    self._record_sequences.append((record_number, block.last_sequence))
+                    if len(self._record_sequences) >= 16:
+                        break  # the remaining entries go into the next commit
         store.flush()
 
     def _answered(self) -> int:
-        """All entries up to this one have no answer that still waits here."""
-        first = self._held.first_mark
-        return self._entries_buffer.last if first is None else first - 1
+        """Return the last sequence number up to which no answer is delayed."""
+        first_delayed = self._delayed_answers.first_mark
+        return self._entry_buffer.last if first_delayed is None else first_delayed - 1
 
     def _cut_for_export(self) -> SealedBlock | None:
         if not self._block_is_due():
             return None
-        self._cut_at = self._scheduler.clock.now
-        return self._cut(self._cut_at, self._entries_buffer.last, MAX_BLOCK_ENTRIES)
+        self._last_cut_at = self._scheduler.clock.now
+        return self._cut(self._last_cut_at, self._entry_buffer.last, MAX_BLOCK_ENTRIES)
 
-    def _cut(self, now: float, answered: int, entries_most: int) -> SealedBlock:
-        """The next block, stamped by the wall clock as its readers know it."""
-        return self._entries_buffer.cut(self._scheduler.clock.to_unix(now), answered, entries_most)
+    def _cut(self, now: float, answered: int, max_entries: int) -> SealedBlock:
+        """Return the next block, with `now` converted to Unix time."""
+        return self._entry_buffer.cut(self._scheduler.clock.to_unix(now), answered, max_entries)
 
-    def _schedule(self) -> None:
-        """Rounds come with requests; without any, what lies in the entry buffer still has its time."""
+    def _run_periodically(self) -> None:
+        """Wake the event loop every `block_interval_s`, so that entries are sealed without new requests."""
         if self._sender is not None and self._sender.is_streaming:
             self._sender.schedule_send()
-        self._scheduler.after(self._plan.block_interval_s, self._schedule)
+        self._scheduler.after(self._plan.block_interval_s, self._run_periodically)
 
     # -- the disk
 
-    def _fenced(self, number: int) -> None:
-        while self._fences and self._fences[0][0] <= number:
-            self._durable_sequence = self._fences.popleft()[1]
-        self._held.durable(self._durable_sequence)
+    def _on_records_durable(self, record_number: int) -> None:
+        while self._record_sequences and self._record_sequences[0][0] <= record_number:
+            self._durable_sequence = self._record_sequences.popleft()[1]
+        self._delayed_answers.durable(self._durable_sequence)
 
-    def _release(self, one: DelayedAnswer, ahead: bool) -> None:
-        if ahead:
+    def _release(self, answer: DelayedAnswer, is_early: bool) -> None:
+        if is_early:
             self._count("ledger_answers_ahead")
-        one.caller.completed(one.exchange, one.result)
+        answer.caller.completed(answer.exchange, answer.result)
 
-    def _disk_changed(self, disk: DiskState) -> None:
-        self._count(f"ledger_disk_{disk.value}")
-        if disk in (DiskState.FULL, DiskState.FAILING):
-            self._held.release_all()
+    def _on_disk_state(self, disk_state: DiskState) -> None:
+        self._count(f"ledger_disk_{disk_state.value}")
+        if disk_state in (DiskState.FULL, DiskState.FAILING):
+            self._delayed_answers.release_all()
 
-    # -- the end
+    # -- shutdown
 
-    def parting(self) -> None:
-        """The server leaves: what is noted is sealed and exported without waiting for more."""
-        self._leaving = True
+    def closing(self) -> None:
+        """Seal and export all entries without waiting for more; the server shuts down."""
+        self._is_closing = True
         if self._sender is not None:
-            self._sender.flush_soon()
+            self._sender.skip_backoff()
 
     def settled(self) -> bool:
-        """Whether nothing would be lost by ending now."""
-        if self._held or not self._entries_buffer.empty:
+        """Whether the process can exit without losing entries or answers."""
+        if self._delayed_answers or not self._entry_buffer.empty:
             return False
         if self._store is not None:
-            return self._store.all_durable and self._answered() <= self._marked
-        return self._memory_source is None or not self._memory_source.kept
-
-    def close(self, most: float) -> None:
-        """The last instant: write what can be written; what can't is told in the log, by tenant."""
-        self._held.release_all()
-        if self._store is not None and self._bridge is not None:
-            self._seal_durably(self._store)
+            return self._store.all_durable and self._answered() <= self._logged_answered
+        return self._memory_source is None or not self._memory_source.unsettled
+
+    def close(self, timeout_s: float) -> None:
+        """Write the remaining entries if possible; log those that are lost, by tenant."""
+        self._delayed_answers.release_all()
+        if self._store is not None and self._worker_thread is not None:
+            self._seal_to_log(self._store)
             self._store.close()
-            if not self._shared:
-                self._bridge.close(most)
+            if not self._worker_is_shared:
+                self._worker_thread.close(timeout_s)
         if self._sender is not None:
             self._sender.close()
-        self._log_left_behind()
+        self._log_unexported()
 
-    def _log_left_behind(self) -> None:
-        """Nothing is lost silently: totals that can be put right by hand, as corrections.
+    def _log_unexported(self) -> None:
+        """Log the totals of unexported entries by tenant, so that they can be posted as corrections.
 
-        Of blocks that were sent and not acknowledged the collector may have some all the same.
+        The collector may have some of the blocks that were sent and not acknowledged.
         """
-        left = list(self._memory_source.kept) if self._memory_source is not None else []
-        if not self._entries_buffer.empty:
-            left.append(self._cut(self._scheduler.clock.now, 0, 1 << 30))
+        unexported = list(self._memory_source.unsettled) if self._memory_source is not None else []
+        if not self._entry_buffer.empty:
+            unexported.append(self._cut(self._scheduler.clock.now, 0, 1 << 30))
         sums: dict[str, list[int]] = {}
-        for block in left:
+        for block in unexported:
             _add_usage(sums, pb.Block.FromString(block.data))
         for customer, (entries, billed, run_us) in sorted(sums.items()):
             pairs = {"customer": customer, "entries": entries, "billed": billed, "run_s": run_us / 1e6}
             log.error("entries left behind", extra={"pairs": pairs})
 
     def gauges(self) -> dict[str, object]:
-        """Return the values printed beside the counters."""
-        told: dict[str, object] = {
-            "ledger_entries": self._entries_buffer.last,
-            "ledger_waiting": self._entries_buffer.waiting,
-            "ledger_folded": self._entries_buffer.folded_ever,
-            "ledger_held": len(self._held),
+        """Return the gauges that are printed with the counters."""
+        gauges: dict[str, object] = {
+            "ledger_entries": self._entry_buffer.last,
+            "ledger_waiting": self._entry_buffer.unsealed_count,
+            "ledger_folded": self._entry_buffer.folded_count,
+            "ledger_held": len(self._delayed_answers),
         }
         if self._store is not None:
-            told |= {"ledger_disk": self._store.disk_state.value, "ledger_disk_bytes": self._store.size_bytes}
+            gauges |= {
+                "ledger_disk": self._store.disk_state.value,
+                "ledger_disk_bytes": self._store.size_bytes,
+            }
         if self._sender is not None:
-            told |= {
-                "ledger_link": self._sender.exporter.link.value,
-                "ledger_unsettled": len(self._sender.exporter.unsettled),
+            gauges |= {
+                "ledger_link": self._sender.export_state.link.value,
+                "ledger_unsettled": len(self._sender.export_state.unsettled),
             }
-        return told
+        return gauges
 
 
-def _id(name: bytes) -> bytes:
-    """Names are hexadecimal on our own protocol and take half the room as bytes; others stay as they are."""
+def _decode_id(name: bytes) -> bytes:
+    """Decode a hexadecimal attempt name, which halves its size; return other names unchanged."""
     try:
         return bytes.fromhex(name.decode("ascii"))
     except ValueError:
@@ -351,7 +371,7 @@
 
 
 def _add_usage(sums: dict[str, list[int]], block: pb.Block) -> None:
-    """Add a block's entries, billed runs and microseconds of runs to those of its customers."""
+    """Add a block's entries, billed runs and run time in microseconds to the sums of its tenants."""
     for entry in block.entries:
         row = sums.setdefault(entry.customer, [0, 0, 0])
         row[0] += 1
--- a/sablewheel/usage_metering/reports.py
+++ b/sablewheel/usage_metering/reports.py
@@ -1,4 +1,4 @@
-"""Queries of the journal's tools: statements, entries and the facts for reconciliation."""
+"""Queries for the `ledger` commands: statements and entries."""
 
 from __future__ import annotations
 
@@ -14,50 +14,69 @@
 def statements(journal: Journal, period: str, customer: str | None = None) -> list[Statement]:
     """Return all tenants' statements of a period, or one tenant's.
 
-    Raises `JournalError` for what is not in the journal.
+    Raises `JournalError` if the period or the tenant is not in the journal.
     """
     try:
-        named = journal.periods.named(period)
-    except PeriodError as trouble:
-        raise JournalError(f"period: {trouble}") from None
-    row = next(iter(journal.rows("select id, seal from periods where name = ?", named.name)), None)
+        named_period = journal.periods.named(period)
+    except PeriodError as error:
+        raise JournalError(f"period: {error}") from None
+    row = next(iter(journal.rows("select id, seal from periods where name = ?", named_period.name)), None)
     if row is None:
         raise JournalError(f"period: nothing was posted in {period!r}")
-    where, values = ("and customer = ?", [customer]) if customer is not None else ("", [])
+    customer_filter, values = ("and customer = ?", [customer]) if customer is not None else ("", [])
     rows = (
-        Row(one[0], one[1], one[2], one[3], one[4], bool(one[5]), bool(one[6]), bool(one[7]), *one[8:])
-        for one in journal.rows(
+        Row(
+            line[0],
+            line[1],
+            line[2],
+            line[3],
+            line[4],
+            bool(line[5]),
+            bool(line[6]),
+            bool(line[7]),
+            *line[8:],
+        )
+        for line in journal.rows(
             "select kind, belongs, customer, track, outcome, goal_kept, beyond, billed, sum(entries),"
             " sum(run_us), sum(asked_bytes), sum(answer_bytes) from lines"
-            f" where period = ? and kind < 2 {where}"
+            f" where period = ? and kind < 2 {customer_filter}"
             " group by kind, belongs, customer, track, outcome, goal_kept, beyond, billed",
             row[0],
             *values,
         )
     )
     corrections = [
-        CorrectionLine(told["target"], one[0], one[1], one[2], one[3], told["reason"], told["author"], one[4])
-        for one in journal.rows(
+        CorrectionLine(
+            details["target"],
+            line[0],
+            line[1],
+            line[2],
+            line[3],
+            details["reason"],
+            details["author"],
+            line[4],
+        )
+        for line in journal.rows(
             "select customer, track, entries, run_us, ended_us, more from lines where period = ? and kind = 2"
-            f" {where} order by place",
+            f" {customer_filter} order by place",
             row[0],
             *values,
         )
-        if (told := json.loads(one[5]))
+        if (details := json.loads(line[5]))
     ]
     unsure = dict(
         journal.rows(
             "select l.customer, count(*) from unsure u join blocks b on b.source = u.source"
             " and b.last_sequence > u.after_sequence and b.first_sequence <= u.through_sequence"
             " join lines l on l.block = b.id and l.sequence > u.after_sequence"
-            f" and l.sequence <= u.through_sequence where l.period = ? and l.outcome = 1 {where}"
+            f" and l.sequence <= u.through_sequence where l.period = ? and l.outcome = 1 {customer_filter}"
             " group by l.customer",
             row[0],
             *values,
         )
     )
-    found = build(
-        named.name,
+    result = build(
+        named_period.name,
         journal.periods.calendar.zone,
         bytes(row[1]) if row[1] else None,
         rows,
@@ -65,32 +84,32 @@
         unsure,
     )
     known = journal.customers()
-    for one in found:
-        one.known = not known or one.customer in known
-    if customer is not None and not found:
+    for statement in result:
+        statement.known = not known or statement.customer in known
+    if customer is not None and not result:
         names = [
-            one[0] for one in journal.rows("select distinct customer from lines where period = ?", row[0])
+            line[0] for line in journal.rows("select distinct customer from lines where period = ?", row[0])
         ]
-        near = difflib.get_close_matches(customer, names, 1)
-        hint = f"; {near[0]!r} may be meant" if near else ""
+        similar = difflib.get_close_matches(customer, names, 1)
+        hint = f"; {similar[0]!r} may be meant" if similar else ""
         raise JournalError(f"customer: nothing of {customer!r} in {period}{hint}")
-    return found
+    return result
 
 
 def entries(
-    journal: Journal, customer: str | None, period: str | None, most: int
+    journal: Journal, customer: str | None, period: str | None, limit: int
 ) -> Iterator[dict[str, object]]:
-    """Lines one by one, in the order in which they were posted, at most so many."""
-    where, values = ["1"], []
+    """Yield up to `limit` lines, by period, in the order in which they were posted."""
+    conditions, values = ["1"], []
     for name, value in (("l.customer", customer), ("p.name", period)):
         if value is not None:
-            where.append(f"{name} = ?")
+            conditions.append(f"{name} = ?")
             values.append(value)
     query = (
         "select p.name, l.place, l.kind, s.server, s.incarnation, l.sequence, l.belongs, l.customer, l.track,"
         " l.outcome, l.goal_kept, l.beyond, l.billed, l.entries, l.run_us, l.ended_us, l.name, l.run, l.more"
         " from lines l join periods p on l.period = p.id left join blocks b on l.block = b.id"
-        f" left join sources s on b.source = s.id where {' and '.join(where)}"
+        f" left join sources s on b.source = s.id where {' and '.join(conditions)}"
         " order by p.start_us, l.place limit ?"
     )
     names = (
@@ -114,7 +133,7 @@
         "run",
         "more",
     )
-    for row in journal.rows(query, *values, most):
+    for row in journal.rows(query, *values, limit):
         yield {
             name: value.hex() if isinstance(value, bytes) else value
             for name, value in zip(names, row, strict=True)
--- a/sablewheel/usage_metering/statement.py
+++ b/sablewheel/usage_metering/statement.py
@@ -1,4 +1,4 @@
-"""Statements: what a tenant used in a period, with late entries and corrections listed apart. Pure."""
+"""Statements of a tenant's usage in a period, with late entries and corrections listed separately. Pure."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class Row:
-    """Sums of lines that are alike; run time in microseconds."""
+    """Sums of the lines that are equal in all but their amounts; run time in microseconds."""
 
     kind: int
     belongs: str | None
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class CorrectionLine:
-    """One correction, as it was made."""
+    """A correction in a statement."""
 
     target: str
     customer: str
@@ -48,12 +48,12 @@
 
 @dataclass
 class ClassUsage:
-    """One tenant's use by request class."""
+    """One tenant's usage of one request class; counts are of requests."""
 
     track: str
     completed: int = 0
     in_goal: int = 0
-    repeats: int = 0  # completed from a run that was billed already
+    repeats: int = 0  # completed from a run that was billed before
     denied: int = 0
     terminated: int = 0
     gone: int = 0
@@ -62,53 +62,62 @@
     run_us: int = 0
     asked_bytes: int = 0
     answer_bytes: int = 0
-    folded: int = 0  # of all these, known as totals only
+    folded: int = 0  # requests that are known only as totals
 
 
 @dataclass
 class Statement:
-    """One tenant in one period."""
+    """The statement of one tenant in one period."""
 
     customer: str
     period: str
     zone: str
     closed: bool
     seal: str
-    use: dict[str, ClassUsage] = field(default_factory=dict)
-    late: dict[str, dict[str, ClassUsage]] = field(default_factory=dict)  # by the period it belongs to
+    usage: dict[str, ClassUsage] = field(default_factory=dict)
+    late: dict[str, dict[str, ClassUsage]] = field(
+        default_factory=dict
+    )  # by the period of the entries, then by request class
     corrections: list[CorrectionLine] = field(default_factory=list)
-    known: bool = True  # whether it is a tenant that the collector was told of
-    unsure: int = 0  # completed entries whose answer may never have left its server
+    known: bool = True  # whether the collector is configured with this tenant, or with none
+    unsure: int = 0  # completed entries whose answers may not have been sent
 
     @property
     def tickets(self) -> int:
-        """What is billed: runs that were completed, once each, and corrections."""
-        return sum(one.billed for one in self._all()) + sum(one.tickets for one in self.corrections)
+        """The billed requests: each completed run once, and corrections."""
+        return sum(usage.billed for usage in self._all_usages()) + sum(
+            correction.tickets for correction in self.corrections
+        )
 
     @property
     def run_us(self) -> int:
         """Billed run time in microseconds, corrections included."""
-        return sum(one.run_us for one in self._all()) + sum(one.run_us for one in self.corrections)
+        return sum(usage.run_us for usage in self._all_usages()) + sum(
+            correction.run_us for correction in self.corrections
+        )
 
-    def _all(self) -> list[ClassUsage]:
-        return [*self.use.values(), *(one for late in self.late.values() for one in late.values())]
+    def _all_usages(self) -> list[ClassUsage]:
+        return [
+            *self.usage.values(),
+            *(usage for by_class in self.late.values() for usage in by_class.values()),
+        ]
 
 
-def add(use: dict[str, ClassUsage], row: Row) -> None:
+def add(by_class: dict[str, ClassUsage], row: Row) -> None:
     """Add a row to the usage of its request class."""
-    one = use.setdefault(row.track, ClassUsage(row.track))
+    usage = by_class.setdefault(row.track, ClassUsage(row.track))
     name = OUTCOMES[row.outcome]
-    setattr(one, name, getattr(one, name) + row.entries)
+    setattr(usage, name, getattr(usage, name) + row.entries)
     if name == "completed":
-        one.in_goal += row.entries * row.goal_kept
-        one.repeats += row.entries * (not row.billed)
+        usage.in_goal += row.entries * row.goal_kept
+        usage.repeats += row.entries * (not row.billed)
     if row.billed:
-        one.billed += row.entries
-        one.billed_beyond += row.entries * row.beyond
-        one.run_us += row.run_us
-    one.asked_bytes += row.asked_bytes
-    one.answer_bytes += row.answer_bytes
-    one.folded += row.entries * (row.kind == TOTAL)
+        usage.billed += row.entries
+        usage.billed_beyond += row.entries * row.beyond
+        usage.run_us += row.run_us
+    usage.asked_bytes += row.asked_bytes
+    usage.answer_bytes += row.answer_bytes
+    usage.folded += row.entries * (row.kind == TOTAL)
 
 
 def build(
@@ -119,48 +128,48 @@
     corrections: Iterable[CorrectionLine],
     unsure: dict[str, int],
 ) -> list[Statement]:
-    """Statements of all tenants in a period, by name."""
-    found: dict[str, Statement] = {}
+    """Return the statements of all tenants in a period, sorted by tenant name."""
+    statements: dict[str, Statement] = {}
 
-    def of(customer: str) -> Statement:
-        if customer not in found:
-            told = seal.hex() if seal else ""
-            found[customer] = Statement(customer, period, zone, seal is not None, told)
-        return found[customer]
+    def statement_of(customer: str) -> Statement:
+        if customer not in statements:
+            seal_text = seal.hex() if seal else ""
+            statements[customer] = Statement(customer, period, zone, seal is not None, seal_text)
+        return statements[customer]
 
     for row in rows:
-        statement = of(row.customer)
-        add(statement.use if row.belongs is None else statement.late.setdefault(row.belongs, {}), row)
-    for one in corrections:
-        of(one.customer).corrections.append(one)
+        statement = statement_of(row.customer)
+        add(statement.usage if row.belongs is None else statement.late.setdefault(row.belongs, {}), row)
+    for correction in corrections:
+        statement_of(correction.customer).corrections.append(correction)
     for customer, entries in unsure.items():
-        of(customer).unsure = entries
-    return [found[name] for name in sorted(found)]
+        statement_of(customer).unsure = entries
+    return [statements[name] for name in sorted(statements)]
 
 
 def as_json(statements: list[Statement]) -> str:
     """Return the statements as JSON."""
 
-    def use(told: dict[str, ClassUsage]) -> list[dict[str, Any]]:
-        return [vars(told[name]) for name in sorted(told)]
+    def usage_rows(by_class: dict[str, ClassUsage]) -> list[dict[str, Any]]:
+        return [vars(by_class[name]) for name in sorted(by_class)]
 
     return json.dumps(
         [
             {
-                "customer": one.customer,
-                "period": one.period,
-                "zone": one.zone,
-                "closed": one.closed,
-                "seal": one.seal,
-                "billed_tickets": one.tickets,
-                "billed_run_us": one.run_us,
-                "use": use(one.use),
-                "late": {name: use(one.late[name]) for name in sorted(one.late)},
-                "known": one.known,
-                "corrections": [vars(each) for each in one.corrections],
-                "unsure": one.unsure,
+                "customer": statement.customer,
+                "period": statement.period,
+                "zone": statement.zone,
+                "closed": statement.closed,
+                "seal": statement.seal,
+                "billed_tickets": statement.tickets,
+                "billed_run_us": statement.run_us,
+                "use": usage_rows(statement.usage),
+                "late": {name: usage_rows(statement.late[name]) for name in sorted(statement.late)},
+                "known": statement.known,
+                "corrections": [vars(correction) for correction in statement.corrections],
+                "unsure": statement.unsure,
             }
-            for one in statements
+            for statement in statements
         ],
         indent=2,
         sort_keys=True,
@@ -196,58 +205,59 @@
     out = io.StringIO()
     writer = csv.DictWriter(out, COLUMNS, restval="", lineterminator="\n")
     writer.writeheader()
-    for one in statements:
-        head = {"customer": one.customer, "period": one.period}
-        for belongs, use in [("", one.use), *sorted(one.late.items())]:
-            for name in sorted(use):
+    for statement in statements:
+        common = {"customer": statement.customer, "period": statement.period}
+        for belongs, by_class in [("", statement.usage), *sorted(statement.late.items())]:
+            for name in sorted(by_class):
                 kind = "late" if belongs else "use"
-                writer.writerow({**head, "kind": kind, "belongs": belongs, **vars(use[name])})
-        for each in one.corrections:
+                writer.writerow({**common, "kind": kind, "belongs": belongs, **vars(by_class[name])})
+        for correction in statement.corrections:
             writer.writerow(
                 {
-                    **head,
+                    **common,
                     "kind": "correction",
-                    "track": each.track,
-                    "billed": each.tickets,
-                    "run_us": each.run_us,
-                    "target": each.target,
-                    "reason": each.reason,
-                    "author": each.author,
+                    "track": correction.track,
+                    "billed": correction.tickets,
+                    "run_us": correction.run_us,
+                    "target": correction.target,
+                    "reason": correction.reason,
+                    "author": correction.author,
                 }
             )
     return out.getvalue()
 
 
 def as_text(statements: list[Statement]) -> str:
-    """Return the statements as text for people."""
+    """Return the statements as plain text."""
     lines: list[str] = []
-    for one in statements:
-        state = "closed" if one.closed else "open, may still grow"
-        strange = "" if one.known else ", NOT a customer that the collector was told of"
-        lines += [f"{one.customer}, {one.period} ({one.zone}, {state}){strange}"]
-        head = f"  {'track':20} {'billed':>9} {'run s':>12} {'completed':>9} {'in goal':>9} {'repeats':>8}"
-        lines += [f"{head} {'denied':>8} {'terminated':>10} {'gone':>7}"]
-        for belongs, use in [("", one.use), *sorted(one.late.items())]:
+    for statement in statements:
+        state = "closed" if statement.closed else "open, may still grow"
+        unknown_note = "" if statement.known else ", NOT a customer that the collector was told of"
+        lines += [f"{statement.customer}, {statement.period} ({statement.zone}, {state}){unknown_note}"]
+        header = f"  {'track':20} {'billed':>9} {'run s':>12} {'completed':>9} {'in goal':>9} {'repeats':>8}"
+        lines += [f"{header} {'denied':>8} {'terminated':>10} {'gone':>7}"]
+        for belongs, by_class in [("", statement.usage), *sorted(statement.late.items())]:
             if belongs:
                 lines.append(f"  late, belongs to {belongs}:")
-            for name in sorted(use):
-                each = use[name]
+            for name in sorted(by_class):
+                usage = by_class[name]
                 lines.append(
-                    f"  {each.track:20} {each.billed:9} {each.run_us / 1e6:12.3f} {each.completed:9}"
-                    f" {each.in_goal:9} {each.repeats:8} {each.denied:8} {each.terminated:10} {each.gone:7}"
+                    f"  {usage.track:20} {usage.billed:9} {usage.run_us / 1e6:12.3f} {usage.completed:9}"
+                    f" {usage.in_goal:9} {usage.repeats:8} {usage.denied:8} {usage.terminated:10}"
+                    f" {usage.gone:7}"
                 )
-                if each.folded:
-                    lines.append(f"    of these {each.folded} tickets are known as totals only")
-        for correction in one.corrections:
+                if usage.folded:
+                    lines.append(f"    of these {usage.folded} tickets are known as totals only")
+        for correction in statement.corrections:
             lines.append(
                 f"  correction {correction.tickets:+} tickets, {correction.run_us / 1e6:+.3f} s: "
                 f"{correction.target}: {correction.reason} ({correction.author})"
             )
-        if one.unsure:
+        if statement.unsure:
             lines.append(
-                f"  {one.unsure} completed entries are flagged: a kill may have kept their answers back"
+                f"  {statement.unsure} completed entries are flagged: a kill may have kept their answers back"
             )
-        lines.append(f"  billed: {one.tickets} tickets, {one.run_us / 1e6:.3f} s of run time")
-        lines += [f"  seal {one.seal}"] if one.closed else []
+        lines.append(f"  billed: {statement.tickets} tickets, {statement.run_us / 1e6:.3f} s of run time")
+        lines += [f"  seal {statement.seal}"] if statement.closed else []
         lines.append("")
     return "\n".join(lines)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -262,9 +262,9 @@
         plan.max_connections
     )
     crowd = SimpleNamespace(connections=dict.fromkeys(range(2 * LEAST - 1)), _plan=plan)
-    assert Collector._room(crowd)  # type: ignore[arg-type]
+    assert Collector._has_capacity(crowd)  # type: ignore[arg-type]
     crowd.connections[-1] = None
-    assert not Collector._room(crowd)  # type: ignore[arg-type]
+    assert not Collector._has_capacity(crowd)  # type: ignore[arg-type]
 
 
 def test_a_policy_may_ask_for_links_to_1024_peers() -> None:
--- a/tests/test_usage_metering.py
+++ b/tests/test_usage_metering.py
@@ -46,7 +46,7 @@
 from sablewheel.usage_metering.blocks import SealedBlock
 from sablewheel.usage_metering.collector import Collector
 from sablewheel.usage_metering.corrections import Correction, CorrectionError, Target
-from sablewheel.usage_metering.frames import Frames, frame
+from sablewheel.usage_metering.frames import FrameDecoder, encode_frame
 from sablewheel.usage_metering.journal import Journal, JournalError
 from sablewheel.usage_metering.periods import Periods
 from sablewheel.usage_metering.plan import (
@@ -86,7 +86,7 @@
 # -- the recorder in the server, on a made clock and a made disk
 
 
-class KeptTown(SimulatedServer):
+class DurableDepthServer(SimulatedServer):
     """The routing layer with a recorder; commits happen at once, on a disk that may fail."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, answers: Answers = Answers.AFTER_ENTRY) -> None:
@@ -101,7 +101,7 @@
             self.scheduler, background, plan, "n1", INCARNATION, names, lambda: 0.5, self.counts.append
         )
         self.listener.observer = self.usage_recorder
-        self.bridge: SlowBridge = self.usage_recorder._bridge  # type: ignore[assignment]
+        self.bridge: SlowBridge = self.usage_recorder._worker_thread  # type: ignore[assignment]
 
     def settle(self, deliver: bool = True) -> None:
         super().settle(deliver)
@@ -136,10 +136,10 @@
         while self.open and self.jobs:
             job, done = self.jobs.pop(0)
             try:
-                result, trouble = job(), None
+                result, error = job(), None
             except OSError as caught:
-                result, trouble = None, caught
-            done(result, trouble)
+                result, error = None, caught
+            done(result, error)
 
     def close(self, _: float) -> bool:
         self.open = True
@@ -170,7 +170,7 @@
     def welcome(self) -> None:
         """The collector greets on the newest connection, and has nothing yet."""
         self.wait(1.0)
-        self.exports[-1].feed(frame(pb.Frame(welcome=pb.Welcome(version=export.VERSION))))
+        self.exports[-1].feed(encode_frame(pb.Frame(welcome=pb.Welcome(version=export.VERSION))))
         self.scheduler.run_ready()
 
     def send_blocks(self) -> None:
@@ -192,12 +192,12 @@
     server.send_blocks()
     assert not server.usage_recorder.settled()
     server.exports[-1].feed(b"")
-    server.usage_recorder.parting()
+    server.usage_recorder.closing()
     server.welcome()
     assert not server.usage_recorder.settled()
     server.send_blocks()
     acknowledged = pb.Acknowledged(incarnation=INCARNATION, number=1)
-    server.exports[-1].feed(frame(pb.Frame(acknowledged=acknowledged)))
+    server.exports[-1].feed(encode_frame(pb.Frame(acknowledged=acknowledged)))
     server.settle()
     assert server.usage_recorder.settled()
 
@@ -215,17 +215,17 @@
 
 
 def test_a_completed_answer_leaves_when_its_entry_is_durable(monkeypatch: pytest.MonkeyPatch) -> None:
-    town = KeptTown(monkeypatch)
-    one = town.call(b"lookup")
-    town.settle()
-    town.bridge.open = False
-    town.end(one.name)
-    town.settle()
-    assert not one.answers and not town.entries()
-    town.bridge.open = True
-    town.settle()
+    server = DurableDepthServer(monkeypatch)
+    one = server.call(b"lookup")
+    server.settle()
+    server.bridge.open = False
+    server.end(one.name)
+    server.settle()
+    assert not one.answers and not server.entries()
+    server.bridge.open = True
+    server.settle()
     assert one.answers[0][1] == b"OK"
-    (entry,) = town.entries()
+    (entry,) = server.entries()
     assert (entry.customer, entry.track, entry.outcome, entry.billed) == (
         "acme",
         "lookup",
@@ -236,55 +236,55 @@
 
 
 def test_a_disk_that_stalls_holds_no_answer_past_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    town = KeptTown(monkeypatch)
-    one = town.call(b"lookup")
-    town.settle()
-    town.bridge.open = False
-    town.end(one.name)
-    town.wait(0.1)
+    server = DurableDepthServer(monkeypatch)
+    one = server.call(b"lookup")
+    server.settle()
+    server.bridge.open = False
+    server.end(one.name)
+    server.wait(0.1)
     assert not one.answers
-    town.wait(0.3)  # hold-most is a quarter of a second
-    assert one.answers[0][1] == b"OK" and "ledger_answers_ahead" in town.counts
-    town.bridge.open = True
-    town.wait(0.5)
-    assert len(town.entries()) == 1
+    server.wait(0.3)  # hold-most is a quarter of a second
+    assert one.answers[0][1] == b"OK" and "ledger_answers_ahead" in server.counts
+    server.bridge.open = True
+    server.wait(0.5)
+    assert len(server.entries()) == 1
 
 
 def test_a_full_disk_delays_nobody_folds_and_writes_it_all_later(monkeypatch: pytest.MonkeyPatch) -> None:
-    town = KeptTown(monkeypatch)
-    town.files.fail = {"append": [OSError(errno.ENOSPC, "no space left on device")] * 1000}
+    server = DurableDepthServer(monkeypatch)
+    server.files.fail = {"append": [OSError(errno.ENOSPC, "no space left on device")] * 1000}
     tries = []
     for _ in range(120):
-        tries.append(town.call(b"lookup"))
-        town.settle()
-        town.end(tries[-1].name)
-        town.wait(0.01)
+        tries.append(server.call(b"lookup"))
+        server.settle()
+        server.end(tries[-1].name)
+        server.wait(0.01)
     assert all(one.answers[0][1] == b"OK" for one in tries)
-    assert town.usage_recorder.gauges()["ledger_disk"] == "full"
-    town.files.fail = {}
-    town.wait(5.0)
+    assert server.usage_recorder.gauges()["ledger_disk"] == "full"
+    server.files.fail = {}
+    server.wait(5.0)
     found: list[pb.Block] = []
-    Log(town.files, usage_recorder.KIND, b"auditor1", 1 << 30).recover(
+    Log(server.files, usage_recorder.KIND, b"auditor1", 1 << 30).recover(
         lambda _, data, __: found.append(blocks.read(data))
     )
     told = sum(len(one.entries) for one in found)
     folded = sum(total.entries for one in found for total in one.totals)
-    assert told + folded == 120 and folded > 0 and town.usage_recorder.gauges()["ledger_disk"] == "working"
+    assert told + folded == 120 and folded > 0 and server.usage_recorder.gauges()["ledger_disk"] == "working"
     assert sum(total.entries * total.billed for one in found for total in one.totals) == folded
 
 
 def test_a_repeat_is_not_billed_twice_joined_or_from_a_kept_result(monkeypatch: pytest.MonkeyPatch) -> None:
-    town = KeptTown(monkeypatch)
-    first = town.call(b"record", b"label")
-    town.settle()
-    joined = town.call(b"record", b"label")
-    town.settle()
-    town.end(first.name)
-    town.settle()
-    later = town.call(b"record", b"label")
-    town.wait(1.0)
+    server = DurableDepthServer(monkeypatch)
+    first = server.call(b"record", b"label")
+    server.settle()
+    joined = server.call(b"record", b"label")
+    server.settle()
+    server.end(first.name)
+    server.settle()
+    later = server.call(b"record", b"label")
+    server.wait(1.0)
     assert [one.answers[0][1] for one in (first, joined, later)] == [b"OK"] * 3
-    entries = {one.name.hex().encode(): one for one in town.entries()}
+    entries = {one.name.hex().encode(): one for one in server.entries()}
     assert [entries[one.name].billed for one in (first, joined, later)] == [True, False, False]
     assert [entries[one.name].run.hex().encode() for one in (joined, later)] == [first.name] * 2
     assert sum(one.run_us for one in entries.values()) == 250_000
@@ -293,16 +293,16 @@
 def test_a_run_whose_first_caller_left_is_billed_with_the_repeat_that_got_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    town = KeptTown(monkeypatch)
-    first = town.call(b"record", b"label")
-    town.settle()
-    town.cancel(first)
-    repeat = town.call(b"record", b"label")
-    town.settle()
-    town.end(first.name)
-    town.wait(1.0)
+    server = DurableDepthServer(monkeypatch)
+    first = server.call(b"record", b"label")
+    server.settle()
+    server.cancel(first)
+    repeat = server.call(b"record", b"label")
+    server.settle()
+    server.end(first.name)
+    server.wait(1.0)
     assert repeat.answers[0][1] == b"OK"
-    entries = {one.name.hex().encode(): one for one in town.entries()}
+    entries = {one.name.hex().encode(): one for one in server.entries()}
     assert entries[first.name].outcome == pb.GONE and not entries[first.name].billed
     assert entries[repeat.name].billed and entries[repeat.name].run_us == 250_000
 
@@ -311,29 +311,29 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     for seed in range(6):
-        chance, town = random.Random(seed), KeptTown(monkeypatch)
+        chance, server = random.Random(seed), DurableDepthServer(monkeypatch)
         for _ in range(60):
             match chance.randrange(8):
                 case 0 | 1 | 2:
                     label = b"%d" % chance.randrange(5) if chance.random() < 0.5 else b""
-                    town.call(b"record" if label else b"lookup", label)
-                case 3 | 4 if town.interpreter.running:
-                    town.end(chance.choice(list(town.interpreter.running)))
-                case 5 if town.attempts:
-                    town.cancel(chance.choice(town.attempts))
+                    server.call(b"record" if label else b"lookup", label)
+                case 3 | 4 if server.interpreter.running:
+                    server.end(chance.choice(list(server.interpreter.running)))
+                case 5 if server.attempts:
+                    server.cancel(chance.choice(server.attempts))
                 case 6:
-                    town.bridge.open = chance.random() < 0.6
+                    server.bridge.open = chance.random() < 0.6
                 case _:
-                    town.wait(chance.uniform(0.0, 0.3))
-            town.settle()
-        town.bridge.open = True
-        town.wait(6.0)
-        entries = town.entries()
+                    server.wait(chance.uniform(0.0, 0.3))
+            server.settle()
+        server.bridge.open = True
+        server.wait(6.0)
+        entries = server.entries()
         names = [one.name.hex().encode() for one in entries]
-        assert sorted(names) == sorted(one.name for one in town.attempts)
+        assert sorted(names) == sorted(one.name for one in server.attempts)
         words = {b"OK": pb.COMPLETED, b"BUSY": pb.DENIED, b"FAILED": pb.TERMINATED}
         outcome = dict(zip(names, (one.outcome for one in entries), strict=True))
-        for one in town.attempts:
+        for one in server.attempts:
             assert outcome[one.name] == (words[one.answers[0][1]] if one.answers else pb.GONE)
         runs = [one.run or one.name for one in entries if one.billed]
         assert len(runs) == len(set(runs))
@@ -342,21 +342,21 @@
 def test_after_a_kill_what_may_not_have_been_answered_is_flagged_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    town = KeptTown(monkeypatch)
+    server = DurableDepthServer(monkeypatch)
     for _ in range(3):
-        one = town.call(b"lookup")
-        town.settle()
-        town.end(one.name)
-        town.settle()
+        one = server.call(b"lookup")
+        server.settle()
+        server.end(one.name)
+        server.settle()
     flags: list[tuple[bytes, int, int]] = []
     for turn in range(3):
         before = usage_recorder.EarlierIncarnations()
-        log = Log(town.files, usage_recorder.KIND, b"after%03d" % turn, 1 << 30)
+        log = Log(server.files, usage_recorder.KIND, b"after%03d" % turn, 1 << 30)
         log.recover(before.note_block)
         flags += before.unsure()
         entry_buffer = EntryBuffer("n1", b"after%03d" % turn, Periods(Calendar()), 10, 10)
         for flag in before.unsure():
-            entry_buffer.flag(*flag)
+            entry_buffer.flag_unanswered(*flag)
         if not entry_buffer.empty:
             log.commit([entry_buffer.cut(1.0, 0, 1).data])
     assert flags == [(INCARNATION, 2, 3)]
@@ -366,35 +366,35 @@
 
 
 def sealed_blocks(
-    server: str, count: int, incarnation: bytes = INCARNATION, at: int = NOON
+    server: str, count: int, incarnation: bytes = INCARNATION, at_s: int = NOON
 ) -> list[SealedBlock]:
-    entry_buffer, found = EntryBuffer(server, incarnation, Periods(HOURS), 1000, 1000), []
-    for place in range(count):
+    entry_buffer, sealed = EntryBuffer(server, incarnation, Periods(HOURS), 1000, 1000), []
+    for index in range(count):
         for customer in ("acme", "zenith"):
             entry_buffer.add(
                 pb.Entry(
                     customer=customer,
                     track="record",
                     outcome=pb.COMPLETED,
-                    ended_us=(at + place) * MICROSECONDS_PER_SECOND,
+                    ended_us=(at_s + index) * MICROSECONDS_PER_SECOND,
                     billed=True,
                     run_us=1000,
-                    name=(2 * place + (customer == "zenith")).to_bytes(8, "big"),
+                    name=(2 * index + (customer == "zenith")).to_bytes(8, "big"),
                 )
             )
-        found.append(entry_buffer.cut(at + place, entry_buffer.last, 100))
-    return found
+        sealed.append(entry_buffer.cut(at_s + index, entry_buffer.last, 100))
+    return sealed
 
 
-def apply(journal: Journal, server: str, some: list[SealedBlock], received: float) -> None:
+def apply(journal: Journal, server: str, sealed: list[SealedBlock], received: float) -> None:
     journal.begin()
-    for one in some:
-        batch = pb.Batch(block=one.data, digest=one.digest)
-        verdict = collecting.decide_batch(server, batch, journal.known(server), {})
-        if isinstance(verdict, collecting.Apply):
-            journal.apply(server, verdict, received)
+    for block in sealed:
+        batch = pb.Batch(block=block.data, digest=block.digest)
+        decision = collecting.decide_batch(server, batch, journal.last_blocks(server), {})
+        if isinstance(decision, collecting.Apply):
+            journal.apply(server, decision, received)
         else:
-            assert isinstance(verdict, collecting.AlreadyApplied), verdict
+            assert isinstance(decision, collecting.AlreadyApplied), decision
     journal.commit()
 
 
@@ -424,11 +424,11 @@
 
 
 def test_periods_close_in_order_late_entries_are_marked_and_closed_statements_stay(journal: Journal) -> None:
-    some = sealed_blocks("n1", 4, at=NOON - 2)  # two seconds before noon, two after
+    some = sealed_blocks("n1", 4, at_s=NOON - 2)  # two seconds before noon, two after
     apply(journal, "n1", some[:3], NOON)
     assert close(journal, NOON + 30) == [] and close(journal, NOON + 61) == ["2026-12-01T11+00:00"]
     before = statement.as_text(reports.statements(journal, "2026-12-01T11+00:00"))
-    late = sealed_blocks("n2", 1, b"incarn02", at=NOON - 100)
+    late = sealed_blocks("n2", 1, b"incarn02", at_s=NOON - 100)
     apply(journal, "n2", late, NOON + 70)
     assert statement.as_text(reports.statements(journal, "2026-12-01T11+00:00")) == before
     (acme, _) = reports.statements(journal, "2026-12-01T12+00:00")
@@ -463,14 +463,14 @@
     ],
 )
 def test_loss_insertion_and_change_are_found_and_located(journal: Journal, change: str, says: str) -> None:
-    apply(journal, "n1", sealed_blocks("n1", 3, at=NOON - 600), NOON)
+    apply(journal, "n1", sealed_blocks("n1", 3, at_s=NOON - 600), NOON)
     close(journal, NOON + 61)
     assert not list(journal.verify())
     assert any(says in one for one in tampered(journal, change))
 
 
 def test_corrections_stand_apart_and_leave_the_past_alone(journal: Journal) -> None:
-    apply(journal, "n1", sealed_blocks("n1", 2, at=NOON - 600), NOON)
+    apply(journal, "n1", sealed_blocks("n1", 2, at_s=NOON - 600), NOON)
     close(journal, NOON + 61)
     before = statement.as_json(reports.statements(journal, "2026-12-01T11+00:00"))
     one = Correction(Target("n1", INCARNATION, 3), "acme", "record", -1, -1000, "ran by mistake", "someone")
@@ -534,7 +534,7 @@
 # -- the collector behind its door
 
 
-class Door:
+class CollectorThread:
     """A collector in a thread, on a port of its own."""
 
     def __init__(self, path: Path, **more: Any) -> None:
@@ -580,14 +580,14 @@
 class ClientConnection:
     """A server's end of an export."""
 
-    def __init__(self, door: Door) -> None:
-        self.socket = socket.create_connection(door.address, timeout=10)
-        self.frames, self.inbox = Frames(1 << 20), list[pb.Frame]()
+    def __init__(self, collector_thread: CollectorThread) -> None:
+        self.socket = socket.create_connection(collector_thread.address, timeout=10)
+        self.frames, self.inbox = FrameDecoder(1 << 20), list[pb.Frame]()
 
     def send_frame(self, **kind: Any) -> None:
-        self.socket.sendall(frame(pb.Frame(**kind)))
+        self.socket.sendall(encode_frame(pb.Frame(**kind)))
 
-    def hear(self) -> pb.Frame | None:
+    def receive(self) -> pb.Frame | None:
         while not self.inbox:
             data = self.socket.recv(65536)
             if not data:
@@ -599,37 +599,39 @@
         self, server: str = "n1", incarnation: bytes = INCARNATION, version: int = export.VERSION
     ) -> pb.Frame:
         self.send_frame(hello=pb.Hello(version=version, server=server, incarnation=incarnation))
-        last_received_at = self.hear()
-        assert last_received_at is not None
-        return last_received_at
+        reply = self.receive()
+        assert reply is not None
+        return reply
 
     def send(self, one: SealedBlock) -> pb.Frame | None:
         self.send_frame(batch=pb.Batch(block=one.data, digest=one.digest))
-        return self.hear()
+        return self.receive()
 
 
 @pytest.fixture
-def door(tmp_path: Path) -> Iterator[Door]:
-    one = Door(tmp_path / "door.sqlite")
+def collector_thread(tmp_path: Path) -> Iterator[CollectorThread]:
+    one = CollectorThread(tmp_path / "door.sqlite")
     yield one
     one.close()
 
 
-def test_blocks_are_acknowledged_known_again_and_asked_for_after_a_restore(door: Door) -> None:
+def test_blocks_are_acknowledged_known_again_and_asked_for_after_a_restore(
+    collector_thread: CollectorThread,
+) -> None:
     some = sealed_blocks("n1", 3)
-    peer = ClientConnection(door)
+    peer = ClientConnection(collector_thread)
     assert not peer.greet().welcome.have
     for one in some[:2]:
-        last_received_at = peer.send(one)
-        assert last_received_at is not None and last_received_at.acknowledged.number == one.number
-    again = ClientConnection(door)
+        reply = peer.send(one)
+        assert reply is not None and reply.acknowledged.number == one.number
+    again = ClientConnection(collector_thread)
     (have,) = again.greet().welcome.have
     assert (have.number, have.digest) == (2, some[1].digest)
-    last_received_at = again.send(some[0])  # of a server that never received the acknowledgement
-    assert last_received_at is not None and last_received_at.acknowledged.number == 1
-    last_received_at = again.send(some[2])
-    assert last_received_at is not None and last_received_at.acknowledged.number == 3
-    assert door.collector is not None and door.collector.counts["blocks"] == 3
+    reply = again.send(some[0])  # of a server that never received the acknowledgement
+    assert reply is not None and reply.acknowledged.number == 1
+    reply = again.send(some[2])
+    assert reply is not None and reply.acknowledged.number == 3
+    assert collector_thread.collector is not None and collector_thread.collector.counts["blocks"] == 3
 
 
 @pytest.mark.parametrize(
@@ -638,26 +640,28 @@
         (struct.pack(">I", 1 << 30) + b"x", "frame"),
         (b"\0\0\0\x03\xff\xff\xff", "frame"),
         (b"GET / HTTP/1.1\r\n\r\n", "frame"),
-        (frame(pb.Frame(hello=pb.Hello(version=9, server="n1", incarnation=INCARNATION))), "version"),
-        (frame(pb.Frame(hello=pb.Hello(version=1, server="", incarnation=INCARNATION))), "server"),
-        (frame(pb.Frame(hello=pb.Hello(version=1, server="n1", incarnation=b"short"))), "incarnation"),
-        (frame(pb.Frame(batch=pb.Batch(block=b"x"))), "greeting"),
+        (encode_frame(pb.Frame(hello=pb.Hello(version=9, server="n1", incarnation=INCARNATION))), "version"),
+        (encode_frame(pb.Frame(hello=pb.Hello(version=1, server="", incarnation=INCARNATION))), "server"),
+        (encode_frame(pb.Frame(hello=pb.Hello(version=1, server="n1", incarnation=b"short"))), "incarnation"),
+        (encode_frame(pb.Frame(batch=pb.Batch(block=b"x"))), "greeting"),
     ],
 )
 def test_what_is_no_export_is_refused_by_name_and_the_rest_goes_on(
-    door: Door, data: bytes, fault: str
+    collector_thread: CollectorThread, data: bytes, fault: str
 ) -> None:
-    good, bad = ClientConnection(door), ClientConnection(door)
+    good, bad = ClientConnection(collector_thread), ClientConnection(collector_thread)
     good.greet()
     bad.socket.sendall(data)
-    last_received_at = bad.hear()
-    assert last_received_at is not None and last_received_at.refused.fault == fault
-    assert bad.hear() is None  # and closed
-    last_received_at = good.send(sealed_blocks("n1", 1)[0])
-    assert last_received_at is not None and last_received_at.acknowledged.number == 1
+    reply = bad.receive()
+    assert reply is not None and reply.refused.fault == fault
+    assert bad.receive() is None  # and closed
+    reply = good.send(sealed_blocks("n1", 1)[0])
+    assert reply is not None and reply.acknowledged.number == 1
 
 
-def test_blocks_that_contradict_are_refused_and_nothing_of_them_is_posted(door: Door) -> None:
+def test_blocks_that_contradict_are_refused_and_nothing_of_them_is_posted(
+    collector_thread: CollectorThread,
+) -> None:
     some = sealed_blocks("n1", 3)
     forged = pb.Block.FromString(some[1].data)
     forged.entries[0].run_us = 5
@@ -666,71 +670,75 @@
         (SealedBlock(INCARNATION, 1, 2, some[0].data, b"x" * 32), "digest"),
         (sealed_blocks("n2", 1)[0], "server"),
     ):
-        peer = ClientConnection(door)
+        peer = ClientConnection(collector_thread)
         peer.greet()
-        last_received_at = peer.send(bad)
-        assert last_received_at is not None and last_received_at.refused.fault == fault
-    peer = ClientConnection(door)
+        reply = peer.send(bad)
+        assert reply is not None and reply.refused.fault == fault
+    peer = ClientConnection(collector_thread)
     peer.greet()
     assert peer.send(some[0]) is not None and peer.send(some[1]) is not None
     data = forged.SerializeToString()
-    last_received_at = peer.send(SealedBlock(INCARNATION, 2, 4, data, blocks.digest(data)))
-    assert last_received_at is not None and last_received_at.refused.fault == "changed"
-    journal = Journal(door.plan.journal_path, read_only=True)
+    reply = peer.send(SealedBlock(INCARNATION, 2, 4, data, blocks.digest(data)))
+    assert reply is not None and reply.refused.fault == "changed"
+    journal = Journal(collector_thread.plan.journal_path, read_only=True)
     assert next(journal.rows("select count(*) from lines"))[0] == 4 and not list(journal.verify())
 
 
-def test_two_servers_of_one_name_are_told_and_neither_loses_anything(door: Door) -> None:
-    one, other = ClientConnection(door), ClientConnection(door)
+def test_two_servers_of_one_name_are_told_and_neither_loses_anything(
+    collector_thread: CollectorThread,
+) -> None:
+    one, other = ClientConnection(collector_thread), ClientConnection(collector_thread)
     one.greet(incarnation=b"incarn01")
     other.greet(incarnation=b"incarn02")
     for peer, incarnation in ((one, b"incarn01"), (other, b"incarn02")):
-        last_received_at = peer.send(sealed_blocks("n1", 1, incarnation)[0])
-        assert last_received_at is not None and last_received_at.acknowledged.incarnation == incarnation
-    assert ("two servers with one name") in [event for event, _ in door.lines]
+        reply = peer.send(sealed_blocks("n1", 1, incarnation)[0])
+        assert reply is not None and reply.acknowledged.incarnation == incarnation
+    assert ("two servers with one name") in [event for event, _ in collector_thread.lines]
 
 
-def test_a_book_that_can_not_be_written_acknowledges_nothing_until_it_can(door: Door) -> None:
+def test_a_book_that_can_not_be_written_acknowledges_nothing_until_it_can(
+    collector_thread: CollectorThread,
+) -> None:
     some = sealed_blocks("n1", 1)
-    lock = sqlite3.connect(door.plan.journal_path, isolation_level=None)
-    assert door.collector is not None
+    lock = sqlite3.connect(collector_thread.plan.journal_path, isolation_level=None)
+    assert collector_thread.collector is not None
     lock.execute("begin immediate")
-    peer = ClientConnection(door)
+    peer = ClientConnection(collector_thread)
     peer.greet()
-    last_received_at = peer.send(some[0])
-    assert last_received_at is not None and last_received_at.refused.fault == "book"
+    reply = peer.send(some[0])
+    assert reply is not None and reply.refused.fault == "book"
     lock.execute("rollback")
-    peer = ClientConnection(door)
+    peer = ClientConnection(collector_thread)
     peer.greet()
-    last_received_at = peer.send(some[0])
-    assert last_received_at is not None and last_received_at.acknowledged.number == 1
+    reply = peer.send(some[0])
+    assert reply is not None and reply.acknowledged.number == 1
 
 
 def test_use_of_a_customer_that_nobody_named_is_posted_and_told(tmp_path: Path) -> None:
-    door = Door(tmp_path / "named.sqlite", customers=frozenset({"acme"}))
+    collector_thread = CollectorThread(tmp_path / "named.sqlite", customers=frozenset({"acme"}))
     try:
-        peer = ClientConnection(door)
+        peer = ClientConnection(collector_thread)
         peer.greet()
         peer.send(sealed_blocks("n1", 1)[0])
-        journal = Journal(door.plan.journal_path, read_only=True)
+        journal = Journal(collector_thread.plan.journal_path, read_only=True)
         (acme, zenith) = reports.statements(journal, "2026-12-01T12+00:00")
         assert acme.known and not zenith.known and zenith.tickets == 1
         assert "NOT a customer" in statement.as_text([zenith])
-        assert ("unknown customer", {"customer": "zenith", "server": "n1"}) in door.lines
+        assert ("unknown customer", {"customer": "zenith", "server": "n1"}) in collector_thread.lines
     finally:
-        door.close()
+        collector_thread.close()
 
 
-def test_a_hole_is_noted_and_the_chain_goes_on_behind_it(door: Door) -> None:
+def test_a_hole_is_noted_and_the_chain_goes_on_behind_it(collector_thread: CollectorThread) -> None:
     some = sealed_blocks("n1", 4)
-    peer = ClientConnection(door)
+    peer = ClientConnection(collector_thread)
     peer.greet()
     peer.send(some[0])
     peer.send_frame(lost=pb.Lost(incarnation=INCARNATION, through=2, reason="damaged on disk"))
-    last_received_at = peer.send(some[2])
-    assert last_received_at is not None and last_received_at.acknowledged.number == 3
+    reply = peer.send(some[2])
+    assert reply is not None and reply.acknowledged.number == 3
     peer.send(some[3])
-    journal = Journal(door.plan.journal_path, read_only=True)
+    journal = Journal(collector_thread.plan.journal_path, read_only=True)
     found, _ = reconcile_folders(journal, [])
     assert "blocks 2 to 2: damaged on disk" in found.gaps[0] and not list(journal.verify())
 
@@ -798,15 +806,15 @@
     ],
 )
 def test_features_that_are_faulty_are_told_with_line_and_key(text: str, says: str) -> None:
-    with pytest.raises(FaultyFeaturesError) as trouble:
+    with pytest.raises(FaultyFeaturesError) as error:
         check("f", text)
-    assert says.lower() in str(trouble.value).lower()
+    assert says.lower() in str(error.value).lower()
 
 
 def test_all_faults_are_told_at_once_and_the_example_is_in_order() -> None:
-    with pytest.raises(FaultyFeaturesError) as trouble:
+    with pytest.raises(FaultyFeaturesError) as error:
         check("f", "version: 1\nledger:\n  depht: memory\n  disk-mb: -1\n  period:\n    zone: X/Y\n")
-    assert len(trouble.value.faults) == 4
+    assert len(error.value.faults) == 4
     found = read(Path(__file__).parent.parent / "deploy" / "sablewheel.yaml")
     assert found.ledger is not None and found.collector is not None
     assert found.ledger == LedgerPlan(
@@ -815,7 +823,7 @@
 
 
 def test_the_command_checks_prints_and_refuses(journal: Journal, tmp_path: Path) -> None:
-    apply(journal, "n1", sealed_blocks("n1", 2, at=NOON - 600), NOON)
+    apply(journal, "n1", sealed_blocks("n1", 2, at_s=NOON - 600), NOON)
     close(journal, NOON + 61)
     path, runner = str(journal.path), CliRunner()
 
@@ -861,8 +869,8 @@
     assert done.stdout.strip() == "[]"
 
 
-def test_time_is_bounded(door: Door) -> None:
+def test_time_is_bounded(collector_thread: CollectorThread) -> None:
     """A peer that connects and says nothing is closed, and holds nobody up."""
-    silent = ClientConnection(door)
+    silent = ClientConnection(collector_thread)
     begun = time.monotonic()
-    assert silent.hear() is None and time.monotonic() - begun < 9
+    assert silent.receive() is None and time.monotonic() - begun < 9
