--- a/tests/test_usage_metering_decisions.py
+++ b/tests/test_usage_metering_decisions.py
@@ -20,8 +20,8 @@
 from sablewheel.usage_metering.blocks import BlockError, SealedBlock
 from sablewheel.usage_metering.collecting import AlreadyApplied, Apply, LastBlock, Refusal
 from sablewheel.usage_metering.corrections import Correction, CorrectionError
-from sablewheel.usage_metering.export import ExportState, Link
-from sablewheel.usage_metering.frames import FrameError, Frames, frame
+from sablewheel.usage_metering.export import ExportState, LinkState
+from sablewheel.usage_metering.frames import FrameDecoder, FrameError, encode_frame
 from sablewheel.usage_metering.period_closing import PeriodCloser
 from sablewheel.usage_metering.periods import PeriodError, Periods
 from sablewheel.usage_metering.plan import Calendar, ExportPlan, Length
@@ -86,13 +86,13 @@
 # -- the entry buffer, against a model that keeps everything
 
 
-class PoolAgainstModel(RuleBasedStateMachine):
+class EntryBufferAgainstModel(RuleBasedStateMachine):
     """Whatever is added, cut and folded: sequences have no gaps, and all sums are those of the entries."""
 
     def __init__(self) -> None:
         super().__init__()
         self.periods = Periods(Calendar("Europe/Berlin", Length.HOUR))
-        self.entry_buffer = EntryBuffer("n1", INCARNATION, self.periods, entries_most=5, totals_most=4)
+        self.entry_buffer = EntryBuffer("n1", INCARNATION, self.periods, max_entries=5, max_total_rows=4)
         self.model: list[pb.Entry] = []
         self.cut: list[SealedBlock] = []
 
@@ -124,12 +124,15 @@
 
     @invariant()
     def bounded_and_exact(self) -> None:
-        assert self.entry_buffer.kept <= 5
-        known, totals, billed, sums = LastBlock(), 0, [0, 0], [0, 0]
+        assert self.entry_buffer.individual_count <= 5
+        last_block, totals, billed, sums = LastBlock(), 0, [0, 0], [0, 0]
         for sealed in self.cut:
             block = blocks.read(sealed.data)
-            assert blocks.follows(block, known.number, known.digest, known.last_sequence) is None
-            known = LastBlock(block.number, sealed.digest, block.last_sequence)
+            assert (
+                blocks.chain_violation(block, last_block.number, last_block.digest, last_block.last_sequence)
+                is None
+            )
+            last_block = LastBlock(block.number, sealed.digest, block.last_sequence)
             assert len(block.totals) <= 4 + 12  # the rows of one span are bounded by tenants and outcomes
             for entry in block.entries:
                 assert entry == self.model[entry.sequence - 1]
@@ -141,14 +144,14 @@
                 billed[0] += total.entries * total.billed
                 sums[0] += total.run_us
                 sums[1] += total.asked_bytes
-        done = self.model[: known.last_sequence]
+        done = self.model[: last_block.last_sequence]
         assert billed[0] == sum(one.billed for one in done)
         assert sums == [sum(one.run_us for one in done), sum(one.asked_bytes for one in done)]
-        assert self.entry_buffer.waiting == len(self.model) - known.last_sequence
+        assert self.entry_buffer.unsealed_count == len(self.model) - last_block.last_sequence
 
 
-TestPool = PoolAgainstModel.TestCase
-TestPool.settings = settings(derandomize=True, max_examples=60, stateful_step_count=40, deadline=None)
+TestEntryBuffer = EntryBufferAgainstModel.TestCase
+TestEntryBuffer.settings = settings(derandomize=True, max_examples=60, stateful_step_count=40, deadline=None)
 
 
 # -- the export, both machines and a wire that loses, with a collector that forgets what it had not committed
@@ -161,12 +164,12 @@
 
     @initialize(seed=st.integers(0, 10**6))
     def start(self, seed: int) -> None:
-        self.chance, self.now = random.Random(seed), 1000.0
+        self.random, self.now = random.Random(seed), 1000.0
         self.entry_buffer = EntryBuffer("n1", INCARNATION, Periods(Calendar()), 1000, 1000)
         self.log: list[SealedBlock] = []
-        self.place = 0
+        self.next_index = 0
         plan = ExportPlan(("127.0.0.1", 1), 2.0, 0.1, 1.0, window_bytes=600)
-        self.exporter = ExportState(plan, self.chance.random)
+        self.exporter = ExportState(plan, self.random.random)
         self.journal: list[SealedBlock] = []  # committed
         self.backup: list[SealedBlock] = []
         self.to_collector: list[SealedBlock] | None = None  # None: no connection
@@ -174,7 +177,7 @@
         self.settled: set[int] = set()
         self.notes: list[str] = []
 
-    def do(self, event: export.Event) -> None:
+    def apply_event(self, event: export.Event) -> None:
         for effect in self.exporter.step(self.now, event):
             match effect:
                 case export.Connect():
@@ -190,7 +193,7 @@
                     if self.to_collector is not None:
                         self.to_collector.append(block)
                 case export.RewindTo(have):
-                    self.place = have.get(INCARNATION, (0, b""))[0]
+                    self.next_index = have.get(INCARNATION, (0, b""))[0]
                 case export.BlockSettled(block):
                     self.settled.add(block.number)
                 case export.Disconnect():
@@ -199,7 +202,7 @@
                     self.notes.append(name)
 
     @rule(entries=st.integers(1, 3))
-    def make(self, entries: int) -> None:
+    def add_block(self, entries: int) -> None:
         for _ in range(entries):
             self.entry_buffer.add(
                 pb.Entry(customer="a", track="t", outcome=pb.DENIED, ended_us=MICROSECONDS_PER_SECOND)
@@ -208,59 +211,59 @@
 
     @rule()
     def send_next(self) -> None:
-        while self.exporter.wants and self.place < len(self.log):
-            self.place += 1
-            self.do(export.BlocksOffered((self.log[self.place - 1],)))
+        while self.exporter.window_bytes_left and self.next_index < len(self.log):
+            self.next_index += 1
+            self.apply_event(export.BlocksOffered((self.log[self.next_index - 1],)))
 
     @rule(commits=st.booleans())
     def collect(self, commits: bool) -> None:
         """All that has come in one transaction; without the commit it is as if killed before it."""
         if self.to_collector is None:
             return
-        connected_again, self.to_collector = self.to_collector, []
+        received, self.to_collector = self.to_collector, []
         journal = list(self.journal)
-        words: list[export.Event] = []
-        for sealed in connected_again:
-            known = (
+        acknowledgements: list[export.Event] = []
+        for sealed in received:
+            last_blocks = (
                 {INCARNATION: LastBlock(journal[-1].number, journal[-1].digest, journal[-1].last_sequence)}
                 if journal
                 else {}
             )
             batch = pb.Batch(block=sealed.data, digest=sealed.digest)
-            match collecting.decide_batch("n1", batch, known, {}):
+            match collecting.decide_batch("n1", batch, last_blocks, {}):
                 case Apply():
                     journal.append(sealed)
                 case AlreadyApplied(_, number):
                     assert number == sealed.number
                 case Refusal(fault, detail):
                     raise AssertionError(f"{fault}: {detail}")
-            words.append(export.BlocksAcknowledged(INCARNATION, sealed.number))
+            acknowledgements.append(export.BlocksAcknowledged(INCARNATION, sealed.number))
         if commits:
             self.journal = journal
-            self.to_server += words
+            self.to_server += acknowledgements
         else:
-            self.cut()
+            self.disconnect()
 
     @rule()
-    def hear(self) -> None:
-        words, self.to_server = self.to_server, []
-        for one in words:
-            self.do(one)
+    def deliver_to_server(self) -> None:
+        events, self.to_server = self.to_server, []
+        for event in events:
+            self.apply_event(event)
 
     @rule()
-    def cut(self) -> None:
+    def disconnect(self) -> None:
         """The connection breaks; what was under way either way is gone."""
         self.to_collector, self.to_server = None, []
-        self.do(export.ConnectionLost("cut"))
+        self.apply_event(export.ConnectionLost("cut"))
 
     @rule()
-    def swallow(self) -> None:
+    def lose_acknowledgements(self) -> None:
         self.to_server = []  # acknowledgements are lost, nobody is told
 
     @rule(span=st.floats(0.05, 3.0))
     def wait(self, span: float) -> None:
         self.now += span
-        self.do(export.TimerFired())
+        self.apply_event(export.TimerFired())
 
     @rule()
     def back_up(self) -> None:
@@ -269,7 +272,7 @@
     @rule()
     def restore(self) -> None:
         self.journal = list(self.backup)
-        self.cut()
+        self.disconnect()
 
     @invariant()
     def each_block_once_and_in_order(self) -> None:
@@ -284,7 +287,7 @@
         for _ in range(60):
             self.wait(1.0)
             for _ in range(8):
-                self.hear()
+                self.deliver_to_server()
                 self.send_next()
                 self.collect(True)
             if self.journal == self.log:
@@ -296,16 +299,16 @@
 TestExport.settings = settings(derandomize=True, max_examples=80, stateful_step_count=40, deadline=None)
 
 
-def streaming(*blocks_: SealedBlock) -> ExportState:
+def streaming_export(*sealed_blocks: SealedBlock) -> ExportState:
     exporter = ExportState(ExportPlan(("127.0.0.1", 1)), lambda: 0.5)
     exporter.step(0.0, export.TimerFired())
     exporter.step(0.0, export.Connected())
     exporter.step(0.0, export.WelcomeReceived(export.VERSION, {}))
-    exporter.step(0.0, export.BlocksOffered(blocks_))
+    exporter.step(0.0, export.BlocksOffered(sealed_blocks))
     return exporter
 
 
-def some_blocks(count: int) -> list[SealedBlock]:
+def make_blocks(count: int) -> list[SealedBlock]:
     entry_buffer = EntryBuffer("n1", INCARNATION, Periods(Calendar()), 1000, 1000)
     found = []
     for _ in range(count):
@@ -319,18 +322,18 @@
 
 
 def test_a_collector_that_confirms_what_it_was_not_sent_is_not_believed() -> None:
-    one, other, *_ = some_blocks(3)
-    exporter = streaming(one, other)
+    one, other, *_ = make_blocks(3)
+    exporter = streaming_export(one, other)
     effects = exporter.step(1.0, export.BlocksAcknowledged(INCARNATION, 3))
     assert any(isinstance(each, export.Counted) and each.name == "claims_unsent" for each in effects)
-    assert list(exporter.unsettled) == [one, other] and exporter.link is Link.RESTING
+    assert list(exporter.unsettled) == [one, other] and exporter.link is LinkState.BACKING_OFF
     assert exporter.wake_at > 20
 
 
 def test_a_welcome_that_has_more_or_other_blocks_than_exist_is_not_believed() -> None:
-    one, other = some_blocks(2)
+    one, other = make_blocks(2)
     for have in ({INCARNATION: (9, b"x" * 32)}, {INCARNATION: (2, b"x" * 32)}):
-        exporter = streaming(one, other)
+        exporter = streaming_export(one, other)
         exporter.step(1.0, export.ConnectionLost("cut"))
         exporter.step(exporter.wake_at, export.TimerFired())
         exporter.step(2.0, export.Connected())
@@ -342,13 +345,15 @@
 def test_rests_grow_to_their_bound_and_differ() -> None:
     chance = random.Random(3)
     exporter = ExportState(ExportPlan(("127.0.0.1", 1), 1.0, 0.2, 5.0), chance.random)
-    now, rests = 0.0, []
+    now, delays = 0.0, []
     for _ in range(10):
         exporter.step(now, export.TimerFired())
         exporter.step(now, export.ConnectionLost("none"))
-        rests.append(exporter.wake_at - now)
+        delays.append(exporter.wake_at - now)
         now = exporter.wake_at
-    assert 0.1 <= rests[0] <= 0.3 and max(rests) <= 7.5 and min(rests[5:]) >= 2.5 and len(set(rests)) == 10
+    assert (
+        0.1 <= delays[0] <= 0.3 and max(delays) <= 7.5 and min(delays[5:]) >= 2.5 and len(set(delays)) == 10
+    )
 
 
 def test_another_version_is_refused_by_name_on_both_sides() -> None:
@@ -356,10 +361,10 @@
     exporter.step(0.0, export.TimerFired())
     exporter.step(0.0, export.Connected())
     assert export.Counted("version", "7") in exporter.step(0.0, export.WelcomeReceived(7, {}))
-    refused = collecting.check_greeting(
+    refusal = collecting.check_greeting(
         pb.Hello(version=7, server="n1", incarnation=INCARNATION), export.VERSION
     )
-    assert refused is not None and refused.fault == "version"
+    assert refusal is not None and refusal.fault == "version"
 
 
 @pytest.mark.parametrize(
@@ -376,7 +381,7 @@
     ],
 )
 def test_what_contradicts_the_chain_is_refused_by_name(change: dict[str, Any], fault: str, says: str) -> None:
-    first, second = some_blocks(2)
+    first, second = make_blocks(2)
     known = {INCARNATION: LastBlock(1, first.digest, 1)}
     block = pb.Block.FromString(second.data)
     for key, value in change.items():
@@ -384,28 +389,28 @@
             setattr(block, key, value)
     data = change.get("block", block.SerializeToString())
     batch = pb.Batch(block=data, digest=change.get("digest", blocks.digest(data)))
-    verdict = collecting.decide_batch("n1", batch, known, {})
-    assert isinstance(verdict, Refusal) and verdict.fault == fault and says in verdict.detail
+    decision = collecting.decide_batch("n1", batch, known, {})
+    assert isinstance(decision, Refusal) and decision.fault == fault and says in decision.detail
 
 
 def test_a_known_number_with_another_digest_is_refused_not_swallowed() -> None:
-    first, second = some_blocks(2)
+    first, second = make_blocks(2)
     known = {INCARNATION: LastBlock(2, second.digest, 2)}
     batch = pb.Batch(block=first.data, digest=first.digest)
     assert collecting.decide_batch("n1", batch, known, {}) == AlreadyApplied(INCARNATION, 1)
-    refused = collecting.decide_batch("n1", batch, known, {(INCARNATION, 1): b"z" * 32})
-    assert isinstance(refused, Refusal) and refused.fault == "changed"
+    refusal = collecting.decide_batch("n1", batch, known, {(INCARNATION, 1): b"z" * 32})
+    assert isinstance(refusal, Refusal) and refusal.fault == "changed"
 
 
 def test_two_incarnations_of_one_name_at_a_time_are_noticed() -> None:
     presence = collecting.ConnectedIncarnations()
-    assert not presence.connected_again("n1", b"a") and not presence.connected_again("n2", b"b")
-    assert presence.connected_again("n1", b"c")
-    presence.disconnected("n1", b"a")
-    assert not presence.connected_again("n1", b"c")
-    presence.disconnected("n1", b"c")
-    presence.disconnected("n1", b"c")
-    assert not presence.connected_again("n1", b"d")
+    assert not presence.add("n1", b"a") and not presence.add("n2", b"b")
+    assert presence.add("n1", b"c")
+    presence.remove("n1", b"a")
+    assert not presence.add("n1", b"c")
+    presence.remove("n1", b"c")
+    presence.remove("n1", b"c")
+    assert not presence.add("n1", b"d")
 
 
 @pytest.mark.parametrize(
@@ -462,8 +467,8 @@
 def test_any_bytes_are_a_block_or_told_not_to_be(data: bytes) -> None:
     try:
         blocks.read(data)
-    except BlockError as trouble:
-        assert str(trouble)
+    except BlockError as error:
+        assert str(error)
 
 
 def test_frames_are_the_same_however_the_bytes_are_split() -> None:
@@ -472,12 +477,12 @@
         pb.Frame(acknowledged=pb.Acknowledged(incarnation=INCARNATION, number=7)),
         pb.Frame(batch=pb.Batch(block=b"b" * 50, digest=b"d" * 32)),
     ]
-    data = b"".join(map(frame, kinds))
+    data = b"".join(map(encode_frame, kinds))
     for cut in range(len(data) + 1):
-        frames = Frames(1 << 10)
+        frames = FrameDecoder(1 << 10)
         assert [*frames.feed(data[:cut]), *frames.feed(data[cut:])] == kinds
-        assert not frames.partial
-    frames = Frames(1 << 10)
+        assert not frames.has_partial_frame
+    frames = FrameDecoder(1 << 10)
     assert [one for byte in data for one in frames.feed(bytes([byte]))] == kinds
 
 
@@ -486,13 +491,13 @@
 )
 def test_frames_that_are_none_are_refused_before_they_are_kept(data: bytes) -> None:
     with pytest.raises(FrameError):
-        list(Frames(1 << 10).feed(data))
+        list(FrameDecoder(1 << 10).feed(data))
 
 
 # -- closing
 
 
-def at_noon() -> tuple[PeriodCloser, float]:
+def closer_at_noon() -> tuple[PeriodCloser, float]:
     period_closer = PeriodCloser(Periods(Calendar("UTC", Length.HOUR, lag_s=600.0)))
     noon = moment("2026-12-01T12:00+00:00") / MICROSECONDS_PER_SECOND
     period_closer.observe_clocks(noon, 1000.0)
@@ -500,46 +505,46 @@
 
 
 def test_a_period_closes_after_its_lag_and_what_comes_late_is_marked() -> None:
-    period_closer, noon = at_noon()
+    period_closer, noon = closer_at_noon()
     eleven = period_closer.periods.of(round((noon - 60) * MICROSECONDS_PER_SECOND))
     assert not period_closer.due(eleven)
-    assert period_closer.place(eleven.start, eleven.start) == (eleven, None)
+    assert period_closer.posting_period(eleven.start, eleven.start) == (eleven, None)
     period_closer.observe_clocks(noon + 601, 1601.0)
     assert period_closer.due(eleven)
-    period_closer.closed(eleven)
-    where, belongs = period_closer.place(eleven.start + 5, eleven.start + 5)
+    period_closer.mark_closed(eleven)
+    where, belongs = period_closer.posting_period(eleven.start + 5, eleven.start + 5)
     assert where.name == "2026-12-01T12+00:00" and belongs == eleven.name
-    span, name = period_closer.place(eleven.start - 3600 * MICROSECONDS_PER_SECOND, eleven.end)
+    span, name = period_closer.posting_period(eleven.start - 3600 * MICROSECONDS_PER_SECOND, eleven.end)
     assert span == where and name == "2026-12-01T10+00:00..2026-12-01T11+00:00"
 
 
 def test_a_clock_that_jumps_ahead_closes_nothing_until_it_is_believed() -> None:
-    period_closer, noon = at_noon()
-    now = period_closer.periods.of(round(noon * MICROSECONDS_PER_SECOND))
+    period_closer, noon = closer_at_noon()
+    current = period_closer.periods.of(round(noon * MICROSECONDS_PER_SECOND))
     period_closer.observe_clocks(noon + 86400 * 365, 1005.0)
-    assert period_closer.jumped and not period_closer.due(now)
-    assert period_closer.current_period() == now
+    assert period_closer.jump_s and not period_closer.due(current)
+    assert period_closer.current_period() == current
     period_closer.observe_clocks(noon + 10, 1010.0)  # set right again: nothing has happened
-    assert not period_closer.due(now)
+    assert not period_closer.due(current)
     period_closer.observe_clocks(noon + 400, 1400.0)
     assert period_closer.now == round((noon + 400) * MICROSECONDS_PER_SECOND)
     period_closer.observe_clocks(noon + 400 + 7200, 1405.0)  # this time it was the old time that was wrong
-    assert not period_closer.due(now)
+    assert not period_closer.due(current)
     period_closer.observe_clocks(noon + 400 + 7200 + 301, 1706.0)
-    assert not period_closer.jumped and period_closer.due(now)
+    assert not period_closer.jump_s and period_closer.due(current)
 
 
 def test_a_clock_an_hour_back_never_opens_what_is_closed() -> None:
-    period_closer, noon = at_noon()
+    period_closer, noon = closer_at_noon()
     period_closer.observe_clocks(noon + 7300, 8300.0)
     twelve = period_closer.periods.of(round(noon * MICROSECONDS_PER_SECOND))
     assert period_closer.due(twelve)
-    period_closer.closed(twelve)
+    period_closer.mark_closed(twelve)
     before = period_closer.now
     period_closer.observe_clocks(noon + 10, 8310.0)
     period_closer.observe_clocks(noon + 320, 8620.0)
     assert period_closer.now >= before and period_closer.is_closed(twelve)
-    assert period_closer.place(twelve.start, twelve.start)[1] == twelve.name
+    assert period_closer.posting_period(twelve.start, twelve.start)[1] == twelve.name
     restarted = PeriodCloser(period_closer.periods, closed_through=period_closer.closed_through)
     restarted.observe_clocks(noon - 86400, 1.0)  # a collector that starts with a clock a day back
     assert restarted.current_period().start == twelve.end
@@ -556,17 +561,17 @@
         corrections.target(text)
 
 
-def a_correction(target: str = "n1/0123456789abcdef/7", **more: Any) -> Correction:
-    told: dict[str, Any] = {
+def make_correction(target: str = "n1/0123456789abcdef/7", **overrides: Any) -> Correction:
+    fields: dict[str, Any] = {
         "customer": "a",
         "track": "t",
         "tickets": -1,
         "run_us": 0,
         "reason": "why",
         "author": "who",
-        **more,
+        **overrides,
     }
-    return Correction(corrections.target(target), **told)
+    return Correction(corrections.target(target), **fields)
 
 
 ENTRY = ("a", "t", 1, 5000)
@@ -575,16 +580,16 @@
 @pytest.mark.parametrize(
     ("one", "closed", "billed", "before", "says"),
     [
-        (a_correction(reason=" "), None, ENTRY, 0, "reason"),
-        (a_correction(author=""), None, ENTRY, 0, "author"),
-        (a_correction(tickets=0), None, ENTRY, 0, "corrects nothing"),
-        (a_correction(), None, None, 0, "there is no entry"),
-        (a_correction(customer="b"), None, ENTRY, 0, "the entry is of 'a'"),
-        (a_correction(), None, ENTRY, 1, "taken away before"),
-        (a_correction(tickets=0, run_us=-6000), None, ENTRY, 0, "run time"),
-        (a_correction("period 2026-12-01"), None, None, 0, "not in the book"),
-        (a_correction("period 2026-12-01"), False, None, 0, "is open"),
-        (a_correction(tickets=1 << 50), None, ENTRY, 0, "out of range"),
+        (make_correction(reason=" "), None, ENTRY, 0, "reason"),
+        (make_correction(author=""), None, ENTRY, 0, "author"),
+        (make_correction(tickets=0), None, ENTRY, 0, "corrects nothing"),
+        (make_correction(), None, None, 0, "there is no entry"),
+        (make_correction(customer="b"), None, ENTRY, 0, "the entry is of 'a'"),
+        (make_correction(), None, ENTRY, 1, "taken away before"),
+        (make_correction(tickets=0, run_us=-6000), None, ENTRY, 0, "run time"),
+        (make_correction("period 2026-12-01"), None, None, 0, "not in the book"),
+        (make_correction("period 2026-12-01"), False, None, 0, "is open"),
+        (make_correction(tickets=1 << 50), None, ENTRY, 0, "out of range"),
     ],
 )
 def test_corrections_that_can_not_be_made_say_why(
@@ -595,8 +600,8 @@
 
 
 def test_corrections_that_may_be_made() -> None:
-    corrections.check(a_correction(), None, ENTRY, 0)
-    corrections.check(a_correction("period 2026-12-01", tickets=5), True, None, 0)
+    corrections.check(make_correction(), None, ENTRY, 0)
+    corrections.check(make_correction("period 2026-12-01", tickets=5), True, None, 0)
 
 
 @settings(derandomize=True, max_examples=100, deadline=None)
@@ -610,18 +615,18 @@
 ) -> None:
     positions = BlockIndex()
     order: list[tuple[LogPosition, bytes, int]] = []
-    for turn, length in enumerate(lengths):
+    for index, length in enumerate(lengths):
         for number in range(1, length + 1):
-            place = LogPosition(len(order) // size, (len(order) % size) * 100_000)
-            order.append((place, b"%d" % turn, number))
+            position = LogPosition(len(order) // size, (len(order) % size) * 100_000)
+            order.append((position, b"%d" % index, number))
             positions.note(*order[-1])
-    had = {b"%d" % turn: number for turn, number in enumerate(have)}
-    lacking = [one for one in order if one[2] > had[one[1]]]
-    start = positions.start(had)
-    if lacking:
-        assert (start.segment, start.offset) <= (lacking[0][0].segment, lacking[0][0].offset)
-    positions.forget_before(1)
-    assert all(place.segment >= 1 for place, _, _ in positions.notes)
+    last_numbers = {b"%d" % index: number for index, number in enumerate(have)}
+    missing = [block for block in order if block[2] > last_numbers[block[1]]]
+    start = positions.start(last_numbers)
+    if missing:
+        assert (start.segment, start.offset) <= (missing[0][0].segment, missing[0][0].offset)
+    positions.remove_before(1)
+    assert all(position.segment >= 1 for position, _, _ in positions.notes)
     assert BlockIndex().start({}) == LOG_START
 
 
