--- a/sablewheel/usage_metering/aggregation.py
+++ b/sablewheel/usage_metering/aggregation.py
@@ -14,9 +14,8 @@
 from .blocks import SealedBlock, seal
 from .periods import Periods
 
-Key = tuple[
-    int, int, str, str, int, bool, bool, bool
-]  # period's start and end, tenant, request class, outcome, flags
+# The period's start and end, tenant, request class, outcome, goal_kept, beyond_share and billed.
+Key = tuple[int, int, str, str, int, bool, bool, bool]
 
 
 @dataclass(slots=True)
--- a/sablewheel/usage_metering/auditing.py
+++ b/sablewheel/usage_metering/auditing.py
@@ -70,7 +70,7 @@
     for (server, incarnation), _ in sorted(sources.items()):
         if server in servers and (server, incarnation) not in seen:
             report.unmatched.append(
-                f"{server}/{incarnation.hex()}: in the book, no longer in the server's folder"
+                f"{server}/{incarnation.hex()}: in the journal, no longer in the server's folder"
             )
     _compare_journal(journal, seen, report)
     return report, notes
--- a/sablewheel/usage_metering/blocks.py
+++ b/sablewheel/usage_metering/blocks.py
@@ -111,11 +111,11 @@
 def chain_violation(block: pb.Block, number: int, last_digest: bytes, last_sequence: int) -> str | None:
     """Return why a block does not follow the last block that is described; None if it does."""
     if block.number != number + 1:
-        return f"number: {block.number} where {number + 1} was due"
+        return f"number: {block.number} where {number + 1} was expected"
     if block.previous != last_digest:
         return f"previous: block {block.number} does not follow the block {number} in the journal"
     if block.first_sequence != last_sequence + 1:
-        return f"sequence: {block.first_sequence} where {last_sequence + 1} was due"
+        return f"sequence: {block.first_sequence} where {last_sequence + 1} was expected"
     return None
 
 
--- a/sablewheel/usage_metering/collector.py
+++ b/sablewheel/usage_metering/collector.py
@@ -47,8 +47,8 @@
                 self.last_received_at = self._collector.scheduler.clock.now
                 self.inbox.extend(self.decoder.feed(data))
                 self._collector.dirty[self] = None
-        except FrameError as trouble:
-            self._collector.refuse(self, Refusal("frame", str(trouble)))
+        except FrameError as error:
+            self._collector.refuse(self, Refusal("frame", str(error)))
         if not self.closing:
             self._collector.drop(self)
 
@@ -77,7 +77,7 @@
             clock,
         )
         self.connections: dict[Connection, None] = {}
-        self.dirty: dict[Connection, None] = {}
+        self.dirty: dict[Connection, None] = {}  # connections with frames to handle
         self.counts: dict[str, int] = {}
         self._connected_incarnations = ConnectedIncarnations()
         self._unknown_tenants: set[str] = set()  # unknown tenants that were logged
--- a/sablewheel/usage_metering/corrections.py
+++ b/sablewheel/usage_metering/corrections.py
@@ -78,7 +78,7 @@
     _check_texts_and_sums(correction)
     if correction.target.period:
         if closed is None:
-            raise CorrectionError(f"period: {correction.target.period!r} is not in the book")
+            raise CorrectionError(f"period: {correction.target.period!r} is not in the journal")
         if not closed:
             raise CorrectionError(
                 f"period: {correction.target.period!r} is open; only closed periods are corrected"
@@ -91,7 +91,7 @@
         raise CorrectionError(f"customer: the entry is of {customer!r}, track {track!r}")
     if correction.tickets < 0 and -correction.tickets > tickets - already_deducted:
         raise CorrectionError(
-            f"tickets: the entry bills {tickets}, of which {already_deducted} were taken away before"
+            f"tickets: the entry bills {tickets}, of which {already_deducted} were deducted before"
         )
     if -correction.run_us > run_us:
         raise CorrectionError(f"run time: the entry bills only {run_us / 1e6:g} s")
--- a/sablewheel/usage_metering/export.py
+++ b/sablewheel/usage_metering/export.py
@@ -245,8 +245,8 @@
             and self.unsettled[0].number <= have.get(self.unsettled[0].incarnation, (0, b""))[0]
         ):
             effects.append(self._settle())
-        # The remaining blocks are sent again, as the same bytes, starting after the last block of the collector.
-        # That may be before blocks that it acknowledged earlier, if it was restored from a backup.
+        # The remaining blocks are sent again, as the same bytes, from the first one that the collector lacks.
+        # That may be one that it acknowledged earlier, if it was restored from a backup.
         self.unsettled.clear()
         self._unsettled_bytes = 0
         self.link, self._wake_at_s, self._backoff_s = LinkState.STREAMING, 0.0, self._plan.initial_backoff_s
@@ -255,7 +255,7 @@
     def _handle_acknowledgement(self, now: float, incarnation: bytes, number: int) -> list[Effect]:
         if number > self._last_numbers.get(incarnation, 0):
             return self._reject_claim(
-                now, f"block {number}, {self._last_numbers.get(incarnation, 0)} was the last sent"
+                now, f"block {number}, but {self._last_numbers.get(incarnation, 0)} was the last one sent"
             )
         effects: list[Effect] = []
         index = next(
--- a/sablewheel/usage_metering/journal.py
+++ b/sablewheel/usage_metering/journal.py
@@ -55,7 +55,7 @@
     def __init__(self, path: Path, calendar: Calendar | None = None, read_only: bool = False) -> None:
         self.path = path
         if read_only and not path.exists():
-            raise JournalError(f"{path}: there is no such book")
+            raise JournalError(f"{path}: there is no such journal")
         try:
             if read_only:
                 self._db = sqlite3.connect(f"file:{path}?mode=ro", uri=True, isolation_level=None, timeout=10)
@@ -73,14 +73,13 @@
         self.period_closer = PeriodCloser(self.periods, closed_through=int(self._meta("closed_through") or 0))
         self.period_closer.now = self.period_closer.closed_through
         self._sources: dict[tuple[str, bytes], JournalSource] = {}
-        self._period_states: dict[
-            int, tuple[int, int, bytes]
-        ] = {}  # id, lines and head by the period's start, within a transaction
+        # By a period's start: its id, number of lines and head. Empty outside of transactions.
+        self._period_states: dict[int, tuple[int, int, bytes]] = {}
 
     def _prepare(self, calendar: Calendar | None) -> None:
         if not self._db.execute("select 1 from sqlite_master where name = 'meta'").fetchone():
             if calendar is None:
-                raise JournalError(f"{self.path}: not a book of this program")
+                raise JournalError(f"{self.path}: not a journal of this program")
             meta = {
                 "format": str(FORMAT_VERSION),
                 "zone": calendar.zone,
@@ -103,8 +102,8 @@
         )
         if calendar is not None and (calendar.zone, calendar.length) != (stored.zone, stored.length):
             raise JournalError(
-                f"{self.path}: the book's periods are {stored.length.value}s of {stored.zone}, not"
-                f" {calendar.length.value}s of {calendar.zone}; a book keeps its calendar"
+                f"{self.path}: the journal's periods are {stored.length.value}s of {stored.zone}, not"
+                f" {calendar.length.value}s of {calendar.zone}; a journal's calendar can't change"
             )
         self.periods = Periods(stored if calendar is None else calendar)
 
--- a/sablewheel/usage_metering/period_closing.py
+++ b/sablewheel/usage_metering/period_closing.py
@@ -33,28 +33,28 @@
     now: int = 0
     jump_s: float = 0.0
     confirmation_s: float = JUMP_CONFIRMATION_S
-    _last_clock: float = 0.0
-    _last_steady: float = 0.0
-    _confirmed_at: float = 0.0
+    _last_wall_s: float = 0.0
+    _last_monotonic_s: float = 0.0
+    _confirmed_at_s: float = 0.0
 
-    def observe_clocks(self, clock: float, steady: float) -> int:
+    def observe_clocks(self, wall_s: float, monotonic_s: float) -> int:
         """Take a reading of the wall clock and the monotonic clock, in seconds; return the accepted time."""
-        if self._last_steady:
-            drift_s = (clock - self._last_clock) - (steady - self._last_steady)
+        if self._last_monotonic_s:
+            drift_s = (wall_s - self._last_wall_s) - (monotonic_s - self._last_monotonic_s)
             if abs(drift_s) > MAX_CLOCK_JUMP_S:
                 self.jump_s += drift_s
-                self._confirmed_at = steady + self.confirmation_s
-        if self.jump_s and steady >= self._confirmed_at:
+                self._confirmed_at_s = monotonic_s + self.confirmation_s
+        if self.jump_s and monotonic_s >= self._confirmed_at_s:
             self.jump_s = 0.0
-        self._last_clock, self._last_steady = clock, steady
-        accepted = clock - self.jump_s
-        self.now = max(self.now, round(accepted * 1e6))
+        self._last_wall_s, self._last_monotonic_s = wall_s, monotonic_s
+        accepted_s = wall_s - self.jump_s
+        self.now = max(self.now, round(accepted_s * 1e6))
         return self.now
 
     def due(self, period: Period) -> bool:
         """Whether an open period may be closed now."""
-        lag = round(self.periods.calendar.lag_s * 1e6)
-        return not self.jump_s and period.end + lag <= self.now
+        lag_us = round(self.periods.calendar.lag_s * 1e6)
+        return not self.jump_s and period.end + lag_us <= self.now
 
     def mark_closed(self, period: Period) -> None:
         """Record that a period was closed."""
--- a/sablewheel/usage_metering/periods.py
+++ b/sablewheel/usage_metering/periods.py
@@ -16,10 +16,8 @@
 from .plan import Calendar, Length
 
 MICROSECONDS_PER_SECOND = 1_000_000
-FIRST_MOMENT_US, LAST_MOMENT_US = (
-    0,
-    253_000_000_000 * MICROSECONDS_PER_SECOND,
-)  # the range of a calendar: 1970 to 9987
+# The range of a calendar: 1970 to 9987.
+FIRST_MOMENT_US, LAST_MOMENT_US = 0, 253_000_000_000 * MICROSECONDS_PER_SECOND
 NAMES = {
     Length.HOUR: re.compile(r"\d{4}-\d\d-\d\dT\d\d(:\d\d)?[+-]\d\d:\d\d(:\d\d)?"),
     Length.DAY: re.compile(r"\d{4}-\d\d-\d\d"),
--- a/sablewheel/usage_metering/reconcile.py
+++ b/sablewheel/usage_metering/reconcile.py
@@ -34,9 +34,8 @@
     doubles: list[str] = field(default_factory=list)
     changed: list[str] = field(default_factory=list)
     unmatched: list[str] = field(default_factory=list)  # incarnations in the journal that have no files
-    billed: dict[tuple[str, str], tuple[int, int]] = field(
-        default_factory=dict
-    )  # by server and tenant: requests billed in the files, in the journal
+    # By server and tenant: the requests billed in the server's files, and in the journal.
+    billed: dict[tuple[str, str], tuple[int, int]] = field(default_factory=dict)
 
     @property
     def clean(self) -> bool:
@@ -45,9 +44,8 @@
         return not (self.gaps or self.doubles or self.changed or mismatched)
 
 
-JournalDigest = Callable[
-    [str, bytes, int], bytes | None
-]  # returns a block's digest in the journal, None if it is not there
+# Returns a block's digest in the journal, None if it is not there.
+JournalDigest = Callable[[str, bytes, int], bytes | None]
 LastJournalNumber = Callable[[str, bytes], int]  # returns the last block number in the journal
 DifferingEntries = Callable[[ServerBlock, pb.Block], list[str]]  # returns the entries of a block that differ
 
@@ -79,7 +77,7 @@
                 report.pending += 1
                 report.pending_entries += server_block.entries
             else:
-                report.gaps.append(f"{location}: {server_block.entries} entries not in the book")
+                report.gaps.append(f"{location}: {server_block.entries} entries not in the journal")
         elif digest != server_block.digest:
             report.changed += [
                 f"{location}: {detail}"
@@ -114,14 +112,14 @@
     for entry in block.entries:
         server_line = (entry.customer, entry.track, int(entry.outcome), entry.billed, entry.run_us)
         if entry.sequence not in lines:
-            differences.append(f"entry {entry.sequence} is not in the book")
+            differences.append(f"entry {entry.sequence} is not in the journal")
         elif lines[entry.sequence] != server_line:
             differences.append(
-                f"entry {entry.sequence} differs: own {server_line}, book {lines[entry.sequence]}"
+                f"entry {entry.sequence} differs: server {server_line}, journal {lines[entry.sequence]}"
             )
     block_sequences = {entry.sequence for entry in block.entries}
     if not block.totals:
         differences += [
-            f"entry {sequence} is in the book only" for sequence in sorted(set(lines) - block_sequences)
+            f"entry {sequence} is only in the journal" for sequence in sorted(set(lines) - block_sequences)
         ]
     return differences[:20]
--- a/sablewheel/usage_metering/recorder.py
+++ b/sablewheel/usage_metering/recorder.py
@@ -49,10 +49,10 @@
         self.flagged: set[bytes] = set()
         self.positions = BlockIndex()
 
-    def note_block(self, _: int, payload: bytes, place: durable.LogPosition) -> None:
+    def note_block(self, _: int, payload: bytes, position: durable.LogPosition) -> None:
         """Note a block from the recovery of the log."""
         block = pb.Block.FromString(payload)
-        self.positions.note(place, block.incarnation, block.number)
+        self.positions.note(position, block.incarnation, block.number)
         incarnation = block.incarnation
         self.last_sequence[incarnation] = max(self.last_sequence.get(incarnation, 0), block.last_sequence)
         self.answered[incarnation] = max(self.answered.get(incarnation, 0), block.answered)
@@ -91,9 +91,8 @@
             server, incarnation, Periods(plan.calendar), plan.max_entries, plan.max_total_rows
         )
         self._delayed_answers = DelayedAnswers(scheduler, plan.max_answer_delay_s, self._release)
-        self._record_sequences: deque[tuple[int, int]] = (
-            deque()
-        )  # per record not durable yet: its number, its last sequence
+        # Of each record that is not durable yet: its number and its last sequence number.
+        self._record_sequences: deque[tuple[int, int]] = deque()
         self._durable_sequence = self._logged_answered = 0
         self._last_cut_at = scheduler.clock.now
         self._is_closing = False
@@ -154,9 +153,8 @@
 
     def completed(self, exchange: Exchange, result: bytes, caller: Caller) -> None:
         """Record a completed request; its answer may wait until the entry is durable."""
-        original = (
-            exchange.original if exchange.state is ExchangeState.ATTACHED else None
-        )  # the attempt that has the run
+        # For a repeat, the attempt whose run answers it.
+        original = exchange.original if exchange.state is ExchangeState.ATTACHED else None
         run = original if original is not None else exchange
         billed, run.billed = not run.billed, True
         sequence = self._add_entry(exchange, pb.COMPLETED, run if billed else None, len(result), original)
@@ -252,9 +250,8 @@
                     needs_empty_block = False
                     block = self._cut(now, self._logged_answered, MAX_BLOCK_ENTRIES)
                     record_number = store.append(block.data)
-                    assert (
-                        record_number is not None
-                    )  # the store was idle, and a full entry buffer is within its limit
+                    # The store was idle, and a full entry buffer is within its limit.
+                    assert record_number is not None
                     self._record_sequences.append((record_number, block.last_sequence))
                     if len(self._record_sequences) >= 16:
                         break  # the remaining entries go into the next commit
--- a/sablewheel/usage_metering/sources.py
+++ b/sablewheel/usage_metering/sources.py
@@ -87,12 +87,12 @@
     def __init__(self, store: GroupCommitLog, positions: BlockIndex, retained_bytes: int) -> None:
         self._store, self._positions, self._retained_bytes = store, positions, retained_bytes
         self._position: LogPosition = LOG_START
+        # By incarnation, the last block number that the collector has or was offered.
         self._last_numbers: dict[bytes, int] = {}
         self._reading = False
         self._generation = 0
-        self._offered: deque[tuple[bytes, int, LogPosition]] = (
-            deque()
-        )  # positions of the blocks that were offered and are not settled
+        # Incarnation, number and position of each block that was offered and is not settled.
+        self._offered: deque[tuple[bytes, int, LogPosition]] = deque()
         self._released_segment = 0
 
     def rewind(self, have: Mapping[bytes, tuple[int, bytes]]) -> None:
@@ -154,9 +154,8 @@
             self._offered.popleft()
             if (incarnation, number) == (block.incarnation, block.number):
                 break
-        self._positions.remove_before(
-            self._store.first_segment
-        )  # otherwise the index would grow without bound
+        # Without this the index would grow without bound.
+        self._positions.remove_before(self._store.first_segment)
         if position is not None and position.segment > self._released_segment:
             self._released_segment = position.segment
             self._store.release(position, self._retained_bytes)
--- a/sablewheel/usage_metering/statement.py
+++ b/sablewheel/usage_metering/statement.py
@@ -75,9 +75,8 @@
     closed: bool
     seal: str
     usage: dict[str, ClassUsage] = field(default_factory=dict)
-    late: dict[str, dict[str, ClassUsage]] = field(
-        default_factory=dict
-    )  # by the period of the entries, then by request class
+    # By the period that the entries belong to, then by request class.
+    late: dict[str, dict[str, ClassUsage]] = field(default_factory=dict)
     corrections: list[CorrectionLine] = field(default_factory=list)
     known: bool = True  # whether the collector is configured with this tenant, or with none
     unsure: int = 0  # completed entries whose answers may not have been sent
--- a/tests/test_usage_metering.py
+++ b/tests/test_usage_metering.py
@@ -475,7 +475,7 @@
     before = statement.as_json(reports.statements(journal, "2026-12-01T11+00:00"))
     one = Correction(Target("n1", INCARNATION, 3), "acme", "record", -1, -1000, "ran by mistake", "someone")
     assert journal.correct(one, NOON + 100) == "2026-12-01T12+00:00"
-    with pytest.raises(CorrectionError, match="taken away before"):
+    with pytest.raises(CorrectionError, match="deducted before"):
         journal.correct(one, NOON + 100)
     with pytest.raises(CorrectionError, match="no entry"):
         journal.correct(
@@ -496,7 +496,7 @@
     (tmp_path / "text").write_text("no book at all, but a text that is long enough to be read as one")
     with pytest.raises(JournalError, match="not a database"):
         Journal(tmp_path / "text", HOURS)
-    with pytest.raises(JournalError, match="no such book"):
+    with pytest.raises(JournalError, match="no such journal"):
         Journal(tmp_path / "absent", read_only=True)
     journal._db.execute("update meta set value = '9' where key = 'format'")
     with pytest.raises(JournalError, match="format 9"):
@@ -528,7 +528,7 @@
     assert any("in two folders" in one for one in found.doubles)
     journal._db.execute("delete from blocks where number = 2")
     found, _ = reconcile_folders(journal, [tmp_path / "n1"])
-    assert any("2 entries not in the book" in one for one in found.gaps)
+    assert any("2 entries not in the journal" in one for one in found.gaps)
 
 
 # -- the collector behind its door
