--- a/sablewheel/usage_metering/collector.py
+++ b/sablewheel/usage_metering/collector.py
@@ -172,7 +172,7 @@
                 return
             self._acknowledge(acknowledgements)
             if in_transaction and self._last_disk_error:
-                self._log.warning("journal writable again", was=self._last_disk_error)
+                self._log.warning("book writable again", was=self._last_disk_error)
                 self._last_disk_error = ""
 
     def _acknowledge(self, acknowledgements: list[tuple[Connection, pb.Acknowledged]]) -> None:
@@ -188,7 +188,7 @@
         self.journal.roll_back()
         self.count("book_faults")
         if str(error) != self._last_disk_error:
-            self._log.error("journal not writable", reason=str(error))
+            self._log.error("book not writable", reason=str(error))
             self._last_disk_error = str(error)
         for connection in connections:
             self.refuse(connection, Refusal("book", str(error)))
--- a/tests/test_usage_metering.py
+++ b/tests/test_usage_metering.py
@@ -1,5 +1,5 @@
-"""Usage metering with its I/O: recorder, collector, journal and tools, against full disks, tampering, floods
-and forgers.
+"""Usage metering with its I/O: recorder, collector, journal and commands, with full disks, tampered journals
+and invalid exports.
 """
 
 from __future__ import annotations
@@ -83,11 +83,11 @@
     max_concurrency_per_core=5.0,
 )
 
-# -- the recorder in the server, on a made clock and a made disk
+# -- the recorder in the server, with a simulated clock and disk
 
 
 class DurableDepthServer(SimulatedServer):
-    """The routing layer with a recorder; commits happen at once, on a disk that may fail."""
+    """The serving layer with a recorder; commits are made at once, on a disk that may fail."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, answers: Answers = Answers.AFTER_ENTRY) -> None:
         super().__init__(SERVER_SETTINGS)
@@ -112,17 +112,17 @@
                 super().settle(deliver)
 
     def entries(self) -> list[pb.Entry]:
-        found: list[pb.Entry] = []
+        entries: list[pb.Entry] = []
 
-        def visit(_: int, data: bytes, __: object) -> None:
-            found.extend(blocks.read(data).entries)
+        def add_entries(_: int, data: bytes, __: object) -> None:
+            entries.extend(blocks.read(data).entries)
 
-        Log(self.files, usage_recorder.KIND, b"auditor1", 1 << 30).recover(visit)
-        return found
+        Log(self.files, usage_recorder.KIND, b"auditor1", 1 << 30).recover(add_entries)
+        return entries
 
 
 class SlowBridge:
-    """Jobs wait until the test lets them go."""
+    """A worker thread whose jobs run only while `open` is set, when the test calls `work`."""
 
     def __init__(self, *_: object) -> None:
         self.jobs: list[tuple[Any, Any]] = []
@@ -168,7 +168,7 @@
         return self.exports[-1]
 
     def welcome(self) -> None:
-        """The collector greets on the newest connection, and has nothing yet."""
+        """Send the welcome of a collector without blocks on the newest connection."""
         self.wait(1.0)
         self.exports[-1].feed(encode_frame(pb.Frame(welcome=pb.Welcome(version=export.VERSION))))
         self.scheduler.run_ready()
@@ -186,7 +186,11 @@
 
 
 def test_a_block_that_waits_to_be_sent_anew_keeps_a_leaving_server(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Greeted anew, a server held nothing for unsettled; it left without 155 entries and told nobody."""
+    """A block that must be sent again keeps a closing server from being settled.
+
+    After a reconnect a server counted no block as unsettled; it exited without 155 entries and logged
+    nothing.
+    """
     server = MemoryDepthServer(monkeypatch)
     server.serve_one()
     server.send_blocks()
@@ -210,21 +214,21 @@
         server.serve_one()
         server.send_blocks()
     server.usage_recorder.close(0.0)
-    told = [record.pairs for record in caplog.records if record.message == "entries left behind"]  # type: ignore[attr-defined]
-    assert [(one["customer"], one["entries"], one["billed"]) for one in told] == [("acme", 3, 3)]
+    logged = [record.pairs for record in caplog.records if record.message == "entries left behind"]  # type: ignore[attr-defined]
+    assert [(pairs["customer"], pairs["entries"], pairs["billed"]) for pairs in logged] == [("acme", 3, 3)]
 
 
 def test_a_completed_answer_leaves_when_its_entry_is_durable(monkeypatch: pytest.MonkeyPatch) -> None:
     server = DurableDepthServer(monkeypatch)
-    one = server.call(b"lookup")
+    attempt = server.call(b"lookup")
     server.settle()
     server.bridge.open = False
-    server.end(one.name)
+    server.end(attempt.name)
     server.settle()
-    assert not one.answers and not server.entries()
+    assert not attempt.answers and not server.entries()
     server.bridge.open = True
     server.settle()
-    assert one.answers[0][1] == b"OK"
+    assert attempt.answers[0][1] == b"OK"
     (entry,) = server.entries()
     assert (entry.customer, entry.track, entry.outcome, entry.billed) == (
         "acme",
@@ -232,65 +236,69 @@
         pb.COMPLETED,
         True,
     )
-    assert entry.run_us == 250_000 and entry.name.hex() == one.name.decode() and entry.goal_kept
+    assert entry.run_us == 250_000 and entry.name.hex() == attempt.name.decode() and entry.goal_kept
 
 
-def test_a_disk_that_stalls_holds_no_answer_past_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_stalled_disk_delays_answers_only_up_to_the_limit(monkeypatch: pytest.MonkeyPatch) -> None:
     server = DurableDepthServer(monkeypatch)
-    one = server.call(b"lookup")
+    attempt = server.call(b"lookup")
     server.settle()
     server.bridge.open = False
-    server.end(one.name)
+    server.end(attempt.name)
     server.wait(0.1)
-    assert not one.answers
-    server.wait(0.3)  # hold-most is a quarter of a second
-    assert one.answers[0][1] == b"OK" and "ledger_answers_ahead" in server.counts
+    assert not attempt.answers
+    server.wait(0.3)  # the limit, max_answer_delay_s, is 0.25 s
+    assert attempt.answers[0][1] == b"OK" and "ledger_answers_ahead" in server.counts
     server.bridge.open = True
     server.wait(0.5)
     assert len(server.entries()) == 1
 
 
-def test_a_full_disk_delays_nobody_folds_and_writes_it_all_later(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_full_disk_delays_no_answer_and_all_usage_is_written_later(monkeypatch: pytest.MonkeyPatch) -> None:
     server = DurableDepthServer(monkeypatch)
     server.files.fail = {"append": [OSError(errno.ENOSPC, "no space left on device")] * 1000}
-    tries = []
+    attempts = []
     for _ in range(120):
-        tries.append(server.call(b"lookup"))
+        attempts.append(server.call(b"lookup"))
         server.settle()
-        server.end(tries[-1].name)
+        server.end(attempts[-1].name)
         server.wait(0.01)
-    assert all(one.answers[0][1] == b"OK" for one in tries)
+    assert all(attempt.answers[0][1] == b"OK" for attempt in attempts)
     assert server.usage_recorder.gauges()["ledger_disk"] == "full"
     server.files.fail = {}
     server.wait(5.0)
-    found: list[pb.Block] = []
+    written: list[pb.Block] = []
     Log(server.files, usage_recorder.KIND, b"auditor1", 1 << 30).recover(
-        lambda _, data, __: found.append(blocks.read(data))
+        lambda _, data, __: written.append(blocks.read(data))
+    )
+    single = sum(len(block.entries) for block in written)
+    folded = sum(total.entries for block in written for total in block.totals)
+    assert (
+        single + folded == 120 and folded > 0 and server.usage_recorder.gauges()["ledger_disk"] == "working"
     )
-    told = sum(len(one.entries) for one in found)
-    folded = sum(total.entries for one in found for total in one.totals)
-    assert told + folded == 120 and folded > 0 and server.usage_recorder.gauges()["ledger_disk"] == "working"
-    assert sum(total.entries * total.billed for one in found for total in one.totals) == folded
+    assert sum(total.entries * total.billed for block in written for total in block.totals) == folded
 
 
-def test_a_repeat_is_not_billed_twice_joined_or_from_a_kept_result(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_repeat_is_not_billed_whether_attached_or_answered_from_a_stored_result(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     server = DurableDepthServer(monkeypatch)
     first = server.call(b"record", b"label")
     server.settle()
-    joined = server.call(b"record", b"label")
+    attached = server.call(b"record", b"label")
     server.settle()
     server.end(first.name)
     server.settle()
     later = server.call(b"record", b"label")
     server.wait(1.0)
-    assert [one.answers[0][1] for one in (first, joined, later)] == [b"OK"] * 3
-    entries = {one.name.hex().encode(): one for one in server.entries()}
-    assert [entries[one.name].billed for one in (first, joined, later)] == [True, False, False]
-    assert [entries[one.name].run.hex().encode() for one in (joined, later)] == [first.name] * 2
-    assert sum(one.run_us for one in entries.values()) == 250_000
+    assert [attempt.answers[0][1] for attempt in (first, attached, later)] == [b"OK"] * 3
+    entries = {entry.name.hex().encode(): entry for entry in server.entries()}
+    assert [entries[attempt.name].billed for attempt in (first, attached, later)] == [True, False, False]
+    assert [entries[attempt.name].run.hex().encode() for attempt in (attached, later)] == [first.name] * 2
+    assert sum(entry.run_us for entry in entries.values()) == 250_000
 
 
-def test_a_run_whose_first_caller_left_is_billed_with_the_repeat_that_got_it(
+def test_a_run_is_billed_to_the_repeat_if_the_first_attempt_was_cancelled(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     server = DurableDepthServer(monkeypatch)
@@ -302,60 +310,62 @@
     server.end(first.name)
     server.wait(1.0)
     assert repeat.answers[0][1] == b"OK"
-    entries = {one.name.hex().encode(): one for one in server.entries()}
+    entries = {entry.name.hex().encode(): entry for entry in server.entries()}
     assert entries[first.name].outcome == pb.GONE and not entries[first.name].billed
     assert entries[repeat.name].billed and entries[repeat.name].run_us == 250_000
 
 
-def test_random_days_with_stalls_keep_the_rules_and_one_entry_a_ticket(
+def test_random_events_with_stalls_record_one_entry_per_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     for seed in range(6):
-        chance, server = random.Random(seed), DurableDepthServer(monkeypatch)
+        rng, server = random.Random(seed), DurableDepthServer(monkeypatch)
         for _ in range(60):
-            match chance.randrange(8):
+            match rng.randrange(8):
                 case 0 | 1 | 2:
-                    label = b"%d" % chance.randrange(5) if chance.random() < 0.5 else b""
+                    label = b"%d" % rng.randrange(5) if rng.random() < 0.5 else b""
                     server.call(b"record" if label else b"lookup", label)
                 case 3 | 4 if server.interpreter.running:
-                    server.end(chance.choice(list(server.interpreter.running)))
+                    server.end(rng.choice(list(server.interpreter.running)))
                 case 5 if server.attempts:
-                    server.cancel(chance.choice(server.attempts))
+                    server.cancel(rng.choice(server.attempts))
                 case 6:
-                    server.bridge.open = chance.random() < 0.6
+                    server.bridge.open = rng.random() < 0.6
                 case _:
-                    server.wait(chance.uniform(0.0, 0.3))
+                    server.wait(rng.uniform(0.0, 0.3))
             server.settle()
         server.bridge.open = True
         server.wait(6.0)
         entries = server.entries()
-        names = [one.name.hex().encode() for one in entries]
-        assert sorted(names) == sorted(one.name for one in server.attempts)
-        words = {b"OK": pb.COMPLETED, b"BUSY": pb.DENIED, b"FAILED": pb.TERMINATED}
-        outcome = dict(zip(names, (one.outcome for one in entries), strict=True))
-        for one in server.attempts:
-            assert outcome[one.name] == (words[one.answers[0][1]] if one.answers else pb.GONE)
-        runs = [one.run or one.name for one in entries if one.billed]
+        names = [entry.name.hex().encode() for entry in entries]
+        assert sorted(names) == sorted(attempt.name for attempt in server.attempts)
+        outcomes = {b"OK": pb.COMPLETED, b"BUSY": pb.DENIED, b"FAILED": pb.TERMINATED}
+        outcome_of = dict(zip(names, (entry.outcome for entry in entries), strict=True))
+        for attempt in server.attempts:
+            assert outcome_of[attempt.name] == (
+                outcomes[attempt.answers[0][1]] if attempt.answers else pb.GONE
+            )
+        runs = [entry.run or entry.name for entry in entries if entry.billed]
         assert len(runs) == len(set(runs))
 
 
-def test_after_a_kill_what_may_not_have_been_answered_is_flagged_once(
+def test_possibly_unanswered_entries_of_a_killed_server_are_flagged_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     server = DurableDepthServer(monkeypatch)
     for _ in range(3):
-        one = server.call(b"lookup")
+        attempt = server.call(b"lookup")
         server.settle()
-        server.end(one.name)
+        server.end(attempt.name)
         server.settle()
     flags: list[tuple[bytes, int, int]] = []
-    for turn in range(3):
-        before = usage_recorder.EarlierIncarnations()
-        log = Log(server.files, usage_recorder.KIND, b"after%03d" % turn, 1 << 30)
-        log.recover(before.note_block)
-        flags += before.unsure()
-        entry_buffer = EntryBuffer("n1", b"after%03d" % turn, Periods(Calendar()), 10, 10)
-        for flag in before.unsure():
+    for restart in range(3):
+        earlier = usage_recorder.EarlierIncarnations()
+        log = Log(server.files, usage_recorder.KIND, b"after%03d" % restart, 1 << 30)
+        log.recover(earlier.note_block)
+        flags += earlier.unsure()
+        entry_buffer = EntryBuffer("n1", b"after%03d" % restart, Periods(Calendar()), 10, 10)
+        for flag in earlier.unsure():
             entry_buffer.flag_unanswered(*flag)
         if not entry_buffer.empty:
             log.commit([entry_buffer.cut(1.0, 0, 1).data])
@@ -386,13 +396,13 @@
     return sealed
 
 
-def apply(journal: Journal, server: str, sealed: list[SealedBlock], received: float) -> None:
+def apply(journal: Journal, server: str, sealed: list[SealedBlock], received_at: float) -> None:
     journal.begin()
     for block in sealed:
         batch = pb.Batch(block=block.data, digest=block.digest)
         decision = collecting.decide_batch(server, batch, journal.last_blocks(server), {})
         if isinstance(decision, collecting.Apply):
-            journal.apply(server, decision, received)
+            journal.apply(server, decision, received_at)
         else:
             assert isinstance(decision, collecting.AlreadyApplied), decision
     journal.commit()
@@ -408,24 +418,24 @@
 
 @pytest.fixture
 def journal(tmp_path: Path) -> Iterator[Journal]:
-    one = Journal(tmp_path / "book.sqlite", HOURS)
-    one.period_closer.observe_clocks(NOON, NOON)
-    yield one
-    one.close()
-
-
-def test_a_block_counts_once_however_often_it_comes(journal: Journal) -> None:
-    some = sealed_blocks("n1", 3)
-    apply(journal, "n1", some[:2], NOON)
-    apply(journal, "n1", [*some, some[0], some[2]], NOON)
-    (one, other) = reports.statements(journal, "2026-12-01T12+00:00")
-    assert (one.customer, one.tickets, one.run_us) == ("acme", 3, 3000) and other.tickets == 3
+    opened = Journal(tmp_path / "book.sqlite", HOURS)
+    opened.period_closer.observe_clocks(NOON, NOON)
+    yield opened
+    opened.close()
+
+
+def test_a_block_is_posted_once_however_often_it_is_received(journal: Journal) -> None:
+    sealed = sealed_blocks("n1", 3)
+    apply(journal, "n1", sealed[:2], NOON)
+    apply(journal, "n1", [*sealed, sealed[0], sealed[2]], NOON)
+    (acme, zenith) = reports.statements(journal, "2026-12-01T12+00:00")
+    assert (acme.customer, acme.tickets, acme.run_us) == ("acme", 3, 3000) and zenith.tickets == 3
     assert not list(journal.verify())
 
 
 def test_periods_close_in_order_late_entries_are_marked_and_closed_statements_stay(journal: Journal) -> None:
-    some = sealed_blocks("n1", 4, at_s=NOON - 2)  # two seconds before noon, two after
-    apply(journal, "n1", some[:3], NOON)
+    sealed = sealed_blocks("n1", 4, at_s=NOON - 2)  # two blocks before noon, two after
+    apply(journal, "n1", sealed[:3], NOON)
     assert close(journal, NOON + 30) == [] and close(journal, NOON + 61) == ["2026-12-01T11+00:00"]
     before = statement.as_text(reports.statements(journal, "2026-12-01T11+00:00"))
     late = sealed_blocks("n2", 1, b"incarn02", at_s=NOON - 100)
@@ -438,13 +448,13 @@
     assert not list(journal.verify())
 
 
-def tampered(journal: Journal, change: str) -> list[str]:
+def faults_after(journal: Journal, change: str) -> list[str]:
     journal._db.execute(change)
     return list(journal.verify())
 
 
 @pytest.mark.parametrize(
-    ("change", "says"),
+    ("change", "fault"),
     [
         ("update lines set run_us = 5 where place = 2", "line 2: not as it was written (n1/"),
         ("delete from lines where place = 2", "lines 2 to 2 are missing"),
@@ -462,21 +472,23 @@
         ("update blocks set first_sequence = first_sequence + 1 where number = 3", "sequence"),
     ],
 )
-def test_loss_insertion_and_change_are_found_and_located(journal: Journal, change: str, says: str) -> None:
+def test_loss_insertion_and_change_are_found_and_located(journal: Journal, change: str, fault: str) -> None:
     apply(journal, "n1", sealed_blocks("n1", 3, at_s=NOON - 600), NOON)
     close(journal, NOON + 61)
     assert not list(journal.verify())
-    assert any(says in one for one in tampered(journal, change))
+    assert any(fault in found for found in faults_after(journal, change))
 
 
-def test_corrections_stand_apart_and_leave_the_past_alone(journal: Journal) -> None:
+def test_corrections_are_listed_separately_and_change_no_closed_statement(journal: Journal) -> None:
     apply(journal, "n1", sealed_blocks("n1", 2, at_s=NOON - 600), NOON)
     close(journal, NOON + 61)
     before = statement.as_json(reports.statements(journal, "2026-12-01T11+00:00"))
-    one = Correction(Target("n1", INCARNATION, 3), "acme", "record", -1, -1000, "ran by mistake", "someone")
-    assert journal.correct(one, NOON + 100) == "2026-12-01T12+00:00"
+    correction = Correction(
+        Target("n1", INCARNATION, 3), "acme", "record", -1, -1000, "ran by mistake", "someone"
+    )
+    assert journal.correct(correction, NOON + 100) == "2026-12-01T12+00:00"
     with pytest.raises(CorrectionError, match="deducted before"):
-        journal.correct(one, NOON + 100)
+        journal.correct(correction, NOON + 100)
     with pytest.raises(CorrectionError, match="no entry"):
         journal.correct(
             Correction(Target("n1", INCARNATION, 99), "acme", "record", -1, 0, "x", "y"), NOON + 100
@@ -490,10 +502,12 @@
     assert "correction" in statement.as_csv([acme]) and not list(journal.verify())
 
 
-def test_a_book_keeps_its_calendar_and_a_file_that_is_none_is_told(journal: Journal, tmp_path: Path) -> None:
+def test_a_journal_rejects_another_calendar_and_other_files_are_rejected(
+    journal: Journal, tmp_path: Path
+) -> None:
     with pytest.raises(JournalError, match="hours of UTC, not days of Europe/Berlin"):
         Journal(journal.path, Calendar("Europe/Berlin", Length.DAY))
-    (tmp_path / "text").write_text("no book at all, but a text that is long enough to be read as one")
+    (tmp_path / "text").write_text("no journal, but a text that is long enough to be read as an SQLite file")
     with pytest.raises(JournalError, match="not a database"):
         Journal(tmp_path / "text", HOURS)
     with pytest.raises(JournalError, match="no such journal"):
@@ -506,42 +520,42 @@
 def test_reconciliation_finds_gaps_doubles_changes_and_what_is_pending(
     journal: Journal, tmp_path: Path
 ) -> None:
-    some = sealed_blocks("n1", 4)
+    sealed = sealed_blocks("n1", 4)
     records = Log(DiskFiles(tmp_path / "n1"), usage_recorder.KIND, INCARNATION, 1 << 30)
-    records.commit([one.data for one in some])
-    apply(journal, "n1", some[:3], NOON)
-    found, _ = reconcile_folders(journal, [tmp_path / "n1"])
-    assert found.clean and (found.same, found.pending, found.pending_entries) == (3, 1, 2)
-    assert found.billed == {("n1", "acme"): (3, 3), ("n1", "zenith"): (3, 3)}
-    # A file in which an entry was changed after the fact, one that lacks a block, and the same one twice.
-    other = pb.Block.FromString(some[1].data)
+    records.commit([block.data for block in sealed])
+    apply(journal, "n1", sealed[:3], NOON)
+    report, _ = reconcile_folders(journal, [tmp_path / "n1"])
+    assert report.clean and (report.same, report.pending, report.pending_entries) == (3, 1, 2)
+    assert report.billed == {("n1", "acme"): (3, 3), ("n1", "zenith"): (3, 3)}
+    # Folders with a changed entry, with a missing block, and with the same blocks as another folder.
+    other = pb.Block.FromString(sealed[1].data)
     other.entries[0].run_us = 7
     changed = Log(DiskFiles(tmp_path / "changed"), usage_recorder.KIND, INCARNATION, 1 << 30)
-    changed.commit([some[0].data, other.SerializeToString(), some[2].data])
-    found, _ = reconcile_folders(journal, [tmp_path / "changed"])
-    assert not found.clean and "entry 3 differs" in found.changed[0]
-    lacking = Log(DiskFiles(tmp_path / "lacking"), usage_recorder.KIND, INCARNATION, 1 << 30)
-    lacking.commit([some[0].data, some[2].data])
-    found, _ = reconcile_folders(journal, [tmp_path / "lacking"])
-    assert "blocks 2 to 2 not in the server's files" in found.gaps[0]
-    found, _ = reconcile_folders(journal, [tmp_path / "n1", tmp_path / "changed"])
-    assert any("in two folders" in one for one in found.doubles)
+    changed.commit([sealed[0].data, other.SerializeToString(), sealed[2].data])
+    report, _ = reconcile_folders(journal, [tmp_path / "changed"])
+    assert not report.clean and "entry 3 differs" in report.changed[0]
+    incomplete = Log(DiskFiles(tmp_path / "lacking"), usage_recorder.KIND, INCARNATION, 1 << 30)
+    incomplete.commit([sealed[0].data, sealed[2].data])
+    report, _ = reconcile_folders(journal, [tmp_path / "lacking"])
+    assert "blocks 2 to 2 not in the server's files" in report.gaps[0]
+    report, _ = reconcile_folders(journal, [tmp_path / "n1", tmp_path / "changed"])
+    assert any("in two folders" in finding for finding in report.doubles)
     journal._db.execute("delete from blocks where number = 2")
-    found, _ = reconcile_folders(journal, [tmp_path / "n1"])
-    assert any("2 entries not in the journal" in one for one in found.gaps)
+    report, _ = reconcile_folders(journal, [tmp_path / "n1"])
+    assert any("2 entries not in the journal" in finding for finding in report.gaps)
 
 
-# -- the collector behind its door
+# -- the collector and its connections
 
 
 class CollectorThread:
-    """A collector in a thread, on a port of its own."""
+    """A collector in a thread, on a free port."""
 
-    def __init__(self, path: Path, **more: Any) -> None:
+    def __init__(self, path: Path, **settings: Any) -> None:
         self.scheduler = Scheduler(Clock())
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.address = free.getsockname()
-        plan = CollectorPlan(path, self.address, HOURS, max_frame_bytes=1 << 16, **more)
+        plan = CollectorPlan(path, self.address, HOURS, max_frame_bytes=1 << 16, **settings)
         self.lines: list[tuple[str, dict[str, Any]]] = []
         self.collector: Collector | None = None
         self.ready = threading.Event()
@@ -557,20 +571,20 @@
         )
         self.stop = False
 
-        def observe_clocks() -> None:
+        def check_stop() -> None:
             if self.stop:
                 scheduler.stop()
-            scheduler.after(0.02, observe_clocks)
+            scheduler.after(0.02, check_stop)
 
-        observe_clocks()
+        check_stop()
         self.ready.set()
         scheduler.run()
         self.collector.close()
 
-    def _say(self, event: str, **pairs: Any) -> None:
+    def _log_event(self, event: str, **pairs: Any) -> None:
         self.lines.append((event, pairs))
 
-    info = warning = error = _say
+    info = warning = error = _log_event
 
     def close(self) -> None:
         self.stop = True
@@ -578,21 +592,21 @@
 
 
 class ClientConnection:
-    """A server's end of an export."""
+    """A server's end of an export connection."""
 
     def __init__(self, collector_thread: CollectorThread) -> None:
         self.socket = socket.create_connection(collector_thread.address, timeout=10)
-        self.frames, self.inbox = FrameDecoder(1 << 20), list[pb.Frame]()
+        self.decoder, self.inbox = FrameDecoder(1 << 20), list[pb.Frame]()
 
-    def send_frame(self, **kind: Any) -> None:
-        self.socket.sendall(encode_frame(pb.Frame(**kind)))
+    def send_frame(self, **message: Any) -> None:
+        self.socket.sendall(encode_frame(pb.Frame(**message)))
 
     def receive(self) -> pb.Frame | None:
         while not self.inbox:
             data = self.socket.recv(65536)
             if not data:
                 return None
-            self.inbox.extend(self.frames.feed(data))
+            self.inbox.extend(self.decoder.feed(data))
         return self.inbox.pop(0)
 
     def greet(
@@ -603,33 +617,33 @@
         assert reply is not None
         return reply
 
-    def send(self, one: SealedBlock) -> pb.Frame | None:
-        self.send_frame(batch=pb.Batch(block=one.data, digest=one.digest))
+    def send(self, block: SealedBlock) -> pb.Frame | None:
+        self.send_frame(batch=pb.Batch(block=block.data, digest=block.digest))
         return self.receive()
 
 
 @pytest.fixture
 def collector_thread(tmp_path: Path) -> Iterator[CollectorThread]:
-    one = CollectorThread(tmp_path / "door.sqlite")
-    yield one
-    one.close()
+    running = CollectorThread(tmp_path / "journal.sqlite")
+    yield running
+    running.close()
 
 
-def test_blocks_are_acknowledged_known_again_and_asked_for_after_a_restore(
+def test_blocks_are_acknowledged_and_recognised_when_sent_again(
     collector_thread: CollectorThread,
 ) -> None:
-    some = sealed_blocks("n1", 3)
+    sealed = sealed_blocks("n1", 3)
     peer = ClientConnection(collector_thread)
     assert not peer.greet().welcome.have
-    for one in some[:2]:
-        reply = peer.send(one)
-        assert reply is not None and reply.acknowledged.number == one.number
-    again = ClientConnection(collector_thread)
-    (have,) = again.greet().welcome.have
-    assert (have.number, have.digest) == (2, some[1].digest)
-    reply = again.send(some[0])  # of a server that never received the acknowledgement
+    for block in sealed[:2]:
+        reply = peer.send(block)
+        assert reply is not None and reply.acknowledged.number == block.number
+    reconnected = ClientConnection(collector_thread)
+    (have,) = reconnected.greet().welcome.have
+    assert (have.number, have.digest) == (2, sealed[1].digest)
+    reply = reconnected.send(sealed[0])  # as from a server that did not receive the acknowledgement
     assert reply is not None and reply.acknowledged.number == 1
-    reply = again.send(some[2])
+    reply = reconnected.send(sealed[2])
     assert reply is not None and reply.acknowledged.number == 3
     assert collector_thread.collector is not None and collector_thread.collector.counts["blocks"] == 3
 
@@ -646,7 +660,7 @@
         (encode_frame(pb.Frame(batch=pb.Batch(block=b"x"))), "greeting"),
     ],
 )
-def test_what_is_no_export_is_refused_by_name_and_the_rest_goes_on(
+def test_invalid_exports_are_refused_and_other_connections_continue(
     collector_thread: CollectorThread, data: bytes, fault: str
 ) -> None:
     good, bad = ClientConnection(collector_thread), ClientConnection(collector_thread)
@@ -654,20 +668,20 @@
     bad.socket.sendall(data)
     reply = bad.receive()
     assert reply is not None and reply.refused.fault == fault
-    assert bad.receive() is None  # and closed
+    assert bad.receive() is None  # the connection is closed
     reply = good.send(sealed_blocks("n1", 1)[0])
     assert reply is not None and reply.acknowledged.number == 1
 
 
-def test_blocks_that_contradict_are_refused_and_nothing_of_them_is_posted(
+def test_inconsistent_blocks_are_refused_and_not_posted(
     collector_thread: CollectorThread,
 ) -> None:
-    some = sealed_blocks("n1", 3)
-    forged = pb.Block.FromString(some[1].data)
+    sealed = sealed_blocks("n1", 3)
+    forged = pb.Block.FromString(sealed[1].data)
     forged.entries[0].run_us = 5
     for bad, fault in (
-        (some[2], "gap"),
-        (SealedBlock(INCARNATION, 1, 2, some[0].data, b"x" * 32), "digest"),
+        (sealed[2], "gap"),
+        (SealedBlock(INCARNATION, 1, 2, sealed[0].data, b"x" * 32), "digest"),
         (sealed_blocks("n2", 1)[0], "server"),
     ):
         peer = ClientConnection(collector_thread)
@@ -676,7 +690,7 @@
         assert reply is not None and reply.refused.fault == fault
     peer = ClientConnection(collector_thread)
     peer.greet()
-    assert peer.send(some[0]) is not None and peer.send(some[1]) is not None
+    assert peer.send(sealed[0]) is not None and peer.send(sealed[1]) is not None
     data = forged.SerializeToString()
     reply = peer.send(SealedBlock(INCARNATION, 2, 4, data, blocks.digest(data)))
     assert reply is not None and reply.refused.fault == "changed"
@@ -684,37 +698,37 @@
     assert next(journal.rows("select count(*) from lines"))[0] == 4 and not list(journal.verify())
 
 
-def test_two_servers_of_one_name_are_told_and_neither_loses_anything(
+def test_two_servers_with_one_name_are_logged_and_no_entry_is_lost(
     collector_thread: CollectorThread,
 ) -> None:
-    one, other = ClientConnection(collector_thread), ClientConnection(collector_thread)
-    one.greet(incarnation=b"incarn01")
-    other.greet(incarnation=b"incarn02")
-    for peer, incarnation in ((one, b"incarn01"), (other, b"incarn02")):
+    first, second = ClientConnection(collector_thread), ClientConnection(collector_thread)
+    first.greet(incarnation=b"incarn01")
+    second.greet(incarnation=b"incarn02")
+    for peer, incarnation in ((first, b"incarn01"), (second, b"incarn02")):
         reply = peer.send(sealed_blocks("n1", 1, incarnation)[0])
         assert reply is not None and reply.acknowledged.incarnation == incarnation
     assert ("two servers with one name") in [event for event, _ in collector_thread.lines]
 
 
-def test_a_book_that_can_not_be_written_acknowledges_nothing_until_it_can(
+def test_nothing_is_acknowledged_while_the_journal_is_not_writable(
     collector_thread: CollectorThread,
 ) -> None:
-    some = sealed_blocks("n1", 1)
+    sealed = sealed_blocks("n1", 1)
     lock = sqlite3.connect(collector_thread.plan.journal_path, isolation_level=None)
     assert collector_thread.collector is not None
     lock.execute("begin immediate")
     peer = ClientConnection(collector_thread)
     peer.greet()
-    reply = peer.send(some[0])
+    reply = peer.send(sealed[0])
     assert reply is not None and reply.refused.fault == "book"
     lock.execute("rollback")
     peer = ClientConnection(collector_thread)
     peer.greet()
-    reply = peer.send(some[0])
+    reply = peer.send(sealed[0])
     assert reply is not None and reply.acknowledged.number == 1
 
 
-def test_use_of_a_customer_that_nobody_named_is_posted_and_told(tmp_path: Path) -> None:
+def test_usage_of_an_unknown_customer_is_posted_and_logged(tmp_path: Path) -> None:
     collector_thread = CollectorThread(tmp_path / "named.sqlite", customers=frozenset({"acme"}))
     try:
         peer = ClientConnection(collector_thread)
@@ -729,24 +743,26 @@
         collector_thread.close()
 
 
-def test_a_hole_is_noted_and_the_chain_goes_on_behind_it(collector_thread: CollectorThread) -> None:
-    some = sealed_blocks("n1", 4)
+def test_lost_blocks_are_recorded_and_the_next_block_starts_a_new_chain(
+    collector_thread: CollectorThread,
+) -> None:
+    sealed = sealed_blocks("n1", 4)
     peer = ClientConnection(collector_thread)
     peer.greet()
-    peer.send(some[0])
+    peer.send(sealed[0])
     peer.send_frame(lost=pb.Lost(incarnation=INCARNATION, through=2, reason="damaged on disk"))
-    reply = peer.send(some[2])
+    reply = peer.send(sealed[2])
     assert reply is not None and reply.acknowledged.number == 3
-    peer.send(some[3])
+    peer.send(sealed[3])
     journal = Journal(collector_thread.plan.journal_path, read_only=True)
-    found, _ = reconcile_folders(journal, [])
-    assert "blocks 2 to 2: damaged on disk" in found.gaps[0] and not list(journal.verify())
+    report, _ = reconcile_folders(journal, [])
+    assert "blocks 2 to 2: damaged on disk" in report.gaps[0] and not list(journal.verify())
 
 
 # -- background work
 
 
-def test_periodic_tasks_keep_to_their_share_and_yield_to_tickets() -> None:
+def test_periodic_tasks_keep_to_their_share_and_yield_to_requests() -> None:
     periodic_scheduler, low, high = (
         PeriodicScheduler(),
         PeriodicTask("low", 2, 0.5),
@@ -754,7 +770,7 @@
     )
     periodic_scheduler.add(low)
     periodic_scheduler.add(high)
-    took = {"low": 0.0, "high": 0.0}
+    run_time_s = {"low": 0.0, "high": 0.0}
     now = 100.0
     for step in range(20_000):
         now += 0.001
@@ -764,13 +780,13 @@
         periodic_task = periodic_scheduler.choose(now, busy)
         if periodic_task is not None:
             assert not busy or now - periodic_task.wanted_since >= periodic_task.max_wait_s
-            took[periodic_task.name] += 0.001
+            run_time_s[periodic_task.name] += 0.001
             periodic_scheduler.done(periodic_task, now, 0.001, more=True)
-    assert 0.9 * 2.0 <= took["high"] <= 0.1 * 20 + MAX_BUDGET_S + 0.001
-    assert 4.0 <= took["low"] <= 0.5 * 20 + MAX_BUDGET_S + 0.001
+    assert 0.9 * 2.0 <= run_time_s["high"] <= 0.1 * 20 + MAX_BUDGET_S + 0.001
+    assert 4.0 <= run_time_s["low"] <= 0.5 * 20 + MAX_BUDGET_S + 0.001
 
 
-def test_a_starved_chore_has_its_step_in_spite_of_tickets() -> None:
+def test_a_starved_task_is_chosen_even_when_busy() -> None:
     periodic_scheduler, periodic_task = PeriodicScheduler(), PeriodicTask("one", 1, 0.5, max_wait_s=0.25)
     periodic_scheduler.add(periodic_task)
     periodic_scheduler.want(periodic_task, 10.0)
@@ -784,7 +800,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         ("version: 2\n", "f:1: version"),
         ("version: 1\nledgr: {}\n", "f:2: ledgr: no such key; ledger may be meant"),
@@ -805,20 +821,20 @@
         ("version: 1\nversion: 1\n", "not YAML"),
     ],
 )
-def test_features_that_are_faulty_are_told_with_line_and_key(text: str, says: str) -> None:
+def test_faulty_features_are_reported_with_line_and_key(text: str, message: str) -> None:
     with pytest.raises(FaultyFeaturesError) as error:
         check("f", text)
-    assert says.lower() in str(error.value).lower()
+    assert message.lower() in str(error.value).lower()
 
 
-def test_all_faults_are_told_at_once_and_the_example_is_in_order() -> None:
+def test_all_faults_are_reported_at_once_and_the_example_is_valid() -> None:
     with pytest.raises(FaultyFeaturesError) as error:
         check("f", "version: 1\nledger:\n  depht: memory\n  disk-mb: -1\n  period:\n    zone: X/Y\n")
     assert len(error.value.faults) == 4
-    found = read(Path(__file__).parent.parent / "deploy" / "sablewheel.yaml")
-    assert found.ledger is not None and found.collector is not None
-    assert found.ledger == LedgerPlan(
-        depth=Depth.DURABLE, folder=found.ledger.folder, export=found.ledger.export
+    features = read(Path(__file__).parent.parent / "deploy" / "sablewheel.yaml")
+    assert features.ledger is not None and features.collector is not None
+    assert features.ledger == LedgerPlan(
+        depth=Depth.DURABLE, folder=features.ledger.folder, export=features.ledger.export
     )
 
 
@@ -827,35 +843,35 @@
     close(journal, NOON + 61)
     path, runner = str(journal.path), CliRunner()
 
-    def call(*words: str) -> tuple[int, str]:
-        done = runner.invoke(main, ["ledger", *words, "--book", path])
-        return done.exit_code, done.output
+    def call(*options: str) -> tuple[int, str]:
+        result = runner.invoke(main, ["ledger", *options, "--book", path])
+        return result.exit_code, result.output
 
     code, text = call("statement", "--period", "2026-12-01T11+00:00", "--customer", "acme")
     assert code == 0 and "billed: 2 tickets" in text
     assert call("statement", "--period", "2026-12-01T11+00:00", "--format", "csv")[1].count("\n") == 3
-    told = json.loads(call("statement", "--period", "2026-12-01T11+00:00", "--format", "json")[1])
-    assert [one["billed_tickets"] for one in told] == [2, 2]
+    listed = json.loads(call("statement", "--period", "2026-12-01T11+00:00", "--format", "json")[1])
+    assert [shown["billed_tickets"] for shown in listed] == [2, 2]
     code, text = call("statement", "--period", "2026-12-01T11+00:00", "--customer", "acne")
     assert code == 1 and "nothing of 'acne'" in text and "'acme' may be meant" in text
     assert "is no hour of UTC" in call("statement", "--period", "yesterday")[1]
     assert call("verify") == (0, "in order\n")
     assert call("verify", "--against", "00")[0] == 1
-    assert call("verify", "--against", told[0]["seal"])[0] == 0
-    words = ("--customer", "acme", "--track", "record", "--reason", "r", "--author", "a")
+    assert call("verify", "--against", listed[0]["seal"])[0] == 0
+    options = ("--customer", "acme", "--track", "record", "--reason", "r", "--author", "a")
     assert (
         "corrected in period"
-        in call("correct", *words, "--target", f"n1/{INCARNATION.hex()}/1", "--tickets", "-1")[1]
+        in call("correct", *options, "--target", f"n1/{INCARNATION.hex()}/1", "--tickets", "-1")[1]
     )
-    assert "neither" in call("correct", *words, "--target", "n1", "--tickets", "-1")[1]
+    assert "neither" in call("correct", *options, "--target", "n1", "--tickets", "-1")[1]
     assert len(call("show", "--customer", "zenith")[1].splitlines()) == 2
     bad = tmp_path / "bad.yaml"
     bad.write_text("version: 3\n")
-    done = runner.invoke(main, ["check", str(bad), str(tmp_path / "absent.json")])
-    assert done.exit_code == 2 and "bad.yaml:1: version" in done.output and "absent.json" in done.output
+    result = runner.invoke(main, ["check", str(bad), str(tmp_path / "absent.json")])
+    assert result.exit_code == 2 and "bad.yaml:1: version" in result.output and "absent.json" in result.output
 
 
-def test_with_nothing_switched_on_nothing_is_imported() -> None:
+def test_without_features_no_optional_module_is_imported() -> None:
     code = (
         "import sys; import sablewheel.__main__, sablewheel.program.application, sablewheel.program.logs;"
         "print([one for one in sys.modules if one.split('.')[0] in ('pydantic', 'google', 'ruamel', 'click',"
@@ -863,14 +879,14 @@
         " one.startswith(('sablewheel.usage_metering',"
         " 'sablewheel.storage', 'sablewheel.experiments', 'sablewheel.command'))])"
     )
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, timeout=30, check=True
     )
-    assert done.stdout.strip() == "[]"
+    assert result.stdout.strip() == "[]"
 
 
-def test_time_is_bounded(collector_thread: CollectorThread) -> None:
-    """A peer that connects and says nothing is closed, and holds nobody up."""
+def test_a_silent_connection_is_closed(collector_thread: CollectorThread) -> None:
+    """A connection without a greeting is closed after the greeting timeout."""
     silent = ClientConnection(collector_thread)
     begun = time.monotonic()
     assert silent.receive() is None and time.monotonic() - begun < 9
--- a/tests/test_usage_metering_decisions.py
+++ b/tests/test_usage_metering_decisions.py
@@ -1,6 +1,4 @@
-"""Usage metering's decisions, without I/O: periods, folding, the export between two machines, closing,
-corrections.
-"""
+"""Usage metering's logic without I/O: periods, folding, the export's state machines, and corrections."""
 
 from __future__ import annotations
 
@@ -49,11 +47,11 @@
     zone: str, length: Length, second: int
 ) -> None:
     periods = Periods(Calendar(zone, length))
-    one = periods.of(second * MICROSECONDS_PER_SECOND + 7)
-    assert one.start <= second * MICROSECONDS_PER_SECOND + 7 < one.end
-    assert periods.of(one.start) == periods.of(one.end - 1) == one
-    assert periods.next(one).start == one.end and periods.of(one.start - 1).end == one.start
-    assert periods.named(one.name) == one
+    period = periods.of(second * MICROSECONDS_PER_SECOND + 7)
+    assert period.start <= second * MICROSECONDS_PER_SECOND + 7 < period.end
+    assert periods.of(period.start) == periods.of(period.end - 1) == period
+    assert periods.next(period).start == period.end and periods.of(period.start - 1).end == period.start
+    assert periods.named(period.name) == period
 
 
 @pytest.mark.parametrize(
@@ -70,24 +68,24 @@
         ("UTC", Length.MONTH, "2026-12-31T23:59+00:00", 31 * 24, "2026-12"),
     ],
 )
-def test_days_and_hours_round_a_change_of_clocks(
+def test_days_and_hours_around_a_change_of_clocks(
     zone: str, length: Length, at: str, hours: float, name: str
 ) -> None:
-    one = Periods(Calendar(zone, length)).of(moment(at))
-    assert (one.end - one.start) / 3600 / MICROSECONDS_PER_SECOND == hours and one.name == name
+    period = Periods(Calendar(zone, length)).of(moment(at))
+    assert (period.end - period.start) / 3600 / MICROSECONDS_PER_SECOND == hours and period.name == name
 
 
 @pytest.mark.parametrize("name", ["2026-02-30", "2026-2-3", "yesterday", "2026-13-01", "2011-12-30"])
-def test_a_name_that_is_no_period_is_told_with_an_example(name: str) -> None:
+def test_an_invalid_period_name_is_named_in_the_error(name: str) -> None:
     with pytest.raises(PeriodError, match=name):
-        Periods(Calendar("Pacific/Apia", Length.DAY)).named(name)  # that zone had no 30 December 2011
+        Periods(Calendar("Pacific/Apia", Length.DAY)).named(name)  # this time zone skipped 30 December 2011
 
 
-# -- the entry buffer, against a model that keeps everything
+# -- the entry buffer, compared with a model that stores all entries
 
 
 class EntryBufferAgainstModel(RuleBasedStateMachine):
-    """Whatever is added, cut and folded: sequences have no gaps, and all sums are those of the entries."""
+    """After any adds, cuts and folds, sequences have no gaps and all sums equal those of the entries."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -145,8 +143,8 @@
                 sums[0] += total.run_us
                 sums[1] += total.asked_bytes
         done = self.model[: last_block.last_sequence]
-        assert billed[0] == sum(one.billed for one in done)
-        assert sums == [sum(one.run_us for one in done), sum(one.asked_bytes for one in done)]
+        assert billed[0] == sum(entry.billed for entry in done)
+        assert sums == [sum(entry.run_us for entry in done), sum(entry.asked_bytes for entry in done)]
         assert self.entry_buffer.unsealed_count == len(self.model) - last_block.last_sequence
 
 
@@ -154,31 +152,32 @@
 TestEntryBuffer.settings = settings(derandomize=True, max_examples=60, stateful_step_count=40, deadline=None)
 
 
-# -- the export, both machines and a wire that loses, with a collector that forgets what it had not committed
+# -- the export: both state machines, lost messages, and a collector that loses uncommitted blocks
 
 
 class ExportAgainstModel(RuleBasedStateMachine):
-    """Through cuts, silences, crashes and an old backup: the journal is always a row of the log's blocks from
-    the first on, each once; and when all is calm it has them all.
+    """The journal always has the first blocks of the log in order, each once, and finally all of them.
+
+    This holds through lost connections, lost messages, crashes and the restore of an old backup.
     """
 
     @initialize(seed=st.integers(0, 10**6))
     def start(self, seed: int) -> None:
-        self.random, self.now = random.Random(seed), 1000.0
+        self.rng, self.now = random.Random(seed), 1000.0
         self.entry_buffer = EntryBuffer("n1", INCARNATION, Periods(Calendar()), 1000, 1000)
         self.log: list[SealedBlock] = []
         self.next_index = 0
         plan = ExportPlan(("127.0.0.1", 1), 2.0, 0.1, 1.0, window_bytes=600)
-        self.exporter = ExportState(plan, self.random.random)
+        self.export_state = ExportState(plan, self.rng.random)
         self.journal: list[SealedBlock] = []  # committed
         self.backup: list[SealedBlock] = []
-        self.to_collector: list[SealedBlock] | None = None  # None: no connection
+        self.to_collector: list[SealedBlock] | None = None  # None if there is no connection
         self.to_server: list[export.Event] = []
         self.settled: set[int] = set()
-        self.notes: list[str] = []
+        self.counted: list[str] = []
 
     def apply_event(self, event: export.Event) -> None:
-        for effect in self.exporter.step(self.now, event):
+        for effect in self.export_state.step(self.now, event):
             match effect:
                 case export.Connect():
                     self.to_collector, self.to_server = [], [export.Connected()]
@@ -199,7 +198,7 @@
                 case export.Disconnect():
                     self.to_collector = None
                 case export.Counted(name, _):
-                    self.notes.append(name)
+                    self.counted.append(name)
 
     @rule(entries=st.integers(1, 3))
     def add_block(self, entries: int) -> None:
@@ -211,13 +210,13 @@
 
     @rule()
     def send_next(self) -> None:
-        while self.exporter.window_bytes_left and self.next_index < len(self.log):
+        while self.export_state.window_bytes_left and self.next_index < len(self.log):
             self.next_index += 1
             self.apply_event(export.BlocksOffered((self.log[self.next_index - 1],)))
 
     @rule(commits=st.booleans())
     def collect(self, commits: bool) -> None:
-        """All that has come in one transaction; without the commit it is as if killed before it."""
+        """Post all received blocks in one transaction; without `commits`, the collector is killed first."""
         if self.to_collector is None:
             return
         received, self.to_collector = self.to_collector, []
@@ -252,13 +251,13 @@
 
     @rule()
     def disconnect(self) -> None:
-        """The connection breaks; what was under way either way is gone."""
+        """The connection is lost, with all messages in flight in both directions."""
         self.to_collector, self.to_server = None, []
         self.apply_event(export.ConnectionLost("cut"))
 
     @rule()
     def lose_acknowledgements(self) -> None:
-        self.to_server = []  # acknowledgements are lost, nobody is told
+        self.to_server = []  # the connection stays up
 
     @rule(span=st.floats(0.05, 3.0))
     def wait(self, span: float) -> None:
@@ -278,8 +277,8 @@
     def each_block_once_and_in_order(self) -> None:
         if hasattr(self, "book"):
             assert self.journal == self.log[: len(self.journal)]
-            assert sum(len(one.data) for one in self.exporter.unsettled) <= 600 + 200
-            assert "claims_unsent" not in self.notes
+            assert sum(len(block.data) for block in self.export_state.unsettled) <= 600 + 200
+            assert "claims_unsent" not in self.counted
 
     def teardown(self) -> None:
         if not hasattr(self, "book"):
@@ -292,7 +291,9 @@
                 self.collect(True)
             if self.journal == self.log:
                 return
-        raise AssertionError(f"{len(self.journal)} of {len(self.log)} blocks arrived: {self.exporter.link}")
+        raise AssertionError(
+            f"{len(self.journal)} of {len(self.log)} blocks arrived: {self.export_state.link}"
+        )
 
 
 TestExport = ExportAgainstModel.TestCase
@@ -310,39 +311,41 @@
 
 def make_blocks(count: int) -> list[SealedBlock]:
     entry_buffer = EntryBuffer("n1", INCARNATION, Periods(Calendar()), 1000, 1000)
-    found = []
+    sealed = []
     for _ in range(count):
         entry_buffer.add(
             pb.Entry(
                 customer="a", track="t", outcome=pb.COMPLETED, ended_us=MICROSECONDS_PER_SECOND, billed=True
             )
         )
-        found.append(entry_buffer.cut(1.0, 0, 10))
-    return found
+        sealed.append(entry_buffer.cut(1.0, 0, 10))
+    return sealed
 
 
-def test_a_collector_that_confirms_what_it_was_not_sent_is_not_believed() -> None:
-    one, other, *_ = make_blocks(3)
-    exporter = streaming_export(one, other)
+def test_an_acknowledgement_of_an_unsent_block_is_rejected() -> None:
+    first, second, *_ = make_blocks(3)
+    exporter = streaming_export(first, second)
     effects = exporter.step(1.0, export.BlocksAcknowledged(INCARNATION, 3))
-    assert any(isinstance(each, export.Counted) and each.name == "claims_unsent" for each in effects)
-    assert list(exporter.unsettled) == [one, other] and exporter.link is LinkState.BACKING_OFF
+    assert any(isinstance(effect, export.Counted) and effect.name == "claims_unsent" for effect in effects)
+    assert list(exporter.unsettled) == [first, second] and exporter.link is LinkState.BACKING_OFF
     assert exporter.wake_at > 20
 
 
-def test_a_welcome_that_has_more_or_other_blocks_than_exist_is_not_believed() -> None:
-    one, other = make_blocks(2)
+def test_a_welcome_with_nonexistent_or_different_blocks_is_rejected() -> None:
+    first, second = make_blocks(2)
     for have in ({INCARNATION: (9, b"x" * 32)}, {INCARNATION: (2, b"x" * 32)}):
-        exporter = streaming_export(one, other)
+        exporter = streaming_export(first, second)
         exporter.step(1.0, export.ConnectionLost("cut"))
         exporter.step(exporter.wake_at, export.TimerFired())
         exporter.step(2.0, export.Connected())
         effects = exporter.step(2.0, export.WelcomeReceived(export.VERSION, have))
-        assert any(isinstance(each, export.Counted) and each.name == "claims_unsent" for each in effects)
+        assert any(
+            isinstance(effect, export.Counted) and effect.name == "claims_unsent" for effect in effects
+        )
         assert len(exporter.unsettled) == 2
 
 
-def test_rests_grow_to_their_bound_and_differ() -> None:
+def test_backoff_grows_to_its_limit_and_has_jitter() -> None:
     chance = random.Random(3)
     exporter = ExportState(ExportPlan(("127.0.0.1", 1), 1.0, 0.2, 5.0), chance.random)
     now, delays = 0.0, []
@@ -356,7 +359,7 @@
     )
 
 
-def test_another_version_is_refused_by_name_on_both_sides() -> None:
+def test_both_sides_refuse_another_version() -> None:
     exporter = ExportState(ExportPlan(("127.0.0.1", 1)), lambda: 0.5)
     exporter.step(0.0, export.TimerFired())
     exporter.step(0.0, export.Connected())
@@ -368,7 +371,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "fault", "says"),
+    ("change", "fault", "message"),
     [
         ({"digest": b"x" * 32}, "digest", "not those"),
         ({"block": b"\xff\xff"}, "block", "can't be read"),
@@ -380,7 +383,9 @@
         ({"number": 0}, "block", "counts from 1"),
     ],
 )
-def test_what_contradicts_the_chain_is_refused_by_name(change: dict[str, Any], fault: str, says: str) -> None:
+def test_batches_that_contradict_the_chain_are_refused_with_their_fault(
+    change: dict[str, Any], fault: str, message: str
+) -> None:
     first, second = make_blocks(2)
     known = {INCARNATION: LastBlock(1, first.digest, 1)}
     block = pb.Block.FromString(second.data)
@@ -390,10 +395,10 @@
     data = change.get("block", block.SerializeToString())
     batch = pb.Batch(block=data, digest=change.get("digest", blocks.digest(data)))
     decision = collecting.decide_batch("n1", batch, known, {})
-    assert isinstance(decision, Refusal) and decision.fault == fault and says in decision.detail
+    assert isinstance(decision, Refusal) and decision.fault == fault and message in decision.detail
 
 
-def test_a_known_number_with_another_digest_is_refused_not_swallowed() -> None:
+def test_a_posted_number_with_another_digest_is_refused() -> None:
     first, second = make_blocks(2)
     known = {INCARNATION: LastBlock(2, second.digest, 2)}
     batch = pb.Batch(block=first.data, digest=first.digest)
@@ -402,7 +407,7 @@
     assert isinstance(refusal, Refusal) and refusal.fault == "changed"
 
 
-def test_two_incarnations_of_one_name_at_a_time_are_noticed() -> None:
+def test_two_connected_incarnations_of_one_name_are_detected() -> None:
     presence = collecting.ConnectedIncarnations()
     assert not presence.add("n1", b"a") and not presence.add("n2", b"b")
     assert presence.add("n1", b"c")
@@ -414,7 +419,7 @@
 
 
 @pytest.mark.parametrize(
-    ("block", "says"),
+    ("block", "message"),
     [
         (pb.Block(server="", incarnation=INCARNATION, number=1, first_sequence=1), "server"),
         (pb.Block(server="n", incarnation=INCARNATION, number=2, first_sequence=1), "previous"),
@@ -457,14 +462,14 @@
         ),
     ],
 )
-def test_blocks_that_contradict_themselves_are_told_by_their_field(block: pb.Block, says: str) -> None:
-    with pytest.raises(BlockError, match=says):
+def test_the_error_of_an_inconsistent_block_names_its_field(block: pb.Block, message: str) -> None:
+    with pytest.raises(BlockError, match=message):
         blocks.read(block.SerializeToString())
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(data=st.binary(max_size=300))
-def test_any_bytes_are_a_block_or_told_not_to_be(data: bytes) -> None:
+def test_any_bytes_are_a_block_or_raise_a_block_error(data: bytes) -> None:
     try:
         blocks.read(data)
     except BlockError as error:
@@ -472,29 +477,29 @@
 
 
 def test_frames_are_the_same_however_the_bytes_are_split() -> None:
-    kinds = [
+    messages = [
         pb.Frame(hello=pb.Hello(version=1, server="n1", incarnation=INCARNATION)),
         pb.Frame(acknowledged=pb.Acknowledged(incarnation=INCARNATION, number=7)),
         pb.Frame(batch=pb.Batch(block=b"b" * 50, digest=b"d" * 32)),
     ]
-    data = b"".join(map(encode_frame, kinds))
-    for cut in range(len(data) + 1):
-        frames = FrameDecoder(1 << 10)
-        assert [*frames.feed(data[:cut]), *frames.feed(data[cut:])] == kinds
-        assert not frames.has_partial_frame
-    frames = FrameDecoder(1 << 10)
-    assert [one for byte in data for one in frames.feed(bytes([byte]))] == kinds
+    data = b"".join(map(encode_frame, messages))
+    for split_at in range(len(data) + 1):
+        decoder = FrameDecoder(1 << 10)
+        assert [*decoder.feed(data[:split_at]), *decoder.feed(data[split_at:])] == messages
+        assert not decoder.has_partial_frame
+    decoder = FrameDecoder(1 << 10)
+    assert [message for byte in data for message in decoder.feed(bytes([byte]))] == messages
 
 
 @pytest.mark.parametrize(
     "data", [b"\xff\xff\xff\xff", b"\0\0\0\0", b"\0\0\x04\x01" + b"x" * 10, b"\0\0\0\x02\xff\xff"]
 )
-def test_frames_that_are_none_are_refused_before_they_are_kept(data: bytes) -> None:
+def test_invalid_frames_are_refused(data: bytes) -> None:
     with pytest.raises(FrameError):
         list(FrameDecoder(1 << 10).feed(data))
 
 
-# -- closing
+# -- closing periods
 
 
 def closer_at_noon() -> tuple[PeriodCloser, float]:
@@ -504,7 +509,7 @@
     return period_closer, noon
 
 
-def test_a_period_closes_after_its_lag_and_what_comes_late_is_marked() -> None:
+def test_a_period_closes_after_its_lag_and_late_entries_are_marked() -> None:
     period_closer, noon = closer_at_noon()
     eleven = period_closer.periods.of(round((noon - 60) * MICROSECONDS_PER_SECOND))
     assert not period_closer.due(eleven)
@@ -518,23 +523,23 @@
     assert span == where and name == "2026-12-01T10+00:00..2026-12-01T11+00:00"
 
 
-def test_a_clock_that_jumps_ahead_closes_nothing_until_it_is_believed() -> None:
+def test_a_clock_that_jumps_ahead_closes_nothing_until_confirmed() -> None:
     period_closer, noon = closer_at_noon()
     current = period_closer.periods.of(round(noon * MICROSECONDS_PER_SECOND))
     period_closer.observe_clocks(noon + 86400 * 365, 1005.0)
     assert period_closer.jump_s and not period_closer.due(current)
     assert period_closer.current_period() == current
-    period_closer.observe_clocks(noon + 10, 1010.0)  # set right again: nothing has happened
+    period_closer.observe_clocks(noon + 10, 1010.0)  # the clock was set right again
     assert not period_closer.due(current)
     period_closer.observe_clocks(noon + 400, 1400.0)
     assert period_closer.now == round((noon + 400) * MICROSECONDS_PER_SECOND)
-    period_closer.observe_clocks(noon + 400 + 7200, 1405.0)  # this time it was the old time that was wrong
+    period_closer.observe_clocks(noon + 400 + 7200, 1405.0)  # this time the new time is right
     assert not period_closer.due(current)
     period_closer.observe_clocks(noon + 400 + 7200 + 301, 1706.0)
     assert not period_closer.jump_s and period_closer.due(current)
 
 
-def test_a_clock_an_hour_back_never_opens_what_is_closed() -> None:
+def test_a_clock_that_is_set_back_reopens_no_closed_period() -> None:
     period_closer, noon = closer_at_noon()
     period_closer.observe_clocks(noon + 7300, 8300.0)
     twelve = period_closer.periods.of(round(noon * MICROSECONDS_PER_SECOND))
@@ -546,17 +551,17 @@
     assert period_closer.now >= before and period_closer.is_closed(twelve)
     assert period_closer.posting_period(twelve.start, twelve.start)[1] == twelve.name
     restarted = PeriodCloser(period_closer.periods, closed_through=period_closer.closed_through)
-    restarted.observe_clocks(noon - 86400, 1.0)  # a collector that starts with a clock a day back
+    restarted.observe_clocks(noon - 86400, 1.0)  # a collector that starts with its clock a day behind
     assert restarted.current_period().start == twelve.end
 
 
-# -- corrections, and places in the log
+# -- corrections, and positions in the log
 
 
 @pytest.mark.parametrize(
     "text", ["n1/0123/5", "n1", "period ", "", "n1/0123456789abcdef/0", "a b/0123456789abcdef/1"]
 )
-def test_a_target_that_is_none_says_what_targets_look_like(text: str) -> None:
+def test_the_error_of_an_invalid_target_describes_valid_ones(text: str) -> None:
     with pytest.raises(CorrectionError, match="period NAME"):
         corrections.target(text)
 
@@ -578,7 +583,7 @@
 
 
 @pytest.mark.parametrize(
-    ("one", "closed", "billed", "before", "says"),
+    ("correction", "closed", "billed", "already_deducted", "message"),
     [
         (make_correction(reason=" "), None, ENTRY, 0, "reason"),
         (make_correction(author=""), None, ENTRY, 0, "author"),
@@ -592,14 +597,14 @@
         (make_correction(tickets=1 << 50), None, ENTRY, 0, "out of range"),
     ],
 )
-def test_corrections_that_can_not_be_made_say_why(
-    one: Correction, closed: bool | None, billed: Any, before: int, says: str
+def test_the_error_of_a_rejected_correction_has_the_reason(
+    correction: Correction, closed: bool | None, billed: Any, already_deducted: int, message: str
 ) -> None:
-    with pytest.raises(CorrectionError, match=says):
-        corrections.check(one, closed, billed, before)
+    with pytest.raises(CorrectionError, match=message):
+        corrections.check(correction, closed, billed, already_deducted)
 
 
-def test_corrections_that_may_be_made() -> None:
+def test_valid_corrections_are_accepted() -> None:
     corrections.check(make_correction(), None, ENTRY, 0)
     corrections.check(make_correction("period 2026-12-01", tickets=5), True, None, 0)
 
@@ -610,9 +615,7 @@
     have=st.lists(st.integers(0, 30), min_size=4, max_size=4),
     size=st.integers(1, 20),
 )
-def test_the_index_never_starts_behind_a_block_that_is_lacking(
-    lengths: list[int], have: list[int], size: int
-) -> None:
+def test_the_index_never_starts_after_a_missing_block(lengths: list[int], have: list[int], size: int) -> None:
     positions = BlockIndex()
     order: list[tuple[LogPosition, bytes, int]] = []
     for index, length in enumerate(lengths):
@@ -630,7 +633,7 @@
     assert BlockIndex().start({}) == LOG_START
 
 
-def test_moments_far_off_are_taken_as_the_calendars_ends() -> None:
+def test_moments_out_of_range_are_clamped_to_the_calendar() -> None:
     periods = Periods(Calendar())
     assert periods.of(-5).name == "1970-01-01"
     assert periods.of(1 << 62).start < 1 << 62
