--- a/tests/test_usage_metering_decisions.py
+++ b/tests/test_usage_metering_decisions.py
@@ -275,13 +275,13 @@
 
     @invariant()
     def each_block_once_and_in_order(self) -> None:
-        if hasattr(self, "book"):
+        if hasattr(self, "journal"):
             assert self.journal == self.log[: len(self.journal)]
             assert sum(len(block.data) for block in self.export_state.unsettled) <= 600 + 200
             assert "claims_unsent" not in self.counted
 
     def teardown(self) -> None:
-        if not hasattr(self, "book"):
+        if not hasattr(self, "journal"):
             return
         for _ in range(60):
             self.wait(1.0)
