--- a/tests/test_usage_metering_decisions.py
+++ b/tests/test_usage_metering_decisions.py
@@ -346,8 +346,8 @@
 
 
 def test_backoff_grows_to_its_limit_and_has_jitter() -> None:
-    chance = random.Random(3)
-    exporter = ExportState(ExportPlan(("127.0.0.1", 1), 1.0, 0.2, 5.0), chance.random)
+    rng = random.Random(3)
+    exporter = ExportState(ExportPlan(("127.0.0.1", 1), 1.0, 0.2, 5.0), rng.random)
     now, delays = 0.0, []
     for _ in range(10):
         exporter.step(now, export.TimerFired())
