--- a/sablewheel/usage_metering/blocks.py
+++ b/sablewheel/usage_metering/blocks.py
@@ -66,20 +66,20 @@
     except DecodeError:
         raise BlockError("not a block: the bytes can't be read") from None
     if not block.server or len(block.server) > MAX_NAME_CHARACTERS:
-        raise BlockError(f"server: a name of 1 to {MAX_NAME_CHARACTERS} characters is required")
+        raise BlockError(f"server: a name of 1 to {MAX_NAME_CHARACTERS} characters is wanted")
     if len(block.incarnation) != INCARNATION_SIZE:
-        raise BlockError(f"incarnation: {INCARNATION_SIZE} bytes are required, got {len(block.incarnation)}")
+        raise BlockError(f"incarnation: {INCARNATION_SIZE} bytes are wanted, got {len(block.incarnation)}")
     if not block.number:
         raise BlockError("number: counts from 1")
     if len(block.previous) != (32 if block.number > 1 else 0):
-        raise BlockError("previous: a digest of 32 bytes is required, and none in the first block")
+        raise BlockError("previous: a digest of 32 bytes is wanted, and none in the first block")
     _check_sequences(block)
     for index, total in enumerate(block.totals):
         _check_counts(f"totals[{index}]", total.customer, total.track, total.outcome)
         if total.billed and total.outcome != pb.COMPLETED:
-            raise BlockError(f"totals[{index}].billed: the outcome is not completed")
+            raise BlockError(f"totals[{index}].billed: of an outcome that is not completed")
         if total.end_us <= total.first_us or not 0 < total.entries < MAX_COUNT:
-            raise BlockError(f"totals[{index}]: a period and entries are required")
+            raise BlockError(f"totals[{index}]: a period and entries are wanted")
     return block
 
 
@@ -93,29 +93,27 @@
     first = block.first_sequence + folded
     for index, entry in enumerate(block.entries):
         if entry.sequence != first + index:
-            raise BlockError(
-                f"entries[{index}].sequence: {entry.sequence} where {first + index} was expected"
-            )
+            raise BlockError(f"entries[{index}].sequence: {entry.sequence} where {first + index} was due")
         _check_counts(f"entries[{index}]", entry.customer, entry.track, entry.outcome)
         if entry.billed and entry.outcome != pb.COMPLETED:
-            raise BlockError(f"entries[{index}].billed: the outcome is not completed")
+            raise BlockError(f"entries[{index}].billed: of an outcome that is not completed")
 
 
 def _check_counts(where: str, customer: str, track: str, outcome: int) -> None:
     if len(customer) > MAX_NAME_CHARACTERS or len(track) > MAX_NAME_CHARACTERS:
-        raise BlockError(f"{where}: a name is longer than {MAX_NAME_CHARACTERS} characters")
+        raise BlockError(f"{where}: a name of more than {MAX_NAME_CHARACTERS} characters")
     if outcome not in (pb.COMPLETED, pb.DENIED, pb.TERMINATED, pb.GONE):
-        raise BlockError(f"{where}.outcome: {outcome} is not an outcome")
+        raise BlockError(f"{where}.outcome: {outcome} is none")
 
 
 def chain_violation(block: pb.Block, number: int, last_digest: bytes, last_sequence: int) -> str | None:
     """Return why a block does not follow the last block that is described; None if it does."""
     if block.number != number + 1:
-        return f"number: {block.number} where {number + 1} was expected"
+        return f"number: {block.number} where {number + 1} was due"
     if block.previous != last_digest:
-        return f"previous: block {block.number} does not follow the block {number} in the journal"
+        return f"previous: block {block.number} does not follow the block {number} that is known"
     if block.first_sequence != last_sequence + 1:
-        return f"sequence: {block.first_sequence} where {last_sequence + 1} was expected"
+        return f"sequence: {block.first_sequence} where {last_sequence + 1} was due"
     return None
 
 
--- a/sablewheel/usage_metering/collecting.py
+++ b/sablewheel/usage_metering/collecting.py
@@ -56,13 +56,13 @@
 def check_greeting(hello: pb.Hello, version: int) -> Refusal | None:
     """Return the refusal of an invalid greeting; None if it is valid."""
     if hello.version != version:
-        return Refusal("version", f"version {hello.version}; this collector supports version {version}")
+        return Refusal("version", f"{hello.version}, this collector speaks {version}")
     if not hello.server or len(hello.server) > blocks.MAX_NAME_CHARACTERS or not hello.server.isprintable():
         return Refusal(
-            "server", f"a printable name of 1 to {blocks.MAX_NAME_CHARACTERS} characters is required"
+            "server", f"a printable name of 1 to {blocks.MAX_NAME_CHARACTERS} characters is wanted"
         )
     if len(hello.incarnation) != blocks.INCARNATION_SIZE:
-        return Refusal("incarnation", f"{blocks.INCARNATION_SIZE} bytes are required")
+        return Refusal("incarnation", f"{blocks.INCARNATION_SIZE} bytes are wanted")
     return None
 
 
@@ -78,20 +78,20 @@
     journal that were looked up, by incarnation and number.
     """
     if blocks.digest(batch.block) != batch.digest:
-        return Refusal("digest", "the bytes are not those that the digest was computed from")
+        return Refusal("digest", "the bytes are not those that the digest was made of")
     try:
         block = blocks.read(batch.block)
     except blocks.BlockError as error:
         return Refusal("block", str(error))
     if block.server != server:
-        return Refusal("server", f"a block of server {block.server!r} on the connection of server {server!r}")
+        return Refusal("server", f"a block of {block.server!r} from {server!r}")
     last = last_blocks.get(block.incarnation, LastBlock())
     if block.number <= last.number:
         journal_digest = journal_digests.get((block.incarnation, block.number), batch.digest)
         if block.number == last.number and last.digest:
             journal_digest = last.digest
         if journal_digest != batch.digest:
-            return Refusal("changed", f"block {block.number} is in the journal with another digest")
+            return Refusal("changed", f"block {block.number} is in the book with another digest")
         return AlreadyApplied(block.incarnation, block.number)
     if last.number and not last.digest and block.number == last.number + 1:
         return Apply(block, batch.digest, len(batch.block))  # the first block after reported lost blocks
--- a/sablewheel/usage_metering/collector.py
+++ b/sablewheel/usage_metering/collector.py
@@ -220,12 +220,12 @@
                     reason=lost.reason,
                 )
             return
-        self.refuse(connection, Refusal("kind", f"a server must not send {kind}"))
+        self.refuse(connection, Refusal("kind", f"{kind} is not a server's to send"))
 
     def _handle_hello(self, connection: Connection, hello: pb.Hello) -> None:
         refusal = collecting.check_greeting(hello, VERSION)
         if refusal is None and connection.server:
-            refusal = Refusal("greeting", "a second greeting")
+            refusal = Refusal("greeting", "a second one")
         if refusal is not None:
             return self.refuse(connection, refusal)
         connection.server, connection.incarnation = hello.server, hello.incarnation
@@ -258,7 +258,7 @@
                 and journal_digest is not None
                 and journal_digest != batch.digest
             ):
-                return Refusal("changed", f"block {decision.number} is in the journal with another digest")
+                return Refusal("changed", f"block {decision.number} is in the book with another digest")
         return decision
 
     def _handle_batch(
--- a/sablewheel/usage_metering/frames.py
+++ b/sablewheel/usage_metering/frames.py
@@ -41,7 +41,7 @@
             while len(self._buffer) - position >= LENGTH_BYTES:
                 size = int.from_bytes(self._buffer[position : position + LENGTH_BYTES], "big")
                 if not 0 < size <= self._max_bytes:
-                    raise FrameError(f"a frame of {size} bytes; 1 to {self._max_bytes} are accepted")
+                    raise FrameError(f"a frame of {size} bytes, 1 to {self._max_bytes} are taken")
                 if len(self._buffer) - position < LENGTH_BYTES + size:
                     return
                 payload = bytes(self._buffer[position + LENGTH_BYTES : position + LENGTH_BYTES + size])
@@ -49,9 +49,9 @@
                 try:
                     message = pb.Frame.FromString(payload)
                 except DecodeError:
-                    raise FrameError("a frame that can't be decoded") from None
+                    raise FrameError("a frame that can't be read") from None
                 if message.WhichOneof("kind") is None:
-                    raise FrameError("a frame of a kind that this version does not support")
+                    raise FrameError("a frame of no kind that this version knows")
                 yield message
         finally:
             del self._buffer[:position]
--- a/tests/test_usage_metering_decisions.py
+++ b/tests/test_usage_metering_decisions.py
@@ -376,7 +376,7 @@
         ({"digest": b"x" * 32}, "digest", "not those"),
         ({"block": b"\xff\xff"}, "block", "can't be read"),
         ({"server": "n2"}, "server", "n2"),
-        ({"number": 4}, "gap", "4 where 2 was expected"),
+        ({"number": 4}, "gap", "4 where 2 was due"),
         ({"previous": b"y" * 32}, "chain", "does not follow"),
         ({"first_sequence": 5, "last_sequence": 5}, "block", "entries"),
         ({"incarnation": b"short"}, "block", "incarnation"),
