--- a/sablewheel/experiments/collector.py
+++ b/sablewheel/experiments/collector.py
@@ -25,8 +25,11 @@
 class AckBeforeApply(Collector):
     """Acknowledges what it has only read; it is posted a while later, if the process lives so long."""
 
-    def _batch(
-        self, connection: Connection, batch: pb.Batch, posted: list[tuple[Connection, pb.Acknowledged]]
+    def _handle_batch(
+        self,
+        connection: Connection,
+        batch: pb.Batch,
+        acknowledgements: list[tuple[Connection, pb.Acknowledged]],
     ) -> None:
         block = pb.Block.FromString(batch.block)
         told = pb.Acknowledged(incarnation=block.incarnation, number=block.number)
@@ -70,7 +73,7 @@
         kinds = {"ack-before-apply": AckBeforeApply, "no-dedup": NoDedup}
         if variant == "no-seal":
             journal.close()
-            journal = NoSealBook(plan.book, plan.calendar)
+            journal = NoSealBook(plan.journal_path, plan.calendar)
         return kinds.get(variant, Collector)(scheduler, plan, journal, log)
 
     return made
--- a/sablewheel/experiments/ledger_size.py
+++ b/sablewheel/experiments/ledger_size.py
@@ -99,7 +99,7 @@
                 name=place.to_bytes(8, "big"),
             )
         )
-        if entry_buffer.kept >= BLOCK:
+        if entry_buffer.individual_count >= BLOCK:
             yield entry_buffer.cut(START / 1e6, entry_buffer.last, BLOCK)
     if not entry_buffer.empty:
         yield entry_buffer.cut(START / 1e6, entry_buffer.last, BLOCK)
@@ -153,7 +153,7 @@
 
 def post(folder: Path, entries: int) -> bool:
     """What the collector does with every block, a round's worth in a transaction."""
-    journal = Journal(folder / "book.sqlite", Calendar(length=Length.DAY, lag=0.0))
+    journal = Journal(folder / "book.sqlite", Calendar(length=Length.DAY, lag_s=0.0))
     known: dict[bytes, collecting.LastBlock] = {}
     journal.begin()
     for place, sealed in enumerate(blocks(entries)):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -277,13 +277,13 @@
 
 def test_the_collector_accepts_1024_servers_and_as_many_replacements() -> None:
     plan = CollectorPlan(Path("book"), ("127.0.0.1", 1))
-    assert CollectorSection(book="book", listen="127.0.0.1:1").plan().connections_most == (
-        plan.connections_most
+    assert CollectorSection(book="book", listen="127.0.0.1:1").plan().max_connections == (
+        plan.max_connections
     )
     collector = SimpleNamespace(connections=dict.fromkeys(range(2 * MIN_LIMIT - 1)), _plan=plan)
-    assert Collector._room(collector)  # type: ignore[arg-type]
+    assert Collector._has_capacity(collector)  # type: ignore[arg-type]
     collector.connections[-1] = None
-    assert not Collector._room(collector)  # type: ignore[arg-type]
+    assert not Collector._has_capacity(collector)  # type: ignore[arg-type]
 
 
 def test_a_policy_may_require_connections_to_1024_peers() -> None:
--- a/tests/test_usage_metering.py
+++ b/tests/test_usage_metering.py
@@ -1,5 +1,5 @@
-"""Usage metering with its I/O: recorder, collector, journal and tools, against full disks, tampering, floods
-and forgers.
+"""Usage metering with its I/O: recorder, collector, journal and commands, with full disks, tampered journals
+and invalid exports.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 from sablewheel.usage_metering.blocks import SealedBlock
 from sablewheel.usage_metering.collector import Collector
 from sablewheel.usage_metering.corrections import Correction, CorrectionError, Target
-from sablewheel.usage_metering.frames import Frames, frame
+from sablewheel.usage_metering.frames import FrameDecoder, encode_frame
 from sablewheel.usage_metering.journal import Journal, JournalError
 from sablewheel.usage_metering.periods import Periods
 from sablewheel.usage_metering.plan import (
@@ -63,7 +63,7 @@
 MICROSECONDS_PER_SECOND = 1_000_000
 NOON = 1_796_126_400  # 2026-12-01T12:00Z
 INCARNATION = b"incarn01"
-HOURS = Calendar("UTC", Length.HOUR, lag=60.0)
+HOURS = Calendar("UTC", Length.HOUR, lag_s=60.0)
 SERVER_SETTINGS = ServerSettings(
     request_classes=(
         RequestClass(Idempotency.IDEMPOTENT, 1.0, 4.0),
@@ -83,25 +83,25 @@
     max_concurrency_per_core=5.0,
 )
 
-# -- the recorder in the server, on a made clock and a made disk
+# -- the recorder in the server, with a simulated clock and disk
 
 
-class KeptTown(SimulatedServer):
-    """The routing layer with a recorder; commits happen at once, on a disk that may fail."""
+class DurableDepthServer(SimulatedServer):
+    """The serving layer with a recorder; commits are made at once, on a disk that may fail."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, answers: Answers = Answers.AFTER_ENTRY) -> None:
         super().__init__(SERVER_SETTINGS)
         self.files = FakeFiles()
         monkeypatch.setattr(usage_recorder, "DiskFiles", lambda _: self.files)
         monkeypatch.setattr(usage_recorder, "WorkerThread", SlowBridge)
-        plan = LedgerPlan(Depth.DURABLE, Path("made"), answers, commit_every=0.0, entries_most=50)
+        plan = LedgerPlan(Depth.DURABLE, Path("made"), answers, commit_interval_s=0.0, max_entries=50)
         background = Background(self.scheduler, lambda: 0)
         names = {SERVER_SETTINGS.tenants[0]: "acme"}
         self.usage_recorder = UsageRecorder(
             self.scheduler, background, plan, "n1", INCARNATION, names, lambda: 0.5, self.counts.append
         )
         self.listener.observer = self.usage_recorder
-        self.bridge: SlowBridge = self.usage_recorder._bridge  # type: ignore[assignment]
+        self.bridge: SlowBridge = self.usage_recorder._worker_thread  # type: ignore[assignment]
 
     def settle(self, deliver: bool = True) -> None:
         super().settle(deliver)
@@ -112,17 +112,17 @@
                 super().settle(deliver)
 
     def entries(self) -> list[pb.Entry]:
-        found: list[pb.Entry] = []
+        entries: list[pb.Entry] = []
 
-        def visit(_: int, data: bytes, __: object) -> None:
-            found.extend(blocks.read(data).entries)
+        def add_entries(_: int, data: bytes, __: object) -> None:
+            entries.extend(blocks.read(data).entries)
 
-        Log(self.files, usage_recorder.KIND, b"auditor1", 1 << 30).recover(visit)
-        return found
+        Log(self.files, usage_recorder.KIND, b"auditor1", 1 << 30).recover(add_entries)
+        return entries
 
 
 class SlowBridge:
-    """Jobs wait until the test lets them go."""
+    """A worker thread whose jobs run only while `open` is set, when the test calls `work`."""
 
     def __init__(self, *_: object) -> None:
         self.jobs: list[tuple[Any, Any]] = []
@@ -136,10 +136,10 @@
         while self.open and self.jobs:
             job, done = self.jobs.pop(0)
             try:
-                result, trouble = job(), None
+                result, error = job(), None
             except OSError as caught:
-                result, trouble = None, caught
-            done(result, trouble)
+                result, error = None, caught
+            done(result, error)
 
     def close(self, _: float) -> bool:
         self.open = True
@@ -154,7 +154,7 @@
         super().__init__(SERVER_SETTINGS)
         self.exports: list[FakeStream] = []
         monkeypatch.setattr(sender, "connect", lambda *_: self._open_export())
-        plan = LedgerPlan(block_every=0.1, export=ExportPlan(("127.0.0.1", 1)))
+        plan = LedgerPlan(block_interval_s=0.1, export=ExportPlan(("127.0.0.1", 1)))
         background = Background(self.scheduler, lambda: 0)
         names = {SERVER_SETTINGS.tenants[0]: "acme"}
         self.usage_recorder = UsageRecorder(
@@ -168,9 +168,9 @@
         return self.exports[-1]
 
     def welcome(self) -> None:
-        """The collector greets on the newest connection, and has nothing yet."""
+        """Send the welcome of a collector without blocks on the newest connection."""
         self.wait(1.0)
-        self.exports[-1].feed(frame(pb.Frame(welcome=pb.Welcome(version=export.VERSION))))
+        self.exports[-1].feed(encode_frame(pb.Frame(welcome=pb.Welcome(version=export.VERSION))))
         self.scheduler.run_ready()
 
     def send_blocks(self) -> None:
@@ -186,18 +186,22 @@
 
 
 def test_a_block_that_waits_to_be_sent_anew_keeps_a_leaving_server(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Greeted anew, a server held nothing for unsettled; it left without 155 entries and told nobody."""
+    """A block that must be sent again keeps a closing server from being settled.
+
+    After a reconnect a server counted no block as unsettled; it exited without 155 entries and logged
+    nothing.
+    """
     server = MemoryDepthServer(monkeypatch)
     server.serve_one()
     server.send_blocks()
     assert not server.usage_recorder.settled()
     server.exports[-1].feed(b"")
-    server.usage_recorder.parting()
+    server.usage_recorder.closing()
     server.welcome()
     assert not server.usage_recorder.settled()
     server.send_blocks()
     acknowledged = pb.Acknowledged(incarnation=INCARNATION, number=1)
-    server.exports[-1].feed(frame(pb.Frame(acknowledged=acknowledged)))
+    server.exports[-1].feed(encode_frame(pb.Frame(acknowledged=acknowledged)))
     server.settle()
     assert server.usage_recorder.settled()
 
@@ -210,153 +214,159 @@
         server.serve_one()
         server.send_blocks()
     server.usage_recorder.close(0.0)
-    told = [record.pairs for record in caplog.records if record.message == "entries left behind"]  # type: ignore[attr-defined]
-    assert [(one["customer"], one["entries"], one["billed"]) for one in told] == [("acme", 3, 3)]
+    logged = [record.pairs for record in caplog.records if record.message == "entries left behind"]  # type: ignore[attr-defined]
+    assert [(pairs["customer"], pairs["entries"], pairs["billed"]) for pairs in logged] == [("acme", 3, 3)]
 
 
 def test_a_completed_answer_leaves_when_its_entry_is_durable(monkeypatch: pytest.MonkeyPatch) -> None:
-    town = KeptTown(monkeypatch)
-    one = town.call(b"lookup")
-    town.settle()
-    town.bridge.open = False
-    town.end(one.name)
-    town.settle()
-    assert not one.answers and not town.entries()
-    town.bridge.open = True
-    town.settle()
-    assert one.answers[0][1] == b"OK"
-    (entry,) = town.entries()
+    server = DurableDepthServer(monkeypatch)
+    attempt = server.call(b"lookup")
+    server.settle()
+    server.bridge.open = False
+    server.end(attempt.name)
+    server.settle()
+    assert not attempt.answers and not server.entries()
+    server.bridge.open = True
+    server.settle()
+    assert attempt.answers[0][1] == b"OK"
+    (entry,) = server.entries()
     assert (entry.customer, entry.track, entry.outcome, entry.billed) == (
         "acme",
         "lookup",
         pb.COMPLETED,
         True,
     )
-    assert entry.run_us == 250_000 and entry.name.hex() == one.name.decode() and entry.goal_kept
-
-
-def test_a_disk_that_stalls_holds_no_answer_past_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    town = KeptTown(monkeypatch)
-    one = town.call(b"lookup")
-    town.settle()
-    town.bridge.open = False
-    town.end(one.name)
-    town.wait(0.1)
-    assert not one.answers
-    town.wait(0.3)  # hold-most is a quarter of a second
-    assert one.answers[0][1] == b"OK" and "ledger_answers_ahead" in town.counts
-    town.bridge.open = True
-    town.wait(0.5)
-    assert len(town.entries()) == 1
-
-
-def test_a_full_disk_delays_nobody_folds_and_writes_it_all_later(monkeypatch: pytest.MonkeyPatch) -> None:
-    town = KeptTown(monkeypatch)
-    town.files.fail = {"append": [OSError(errno.ENOSPC, "no space left on device")] * 1000}
-    tries = []
+    assert entry.run_us == 250_000 and entry.name.hex() == attempt.name.decode() and entry.goal_kept
+
+
+def test_a_stalled_disk_delays_answers_only_up_to_the_limit(monkeypatch: pytest.MonkeyPatch) -> None:
+    server = DurableDepthServer(monkeypatch)
+    attempt = server.call(b"lookup")
+    server.settle()
+    server.bridge.open = False
+    server.end(attempt.name)
+    server.wait(0.1)
+    assert not attempt.answers
+    server.wait(0.3)  # the limit, max_answer_delay_s, is 0.25 s
+    assert attempt.answers[0][1] == b"OK" and "ledger_answers_ahead" in server.counts
+    server.bridge.open = True
+    server.wait(0.5)
+    assert len(server.entries()) == 1
+
+
+def test_a_full_disk_delays_no_answer_and_all_usage_is_written_later(monkeypatch: pytest.MonkeyPatch) -> None:
+    server = DurableDepthServer(monkeypatch)
+    server.files.fail = {"append": [OSError(errno.ENOSPC, "no space left on device")] * 1000}
+    attempts = []
     for _ in range(120):
-        tries.append(town.call(b"lookup"))
-        town.settle()
-        town.end(tries[-1].name)
-        town.wait(0.01)
-    assert all(one.answers[0][1] == b"OK" for one in tries)
-    assert town.usage_recorder.gauges()["ledger_disk"] == "full"
-    town.files.fail = {}
-    town.wait(5.0)
-    found: list[pb.Block] = []
-    Log(town.files, usage_recorder.KIND, b"auditor1", 1 << 30).recover(
-        lambda _, data, __: found.append(blocks.read(data))
+        attempts.append(server.call(b"lookup"))
+        server.settle()
+        server.end(attempts[-1].name)
+        server.wait(0.01)
+    assert all(attempt.answers[0][1] == b"OK" for attempt in attempts)
+    assert server.usage_recorder.gauges()["ledger_disk"] == "full"
+    server.files.fail = {}
+    server.wait(5.0)
+    written: list[pb.Block] = []
+    Log(server.files, usage_recorder.KIND, b"auditor1", 1 << 30).recover(
+        lambda _, data, __: written.append(blocks.read(data))
     )
-    told = sum(len(one.entries) for one in found)
-    folded = sum(total.entries for one in found for total in one.totals)
-    assert told + folded == 120 and folded > 0 and town.usage_recorder.gauges()["ledger_disk"] == "working"
-    assert sum(total.entries * total.billed for one in found for total in one.totals) == folded
-
-
-def test_a_repeat_is_not_billed_twice_joined_or_from_a_kept_result(monkeypatch: pytest.MonkeyPatch) -> None:
-    town = KeptTown(monkeypatch)
-    first = town.call(b"record", b"label")
-    town.settle()
-    joined = town.call(b"record", b"label")
-    town.settle()
-    town.end(first.name)
-    town.settle()
-    later = town.call(b"record", b"label")
-    town.wait(1.0)
-    assert [one.answers[0][1] for one in (first, joined, later)] == [b"OK"] * 3
-    entries = {one.name.hex().encode(): one for one in town.entries()}
-    assert [entries[one.name].billed for one in (first, joined, later)] == [True, False, False]
-    assert [entries[one.name].run.hex().encode() for one in (joined, later)] == [first.name] * 2
-    assert sum(one.run_us for one in entries.values()) == 250_000
-
-
-def test_a_run_whose_first_caller_left_is_billed_with_the_repeat_that_got_it(
+    single = sum(len(block.entries) for block in written)
+    folded = sum(total.entries for block in written for total in block.totals)
+    assert (
+        single + folded == 120 and folded > 0 and server.usage_recorder.gauges()["ledger_disk"] == "working"
+    )
+    assert sum(total.entries * total.billed for block in written for total in block.totals) == folded
+
+
+def test_a_repeat_is_not_billed_whether_attached_or_answered_from_a_stored_result(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    town = KeptTown(monkeypatch)
-    first = town.call(b"record", b"label")
-    town.settle()
-    town.cancel(first)
-    repeat = town.call(b"record", b"label")
-    town.settle()
-    town.end(first.name)
-    town.wait(1.0)
+    server = DurableDepthServer(monkeypatch)
+    first = server.call(b"record", b"label")
+    server.settle()
+    attached = server.call(b"record", b"label")
+    server.settle()
+    server.end(first.name)
+    server.settle()
+    later = server.call(b"record", b"label")
+    server.wait(1.0)
+    assert [attempt.answers[0][1] for attempt in (first, attached, later)] == [b"OK"] * 3
+    entries = {entry.name.hex().encode(): entry for entry in server.entries()}
+    assert [entries[attempt.name].billed for attempt in (first, attached, later)] == [True, False, False]
+    assert [entries[attempt.name].run.hex().encode() for attempt in (attached, later)] == [first.name] * 2
+    assert sum(entry.run_us for entry in entries.values()) == 250_000
+
+
+def test_a_run_is_billed_to_the_repeat_if_the_first_attempt_was_cancelled(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    server = DurableDepthServer(monkeypatch)
+    first = server.call(b"record", b"label")
+    server.settle()
+    server.cancel(first)
+    repeat = server.call(b"record", b"label")
+    server.settle()
+    server.end(first.name)
+    server.wait(1.0)
     assert repeat.answers[0][1] == b"OK"
-    entries = {one.name.hex().encode(): one for one in town.entries()}
+    entries = {entry.name.hex().encode(): entry for entry in server.entries()}
     assert entries[first.name].outcome == pb.GONE and not entries[first.name].billed
     assert entries[repeat.name].billed and entries[repeat.name].run_us == 250_000
 
 
-def test_random_days_with_stalls_keep_the_rules_and_one_entry_a_ticket(
+def test_random_events_with_stalls_record_one_entry_per_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     for seed in range(6):
-        chance, town = random.Random(seed), KeptTown(monkeypatch)
+        rng, server = random.Random(seed), DurableDepthServer(monkeypatch)
         for _ in range(60):
-            match chance.randrange(8):
+            match rng.randrange(8):
                 case 0 | 1 | 2:
-                    label = b"%d" % chance.randrange(5) if chance.random() < 0.5 else b""
-                    town.call(b"record" if label else b"lookup", label)
-                case 3 | 4 if town.interpreter.running:
-                    town.end(chance.choice(list(town.interpreter.running)))
-                case 5 if town.attempts:
-                    town.cancel(chance.choice(town.attempts))
+                    label = b"%d" % rng.randrange(5) if rng.random() < 0.5 else b""
+                    server.call(b"record" if label else b"lookup", label)
+                case 3 | 4 if server.interpreter.running:
+                    server.end(rng.choice(list(server.interpreter.running)))
+                case 5 if server.attempts:
+                    server.cancel(rng.choice(server.attempts))
                 case 6:
-                    town.bridge.open = chance.random() < 0.6
+                    server.bridge.open = rng.random() < 0.6
                 case _:
-                    town.wait(chance.uniform(0.0, 0.3))
-            town.settle()
-        town.bridge.open = True
-        town.wait(6.0)
-        entries = town.entries()
-        names = [one.name.hex().encode() for one in entries]
-        assert sorted(names) == sorted(one.name for one in town.attempts)
-        words = {b"OK": pb.COMPLETED, b"BUSY": pb.DENIED, b"FAILED": pb.TERMINATED}
-        outcome = dict(zip(names, (one.outcome for one in entries), strict=True))
-        for one in town.attempts:
-            assert outcome[one.name] == (words[one.answers[0][1]] if one.answers else pb.GONE)
-        runs = [one.run or one.name for one in entries if one.billed]
+                    server.wait(rng.uniform(0.0, 0.3))
+            server.settle()
+        server.bridge.open = True
+        server.wait(6.0)
+        entries = server.entries()
+        names = [entry.name.hex().encode() for entry in entries]
+        assert sorted(names) == sorted(attempt.name for attempt in server.attempts)
+        outcomes = {b"OK": pb.COMPLETED, b"BUSY": pb.DENIED, b"FAILED": pb.TERMINATED}
+        outcome_of = dict(zip(names, (entry.outcome for entry in entries), strict=True))
+        for attempt in server.attempts:
+            assert outcome_of[attempt.name] == (
+                outcomes[attempt.answers[0][1]] if attempt.answers else pb.GONE
+            )
+        runs = [entry.run or entry.name for entry in entries if entry.billed]
         assert len(runs) == len(set(runs))
 
 
-def test_after_a_kill_what_may_not_have_been_answered_is_flagged_once(
+def test_possibly_unanswered_entries_of_a_killed_server_are_flagged_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    town = KeptTown(monkeypatch)
+    server = DurableDepthServer(monkeypatch)
     for _ in range(3):
-        one = town.call(b"lookup")
-        town.settle()
-        town.end(one.name)
-        town.settle()
+        attempt = server.call(b"lookup")
+        server.settle()
+        server.end(attempt.name)
+        server.settle()
     flags: list[tuple[bytes, int, int]] = []
-    for turn in range(3):
-        before = usage_recorder.EarlierIncarnations()
-        log = Log(town.files, usage_recorder.KIND, b"after%03d" % turn, 1 << 30)
-        log.recover(before.note_block)
-        flags += before.unsure()
-        entry_buffer = EntryBuffer("n1", b"after%03d" % turn, Periods(Calendar()), 10, 10)
-        for flag in before.unsure():
-            entry_buffer.flag(*flag)
+    for restart in range(3):
+        earlier = usage_recorder.EarlierIncarnations()
+        log = Log(server.files, usage_recorder.KIND, b"after%03d" % restart, 1 << 30)
+        log.recover(earlier.note_block)
+        flags += earlier.unsure()
+        entry_buffer = EntryBuffer("n1", b"after%03d" % restart, Periods(Calendar()), 10, 10)
+        for flag in earlier.unsure():
+            entry_buffer.flag_unanswered(*flag)
         if not entry_buffer.empty:
             log.commit([entry_buffer.cut(1.0, 0, 1).data])
     assert flags == [(INCARNATION, 2, 3)]
@@ -366,35 +376,35 @@
 
 
 def sealed_blocks(
-    server: str, count: int, incarnation: bytes = INCARNATION, at: int = NOON
+    server: str, count: int, incarnation: bytes = INCARNATION, at_s: int = NOON
 ) -> list[SealedBlock]:
-    entry_buffer, found = EntryBuffer(server, incarnation, Periods(HOURS), 1000, 1000), []
-    for place in range(count):
+    entry_buffer, sealed = EntryBuffer(server, incarnation, Periods(HOURS), 1000, 1000), []
+    for index in range(count):
         for customer in ("acme", "zenith"):
             entry_buffer.add(
                 pb.Entry(
                     customer=customer,
                     track="record",
                     outcome=pb.COMPLETED,
-                    ended_us=(at + place) * MICROSECONDS_PER_SECOND,
+                    ended_us=(at_s + index) * MICROSECONDS_PER_SECOND,
                     billed=True,
                     run_us=1000,
-                    name=(2 * place + (customer == "zenith")).to_bytes(8, "big"),
+                    name=(2 * index + (customer == "zenith")).to_bytes(8, "big"),
                 )
             )
-        found.append(entry_buffer.cut(at + place, entry_buffer.last, 100))
-    return found
+        sealed.append(entry_buffer.cut(at_s + index, entry_buffer.last, 100))
+    return sealed
 
 
-def apply(journal: Journal, server: str, some: list[SealedBlock], received: float) -> None:
+def apply(journal: Journal, server: str, sealed: list[SealedBlock], received_at: float) -> None:
     journal.begin()
-    for one in some:
-        batch = pb.Batch(block=one.data, digest=one.digest)
-        verdict = collecting.decide_batch(server, batch, journal.known(server), {})
-        if isinstance(verdict, collecting.Apply):
-            journal.apply(server, verdict, received)
+    for block in sealed:
+        batch = pb.Batch(block=block.data, digest=block.digest)
+        decision = collecting.decide_batch(server, batch, journal.last_blocks(server), {})
+        if isinstance(decision, collecting.Apply):
+            journal.apply(server, decision, received_at)
         else:
-            assert isinstance(verdict, collecting.AlreadyApplied), verdict
+            assert isinstance(decision, collecting.AlreadyApplied), decision
     journal.commit()
 
 
@@ -408,27 +418,27 @@
 
 @pytest.fixture
 def journal(tmp_path: Path) -> Iterator[Journal]:
-    one = Journal(tmp_path / "book.sqlite", HOURS)
-    one.period_closer.observe_clocks(NOON, NOON)
-    yield one
-    one.close()
-
-
-def test_a_block_counts_once_however_often_it_comes(journal: Journal) -> None:
-    some = sealed_blocks("n1", 3)
-    apply(journal, "n1", some[:2], NOON)
-    apply(journal, "n1", [*some, some[0], some[2]], NOON)
-    (one, other) = reports.statements(journal, "2026-12-01T12+00:00")
-    assert (one.customer, one.tickets, one.run_us) == ("acme", 3, 3000) and other.tickets == 3
+    opened = Journal(tmp_path / "book.sqlite", HOURS)
+    opened.period_closer.observe_clocks(NOON, NOON)
+    yield opened
+    opened.close()
+
+
+def test_a_block_is_posted_once_however_often_it_is_received(journal: Journal) -> None:
+    sealed = sealed_blocks("n1", 3)
+    apply(journal, "n1", sealed[:2], NOON)
+    apply(journal, "n1", [*sealed, sealed[0], sealed[2]], NOON)
+    (acme, zenith) = reports.statements(journal, "2026-12-01T12+00:00")
+    assert (acme.customer, acme.tickets, acme.run_us) == ("acme", 3, 3000) and zenith.tickets == 3
     assert not list(journal.verify())
 
 
 def test_periods_close_in_order_late_entries_are_marked_and_closed_statements_stay(journal: Journal) -> None:
-    some = sealed_blocks("n1", 4, at=NOON - 2)  # two seconds before noon, two after
-    apply(journal, "n1", some[:3], NOON)
+    sealed = sealed_blocks("n1", 4, at_s=NOON - 2)  # two blocks before noon, two after
+    apply(journal, "n1", sealed[:3], NOON)
     assert close(journal, NOON + 30) == [] and close(journal, NOON + 61) == ["2026-12-01T11+00:00"]
     before = statement.as_text(reports.statements(journal, "2026-12-01T11+00:00"))
-    late = sealed_blocks("n2", 1, b"incarn02", at=NOON - 100)
+    late = sealed_blocks("n2", 1, b"incarn02", at_s=NOON - 100)
     apply(journal, "n2", late, NOON + 70)
     assert statement.as_text(reports.statements(journal, "2026-12-01T11+00:00")) == before
     (acme, _) = reports.statements(journal, "2026-12-01T12+00:00")
@@ -438,13 +448,13 @@
     assert not list(journal.verify())
 
 
-def tampered(journal: Journal, change: str) -> list[str]:
+def faults_after(journal: Journal, change: str) -> list[str]:
     journal._db.execute(change)
     return list(journal.verify())
 
 
 @pytest.mark.parametrize(
-    ("change", "says"),
+    ("change", "fault"),
     [
         ("update lines set run_us = 5 where place = 2", "line 2: not as it was written (n1/"),
         ("delete from lines where place = 2", "lines 2 to 2 are missing"),
@@ -462,21 +472,23 @@
         ("update blocks set first_sequence = first_sequence + 1 where number = 3", "sequence"),
     ],
 )
-def test_loss_insertion_and_change_are_found_and_located(journal: Journal, change: str, says: str) -> None:
-    apply(journal, "n1", sealed_blocks("n1", 3, at=NOON - 600), NOON)
+def test_loss_insertion_and_change_are_found_and_located(journal: Journal, change: str, fault: str) -> None:
+    apply(journal, "n1", sealed_blocks("n1", 3, at_s=NOON - 600), NOON)
     close(journal, NOON + 61)
     assert not list(journal.verify())
-    assert any(says in one for one in tampered(journal, change))
+    assert any(fault in found for found in faults_after(journal, change))
 
 
-def test_corrections_stand_apart_and_leave_the_past_alone(journal: Journal) -> None:
-    apply(journal, "n1", sealed_blocks("n1", 2, at=NOON - 600), NOON)
+def test_corrections_are_listed_separately_and_change_no_closed_statement(journal: Journal) -> None:
+    apply(journal, "n1", sealed_blocks("n1", 2, at_s=NOON - 600), NOON)
     close(journal, NOON + 61)
     before = statement.as_json(reports.statements(journal, "2026-12-01T11+00:00"))
-    one = Correction(Target("n1", INCARNATION, 3), "acme", "record", -1, -1000, "ran by mistake", "someone")
-    assert journal.correct(one, NOON + 100) == "2026-12-01T12+00:00"
-    with pytest.raises(CorrectionError, match="taken away before"):
-        journal.correct(one, NOON + 100)
+    correction = Correction(
+        Target("n1", INCARNATION, 3), "acme", "record", -1, -1000, "ran by mistake", "someone"
+    )
+    assert journal.correct(correction, NOON + 100) == "2026-12-01T12+00:00"
+    with pytest.raises(CorrectionError, match="deducted before"):
+        journal.correct(correction, NOON + 100)
     with pytest.raises(CorrectionError, match="no entry"):
         journal.correct(
             Correction(Target("n1", INCARNATION, 99), "acme", "record", -1, 0, "x", "y"), NOON + 100
@@ -490,13 +502,15 @@
     assert "correction" in statement.as_csv([acme]) and not list(journal.verify())
 
 
-def test_a_book_keeps_its_calendar_and_a_file_that_is_none_is_told(journal: Journal, tmp_path: Path) -> None:
+def test_a_journal_rejects_another_calendar_and_other_files_are_rejected(
+    journal: Journal, tmp_path: Path
+) -> None:
     with pytest.raises(JournalError, match="hours of UTC, not days of Europe/Berlin"):
         Journal(journal.path, Calendar("Europe/Berlin", Length.DAY))
-    (tmp_path / "text").write_text("no book at all, but a text that is long enough to be read as one")
+    (tmp_path / "text").write_text("no journal, but a text that is long enough to be read as an SQLite file")
     with pytest.raises(JournalError, match="not a database"):
         Journal(tmp_path / "text", HOURS)
-    with pytest.raises(JournalError, match="no such book"):
+    with pytest.raises(JournalError, match="no such journal"):
         Journal(tmp_path / "absent", read_only=True)
     journal._db.execute("update meta set value = '9' where key = 'format'")
     with pytest.raises(JournalError, match="format 9"):
@@ -506,42 +520,42 @@
 def test_reconciliation_finds_gaps_doubles_changes_and_what_is_pending(
     journal: Journal, tmp_path: Path
 ) -> None:
-    some = sealed_blocks("n1", 4)
+    sealed = sealed_blocks("n1", 4)
     records = Log(DiskFiles(tmp_path / "n1"), usage_recorder.KIND, INCARNATION, 1 << 30)
-    records.commit([one.data for one in some])
-    apply(journal, "n1", some[:3], NOON)
-    found, _ = reconcile_folders(journal, [tmp_path / "n1"])
-    assert found.clean and (found.same, found.pending, found.pending_entries) == (3, 1, 2)
-    assert found.billed == {("n1", "acme"): (3, 3), ("n1", "zenith"): (3, 3)}
-    # A file in which an entry was changed after the fact, one that lacks a block, and the same one twice.
-    other = pb.Block.FromString(some[1].data)
+    records.commit([block.data for block in sealed])
+    apply(journal, "n1", sealed[:3], NOON)
+    report, _ = reconcile_folders(journal, [tmp_path / "n1"])
+    assert report.clean and (report.same, report.pending, report.pending_entries) == (3, 1, 2)
+    assert report.billed == {("n1", "acme"): (3, 3), ("n1", "zenith"): (3, 3)}
+    # Folders with a changed entry, with a missing block, and with the same blocks as another folder.
+    other = pb.Block.FromString(sealed[1].data)
     other.entries[0].run_us = 7
     changed = Log(DiskFiles(tmp_path / "changed"), usage_recorder.KIND, INCARNATION, 1 << 30)
-    changed.commit([some[0].data, other.SerializeToString(), some[2].data])
-    found, _ = reconcile_folders(journal, [tmp_path / "changed"])
-    assert not found.clean and "entry 3 differs" in found.changed[0]
-    lacking = Log(DiskFiles(tmp_path / "lacking"), usage_recorder.KIND, INCARNATION, 1 << 30)
-    lacking.commit([some[0].data, some[2].data])
-    found, _ = reconcile_folders(journal, [tmp_path / "lacking"])
-    assert "blocks 2 to 2 not in the server's files" in found.gaps[0]
-    found, _ = reconcile_folders(journal, [tmp_path / "n1", tmp_path / "changed"])
-    assert any("in two folders" in one for one in found.doubles)
+    changed.commit([sealed[0].data, other.SerializeToString(), sealed[2].data])
+    report, _ = reconcile_folders(journal, [tmp_path / "changed"])
+    assert not report.clean and "entry 3 differs" in report.changed[0]
+    incomplete = Log(DiskFiles(tmp_path / "lacking"), usage_recorder.KIND, INCARNATION, 1 << 30)
+    incomplete.commit([sealed[0].data, sealed[2].data])
+    report, _ = reconcile_folders(journal, [tmp_path / "lacking"])
+    assert "blocks 2 to 2 not in the server's files" in report.gaps[0]
+    report, _ = reconcile_folders(journal, [tmp_path / "n1", tmp_path / "changed"])
+    assert any("in two folders" in finding for finding in report.doubles)
     journal._db.execute("delete from blocks where number = 2")
-    found, _ = reconcile_folders(journal, [tmp_path / "n1"])
-    assert any("2 entries not in the book" in one for one in found.gaps)
+    report, _ = reconcile_folders(journal, [tmp_path / "n1"])
+    assert any("2 entries not in the journal" in finding for finding in report.gaps)
 
 
-# -- the collector behind its door
+# -- the collector and its connections
 
 
-class Door:
-    """A collector in a thread, on a port of its own."""
+class CollectorThread:
+    """A collector in a thread, on a free port."""
 
-    def __init__(self, path: Path, **more: Any) -> None:
+    def __init__(self, path: Path, **settings: Any) -> None:
         self.scheduler = Scheduler(Clock())
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.address = free.getsockname()
-        plan = CollectorPlan(path, self.address, HOURS, frame_most=1 << 16, **more)
+        plan = CollectorPlan(path, self.address, HOURS, max_frame_bytes=1 << 16, **settings)
         self.lines: list[tuple[str, dict[str, Any]]] = []
         self.collector: Collector | None = None
         self.ready = threading.Event()
@@ -553,24 +567,24 @@
     def _run(self) -> None:
         scheduler = self.scheduler = Scheduler(Clock())
         self.collector = Collector(
-            scheduler, self.plan, Journal(self.plan.book, HOURS), self, clock=lambda: NOON
+            scheduler, self.plan, Journal(self.plan.journal_path, HOURS), self, clock=lambda: NOON
         )
         self.stop = False
 
-        def observe_clocks() -> None:
+        def check_stop() -> None:
             if self.stop:
                 scheduler.stop()
-            scheduler.after(0.02, observe_clocks)
+            scheduler.after(0.02, check_stop)
 
-        observe_clocks()
+        check_stop()
         self.ready.set()
         scheduler.run()
         self.collector.close()
 
-    def _say(self, event: str, **pairs: Any) -> None:
+    def _log_event(self, event: str, **pairs: Any) -> None:
         self.lines.append((event, pairs))
 
-    info = warning = error = _say
+    info = warning = error = _log_event
 
     def close(self) -> None:
         self.stop = True
@@ -578,58 +592,60 @@
 
 
 class ClientConnection:
-    """A server's end of an export."""
+    """A server's end of an export connection."""
 
-    def __init__(self, door: Door) -> None:
-        self.socket = socket.create_connection(door.address, timeout=10)
-        self.frames, self.inbox = Frames(1 << 20), list[pb.Frame]()
+    def __init__(self, collector_thread: CollectorThread) -> None:
+        self.socket = socket.create_connection(collector_thread.address, timeout=10)
+        self.decoder, self.inbox = FrameDecoder(1 << 20), list[pb.Frame]()
 
-    def send_frame(self, **kind: Any) -> None:
-        self.socket.sendall(frame(pb.Frame(**kind)))
+    def send_frame(self, **message: Any) -> None:
+        self.socket.sendall(encode_frame(pb.Frame(**message)))
 
-    def hear(self) -> pb.Frame | None:
+    def receive(self) -> pb.Frame | None:
         while not self.inbox:
             data = self.socket.recv(65536)
             if not data:
                 return None
-            self.inbox.extend(self.frames.feed(data))
+            self.inbox.extend(self.decoder.feed(data))
         return self.inbox.pop(0)
 
     def greet(
         self, server: str = "n1", incarnation: bytes = INCARNATION, version: int = export.VERSION
     ) -> pb.Frame:
         self.send_frame(hello=pb.Hello(version=version, server=server, incarnation=incarnation))
-        last_received_at = self.hear()
-        assert last_received_at is not None
-        return last_received_at
+        reply = self.receive()
+        assert reply is not None
+        return reply
 
-    def send(self, one: SealedBlock) -> pb.Frame | None:
-        self.send_frame(batch=pb.Batch(block=one.data, digest=one.digest))
-        return self.hear()
+    def send(self, block: SealedBlock) -> pb.Frame | None:
+        self.send_frame(batch=pb.Batch(block=block.data, digest=block.digest))
+        return self.receive()
 
 
 @pytest.fixture
-def door(tmp_path: Path) -> Iterator[Door]:
-    one = Door(tmp_path / "door.sqlite")
-    yield one
-    one.close()
+def collector_thread(tmp_path: Path) -> Iterator[CollectorThread]:
+    running = CollectorThread(tmp_path / "journal.sqlite")
+    yield running
+    running.close()
 
 
-def test_blocks_are_acknowledged_known_again_and_asked_for_after_a_restore(door: Door) -> None:
-    some = sealed_blocks("n1", 3)
-    peer = ClientConnection(door)
+def test_blocks_are_acknowledged_and_recognised_when_sent_again(
+    collector_thread: CollectorThread,
+) -> None:
+    sealed = sealed_blocks("n1", 3)
+    peer = ClientConnection(collector_thread)
     assert not peer.greet().welcome.have
-    for one in some[:2]:
-        last_received_at = peer.send(one)
-        assert last_received_at is not None and last_received_at.acknowledged.number == one.number
-    again = ClientConnection(door)
-    (have,) = again.greet().welcome.have
-    assert (have.number, have.digest) == (2, some[1].digest)
-    last_received_at = again.send(some[0])  # of a server that never received the acknowledgement
-    assert last_received_at is not None and last_received_at.acknowledged.number == 1
-    last_received_at = again.send(some[2])
-    assert last_received_at is not None and last_received_at.acknowledged.number == 3
-    assert door.collector is not None and door.collector.counts["blocks"] == 3
+    for block in sealed[:2]:
+        reply = peer.send(block)
+        assert reply is not None and reply.acknowledged.number == block.number
+    reconnected = ClientConnection(collector_thread)
+    (have,) = reconnected.greet().welcome.have
+    assert (have.number, have.digest) == (2, sealed[1].digest)
+    reply = reconnected.send(sealed[0])  # as from a server that did not receive the acknowledgement
+    assert reply is not None and reply.acknowledged.number == 1
+    reply = reconnected.send(sealed[2])
+    assert reply is not None and reply.acknowledged.number == 3
+    assert collector_thread.collector is not None and collector_thread.collector.counts["blocks"] == 3
 
 
 @pytest.mark.parametrize(
@@ -638,107 +654,115 @@
         (struct.pack(">I", 1 << 30) + b"x", "frame"),
         (b"\0\0\0\x03\xff\xff\xff", "frame"),
         (b"GET / HTTP/1.1\r\n\r\n", "frame"),
-        (frame(pb.Frame(hello=pb.Hello(version=9, server="n1", incarnation=INCARNATION))), "version"),
-        (frame(pb.Frame(hello=pb.Hello(version=1, server="", incarnation=INCARNATION))), "server"),
-        (frame(pb.Frame(hello=pb.Hello(version=1, server="n1", incarnation=b"short"))), "incarnation"),
-        (frame(pb.Frame(batch=pb.Batch(block=b"x"))), "greeting"),
+        (encode_frame(pb.Frame(hello=pb.Hello(version=9, server="n1", incarnation=INCARNATION))), "version"),
+        (encode_frame(pb.Frame(hello=pb.Hello(version=1, server="", incarnation=INCARNATION))), "server"),
+        (encode_frame(pb.Frame(hello=pb.Hello(version=1, server="n1", incarnation=b"short"))), "incarnation"),
+        (encode_frame(pb.Frame(batch=pb.Batch(block=b"x"))), "greeting"),
     ],
 )
-def test_what_is_no_export_is_refused_by_name_and_the_rest_goes_on(
-    door: Door, data: bytes, fault: str
+def test_invalid_exports_are_refused_and_other_connections_continue(
+    collector_thread: CollectorThread, data: bytes, fault: str
 ) -> None:
-    good, bad = ClientConnection(door), ClientConnection(door)
+    good, bad = ClientConnection(collector_thread), ClientConnection(collector_thread)
     good.greet()
     bad.socket.sendall(data)
-    last_received_at = bad.hear()
-    assert last_received_at is not None and last_received_at.refused.fault == fault
-    assert bad.hear() is None  # and closed
-    last_received_at = good.send(sealed_blocks("n1", 1)[0])
-    assert last_received_at is not None and last_received_at.acknowledged.number == 1
+    reply = bad.receive()
+    assert reply is not None and reply.refused.fault == fault
+    assert bad.receive() is None  # the connection is closed
+    reply = good.send(sealed_blocks("n1", 1)[0])
+    assert reply is not None and reply.acknowledged.number == 1
 
 
-def test_blocks_that_contradict_are_refused_and_nothing_of_them_is_posted(door: Door) -> None:
-    some = sealed_blocks("n1", 3)
-    forged = pb.Block.FromString(some[1].data)
+def test_inconsistent_blocks_are_refused_and_not_posted(
+    collector_thread: CollectorThread,
+) -> None:
+    sealed = sealed_blocks("n1", 3)
+    forged = pb.Block.FromString(sealed[1].data)
     forged.entries[0].run_us = 5
     for bad, fault in (
-        (some[2], "gap"),
-        (SealedBlock(INCARNATION, 1, 2, some[0].data, b"x" * 32), "digest"),
+        (sealed[2], "gap"),
+        (SealedBlock(INCARNATION, 1, 2, sealed[0].data, b"x" * 32), "digest"),
         (sealed_blocks("n2", 1)[0], "server"),
     ):
-        peer = ClientConnection(door)
+        peer = ClientConnection(collector_thread)
         peer.greet()
-        last_received_at = peer.send(bad)
-        assert last_received_at is not None and last_received_at.refused.fault == fault
-    peer = ClientConnection(door)
+        reply = peer.send(bad)
+        assert reply is not None and reply.refused.fault == fault
+    peer = ClientConnection(collector_thread)
     peer.greet()
-    assert peer.send(some[0]) is not None and peer.send(some[1]) is not None
+    assert peer.send(sealed[0]) is not None and peer.send(sealed[1]) is not None
     data = forged.SerializeToString()
-    last_received_at = peer.send(SealedBlock(INCARNATION, 2, 4, data, blocks.digest(data)))
-    assert last_received_at is not None and last_received_at.refused.fault == "changed"
-    journal = Journal(door.plan.book, read_only=True)
+    reply = peer.send(SealedBlock(INCARNATION, 2, 4, data, blocks.digest(data)))
+    assert reply is not None and reply.refused.fault == "changed"
+    journal = Journal(collector_thread.plan.journal_path, read_only=True)
     assert next(journal.rows("select count(*) from lines"))[0] == 4 and not list(journal.verify())
 
 
-def test_two_servers_of_one_name_are_told_and_neither_loses_anything(door: Door) -> None:
-    one, other = ClientConnection(door), ClientConnection(door)
-    one.greet(incarnation=b"incarn01")
-    other.greet(incarnation=b"incarn02")
-    for peer, incarnation in ((one, b"incarn01"), (other, b"incarn02")):
-        last_received_at = peer.send(sealed_blocks("n1", 1, incarnation)[0])
-        assert last_received_at is not None and last_received_at.acknowledged.incarnation == incarnation
-    assert ("two servers with one name") in [event for event, _ in door.lines]
+def test_two_servers_with_one_name_are_logged_and_no_entry_is_lost(
+    collector_thread: CollectorThread,
+) -> None:
+    first, second = ClientConnection(collector_thread), ClientConnection(collector_thread)
+    first.greet(incarnation=b"incarn01")
+    second.greet(incarnation=b"incarn02")
+    for peer, incarnation in ((first, b"incarn01"), (second, b"incarn02")):
+        reply = peer.send(sealed_blocks("n1", 1, incarnation)[0])
+        assert reply is not None and reply.acknowledged.incarnation == incarnation
+    assert ("two servers with one name") in [event for event, _ in collector_thread.lines]
 
 
-def test_a_book_that_can_not_be_written_acknowledges_nothing_until_it_can(door: Door) -> None:
-    some = sealed_blocks("n1", 1)
-    lock = sqlite3.connect(door.plan.book, isolation_level=None)
-    assert door.collector is not None
+def test_nothing_is_acknowledged_while_the_journal_is_not_writable(
+    collector_thread: CollectorThread,
+) -> None:
+    sealed = sealed_blocks("n1", 1)
+    lock = sqlite3.connect(collector_thread.plan.journal_path, isolation_level=None)
+    assert collector_thread.collector is not None
     lock.execute("begin immediate")
-    peer = ClientConnection(door)
+    peer = ClientConnection(collector_thread)
     peer.greet()
-    last_received_at = peer.send(some[0])
-    assert last_received_at is not None and last_received_at.refused.fault == "book"
+    reply = peer.send(sealed[0])
+    assert reply is not None and reply.refused.fault == "book"
     lock.execute("rollback")
-    peer = ClientConnection(door)
+    peer = ClientConnection(collector_thread)
     peer.greet()
-    last_received_at = peer.send(some[0])
-    assert last_received_at is not None and last_received_at.acknowledged.number == 1
+    reply = peer.send(sealed[0])
+    assert reply is not None and reply.acknowledged.number == 1
 
 
-def test_use_of_a_customer_that_nobody_named_is_posted_and_told(tmp_path: Path) -> None:
-    door = Door(tmp_path / "named.sqlite", customers=frozenset({"acme"}))
+def test_usage_of_an_unknown_customer_is_posted_and_logged(tmp_path: Path) -> None:
+    collector_thread = CollectorThread(tmp_path / "named.sqlite", customers=frozenset({"acme"}))
     try:
-        peer = ClientConnection(door)
+        peer = ClientConnection(collector_thread)
         peer.greet()
         peer.send(sealed_blocks("n1", 1)[0])
-        journal = Journal(door.plan.book, read_only=True)
+        journal = Journal(collector_thread.plan.journal_path, read_only=True)
         (acme, zenith) = reports.statements(journal, "2026-12-01T12+00:00")
         assert acme.known and not zenith.known and zenith.tickets == 1
         assert "NOT a customer" in statement.as_text([zenith])
-        assert ("unknown customer", {"customer": "zenith", "server": "n1"}) in door.lines
+        assert ("unknown customer", {"customer": "zenith", "server": "n1"}) in collector_thread.lines
     finally:
-        door.close()
+        collector_thread.close()
 
 
-def test_a_hole_is_noted_and_the_chain_goes_on_behind_it(door: Door) -> None:
-    some = sealed_blocks("n1", 4)
-    peer = ClientConnection(door)
+def test_lost_blocks_are_recorded_and_the_next_block_starts_a_new_chain(
+    collector_thread: CollectorThread,
+) -> None:
+    sealed = sealed_blocks("n1", 4)
+    peer = ClientConnection(collector_thread)
     peer.greet()
-    peer.send(some[0])
+    peer.send(sealed[0])
     peer.send_frame(lost=pb.Lost(incarnation=INCARNATION, through=2, reason="damaged on disk"))
-    last_received_at = peer.send(some[2])
-    assert last_received_at is not None and last_received_at.acknowledged.number == 3
-    peer.send(some[3])
-    journal = Journal(door.plan.book, read_only=True)
-    found, _ = reconcile_folders(journal, [])
-    assert "blocks 2 to 2: damaged on disk" in found.gaps[0] and not list(journal.verify())
+    reply = peer.send(sealed[2])
+    assert reply is not None and reply.acknowledged.number == 3
+    peer.send(sealed[3])
+    journal = Journal(collector_thread.plan.journal_path, read_only=True)
+    report, _ = reconcile_folders(journal, [])
+    assert "blocks 2 to 2: damaged on disk" in report.gaps[0] and not list(journal.verify())
 
 
 # -- background work
 
 
-def test_periodic_tasks_keep_to_their_share_and_yield_to_tickets() -> None:
+def test_periodic_tasks_keep_to_their_share_and_yield_to_requests() -> None:
     periodic_scheduler, low, high = (
         PeriodicScheduler(),
         PeriodicTask("low", 2, 0.5),
@@ -746,7 +770,7 @@
     )
     periodic_scheduler.add(low)
     periodic_scheduler.add(high)
-    took = {"low": 0.0, "high": 0.0}
+    run_time_s = {"low": 0.0, "high": 0.0}
     now = 100.0
     for step in range(20_000):
         now += 0.001
@@ -756,13 +780,13 @@
         periodic_task = periodic_scheduler.choose(now, busy)
         if periodic_task is not None:
             assert not busy or now - periodic_task.pending_since >= periodic_task.max_wait_s
-            took[periodic_task.name] += 0.001
+            run_time_s[periodic_task.name] += 0.001
             periodic_scheduler.record_step(periodic_task, now, 0.001, more=True)
-    assert 0.9 * 2.0 <= took["high"] <= 0.1 * 20 + MAX_BUDGET_S + 0.001
-    assert 4.0 <= took["low"] <= 0.5 * 20 + MAX_BUDGET_S + 0.001
+    assert 0.9 * 2.0 <= run_time_s["high"] <= 0.1 * 20 + MAX_BUDGET_S + 0.001
+    assert 4.0 <= run_time_s["low"] <= 0.5 * 20 + MAX_BUDGET_S + 0.001
 
 
-def test_a_starved_chore_has_its_step_in_spite_of_tickets() -> None:
+def test_a_starved_task_is_chosen_even_when_busy() -> None:
     periodic_scheduler, periodic_task = PeriodicScheduler(), PeriodicTask("one", 1, 0.5, max_wait_s=0.25)
     periodic_scheduler.add(periodic_task)
     periodic_scheduler.request_step(periodic_task, 10.0)
@@ -776,7 +800,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         ("version: 2\n", "f:1: version"),
         ("version: 1\nledgr: {}\n", "f:2: ledgr: no such key; ledger may be meant"),
@@ -797,57 +821,57 @@
         ("version: 1\nversion: 1\n", "not YAML"),
     ],
 )
-def test_features_that_are_faulty_are_told_with_line_and_key(text: str, says: str) -> None:
-    with pytest.raises(FaultyFeaturesError) as trouble:
+def test_faulty_features_are_reported_with_line_and_key(text: str, message: str) -> None:
+    with pytest.raises(FaultyFeaturesError) as error:
         check("f", text)
-    assert says.lower() in str(trouble.value).lower()
+    assert message.lower() in str(error.value).lower()
 
 
-def test_all_faults_are_told_at_once_and_the_example_is_in_order() -> None:
-    with pytest.raises(FaultyFeaturesError) as trouble:
+def test_all_faults_are_reported_at_once_and_the_example_is_valid() -> None:
+    with pytest.raises(FaultyFeaturesError) as error:
         check("f", "version: 1\nledger:\n  depht: memory\n  disk-mb: -1\n  period:\n    zone: X/Y\n")
-    assert len(trouble.value.faults) == 4
-    found = read(Path(__file__).parent.parent / "deploy" / "sablewheel.yaml")
-    assert found.ledger is not None and found.collector is not None
-    assert found.ledger == LedgerPlan(
-        depth=Depth.DURABLE, folder=found.ledger.folder, export=found.ledger.export
+    assert len(error.value.faults) == 4
+    features = read(Path(__file__).parent.parent / "deploy" / "sablewheel.yaml")
+    assert features.ledger is not None and features.collector is not None
+    assert features.ledger == LedgerPlan(
+        depth=Depth.DURABLE, folder=features.ledger.folder, export=features.ledger.export
     )
 
 
 def test_the_command_checks_prints_and_refuses(journal: Journal, tmp_path: Path) -> None:
-    apply(journal, "n1", sealed_blocks("n1", 2, at=NOON - 600), NOON)
+    apply(journal, "n1", sealed_blocks("n1", 2, at_s=NOON - 600), NOON)
     close(journal, NOON + 61)
     path, runner = str(journal.path), CliRunner()
 
-    def call(*words: str) -> tuple[int, str]:
-        done = runner.invoke(main, ["ledger", *words, "--book", path])
-        return done.exit_code, done.output
+    def call(*options: str) -> tuple[int, str]:
+        result = runner.invoke(main, ["ledger", *options, "--book", path])
+        return result.exit_code, result.output
 
     code, text = call("statement", "--period", "2026-12-01T11+00:00", "--customer", "acme")
     assert code == 0 and "billed: 2 tickets" in text
     assert call("statement", "--period", "2026-12-01T11+00:00", "--format", "csv")[1].count("\n") == 3
-    told = json.loads(call("statement", "--period", "2026-12-01T11+00:00", "--format", "json")[1])
-    assert [one["billed_tickets"] for one in told] == [2, 2]
+    listed = json.loads(call("statement", "--period", "2026-12-01T11+00:00", "--format", "json")[1])
+    assert [shown["billed_tickets"] for shown in listed] == [2, 2]
     code, text = call("statement", "--period", "2026-12-01T11+00:00", "--customer", "acne")
     assert code == 1 and "nothing of 'acne'" in text and "'acme' may be meant" in text
     assert "is no hour of UTC" in call("statement", "--period", "yesterday")[1]
     assert call("verify") == (0, "in order\n")
     assert call("verify", "--against", "00")[0] == 1
-    assert call("verify", "--against", told[0]["seal"])[0] == 0
-    words = ("--customer", "acme", "--track", "record", "--reason", "r", "--author", "a")
+    assert call("verify", "--against", listed[0]["seal"])[0] == 0
+    options = ("--customer", "acme", "--track", "record", "--reason", "r", "--author", "a")
     assert (
         "corrected in period"
-        in call("correct", *words, "--target", f"n1/{INCARNATION.hex()}/1", "--tickets", "-1")[1]
+        in call("correct", *options, "--target", f"n1/{INCARNATION.hex()}/1", "--tickets", "-1")[1]
     )
-    assert "neither" in call("correct", *words, "--target", "n1", "--tickets", "-1")[1]
+    assert "neither" in call("correct", *options, "--target", "n1", "--tickets", "-1")[1]
     assert len(call("show", "--customer", "zenith")[1].splitlines()) == 2
     bad = tmp_path / "bad.yaml"
     bad.write_text("version: 3\n")
-    done = runner.invoke(main, ["check", str(bad), str(tmp_path / "absent.json")])
-    assert done.exit_code == 2 and "bad.yaml:1: version" in done.output and "absent.json" in done.output
+    result = runner.invoke(main, ["check", str(bad), str(tmp_path / "absent.json")])
+    assert result.exit_code == 2 and "bad.yaml:1: version" in result.output and "absent.json" in result.output
 
 
-def test_with_nothing_switched_on_nothing_is_imported() -> None:
+def test_without_features_no_optional_module_is_imported() -> None:
     code = (
         "import sys; import sablewheel.__main__, sablewheel.program.application, sablewheel.program.logs;"
         "print([one for one in sys.modules if one.split('.')[0] in ('pydantic', 'google', 'ruamel', 'click',"
@@ -855,14 +879,14 @@
         " one.startswith(('sablewheel.usage_metering',"
         " 'sablewheel.storage', 'sablewheel.experiments', 'sablewheel.command'))])"
     )
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, timeout=30, check=True
     )
-    assert done.stdout.strip() == "[]"
+    assert result.stdout.strip() == "[]"
 
 
-def test_time_is_bounded(door: Door) -> None:
-    """A peer that connects and says nothing is closed, and holds nobody up."""
-    silent = ClientConnection(door)
+def test_a_silent_connection_is_closed(collector_thread: CollectorThread) -> None:
+    """A connection without a greeting is closed after the greeting timeout."""
+    silent = ClientConnection(collector_thread)
     begun = time.monotonic()
-    assert silent.hear() is None and time.monotonic() - begun < 9
+    assert silent.receive() is None and time.monotonic() - begun < 9
