--- a/tests/test_duplicate_races.py
+++ b/tests/test_duplicate_races.py
@@ -1,7 +1,8 @@
-"""Duplicates that cross the end, expiry or late reading of their originals, on the serving layer.
+"""Duplicates that race with the end, expiry or late reading of their originals, in the serving layer.
 
-The check here is stricter than the simulated server's own and independent of it: an attempt counts from when
-it was written, even if it lay unread; the window counts from `since` of each attempt that ran.
+The check here is independent of the simulated server's own and stricter: the time limits of an attempt count
+from when it was written to the socket, even if it was read late, and the idempotency window counts from
+`since` of each attempt that ran.
 """
 
 from __future__ import annotations
@@ -16,26 +17,26 @@
 
 from sablewheel.overload.interface import Cancellation, Idempotency, RequestClass, ServerSettings, Tenant
 
-SHORT = 0.3  # a window shorter than the deadline, the grace and many a wait
-LIMIT = 0.05  # by which the protocol makes every time limit longer
+SHORT_WINDOW_S = 0.3  # shorter than the timeouts, the grace period and many waits of the tests
+TIME_LIMIT_TOLERANCE_S = 0.05  # by which the protocol extends every time limit
 
 
-def with_window(window: float, **rest: object) -> ServerSettings:
-    """The usual settings with another window for the keyed request class."""
-    request_class = replace(SERVER_SETTINGS.request_classes[1], idempotency_window_s=window)
+def with_window(window_s: float, **changes: object) -> ServerSettings:
+    """Return the usual settings with another window for the keyed request class."""
+    request_class = replace(SERVER_SETTINGS.request_classes[1], idempotency_window_s=window_s)
     request_classes = (SERVER_SETTINGS.request_classes[0], request_class)
-    return replace(SERVER_SETTINGS, request_classes=request_classes, **rest)  # type: ignore[arg-type]
+    return replace(SERVER_SETTINGS, request_classes=request_classes, **changes)  # type: ignore[arg-type]
 
 
 class StrictServer(SimulatedServer):
-    """A server where attempts may lie unread; every step is checked by the rules on sockets."""
+    """A server that may read attempts late; every step is checked against the rules for sockets."""
 
     def __init__(self, server_settings: ServerSettings) -> None:
         self.unread: list[tuple[Attempt, bytes]] = []
         self.read_at: dict[Attempt, float] = {}
-        self.ran_before: list[bytes] = []  # names, as of the last check
-        self.checked: set[Attempt] = set()
-        self.never_ran: set[bytes] = set()  # as the interpreter reported
+        self.ran_before: list[bytes] = []  # names of the attempts that had run at the last check
+        self.checked: set[Attempt] = set()  # attempts whose answer was checked
+        self.never_ran: set[bytes] = set()  # names of the runs that the interpreter reported as never started
         super().__init__(server_settings)
 
     def request_class_of(self, name: bytes) -> RequestClass:
@@ -45,7 +46,7 @@
         return self.request_class_of(attempt.request_class)
 
     def write(self, request_class: bytes, idempotency_key: bytes = b"", router: int = 4) -> Attempt:
-        """A client writes an attempt now; it lies unread until `read`."""
+        """Write an attempt now as its client; it stays unread until `read`."""
         tag = len(self.attempts) + 1
         attempt = Attempt(tag, b"%016x" % tag, request_class, idempotency_key, self.now)
         self.attempts.append(attempt)
@@ -58,12 +59,12 @@
         return attempt
 
     def read(self, *attempts: Attempt) -> None:
-        """All that lies unread, or the given attempts of it, is received in one read."""
-        going = [(attempt, data) for attempt, data in self.unread if not attempts or attempt in attempts]
-        self.unread = [each for each in self.unread if each not in going]
-        self.read_at.update({attempt: self.now for attempt, _ in going})
-        if going:
-            self.client.feed(b"".join(data for _, data in going))
+        """Deliver the given attempts, or all unread ones, in one read."""
+        delivered = [(attempt, data) for attempt, data in self.unread if not attempts or attempt in attempts]
+        self.unread = [item for item in self.unread if item not in delivered]
+        self.read_at.update({attempt: self.now for attempt, _ in delivered})
+        if delivered:
+            self.client.feed(b"".join(data for _, data in delivered))
 
     def call(self, request_class: bytes, idempotency_key: bytes = b"", ago: float = 0.0) -> Attempt:
         assert not ago
@@ -72,15 +73,15 @@
         return attempt
 
     def stall(self, span: float) -> None:
-        """The server stands still; what was due meanwhile is due once it goes on."""
+        """Pause the server; timers that expire during the pause fire after it."""
         self.scheduler.clock.now += span
         self.read_at.update({attempt: self.now for attempt in self.read_at})
         self.wait(0.0)
 
-    def end(self, name: bytes, how: bytes = b"success") -> None:
-        if how == b"nothing":
+    def end(self, name: bytes, outcome: bytes = b"success") -> None:
+        if outcome == b"nothing":
             self.never_ran.add(name)
-        super().end(name, how)
+        super().end(name, outcome)
 
     def ran(self) -> list[Attempt]:
         by_name = {attempt.name: attempt for attempt in self.attempts}
@@ -88,32 +89,40 @@
         return [by_name[name] for name in names]
 
     def check(self) -> None:
-        server_settings, slack = self.server_settings, self.server_settings.answer_slack_s + LIMIT + 1e-6
+        server_settings, slack = (
+            self.server_settings,
+            self.server_settings.answer_slack_s + TIME_LIMIT_TOLERANCE_S + 1e-6,
+        )
         ran = self.ran()
-        assert len(set(ran)) == len(ran), "one try was run twice"
-        for place, attempt in enumerate(ran):
-            assert attempt.since <= self.notice + server_settings.drain_grace_s + LIMIT, (
-                "run after the drain's grace"
+        assert len(set(ran)) == len(ran), "an attempt was run twice"
+        for index, attempt in enumerate(ran):
+            assert attempt.since <= self.notice + server_settings.drain_grace_s + TIME_LIMIT_TOLERANCE_S, (
+                "run after the grace period of the drain"
             )
-            for before in ran[:place]:
-                if attempt.idempotency_key and attempt.idempotency_key == before.idempotency_key:
+            for earlier in ran[:index]:
+                if attempt.idempotency_key and attempt.idempotency_key == earlier.idempotency_key:
                     assert (
-                        attempt.since > before.since + self.request_class(before).idempotency_window_s + LIMIT
-                    ), "ran twice"
+                        attempt.since
+                        > earlier.since
+                        + self.request_class(earlier).idempotency_window_s
+                        + TIME_LIMIT_TOLERANCE_S
+                    ), "an idempotency key ran twice within its window"
         for attempt in self.attempts:
             assert len(attempt.answers) <= 1, "answered twice"
             if attempt in self.read_at and not attempt.answers and not attempt.cancelled:
                 due = max(attempt.since + self.request_class(attempt).timeout_s, self.read_at[attempt])
-                assert self.now <= min(due + slack, self.stop), "lost"
+                assert self.now <= min(due + slack, self.stop), "lost: not answered by its deadline"
             if not attempt.answers or attempt in self.checked:
                 continue
             self.checked.add(attempt)
-            word = attempt.answers[0][1]
-            if word == b"OK":
+            status = attempt.answers[0][1]
+            if status == b"OK":
                 assert attempt.answers[0][3] == b"made of " + attempt.body, "result changed"
-                assert any(other.body == attempt.body for other in ran), "result of no run"
-            if word == b"BUSY":
-                assert attempt not in ran, "denied what has run"
+                assert any(other.body == attempt.body for other in ran), (
+                    "result of a request that did not run"
+                )
+            if status == b"BUSY":
+                assert attempt not in ran, "rejected an attempt that has run"
                 for other in ran:
                     if (
                         attempt.idempotency_key
@@ -121,27 +130,27 @@
                         and other.name in self.ran_before
                     ):
                         until = other.since + self.request_class(other).idempotency_window_s
-                        assert attempt.since > until, "a repeat of what has run was denied"
+                        assert attempt.since > until, "rejected a duplicate of an attempt that has run"
         self.ran_before = [attempt.name for attempt in ran]
 
 
-def words(*attempts: Attempt) -> list[bytes]:
+def statuses(*attempts: Attempt) -> list[bytes]:
     return [attempt.answers[0][1] if attempt.answers else b"" for attempt in attempts]
 
 
 def assert_run_once(server: StrictServer, first: Attempt, second: Attempt) -> None:
-    """The first ran, the second did not, and both get its result."""
+    """Assert that only the first attempt ran, and that both get its result."""
     assert server.ran() == [first]
     server.end(first.name)
     server.settle()
-    assert words(first, second) == [b"OK", b"OK"]
+    assert statuses(first, second) == [b"OK", b"OK"]
 
 
 @pytest.mark.parametrize("together", [True, False])
-@pytest.mark.parametrize("window", [SHORT, 0.0])
-def test_two_attempts_that_are_read_after_their_window_run_once(together: bool, window: float) -> None:
-    """What was read past its own window was not remembered: its twin, as late, ran beside it."""
-    server = StrictServer(with_window(window))
+@pytest.mark.parametrize("window_s", [SHORT_WINDOW_S, 0.0])
+def test_two_attempts_that_are_read_after_their_window_run_once(together: bool, window_s: float) -> None:
+    """An attempt read after its own window was not recorded, so a duplicate read equally late also ran."""
+    server = StrictServer(with_window(window_s))
     first, second = server.write(b"record", b"a"), server.write(b"record", b"a")
     server.scheduler.clock.now += 0.5
     server.read(*([first, second] if together else [first]))
@@ -151,9 +160,9 @@
     assert_run_once(server, first, second)
 
 
-def test_two_attempts_that_waited_for_the_interpreter_past_their_window_run_once() -> None:
-    server = StrictServer(with_window(SHORT))
-    server.dispatcher._controller = None  # as before the first greeting
+def test_two_attempts_that_wait_for_the_interpreter_past_their_window_run_once() -> None:
+    server = StrictServer(with_window(SHORT_WINDOW_S))
+    server.dispatcher._controller = None  # as before the first greeting of the interpreter
     first, second = server.call(b"record", b"a"), server.call(b"record", b"a")
     server.settle()
     assert server.dispatcher.open_count == 2 and not server.ran()
@@ -163,12 +172,12 @@
     assert_run_once(server, first, second)
 
 
-def test_an_attempt_that_came_while_the_round_went_on_counts_from_then() -> None:
-    """The round's clock stands while it lasts: a window counted from it ended too early."""
-    server = StrictServer(with_window(SHORT))
+def test_the_window_of_an_attempt_that_arrives_during_a_round_starts_at_its_arrival() -> None:
+    """The time of a round is that of its start: a window counted from it ended too early."""
+    server = StrictServer(with_window(SHORT_WINDOW_S))
     clock, start = server.scheduler.clock, server.now
 
-    def read() -> float:
+    def read_clock() -> float:
         clock.now = max(clock.now, start + 0.25)
         return clock.now
 
@@ -176,79 +185,79 @@
     server.attempts.append(first)
     server.client.feed(call(1, first.name, b"record", first.since, first.body, b"a"))
     server.read_at[first] = first.since
-    clock.read = read  # type: ignore[method-assign]
+    clock.read = read_clock  # type: ignore[method-assign]
     server.settle()
     assert server.ran() == [first] and server.now == start + 0.25
-    clock.now = first.since + SHORT - 0.01
-    again = server.call(b"record", b"a")
+    clock.now = first.since + SHORT_WINDOW_S - 0.01
+    duplicate = server.call(b"record", b"a")
     server.settle()
-    assert server.ran() == [first] and not again.answers
+    assert server.ran() == [first] and not duplicate.answers
 
 
-@pytest.mark.parametrize("slack", [0.0, 0.08])
-@pytest.mark.parametrize("after", [SHORT, SHORT + LIMIT, 1.0])
-def test_the_window_ends_as_late_as_the_protocol_allows(slack: float, after: float) -> None:
-    server = StrictServer(with_window(SHORT, answer_slack_s=slack))
+@pytest.mark.parametrize("slack_s", [0.0, 0.08])
+@pytest.mark.parametrize("delay_s", [SHORT_WINDOW_S, SHORT_WINDOW_S + TIME_LIMIT_TOLERANCE_S, 1.0])
+def test_the_window_ends_as_late_as_the_protocol_allows(slack_s: float, delay_s: float) -> None:
+    server = StrictServer(with_window(SHORT_WINDOW_S, answer_slack_s=slack_s))
     first = server.call(b"record", b"a")
     server.settle()
     server.end(first.name)
-    server.wait(after)
-    again = server.call(b"record", b"a")
+    server.wait(delay_s)
+    duplicate = server.call(b"record", b"a")
     server.settle()
-    assert (again in server.ran()) == (after == 1.0)
+    assert (duplicate in server.ran()) == (delay_s == 1.0)
 
 
-def test_a_duplicate_read_late_still_meets_the_original_when_a_later_attempt_was_rejected() -> None:
-    """The later try took the idempotency key over and let go of it: the one that ran was forgotten with
-    it.
+def test_a_duplicate_read_late_gets_the_result_of_the_original_when_a_later_attempt_was_rejected() -> None:
+    """The later attempt took over the idempotency key and released it, which also removed the entry of the
+    attempt that ran.
     """
-    server = StrictServer(with_window(SHORT, max_concurrency_per_core=1.0))
+    server = StrictServer(with_window(SHORT_WINDOW_S, max_concurrency_per_core=1.0))
     first = server.call(b"record", b"a")
     server.settle()
     server.end(first.name)
     server.settle()
     lookups = [server.call(b"lookup") for _ in range(SERVER_SETTINGS.cores)]
-    server.wait(SHORT)
-    late = server.write(b"record", b"a")  # within the window
+    server.wait(SHORT_WINDOW_S)
+    late = server.write(b"record", b"a")  # within the window of the first
     server.scheduler.clock.now += 0.2
-    rejected = server.call(b"record", b"a")  # past it
+    rejected = server.call(b"record", b"a")  # after that window
     server.settle()
     server.wait(SERVER_SETTINGS.request_classes[1].latency_objective_s)
-    assert words(rejected) == [b"BUSY"]
+    assert statuses(rejected) == [b"BUSY"]
     for attempt in lookups:
         server.end(attempt.name)
     server.settle()
     server.read(late)
     server.settle()
-    assert server.ran() == [first, *lookups] and words(late) == [b"OK"]
+    assert server.ran() == [first, *lookups] and statuses(late) == [b"OK"]
 
 
-def test_a_duplicate_read_late_still_meets_the_original_when_a_later_attempt_was_cancelled() -> None:
-    server = StrictServer(with_window(SHORT, max_concurrency_per_core=1.0))
+def test_a_duplicate_read_late_gets_the_result_of_the_original_when_a_later_attempt_was_cancelled() -> None:
+    server = StrictServer(with_window(SHORT_WINDOW_S, max_concurrency_per_core=1.0))
     first = server.call(b"record", b"a")
     server.settle()
     server.end(first.name)
     server.settle()
     lookups = [server.call(b"lookup") for _ in range(SERVER_SETTINGS.cores)]
-    server.wait(SHORT)
+    server.wait(SHORT_WINDOW_S)
     late = server.write(b"record", b"a")
     server.scheduler.clock.now += 0.2
-    gone = server.call(b"record", b"a")
+    cancelled = server.call(b"record", b"a")
     server.settle()
-    assert not gone.answers
-    server.cancel(gone)
+    assert not cancelled.answers
+    server.cancel(cancelled)
     server.settle()
     for attempt in lookups:
         server.end(attempt.name)
     server.settle()
     server.read(late)
     server.settle()
-    assert server.ran() == [first, *lookups] and words(late) == [b"OK"]
+    assert server.ran() == [first, *lookups] and statuses(late) == [b"OK"]
 
 
 def test_a_duplicate_read_after_a_long_stall_is_neither_run_nor_rejected() -> None:
-    """By then the table has let go of the first, and runs that take longer than anybody waits look usual."""
-    server = StrictServer(with_window(SHORT))
+    """By then the first attempt's entry was removed, and the recorded service times exceed any timeout."""
+    server = StrictServer(with_window(SHORT_WINDOW_S))
     controller = server.dispatcher._controller
     assert controller is not None
     first = server.call(b"record", b"a")
@@ -259,18 +268,21 @@
         row.service_s.add(100.0)
     late = server.write(b"record", b"a")
     server.scheduler.clock.now += SERVER_SETTINGS.request_classes[1].timeout_s + 1.0
-    server.settle()  # a round that brings other things, or the accepting of its connection
+    server.settle()  # a round with other work, such as accepting the connection
     server.read()
     server.settle()
-    assert server.ran() == [first] and words(late) == [b"FAILED"]
+    assert server.ran() == [first] and statuses(late) == [b"FAILED"]
 
 
 def test_an_older_attempt_does_not_run_after_a_newer_one() -> None:
-    """Held past a short window, the idempotency key was taken over; one within its share then overtook
-    the older.
+    """An attempt that was queued for longer than a short window lost its idempotency key to a newer one.
+
+    The newer attempt was within the quota of its tenant, so it overtook the older one.
     """
     server = StrictServer(
-        with_window(SHORT, max_concurrency_per_core=1.0, over_quota_weight=0.5, tenants=(Tenant(0.5),))
+        with_window(
+            SHORT_WINDOW_S, max_concurrency_per_core=1.0, over_quota_weight=0.5, tenants=(Tenant(0.5),)
+        )
     )
     for _ in range(4):
         attempt = server.call(b"lookup")
@@ -280,10 +292,10 @@
     server.wait(2.0)
     lookups = [server.call(b"lookup") for _ in range(SERVER_SETTINGS.cores)]
     server.wait(1.8)
-    older = server.call(b"record", b"a")  # beyond its tenant's share
-    server.wait(SHORT + LIMIT + 0.2)
+    older = server.call(b"record", b"a")  # over its tenant's quota
+    server.wait(SHORT_WINDOW_S + TIME_LIMIT_TOLERANCE_S + 0.2)
     assert not older.answers
-    newer = server.call(b"record", b"a")  # within it
+    newer = server.call(b"record", b"a")  # within the quota
     server.settle()
     for attempt in lookups:
         server.end(attempt.name)
@@ -291,96 +303,101 @@
     assert server.ran()[-1] is older
     server.end(older.name)
     server.settle()
-    assert words(older, newer) == [b"OK", b"OK"]
+    assert statuses(older, newer) == [b"OK", b"OK"]
 
 
-def two_windows(**rest: object) -> ServerSettings:
+def two_windows(**changes: object) -> ServerSettings:
     request_classes = (
         replace(SERVER_SETTINGS.request_classes[1], idempotency_window_s=0.2),
         replace(SERVER_SETTINGS.request_classes[1], idempotency_window_s=60.0),
     )
-    return replace(SERVER_SETTINGS, request_classes=request_classes, **rest)  # type: ignore[arg-type]
+    return replace(SERVER_SETTINGS, request_classes=request_classes, **changes)  # type: ignore[arg-type]
 
 
-def test_idempotency_keys_of_short_windows_are_let_go_behind_one_of_a_long_window() -> None:
-    """Lapses were taken to come in order: whatever came behind a long window was kept and counted with it."""
+def test_idempotency_keys_of_short_windows_expire_while_one_of_a_long_window_is_reserved() -> None:
+    """Entries were assumed to expire in order, so those after one of a long window were kept and counted."""
     server = StrictServer(two_windows())
     controller = server.dispatcher._controller
     assert controller is not None
-    long = server.call(b"record", b"long")
+    original = server.call(b"record", b"long")
     server.settle()
-    server.end(long.name)
+    server.end(original.name)
     server.settle()
-    for place in range(20):
-        attempt = server.call(b"lookup", b"short%d" % place)
+    for number in range(20):
+        attempt = server.call(b"lookup", b"short%d" % number)
         server.settle()
         server.end(attempt.name)
         server.settle()
-    kept = server.idempotency_keys._cached_bytes
+    cached_bytes_before = server.idempotency_keys._cached_bytes
     server.wait(5.0)
-    assert len(server.idempotency_keys._entries) == 1 and server.idempotency_keys._cached_bytes < kept / 10
+    assert (
+        len(server.idempotency_keys._entries) == 1
+        and server.idempotency_keys._cached_bytes < cached_bytes_before / 10
+    )
     assert controller.resources.memory_kb == pytest.approx(SERVER_SETTINGS.idempotency_key_kb)
-    again = server.call(b"record", b"long")
+    duplicate = server.call(b"record", b"long")
     server.settle()
-    assert words(again) == [b"OK"]
+    assert statuses(duplicate) == [b"OK"]
 
 
-def test_a_long_windows_result_is_not_dropped_for_those_that_nobody_can_refer_to() -> None:
+def test_a_result_of_a_long_window_is_not_dropped_in_favour_of_expired_results() -> None:
     server = StrictServer(two_windows())
-    long = server.call(b"record", b"long")
+    original = server.call(b"record", b"long")
     server.settle()
-    server.end(long.name)
+    server.end(original.name)
     server.settle()
     server.idempotency_keys._max_result_bytes = 100
-    for place in range(20):
-        attempt = server.call(b"lookup", b"short%d" % place)
+    for number in range(20):
+        attempt = server.call(b"lookup", b"short%d" % number)
         server.settle()
         server.end(attempt.name)
-        server.wait(5.0 if place % 4 == 3 else 0.0)
+        server.wait(5.0 if number % 4 == 3 else 0.0)
     assert server.idempotency_keys._cached_bytes <= 100
-    again = server.call(b"record", b"long")
+    duplicate = server.call(b"record", b"long")
     server.settle()
-    assert words(again) == [b"OK"]
+    assert statuses(duplicate) == [b"OK"]
 
 
-@pytest.mark.parametrize("before", [True, False])
-@pytest.mark.parametrize("how", [b"success", b"failure", b"interrupted", b"nothing"])
-@pytest.mark.parametrize("gone", [True, False])
-def test_a_duplicate_that_comes_in_the_round_of_the_originals_end(
-    before: bool, how: bytes, gone: bool
+@pytest.mark.parametrize("before_end", [True, False])
+@pytest.mark.parametrize("outcome", [b"success", b"failure", b"interrupted", b"nothing"])
+@pytest.mark.parametrize("cancelled", [True, False])
+def test_a_duplicate_that_arrives_in_the_round_of_the_originals_end(
+    before_end: bool, outcome: bytes, cancelled: bool
 ) -> None:
-    server = StrictServer(with_window(SHORT))
+    server = StrictServer(with_window(SHORT_WINDOW_S))
     first = server.call(b"record", b"a")
     server.settle()
-    if gone:
+    if cancelled:
         server.cancel(first)
-    if before:
-        again = server.call(b"record", b"a")
-        server.end(first.name, how)
+    if before_end:
+        duplicate = server.call(b"record", b"a")
+        server.end(first.name, outcome)
     else:
-        server.end(first.name, how)
-        again = server.call(b"record", b"a")
+        server.end(first.name, outcome)
+        duplicate = server.call(b"record", b"a")
     server.settle()
     last = server.call(b"record", b"a")
     server.settle()
     ran = server.ran()
-    if how == b"nothing":  # it never began: the next is a first, but one that waited for it ends with it
-        assert ran == [last if before or gone else again]  # a cancel and a repeat come in one read
+    if outcome == b"nothing":
+        # The original never started, so a duplicate that waited for it ends with it, and the next one runs.
+        # A cancellation and the duplicate after it are read together.
+        assert ran == [last if before_end or cancelled else duplicate]
     else:
         assert ran == [first]
-        word = b"OK" if how == b"success" else b"FAILED"
-        assert words(first, again, last) == [b"" if gone else word, word, word]
+        status = b"OK" if outcome == b"success" else b"FAILED"
+        assert statuses(first, duplicate, last) == [b"" if cancelled else status, status, status]
 
 
 @pytest.mark.parametrize("order", ["cancel repeat", "repeat cancel", "repeat cancel repeat"])
-@pytest.mark.parametrize("place", ["held", "running", "joined"])
-def test_a_duplicate_that_comes_in_one_read_with_a_cancel(order: str, place: str) -> None:
-    server = StrictServer(with_window(SHORT, max_concurrency_per_core=1.0))
-    if place == "held":
+@pytest.mark.parametrize("state", ["held", "running", "joined"])
+def test_a_duplicate_that_is_read_together_with_a_cancellation(order: str, state: str) -> None:
+    server = StrictServer(with_window(SHORT_WINDOW_S, max_concurrency_per_core=1.0))
+    if state == "held":
         server.call(b"lookup")
         server.call(b"lookup")
     attempts = [server.call(b"record", b"a")]
-    if place == "joined":
+    if state == "joined":
         attempts.append(server.call(b"record", b"a"))
     server.settle()
     for step in order.split():
@@ -395,23 +412,25 @@
     assert server.dispatcher.open_count == 0
     answered = [attempt for attempt in attempts if not attempt.cancelled]
     assert all(attempt.answers for attempt in answered)
-    assert place == "held" or set(words(*answered)) <= {b"OK"}
+    assert state == "held" or set(statuses(*answered)) <= {b"OK"}
     assert sum(attempt.request_class == b"record" for attempt in server.ran()) <= 1
 
 
 def test_two_duplicates_in_the_round_of_the_originals_rejection() -> None:
-    """It never ran. One that waited for it ends at once, not at its own time; the idempotency key is free."""
-    server = StrictServer(with_window(SHORT, max_concurrency_per_core=1.0))
+    """The original never ran. A duplicate that waits for it fails at once, not at its own deadline.
+
+    The idempotency key is then available again.
+    """
+    server = StrictServer(with_window(SHORT_WINDOW_S, max_concurrency_per_core=1.0))
     lookups = [server.call(b"lookup") for _ in range(SERVER_SETTINGS.cores)]
     server.settle()
     first = server.call(b"record", b"a")
     server.settle()
-    repeats = [server.call(b"record", b"a") for _ in range(2)]
-    server.scheduler.clock.now += SERVER_SETTINGS.request_classes[
-        1
-    ].latency_objective_s  # held out, in the batch of the one repeat
+    duplicates = [server.call(b"record", b"a") for _ in range(2)]
+    # The original has waited too long, and is rejected in the batch of the duplicates.
+    server.scheduler.clock.now += SERVER_SETTINGS.request_classes[1].latency_objective_s
     server.settle()
-    assert words(first, *repeats) == [b"BUSY", b"FAILED", b"BUSY"]
+    assert statuses(first, *duplicates) == [b"BUSY", b"FAILED", b"BUSY"]
     for attempt in lookups:
         server.end(attempt.name)
     server.settle()
@@ -420,9 +439,11 @@
     assert server.ran() == [*lookups, last]
 
 
-@pytest.mark.parametrize("room_for_itself", [True, False])
-def test_a_duplicate_past_the_grace_or_the_memory_guard_gets_the_result(room_for_itself: bool) -> None:
-    """Where not even its own memory is free it can't wait for that: it fails at once, and is not denied."""
+@pytest.mark.parametrize("fits_in_memory", [True, False])
+def test_a_duplicate_after_the_grace_period_or_over_the_memory_limit_gets_the_result(
+    fits_in_memory: bool,
+) -> None:
+    """Without memory for the duplicate itself, it can't wait: it fails at once, but is not rejected."""
     server = StrictServer(with_window(20.0))
     first, second = server.call(b"record", b"a"), server.call(b"record", b"b")
     server.settle()
@@ -432,72 +453,72 @@
     server.wait(SERVER_SETTINGS.drain_grace_s + 0.5)
     controller = server.dispatcher._controller
     assert controller is not None
-    late_kb = 3 * 10.0  # of the three that come late; a run takes four times as much
+    late_kb = 3 * 10.0  # memory of the three late attempts; a run takes four times as much
     free_kb = SERVER_SETTINGS.memory_kb - controller.resources.memory_kb
-    taken_kb = free_kb - late_kb if room_for_itself else SERVER_SETTINGS.memory_kb
-    controller.resources.memory_kb += taken_kb  # no room for a run, or for anything
+    allocated_kb = free_kb - late_kb if fits_in_memory else SERVER_SETTINGS.memory_kb
+    controller.resources.memory_kb += allocated_kb  # no memory left for a run, or none at all
     late = [server.call(b"record", idempotency_key) for idempotency_key in (b"a", b"b", b"c")]
     server.settle()
-    waiting = b"" if room_for_itself else b"FAILED"
-    assert words(*late) == [waiting, waiting, b"BUSY"]
-    controller.resources.memory_kb -= taken_kb
+    expected = b"" if fits_in_memory else b"FAILED"
+    assert statuses(*late) == [expected, expected, b"BUSY"]
+    controller.resources.memory_kb -= allocated_kb
     server.end(second.name, b"failure")
     server.wait(0.1)
-    assert words(*late) == [b"OK" if room_for_itself else b"FAILED", b"FAILED", b"BUSY"]
+    assert statuses(*late) == [b"OK" if fits_in_memory else b"FAILED", b"FAILED", b"BUSY"]
     assert server.ran() == [first, second]
 
 
-def test_a_duplicate_in_the_round_of_its_originals_due_time() -> None:
+def test_a_duplicate_in_the_round_of_its_originals_deadline() -> None:
     server = StrictServer(with_window(20.0))
     first = server.call(b"record", b"a")
     server.settle()
-    again = server.call(b"record", b"a")
+    second = server.call(b"record", b"a")
     server.scheduler.clock.now += SERVER_SETTINGS.request_classes[1].timeout_s + 0.01
     server.settle()
-    assert words(first, again) == [b"FAILED", b"FAILED"]
+    assert statuses(first, second) == [b"FAILED", b"FAILED"]
     third = server.call(b"record", b"a")
     server.settle()
     server.end(first.name)
     server.settle()
-    assert words(third) == [b"OK"] and server.ran() == [first]
+    assert statuses(third) == [b"OK"] and server.ran() == [first]
 
 
-def test_an_original_that_runs_past_its_window_still_answers_those_that_came_within() -> None:
-    server = StrictServer(with_window(SHORT))
+def test_an_original_that_runs_past_its_window_still_answers_duplicates_sent_within_it() -> None:
+    server = StrictServer(with_window(SHORT_WINDOW_S))
     first = server.call(b"record", b"a")
     server.settle()
-    server.wait(SHORT)
-    within = server.write(b"record", b"a")
+    server.wait(SHORT_WINDOW_S)
+    sent_within = server.write(b"record", b"a")
     server.scheduler.clock.now += 0.5
     server.settle()
     server.read()
     server.settle()
     assert server.ran() == [first]
-    past = server.call(b"record", b"a")
+    sent_after = server.call(b"record", b"a")
     server.settle()
-    assert server.ran() == [first, past]  # as the rule allows
+    assert server.ran() == [first, sent_after]  # the rule allows a run after the window
     server.end(first.name)
-    server.end(past.name)
+    server.end(sent_after.name)
     server.settle()
-    assert words(first, within, past) == [b"OK"] * 3
+    assert statuses(first, sent_within, sent_after) == [b"OK"] * 3
 
 
-@pytest.mark.parametrize("window", [0.1, 5.0])
-def test_a_window_that_changes_counts_for_what_is_taken_in_from_then_on(window: float) -> None:
+@pytest.mark.parametrize("window_s", [0.1, 5.0])
+def test_a_changed_window_applies_to_attempts_admitted_after_the_change(window_s: float) -> None:
     server = StrictServer(with_window(1.0))
     first = server.call(b"record", b"a")
     server.settle()
     server.end(first.name)
     server.settle()
-    server_settings = with_window(window)
+    server_settings = with_window(window_s)
     server.dispatcher.retune(server_settings, (0, 3, 1))
     server.listener._request_classes.update(
         zip((b"lookup", b"record"), server_settings.request_classes, strict=True)
     )
     server.wait(0.9)
-    again = server.call(b"record", b"a")
+    duplicate = server.call(b"record", b"a")
     server.settle()
-    assert words(again) == [b"OK"] and server.ran() == [first]
+    assert statuses(duplicate) == [b"OK"] and server.ran() == [first]
     other = server.call(b"record", b"b")
     server.settle()
     server.end(other.name)
@@ -505,13 +526,13 @@
     server.server_settings = server_settings
     server.call(b"record", b"b")
     server.settle()
-    assert len(server.ran()) == (3 if window < 0.9 else 2)
+    assert len(server.ran()) == (3 if window_s < 0.9 else 2)
 
 
-def test_a_longer_wait_in_new_settings_keeps_idempotency_keys_for_as_long() -> None:
-    server = StrictServer(with_window(SHORT))
+def test_a_longer_timeout_in_new_settings_keeps_idempotency_keys_for_as_long() -> None:
+    server = StrictServer(with_window(SHORT_WINDOW_S))
     request_classes = tuple(
-        replace(attempt, timeout_s=10.0) for attempt in server.server_settings.request_classes
+        replace(request_class, timeout_s=10.0) for request_class in server.server_settings.request_classes
     )
     server_settings = replace(server.server_settings, request_classes=request_classes)
     server.dispatcher.retune(server_settings, (0, 3, 1))
@@ -526,13 +547,15 @@
     server.settle()
     server.read()
     server.settle()
-    assert words(late) == [b"OK"] and server.ran() == [first]
+    assert statuses(late) == [b"OK"] and server.ran() == [first]
 
 
 @pytest.mark.parametrize("idempotency", [Idempotency.NON_IDEMPOTENT, Idempotency.KEYED])
-def test_an_id_that_comes_again_after_its_attempt_is_over_is_not_run_again(idempotency: Idempotency) -> None:
+def test_a_request_id_that_is_repeated_after_its_attempt_ended_is_not_run_again(
+    idempotency: Idempotency,
+) -> None:
     request_class = replace(
-        SERVER_SETTINGS.request_classes[1], idempotency=idempotency, idempotency_window_s=SHORT
+        SERVER_SETTINGS.request_classes[1], idempotency=idempotency, idempotency_window_s=SHORT_WINDOW_S
     )
     server = StrictServer(
         replace(SERVER_SETTINGS, request_classes=(SERVER_SETTINGS.request_classes[0], request_class))
@@ -551,30 +574,41 @@
         and server.ran() == [attempt]
         and server.counts.count("runs_sent") == 1
     )
-    if idempotency_key:  # and the idempotency key is free for a true try
-        true = server.call(b"record", b"a")
+    if idempotency_key:  # the idempotency key is free for a retry with an id of its own
+        retry = server.call(b"record", b"a")
         server.settle()
-        assert server.ran() == [attempt, true]
+        assert server.ran() == [attempt, retry]
 
 
 VARIANTS = {
-    "short": with_window(SHORT),
-    "tight": with_window(SHORT, max_concurrency_per_core=1.0),
+    "short": with_window(SHORT_WINDOW_S),
+    "tight": with_window(SHORT_WINDOW_S, max_concurrency_per_core=1.0),
     "long": with_window(20.0),
     "two windows": two_windows(max_concurrency_per_core=1.0),
-    "irreversible": replace(
+    "non-idempotent": replace(
         SERVER_SETTINGS,
         request_classes=tuple(
-            replace(attempt, idempotency=Idempotency.NON_IDEMPOTENT, idempotency_window_s=SHORT)
-            for attempt in SERVER_SETTINGS.request_classes
+            replace(
+                request_class, idempotency=Idempotency.NON_IDEMPOTENT, idempotency_window_s=SHORT_WINDOW_S
+            )
+            for request_class in SERVER_SETTINGS.request_classes
         ),
     ),
-    "never stopped": with_window(0.0, cancellation=Cancellation.UNSUPPORTED, answer_slack_s=0.0),
+    "cancellation unsupported": with_window(0.0, cancellation=Cancellation.UNSUPPORTED, answer_slack_s=0.0),
 }
-OFTEN = ["read"] * 2 + ["write"] * 3 + ["lie"] * 3 + ["deliver"] * 3 + ["end"] * 3 + ["fail", "stop", "copy"]
+FREQUENT_STEPS = (
+    ["read"] * 2
+    + ["write"] * 3
+    + ["write_unread"] * 3
+    + ["deliver"] * 3
+    + ["end"] * 3
+    + ["fail", "stop", "copy"]
+)
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(["cancel", "wait", "pass", "long", "stall", "lose", "rush", "drain", *OFTEN]),
+        st.sampled_from(
+            ["cancel", "wait", "pass", "long", "stall", "lose", "rush", "drain", *FREQUENT_STEPS]
+        ),
         st.integers(0, 3),
     ),
     max_size=40,
@@ -593,57 +627,58 @@
 @given(STEPS)
 @example(
     [("lose", 0), ("pass", 0), ("long", 1), ("write", 0), ("stall", 2)]
-)  # answered late, queried at once
-def test_rules_hold_while_attempts_lie_unread(name: str, steps: list[tuple[str, int]]) -> None:
+)  # answered late, and queried immediately afterwards
+def test_rules_hold_while_attempts_are_unread(name: str, steps: list[tuple[str, int]]) -> None:
     server = StrictServer(VARIANTS[name])
 
-    def idempotency_key(request_class: bytes, which: int) -> bytes:
+    def idempotency_key(request_class: bytes, number: int) -> bytes:
         return (
-            b"%b%d" % (request_class, which)
+            b"%b%d" % (request_class, number)
             if server.request_class_of(request_class).idempotency is Idempotency.KEYED
             else b""
         )
 
-    for step, which in steps:
+    for step, number in steps:
         running = list(server.interpreter.running)
         attempts = [attempt for attempt in server.attempts if attempt in server.read_at]
         ran, deliver = server.ran(), True
-        known = [
+        open_or_run = [
             attempt for attempt in attempts if attempt in ran or not (attempt.answers or attempt.cancelled)
         ]
         match step:
             case "read":
-                server.call(b"lookup", idempotency_key(b"lookup", which))
+                server.call(b"lookup", idempotency_key(b"lookup", number))
             case "write":
-                server.call(b"record", idempotency_key(b"record", which))
-            case "lie":
-                request_class = (b"lookup", b"record")[which % 2]
-                server.write(request_class, idempotency_key(request_class, which))
-                server.write(request_class, idempotency_key(request_class, which))
+                server.call(b"record", idempotency_key(b"record", number))
+            case "write_unread":
+                request_class = (b"lookup", b"record")[number % 2]
+                server.write(request_class, idempotency_key(request_class, number))
+                server.write(request_class, idempotency_key(request_class, number))
             case "deliver" if server.unread:
-                server.read(server.unread[which % len(server.unread)][0])
-                if which == 3:
+                server.read(server.unread[number % len(server.unread)][0])
+                if number == 3:
                     server.read()
-            case "rush":
-                first = server.call(b"record", idempotency_key(b"record", which))
-                server.call(b"record", idempotency_key(b"record", which))
+            case "rush":  # attempts with one idempotency key and a cancellation in one read
+                first = server.call(b"record", idempotency_key(b"record", number))
+                server.call(b"record", idempotency_key(b"record", number))
                 server.cancel(first)
-                server.call(b"record", idempotency_key(b"record", which))
+                server.call(b"record", idempotency_key(b"record", number))
             case "cancel" if attempts:
-                server.cancel(attempts[-1 - which % len(attempts)])
+                server.cancel(attempts[-1 - number % len(attempts)])
             case "end" | "fail" | "stop" if running:
-                how = {"end": b"success", "fail": b"failure", "stop": b"interrupted"}[step]
-                server.end(running[which % len(running)], how)
+                outcome = {"end": b"success", "fail": b"failure", "stop": b"interrupted"}[step]
+                server.end(running[number % len(running)], outcome)
             case "wait":
-                server.wait(0.1 * which)
+                server.wait(0.1 * number)
             case "pass":
-                server.wait(SHORT + 0.02 * which)
+                server.wait(SHORT_WINDOW_S + 0.02 * number)
             case "long":
-                server.wait(2.0 * which)
+                server.wait(2.0 * number)
             case "stall" if server.notice == float("inf"):
-                server.stall(0.2 * 3**which)
-            case "copy" if known:  # a bad client: a name once more, of a try that is open or ran
-                attempt = known[-1 - which % len(known)]
+                server.stall(0.2 * 3**number)
+            case "copy" if open_or_run:
+                # An invalid client repeats the id of an attempt that is open or has run.
+                attempt = open_or_run[-1 - number % len(open_or_run)]
                 stream = FakeStream(server.scheduler)
                 server.listener.accepted(stream)
                 stream.feed(
@@ -657,11 +692,11 @@
                     )
                 )
             case "lose":
-                server.call(b"record", idempotency_key(b"record", which))
+                server.call(b"record", idempotency_key(b"record", number))
                 server.settle(deliver=False)
                 server.cut(lost=True)
             case "drain":
-                server.drain(1.0 + which)
+                server.drain(1.0 + number)
             case _:
                 deliver = False
         server.settle(deliver)
