--- a/tests/stories/test_server_stories.py
+++ b/tests/stories/test_server_stories.py
@@ -95,10 +95,9 @@
     name_services: NameServices = field(default_factory=NameServices)
     deployments: list[Deployment] = field(default_factory=list)
     processes: list[subprocess.Popen[str]] = field(default_factory=list)
-    clients: list[RecordingClient] = field(
-        default_factory=list
-    )  # kept alive, as the id of a request contains the id() of its client
-    interpreters: list[FakeInterpreter] = field(default_factory=list)
+    # Clients are kept alive, as the id of a request contains the id() of its client.
+    clients: list[RecordingClient] = field(default_factory=list)
+    replaced_interpreters: list[FakeInterpreter] = field(default_factory=list)
     shutdown_asked_at: dict[int, float] = field(default_factory=dict)  # monotonic, by index of the server
     shutdown_time_s: dict[int, float] = field(default_factory=dict)  # by index of the server
     stopping: threading.Event = field(default_factory=threading.Event)  # stops the threads
@@ -173,7 +172,7 @@
         if move:
             old, deployment.interpreter = deployment.interpreter, FakeInterpreter(deployment.interpreter.core)
             deployment.interpreter.at_once = old.at_once
-            self.interpreters.append(old)
+            self.replaced_interpreters.append(old)
             deployment.config["vm"] = f"127.0.0.1:{deployment.interpreter.listening_socket.getsockname()[1]}"
         deployment.file.write_text(json.dumps(deployment.config))
         self.send_signal(number, signal.SIGHUP)
@@ -193,7 +192,7 @@
             thread.join(PATIENCE)
         for deployment in self.deployments:
             deployment.end()
-        for interpreter in self.interpreters:
+        for interpreter in self.replaced_interpreters:
             interpreter.listening_socket.close()
             interpreter.cut()
         for client in self.clients:
--- a/tests/test_interpreter_link_races.py
+++ b/tests/test_interpreter_link_races.py
@@ -53,7 +53,7 @@
 # -- commands written in the last 50 ms before a break
 
 
-def test_a_run_lost_just_before_a_break_is_resent_though_a_query_behind_it_was_answered() -> None:
+def test_a_run_lost_just_before_a_break_is_resent_though_a_query_after_it_was_answered() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     intercept_commands(server, answer_queries_only)
     attempt = server.call(b"lookup")
@@ -111,7 +111,7 @@
     assert not server.counts.count("runs_unconfirmed")
 
 
-def test_keyed_commands_go_out_as_soon_as_a_silent_link_sends_again() -> None:
+def test_keyed_commands_are_written_as_soon_as_a_silent_link_sends_again() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     server.wait(0.5)
     links, server.links = server.links, []
