--- a/sablewheel/__init__.py
+++ b/sablewheel/__init__.py
@@ -1,3 +1,3 @@
-"""Sablewheel: an overload controller inside each server of a fleet, and the app server round it."""
+"""Sablewheel: an overload controller inside each server of a fleet, and the app server around it."""
 
 __version__ = "0.2.0"
--- a/sablewheel/__main__.py
+++ b/sablewheel/__main__.py
@@ -1,4 +1,4 @@
-"""Starts the server: reads what it is told, then serves until it is told to leave."""
+"""Starts the server: reads the configuration, then serves until a termination signal is received."""
 
 from __future__ import annotations
 
@@ -16,108 +16,118 @@
     from .program.feature_file import Features
 
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
-DOOR_SPARE = 1.0  # how long past a predecessor's own notice its door is waited for
-DOOR_AGAIN = 0.05
-START_AGAIN_MOST = 1.0  # seconds for which a start waits out failures of the system that may pass
+ADDRESS_WAIT_MARGIN_S = 1.0  # added to the shutdown time of a predecessor that still holds the address
+START_RETRY_INTERVAL_S = 0.05
+MAX_START_RETRY_S = 1.0  # for which a start step is retried after transient system errors
 T = TypeVar("T")
 
 
 def main() -> int:
-    """The program as a process; signals that come while it is put together wait until it can take them."""
+    """Run the server process and return its exit code.
+
+    Signals that arrive during the start stay pending until their handlers are installed.
+    """
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     from .program import configuration, logs
 
     features, file = None, os.environ.get("SABLEWHEEL_FEATURES")
     try:
-        placement_settings = patiently(configuration.placement_settings)
-    except configuration.FaultyKeyError as trouble:
-        print(f"sablewheel: {trouble}", file=sys.stderr)
+        placement_settings = retry_transient_errors(configuration.placement_settings)
+    except configuration.FaultyKeyError as error:
+        print(f"sablewheel: {error}", file=sys.stderr)
         return 2
     if file:
         from .program.feature_file import FaultyFeaturesError, read
 
         try:
             features = read(file)
-        except FaultyFeaturesError as trouble:
-            print(trouble, file=sys.stderr)
+        except FaultyFeaturesError as error:
+            print(error, file=sys.stderr)
             return 2
     logs.start(placement_settings.log_level)
     try:
-        application = put_together(placement_settings, features)
-    except OSError as trouble:
-        if trouble.errno is None or trouble.filename:  # a feature's folder, not the door
-            print(f"sablewheel: {trouble}", file=sys.stderr)
+        application = build_application(placement_settings, features)
+    except OSError as error:
+        # Such an error concerns a feature's folder, not the address of the server.
+        if error.errno is None or error.filename:
+            print(f"sablewheel: {error}", file=sys.stderr)
             return 1
         host, port = placement_settings.listen
-        print(f"sablewheel: listen: {host}:{port}: {trouble.strerror}", file=sys.stderr)
+        print(f"sablewheel: listen: {host}:{port}: {error.strerror}", file=sys.stderr)
         return 1
     if application is None:
         return 0
-    patiently(application.prepare)
+    retry_transient_errors(application.prepare)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
     code = application.run()
-    # The interpreter gives signals back their default before it takes its modules down: one that comes late,
-    # as a second notice or a hang-up to all, would end a process that left in order by a signal.
+    # Python restores the default signal handlers before it unloads its modules. A late signal, such as a
+    # second shutdown notice or a SIGHUP, would then kill a process that has already shut down in order.
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     return code
 
 
-def put_together(placement_settings: PlacementSettings, features: Features | None) -> Application | None:
-    """The program's parts, its address taken; None: told to leave while another process held the address.
+def build_application(placement_settings: PlacementSettings, features: Features | None) -> Application | None:
+    """Return the application, listening on its address; None if a termination signal came before it was free.
 
-    Raises OSError where the address can't be had, or a feature's folder can't be used.
+    Raises:
+        OSError: The address can't be listened on, or a feature's folder can't be used.
     """
     from .program.application import Application
 
-    if features is not None:  # not again: they hold folders by now
+    if features is not None:  # no second try: after a failure, features may still hold their folders
         return Application(placement_settings, features)
     try:
-        return patiently(lambda: Application(placement_settings))
-    except OSError as trouble:
-        if trouble.errno != EADDRINUSE:
+        return retry_transient_errors(lambda: Application(placement_settings))
+    except OSError as error:
+        if error.errno != EADDRINUSE:
             raise
-    if not await_door(placement_settings.listen, placement_settings.stop_after_s + DOOR_SPARE):
+    if not wait_for_address(
+        placement_settings.listen, placement_settings.stop_after_s + ADDRESS_WAIT_MARGIN_S
+    ):
         return None
-    return patiently(lambda: Application(placement_settings))
+    return retry_transient_errors(lambda: Application(placement_settings))
 
 
-def patiently(step: Callable[[], T]) -> T:
-    """Take a step of the start, and again after a rest while the system fails in a way that may pass.
+def retry_transient_errors(action: Callable[[], T]) -> T:
+    """Run one action of the start, and repeat it while it fails with a transient system error.
 
-    Raises what the step raised last, once START_AGAIN_MOST seconds are over; at once for any other failure,
-    and for an address in use, whose holder is waited for longer.
+    Raises the last error once MAX_START_RETRY_S seconds are over. Any other error is raised at once, and so
+    is an address in use, for which `wait_for_address` waits longer.
     """
     from .transport.system_call_errors import START_AGAIN
 
-    until = time.monotonic() + START_AGAIN_MOST
+    deadline = time.monotonic() + MAX_START_RETRY_S
     while True:
         try:
-            return step()
+            return action()
         except (OSError, ValueError) as error:
             cause = error if isinstance(error, OSError) else error.__cause__
-            passing = isinstance(cause, OSError) and cause.errno in START_AGAIN and cause.errno != EADDRINUSE
-            if not passing or time.monotonic() > until:
+            is_transient = (
+                isinstance(cause, OSError) and cause.errno in START_AGAIN and cause.errno != EADDRINUSE
+            )
+            if not is_transient or time.monotonic() > deadline:
                 raise
-        time.sleep(DOOR_AGAIN)
+        time.sleep(START_RETRY_INTERVAL_S)
 
 
-def await_door(address: tuple[str, int], most: float) -> bool:
-    """Wait while another holds the address; False: told to leave meanwhile.
+def wait_for_address(address: tuple[str, int], timeout_s: float) -> bool:
+    """Wait until the address is free or `timeout_s` is over; return False if a termination signal came first.
 
-    Guards against a predecessor that still leaves, its door open up to its grace's end or later: an end by
-    that would be a crash. Whoever holds the address for longer is told of at the next attempt.
+    A predecessor that is shutting down keeps its socket listening until the end of its grace, or later. An
+    exit because of that would count as a crash. If the address is still in use after the time-out, the
+    caller's next attempt to listen reports it.
     """
     import socket
 
-    until = time.monotonic() + most
-    while time.monotonic() < until:
+    deadline = time.monotonic() + timeout_s
+    while time.monotonic() < deadline:
         if signal.sigpending() & {signal.SIGTERM, signal.SIGINT}:
             return False
-        time.sleep(DOOR_AGAIN)
+        time.sleep(START_RETRY_INTERVAL_S)
         try:
-            with socket.socket() as door:
-                door.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-                door.bind(address)
+            with socket.socket() as probe:
+                probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+                probe.bind(address)
         except OSError:
             continue
         return True
--- a/sablewheel/command/__init__.py
+++ b/sablewheel/command/__init__.py
@@ -1,1 +1,1 @@
-"""The `sablewheel` command: one file a group of sub-commands, thin: parse, call, print."""
+"""The `sablewheel` command: one module per group of subcommands, which parse, call and print only."""
--- a/sablewheel/command/demo.py
+++ b/sablewheel/command/demo.py
@@ -1,4 +1,4 @@
-"""`sablewheel demo`: a short day on loopback, live, for somebody who has no clients and no interpreter."""
+"""`sablewheel demo`: a live demonstration on loopback that needs no clients and no interpreter."""
 
 from __future__ import annotations
 
@@ -23,24 +23,24 @@
     ("ledger_disk_bytes", "usage entries on disk, bytes"),
 )
 PHASES = {
-    "calm": "calm: fewer requests than the cores can do",
-    "overload": "overload: about half as many again as they can do",
-    "burst": f"burst: {BURSTING} sends three times its usual",
+    "calm": "calm: fewer requests than the cores can run",
+    "overload": "overload: about one and a half times as many as the cores can run",
+    "burst": f"burst: {BURSTING} sends three times its usual number of requests",
 }
 
 
 @click.command()
-@click.option("--seconds", default=18.0, show_default=True, help="How long the day is.")
+@click.option("--seconds", default=18.0, show_default=True, help="The length of the demonstration.")
 @click.option("--seed", default=1, show_default=True)
 @click.option(
     "--into",
     default="sablewheel-demo",
     show_default=True,
     type=click.Path(path_type=Path),
-    help="Where the configuration is written that you can start from.",
+    help="The folder for a configuration to start from.",
 )
 def demo(seconds: float, seed: int, into: Path) -> None:
-    """Play a short day: calm, an overload, a tenant's burst. Needs nothing but this program.
+    """Show a server under normal load, an overload and a tenant's burst. Needs nothing but this program.
 
     \b
     sablewheel demo
@@ -53,11 +53,11 @@
             for moment in day.play():
                 live.update(_table(moment, seconds))
         console.print(
-            "\nThe server is told to leave: it answers what is open, and its usage entries are exported."
+            "\nThe server shuts down: it answers all open requests, and its usage entries are exported."
         )
         _print_summary(console, day.finish())
     console.print(
-        f"\nThe configuration of this server is in {into}/: n1.json and features.yaml. Start from it with"
+        f"\nThe configuration of this server is in {into}/: n1.json and features.yaml. Start a server with"
     )
     console.print(f"  sablewheel serve --config {into}/n1.json --features {into}/features.yaml")
 
@@ -71,22 +71,20 @@
     return table
 
 
-def _print_summary(console: Console, found: Outcome) -> None:
-    words = ("completed", "denied", "terminated", "withdrawn", "lost")
-    for title, rows in (("by phase", found.by_phase), ("by tenant", found.by_tenant)):
-        table = Table(title=f"What clients were answered, {title}")
+def _print_summary(console: Console, outcome: Outcome) -> None:
+    answer_kinds = ("completed", "denied", "terminated", "withdrawn", "lost")
+    for title, rows in (("by phase", outcome.by_phase), ("by tenant", outcome.by_tenant)):
+        table = Table(title=f"Answers to clients, {title}")
         table.add_column("")
-        for word in words:
-            table.add_column(word, justify="right")
+        for kind in answer_kinds:
+            table.add_column(kind, justify="right")
         for name, counts in rows.items():
-            table.add_row(name, *(str(counts[word]) for word in words))
+            table.add_row(name, *(str(counts[kind]) for kind in answer_kinds))
         console.print(table)
+    console.print("Requests were rejected because waiting for a core would have left too little of their")
     console.print(
-        "Why requests were rejected: the wait in front of the cores would have left too little of their"
+        f"time. {outcome.rejected_within} were within their tenant's quota, {outcome.rejected_beyond} beyond."
     )
-    console.print(
-        f"time. {found.rejected_within} were within their tenant's quota, {found.rejected_beyond} beyond."
-    )
-    console.print("Rejected ones were answered at once, with when to come back.")
-    order = "in order" if found.verified else "NOT in order"
-    console.print(f"Usage metering bills {found.billed} runs; the journal was verified and is {order}.")
+    console.print("Rejected requests were answered at once, with advice when to retry.")
+    order = "in order" if outcome.verified else "NOT in order"
+    console.print(f"Usage metering bills {outcome.billed} runs; the journal was verified and is {order}.")
--- a/sablewheel/command/ledger.py
+++ b/sablewheel/command/ledger.py
@@ -1,4 +1,4 @@
-"""`sablewheel ledger`: the collector and the tools on its journal."""
+"""`sablewheel ledger`: the collector, and the tools for its journal."""
 
 from __future__ import annotations
 
@@ -19,22 +19,26 @@
 from .main import print_json
 
 book_option = click.option(
-    "--book", "book_path", required=True, type=click.Path(path_type=Path), help="The collector's book."
+    "--book",
+    "book_path",
+    required=True,
+    type=click.Path(path_type=Path),
+    help="The collector's book: its journal.",
 )
 
 
 def print_known_errors(function: Callable[..., None]) -> Callable[..., None]:
-    """Errors that have a sentence of their own are printed as that; exit 1."""
+    """Wrap a command so that errors with a message for the user are printed without a traceback; exit 1."""
 
     @wraps(function)
-    def inner(*values: Any, **named: Any) -> None:
+    def wrapper(*args: Any, **kwargs: Any) -> None:
         try:
-            function(*values, **named)
-        except (JournalError, CorrectionError, FaultyFeaturesError) as trouble:
-            click.echo(f"sablewheel ledger: {trouble}", err=True)
+            function(*args, **kwargs)
+        except (JournalError, CorrectionError, FaultyFeaturesError) as error:
+            click.echo(f"sablewheel ledger: {error}", err=True)
             sys.exit(1)
 
-    return inner
+    return wrapper
 
 
 @click.group()
@@ -54,7 +58,7 @@
 )
 @print_known_errors
 def collect(features: str) -> None:
-    """Take the exports of many servers into one durable journal, until told to leave (SIGTERM, SIGINT).
+    """Collect the exports of many servers in one durable journal, until SIGTERM or SIGINT.
 
     \b
     sablewheel ledger collect --features collector.yaml
@@ -69,22 +73,22 @@
 
 @ledger.command("statement")
 @book_option
-@click.option("--period", required=True, help="Its name, as 2026-12-01 (day), 2026-12 (month).")
-@click.option("--customer", help="One customer only.")
+@click.option("--period", required=True, help="The period's name: 2026-12-01 (day), 2026-12 (month).")
+@click.option("--customer", help="Print this customer only.")
 @click.option(
     "--format", "form", type=click.Choice(["text", "csv", "json"]), default="text", show_default=True
 )
 @print_known_errors
 def statement_(book_path: Path, period: str, customer: str | None, form: str) -> None:
-    """What customers used in a period; the same for ever once it is closed.
+    """Print what customers used in a period; the statement of a closed period never changes.
 
     \b
     sablewheel ledger statement --book book.sqlite --period 2026-12-01 --customer regina-intl
     sablewheel ledger statement --book book.sqlite --period 2026-12 --format csv > december.csv
     """
-    found = reports.statements(Journal(book_path, read_only=True), period, customer)
-    forms = {"text": statement.as_text, "csv": statement.as_csv, "json": statement.as_json}
-    click.echo(forms[form](found), nl=form == "json")
+    statements = reports.statements(Journal(book_path, read_only=True), period, customer)
+    formatters = {"text": statement.as_text, "csv": statement.as_csv, "json": statement.as_json}
+    click.echo(formatters[form](statements), nl=form == "json")
 
 
 @ledger.command()
@@ -92,7 +96,9 @@
 @click.option("--customer", required=True)
 @click.option("--track", required=True)
 @click.option("--target", required=True, help="SERVER/INCARNATION/SEQUENCE of an entry, or 'period NAME'.")
-@click.option("--tickets", type=int, default=0, help="Added to the billed tickets; negative takes away.")
+@click.option(
+    "--tickets", type=int, default=0, help="Added to the billed tickets; a negative number subtracts."
+)
 @click.option("--run-s", type=float, default=0.0, help="Added to the billed run time, in seconds.")
 @click.option("--reason", required=True)
 @click.option("--author", default=getpass.getuser, show_default="you")
@@ -107,7 +113,7 @@
     reason: str,
     author: str,
 ) -> None:
-    """Add a correction to the open period. What it refers to stays as it is.
+    """Add a correction to the open period. The corrected entry or period stays unchanged.
 
     \b
     sablewheel ledger correct --book book.sqlite --customer regina-intl --track record \\
@@ -115,19 +121,21 @@
     """
     if abs(run_s) > 1e9:
         raise CorrectionError("run time: out of range")
-    one = Correction(corrections.target(target), customer, track, tickets, round(run_s * 1e6), reason, author)
+    correction = Correction(
+        corrections.target(target), customer, track, tickets, round(run_s * 1e6), reason, author
+    )
     if not book_path.exists():
         raise JournalError(f"{book_path}: there is no such book")
-    period = Journal(book_path).correct(one, time.time())
-    click.echo(f"corrected in period {period}: {one.target}, {tickets:+} tickets, {run_s:+g} s")
+    period = Journal(book_path).correct(correction, time.time())
+    click.echo(f"corrected in period {period}: {correction.target}, {tickets:+} tickets, {run_s:+g} s")
 
 
 @ledger.command()
 @book_option
-@click.option("--against", help="A seal from an older statement: it must still be in the book.")
+@click.option("--against", help="A seal from an older statement, which must still be in the book.")
 @print_known_errors
 def verify(book_path: Path, against: str | None) -> None:
-    """Check every line, seal and block of a journal; each fault with its place. Exit 1 if there is any.
+    """Check every line, seal and block of a journal, and print each fault. Exit 1 if there is any.
 
     \b
     sablewheel ledger verify --book book.sqlite --against 5f0c...
@@ -138,8 +146,8 @@
         click.echo(fault)
         faults += 1
     if against is not None and not any(
-        bytes(one[0]).hex() == against
-        for one in journal.rows("select seal from periods where seal is not null")
+        bytes(row[0]).hex() == against
+        for row in journal.rows("select seal from periods where seal is not null")
     ):
         click.echo(f"no period has the seal {against}")
         faults += 1
@@ -151,10 +159,10 @@
 @book_option
 @click.option("--customer")
 @click.option("--period")
-@click.option("--most", default=100, show_default=True, help="Lines at the most.")
+@click.option("--most", default=100, show_default=True, help="The largest number of lines.")
 @print_known_errors
 def show(book_path: Path, customer: str | None, period: str | None, most: int) -> None:
-    """Lines one by one, as JSON.
+    """Print single lines of the journal as JSON.
 
     \b
     sablewheel ledger show --book book.sqlite --customer regina-intl --period 2026-12-01 --most 20
@@ -166,10 +174,10 @@
 @ledger.command()
 @book_option
 @click.argument("folders", nargs=-1, required=True, type=click.Path(path_type=Path, exists=True))
-@click.option("--json", "as_json", is_flag=True, help="One line of JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print one line of JSON.")
 @print_known_errors
 def reconcile(book_path: Path, folders: tuple[Path, ...], as_json: bool) -> None:
-    """Compare servers' own folders with the journal: gaps, doubles, changed entries.
+    """Compare servers' own folders with the journal: missing, duplicate and changed entries.
 
     Exit 1 if there is any.
 
@@ -178,34 +186,34 @@
     """
     from ..usage_metering.auditing import reconcile_folders
 
-    found, notes = reconcile_folders(Journal(book_path, read_only=True), folders)
+    report, notes = reconcile_folders(Journal(book_path, read_only=True), folders)
     if as_json:
         print_json(
             {
-                "clean": found.clean,
-                "same": found.same,
-                "pending": found.pending,
-                "pending_entries": found.pending_entries,
-                "gaps": found.gaps,
-                "doubles": found.doubles,
-                "changed": found.changed,
-                "unmatched": found.unmatched,
+                "clean": report.clean,
+                "same": report.same,
+                "pending": report.pending,
+                "pending_entries": report.pending_entries,
+                "gaps": report.gaps,
+                "doubles": report.doubles,
+                "changed": report.changed,
+                "unmatched": report.unmatched,
                 "notes": notes,
                 "billed": [
-                    {"server": key[0], "customer": key[1], "own": one[0], "book": one[1]}
-                    for key, one in sorted(found.billed.items())
+                    {"server": key[0], "customer": key[1], "own": counts[0], "book": counts[1]}
+                    for key, counts in sorted(report.billed.items())
                 ],
             }
         )
     else:
-        for title, items in (("gap", found.gaps), ("double", found.doubles), ("changed", found.changed)):
-            for one in items:
-                click.echo(f"{title}: {one}")
-        for (server, customer), (own, held) in sorted(found.billed.items()):
-            mark = "" if own == held else "   differs"
-            click.echo(f"{server} {customer}: {own} billed by the server, {held} in the book{mark}")
-        for one in [*found.unmatched, *notes]:
-            click.echo(f"note: {one}")
-        pending = f"{found.pending} blocks ({found.pending_entries} entries) not exported yet"
-        click.echo(f"{found.same} blocks agree, {pending}; {'in order' if found.clean else 'NOT in order'}")
-    sys.exit(0 if found.clean else 1)
+        for title, items in (("gap", report.gaps), ("double", report.doubles), ("changed", report.changed)):
+            for item in items:
+                click.echo(f"{title}: {item}")
+        for (server, customer), (own, recorded) in sorted(report.billed.items()):
+            mark = "" if own == recorded else "   differs"
+            click.echo(f"{server} {customer}: {own} billed by the server, {recorded} in the book{mark}")
+        for note in [*report.unmatched, *notes]:
+            click.echo(f"note: {note}")
+        pending = f"{report.pending} blocks ({report.pending_entries} entries) not exported yet"
+        click.echo(f"{report.same} blocks agree, {pending}; {'in order' if report.clean else 'NOT in order'}")
+    sys.exit(0 if report.clean else 1)
--- a/sablewheel/command/main.py
+++ b/sablewheel/command/main.py
@@ -1,4 +1,4 @@
-"""The command's top: what there is, and `serve` and `check`."""
+"""The top-level command: the list of subcommand groups, and `serve` and `check`."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 GROUPS = {
     "ledger": ("ledger", "Collect usage, print statements, correct, verify and reconcile."),
-    "recall": ("recall", "Look at what a server remembers of its labelled runs."),
-    "members": ("members", "Show whom a running server holds to be in its fleet."),
-    "trial": ("trial", "Measure a promise with real processes and the failures it is for."),
-    "demo": ("demo", "A short day with stand-ins: an overload and a customer's burst, live."),
+    "recall": ("recall", "Inspect the results that a server has stored for idempotency keys."),
+    "members": ("members", "Show the members of the fleet as a running server sees them."),
+    "trial": ("trial", "Run a measured experiment with real processes and injected failures."),
+    "demo": ("demo", "Show an overload and a customer's burst live, with simulated clients."),
 }
 
 
-class Lazy(click.Group):
-    """Imports a group only when it is called, so that `serve` starts as fast as without the others."""
+class LazyGroup(click.Group):
+    """Imports a group only when it is called, so that `serve` does not load the others."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         """Return the names of all commands."""
@@ -40,23 +40,27 @@
         return super().get_command(ctx, cmd_name)
 
 
-@click.group(cls=Lazy, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(__version__, prog_name="sablewheel")
 def main() -> None:
-    """An overload controller inside an app server, and what belongs round it.
+    """An overload controller inside an app server, with its tools.
 
     \b
-    sablewheel demo                                   see it work, with stand-ins
-    sablewheel check deploy/sablewheel.yaml           all that is wrong with a features file
+    sablewheel demo                                   a live demonstration with simulated clients
+    sablewheel check deploy/sablewheel.yaml           list all faults of a features file
     sablewheel serve --config CONFIGURATION.json --features FEATURES.yaml
     """
 
 
 @main.command()
-@click.option("--config", type=click.Path(), help="The configuration (JSON); else RELAY_CONFIG names it.")
-@click.option("--features", type=click.Path(), help=f"The features file (YAML); else {VARIABLE} names it.")
+@click.option(
+    "--config", type=click.Path(), help="The configuration (JSON). Default: the file named by RELAY_CONFIG."
+)
+@click.option(
+    "--features", type=click.Path(), help=f"The features file (YAML). Default: the file named by {VARIABLE}."
+)
 def serve(config: str | None, features: str | None) -> None:
-    """Start the server; it runs until it is told to leave.
+    """Start the server; it runs until SIGTERM or SIGINT.
 
     \b
     sablewheel serve --config n1.json
@@ -67,14 +71,14 @@
         environment["RELAY_CONFIG"] = config
     if features is not None:
         environment[VARIABLE] = features
-    # A process of its own image: what the command needed is not kept in the server's memory.
+    # Replaces the process image, so that the modules of the command do not stay in the server's memory.
     os.execve(sys.executable, [sys.executable, "-m", "sablewheel"], environment)
 
 
 @main.command()
 @click.argument("files", nargs=-1, required=True, type=click.Path())
 def check(files: tuple[str, ...]) -> None:
-    """Tell all that is wrong with FILES: features (YAML) or configurations (JSON). Exit 2 if anything is.
+    """List all faults of FILES: features (YAML) or configurations (JSON). Exit 2 if there is any.
 
     \b
     sablewheel check deploy/sablewheel.yaml n1.json
@@ -86,12 +90,12 @@
                 placement_settings({**os.environ, "RELAY_CONFIG": file})
             else:
                 read(file)
-        except FaultyFeaturesError as trouble:
+        except FaultyFeaturesError as error:
             faulty = True
-            click.echo(str(trouble), err=True)
-        except FaultyKeyError as trouble:
+            click.echo(str(error), err=True)
+        except FaultyKeyError as error:
             faulty = True
-            click.echo(f"{file}: {trouble}", err=True)
+            click.echo(f"{file}: {error}", err=True)
         else:
             click.echo(f"{file}: in order")
     if faulty:
@@ -99,5 +103,5 @@
 
 
 def print_json(value: object) -> None:
-    """One line of JSON, as scripts read it."""
+    """Print a value as one line of JSON, for scripts."""
     click.echo(json.dumps(value, sort_keys=True))
--- a/sablewheel/command/members.py
+++ b/sablewheel/command/members.py
@@ -1,4 +1,4 @@
-"""`sablewheel members`: the view of a running server, asked over TCP on its membership address."""
+"""`sablewheel members`: the fleet view of a running server, queried over TCP on its membership address."""
 
 from __future__ import annotations
 
@@ -17,66 +17,67 @@
 @click.command()
 @click.argument("address")
 @click.option("--within", default=2.0, show_default=True, help="Seconds to wait for the answer.")
-@click.option("--json", "as_json", is_flag=True, help="One line of JSON with counters, for scripts.")
+@click.option("--json", "as_json", is_flag=True, help="Print one line of JSON, with counters.")
 def members(address: str, within: float, as_json: bool) -> None:
-    """The view of the server whose membership listens at ADDRESS: who, state, incarnation, zone, since when.
+    """Show the fleet as the server at ADDRESS sees it: each member's state, place, incarnation, time in view.
 
-    Exit 1 if it does not answer or is in no view, 2 if ADDRESS is none.
+    ADDRESS is the listen address of the server's membership. Exit 1 if the server does not answer or is in no
+    view, 2 if ADDRESS is not a valid address.
 
     \b
     sablewheel members 127.0.0.1:7700
     sablewheel members 127.0.0.1:7700 --json
     """
-    place = address_of(address)
-    if place is None:
-        raise click.BadParameter("an IPv4 address and a port are wanted, as 127.0.0.1:7700")
+    socket_address = address_of(address)
+    if socket_address is None:
+        raise click.BadParameter("expected an IPv4 address and a port, such as 127.0.0.1:7700")
     try:
-        name, told = query_status(place, within)
-    except OSError as trouble:
-        click.echo(f"members: {address}: {trouble.strerror or trouble}", err=True)
+        name, status = query_status(socket_address, within)
+    except OSError as error:
+        click.echo(f"members: {address}: {error.strerror or error}", err=True)
         sys.exit(1)
-    except codec.BadPacketError as trouble:
-        click.echo(f"members: {address}: not an answer of this program: {trouble}", err=True)
+    except codec.BadPacketError as error:
+        click.echo(f"members: {address}: invalid answer: {error}", err=True)
         sys.exit(1)
-    view = told.view
+    view = status.view
     if as_json:
         print_json(
             {
                 "asked": name,
                 "epoch": view.epoch if view is not None else None,
                 "view": fingerprint(view) if view is not None else None,
-                "health": told.health_score,
+                "health": status.health_score,
                 "members": [
                     {
-                        "name": one.name,
-                        "state": one.state,
-                        "incarnation": one.incarnation,
-                        "for_s": round(one.in_view_s, 3),
-                        **_where(told, one.name),
+                        "name": member.name,
+                        "state": member.state,
+                        "incarnation": member.incarnation,
+                        "for_s": round(member.in_view_s, 3),
+                        **_location(status, member.name),
                     }
-                    for one in told.states
+                    for member in status.states
                 ],
-                "counts": dict(told.counters),
+                "counts": dict(status.counters),
             }
         )
     elif view is None:
         click.echo(f"{name} is in no view")
     else:
-        click.echo(f"{name}: epoch {view.epoch}, view {fingerprint(view)}, health {told.health_score}")
-        heads = ("name", "state", "zone", "region", "address", "in for")
-        click.echo("{:20} {:8} {:10} {:10} {:21} {:>9} incarnation".format(*heads))
-        for one in told.states:
-            where = _where(told, one.name)
+        click.echo(f"{name}: epoch {view.epoch}, view {fingerprint(view)}, health {status.health_score}")
+        headers = ("name", "state", "zone", "region", "address", "in for")
+        click.echo("{:20} {:8} {:10} {:10} {:21} {:>9} incarnation".format(*headers))
+        for member in status.states:
+            place = _location(status, member.name)
             click.echo(
-                f"{one.name:20} {one.state:8} {where['zone'] or '-':10} {where['region'] or '-':10} "
-                f"{where['address']:21} {one.in_view_s:8.1f}s {one.incarnation}"
+                f"{member.name:20} {member.state:8} {place['zone'] or '-':10} {place['region'] or '-':10} "
+                f"{place['address']:21} {member.in_view_s:8.1f}s {member.incarnation}"
             )
     if view is None:
         sys.exit(1)
 
 
-def _where(told: StatusReply, name: str) -> dict[str, str]:
-    member = told.view.get(name) if told.view is not None else None
+def _location(status: StatusReply, name: str) -> dict[str, str]:
+    member = status.view.get(name) if status.view is not None else None
     if member is None:
         return {"zone": "", "region": "", "address": ""}
     return {"zone": member.zone, "region": member.region, "address": member.address}
--- a/sablewheel/command/recall.py
+++ b/sablewheel/command/recall.py
@@ -1,4 +1,4 @@
-"""`sablewheel recall`: what a server's folder remembers, whether it is whole, and making it small."""
+"""`sablewheel recall`: inspect, verify and compact a server's folder of stored results."""
 
 from __future__ import annotations
 
@@ -15,13 +15,16 @@
 
 folder_argument = click.argument("folder", type=click.Path(path_type=Path, exists=True, file_okay=False))
 window_option = click.option(
-    "--longest-s", default=86400.0, show_default=True, help="The longest window of any track, in seconds."
+    "--longest-s",
+    default=86400.0,
+    show_default=True,
+    help="The longest window of any track (request class), in seconds.",
 )
 
 
 @click.group()
 def recall() -> None:
-    """Look at what a server remembers of its labelled runs.
+    """Inspect the results that a server has stored for idempotency keys (labels).
 
     \b
     sablewheel recall inspect /var/lib/sablewheel/recall
@@ -32,33 +35,33 @@
 @recall.command()
 @folder_argument
 @window_option
-@click.option("--labels", is_flag=True, help="Each label, as JSON.")
+@click.option("--labels", is_flag=True, help="Print each label as JSON.")
 def inspect(folder: Path, longest_s: float, labels: bool) -> None:
-    """How many labels are open, in which states, and how large the folder is. Takes no lock.
+    """Print how many labels are open, in which states, and the size of the folder. Takes no lock.
 
     \b
     sablewheel recall inspect /var/lib/sablewheel/recall --labels
     """
     now = read_clocks()
     loaded, notes = load_folder(folder, longest_s, now)
-    entries = sorted(loaded.table.runs.values(), key=lambda one: one.expires_at)
+    entries = sorted(loaded.table.runs.values(), key=lambda entry: entry.expires_at)
     if labels:
-        for one in entries:
+        for entry in entries:
             print_json(
                 {
-                    "label": one.idempotency_key.decode("ascii", "replace"),
-                    "name": one.request_name.decode("ascii", "replace"),
-                    "track": one.request_class,
-                    "state": one.state.value,
-                    "result_bytes": len(one.result),
-                    "seconds_left": round(one.expires_at - now.unix_s, 3),
+                    "label": entry.idempotency_key.decode("ascii", "replace"),
+                    "name": entry.request_name.decode("ascii", "replace"),
+                    "track": entry.request_class,
+                    "state": entry.state.value,
+                    "result_bytes": len(entry.result),
+                    "seconds_left": round(entry.expires_at - now.unix_s, 3),
                 }
             )
         return
-    states = Counter(one.state.value for one in entries)
+    states = Counter(entry.state.value for entry in entries)
     size = sum(path.stat().st_size for path in folder.glob("*.seg"))
-    told = ", ".join(f"{count} {name}" for name, count in sorted(states.items())) or "-"
-    click.echo(f"{len(entries)} labels open: {told}")
+    summary = ", ".join(f"{count} {name}" for name, count in sorted(states.items())) or "-"
+    click.echo(f"{len(entries)} labels open: {summary}")
     click.echo(f"{loaded.record_count} records, {size} bytes; last notice {loaded.last_notice}")
     for note in notes:
         click.echo(f"note: {note}")
@@ -68,7 +71,7 @@
 @folder_argument
 @window_option
 def verify(folder: Path, longest_s: float) -> None:
-    """Read every record; each fault with its place. Exit 1 if there is any.
+    """Read every record and print each fault. Exit 1 if there is any.
 
     \b
     sablewheel recall verify /var/lib/sablewheel/recall
@@ -88,14 +91,14 @@
 @folder_argument
 @window_option
 def compact(folder: Path, longest_s: float) -> None:
-    """Write what is open anew and drop the rest; the server must not run.
+    """Rewrite the open labels and remove all other records. The server must not be running.
 
     \b
     sablewheel recall compact /var/lib/sablewheel/recall
     """
     try:
         before, after, labels = compact_folder(folder, longest_s, read_clocks())
-    except InUseError as trouble:
-        click.echo(f"sablewheel recall: {trouble}", err=True)
+    except InUseError as error:
+        click.echo(f"sablewheel recall: {error}", err=True)
         sys.exit(1)
     click.echo(f"{labels} labels kept, {before} bytes before, {after} after")
--- a/sablewheel/command/trial.py
+++ b/sablewheel/command/trial.py
@@ -33,28 +33,35 @@
 
 @click.command()
 @click.argument("name", type=click.Choice(sorted(TRIALS)))
-@click.option("--quick", is_flag=True, help="Shorter: most take under a minute, membership four.")
+@click.option(
+    "--quick", is_flag=True, help="Run a shorter version: most take under a minute, membership four."
+)
 @click.option("--seed", default=1, show_default=True)
-@click.option("--broken", default="", help="A part broken on purpose; the trial must catch it.")
-@click.option("--json", "json_file", type=click.Path(path_type=Path), help="Also write the line here.")
+@click.option("--broken", default="", help="A faulty variant of a component, which the trial must detect.")
+@click.option(
+    "--json",
+    "json_file",
+    type=click.Path(path_type=Path),
+    help="Also write the result to this file, as one line of JSON.",
+)
 def trial(name: str, quick: bool, seed: int, broken: str, json_file: Path | None) -> None:
-    """Measure what NAME promises, with real processes and failures. Exit 1 if it does not hold.
+    """Run the experiment NAME with real processes and failures. Exit 1 if a check fails.
 
     \b
     sablewheel trial ledger --quick
-    sablewheel trial ledger --broken no-dedup    must not hold
+    sablewheel trial ledger --broken no-dedup    must fail
     """
     module = importlib.import_module(f"..experiments.{TRIALS[name]}", __package__)
-    kinds = getattr(module, "FAULTY_VARIANTS", ())
-    if broken and broken not in kinds:
+    variants = getattr(module, "FAULTY_VARIANTS", ())
+    if broken and broken not in variants:
         raise click.BadParameter(
-            f"{broken!r} is none of {', '.join(kinds) or 'no kinds'}", param_hint="--broken"
+            f"{broken!r} is none of {', '.join(variants) or 'no variants'}", param_hint="--broken"
         )
     try:
-        result = module.run(seed, quick, broken) if kinds else module.run(seed, quick)
-    except TestbedError as trouble:
+        result = module.run(seed, quick, broken) if variants else module.run(seed, quick)
+    except TestbedError as error:
         result = ExperimentResult(name)
-        result.check("the rig comes up", False, trouble)
+        result.check("the testbed starts", False, error)
     click.echo(result.table())
     click.echo(result.line())
     if json_file is not None:
--- a/sablewheel/program/__init__.py
+++ b/sablewheel/program/__init__.py
@@ -1,1 +1,1 @@
-"""The program round the decisions: configuration, log, counters and phases."""
+"""The server program around the overload controller: configuration, log, counters, phases, features."""
--- a/sablewheel/program/application.py
+++ b/sablewheel/program/application.py
@@ -1,4 +1,4 @@
-"""The program from start to exit: one object, its phases named states."""
+"""The server program from start to exit, as one object with named phases."""
 
 from __future__ import annotations
 
@@ -28,25 +28,25 @@
 if TYPE_CHECKING:
     from .feature_file import Features
 
-CONNECTION_LIMIT_INTERVAL_S = 1.0  # between checks of how many connections features leave to clients
-REPORT_INTERVAL_S = 0.25  # a server silent for 3 s is off the list, and one report in a few may be lost
-CONNECT_TIMEOUT_S = 1.0  # of one attempt to reach the interpreter
-END_MARGIN_S = 0.03  # before the stop: clients that still have a connection open are left behind
-ANSWER_MARGIN_S = 2 * END_MARGIN_S  # before the stop: all that is open is answered
-MIN_FINAL_ROUNDS_S = 0.002  # after the last answers, however late these are
-CLOSE_RETRY_S = 0.02  # until the listening socket is closed again, if connections were queued on it
-RESULT_MEMORY_DIVISOR = 16  # cached results get one part in so many of the program's memory
+CONNECTION_LIMIT_INTERVAL_S = 1.0  # between updates of how many connections features leave to clients
+REPORT_INTERVAL_S = 0.25  # a server is delisted after 3 s of silence, and single reports may be lost
+CONNECT_TIMEOUT_S = 1.0  # of one attempt to connect to the interpreter
+END_MARGIN_S = 0.03  # before the stop: the event loop ends, even if clients still have connections open
+ANSWER_MARGIN_S = 2 * END_MARGIN_S  # before the stop: all open requests are answered
+MIN_FINAL_ROUNDS_S = 0.002  # from the last answers to the end of the event loop, however late the answers are
+CLOSE_RETRY_S = 0.02  # between attempts to close the listening socket while connections are queued on it
+RESULT_MEMORY_DIVISOR = 16  # cached results may use 1/16 of the program's memory
 
 log = logging.getLogger(__name__)
 
 
 class Phase(Enum):
-    """What the program is doing."""
+    """The phases of the program."""
 
     WAITING = "waiting"  # listening; the interpreter is not up yet
     SERVING = "serving"
-    DRAINING = "draining"  # the shutdown notice was received; serves on within the grace
-    CLOSING = "parting"  # listens no longer, the close of all connections is announced
+    DRAINING = "draining"  # the shutdown notice was received; still serving within the grace
+    CLOSING = "parting"  # no longer listening; the close of all connections was announced
     ENDED = "ended"
 
 
@@ -61,7 +61,7 @@
         self._reject(exchange)
 
     def cancelled(self, exchange: Exchange) -> None:
-        """Pass on that the client no longer waits."""
+        """Pass a cancellation on to the inner handler."""
         self._inner.cancelled(exchange)
 
 
@@ -88,7 +88,7 @@
         if features is not None and features.any:
             self._scheduler.every(CONNECTION_LIMIT_INTERVAL_S, self._limit_connections)
         self._name_service = DatagramSender(placement_settings.naming)
-        # The last that may fail: a start that is repeated must not find its own socket listening.
+        # The last step that may fail: a repeated start must not find its own socket listening.
         self._listener = Listener(
             self._scheduler,
             placement_settings.listen,
@@ -160,7 +160,7 @@
         return max(request_class.timeout_s for request_class in request_classes)
 
     def prepare(self) -> None:
-        """Take signals from here on; what they ask for is done in `run`."""
+        """Install the signal handlers, which run in the event loop, and the hooks after each round."""
         scheduler = self._scheduler
         scheduler.on_signal(signal.SIGTERM, self._on_shutdown_notice)
         scheduler.on_signal(signal.SIGINT, self._on_shutdown_notice)
@@ -171,7 +171,7 @@
         scheduler.after_round.append(self._end_if_settled)
 
     def run(self) -> int:
-        """Serve until the shutdown notice, then shut down. Returns the process's exit code."""
+        """Serve until the shutdown notice, then shut down. Return the process's exit code."""
         self._report()
         gc.collect()
         gc.freeze()
@@ -193,7 +193,7 @@
     def _on_interpreter_ready(self) -> None:
         if self.phase is Phase.WAITING:
             self._enter(Phase.SERVING)
-        elif self.phase is Phase.CLOSING:  # the notice came first, and the controller has not had it
+        elif self.phase is Phase.CLOSING:  # the notice came first, so the controller has not received it yet
             self._server_status.healthy = False
             self._dispatcher.shutdown_notice(max(self._stop_at - self._scheduler.clock.now, 0.0))
 
@@ -203,14 +203,14 @@
             return
         stop_after_s = self._placement_settings.stop_after_s
         self._stop_at = self._scheduler.clock.now + stop_after_s
-        # First of all, so that no internal error on the way leaves a server that never ends.
+        # Scheduled first, so that an internal error further down can't leave a server that never ends.
         self._scheduler.after(max(stop_after_s - ANSWER_MARGIN_S, 0.0), self._answer_all)
         if self.phase is Phase.WAITING:
-            # Nothing ran and nothing will: requests that wait for the start, or are unread, are rejected.
+            # Nothing has run and nothing will run: waiting and unread requests are rejected.
             self._features.leaving()
             self._reject_requests()
             return self._start_closing()
-        # Past the grace no new request may run, and a closed socket is the earliest sign of that for clients.
+        # After the grace no new request may run. A closed socket is the earliest sign of that for clients.
         grace_s = min(self._placement_settings.server_settings.drain_grace_s, stop_after_s - 2 * END_MARGIN_S)
         self._scheduler.after(max(grace_s, 0.0), self._start_closing)
         self._enter(Phase.DRAINING)
@@ -225,14 +225,14 @@
         self._features.closing()
 
     def _close_listener(self) -> None:
-        """Close the listening socket, once all connections that are queued on it were accepted."""
+        """Close the listening socket once all connections in its queue have been accepted."""
         self._listener_closed = self._listener.close_if_queue_empty()
-        self._scheduler.spawn(self._request_listener.announce_close)  # also to those just accepted
+        self._scheduler.spawn(self._request_listener.announce_close)  # also to newly accepted connections
         if not self._listener_closed:
             self._scheduler.after(CLOSE_RETRY_S, self._close_listener)
 
     def _reject_requests(self) -> None:
-        """Reject all requests that are read from now on, and those that wait for the start."""
+        """Reject all requests that are read from now on, and all that wait for the interpreter's start."""
         if not isinstance(self._request_listener.handler, RejectingHandler):
             self._request_listener.handler = RejectingHandler(
                 self._request_listener.handler, self._dispatcher.reject_draining
@@ -242,10 +242,11 @@
     def _answer_all(self) -> None:
         """Answer all requests while there is still time for clients to read the answers.
 
-        The controller has answered all by then, unless there is hardly a slack or a batch interval, the
-        notice is too short for both, or what is stored is not known yet.
+        The controller has usually answered all of them by then. Exceptions: the answer slack or the batch
+        interval is almost zero, the notice is too short for both, or the stored results are not loaded yet.
         """
-        # A pause may end past the stop: what was accepted only now is read in a later round, and answered.
+        # If the process was suspended past the stop, connections accepted only now are read and answered in
+        # a later round.
         remaining_s = max(self._stop_at - self._scheduler.clock.now - END_MARGIN_S, MIN_FINAL_ROUNDS_S)
         self._scheduler.after(remaining_s, self._end)
         self._scheduler.after(remaining_s / 2, self._request_listener.stop_reading)
@@ -265,18 +266,18 @@
             self._enter(Phase.ENDED)
             self._scheduler.stop()
 
-    # -- a new configuration
+    # -- configuration reload
 
     def _reload(self) -> None:
         self._features.reload()
         self._reloader.reload()
 
     def _apply_configuration(self, loaded: PlacementSettings) -> None:
-        """Apply what of a new configuration needs no restart, in any phase."""
+        """Apply the changes of a new configuration that need no restart, in any phase."""
         before = self._placement_settings
         reloaded = merge(before, loaded)
         pairs = {"taken": ",".join(reloaded.applied), "need_restart": ",".join(reloaded.need_restart)}
-        log.info("configuration read anew", extra={"pairs": pairs})
+        log.info("configuration reloaded", extra={"pairs": pairs})
         self._placement_settings = reloaded.placement_settings
         if reloaded.settings_changed:
             self._retune()
@@ -288,12 +289,12 @@
         self._counters.count("configurations_taken")
 
     def _retune(self) -> None:
-        """Apply the settings, as features change them now, to requests from now on."""
+        """Apply the settings, with the features' present changes to them, to requests from now on."""
         placement_settings = self._placement_settings
         server_settings = self._features.server_settings(placement_settings.server_settings)
         self._dispatcher.retune(server_settings, placement_settings.gauge_indexes)
         self._request_listener.expect_clients(server_settings.clients)
-        # The listener resolves names by these dictionaries; their order is that of the settings.
+        # The listener looks up names in these dictionaries, which have the order of the settings.
         placement_settings.request_classes.update(
             zip(list(placement_settings.request_classes), server_settings.request_classes, strict=True)
         )
@@ -301,10 +302,10 @@
             zip(list(placement_settings.tenants), server_settings.tenants, strict=True)
         )
 
-    # -- what other parts ask for
+    # -- callbacks of other components
 
     def _connector(self, address: Address) -> Callable[[], Stream | None]:
-        """Return a function that connects to the interpreter, once features let the server be up."""
+        """Return a function that connects to the interpreter, once the features' `up_at` is reached."""
 
         def connect_to_interpreter() -> Stream | None:
             if self._scheduler.clock.now < self._features.up_at:
@@ -314,43 +315,45 @@
         return connect_to_interpreter
 
     def _on_start_failed(self, reason: str) -> None:
-        """A feature can't start, and must not be left out."""
-        log.error("not started", extra={"pairs": {"reason": reason}})
+        """End with exit code 1: a feature can't start, and the server must not run without it."""
+        log.error("feature failed to start", extra={"pairs": {"reason": reason}})
         self._start_failed = True
         self._listener.close()
         self._reject_requests()
         self._end()
 
     def _on_never_started(self, exchange: Exchange) -> None:
-        """A feature held a run back, and nobody waits for it any more."""
+        """End a request whose run a feature delayed, after its client stopped waiting: it never started."""
         self._dispatcher.run_ended(exchange, Outcome.NEVER_STARTED, 0.0, b"")
 
     def _limit_connections(self) -> None:
         self._request_listener.set_max_connections(self._max_client_connections())
 
     def _max_client_connections(self) -> int:
-        """Return how many connections clients may have beside what features need by now."""
+        """Return how many connections clients may have, given the descriptors that features need now."""
         max_connections = self._placement_settings.max_connections
         return max(max_connections - self._features.descriptors, max_connections // 2)
 
     # -- reports and counters
 
     def _report(self) -> None:
-        """Report to the name service, and again within the time after which it drops a silent server.
+        """Report to the name service, repeatedly while the server is waiting or serving.
 
-        The state itself changes nothing there: a server stays listed as long as it reports. So one that
-        leaves reports that at once and once more, and is silent from then on.
+        The name service delists a server that is silent, and keeps it listed as long as it reports, whatever
+        state it reports. So a server that shuts down reports that at once and once more, and then stops.
         """
-        if self.phase in (Phase.WAITING, Phase.SERVING):  # first, so that no internal error ends the reports
+        # Scheduled first, so that no internal error ends the reports.
+        if self.phase in (Phase.WAITING, Phase.SERVING):
             self._scheduler.after(REPORT_INTERVAL_S, self._report)
         self._send_report()
 
     def _send_report(self) -> None:
         """Report whether this server serves.
 
-        It still does without its interpreter, for as long as any request may wait for that. Past that it
-        would fail every request, so it reports that it does not serve, to health checks as well. The price:
-        it gets no request for as long as a report takes after the interpreter returned.
+        Without a link to its interpreter it still serves for the longest request timeout, since requests may
+        wait for the link that long. After that it would fail every request, so it reports that it does not
+        serve, also to health checks. The price: after the interpreter is back, the server gets no requests
+        until its next report has been processed.
         """
         available = self._interpreter.disconnected_for_s <= self._longest_timeout_s()
         self._server_status.interpreter_available = available
--- a/sablewheel/program/collector_process.py
+++ b/sablewheel/program/collector_process.py
@@ -1,4 +1,4 @@
-"""Runs the collector as a process: its log, its signals, its end."""
+"""Runs the collector as a process, with its log and signal handlers."""
 
 from __future__ import annotations
 
@@ -29,9 +29,9 @@
 
 
 def run(
-    plan: CollectorPlan, make: Callable[[Scheduler, CollectorPlan, Journal, Any], Collector] = Collector
+    plan: CollectorPlan, build: Callable[[Scheduler, CollectorPlan, Journal, Any], Collector] = Collector
 ) -> int:
-    """Collect until SIGTERM or SIGINT. Returns the exit code.
+    """Collect until SIGTERM or SIGINT. Return the exit code.
 
     Raises:
         JournalError: The address can't be listened on.
@@ -39,7 +39,7 @@
     log, scheduler = logger(), Scheduler(Clock())
     journal = Journal(plan.book, plan.calendar)
     try:
-        collector = make(scheduler, plan, journal, log)
+        collector = build(scheduler, plan, journal, log)
     except OSError as error:
         raise JournalError(f"listen: {plan.listen[0]}:{plan.listen[1]}: {error.strerror}") from None
 
@@ -48,8 +48,8 @@
             "counters", connections_open=len(collector.connections), **dict(sorted(collector.counts.items()))
         )
 
-    for number in (signal.SIGTERM, signal.SIGINT):
-        scheduler.on_signal(number, scheduler.stop)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        scheduler.on_signal(signal_number, scheduler.stop)
     scheduler.on_signal(signal.SIGUSR1, print_counters)
     log.info("collecting", listen=f"{plan.listen[0]}:{plan.listen[1]}", book=str(plan.book))
     scheduler.run()
--- a/sablewheel/program/configuration.py
+++ b/sablewheel/program/configuration.py
@@ -1,7 +1,7 @@
-"""The one place where the configuration and the settings are read, checked and given defaults.
+"""Reads and checks the configuration and the settings, and applies their defaults.
 
-`placement_settings` reads what one server is configured with. `server_settings` makes the controller's
-settings, for the program and for the simulator's adapter alike. Every error message names the key at fault.
+`placement_settings` reads the configuration of one server. `server_settings` makes the controller's settings,
+for the program and for the simulator's adapter. Every error message names the faulty key.
 """
 
 from __future__ import annotations
@@ -25,35 +25,36 @@
     Tenant,
 )
 
-IDEMPOTENCY_BY_WORD = {
+IDEMPOTENCY_BY_SETTING = {
     "safe": Idempotency.IDEMPOTENT,
     "keyed": Idempotency.KEYED,
     "unsafe": Idempotency.NON_IDEMPOTENT,
 }
-CANCELLATION_BY_WORD = {
+CANCELLATION_BY_SETTING = {
     "off": Cancellation.UNSUPPORTED,
     "drop": Cancellation.DISCARDS_WORK,
     "pause": Cancellation.SUSPENDS,
 }
-WEIGHT_BY_WORK_BY_WORD = {"request": False, "work": True}
-ADVERTISEMENT_BY_WORD = {
+WEIGHT_BY_WORK_BY_SETTING = {"request": False, "work": True}
+ADVERTISEMENT_BY_SETTING = {
     "off": AdvertisementKind.NONE,
     "tokens": AdvertisementKind.CREDIT,
     "min_rank": AdvertisementKind.LOAD_LEVEL,
     "bias": AdvertisementKind.ACCEPT_PROBABILITY,
 }
 LOG_LEVELS = {"debug": "DEBUG", "info": "INFO", "warning": "WARNING", "error": "ERROR"}
-# Descriptors that are not for clients' connections: standard ones, links, a reserve; and where there are
-# more, those that the process was started with.
+# Descriptors that are not available for clients' connections: the standard streams, links, a reserve. With a
+# higher descriptor limit, more are reserved for descriptors that the process inherited.
 RESERVED_DESCRIPTORS = 12
-MAX_MORE_RESERVED_DESCRIPTORS = 8
-RELOADABLE_KEYS = ("vm", "naming", "settings")  # that a running server takes from a new configuration
+MAX_INHERITED_DESCRIPTORS = 8
+# The top-level keys whose new values a running server applies on a reload.
+RELOADABLE_KEYS = ("vm", "naming", "settings")
 
 Choice = TypeVar("Choice")
 
 
 class FaultyKeyError(ValueError):
-    """A key that is missing, of the wrong kind or out of range; the message starts with its name."""
+    """A key is missing, has the wrong type or is out of range; the message starts with the key's path."""
 
 
 class UnreadableFileError(FaultyKeyError):
@@ -62,12 +63,13 @@
 
 @dataclass(frozen=True)
 class PlacementSettings:
-    """What one server is configured with.
+    """The configuration of one server.
 
     Attributes:
         stop_after_s: How long after the shutdown notice the process is stopped.
-        gauge_indexes: Which of the interpreter's gauges are CPU use, connections and runnable work, if any.
-        raw: The configuration as it was read.
+        gauge_indexes: The positions of CPU use, connections and runnable work among the interpreter's gauges;
+            None for an absent gauge.
+        raw: The decoded JSON of the configuration.
     """
 
     name: str
@@ -91,7 +93,7 @@
 
     def __init__(self, values: object, path: str = "") -> None:
         if not isinstance(values, Mapping):
-            raise FaultyKeyError(f"{path or 'configuration'}: an object is wanted")
+            raise FaultyKeyError(f"{path or 'configuration'}: expected an object")
         self._values, self._path = values, path
 
     def name(self, key: str) -> str:
@@ -99,7 +101,7 @@
         return f"{self._path}.{key}" if self._path else key
 
     def raw(self, key: str, default: Any = ...) -> Any:
-        """Return a value of any type. Without a default the key must be there."""
+        """Return a value of any type. A key without a default is mandatory."""
         value = self._values.get(key)
         if value is None:
             if default is ...:
@@ -120,7 +122,7 @@
         """Return a list."""
         values = self.raw(key, default)
         if not isinstance(values, list):
-            raise FaultyKeyError(f"{self.name(key)}: a list is wanted")
+            raise FaultyKeyError(f"{self.name(key)}: expected a list")
         return values
 
     def indexed(self, key: str) -> Section:
@@ -132,7 +134,7 @@
         """Return a number within the bounds."""
         value = self.raw(key, default)
         if isinstance(value, bool) or not isinstance(value, (int, float)):
-            raise FaultyKeyError(f"{self.name(key)}: a number is wanted, got {value!r:.40}")
+            raise FaultyKeyError(f"{self.name(key)}: expected a number, got {value!r:.40}")
         if not minimum <= value <= maximum or not isfinite(value):
             raise FaultyKeyError(f"{self.name(key)}: {value} is not between {minimum:g} and {maximum:g}")
         return float(value)
@@ -141,32 +143,32 @@
         """Return a whole number within the bounds."""
         value = self.number(key, default, minimum, maximum)
         if value != int(value):
-            raise FaultyKeyError(f"{self.name(key)}: a whole number is wanted, got {value}")
+            raise FaultyKeyError(f"{self.name(key)}: expected a whole number, got {value}")
         return int(value)
 
     def flag(self, key: str, default: Any = ...) -> bool:
         """Return a boolean."""
         value = self.raw(key, default)
         if not isinstance(value, bool):
-            raise FaultyKeyError(f"{self.name(key)}: true or false is wanted, got {value!r:.40}")
+            raise FaultyKeyError(f"{self.name(key)}: expected true or false, got {value!r:.40}")
         return value
 
     def text(self, key: str, default: Any = ...) -> str:
-        """Return a text that is not empty."""
+        """Return a non-empty string."""
         value = self.raw(key, default)
         if not isinstance(value, str) or not value:
-            raise FaultyKeyError(f"{self.name(key)}: a text is wanted, got {value!r:.40}")
+            raise FaultyKeyError(f"{self.name(key)}: expected a non-empty string, got {value!r:.40}")
         return value
 
     def choice(self, key: str, choices: Mapping[str, Choice], default: Any = ...) -> Choice:
-        """Return what the key's word stands for."""
+        """Return the choice that the key's string selects."""
         value = self.text(key, default)
         if value not in choices:
-            raise FaultyKeyError(f"{self.name(key)}: {value!r:.40} is none of {', '.join(choices)}")
+            raise FaultyKeyError(f"{self.name(key)}: {value!r:.40} is not one of {', '.join(choices)}")
         return choices[value]
 
     def address(self, key: str) -> tuple[str, int]:
-        """Return an IPv4 address and a port. Names are not resolved: there may be nobody to do that."""
+        """Return an IPv4 address and a port. Host names are not resolved: there may be no resolver."""
         value = self.text(key)
         host, colon, port = value.rpartition(":")
         try:
@@ -174,21 +176,19 @@
         except (OSError, ValueError):
             colon = ""
         if not (colon and port.isascii() and port.isdigit() and len(port) < 6 and 0 < int(port) < 65536):
-            raise FaultyKeyError(
-                f"{self.name(key)}: an IPv4 address and a port are wanted, got {value!r:.40}"
-            )
+            raise FaultyKeyError(f"{self.name(key)}: expected an IPv4 address and a port, got {value!r:.40}")
         return host, int(port)
 
     def names(self, key: str) -> list[bytes]:
-        """Return the names of a list's items as they stand on the wire; they must differ."""
+        """Return the names of a list's items as encoded on the wire. A duplicate name is an error."""
         names = [item.text("name").encode("utf-8", "replace") for item in self.sections(key, [])]
         if len(set(names)) < len(names):
-            raise FaultyKeyError(f"{self.name(key)}: a name is there twice")
+            raise FaultyKeyError(f"{self.name(key)}: duplicate name")
         return names
 
 
 def placement_settings(environment: Mapping[str, str] = os.environ) -> PlacementSettings:
-    """Return what this server is configured with.
+    """Return the configuration of this server.
 
     Args:
         environment: `RELAY_CONFIG` names the file, `SABLEWHEEL_LOG` the log level.
@@ -240,12 +240,12 @@
     try:
         return int(digits, 16)
     except ValueError:
-        raise FaultyKeyError("seed: hexadecimal digits are wanted") from None
+        raise FaultyKeyError("seed: expected hexadecimal digits") from None
 
 
 def _max_connections(descriptors: int) -> int:
-    more = max(descriptors - 2 * RESERVED_DESCRIPTORS - 4, 0) // 4
-    return descriptors - RESERVED_DESCRIPTORS - min(more, MAX_MORE_RESERVED_DESCRIPTORS)
+    inherited = max(descriptors - 2 * RESERVED_DESCRIPTORS - 4, 0) // 4
+    return descriptors - RESERVED_DESCRIPTORS - min(inherited, MAX_INHERITED_DESCRIPTORS)
 
 
 def _gauge_indexes(settings: Section) -> tuple[int | None, int | None, int | None]:
@@ -267,17 +267,17 @@
 
 
 def server_settings(settings: Section, calls_dependency: bool = True) -> ServerSettings:
-    """Return the controller's settings; keys not known here are skipped.
+    """Return the controller's settings. Unknown keys are ignored.
 
     Args:
         settings: The object `settings` of the configuration, or that of the simulator's first message.
-        calls_dependency: Whether the protocol can make and skip calls of a dependency.
+        calls_dependency: Whether the protocol can make and skip calls to a dependency.
 
     Raises:
         FaultyKeyError: The settings are faulty.
     """
     extra, safety = settings.section("extra"), settings.section("safety")
-    limits, habits = settings.section("limits", {}), settings.section("client-habits", {})
+    limits, client_habits = settings.section("limits", {}), settings.section("client-habits", {})
     return ServerSettings(
         request_classes=_request_classes(settings, extra, calls_dependency),
         cores=extra.integer("cores", minimum=1),
@@ -290,14 +290,14 @@
         servers=settings.integer("servers", 1) or 1,
         clients=extra.integer("callers", 1) or 1,
         idempotency_key_kb=extra.number("key-kb", 0.0),
-        cancellation=extra.choice("halt", CANCELLATION_BY_WORD, "off"),
-        advertisement=extra.choice("say", ADVERTISEMENT_BY_WORD, "off"),
+        cancellation=extra.choice("halt", CANCELLATION_BY_SETTING, "off"),
+        advertisement=extra.choice("say", ADVERTISEMENT_BY_SETTING, "off"),
         advertisement_ttl_s=extra.number("said-for-s", 0.0),
         coalesce_reads_for_s=extra.number("share-for-s", 0.0),
         deadline_propagated=extra.flag("passes-deadline", False),
-        marks_retries=habits.flag("marks-retry", False),
+        marks_retries=client_habits.flag("marks-retry", False),
         over_quota_weight=settings.number("over-share-worth", 1.0),
-        weight_by_work=settings.choice("value-by", WEIGHT_BY_WORK_BY_WORD, "request"),
+        weight_by_work=settings.choice("value-by", WEIGHT_BY_WORK_BY_SETTING, "request"),
         starts_cold=extra.flag("fresh-start", False),
         idle_timeout_s=extra.number("idle-s", 0.0),
         min_batch_interval_s=settings.number("tick-s", 0.0),
@@ -316,11 +316,11 @@
 def _request_classes(settings: Section, extra: Section, calls_dependency: bool) -> tuple[RequestClass, ...]:
     sections = settings.sections("classes")
     if not sections:
-        raise FaultyKeyError(f"{settings.name('classes')}: at least one is wanted")
+        raise FaultyKeyError(f"{settings.name('classes')}: expected at least one request class")
     calls, skips = extra.indexed("class-calls"), extra.indexed("class-skip-worth")
     return tuple(
         RequestClass(
-            idempotency=section.choice("repeat", IDEMPOTENCY_BY_WORD),
+            idempotency=section.choice("repeat", IDEMPOTENCY_BY_SETTING),
             latency_objective_s=section.number("on-time-s"),
             timeout_s=section.number("deadline-s"),
             idempotency_window_s=section.number("window-s", 0.0),
--- a/sablewheel/program/configuration_reload.py
+++ b/sablewheel/program/configuration_reload.py
@@ -1,4 +1,4 @@
-"""Reads the configuration anew while the server runs, and finds what of it applies without a restart."""
+"""Rereads the configuration while the server runs, and determines which changes apply without a restart."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 class ConfigurationReloader:
-    """Reads the configuration when asked; `on_loaded` gets it. A faulty one is logged and changes nothing."""
+    """Reads the configuration on request and passes it to `on_loaded`. A faulty one is logged and ignored."""
 
     def __init__(self, scheduler: Scheduler, on_loaded: Callable[[PlacementSettings], None]) -> None:
         self._scheduler, self._on_loaded = scheduler, on_loaded
 
     def reload(self) -> None:
-        """Read the configuration, again for some seconds while the file can't be read."""
+        """Read the configuration, with retries for some seconds while the file can't be read."""
         self._try_to_load(MAX_RETRIES, INITIAL_BACKOFF_S)
 
     def _try_to_load(self, retries_left: int, backoff_s: float) -> None:
@@ -36,18 +36,18 @@
                 retry = partial(self._try_to_load, retries_left - 1, 2 * backoff_s)
                 self._scheduler.after(backoff_s, retry)
         except FaultyKeyError as error:
-            log.error("configuration not taken", extra={"pairs": {"reason": error}})
+            log.error("configuration rejected", extra={"pairs": {"reason": error}})
         else:
             self._on_loaded(loaded)
 
 
 @dataclass(frozen=True)
 class Reloaded:
-    """The settings that hold from now on.
+    """The settings after a reload.
 
     Attributes:
-        applied: The keys whose new values they have.
-        need_restart: The keys whose new values need a restart.
+        applied: The paths of changed keys whose new values are in effect.
+        need_restart: The paths of changed keys whose new values need a restart.
     """
 
     placement_settings: PlacementSettings
@@ -56,12 +56,12 @@
 
     @property
     def settings_changed(self) -> bool:
-        """Whether the controller's settings are new."""
+        """Whether the controller's settings changed."""
         return any(top_key(key) == "settings" for key in self.applied)
 
 
 def merge(current: PlacementSettings, loaded: PlacementSettings) -> Reloaded:
-    """Return the current settings with what of the loaded ones applies without a restart.
+    """Return the current settings with those changes of the loaded ones that apply without a restart.
 
     Requests in flight name their request class and tenant, so settings that rename those need a restart.
     """
--- a/sablewheel/program/counters.py
+++ b/sablewheel/program/counters.py
@@ -1,4 +1,4 @@
-"""Counters of what was received, sent and answered; printed when asked for and at exit."""
+"""Counters of received, sent and answered messages, logged on request and at exit."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Counters:
-    """Counters by name; a counter exists from its first increment on."""
+    """Counters by name. A counter exists from its first increment on."""
 
     def __init__(self) -> None:
         self.counts: dict[str, int] = {}
--- a/sablewheel/program/feature.py
+++ b/sablewheel/program/feature.py
@@ -1,4 +1,4 @@
-"""What the application knows of features: their common interface, and the hooks that one feature fills in."""
+"""The interface between the application and its features, and the hooks that a single feature provides."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Feature(Protocol):
-    """All features together, as the program's phases need them."""
+    """All features together, as the application calls them."""
 
     @property
     def observer(self) -> RequestObserver:
@@ -21,50 +21,50 @@
 
     @property
     def result_store(self) -> ResultStore:
-        """The store of results that outlive a restart."""
+        """The store of results that survive a restart."""
 
     @property
     def up_at(self) -> float:
-        """From when on the server may be up."""
+        """The earliest time, by the scheduler's clock, at which the server may connect to its interpreter."""
 
     @property
     def descriptors(self) -> int:
-        """How many descriptors features need by now; some need more in a larger fleet."""
+        """How many descriptors features need at present; some need more in a larger fleet."""
 
     @property
     def last_notice(self) -> int:
-        """The last notice of the interpreter that a predecessor has read."""
+        """The number of the last interpreter notice that a previous server process has read; 0 if unknown."""
 
     def handler(self, inner: RequestHandler) -> RequestHandler:
-        """Return the handler that clients' requests go to: `inner`, or one that wraps it."""
+        """Return the handler of clients' requests: `inner`, or a handler that wraps it."""
 
     def server_settings(self, server_settings: ServerSettings) -> ServerSettings:
-        """Return the controller's settings as features change them."""
+        """Return the controller's settings with the features' changes."""
 
     def reload(self) -> None:
-        """Read the features' own files anew, on SIGHUP."""
+        """Reread the features' own files, on SIGHUP."""
 
     def end_round(self) -> None:
         """Finish a round of the event loop."""
 
     def leaving(self) -> None:
-        """The shutdown notice was received; the grace begins."""
+        """Start the shutdown: the notice was received, and the grace begins."""
 
     def closing(self) -> None:
-        """The grace is over: finish what is under way."""
+        """Finish open work: the grace is over."""
 
     def settled(self) -> bool:
-        """Whether the process may end without losing anything."""
+        """Return whether the process may end without loss of data or requests."""
 
     def close(self, timeout_s: float) -> None:
-        """End now, within `timeout_s`."""
+        """Close all features within `timeout_s`."""
 
     def gauges(self) -> dict[str, object]:
         """Return the features' counters."""
 
 
 class NoFeature:
-    """No feature is on."""
+    """The features of a server that has none enabled."""
 
     observer: RequestObserver = NO_OBSERVER
     result_store: ResultStore = NO_RESULT_STORE
@@ -106,14 +106,15 @@
 
 @dataclass(frozen=True)
 class FeatureHooks:
-    """The hooks of one feature that is on, and what it does at the program's moments.
+    """The hooks of one enabled feature; None where it has nothing to do.
 
-    An observer, store or handler takes the place of the one before it, and must pass on to that.
+    An observer, result store or handler replaces that of the feature built before and passes calls on to it.
 
     Attributes:
         handler: Wraps the handler of clients' requests.
-        inner_handler: The same, within the handlers of all features: forwarded requests go to it as well.
-        descriptors: How many descriptors it may need, which are not left for clients' connections.
+        inner_handler: Wraps the same handler inside the `handler` of all features, so that forwarded requests
+            reach it as well.
+        descriptors: Returns how many descriptors the feature may need, which clients' connections can't use.
     """
 
     observer: RequestObserver | None = None
--- a/sablewheel/program/feature_context.py
+++ b/sablewheel/program/feature_context.py
@@ -1,4 +1,4 @@
-"""What features are built on."""
+"""The context in which features are built."""
 
 from __future__ import annotations
 
@@ -24,22 +24,23 @@
 
 @dataclass
 class FeatureContext:
-    """The server's services, and what features that were built before provide for later ones.
+    """The server's services, and the services that earlier features provide for later ones.
 
     Attributes:
         incarnation: Identifies this start of the server.
-        worker_thread: There if any feature needs it; the program closes it after all who use it.
-        on_never_started: Called with a request whose run a feature held back, once nobody waits for it.
-        on_recovery_finished: Called once all that is stored is known.
-        on_start_failed: Called with a reason when a feature can't start and must not be left out.
-        retune: Called when the settings that a feature changes are others now.
-        metadata: What this member publishes in the fleet's view, by all features together.
-        fleet: By membership.
-        links: By forwarding.
-        forward: By forwarding; the feature that places requests sets its placer.
-        policies: By policy: who may serve what.
-        replication: By replication; bindings and documents go through it.
-        leave: By membership, notifies the fleet; None where another feature does that in its time.
+        worker_thread: None if no feature needs it. Closed after all features that use it.
+        on_never_started: Called with a request whose run a feature delayed, once its client stopped waiting.
+        on_recovery_finished: Called once all stored results are loaded.
+        on_start_failed: Called with a reason when a feature can't start that the server must not run without.
+        retune: Called when a feature's changes to the controller's settings are different.
+        metadata: The key-value pairs that this member publishes in the fleet's view, of all features.
+        fleet: The membership service; None if membership is off.
+        links: The connections to peers, set by forwarding.
+        forward: The forwarding service. The feature that places requests sets its `placer`.
+        policies: The policy service, which determines the servers that may run a request.
+        replication: The replication service, which also stores bindings and documents.
+        leave: Notifies the fleet that this server leaves. Set by membership; None if another feature does
+            that at a later point of the shutdown.
     """
 
     scheduler: Scheduler
--- a/sablewheel/program/feature_file.py
+++ b/sablewheel/program/feature_file.py
@@ -1,7 +1,7 @@
-"""Reads the features file: YAML with one schema, all its faults reported at once with line and key.
+"""Reads the features file, which is YAML with one schema, and reports all its faults with line and key.
 
 The file is named by `--features FILE` or `SABLEWHEEL_FEATURES`. A feature whose section is absent is off. The
-server, the collector and `sablewheel check` read the file by this module.
+server, the collector and `sablewheel check` read the file with this module.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """One fault of the file: the line from 1 (0 if there is none), the key's path, and the message."""
+    """One fault of the file: its line (counted from 1; 0 if unknown), the key's path, and the message."""
 
     line: int
     key: str
@@ -48,7 +48,7 @@
 
 
 class FaultyFeaturesError(ValueError):
-    """The file can't be used; the text has a line for each fault."""
+    """The file can't be used; the message has a line for each fault."""
 
     def __init__(self, file: str, faults: list[Fault]) -> None:
         self.faults = faults
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True)
 class Features:
-    """What is switched on: the plan of each section that is there, under the section's name."""
+    """The enabled features: the plan of each present section, under the section's name."""
 
     ledger: LedgerPlan | None = None
     recall: ResultStorePlan | None = None
@@ -70,7 +70,7 @@
 
     @property
     def any(self) -> bool:
-        """Whether the server itself has any feature on."""
+        """Whether any feature of the server itself is on."""
         names = [field.name for field in fields(self) if field.name not in SEPARATE_PROGRAMS]
         return any(self.plan(name) is not None for name in names)
 
@@ -80,7 +80,7 @@
 
 
 class Top(Section):
-    """The whole file."""
+    """The top level of the file."""
 
     version: Literal[1]
     ledger: LedgerSection | None = None
@@ -93,7 +93,7 @@
     affinity: AffinitySection | None = None
 
     def sections(self) -> dict[str, Any]:
-        """Return the sections that are there, under the names that `Features` has for their plans."""
+        """Return the present sections, under the names that `Features` has for their plans."""
         sections = {name: getattr(self, name) for name in type(self).model_fields if name != "version"}
         return {name: section for name, section in sections.items() if section is not None}
 
@@ -131,7 +131,7 @@
     try:
         top = Top.model_validate(_to_plain(document))
     except ValidationError as error:
-        faults = [_describe(document, each) for each in error.errors(include_url=False)]
+        faults = [_describe(document, detail) for detail in error.errors(include_url=False)]
         raise FaultyFeaturesError(file, sorted(faults, key=lambda fault: fault.line)) from None
     sections = top.sections()
     if faults := [
@@ -154,7 +154,7 @@
     except (YAMLError, ValueError) as error:
         raise FaultyFeaturesError(file, [Fault(0, "file", f"not YAML: {error}".split("\n")[0])]) from None
     if not isinstance(document, CommentedMap):
-        raise FaultyFeaturesError(file, [Fault(1, "file", "keys are wanted, `version: 1` first")])
+        raise FaultyFeaturesError(file, [Fault(1, "file", "expected keys, with `version: 1` first")])
     return document
 
 
@@ -191,7 +191,7 @@
 
 
 def _line(node: Any, path: tuple[Any, ...]) -> int:
-    """Return the line of a key, or of the nearest one above it that is there."""
+    """Return the line of a key, or of its nearest parent that is present."""
     line = 1
     for part in path:
         try:
@@ -211,7 +211,11 @@
     for part in path:
         field = next((field for field in model.model_fields.values() if field.alias == part), None)
         types = [field.annotation, *getattr(field.annotation, "__args__", ())] if field is not None else []
-        models = [each for each in types if isinstance(each, type) and issubclass(each, BaseModel)]
+        models = [
+            candidate
+            for candidate in types
+            if isinstance(candidate, type) and issubclass(candidate, BaseModel)
+        ]
         if not models:
             return []
         model = models[0]
--- a/sablewheel/program/feature_registry.py
+++ b/sablewheel/program/feature_registry.py
@@ -1,7 +1,8 @@
 """Declares the features and builds them; a feature's package is imported only when it is built.
 
-`DECLARED` has each feature once: its section of the features file, how it is built, and whether it has work
-for the worker thread. The sections that it needs stand with its own section in `feature_settings`.
+`DECLARED` has one declaration per feature: its section of the features file, its build function, and whether
+it needs the worker thread. The other sections that it needs are declared with its section in
+`feature_settings`.
 """
 
 from __future__ import annotations
@@ -47,13 +48,13 @@
 
 @dataclass(frozen=True)
 class FeatureDeclaration:
-    """One feature.
+    """The declaration of one feature.
 
     Attributes:
-        build: Imports the feature's package and builds it by the section's plan.
-        needs_worker_thread: Whether it has work for the worker thread.
-        metadata: What this member publishes in the fleet's view.
-        derived_metadata: The same, where it takes more than the plan.
+        build: Imports the feature's package and builds the feature from the section's plan.
+        needs_worker_thread: Whether the feature needs the worker thread.
+        metadata: The key-value pairs that this member publishes in the fleet's view.
+        derived_metadata: Further pairs, which depend on more than the plan.
     """
 
     section: str
@@ -65,7 +66,7 @@
 
 @contextlib.contextmanager
 def _listening(section: str, address: tuple[str, int]) -> Iterator[None]:
-    """Name the section in the error of an address that can't be listened on."""
+    """Add the section's name to the error of an address that can't be listened on."""
     try:
         yield
     except OSError as error:
@@ -157,9 +158,9 @@
     from ..forwarding.service import ForwardingService
 
     fleet, placement_settings = feature_context.fleet, feature_context.placement_settings
-    assert fleet is not None  # the section needs membership's
+    assert fleet is not None  # the section `forwarding` needs `membership`
     incarnation = fleet.node.local_member.incarnation
-    # At least half of the connections there may be is left for clients.
+    # At least half of all connections are left for clients.
     settings = replace(
         plan.connections,
         max_connections=min(plan.connections.max_connections, placement_settings.max_connections // 2),
@@ -175,7 +176,7 @@
         round(feature_context.scheduler.clock.now * 1000),
         placement_settings.request_classes,
         placement_settings.tenants,
-        lambda: feature_context.observer,  # the outermost of all features, once they are made
+        lambda: feature_context.observer,  # the outermost observer, known once all features are built
     )
     fleet.on_view(links.handle_view)
     fleet.on_view(forward.handle_view)
@@ -193,7 +194,7 @@
 def _host_capabilities(
     plan: PolicyPlan, placement_settings: PlacementSettings, features: Features
 ) -> HostCapabilities:
-    """Return what this server can do, by its settings, the other features that are on, and its disk."""
+    """Return this server's capabilities, given its settings, the other enabled features and its disk."""
     from ..feature_policy import host_capabilities
 
     recall = features.recall
@@ -219,7 +220,7 @@
     from ..feature_policy.service import PolicyService
 
     fleet, links, forward = feature_context.fleet, feature_context.links, feature_context.forward
-    assert fleet is not None and links is not None and forward is not None  # the section needs theirs
+    assert fleet is not None and links is not None and forward is not None  # required by the section
     host_capabilities = _host_capabilities(plan, feature_context.placement_settings, feature_context.features)
     policies = PolicyService(
         feature_context.scheduler,
@@ -250,11 +251,11 @@
         feature_context.placement_settings,
     )
     forward = feature_context.forward
-    assert fleet is not None and links is not None and forward is not None  # the section needs theirs
+    assert fleet is not None and links is not None and forward is not None  # required by the section
     slack = placement_settings.server_settings.answer_slack_s
     lifetime_s = max_key_lifetime_s(placement_settings.request_classes, slack)
     settings = replace(plan.settings, max_lifetime_s=lifetime_s)
-    keeper = feature_context.replication = ReplicationService(
+    replication = feature_context.replication = ReplicationService(
         feature_context.scheduler,
         links,
         replace(plan, settings=settings),
@@ -267,20 +268,20 @@
         placement_settings.seed,
         slack,
     )
-    forward.owner = keeper
-    fleet.on_view(keeper.view)
+    forward.owner = replication
+    fleet.on_view(replication.view)
     return FeatureHooks(
-        observer=keeper,
-        result_store=keeper,
-        leaving=keeper.leaving,
-        settled=keeper.settled,
-        close=lambda _: keeper.close(),
-        gauges=keeper.gauges,
+        observer=replication,
+        result_store=replication,
+        leaving=replication.leaving,
+        settled=replication.settled,
+        close=lambda _: replication.close(),
+        gauges=replication.gauges,
     )
 
 
 def _warm_up_progress(clock: Clock, server_settings: ServerSettings) -> Callable[[], float]:
-    """Return a function for the server's speed, from now on, relative to that of a warm one."""
+    """Return a function that gives the server's speed relative to a warm server; the warm-up starts now."""
     started_at = clock.now
 
     def relative_speed() -> float:
@@ -296,13 +297,13 @@
     from ..session_affinity.events import PolicyActivated
     from ..session_affinity.session_router import SessionRouter
 
-    fleet, links, forward, keeper = (
+    fleet, links, forward, replication = (
         feature_context.fleet,
         feature_context.links,
         feature_context.forward,
         feature_context.replication,
     )
-    assert fleet and links and forward and keeper  # the section needs theirs
+    assert fleet and links and forward and replication  # required by the section
     server_settings = feature_context.placement_settings.server_settings
     grace = min(server_settings.drain_grace_s, feature_context.placement_settings.stop_after_s)
     router = SessionRouter(
@@ -311,7 +312,7 @@
         fleet,
         links,
         forward,
-        keeper,
+        replication,
         feature_context.result_store,
         feature_context.observer,
         feature_context.placement_settings.tenants,
@@ -319,7 +320,7 @@
         float(server_settings.cores),
         grace,
     )
-    # The fleet is notified, and peers' requests are rejected, once sessions are handed over.
+    # The router notifies the fleet, and rejects peers' requests, once its sessions are handed over.
     feature_context.leave = None
     policies = feature_context.policies
     if policies is not None:
--- a/sablewheel/program/feature_set.py
+++ b/sablewheel/program/feature_set.py
@@ -1,4 +1,4 @@
-"""The features of one server: builds those that are on and calls their hooks at the program's moments."""
+"""The features of one server: builds the enabled ones and calls their hooks."""
 
 from __future__ import annotations
 
@@ -20,11 +20,12 @@
 
 
 class FeatureSet:
-    """All features that are on.
+    """All enabled features.
 
-    Features are built in the order of `DECLARED`, so what uses another comes after it. That is the order in
-    which hooks wrap each other: the observer of a later feature is notified first and passes on to that of an
-    earlier one. At the program's later moments the last built comes first, as it uses the others.
+    Features are built in the order of `DECLARED`, so a feature is built after the features that it uses.
+    Hooks wrap each other in that order: the observer of a later feature is notified first and passes calls on
+    to that of an earlier one. At the end of a round and during shutdown the hooks of later features are
+    called first, because these use the earlier ones.
 
     Attributes:
         observer: The outermost observer of requests.
@@ -81,22 +82,22 @@
 
     @property
     def descriptors(self) -> int:
-        """How many descriptors features need by now."""
+        """How many descriptors features need at present."""
         return sum(descriptors() for descriptors in self._descriptors)
 
     @property
     def up_at(self) -> float:
-        """From when on the server may be up."""
+        """The earliest time, by the scheduler's clock, at which the server may connect to its interpreter."""
         return max((up_at() for up_at in self._up_at), default=0.0)
 
     @property
     def last_notice(self) -> int:
-        """The last notice of the interpreter that a predecessor has read."""
+        """The number of the last interpreter notice that a previous server process has read; 0 if unknown."""
         numbers = (hooks.last_notice() for hooks in self._built if hooks.last_notice is not None)
         return max(numbers, default=0)
 
     def handler(self, inner: RequestHandler) -> RequestHandler:
-        """Return the handler that clients' requests go to."""
+        """Return the handler of clients' requests, wrapped by the features."""
         for hooks in self._built:
             if hooks.inner_handler is not None:
                 inner = hooks.inner_handler(inner)
@@ -106,14 +107,14 @@
         return inner
 
     def server_settings(self, server_settings: ServerSettings) -> ServerSettings:
-        """Return the controller's settings as the features change them."""
+        """Return the controller's settings with the features' changes."""
         for hooks in self._built:
             if hooks.server_settings is not None:
                 server_settings = hooks.server_settings(server_settings)
         return server_settings
 
     def reload(self) -> None:
-        """Read the features' own files anew."""
+        """Reread the features' own files."""
         for hooks in self._built:
             if hooks.reload is not None:
                 hooks.reload()
@@ -125,21 +126,21 @@
         self._background.end_round()
 
     def leaving(self) -> None:
-        """The shutdown notice was received; the grace begins."""
+        """Start the shutdown: the notice was received, and the grace begins."""
         for leaving in self._leaving:
             leaving()
 
     def closing(self) -> None:
-        """The grace is over: finish what is under way."""
+        """Finish open work: the grace is over."""
         for closing in self._closing:
             closing()
 
     def settled(self) -> bool:
-        """Whether the process may end without losing anything."""
+        """Return whether the process may end without loss of data or requests."""
         return all(settled() for settled in self._settled)
 
     def close(self, timeout_s: float) -> None:
-        """End now, within `timeout_s`."""
+        """Close all features within `timeout_s`."""
         for close in self._close:
             close(timeout_s)
         if self._worker_thread is not None:
@@ -155,7 +156,7 @@
 
 
 def _build(declaration: FeatureDeclaration, feature_context: FeatureContext, plan: Any) -> FeatureHooks:
-    """Build a feature; its observer and result store wrap those of the features before."""
+    """Build a feature; its observer and result store wrap those of the features built before."""
     hooks = declaration.build(feature_context, plan)
     feature_context.observer = hooks.observer or feature_context.observer
     feature_context.result_store = hooks.result_store or feature_context.result_store
--- a/sablewheel/program/feature_settings/__init__.py
+++ b/sablewheel/program/feature_settings/__init__.py
@@ -1,1 +1,1 @@
-"""The schema of the features file, one module a section; each section makes its feature's plan."""
+"""The schema of the features file, one module per section; each section makes its feature's plan."""
--- a/sablewheel/program/feature_settings/collector.py
+++ b/sablewheel/program/feature_settings/collector.py
@@ -13,7 +13,7 @@
 
 
 class CollectorSection(Section):
-    """The program `sablewheel ledger collect`, which is not a part of the server."""
+    """Settings of `sablewheel ledger collect`, which is a separate program and not a part of the server."""
 
     book: str
     listen: Address
--- a/sablewheel/program/feature_settings/feature_policy.py
+++ b/sablewheel/program/feature_settings/feature_policy.py
@@ -11,7 +11,7 @@
 
 
 class PolicySection(Section):
-    """The operators' routing policy, as each hardware class can carry it out."""
+    """Settings of the operators' routing policy, which is translated for each hardware class."""
 
     needs = ("membership", "forwarding")
 
@@ -30,7 +30,7 @@
 
     @model_validator(mode="after")
     def _check_consistency(self) -> PolicySection:
-        self.plan()  # Rules checks itself
+        self.plan()  # Rules raises ValueError if its values are inconsistent
         return self
 
     def plan(self) -> PolicyPlan:
--- a/sablewheel/program/feature_settings/forwarding.py
+++ b/sablewheel/program/feature_settings/forwarding.py
@@ -1,4 +1,4 @@
-"""The section `forwarding`: requests and messages of other features to peers."""
+"""The section `forwarding`: sends requests, and messages of other features, to peers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ForwardingSection(Section):
-    """Requests, and messages of other features, to peers of the fleet."""
+    """Settings of the links to peers of the fleet, and of forwarded requests."""
 
     needs = ("membership",)
 
@@ -48,13 +48,15 @@
                 f"queue-kb {self.queue_kb} does not hold one frame of frame-most-kb {self.frame_most_kb}"
             )
         if self.listen.startswith("0.0.0.0:") and self.advertise is None:
-            raise ValueError("advertise is needed with listen on 0.0.0.0: peers must know where to reach it")
+            raise ValueError(
+                "advertise is needed with listen on 0.0.0.0: peers need an address to connect to"
+            )
         return self
 
     def plan(self) -> ForwardingPlan:
         """Return the plan of the feature."""
         host, _, port = self.listen.rpartition(":")
-        links = ConnectionSettings(
+        connections = ConnectionSettings(
             max_frame_bytes=self.frame_most_kb * 1024,
             max_queued_frames=self.queue_frames,
             max_queued_bytes=self.queue_kb * 1024,
@@ -66,10 +68,10 @@
             max_retry_delay_s=self.rest_last_s,
             departed_linger_s=self.linger_s,
         )
-        passing = ForwardingSettings(
+        settings = ForwardingSettings(
             max_forwarded=self.out_most,
             max_admitted_per_peer=self.in_most,
             ack_timeout_s=self.taken_within_s,
             peer_backoff_s=self.doubt_s,
         )
-        return ForwardingPlan((host, int(port)), self.advertise or self.listen, links, passing)
+        return ForwardingPlan((host, int(port)), self.advertise or self.listen, connections, settings)
--- a/sablewheel/program/feature_settings/membership.py
+++ b/sablewheel/program/feature_settings/membership.py
@@ -1,4 +1,4 @@
-"""The section `membership`: which servers of the fleet are alive."""
+"""The section `membership`: agreement on which servers of the fleet are alive."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 def _check_place(text: str) -> str:
     if not text.isprintable() or len(text) > 64:
-        raise ValueError("a name of at most 64 printable characters is wanted")
+        raise ValueError("expected a name of at most 64 printable characters")
     return text
 
 
@@ -20,7 +20,7 @@
 
 
 class MembershipSection(Section):
-    """Who is alive in the fleet, agreed with the others."""
+    """Settings of the agreement on which servers of the fleet are alive."""
 
     listen: Address
     advertise: Address | None = None
@@ -58,9 +58,11 @@
         if self.low > self.high:
             raise ValueError(f"low {self.low} is more than high {self.high}")
         if self.listen.startswith("0.0.0.0:") and self.advertise is None:
-            raise ValueError("advertise is needed with listen on 0.0.0.0: others must know where to reach it")
+            raise ValueError(
+                "advertise is needed with listen on 0.0.0.0: members need an address to connect to"
+            )
         if len(set(self.seeds)) < len(self.seeds):
-            raise ValueError("seeds: an address is there twice")
+            raise ValueError("seeds: duplicate address")
         return self
 
     def plan(self) -> MembershipPlan:
--- a/sablewheel/program/feature_settings/periods.py
+++ b/sablewheel/program/feature_settings/periods.py
@@ -1,4 +1,4 @@
-"""The settings of billing periods, of the server and the collector alike."""
+"""The settings of billing periods, shared by the server and the collector."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
         zone_of(text)
     except PeriodError:
         raise ValueError(
-            "no such time zone; names are those of the IANA database, as America/Regina"
+            "no such time zone; expected a name of the IANA database, such as America/Regina"
         ) from None
     return text
 
--- a/sablewheel/program/feature_settings/replication.py
+++ b/sablewheel/program/feature_settings/replication.py
@@ -1,4 +1,4 @@
-"""The section `replication`: keyed runs, bindings and documents on several members each."""
+"""The section `replication`: copies of keyed runs, bindings and documents on several members."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ReplicationSection(Section):
-    """Keyed runs, bindings and documents on several members each."""
+    """Settings of the replication of keyed runs, bindings and documents on several members each."""
 
     needs = ("membership", "forwarding")
 
@@ -30,7 +30,9 @@
     @model_validator(mode="after")
     def _check_consistency(self) -> ReplicationSection:
         if self.copies % 2 == 0:
-            raise ValueError(f"copies {self.copies}: odd is wanted: one more outlives no more losses")
+            raise ValueError(
+                f"copies {self.copies}: expected an odd number: one more tolerates no more losses"
+            )
         if self.claim_within_s < 2 * self.repeat_after_s:
             raise ValueError(
                 f"claim-within-s {self.claim_within_s:g} must be at least twice repeat-after-s "
--- a/sablewheel/program/feature_settings/result_store.py
+++ b/sablewheel/program/feature_settings/result_store.py
@@ -1,4 +1,4 @@
-"""The section `recall`: results of keyed requests that outlive a restart."""
+"""The section `recall`: results of keyed requests that survive a restart."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RecallSection(Section):
-    """Keyed runs remembered over restarts."""
+    """Settings of the store of keyed runs and their results over restarts."""
 
     folder: str | None = None
     cold: Literal["run", "early", "strict", "wait"] = "run"
@@ -29,7 +29,7 @@
     def _check_consistency(self) -> RecallSection:
         if self.folder is None and self.cold == "run":
             raise ValueError(
-                "without a folder and with cold: run there is nothing to remember and nothing to do"
+                "without a folder and with cold: run, the section has no effect: nothing is stored or delayed"
             )
         if self.folder is not None and self.disk_mb * 1024 < 8 * self.segment_kb:
             raise ValueError(f"disk-mb {self.disk_mb} holds less than eight segments of {self.segment_kb} kB")
--- a/sablewheel/program/feature_settings/section.py
+++ b/sablewheel/program/feature_settings/section.py
@@ -1,4 +1,4 @@
-"""The base of all sections, and the types of keys that several sections have."""
+"""The base class of all sections, and value types that several sections use."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class Section(BaseModel):
-    """A section of the features file. Its keys are written with hyphens; unknown ones are errors.
+    """A section of the features file. Its keys are written with hyphens; unknown keys are errors.
 
     Attributes:
-        needs: The sections that must be there as well.
+        needs: The other sections that must be present.
     """
 
     needs: ClassVar[tuple[str, ...]] = ()
@@ -30,7 +30,7 @@
     except ValueError:
         valid = False
     if not valid:
-        raise ValueError("an IPv4 address and a port are wanted, as 127.0.0.1:7600")
+        raise ValueError("expected an IPv4 address and a port, such as 127.0.0.1:7600")
     return text
 
 
@@ -40,6 +40,6 @@
 
 
 def host_and_port(address: str) -> tuple[str, int]:
-    """Split an address that was checked."""
+    """Split a validated address into host and port."""
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/sablewheel/program/feature_settings/session_affinity.py
+++ b/sablewheel/program/feature_settings/session_affinity.py
@@ -1,4 +1,4 @@
-"""The section `affinity`: sessions that stay with their server."""
+"""The section `affinity`: the requests of a session go to one server."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class AffinitySection(Section):
-    """Sessions that stay with their server."""
+    """Settings of session affinity: the requests of a session go to one server."""
 
     needs = ("membership", "forwarding", "replication")
 
@@ -41,7 +41,7 @@
     @model_validator(mode="after")
     def _check_consistency(self) -> AffinitySection:
         if not self.key or len(set(self.key)) != len(self.key):
-            raise ValueError("key: one to three different fields are wanted, as [customer, subject]")
+            raise ValueError("key: expected one to three different fields, such as [customer, subject]")
         if self.offer_within_s > self.bind_within_s:
             raise ValueError(
                 f"offer-within-s {self.offer_within_s:g} is more than bind-within-s {self.bind_within_s:g}"
--- a/sablewheel/program/feature_settings/usage_metering.py
+++ b/sablewheel/program/feature_settings/usage_metering.py
@@ -13,7 +13,7 @@
 
 
 class ExportSection(Section):
-    """Where entries are sent."""
+    """Settings of the export of entries to the collector."""
 
     address: Address
     answer_within_s: PositiveDurationS = 5.0
@@ -41,7 +41,7 @@
 
 
 class LedgerSection(Section):
-    """Usage metering in the server."""
+    """Settings of usage metering in the server."""
 
     depth: Literal["memory", "durable"]
     folder: str | None = None
@@ -59,7 +59,7 @@
     @model_validator(mode="after")
     def _check_consistency(self) -> LedgerSection:
         if self.depth == "durable" and not self.folder:
-            raise ValueError("folder is needed with depth: durable, a place that outlives the process")
+            raise ValueError("folder is needed with depth: durable, on storage that outlives the process")
         if self.depth == "memory" and self.export is None:
             raise ValueError("export is needed with depth: memory, or nothing would ever leave the process")
         if self.depth == "durable" and self.commit_every_s >= self.hold_most_s:
--- a/sablewheel/program/logs.py
+++ b/sablewheel/program/logs.py
@@ -6,7 +6,7 @@
 import sys
 import time
 
-MAX_LINES_PER_S = 20  # of one logger; the next line that passes has the number left out
+MAX_LINES_PER_S = 20  # per logger; the next line that passes reports how many were left out
 
 
 class KeyValueFormatter(logging.Formatter):
--- a/tests/test_replication_service.py
+++ b/tests/test_replication_service.py
@@ -328,7 +328,7 @@
 @pytest.mark.parametrize(
     ("text", "message"),
     [
-        ("copies: 4", "odd is wanted"),
+        ("copies: 4", "expected an odd number"),
         ("claim-within-s: 0.1", "at least twice repeat-after-s"),
         ("copy: 3", "copies may be meant"),
         ("cold: maybe", "cold"),
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -344,7 +344,7 @@
         deployment.interpreter.end(next(iter(deployment.interpreter.core.running)))
     assert peer.read(1)[1] == (b"OK" if up else b"BUSY")
     peer.sock.close()
-    assert ("configuration read anew" in ended(process)) == ("SIGHUP" in numbers)
+    assert ("configuration reloaded" in ended(process)) == ("SIGHUP" in numbers)
 
 
 def test_notified_to_shut_down_within_the_hand_over_to_a_moved_interpreter(deployment: Deployment) -> None:
@@ -401,7 +401,7 @@
         deployment.ready().sock.close()
         process.send_signal(signal.SIGTERM)
     text = ended(process)
-    assert ("configuration read anew" in text) == (number == "SIGHUP")
+    assert ("configuration reloaded" in text) == (number == "SIGHUP")
 
 
 def test_a_sighup_is_taken_where_it_was_ignored_up_to_the_start(deployment: Deployment) -> None:
@@ -418,7 +418,7 @@
     with suspended(process):
         process.send_signal(signal.SIGHUP)
         process.send_signal(signal.SIGTERM)
-    assert ended(process).count("configuration read anew") == 1
+    assert ended(process).count("configuration reloaded") == 1
 
 
 # -- the listening socket
--- a/tests/test_usage_metering.py
+++ b/tests/test_usage_metering.py
@@ -792,7 +792,7 @@
             "version: 1\ncollector:\n  book: b\n  listen: 127.0.0.1:1\n  period: {zone: Mars}\n",
             "no such time zone",
         ),
-        ("- a\n", "keys are wanted"),
+        ("- a\n", "expected keys"),
         ("version: [1\n", "not YAML"),
         ("version: 1\nversion: 1\n", "not YAML"),
     ],
