--- a/tests/installation.py
+++ b/tests/installation.py
@@ -14,7 +14,7 @@
 from sablewheel.experiments.testbed import Testbed, free_port
 from sablewheel.protocol.resp import Parser
 
-PATIENCE = 15.0
+TIMEOUT_S = 15.0
 KEYED, SAFE = b"record", b"lookup"
 
 
@@ -79,7 +79,7 @@
     """A client's connection to the server; answers by tag."""
 
     def __init__(self, port: int) -> None:
-        self._socket = socket.create_connection(("127.0.0.1", port), timeout=PATIENCE)
+        self._socket = socket.create_connection(("127.0.0.1", port), timeout=TIMEOUT_S)
         self.wall_clock: Callable[[], float] = time.time
         self._parser = Parser()
         self.sent: dict[int, bytes] = {}
@@ -181,7 +181,7 @@
         self._testbed = testbed
         # A notice is read before anything else: a link that has read none looks like that of a new server.
         self.client.ask(1, SAFE)
-        self.client.read(PATIENCE)
+        self.client.read(TIMEOUT_S)
 
     def starts(self) -> Counter[str]:
         """How often the interpreter began each request."""
--- a/tests/stories/test_server_stories.py
+++ b/tests/stories/test_server_stories.py
@@ -21,7 +21,7 @@
 import pytest
 from pytest_bdd import given, parsers, scenarios, then, when
 from simulated_server import frame
-from test_program import PATIENCE, SETTINGS, ClientConnection, Deployment, FakeInterpreter, wait_until
+from test_program import SETTINGS, TIMEOUT_S, ClientConnection, Deployment, FakeInterpreter, wait_until
 
 scenarios("servers.feature")
 
@@ -41,7 +41,7 @@
             sock.bind(("127.0.0.1", 0))
         self.addresses = [f"127.0.0.1:{sock.getsockname()[1]}" for sock in self.socks]
 
-    def next_report(self, within: float = PATIENCE) -> tuple[int, str, bytes] | None:
+    def next_report(self, within: float = TIMEOUT_S) -> tuple[int, str, bytes] | None:
         """To which, from whom and the word; None if nothing comes in that time."""
         ready = select.select(self.socks, [], [], within)[0]
         if not ready:
@@ -160,7 +160,7 @@
         self.name_services.pending_reports()
         for number in numbers:
             self.signal(number, signal.SIGTERM)
-        left, until = {f"n{number}" for number in numbers}, time.monotonic() + PATIENCE
+        left, until = {f"n{number}" for number in numbers}, time.monotonic() + TIMEOUT_S
         while left:
             told = self.name_services.next_report()
             assert told is not None and time.monotonic() < until, f"never said that they leave: {left}"
@@ -190,7 +190,7 @@
     def end(self) -> None:
         self.quiet.set()
         for thread in self.threads:
-            thread.join(PATIENCE)
+            thread.join(TIMEOUT_S)
         for deployment in self.deployments:
             deployment.end()
         for interpreter in self.interpreters:
@@ -251,7 +251,7 @@
 def left_in_order(story: Story, within: float = STOP) -> None:
     assert story.shutdown_asked_at
     for number in story.shutdown_asked_at:
-        _, text = story.running[number].communicate(timeout=PATIENCE)
+        _, text = story.running[number].communicate(timeout=TIMEOUT_S)
         assert story.running[number].returncode == 0 and "Traceback" not in text and "by a fault" not in text
         wait_until(lambda number=number: number in story.shutdown_time_s)  # type: ignore[misc]
         assert story.shutdown_time_s[number] <= within, story.shutdown_time_s
@@ -339,7 +339,7 @@
         case 4:
             wait_until(lambda: deployment.interpreter.core.running)
     starting.kill()
-    starting.wait(PATIENCE)
+    starting.wait(TIMEOUT_S)
     deployment.interpreter.at_once = True
 
 
@@ -347,13 +347,13 @@
     deployment, old, killed = story.deployments[number], story.running[number], number % 2 == 1
     old.send_signal(signal.SIGTERM)
     if killed:
-        old.wait(PATIENCE)
+        old.wait(TIMEOUT_S)
     begun = time.time()
     if killed:
         kill_in_its_start(deployment, number // 2 % 5)
     # the other half finds its door still held by the one that leaves
     story.running[number] = deployment.start()
-    assert old.wait(PATIENCE) == 0
+    assert old.wait(TIMEOUT_S) == 0
     since = time.time()
 
     def served() -> list[float]:
@@ -374,10 +374,10 @@
     for thread in restarts:
         thread.start()
     for thread in restarts:
-        thread.join(2 * PATIENCE)
+        thread.join(2 * TIMEOUT_S)
     story.quiet.set()
     for thread in story.threads:
-        thread.join(PATIENCE)
+        thread.join(TIMEOUT_S)
 
 
 @then(parsers.parse("{some:d} of {all_:d} serve within {span:d} seconds, and all in the end"))
@@ -459,7 +459,7 @@
     left = {
         f"n{number}": 3 for number in range(len(story.deployments)) if number not in story.shutdown_asked_at
     }
-    until = time.monotonic() + PATIENCE
+    until = time.monotonic() + TIMEOUT_S
     while any(left.values()):
         told = story.name_services.next_report()
         assert told is not None and time.monotonic() < until, left
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from installation import KEYED, PATIENCE, SAFE, Client, Installation
+from installation import KEYED, SAFE, TIMEOUT_S, Client, Installation
 
 from sablewheel.experiments.testbed import Testbed
 
@@ -47,7 +47,7 @@
     due = time.monotonic() + DEADLINE + SLACK
     for client in clients:
         client.read(max(due - time.monotonic(), 0.01))
-    code = installation.server.popen.wait(PATIENCE)
+    code = installation.server.popen.wait(TIMEOUT_S)
     starts = installation.starts()
     installation.close()
     for client in clients:
--- a/tests/test_incident_duplicate_run.py
+++ b/tests/test_incident_duplicate_run.py
@@ -23,7 +23,7 @@
 from collections.abc import Iterator
 
 import pytest
-from installation import KEYED, PATIENCE, Installation, Pair
+from installation import KEYED, TIMEOUT_S, Installation, Pair
 
 from sablewheel.experiments.testbed import Testbed
 
@@ -48,7 +48,7 @@
             return not broken
         if upward and b"APPLY" in data:
             command_seen.set()
-            end_written.wait(PATIENCE)
+            end_written.wait(TIMEOUT_S)
         if not upward and b"VALUE" in data:
             end_written.set()
             command_seen.wait(CROSSING_MOST)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -23,7 +23,7 @@
 from sablewheel.program import configuration, logs
 from sablewheel.protocol.resp import Parser
 
-PATIENCE = 20.0
+TIMEOUT_S = 20.0
 SETTINGS: dict[str, Any] = {
     "classes": [
         {"name": "lookup", "on-time-s": 3.0, "deadline-s": 9.0, "repeat": "safe"},
@@ -57,7 +57,7 @@
     def __init__(self, core: SimulatedInterpreter | None = None) -> None:
         self.core, self.at_once = core or SimulatedInterpreter(), True
         self.listening_socket = socket.create_server(("127.0.0.1", 0))
-        self.listening_socket.settimeout(PATIENCE)
+        self.listening_socket.settimeout(TIMEOUT_S)
         self.link: socket.socket | None = None
         threading.Thread(target=self._serve, daemon=True).start()
 
@@ -112,7 +112,7 @@
         self.interpreter = FakeInterpreter()
         self.name_service = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.name_service.bind(("127.0.0.1", 0))
-        self.name_service.settimeout(PATIENCE)
+        self.name_service.settimeout(TIMEOUT_S)
         self._reserved = reserved_address()
         self.address = self._reserved.getsockname()
         self.file = folder / "configuration.json"
@@ -141,10 +141,10 @@
         return process
 
     def client(self) -> ClientConnection:
-        until = time.monotonic() + PATIENCE
+        until = time.monotonic() + TIMEOUT_S
         while True:
             try:
-                return ClientConnection(socket.create_connection(self.address, timeout=PATIENCE))
+                return ClientConnection(socket.create_connection(self.address, timeout=TIMEOUT_S))
             except OSError:
                 assert time.monotonic() < until, "the server does not listen"
                 time.sleep(0.01)
@@ -152,7 +152,7 @@
     def ready(self) -> ClientConnection:
         """Connect and wait until the server reports that it is up."""
         peer = self.client()
-        until = time.monotonic() + PATIENCE
+        until = time.monotonic() + TIMEOUT_S
         tag = 1_000_000
         while peer.ask(tag, frame(b"RPC.HEALTH", b"%d" % tag, b""))[1] != b"UP":
             assert time.monotonic() < until, "the server does not come up"
@@ -172,7 +172,7 @@
 
 
 def wait_until(true: Callable[[], object]) -> None:
-    until = time.monotonic() + PATIENCE
+    until = time.monotonic() + TIMEOUT_S
     while not true():
         assert time.monotonic() < until, "what was waited for did not come"
         time.sleep(0.005)
@@ -224,7 +224,7 @@
 
 def leave(process: subprocess.Popen[str], number: int = signal.SIGTERM) -> str:
     process.send_signal(number)
-    _, text = process.communicate(timeout=PATIENCE)
+    _, text = process.communicate(timeout=TIMEOUT_S)
     assert process.returncode == 0 and "Traceback" not in text and "by a fault" not in text
     return text
 
@@ -277,7 +277,7 @@
     deployment.file.write_text(json.dumps(deployment.config))
     environment = {**os.environ, "RELAY_CONFIG": str(deployment.file)}
     done = subprocess.run(
-        [sys.executable, "-c", EARLY], env=environment, capture_output=True, text=True, timeout=PATIENCE
+        [sys.executable, "-c", EARLY], env=environment, capture_output=True, text=True, timeout=TIMEOUT_S
     )
     assert done.returncode == 0 and "occasion=asked" in done.stderr and "occasion=exit" in done.stderr
 
@@ -303,9 +303,9 @@
     interpreter.core.running = {b"first": (b"lookup", b""), b"second": (b"lookup", b"")}
     other = threading.Thread(target=interpreter.end, args=(b"first",))
     other.start()
-    assert link.reached.wait(PATIENCE)
+    assert link.reached.wait(TIMEOUT_S)
     interpreter.end(b"second")
-    other.join(PATIENCE)
+    other.join(TIMEOUT_S)
     interpreter.listening_socket.close()
     assert link.sent == interpreter.core.notices
 
@@ -316,7 +316,7 @@
         peer = deployment.ready()
         assert peer.ask(1, peer.call(1))[1] == b"OK"
         process.kill()
-        process.wait(PATIENCE)
+        process.wait(TIMEOUT_S)
 
 
 def test_a_broken_link_comes_back_and_the_end_is_not_lost(deployment: Deployment) -> None:
@@ -338,7 +338,7 @@
     new = FakeInterpreter(old.core)  # the same interpreter behind another address
     names = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     names.bind(("127.0.0.1", 0))
-    names.settimeout(PATIENCE)
+    names.settimeout(TIMEOUT_S)
 
     def write_configuration(**changes: Any) -> None:
         deployment.file.write_text(json.dumps(deployment.config | changes))
@@ -487,7 +487,7 @@
         for tag in range(1, 200_000):
             deaf.send(frame(b"RPC.HEALTH", b"%d" % tag, b""))
     assert good.ask(1, good.call(1))[1] == b"OK"
-    deaf.sock.settimeout(PATIENCE)
+    deaf.sock.settimeout(TIMEOUT_S)
     for number in range(1, tag):  # once it reads, it gets all that it is owed
         assert deaf.read(number)[1] == b"UP"
 
@@ -534,7 +534,7 @@
     began = time.monotonic()
     late = narrow.client()
     assert late.ask(1, late.call(1))[1] == kept.ask(1, kept.call(1))[1] == b"OK"
-    assert all(peer.ended() for peer in (*crowd, half)) and time.monotonic() < began + PATIENCE
+    assert all(peer.ended() for peer in (*crowd, half)) and time.monotonic() < began + TIMEOUT_S
     kept.send(kept.call(2))
     assert kept.read(2)[1] == b"OK"  # it has asked once: it may stay
     kept.send(kept.call(3)[:-9])
@@ -569,7 +569,7 @@
     deployment = Deployment(tmp_path, **changes)
     process = deployment.start()
     try:
-        _, text = process.communicate(timeout=PATIENCE)
+        _, text = process.communicate(timeout=TIMEOUT_S)
     finally:
         deployment.end()
     assert process.returncode == 2 and text.startswith(f"sablewheel: {key}: ") and text.count("\n") == 1
@@ -610,13 +610,13 @@
     deployment.start()
     deployment.ready()
     second = deployment.start()
-    _, text = second.communicate(timeout=PATIENCE)
+    _, text = second.communicate(timeout=TIMEOUT_S)
     assert second.returncode == 1 and text.startswith("sablewheel: listen: ") and text.count("\n") == 1
 
 
 def test_the_adapter_needs_no_greenlet() -> None:
     program = "import sys, sablewheel.bench_adapter.__main__; sys.exit('greenlet' in sys.modules)"
-    assert subprocess.run([sys.executable, "-c", program], timeout=PATIENCE).returncode == 0
+    assert subprocess.run([sys.executable, "-c", program], timeout=TIMEOUT_S).returncode == 0
 
 
 def test_the_log_is_key_value_and_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -21,7 +21,7 @@
 
 import pytest
 from simulated_server import call, frame
-from test_program import PATIENCE, SETTINGS, ClientConnection, Deployment, wait_until
+from test_program import SETTINGS, TIMEOUT_S, ClientConnection, Deployment, wait_until
 
 from sablewheel.protocol import naming
 from sablewheel.transport import listening_socket
@@ -51,7 +51,7 @@
 
 
 def ended(process: subprocess.Popen[str]) -> str:
-    _, text = process.communicate(timeout=PATIENCE)
+    _, text = process.communicate(timeout=TIMEOUT_S)
     assert process.returncode == 0 and "Traceback" not in text and "by a fault" not in text, text
     return text
 
@@ -355,7 +355,7 @@
     peer.send(peer.call(1))
     wait_until(lambda: deployment.interpreter.core.running)
     with socket.create_server(("127.0.0.1", 0)) as mute:  # takes the link, and says nothing
-        mute.settimeout(PATIENCE)
+        mute.settimeout(TIMEOUT_S)
         deployment.file.write_text(
             json.dumps(deployment.config | {"vm": f"127.0.0.1:{mute.getsockname()[1]}"})
         )
@@ -380,7 +380,7 @@
 Application.run = lambda self: 0
 """,
     )
-    process.communicate(timeout=PATIENCE)
+    process.communicate(timeout=TIMEOUT_S)
     assert process.returncode == 0
 
 
@@ -472,7 +472,7 @@
     def on_full(self) -> None:
         self.times_full += 1
 
-    def client(self, most: float = PATIENCE) -> None:
+    def client(self, most: float = TIMEOUT_S) -> None:
         """Connect and write a request; the client is noted if the kernel accepted it."""
         with contextlib.suppress(OSError):
             self.clients.append(socket.create_connection(self.address, timeout=most))
@@ -485,7 +485,7 @@
             stream.flush()
         answers = []
         for client in self.clients:
-            client.settimeout(PATIENCE)
+            client.settimeout(TIMEOUT_S)
             try:
                 answers.append(client.recv(9))
             except ConnectionResetError:
@@ -509,7 +509,7 @@
     assert harness.listener.close_if_queue_empty() and harness.listener.close_if_queue_empty()
     assert harness.answer() == [b"told", b"told"]
     with pytest.raises(ConnectionRefusedError):
-        socket.create_connection(harness.address, timeout=PATIENCE)
+        socket.create_connection(harness.address, timeout=TIMEOUT_S)
 
 
 @pytest.mark.parametrize("number", [errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EPROTO, errno.EINTR])
@@ -729,7 +729,7 @@
     began = time.monotonic()
     process.send_signal(signal.SIGTERM)
     assert peer.read(1)[1] == b"FAILED"
-    _, text = process.communicate(timeout=PATIENCE)
+    _, text = process.communicate(timeout=TIMEOUT_S)
     assert process.returncode == 0 and time.monotonic() - began < 1.2
     assert "a fault of ours" in text
 
@@ -747,5 +747,5 @@
     assert [deployment.name_service.recv(64).split()[1] for _ in range(5)] == [b"n3"] * 5
     deployment.ready().sock.close()
     process.send_signal(signal.SIGTERM)
-    _, text = process.communicate(timeout=PATIENCE)
+    _, text = process.communicate(timeout=TIMEOUT_S)
     assert process.returncode == 0 and "a fault of ours" in text
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 
 import pytest
-from installation import KEYED, PATIENCE, SAFE, Installation
+from installation import KEYED, SAFE, TIMEOUT_S, Installation
 
 from sablewheel.experiments.testbed import Testbed
 
@@ -58,7 +58,7 @@
     step(testbed, installation, seconds)
     installation.client.read(1.0)
     assert 2 not in installation.client.answers, "given up long before its deadline"
-    installation.client.read(PATIENCE)
+    installation.client.read(TIMEOUT_S)
     took = time.monotonic() - sent
     installation.close()
     assert installation.client.answers[2][1] == b"FAILED" and DEADLINE - 0.3 < took < DEADLINE + 0.3
@@ -74,9 +74,9 @@
     installation.server.popen.send_signal(signal.SIGTERM)
     time.sleep(0.2)
     step(testbed, installation, seconds)
-    client.read(PATIENCE)
+    client.read(TIMEOUT_S)
     answered = time.monotonic() - told
-    code = installation.server.popen.wait(PATIENCE)
+    code = installation.server.popen.wait(TIMEOUT_S)
     ended = time.monotonic() - told
     installation.close()
     assert answered < STOP - 0.05
