--- a/tests/test_close_races.py
+++ b/tests/test_close_races.py
@@ -18,7 +18,7 @@
 
 import pytest
 from simulated_server import FakeStream, SimulatedServer, call, frame
-from test_program import Deployment, FakeInterpreter, leave, wait_until
+from test_program import Deployment, FakeInterpreter, shut_down, wait_until
 from test_serving import SERVER_SETTINGS
 
 from sablewheel.program import configuration
@@ -592,7 +592,7 @@
         assert most <= limit, f"{most} descriptors of {limit}"
         for one in (peer, asking, *crowd):
             one.sock.close()
-        leave(process)
+        shut_down(process)
     finally:
         new.listening_socket.close()
         new.cut()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -222,7 +222,7 @@
     deployment.end()
 
 
-def leave(process: subprocess.Popen[str], number: int = signal.SIGTERM) -> str:
+def shut_down(process: subprocess.Popen[str], number: int = signal.SIGTERM) -> str:
     process.send_signal(number)
     _, text = process.communicate(timeout=TIMEOUT_S)
     assert process.returncode == 0 and "Traceback" not in text and "by a fault" not in text
@@ -245,7 +245,7 @@
     process.send_signal(signal.SIGTERM)
     assert peer.read(4)[1] == b"FAILED" and peer.read(0)[1] == b"BYE"
     peer.sock.close()
-    text = leave(process, signal.SIGUSR1)
+    text = shut_down(process, signal.SIGUSR1)
     assert "occasion=asked" in text and "occasion=exit" in text and "tickets_completed=3" in text
 
 
@@ -256,7 +256,7 @@
     deployment.interpreter.core.up = False
     process = deployment.start()
     assert deployment.client().ask(1, frame(b"RPC.HEALTH", b"1", b""))[1] == b"DOWN"
-    leave(process, number)
+    shut_down(process, number)
 
 
 EARLY = """
@@ -371,7 +371,7 @@
     process.send_signal(signal.SIGHUP)
     assert peer.read(0)[1] == b"BYE"
     peer.sock.close()
-    text = leave(process)
+    text = shut_down(process)
     new.listening_socket.close()
     names.close()
     assert "runs_sent_again" not in text and 'reason="vm: ' in text and "need_restart=stop_ms" in text
@@ -390,7 +390,7 @@
     )
     wait_until(lambda: new.link is not None)
     assert peer.ask(1, peer.call(1))[1] == b"OK"
-    text = leave(process)
+    text = shut_down(process)
     new.listening_socket.close()
     assert "configuration not read" in text and "configurations_taken=1" in text
 
@@ -455,7 +455,7 @@
     again = good.ask(4, good.call(4, b"record", b"true"))
     assert again[1] == b"OK" and again[3] == b"made of true"
     good.sock.close()
-    assert "Traceback" not in leave(process)
+    assert "Traceback" not in shut_down(process)
 
 
 def test_noise_from_clients_and_interpreter_leaves_the_server_serving(deployment: Deployment) -> None:
@@ -476,7 +476,7 @@
         time.sleep(0.05)
     assert good.ask(9, good.call(9))[1] == b"OK"
     good.sock.close()
-    assert "Traceback" not in leave(process)
+    assert "Traceback" not in shut_down(process)
 
 
 def test_a_client_that_does_not_read_stalls_nobody(deployment: Deployment) -> None:
@@ -501,7 +501,7 @@
     process.send_signal(signal.SIGUSR1)
     assert good.ask(1, good.call(1))[1] == b"OK"
     good.sock.close()
-    assert "open_connections=1" in leave(process)
+    assert "open_connections=1" in shut_down(process)
 
 
 @pytest.fixture
@@ -540,7 +540,7 @@
     kept.send(kept.call(3)[:-9])
     assert kept.ended()
     late.sock.close()
-    text = leave(process)
+    text = shut_down(process)
     assert "connections_silent=" in text and "connections_crowded_out=" in text
 
 
@@ -667,7 +667,7 @@
     answered = {b"%d" % number for number in range(1, 10)}
     assert not [one for one in peer.frames if one[0] in answered]  # a second answer to any of them
     peer.sock.close()
-    text = leave(process)
+    text = shut_down(process)
     assert text.count("taken=settings.classes,settings.extra.halt") == 2  # there and back
     assert "need_restart=settings.classes" in text and "settings.classes[0].repeat" in text
     assert "runs_sent_again" not in text
