--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,6 @@
-"""The same verdict each time: hypothesis draws as before, unless HYPOTHESIS_PROFILE=search asks anew.
+"""Settings of all tests: hypothesis draws the same examples each time, unless HYPOTHESIS_PROFILE=search.
 
-The tests that KNOWN-RED.txt names, if there is one, are passed over by `known_red`.
+The plugin `known_red` passes over the tests that KNOWN-RED.txt lists, if that file exists.
 """
 
 from __future__ import annotations
--- a/tests/failing_calls.py
+++ b/tests/failing_calls.py
@@ -1,9 +1,10 @@
-"""Runs a module with system calls that fail now and then, as their manual pages allow, by a seed.
+"""Runs a module with random failures of system calls, as allowed by their manual pages.
 
     python -m failing_calls '{"seed": 1, "share": 0.03}' sablewheel
 
-`share` is the part of the calls that fail; `at_start` names calls that fail the first few times in any case.
-A failed call has done nothing, but for close, which has. Reads and writes may also be short.
+`seed` determines the failures, and `share` is the fraction of calls that fail. `at_start` names calls whose
+first few attempts always fail. A failed call has no effect, except for close, which closes the descriptor.
+Reads and writes may also be short.
 """
 
 from __future__ import annotations
@@ -18,8 +19,8 @@
 import sys
 from typing import Any
 
-MAX_SHORT_BYTES = 7  # bytes of a short read or write
-FAILURES_AT_START = 3
+MAX_SHORT_BYTES = 7  # of a short read or write
+FAILURES_AT_START = 3  # of each call that `at_start` names
 ACCEPT = [
     errno.ECONNABORTED,
     errno.EMFILE,
@@ -40,8 +41,8 @@
 CREATE = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
 
 
-class Chance:
-    """Which calls fail, and how."""
+class FailureInjector:
+    """Decides which calls fail, and with which error."""
 
     def __init__(self, options: dict[str, Any]) -> None:
         self._random = random.Random(options["seed"])
@@ -62,83 +63,83 @@
     def code(self, call: str, codes: list[int]) -> int:
         return self._random.choice(codes) if self.fails(call) else 0
 
-    def size(self, whole: int) -> int:
-        return min(whole, self._random.randint(1, MAX_SHORT_BYTES)) if self.fails("short") else whole
+    def size(self, requested: int) -> int:
+        return min(requested, self._random.randint(1, MAX_SHORT_BYTES)) if self.fails("short") else requested
 
 
-chance = Chance({"seed": 0, "share": 0.0})
+injector = FailureInjector({"seed": 0, "share": 0.0})
 
 
 class FailingSocket(socket.socket):
-    """A socket whose calls fail by chance."""
+    """A socket whose calls fail at random."""
 
     def __init__(self, *values: Any, **more: Any) -> None:
         if more.get("fileno") is None and len(values) < 4:
-            chance.maybe_raise("socket", CREATE)
+            injector.maybe_raise("socket", CREATE)
         super().__init__(*values, **more)
 
     def accept(self) -> tuple[socket.socket, Any]:
-        chance.maybe_raise("accept", ACCEPT)
+        injector.maybe_raise("accept", ACCEPT)
         descriptor, address = self._accept()  # type: ignore[attr-defined]
         return FailingSocket(self.family, self.type, self.proto, fileno=descriptor), address
 
     def recv_into(self, buffer: Any, nbytes: int = 0, flags: int = 0) -> int:
-        chance.maybe_raise("recv", READ)
-        return super().recv_into(buffer, chance.size(nbytes or len(buffer)), flags)
+        injector.maybe_raise("recv", READ)
+        return super().recv_into(buffer, injector.size(nbytes or len(buffer)), flags)
 
     def recv(self, size: int, flags: int = 0) -> bytes:
-        chance.maybe_raise("recv", READ)
+        injector.maybe_raise("recv", READ)
         return super().recv(size, flags)
 
     def send(self, data: Any, flags: int = 0) -> int:
-        chance.maybe_raise("send", WRITE)
-        return super().send(memoryview(data)[: chance.size(len(data))], flags)
+        injector.maybe_raise("send", WRITE)
+        return super().send(memoryview(data)[: injector.size(len(data))], flags)
 
     def sendto(self, *values: Any) -> int:
-        chance.maybe_raise("sendto", WRITE)
+        injector.maybe_raise("sendto", WRITE)
         return super().sendto(*values)
 
     def connect_ex(self, address: Any) -> int:
-        if code := chance.code("connect", CONNECT):
+        if code := injector.code("connect", CONNECT):
             return code
         code = super().connect_ex(address)
-        return chance.code("connect", [errno.EINTR]) or code if code == errno.EINPROGRESS else code
+        return injector.code("connect", [errno.EINTR]) or code if code == errno.EINPROGRESS else code
 
     def setsockopt(self, *values: Any) -> None:
-        chance.maybe_raise("setsockopt", [errno.ENOBUFS, errno.ENOMEM])
+        injector.maybe_raise("setsockopt", [errno.ENOBUFS, errno.ENOMEM])
         super().setsockopt(*values)
 
     def close(self) -> None:
         was_open = self.fileno() >= 0
         super().close()
         if was_open:
-            chance.maybe_raise("close", [errno.EIO, errno.EINTR])
+            injector.maybe_raise("close", [errno.EIO, errno.EINTR])
 
 
 class FailingPoll:
-    """A poll object that now and then has no memory."""
+    """A poll object whose `poll` fails at random for lack of memory."""
 
     def __init__(self, real: Any) -> None:
         self._real = real
         self.register, self.modify, self.unregister = real.register, real.modify, real.unregister
 
     def poll(self, timeout: Any = None) -> Any:
-        chance.maybe_raise("poll", [errno.ENOMEM])
+        injector.maybe_raise("poll", [errno.ENOMEM])
         return self._real.poll(timeout)
 
 
 def install(options: dict[str, Any]) -> None:
-    global chance
-    chance = Chance(options)
+    global injector
+    injector = FailureInjector(options)
     socket.socket = FailingSocket  # type: ignore[misc]
     real_poll, real_pipe, real_read = select.poll, os.pipe, os.read
 
     def pipe() -> tuple[int, int]:
-        chance.maybe_raise("pipe", [errno.EMFILE, errno.ENFILE])
+        injector.maybe_raise("pipe", [errno.EMFILE, errno.ENFILE])
         return real_pipe()
 
     def read(descriptor: int, size: int) -> bytes:
-        chance.maybe_raise("read", [errno.EIO, errno.EINTR])
+        injector.maybe_raise("read", [errno.EIO, errno.EINTR])
         return real_read(descriptor, size)
 
     os.read = read
--- a/tests/installation.py
+++ b/tests/installation.py
@@ -1,4 +1,4 @@
-"""A server and its interpreter as processes on loopback, a proxy on the link between them, and a client."""
+"""A server and its interpreter as processes on loopback, with a proxy between them, and a client."""
 
 from __future__ import annotations
 
@@ -19,9 +19,10 @@
 
 
 class LinkProxy:
-    """Stands between a server and its interpreter, and passes bytes on through `pass_on(link, upward, data)`.
+    """A proxy between a server and its interpreter; `pass_on(link, upward, data)` forwards the bytes.
 
-    `pass_on` returns whether the link goes on; links are numbered from 1.
+    `upward` is True for bytes from the server to the interpreter. `pass_on` returns whether the link stays
+    open. Links are numbered from 1.
     """
 
     def __init__(self, interpreter_port: int, pass_on: Callable[[Pair, bool, bytes], bool]) -> None:
@@ -56,7 +57,7 @@
 
 
 class Pair:
-    """One link: the server's end and the interpreter's."""
+    """One link through the proxy: the server's end and the interpreter's end."""
 
     def __init__(self, number: int, server: socket.socket, interpreter: socket.socket) -> None:
         self.number, self.server, self.interpreter = number, server, interpreter
@@ -76,22 +77,22 @@
 
 
 class Client:
-    """A client's connection to the server; answers by tag."""
+    """A client's connection to the server. Its dictionaries are indexed by tag."""
 
     def __init__(self, port: int) -> None:
         self._socket = socket.create_connection(("127.0.0.1", port), timeout=TIMEOUT_S)
         self.wall_clock: Callable[[], float] = time.time
         self._parser = Parser()
         self.sent: dict[int, bytes] = {}
-        self.keys: dict[int, bytes] = {}  # of the keyed ones
-        self.sent_at: dict[int, float] = {}  # monotonic
+        self.keys: dict[int, bytes] = {}  # idempotency keys of the keyed requests
+        self.sent_at: dict[int, float] = {}  # monotonic time
         self.answers: dict[int, list[bytes]] = {}
         self.answered_at: dict[int, float] = {}
         self.close_announced = False  # no new request may come on this connection
-        self.ended_at: float | None = None  # when it was seen to have ended
+        self.ended_at: float | None = None  # monotonic time at which the end of the connection was read
 
     def ask(self, tag: int, request_class: bytes, key: int | None = None, tenant: bytes = b"regina") -> bytes:
-        """Send a request, a keyed one with a key of its own unless `key` is given; its id."""
+        """Send a request and return its id. A keyed request gets a key of its own unless `key` is given."""
         request = b"%016x" % (0xA0000 + tag)
         idempotency_key = b"%032x" % (tag if key is None else key) if request_class == KEYED else b""
         frame = wire.call(
@@ -112,22 +113,22 @@
         return request
 
     def read(self, seconds: float) -> None:
-        """Take answers until all are here or the time is up."""
+        """Read answers until all have arrived or `seconds` are over."""
         until = time.monotonic() + seconds
-        while len(self.answers) < len(self.sent) and (left := until - time.monotonic()) > 0:
-            if not self._read_once(left):
+        while len(self.answers) < len(self.sent) and (remaining_s := until - time.monotonic()) > 0:
+            if not self._read_once(remaining_s):
                 return
 
-    def look(self) -> None:
-        """Take what is there."""
+    def read_available(self) -> None:
+        """Read the answers that have arrived."""
         while self._read_once(0.0):
             pass
 
-    def _read_once(self, most: float) -> bool:
-        """Whether anything was read within `most` seconds."""
+    def _read_once(self, timeout_s: float) -> bool:
+        """Return whether anything was read within `timeout_s`."""
         if self.ended_at is not None:
             return False
-        self._socket.settimeout(most)
+        self._socket.settimeout(timeout_s)
         try:
             data = self._socket.recv(65536)
         except (TimeoutError, BlockingIOError):
@@ -151,7 +152,7 @@
 
 
 class Installation:
-    """A server and its interpreter, each a process, with the proxy between them."""
+    """A server and its interpreter, each a process, with a proxy between them."""
 
     def __init__(
         self,
@@ -164,8 +165,17 @@
         cores: int = 64,
         **changes: Any,
     ) -> None:
-        """`keyed_work`: seconds of a keyed run; `shifted`: its wall clock goes by `testbed.shift`; `module`:
-        what is run, with its words; `changes`: to its configuration.
+        """Start the processes and send a first request.
+
+        Args:
+            testbed: Starts the processes.
+            keyed_work: The duration of a keyed run in seconds.
+            pass_on: Forwards the bytes on the link; see `LinkProxy`.
+            shifted: Whether the server's wall clock is shifted by `testbed.shift`.
+            module: The server's module and its arguments.
+            environment: Further environment variables of the server.
+            cores: The number of cores of the interpreter.
+            changes: Changed keys of the server's configuration.
         """
         interpreter_port, port = free_port(), free_port()
         work = {SAFE.decode(): 0.02, KEYED.decode(): keyed_work}
@@ -179,12 +189,13 @@
         self.port = port
         self.client = Client(port)
         self._testbed = testbed
-        # A notice is read before anything else: a link that has read none looks like that of a new server.
+        # The server reads a notice before the test starts: a link on which no notice was read looks like the
+        # link of a new server.
         self.client.ask(1, SAFE)
         self.client.read(TIMEOUT_S)
 
     def starts(self) -> Counter[str]:
-        """How often the interpreter began each request."""
+        """Return how often the interpreter started each request."""
         return Counter(request for word, request, _ in self._testbed.runs("vm") if word == "begin")
 
     def close(self) -> None:
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,15 +1,14 @@
-"""A pytest plugin: the tests known to be red, which KNOWN-RED.txt at the root names, do not fail a run.
+"""A pytest plugin: failures of the tests that KNOWN-RED.txt at the root lists do not fail a run.
 
-A line for each open fault that can't be mended now, of one of two kinds:
+The file has a line for each open fault that can't be fixed now, of one of two kinds:
 
     tests/test_x.py::test_name[parameters] | cause | issue N
     tests/test_x.py::test_name[parameters] | sometimes 1 of 6 | command, seed 2 | cause | issue N
 
-A listed test is run all the same, and only a failure of its own body is passed over: not an error of its
-set-up or tear-down, which says nothing about the fault. That it passes, or is skipped, fails the run, and so
-does an id that a whole run does not find, so that no line outlives its fault. A test marked `sometimes`, with
-the rate at which it failed, may pass as well; its outcome is printed each time. A list with nothing in it is
-no file.
+A listed test still runs. Only a failure of its own body is passed over, not an error of its set-up or
+tear-down, which says nothing about the fault. The run fails if a listed test passes or is skipped, or if a
+full run does not find a listed id, so that no line outlives its fault. A test marked `sometimes`, with the
+rate at which it failed, may also pass; its outcome is printed each time. An empty file is an error.
 """
 
 from __future__ import annotations
@@ -23,24 +22,24 @@
 import pytest
 
 NAME = "KNOWN-RED.txt"
-WANTED = "wanted: tests/test_x.py::test_name | cause | issue N"
-WANTED_SOMETIMES = (
-    "wanted: tests/test_x.py::test_name | sometimes M of N | command, seed S | cause | issue N, M below N"
+EXPECTED = "expected: tests/test_x.py::test_name | cause | issue N"
+EXPECTED_SOMETIMES = (
+    "expected: tests/test_x.py::test_name | sometimes M of N | command, seed S | cause | issue N, M below N"
 )
-# The id takes all it can, so a bar between the parameters of a test is part of it; a cause has none.
+# The id matches greedily, so a bar between the parameters of a test is part of the id. A cause has no bar.
 LINE = re.compile(r"([^\s:]+\.py::\S(?:.*\S)?) \| (\S(?:.*\S)?) \| issue ([1-9]\d*)")
 MARK = " | sometimes"
 SOMETIMES = re.compile(
     r"([^\s:]+\.py::\S(?:.*\S)?) \| sometimes ([1-9]\d*) of ([1-9]\d*)"
     r" \| (\S.*, seed \S+) \| (\S(?:.*\S)?) \| issue ([1-9]\d*)"
 )
-# What leaves out a part of the tests; that files were named shows in where the arguments came from.
-PARTIAL = ("keyword", "markexpr", "deselect", "ignore", "ignore_glob", "lf")
+# Options that select a part of the tests. File arguments are recognized by `args_source` instead.
+PARTIAL_RUN_OPTIONS = ("keyword", "markexpr", "deselect", "ignore", "ignore_glob", "lf")
 
 
 @dataclass(frozen=True, slots=True)
-class Red:
-    """A test known to fail, each time or sometimes."""
+class KnownRed:
+    """A test that is known to fail, each time or sometimes."""
 
     test: str
     cause: str
@@ -51,14 +50,14 @@
         return f"{self.test} | {self.cause} | issue {self.issue}"
 
 
-REDS = pytest.StashKey[dict[str, Red]]()
+REDS = pytest.StashKey[dict[str, KnownRed]]()
 
 
-def parse(text: str) -> dict[str, Red]:
-    """The list, by the tests' ids; ValueError names the line at fault."""
-    reds: dict[str, Red] = {}
+def parse(text: str) -> dict[str, KnownRed]:
+    """Return the list by test id. Raises ValueError with the number of a faulty line."""
+    reds: dict[str, KnownRed] = {}
     if not text:
-        raise ValueError("no line in it; a list with nothing in it is no file")
+        raise ValueError("the file is empty; delete it if no test is known to fail")
     for number, line in enumerate(text.splitlines(), 1):
         red = _red(number, line)
         if red.test in reds:
@@ -67,20 +66,20 @@
     return reds
 
 
-def _red(number: int, line: str) -> Red:
+def _red(number: int, line: str) -> KnownRed:
     if MARK in line:
-        found = SOMETIMES.fullmatch(line)
-        if found is None or int(found[2]) >= int(found[3]):
-            raise ValueError(f"line {number}: {line!r}; {WANTED_SOMETIMES}")
-        cause = f"sometimes {found[2]} of {found[3]} | {found[4]} | {found[5]}"
-        return Red(found[1], cause, int(found[6]), sometimes=True)
-    found = LINE.fullmatch(line)
-    if found is None:
-        raise ValueError(f"line {number}: {line!r}; {WANTED}")
-    return Red(found[1], found[2], int(found[3]))
-
-
-def read(path: Path) -> dict[str, Red]:
+        match = SOMETIMES.fullmatch(line)
+        if match is None or int(match[2]) >= int(match[3]):
+            raise ValueError(f"line {number}: {line!r}; {EXPECTED_SOMETIMES}")
+        cause = f"sometimes {match[2]} of {match[3]} | {match[4]} | {match[5]}"
+        return KnownRed(match[1], cause, int(match[6]), sometimes=True)
+    match = LINE.fullmatch(line)
+    if match is None:
+        raise ValueError(f"line {number}: {line!r}; {EXPECTED}")
+    return KnownRed(match[1], match[2], int(match[3]))
+
+
+def read(path: Path) -> dict[str, KnownRed]:
     try:
         return parse(path.read_text(encoding="utf-8"))
     except FileNotFoundError:
@@ -89,10 +88,10 @@
         raise pytest.UsageError(f"{NAME}: {error}") from None
 
 
-def whole(config: pytest.Config) -> bool:
-    """Whether all tests are asked for, so that a test that isn't found does not exist."""
-    asked = config.args_source is pytest.Config.ArgsSource.TESTPATHS
-    return asked and not any(config.getoption(name, None) for name in PARTIAL)
+def is_full_run(config: pytest.Config) -> bool:
+    """Return whether all tests are selected, so that a listed test that isn't found does not exist."""
+    no_arguments = config.args_source is pytest.Config.ArgsSource.TESTPATHS
+    return no_arguments and not any(config.getoption(name, None) for name in PARTIAL_RUN_OPTIONS)
 
 
 def pytest_configure(config: pytest.Config) -> None:
@@ -103,8 +102,8 @@
 def pytest_collection_modifyitems(
     session: pytest.Session, config: pytest.Config, items: Sequence[pytest.Item]
 ) -> None:
-    if session.testsfailed or not whole(config):
-        return  # a file that could not be read fails the run by itself, and its tests may well exist
+    if session.testsfailed or not is_full_run(config):
+        return  # a file that can't be imported fails the run by itself, and its tests may exist
     unknown = config.stash[REDS].keys() - {item.nodeid for item in items}
     if unknown:
         raise pytest.UsageError(f"{NAME}: no such test: {', '.join(sorted(unknown))}")
@@ -119,12 +118,12 @@
     if red is None:
         return report
     if report.when == "call" and report.failed and call.excinfo is not None:
-        report.outcome = "skipped"  # with `wasxfail`, what pytest takes for a failure that was expected
+        report.outcome = "skipped"  # together with `wasxfail`, pytest counts this as an expected failure
         report.wasxfail = f"{red.cause} | issue {red.issue}"
     elif report.skipped or (report.when == "call" and report.passed and not red.sometimes):
-        what = "passes: take its line out" if report.passed else "is skipped, which shows no fault"
+        outcome = "passes: remove its line" if report.passed else "is skipped, which shows no fault"
         report.outcome = "failed"
-        report.longrepr = f"{NAME} lists {red.test}, but it {what}"
+        report.longrepr = f"{NAME} lists {red.test}, but it {outcome}"
     return report
 
 
@@ -141,7 +140,7 @@
     terminalreporter.section(f"known red, passed over ({NAME})")
     for report in passed_over:
         terminalreporter.write_line(str(reds[report.nodeid]))
-        # How it failed this time: another failure than the cause given should be seen.
+        # The message of this failure, to show if it differs from the given cause.
         terminalreporter.write_line(f"    {_message(report.longrepr)}")
     for report in passed:
         terminalreporter.write_line(str(reds[report.nodeid]))
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -1,4 +1,4 @@
-"""System calls fail for a moment in a real server: nothing is lost, nothing runs twice, drains are safe."""
+"""While system calls fail, a server loses no request, runs none twice, and drains in order."""
 
 from __future__ import annotations
 
@@ -14,48 +14,52 @@
 
 from sablewheel.experiments.testbed import Testbed
 
-DEADLINE = 2.0  # of both classes in the testbed's settings
-SLACK = 0.4  # of a busy machine, beside the settings'
+DEADLINE_S = 2.0  # of both request classes in the testbed's settings
+SLACK_S = 0.4  # for a busy machine, in addition to the settings' answer slack
 ENVIRONMENT = {"PYTHONPATH": str(Path(__file__).parent)}
 
 
 @pytest.fixture
 def testbed() -> Iterator[Testbed]:
-    with Testbed(seed=1) as made:
-        yield made
+    with Testbed(seed=1) as testbed:
+        yield testbed
 
 
-def failing(testbed: Testbed, seed: int, share: float, *at_start: str) -> Installation:
-    told = json.dumps({"seed": seed, "share": share, "at_start": at_start})
-    module = ("failing_calls", told, "sablewheel")
+def start_with_failures(testbed: Testbed, seed: int, share: float, *at_start: str) -> Installation:
+    options = json.dumps({"seed": seed, "share": share, "at_start": at_start})
+    module = ("failing_calls", options, "sablewheel")
     return Installation(testbed, 0.05, module=module, environment=ENVIRONMENT, stop_ms=2700)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_nothing_is_lost_or_run_twice_while_calls_fail_and_in_a_drain(testbed: Testbed, seed: int) -> None:
-    chance = random.Random(seed)
-    installation = failing(testbed, seed, 0.03)
+def test_no_request_is_lost_or_run_twice_while_calls_fail_and_during_a_drain(
+    testbed: Testbed, seed: int
+) -> None:
+    rng = random.Random(seed)
+    installation = start_with_failures(testbed, seed, 0.03)
     clients = [installation.client, *(Client(installation.port) for _ in range(5))]
     for number in range(150):
-        client = chance.choice(clients)
+        client = rng.choice(clients)
         tag = 10_000 * (1 + clients.index(client)) + number
-        client.ask(tag, chance.choice([SAFE, KEYED]), key=chance.randrange(tag - 5, tag + 1))
+        client.ask(tag, rng.choice([SAFE, KEYED]), key=rng.randrange(tag - 5, tag + 1))
         client.read(0.0)
         time.sleep(0.01)
         if number == 120:
             installation.server.popen.send_signal(signal.SIGTERM)
-    due = time.monotonic() + DEADLINE + SLACK
+    due_at = time.monotonic() + DEADLINE_S + SLACK_S
     for client in clients:
-        client.read(max(due - time.monotonic(), 0.01))
+        client.read(max(due_at - time.monotonic(), 0.01))
     code = installation.server.popen.wait(TIMEOUT_S)
     starts = installation.starts()
     installation.close()
     for client in clients:
         assert sorted(client.answers) == sorted(client.sent), "a request has no answer"
-        refused = [tag for tag, words in client.answers.items() if words[1] == b"BUSY"]
-        assert not any(starts[client.sent[tag].decode()] for tag in refused), "refused after it was begun"
-    begun = [(client, tag) for client in clients for tag in client.sent if starts[client.sent[tag].decode()]]
-    keys = [client.keys[tag] for client, tag in begun if tag in client.keys]
+        rejected = [tag for tag, words in client.answers.items() if words[1] == b"BUSY"]
+        assert not any(starts[client.sent[tag].decode()] for tag in rejected), "rejected after it was started"
+    started = [
+        (client, tag) for client in clients for tag in client.sent if starts[client.sent[tag].decode()]
+    ]
+    keys = [client.keys[tag] for client, tag in started if tag in client.keys]
     assert len(set(keys)) == len(keys) and max(starts.values()) == 1, "a key was run twice"
     served = sum(words[1] == b"OK" for client in clients for words in client.answers.values())
     assert code == 0 and served > 75
@@ -63,8 +67,8 @@
 
 @pytest.mark.parametrize("call", ["socket", "setsockopt", "pipe", "poll", "accept", "connect", "recv"])
 def test_a_server_starts_though_a_call_fails_a_few_times_first(testbed: Testbed, call: str) -> None:
-    installation = failing(testbed, 1, 0.0, call)
+    installation = start_with_failures(testbed, 1, 0.0, call)
     installation.client.ask(2, KEYED)
-    installation.client.read(DEADLINE)
+    installation.client.read(DEADLINE_S)
     installation.close()
     assert installation.client.answers[2][1] == b"OK"
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as a process, over loopback, against stand-ins of our own; every wait is bounded."""
+"""Runs the program as a process on loopback with a fake interpreter; every wait is bounded."""
 
 from __future__ import annotations
 
@@ -48,10 +48,10 @@
 
 
 class FakeInterpreter:
-    """A simulated interpreter behind a socket: ends each run at once, or when asked.
+    """A simulated interpreter behind a socket: ends each run at once, or when the test calls `end`.
 
-    Its own thread and the test's both use it. Each numbers and sends under the lock of the interpreter: a
-    server drops a notice whose number is below one that it has read.
+    Its own thread and that of the test both use it. Each of them numbers and sends a notice under the
+    interpreter's lock, because a server drops a notice whose number is below one that it has read.
     """
 
     def __init__(self, core: SimulatedInterpreter | None = None) -> None:
@@ -67,19 +67,19 @@
                 self.link = self.listening_socket.accept()[0]
                 self.core.bytes = b""
                 while data := self.link.recv(65536):
-                    self._obey(self.link, data)
+                    self._handle_data(self.link, data)
             except OSError:
                 if self.listening_socket.fileno() < 0:
                     return
 
-    def _obey(self, link: socket.socket, data: bytes) -> None:
+    def _handle_data(self, link: socket.socket, data: bytes) -> None:
         with self.core.lock:
             link.sendall(self.core.feed(data))
             while self.at_once and self.core.running:
                 self.end(next(iter(self.core.running)))
 
     def greet(self) -> None:
-        """Be up from now on, and answer the link that waits for it."""
+        """Be up from now on, and send the greeting on the link that waits for it."""
         assert self.link is not None
         with self.core.lock:
             self.core.up = True
@@ -93,12 +93,12 @@
 
     def cut(self) -> None:
         if self.link is not None:
-            with contextlib.suppress(OSError):  # it may be cut already
+            with contextlib.suppress(OSError):  # the link may be closed already
                 self.link.shutdown(socket.SHUT_RDWR)
 
 
 def reserved_address() -> socket.socket:
-    """A socket that keeps its address from others and outgoing connections; a server may listen there."""
+    """Return a socket that reserves its address, where a server of the test can still listen."""
     reserved = socket.socket()
     reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     reserved.bind(("127.0.0.1", 0))
@@ -141,21 +141,21 @@
         return process
 
     def client(self) -> ClientConnection:
-        until = time.monotonic() + TIMEOUT_S
+        deadline = time.monotonic() + TIMEOUT_S
         while True:
             try:
                 return ClientConnection(socket.create_connection(self.address, timeout=TIMEOUT_S))
             except OSError:
-                assert time.monotonic() < until, "the server does not listen"
+                assert time.monotonic() < deadline, "the server does not listen"
                 time.sleep(0.01)
 
     def ready(self) -> ClientConnection:
         """Connect and wait until the server reports that it is up."""
         peer = self.client()
-        until = time.monotonic() + TIMEOUT_S
+        deadline = time.monotonic() + TIMEOUT_S
         tag = 1_000_000
         while peer.ask(tag, frame(b"RPC.HEALTH", b"%d" % tag, b""))[1] != b"UP":
-            assert time.monotonic() < until, "the server does not come up"
+            assert time.monotonic() < deadline, "the server is not up in time"
             tag += 1
             time.sleep(0.01)
         return peer
@@ -171,15 +171,15 @@
         self._reserved.close()
 
 
-def wait_until(true: Callable[[], object]) -> None:
-    until = time.monotonic() + TIMEOUT_S
-    while not true():
-        assert time.monotonic() < until, "what was waited for did not come"
+def wait_until(condition: Callable[[], object]) -> None:
+    deadline = time.monotonic() + TIMEOUT_S
+    while not condition():
+        assert time.monotonic() < deadline, "the condition was not met in time"
         time.sleep(0.005)
 
 
 class ClientConnection:
-    """A client's connection."""
+    """A client's connection to the server."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock, self.parser = sock, Parser()
@@ -196,10 +196,10 @@
 
     def read(self, tag: int) -> list[bytes]:
         while True:
-            for one in self.frames:
-                if one[0] == b"%d" % tag:
-                    self.frames.remove(one)
-                    return one
+            for words in self.frames:
+                if words[0] == b"%d" % tag:
+                    self.frames.remove(words)
+                    return words
             data = self.sock.recv(65536)
             assert data, f"the connection ended without an answer to {tag}"
             self.frames += self.parser.feed(data)
@@ -229,15 +229,15 @@
     return text
 
 
-def test_serves_reports_counts_and_leaves_in_order(deployment: Deployment) -> None:
+def test_serves_reports_counts_and_shuts_down_in_order(deployment: Deployment) -> None:
     process = deployment.start()
     peer = deployment.ready()
     reports = {deployment.name_service.recv(64) for _ in range(4)}
     assert b"renew n3 yes" in reports <= {b"renew n3 yes", b"renew n3 no"}
     done = peer.ask(1, peer.call(1))
     assert done[1] == b"OK" and done[2].startswith(b"pressure=") and done[3] == b"made of body1"
-    first, again = peer.ask(2, peer.call(2, b"record", b"aa")), peer.ask(3, peer.call(3, b"record", b"aa"))
-    assert first[3] == again[3] == b"made of aa" and len(deployment.interpreter.core.applied) == 2
+    first, second = peer.ask(2, peer.call(2, b"record", b"aa")), peer.ask(3, peer.call(3, b"record", b"aa"))
+    assert first[3] == second[3] == b"made of aa" and len(deployment.interpreter.core.applied) == 2
     process.send_signal(signal.SIGUSR1)
     deployment.interpreter.at_once = False
     peer.send(peer.call(4))
@@ -250,7 +250,7 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
-def test_notified_to_shut_down_before_the_interpreter_is_up_it_ends_at_once(
+def test_a_shutdown_notice_before_the_interpreter_is_up_ends_the_server_at_once(
     deployment: Deployment, number: int
 ) -> None:
     deployment.interpreter.core.up = False
@@ -259,58 +259,62 @@
     shut_down(process, number)
 
 
-EARLY = """
+SIGNALS_DURING_START = """
 import os, signal, sys
 from sablewheel import __main__ as start
 from sablewheel.program import configuration
 read = configuration.placement_settings
-def posting():
+def send_signals():
     os.kill(os.getpid(), signal.SIGUSR1)
     os.kill(os.getpid(), signal.SIGTERM)
     return read()
-configuration.placement_settings = posting
+configuration.placement_settings = send_signals
 sys.exit(start.main())
 """
 
 
-def test_signals_that_come_while_it_is_put_together_wait(deployment: Deployment) -> None:
+def test_signals_during_the_start_stay_pending_until_they_can_be_handled(deployment: Deployment) -> None:
     deployment.file.write_text(json.dumps(deployment.config))
     environment = {**os.environ, "RELAY_CONFIG": str(deployment.file)}
     done = subprocess.run(
-        [sys.executable, "-c", EARLY], env=environment, capture_output=True, text=True, timeout=TIMEOUT_S
+        [sys.executable, "-c", SIGNALS_DURING_START],
+        env=environment,
+        capture_output=True,
+        text=True,
+        timeout=TIMEOUT_S,
     )
     assert done.returncode == 0 and "occasion=asked" in done.stderr and "occasion=exit" in done.stderr
 
 
 class StallingLink:
-    """A link that holds up the first thread that sends."""
+    """A link on which the first send blocks for 0.1 s."""
 
     def __init__(self) -> None:
         self.sent: list[bytes] = []
-        self.reached = threading.Event()
+        self.send_started = threading.Event()
 
     def sendall(self, data: bytes) -> None:
-        if not self.reached.is_set():
-            self.reached.set()
+        if not self.send_started.is_set():
+            self.send_started.set()
             time.sleep(0.1)
         self.sent.append(data)
 
 
 def test_a_fake_interpreter_that_two_threads_use_sends_its_notices_in_order() -> None:
-    """A lookup failed in CI: the notice of its end was sent behind a later one and dropped by the server."""
+    """Guards against notices out of order: the server dropped a late one, and a lookup failed in CI."""
     interpreter, link = FakeInterpreter(), StallingLink()
     interpreter.link = cast(socket.socket, link)
     interpreter.core.running = {b"first": (b"lookup", b""), b"second": (b"lookup", b"")}
     other = threading.Thread(target=interpreter.end, args=(b"first",))
     other.start()
-    assert link.reached.wait(TIMEOUT_S)
+    assert link.send_started.wait(TIMEOUT_S)
     interpreter.end(b"second")
     other.join(TIMEOUT_S)
     interpreter.listening_socket.close()
     assert link.sent == interpreter.core.notices
 
 
-def test_killed_and_started_again_under_its_address_it_serves(deployment: Deployment) -> None:
+def test_a_killed_server_serves_after_a_restart_at_the_same_address(deployment: Deployment) -> None:
     for _ in range(2):
         process = deployment.start()
         peer = deployment.ready()
@@ -319,7 +323,7 @@
         process.wait(TIMEOUT_S)
 
 
-def test_a_broken_link_comes_back_and_the_end_is_not_lost(deployment: Deployment) -> None:
+def test_a_broken_link_is_reconnected_and_the_end_of_a_run_is_not_lost(deployment: Deployment) -> None:
     deployment.start()
     peer = deployment.ready()
     deployment.interpreter.at_once = False
@@ -330,15 +334,15 @@
     assert peer.read(1)[1] == b"OK"
 
 
-def test_new_addresses_are_taken_under_load_and_nothing_is_lost(deployment: Deployment) -> None:
+def test_new_addresses_are_applied_under_load_without_loss(deployment: Deployment) -> None:
     process = deployment.start()
     peer, old = deployment.ready(), deployment.interpreter
     old.at_once = False
     peer.send(peer.call(1))
     new = FakeInterpreter(old.core)  # the same interpreter behind another address
-    names = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    names.bind(("127.0.0.1", 0))
-    names.settimeout(TIMEOUT_S)
+    new_name_service = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    new_name_service.bind(("127.0.0.1", 0))
+    new_name_service.settimeout(TIMEOUT_S)
 
     def write_configuration(**changes: Any) -> None:
         deployment.file.write_text(json.dumps(deployment.config | changes))
@@ -347,7 +351,7 @@
 
     tags = iter(range(500, 600))
     write_configuration(vm="nowhere")
-    write_configuration(vm=f"127.0.0.1:{names.getsockname()[1]}")  # nobody listens there
+    write_configuration(vm=f"127.0.0.1:{new_name_service.getsockname()[1]}")  # nobody listens there
     old.at_once = True
     assert peer.ask(2, peer.call(2))[1] == peer.read(1)[1] == b"OK"
     old.at_once = new.at_once = False
@@ -355,11 +359,11 @@
     wait_until(lambda: old.core.running)
     addresses = {
         "vm": f"127.0.0.1:{new.listening_socket.getsockname()[1]}",
-        "naming": f"127.0.0.1:{names.getsockname()[1]}",
+        "naming": f"127.0.0.1:{new_name_service.getsockname()[1]}",
     }
     write_configuration(**addresses, stop_ms=1501)
     write_configuration(**addresses, stop_ms=1501)
-    assert names.recv(64) == b"renew n3 yes"
+    assert new_name_service.recv(64) == b"renew n3 yes"
     wait_until(lambda: new.link is not None)
     old.listening_socket.close()
     old.cut()
@@ -373,12 +377,12 @@
     peer.sock.close()
     text = shut_down(process)
     new.listening_socket.close()
-    names.close()
+    new_name_service.close()
     assert "runs_sent_again" not in text and 'reason="vm: ' in text and "need_restart=stop_ms" in text
 
 
-def test_a_configuration_that_can_not_be_read_at_once_is_read_again(deployment: Deployment) -> None:
-    """It may name the only address at which the interpreter still takes links."""
+def test_an_unreadable_configuration_is_read_again_until_it_can_be_read(deployment: Deployment) -> None:
+    """The file may have the only address at which the interpreter still accepts links."""
     process = deployment.start()
     peer, new = deployment.ready(), FakeInterpreter(deployment.interpreter.core)
     deployment.file.unlink()
@@ -396,41 +400,42 @@
 
 
 def bad_clients(open_name: bytes) -> dict[str, bytes]:
-    """What clients send that are none of ours, by kind."""
+    """Return invalid input from clients, by kind."""
 
-    def one(
+    def request(
         tag: int = 7, name: bytes = b"", request_class: bytes = b"lookup", idempotency_key: bytes = b""
     ) -> bytes:
         return call(
             tag, name or b"bad0%012x" % tag, request_class, time.time(), b"another body", idempotency_key
         )
 
-    many = b"".join(one(tag) for tag in range(1, 301))
+    many = b"".join(request(tag) for tag in range(1, 301))
     return {
-        "not readable": bytes(range(256)),
-        "no end": one()[:-9],
-        "a length too short": one().replace(b"$6", b"$5"),
-        "a negative length": one().replace(b"$6", b"$-6"),
-        "a body of 60 MB": one().replace(b"$12", b"$60000000") + b"x" * 300_000,
-        "unknown request class": one(request_class=b"novel"),
-        "unknown tenant": one().replace(b"acme", b"ecma"),
-        "no number": one().replace(b"room=10.0", b"room=nan0"),
-        "out of range": one().replace(b"room=10.0", b"room=1e99"),
-        "from another time": one().replace(b"since=17", b"since=97"),
-        "a body of 2 KiB and one": call(7, b"bad0" + b"0" * 12, b"lookup", time.time(), b"x" * 2049),
-        "no such verb": frame(b"RPC.NOVEL", b"7", b""),
-        "no label": one(request_class=b"record"),
-        "no name": one().replace(b"ref=", b"fer="),
-        "the name of an open ticket": one(name=open_name),
-        "a label with another body": one(request_class=b"record", idempotency_key=b"true"),
-        "a name that nobody knows": one(),
-        "two under one tag": one() + one(7, b"bad0" + b"f" * 12),
-        "hundreds at once": many,
-        "hundreds taken back": many + b"".join(frame(b"RPC.CANCEL", b"%d" % tag) for tag in range(1, 301)),
+        "binary data": bytes(range(256)),
+        "a truncated request": request()[:-9],
+        "a length too short": request().replace(b"$6", b"$5"),
+        "a negative length": request().replace(b"$6", b"$-6"),
+        "a body of 60 MB": request().replace(b"$12", b"$60000000") + b"x" * 300_000,
+        "unknown request class": request(request_class=b"novel"),
+        "unknown tenant": request().replace(b"acme", b"ecma"),
+        "a value that is no number": request().replace(b"room=10.0", b"room=nan0"),
+        "a value out of range": request().replace(b"room=10.0", b"room=1e99"),
+        "a time in the future": request().replace(b"since=17", b"since=97"),
+        "a body of 2 KiB plus a byte": call(7, b"bad0" + b"0" * 12, b"lookup", time.time(), b"x" * 2049),
+        "an unknown command": frame(b"RPC.NOVEL", b"7", b""),
+        "no idempotency key": request(request_class=b"record"),
+        "no request name": request().replace(b"ref=", b"fer="),
+        "the name of an open request": request(name=open_name),
+        "an idempotency key with another body": request(request_class=b"record", idempotency_key=b"true"),
+        "an unknown name": request(),
+        "two requests with the same tag": request() + request(7, b"bad0" + b"f" * 12),
+        "hundreds of requests": many,
+        "hundreds of cancelled requests": many
+        + b"".join(frame(b"RPC.CANCEL", b"%d" % tag) for tag in range(1, 301)),
     }
 
 
-def test_every_kind_of_bad_client_is_ended_and_never_completed(deployment: Deployment) -> None:
+def test_invalid_input_of_every_kind_is_never_completed(deployment: Deployment) -> None:
     process = deployment.start()
     good = deployment.ready()
     assert good.ask(1, good.call(1, b"record", b"true"))[1] == b"OK"
@@ -440,7 +445,7 @@
     running = next(iter(deployment.interpreter.core.running))
     for tag, (kind, data) in enumerate(bad_clients(running).items(), 10):
         bad = deployment.client()
-        with contextlib.suppress(OSError):  # it may be closed half-way through
+        with contextlib.suppress(OSError):  # the server may close the connection meanwhile
             bad.send(data)
         answer = b""
         with contextlib.suppress(ConnectionResetError):
@@ -452,22 +457,24 @@
     deployment.interpreter.end(running)
     deployment.interpreter.at_once = True
     assert good.read(2)[1] == b"OK" and good.ask(3, good.call(3))[1] == b"OK"
-    again = good.ask(4, good.call(4, b"record", b"true"))
-    assert again[1] == b"OK" and again[3] == b"made of true"
+    repeated = good.ask(4, good.call(4, b"record", b"true"))
+    assert repeated[1] == b"OK" and repeated[3] == b"made of true"
     good.sock.close()
     assert "Traceback" not in shut_down(process)
 
 
-def test_noise_from_clients_and_interpreter_leaves_the_server_serving(deployment: Deployment) -> None:
+def test_the_server_keeps_serving_after_noise_from_clients_and_the_interpreter(
+    deployment: Deployment,
+) -> None:
     process = deployment.start()
-    good, lots = deployment.ready(), random.Random(7)
-    whole = good.call(1)
+    good, rng = deployment.ready(), random.Random(7)
+    request = good.call(1)
     for _ in range(60):
         noise = deployment.client()
-        start = lots.randrange(len(whole))
-        with contextlib.suppress(OSError):  # it may be closed half-way through
-            noise.send(whole[:start] + lots.randbytes(lots.randrange(40)) + whole[start:])
-            noise.send(lots.randbytes(200))
+        start = rng.randrange(len(request))
+        with contextlib.suppress(OSError):  # the server may close the connection meanwhile
+            noise.send(request[:start] + rng.randbytes(rng.randrange(40)) + request[start:])
+            noise.send(rng.randbytes(200))
         noise.sock.close()
     assert deployment.interpreter.link is not None
     for _ in range(3):
@@ -479,25 +486,25 @@
     assert "Traceback" not in shut_down(process)
 
 
-def test_a_client_that_does_not_read_stalls_nobody(deployment: Deployment) -> None:
+def test_a_client_that_does_not_read_does_not_delay_others(deployment: Deployment) -> None:
     deployment.start()
-    good, deaf = deployment.ready(), deployment.client()
-    deaf.sock.settimeout(0.2)
+    good, not_reading = deployment.ready(), deployment.client()
+    not_reading.sock.settimeout(0.2)
     with contextlib.suppress(TimeoutError):
         for tag in range(1, 200_000):
-            deaf.send(frame(b"RPC.HEALTH", b"%d" % tag, b""))
+            not_reading.send(frame(b"RPC.HEALTH", b"%d" % tag, b""))
     assert good.ask(1, good.call(1))[1] == b"OK"
-    deaf.sock.settimeout(TIMEOUT_S)
-    for number in range(1, tag):  # once it reads, it gets all that it is owed
-        assert deaf.read(number)[1] == b"UP"
+    not_reading.sock.settimeout(TIMEOUT_S)
+    for number in range(1, tag):  # once it reads, it receives all its answers
+        assert not_reading.read(number)[1] == b"UP"
 
 
-def test_half_a_close_still_gets_its_answer_and_leaves_no_connection(deployment: Deployment) -> None:
+def test_a_half_closed_connection_gets_its_answer_and_is_then_closed(deployment: Deployment) -> None:
     process = deployment.start()
-    good, half = deployment.ready(), deployment.client()
-    half.send(half.call(1))
-    half.sock.shutdown(socket.SHUT_WR)
-    assert half.read(1)[1] == b"OK" and half.ended()
+    good, half_closed = deployment.ready(), deployment.client()
+    half_closed.send(half_closed.call(1))
+    half_closed.sock.shutdown(socket.SHUT_WR)
+    assert half_closed.read(1)[1] == b"OK" and half_closed.ended()
     process.send_signal(signal.SIGUSR1)
     assert good.ask(1, good.call(1))[1] == b"OK"
     good.sock.close()
@@ -505,38 +512,40 @@
 
 
 @pytest.fixture
-def narrow(tmp_path: Path) -> Iterator[Deployment]:
+def small_deployment(tmp_path: Path) -> Iterator[Deployment]:
     deployment = Deployment(tmp_path, limits={"sockets": 28, "memory_mb": 32})  # room for 16 connections
     yield deployment
     deployment.end()
 
 
-def test_a_full_table_closes_unused_connections_for_newcomers(narrow: Deployment) -> None:
-    narrow.start()
-    peers = [narrow.ready() for _ in range(16)]
-    narrow.interpreter.at_once = False
+def test_a_full_table_closes_unused_connections_for_newcomers(small_deployment: Deployment) -> None:
+    small_deployment.start()
+    peers = [small_deployment.ready() for _ in range(16)]
+    small_deployment.interpreter.at_once = False
     peers[0].send(peers[0].call(1))
-    last = narrow.client()
+    last = small_deployment.client()
     last.send(last.call(1))
-    wait_until(lambda: len(narrow.interpreter.core.running) == 2)
-    assert peers[1].ended()  # though it was heard and would have stayed
-    for name in list(narrow.interpreter.core.running):
-        narrow.interpreter.end(name)
+    wait_until(lambda: len(small_deployment.interpreter.core.running) == 2)
+    assert peers[1].ended()  # although the server had read a message on it, and would have kept it otherwise
+    for name in list(small_deployment.interpreter.core.running):
+        small_deployment.interpreter.end(name)
     assert peers[0].read(1)[1] == last.read(1)[1] == b"OK"
 
 
-def test_many_that_send_nothing_are_closed_and_keep_no_client_out(narrow: Deployment) -> None:
-    process = narrow.start()
-    kept = narrow.ready()
-    crowd = [narrow.client() for _ in range(60)]
-    half = narrow.client()
-    half.send(half.call(1)[:-9])
-    began = time.monotonic()
-    late = narrow.client()
+def test_connections_that_send_nothing_are_closed_and_keep_no_client_out(
+    small_deployment: Deployment,
+) -> None:
+    process = small_deployment.start()
+    kept = small_deployment.ready()
+    silent = [small_deployment.client() for _ in range(60)]
+    incomplete = small_deployment.client()
+    incomplete.send(incomplete.call(1)[:-9])
+    started_at = time.monotonic()
+    late = small_deployment.client()
     assert late.ask(1, late.call(1))[1] == kept.ask(1, kept.call(1))[1] == b"OK"
-    assert all(peer.ended() for peer in (*crowd, half)) and time.monotonic() < began + TIMEOUT_S
+    assert all(peer.ended() for peer in (*silent, incomplete)) and time.monotonic() < started_at + TIMEOUT_S
     kept.send(kept.call(2))
-    assert kept.read(2)[1] == b"OK"  # it has asked once: it may stay
+    assert kept.read(2)[1] == b"OK"  # the server keeps a connection on which it has read a request
     kept.send(kept.call(3)[:-9])
     assert kept.ended()
     late.sock.close()
@@ -575,38 +584,56 @@
     assert process.returncode == 2 and text.startswith(f"sablewheel: {key}: ") and text.count("\n") == 1
 
 
-def paths(value: Any, at: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
+def paths(value: Any, prefix: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
     for key, inner in value.items() if isinstance(value, dict) else enumerate(value):
-        yield (*at, key)
+        yield (*prefix, key)
         if isinstance(inner, dict | list):
-            yield from paths(inner, (*at, key))
-
-
-ODD: list[Any] = [None, "", "x", "x:1", -1, 0.5, 1e400, 10**30, True, [], [[]], [{}], ["x"], {}, {"x": []}]
-
-
-def test_any_odd_value_anywhere_is_taken_or_named(deployment: Deployment) -> None:
+            yield from paths(inner, (*prefix, key))
+
+
+ODD_VALUES: list[Any] = [
+    None,
+    "",
+    "x",
+    "x:1",
+    -1,
+    0.5,
+    1e400,
+    10**30,
+    True,
+    [],
+    [[]],
+    [{}],
+    ["x"],
+    {},
+    {"x": []},
+]
+
+
+def test_an_odd_value_of_any_key_is_accepted_or_reported(deployment: Deployment) -> None:
     deployment.config["settings"]["extra"] |= {"class-calls": [False, False], "class-skip-worth": [0.5]}
     for path in list(paths(deployment.config)):
-        for odd in ODD:
+        for odd_value in ODD_VALUES:
             config = json.loads(json.dumps(deployment.config))
             inner = config
             for key in path[:-1]:
                 inner = inner[key]
-            inner[path[-1]] = odd
+            inner[path[-1]] = odd_value
             deployment.file.write_text(json.dumps(config))
             with contextlib.suppress(configuration.FaultyKeyError):
                 configuration.placement_settings({"RELAY_CONFIG": str(deployment.file)})
 
 
-def test_no_file_no_json_and_an_address_in_use_are_reported_in_a_line(deployment: Deployment) -> None:
-    for text, said in ((None, "RELAY_CONFIG: "), ("{", "RELAY_CONFIG: ")):
+def test_a_missing_file_invalid_json_and_an_address_in_use_are_reported_in_one_line(
+    deployment: Deployment,
+) -> None:
+    for text, prefix in ((None, "RELAY_CONFIG: "), ("{", "RELAY_CONFIG: ")):
         environment = {"RELAY_CONFIG": str(deployment.file)}
         if text is not None:
             deployment.file.write_text(text)
         with pytest.raises(configuration.FaultyKeyError) as fault:
             configuration.placement_settings(environment)
-        assert str(fault.value).startswith(said)
+        assert str(fault.value).startswith(prefix)
     deployment.start()
     deployment.ready()
     second = deployment.start()
@@ -619,23 +646,25 @@
     assert subprocess.run([sys.executable, "-c", program], timeout=TIMEOUT_S).returncode == 0
 
 
-def test_the_log_is_key_value_and_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    second, bound, form = 5.0, logs.RateLimit(), logs.KeyValueFormatter()
+def test_the_log_has_key_value_lines_at_a_bounded_rate(monkeypatch: pytest.MonkeyPatch) -> None:
+    second, rate_limit, formatter = 5.0, logs.RateLimit(), logs.KeyValueFormatter()
     monkeypatch.setattr(time, "monotonic", lambda: second)
     record = logging.LogRecord(
         "sablewheel.serving.connection", logging.WARNING, "", 0, "invalid message", None, None
     )
     record.pairs = {"tag": 7, "reason": 'a "b"\nc', "empty": ""}
-    passed = sum(bound.filter(record) is True for _ in range(logs.MAX_LINES_PER_S + 30))
+    passed = sum(rate_limit.filter(record) is True for _ in range(logs.MAX_LINES_PER_S + 30))
     assert passed == logs.MAX_LINES_PER_S
     second = 6.0
-    assert bound.filter(record)
-    said = 'from=serving.connection event="invalid message" tag=7 reason="a \\"b\\"\\nc" empty="" left_out=30'
-    assert form.format(record).endswith(said)
+    assert rate_limit.filter(record)
+    expected = (
+        'from=serving.connection event="invalid message" tag=7 reason="a \\"b\\"\\nc" empty="" left_out=30'
+    )
+    assert formatter.format(record).endswith(expected)
 
 
-def test_new_settings_are_taken_under_load_and_the_way_back_is_the_same(deployment: Deployment) -> None:
-    """The move's switch: new settings without a restart, what was taken in answered once, and back again."""
+def test_new_settings_are_applied_under_load_and_reverted(deployment: Deployment) -> None:
+    """Settings change without a restart, and back; each accepted request is answered once."""
     process = deployment.start()
     peer = deployment.ready()
     deployment.interpreter.at_once = False
@@ -646,14 +675,14 @@
         process.send_signal(signal.SIGHUP)
         peer.ask(tag := next(tags), frame(b"RPC.HEALTH", b"%d" % tag, b""))
 
-    moved = json.loads(json.dumps(SETTINGS))
-    moved["classes"][0]["repeat"] = "unsafe"
-    moved["extra"]["halt"] = "off"
+    changed = json.loads(json.dumps(SETTINGS))
+    changed["classes"][0]["repeat"] = "unsafe"
+    changed["extra"]["halt"] = "off"
     renamed = json.loads(json.dumps(SETTINGS))
     renamed["classes"][0]["name"] = "consult"
     faulty = json.loads(json.dumps(SETTINGS))
     faulty["classes"][0]["repeat"] = "odd"
-    for number, settings in enumerate([moved, renamed, faulty, SETTINGS], start=1):
+    for number, settings in enumerate([changed, renamed, faulty, SETTINGS], start=1):
         peer.send(peer.call(number))
         wait_until(lambda: deployment.interpreter.core.running)
         write_configuration(settings)
@@ -665,16 +694,16 @@
     with contextlib.suppress(TimeoutError):
         peer.frames += peer.parser.feed(peer.sock.recv(65536))
     answered = {b"%d" % number for number in range(1, 10)}
-    assert not [one for one in peer.frames if one[0] in answered]  # a second answer to any of them
+    assert not [words for words in peer.frames if words[0] in answered]  # a second answer to any of them
     peer.sock.close()
     text = shut_down(process)
-    assert text.count("taken=settings.classes,settings.extra.halt") == 2  # there and back
+    assert text.count("taken=settings.classes,settings.extra.halt") == 2  # the change and its reversal
     assert "need_restart=settings.classes" in text and "settings.classes[0].repeat" in text
     assert "runs_sent_again" not in text
 
 
 @pytest.mark.parametrize(
-    ("gauges", "places"),
+    ("gauges", "indexes"),
     [
         ([], (None, None, None)),
         (["cpu_busy", "runnable", "mem_used", "sockets"], (0, 3, 1)),
@@ -682,7 +711,7 @@
     ],
 )
 def test_the_gauges_are_found_by_name_and_runnable_is_absent_by_default(
-    tmp_path: Path, gauges: list[str], places: tuple[int | None, ...]
+    tmp_path: Path, gauges: list[str], indexes: tuple[int | None, ...]
 ) -> None:
     deployment = Deployment(tmp_path)
     config = json.loads(json.dumps(deployment.config))
@@ -690,7 +719,7 @@
     deployment.file.write_text(json.dumps(config))
     try:
         assert (
-            configuration.placement_settings({"RELAY_CONFIG": str(deployment.file)}).gauge_indexes == places
+            configuration.placement_settings({"RELAY_CONFIG": str(deployment.file)}).gauge_indexes == indexes
         )
     finally:
         deployment.end()
--- a/tests/test_readme_configuration.py
+++ b/tests/test_readme_configuration.py
@@ -1,4 +1,4 @@
-"""README's least configuration serves as it stands, and so does each that leaves out an optional key."""
+"""The minimal configuration in README works unchanged, and so does every one without an optional key."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 REQUESTS = 1000
 CONNECTIONS = 8
 OPEN_PER_CONNECTION = 4
-TIME_LIMIT_S = 60.0  # for all requests; a run takes 2 ms
+TIME_LIMIT_S = 60.0  # for all requests; each run takes 2 ms
 
 
 def configuration_of_readme() -> dict[str, Any]:
-    """The example that README calls the least that starts."""
+    """Return the minimal configuration from README."""
     example = re.search(r'^    (\{"name".*?\}\}\})$', README.read_text(), re.MULTILINE | re.DOTALL)
     assert example is not None
     configuration: dict[str, Any] = json.loads(example[1])
@@ -34,15 +34,15 @@
 
 @pytest.fixture
 def testbed() -> Iterator[Testbed]:
-    with Testbed(seed=1) as made:
-        yield made
+    with Testbed(seed=1) as testbed:
+        yield testbed
 
 
-def test_the_least_configuration_of_the_readme_serves_a_thousand_requests(testbed: Testbed) -> None:
-    """The first review of connection limits divided by zero, and each round after it lost its actions."""
+def test_the_minimal_configuration_of_the_readme_serves_a_thousand_requests(testbed: Testbed) -> None:
+    """Guards against a review of connection limits that divided by zero: later rounds lost their actions."""
     port, interpreter_port = free_port(), free_port()
     testbed.interpreter("vm", interpreter_port, work={"lookup": 0.002}, cores=2)
-    configuration = configuration_of_readme() | {  # all else is README's, word for word
+    configuration = configuration_of_readme() | {  # all other values are README's
         "listen": f"127.0.0.1:{port}",
         "vm": f"127.0.0.1:{interpreter_port}",
         "naming": f"127.0.0.1:{testbed.naming.getsockname()[1]}",
@@ -52,12 +52,12 @@
     server = testbed.start("n1", "sablewheel", shifted=False, RELAY_CONFIG=str(path))
     testbed.wait_until_up(port, server)
     clients = [Client(port) for _ in range(CONNECTIONS)]
-    sent, until = 0, time.monotonic() + TIME_LIMIT_S
-    while time.monotonic() < until and (
+    sent, deadline = 0, time.monotonic() + TIME_LIMIT_S
+    while time.monotonic() < deadline and (
         sent < REQUESTS or any(len(client.answers) < len(client.sent) for client in clients)
     ):
         for client in clients:
-            client.look()
+            client.read_available()
             while sent < REQUESTS and len(client.sent) - len(client.answers) < OPEN_PER_CONNECTION:
                 sent += 1
                 client.ask(sent, b"lookup", tenant=b"")
@@ -126,16 +126,16 @@
         "warm-up-s": 2.0,
     },
 }
-NEEDED = {"name", "on-time-s", "deadline-s", "repeat", "classes", "cores", "memory-kb", "fall-multiple"}
-# The simulated server has one tenant; an interpreter that can't be called below needs none of these.
+MANDATORY = {"name", "on-time-s", "deadline-s", "repeat", "classes", "cores", "memory-kb", "fall-multiple"}
+# Keys that the test leaves alone: the simulated server has one fixed tenant.
 NOT_IN_THE_SIMULATED_SERVER = {"orgs"}
 
 
 def optional_keys(value: Any, path: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
-    """The paths of all keys that may be left out."""
+    """Yield the paths of all optional keys."""
     if isinstance(value, dict):
         for key, inner in value.items():
-            if key not in NEEDED | NOT_IN_THE_SIMULATED_SERVER | {"extra", "safety"}:
+            if key not in MANDATORY | NOT_IN_THE_SIMULATED_SERVER | {"extra", "safety"}:
                 yield (*path, key)
             yield from optional_keys(inner, (*path, key))
     elif isinstance(value, list):
@@ -144,7 +144,7 @@
 
 
 def without(paths: list[tuple[Any, ...]]) -> dict[str, Any]:
-    """The complete settings without some keys."""
+    """Return the complete settings without the keys at these paths."""
     settings = copy.deepcopy(COMPLETE_SETTINGS)
     for *parents, last in paths:
         parent: Any = settings
@@ -154,17 +154,22 @@
     return settings
 
 
-OPTIONAL = list(optional_keys(COMPLETE_SETTINGS))
-TIMES = [("tick-s",), ("extra", "idle-s"), ("extra", "said-for-s")]
+OPTIONAL_KEYS = list(optional_keys(COMPLETE_SETTINGS))
+INTERVAL_KEYS = [("tick-s",), ("extra", "idle-s"), ("extra", "said-for-s")]
 
 
 @pytest.mark.parametrize(
     "left_out",
-    [[], *([path] for path in OPTIONAL), TIMES[:2], TIMES, OPTIONAL],
-    ids=lambda paths: "all" if len(paths) > len(TIMES) else "+".join(map(str, sum(paths, ()))) or "none",
+    [[], *([path] for path in OPTIONAL_KEYS), INTERVAL_KEYS[:2], INTERVAL_KEYS, OPTIONAL_KEYS],
+    ids=lambda paths: (
+        "all" if len(paths) > len(INTERVAL_KEYS) else "+".join(map(str, sum(paths, ()))) or "none"
+    ),
 )
 def test_a_server_serves_without_an_optional_key(left_out: list[tuple[Any, ...]]) -> None:
-    """The review of connection limits and the credit pool divided by, and waited for, spans of zero."""
+    """Guards against intervals of zero.
+
+    The review of connection limits and the credit pool divided by them, and waited for them.
+    """
     settings = server_settings(Section(without(left_out)), calls_dependency=False)
     server = SimulatedServer(settings)
     faults: list[bool] = []
@@ -181,6 +186,6 @@
     served = [attempt for attempt in server.attempts if attempt.answers[0][1] == b"OK"]
     assert len(served) > len(server.attempts) / 2
     assert not faults
-    # An idle server wakes for its reviews and iterations, at most once in a batch interval.
-    shortest_s = settings.min_batch_interval_s or 0.01
-    assert server.dispatcher.batches - batches <= 5.0 / shortest_s + 10
+    # An idle server wakes for its reviews and iterations, at most once per batch interval.
+    min_interval_s = settings.min_batch_interval_s or 0.01
+    assert server.dispatcher.batches - batches <= 5.0 / min_interval_s + 10
--- a/tests/test_replaced_parts.py
+++ b/tests/test_replaced_parts.py
@@ -1,4 +1,4 @@
-"""What trials break on purpose is there to be broken, and a run in which it was not broken is void."""
+"""Trials replace existing components by faulty variants; a run without its replacement is void."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from sablewheel.membership.plan import FAULTY_VARIANTS as MEMBERSHIP_VARIANTS
 
 PACKAGE = "sablewheel.experiments"
-FAULTY_CONFIGURATION = 2  # the server's exit code; it is put together from its modules before
+FAULTY_CONFIGURATION = 2  # the server's exit code; by then it has imported its modules and replaced the part
 VARIANTS = [
     *(("policy_member", kind) for kind in ("ours", "weakest", *POLICY_VARIANTS)),
     *(("faulty_member", kind) for kind in (*faulty_member.BASELINES, *MEMBERSHIP_VARIANTS)),
@@ -37,12 +37,15 @@
 
 
 @pytest.mark.parametrize(("module", "kind"), VARIANTS)
-def test_a_variant_finds_the_part_that_it_replaces(module: str, kind: str, tmp_path: Path) -> None:
-    """The policy trial replaced a name that nothing read, and was broken for want of any fault."""
-    words = {"affinity_server": [str(tmp_path / "version"), kind], "forwarder": [kind, str(tmp_path / "in")]}
-    arguments = words.get(module, [kind, "pay"])
+def test_a_variant_replaces_an_existing_part(module: str, kind: str, tmp_path: Path) -> None:
+    """Guards against a variant that replaces an unused name: a policy trial ran so without any fault."""
+    arguments_by_module = {
+        "affinity_server": [str(tmp_path / "version"), kind],
+        "forwarder": [kind, str(tmp_path / "in")],
+    }
+    arguments = arguments_by_module.get(module, [kind, "pay"])
     environment = {key: value for key, value in os.environ.items() if key != "RELAY_CONFIG"}
-    ended = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", f"sablewheel.experiments.{module}", *arguments],
         capture_output=True,
         text=True,
@@ -50,7 +53,7 @@
         env=environment,
         check=False,
     )
-    assert ended.returncode == FAULTY_CONFIGURATION and "RELAY_CONFIG" in ended.stderr, ended.stderr
+    assert process.returncode == FAULTY_CONFIGURATION and "RELAY_CONFIG" in process.stderr, process.stderr
 
 
 TRIALS_WITH_VARIANTS = sorted(
@@ -61,12 +64,12 @@
 
 
 @pytest.mark.parametrize("trial", TRIALS_WITH_VARIANTS)
-def test_a_trial_that_can_be_broken_offers_its_variants(trial: str) -> None:
-    """Those of affinity could not be asked for any more: a list that only the command read was gone."""
+def test_a_trial_with_the_parameter_broken_offers_its_variants(trial: str) -> None:
+    """Guards against the loss of a list that only the command reads: affinity's variants were unavailable."""
     assert importlib.import_module(f"{PACKAGE}.{TRIALS[trial]}").FAULTY_VARIANTS
 
 
-def test_a_part_that_is_not_there_is_not_replaced() -> None:
+def test_replacing_an_absent_part_is_an_error() -> None:
     with pytest.raises(AttributeError):
         replaced_parts.replace_part(replaced_parts, "no_such_part", object())
 
@@ -81,7 +84,7 @@
     assert not replaced_parts.was_announced(path, "ignore-class")
 
 
-def test_a_run_whose_fault_did_not_take_place_is_void_and_holds_nothing() -> None:
+def test_a_run_without_its_fault_is_void_and_does_not_hold() -> None:
     result = ExperimentResult("policy")
     result.check("a promise", True)
     assert result.holds
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -1,7 +1,8 @@
-"""Signals, requests and the end that cross: real processes and sockets, the moment fixed by a hook.
+"""Races between signals, requests and the shutdown of a server, with real processes and sockets.
 
-A stopped process (SIGSTOP) reads all that came meanwhile in one round; a child's own script puts the other
-event between two given lines. No test waits in the hope that something happens.
+Each test fixes the order of events. A process suspended by SIGSTOP reads all that arrived meanwhile in one
+round; a script in the server's process triggers the other event between two given lines. No test waits for a
+race to happen by chance.
 """
 
 from __future__ import annotations
@@ -41,7 +42,7 @@
 
 @contextlib.contextmanager
 def suspended(process: subprocess.Popen[str]) -> Iterator[None]:
-    """Whatever comes meanwhile is there in the process's next round, all at once."""
+    """Suspend the process, so that it reads everything that arrives meanwhile in its next round."""
     process.send_signal(signal.SIGSTOP)
     os.waitid(os.P_PID, process.pid, os.WSTOPPED | os.WNOWAIT)
     try:
@@ -50,27 +51,27 @@
         process.send_signal(signal.SIGCONT)
 
 
-def ended(process: subprocess.Popen[str]) -> str:
+def wait_for_exit(process: subprocess.Popen[str]) -> str:
     _, text = process.communicate(timeout=TIMEOUT_S)
     assert process.returncode == 0 and "Traceback" not in text and "by a fault" not in text, text
     return text
 
 
-def alone(peer: ClientConnection, tag: int) -> bytes:
-    """The one final answer to it, and nothing else but a farewell up to the end of the connection."""
+def only_answer(peer: ClientConnection, tag: int) -> bytes:
+    """Return the answer to a request; check that no second one follows before the end of the connection."""
     word = peer.read(tag)[1]
     with contextlib.suppress(ConnectionResetError):
         while data := peer.sock.recv(65536):
             peer.frames += peer.parser.feed(data)
-    assert not [one for one in peer.frames if one[0] == b"%d" % tag]
+    assert not [words for words in peer.frames if words[0] == b"%d" % tag]
     return word
 
 
-def child(deployment: Deployment, script: str) -> subprocess.Popen[str]:
-    """The program with a seam of the test's in it."""
+def start_with_script(deployment: Deployment, script: str) -> subprocess.Popen[str]:
+    """Start the program in a process that first runs `script`, which may replace parts of it."""
     deployment.file.write_text(json.dumps(deployment.config))
     process = subprocess.Popen(
-        [sys.executable, "-c", SCRIPT + script + "\nsys.exit(start.main())\n"],
+        [sys.executable, "-c", SCRIPT_START + script + "\nsys.exit(start.main())\n"],
         env={**os.environ, "RELAY_CONFIG": str(deployment.file)},
         stderr=subprocess.PIPE,
         text=True,
@@ -79,12 +80,12 @@
     return process
 
 
-SCRIPT = """
+SCRIPT_START = """
 import os, signal, sys, time
 from sablewheel import __main__ as start
 from sablewheel.program.application import Application
 from sablewheel.serving.dispatcher import Dispatcher
-def tell(*numbers):
+def send_signals(*numbers):
     for number in numbers:
         os.kill(os.getpid(), number)
 """
@@ -93,32 +94,32 @@
 # -- shutdown before the interpreter is up
 
 
-def test_all_that_wait_for_the_start_are_rejected_when_it_is_left(deployment: Deployment) -> None:
-    """Read and waiting, half read, in the machine's buffer, on a connection that was not taken yet."""
+def test_all_requests_that_wait_for_the_start_are_rejected_at_the_shutdown(deployment: Deployment) -> None:
+    """They are read and waiting, read in part, in the socket buffer, or on a connection not accepted yet."""
     deployment.interpreter.core.up = False
     process = deployment.start()
-    read, half, unread = (deployment.client() for _ in range(3))
-    for peer in (read, half, unread):
+    read, partly_read, unread = (deployment.client() for _ in range(3))
+    for peer in (read, partly_read, unread):
         assert peer.ask(999, HEALTH)[1] == b"DOWN"
     read.send(read.call(1) + HEALTH)
-    whole = half.call(1)
-    half.send(HEALTH + whole[:-9])
+    request = partly_read.call(1)
+    partly_read.send(HEALTH + request[:-9])
     read.read(999)
-    half.read(999)
+    partly_read.read(999)
     with suspended(process):
-        half.send(whole[-9:])
+        partly_read.send(request[-9:])
         unread.send(unread.call(1))
         waiting = deployment.client()
         waiting.send(waiting.call(1))
         process.send_signal(signal.SIGTERM)
-    for peer in (read, half, unread, waiting):
+    for peer in (read, partly_read, unread, waiting):
         assert peer.read(1)[1] == b"BUSY"
         peer.sock.close()
-    text = ended(process)
+    text = wait_for_exit(process)
     assert "denied_draining=4" in text and not deployment.interpreter.core.applied
 
 
-def test_nothing_open_and_the_interpreter_not_up_it_ends_at_once(deployment: Deployment) -> None:
+def test_a_server_without_open_requests_or_interpreter_ends_at_once(deployment: Deployment) -> None:
     deployment.config["stop_ms"] = 60_000
     deployment.interpreter.core.up = False
     process = deployment.start()
@@ -126,27 +127,27 @@
     assert peer.ask(999, HEALTH)[1] == b"DOWN"
     peer.sock.close()
     process.send_signal(signal.SIGTERM)
-    ended(process)
+    wait_for_exit(process)
 
 
 @pytest.mark.parametrize("first", ["greeting", "notice"])
 def test_the_greeting_and_the_shutdown_notice_in_one_round(deployment: Deployment, first: str) -> None:
-    """Whichever is seen first: what waited has its one answer, and the server is not up any more."""
+    """In either order, the waiting request gets one answer, and the server does not report that it is up."""
     calls = ["greeted(self, *values)", "application[0]._on_shutdown_notice()"]
-    process = child(
+    process = start_with_script(
         deployment,
         f"""
 application, greeted, init = [], Dispatcher.interpreter_ready, Application.__init__
-def remembering(self, *values):
+def recording(self, *values):
     init(self, *values)
     application.append(self)
 def both(self, *values):
     {"; ".join(calls if first == "greeting" else calls[::-1])}
 notice = Dispatcher.shutdown_notice
-def noticed(self, left):
-    print("the controller has notice", file=sys.stderr)
+def logged(self, left):
+    print("the controller received the notice", file=sys.stderr)
     notice(self, left)
-Application.__init__, Dispatcher.interpreter_ready, Dispatcher.shutdown_notice = remembering, both, noticed
+Application.__init__, Dispatcher.interpreter_ready, Dispatcher.shutdown_notice = recording, both, logged
 """,
     )
     deployment.interpreter.core.up = False
@@ -162,11 +163,13 @@
     assert health.ask(999, HEALTH)[1] == b"DOWN"
     health.sock.close()
     peer.sock.close()
-    assert ended(process).count("the controller has notice") == 1
+    assert wait_for_exit(process).count("the controller received the notice") == 1
     assert len(deployment.interpreter.core.applied) == (first == "greeting")
 
 
-def test_an_interpreter_that_comes_up_while_it_is_left_runs_nothing(deployment: Deployment) -> None:
+def test_an_interpreter_that_is_up_only_after_the_shutdown_notice_runs_nothing(
+    deployment: Deployment,
+) -> None:
     deployment.interpreter.core.up = False
     process = deployment.start()
     peer = deployment.client()
@@ -178,15 +181,15 @@
     deployment.interpreter.core.up = True
     assert deployment.interpreter.link is not None
     deployment.interpreter.link.sendall(b"BANNER steady 5000\r\n")
-    assert peer.ask(999, HEALTH)[1] == b"DOWN"  # in time or not: it never says that it is up
+    assert peer.ask(999, HEALTH)[1] == b"DOWN"  # whether or not the greeting was in time
     peer.send(peer.call(2))
     assert peer.read(2)[1] == b"BUSY"
     peer.sock.close()
-    ended(process)
+    wait_for_exit(process)
     assert not deployment.interpreter.core.applied
 
 
-# -- the last instant
+# -- the end of the shutdown
 
 
 @pytest.mark.parametrize(
@@ -201,7 +204,7 @@
         (5.0, 0.0, 90, "drop"),
     ],
 )
-def test_whatever_is_open_has_its_answer_before_the_end(
+def test_every_open_request_is_answered_before_the_end(
     tmp_path: Path, slack: float, tick: float, stop_ms: int, halt: str
 ) -> None:
     settings = json.loads(json.dumps(SETTINGS))
@@ -219,32 +222,32 @@
             other.send(other.call(1, b"record", b"ab") + other.call(2))
             process.send_signal(signal.SIGTERM)
         assert {peer.read(1)[1], peer.read(2)[1], other.read(1)[1]} == {b"FAILED"}
-        assert alone(other, 2) in (b"FAILED", b"BUSY")
+        assert only_answer(other, 2) in (b"FAILED", b"BUSY")
         peer.sock.close()
-        ended(process)
+        wait_for_exit(process)
     finally:
         deployment.end()
 
 
-@pytest.mark.parametrize("ends", [True, False])
-def test_what_is_read_after_the_last_answers_is_rejected(deployment: Deployment, ends: bool) -> None:
-    """A run ends and a request comes between the last answers and the end: no second answer, and no run.
+@pytest.mark.parametrize("run_ends", [True, False])
+def test_a_request_read_after_the_last_answers_is_rejected(deployment: Deployment, run_ends: bool) -> None:
+    """A run finishes or a request arrives between the last answers and the exit: no second answer, no run.
 
-    While the run goes on, a request of its name fails: a refusal would say that what it names never ran.
+    While the run continues, another request with its name fails. A rejection would mean that it never ran.
     """
     deployment.config["settings"]["safety"]["answer-slack-s"] = 0.0
     deployment.config["settings"]["tick-s"] = 0.0
     deployment.config["settings"]["extra"]["halt"] = "off"
-    process = child(
+    process = start_with_script(
         deployment,
         """
 answer_all = Application._answer_all
-def slow(self):
-    self._scheduler.after(0.0, lambda: tell(signal.SIGSTOP))
+def suspended(self):
+    self._scheduler.after(0.0, lambda: send_signals(signal.SIGSTOP))
     answer_all(self)
-    self._stop_at = self._scheduler.clock.now + 60.0  # the end waits for the connections
+    self._stop_at = self._scheduler.clock.now + 60.0  # the exit waits for the end of the connections
     self._end = lambda: None if self._request_listener.connections else Application._end(self)
-Application._answer_all = slow
+Application._answer_all = suspended
 """,
     )
     peer, other = deployment.ready(), deployment.client()
@@ -254,46 +257,48 @@
     wait_until(lambda: deployment.interpreter.core.running)
     process.send_signal(signal.SIGTERM)
     os.waitid(os.P_PID, process.pid, os.WSTOPPED | os.WNOWAIT)
-    if ends:
+    if run_ends:
         deployment.interpreter.end(name)
     else:
         other.send(call(3, name, b"lookup", time.time(), b"body"))
-    # It came to the machine within the grace, so that alone would let it run.
+    # By its timestamp it was sent within the grace, so on that account it could run.
     peer.send(call(2, b"%016x" % 2, b"lookup", time.time() - 1.0, b"body2"))
     process.send_signal(signal.SIGCONT)
     assert peer.read(1)[1] == b"FAILED" and peer.read(2)[1] == b"BUSY"
-    if not ends:
+    if not run_ends:
         assert other.read(3)[1] == b"FAILED"
         deployment.interpreter.end(name)
     other.sock.close()
     peer.sock.close()
-    ended(process)
+    wait_for_exit(process)
     assert len(deployment.interpreter.core.applied) == 1
 
 
-def test_who_waits_for_what_is_remembered_is_answered_before_the_end(deployment: Deployment) -> None:
-    """It may be a repeat of what ran before the start: so it fails, and it is not rejected."""
-    process = child(deployment, "from sablewheel.serving import hooks; hooks.NullResultStore.ready = False")
+def test_a_request_that_waits_for_stored_results_is_answered_before_the_end(deployment: Deployment) -> None:
+    """It may repeat a request that ran before the start, so it fails and is not rejected."""
+    process = start_with_script(
+        deployment, "from sablewheel.serving import hooks; hooks.NullResultStore.ready = False"
+    )
     peer = deployment.ready()
     peer.send(peer.call(1, b"record", b"ab"))
     assert peer.ask(999, HEALTH)[1] == b"UP"
     process.send_signal(signal.SIGTERM)
-    assert alone(peer, 1) == b"FAILED"
+    assert only_answer(peer, 1) == b"FAILED"
     peer.sock.close()
-    ended(process)
+    wait_for_exit(process)
     assert not deployment.interpreter.core.applied
 
 
-def test_a_pause_beyond_the_stop_answers_all_that_came_meanwhile(deployment: Deployment) -> None:
-    """Stopped past its time to leave: what runs, what was written, and who stood before the door."""
+def test_requests_that_arrive_during_a_pause_beyond_the_stop_are_answered(deployment: Deployment) -> None:
+    """The server is suspended past its stop, with a run, an unread request and a connection in the queue."""
     deployment.config["stop_ms"] = 100
-    process = child(
+    process = start_with_script(
         deployment,
         """
-leave = Application._on_shutdown_notice
+on_shutdown_notice = Application._on_shutdown_notice
 def paused(self):
-    leave(self)
-    self._scheduler.after(0.0, lambda: tell(signal.SIGSTOP))
+    on_shutdown_notice(self)
+    self._scheduler.after(0.0, lambda: send_signals(signal.SIGSTOP))
 Application._on_shutdown_notice = paused
 """,
     )
@@ -310,7 +315,7 @@
     process.send_signal(signal.SIGCONT)
     assert peer.read(1)[1] == b"FAILED"
     assert {other.read(2)[1], late.read(3)[1]} <= {b"FAILED", b"BUSY"}
-    ended(process)
+    wait_for_exit(process)
     assert len(deployment.interpreter.core.applied) == 1
 
 
@@ -327,7 +332,7 @@
         (False, ("SIGHUP", "SIGINT", "SIGTERM", "SIGUSR1")),
     ],
 )
-def test_signals_of_one_round_end_it_in_order(
+def test_signals_read_in_one_round_end_the_server_in_order(
     deployment: Deployment, up: bool, numbers: tuple[str, ...]
 ) -> None:
     deployment.interpreter.core.up = up
@@ -344,39 +349,41 @@
         deployment.interpreter.end(next(iter(deployment.interpreter.core.running)))
     assert peer.read(1)[1] == (b"OK" if up else b"BUSY")
     peer.sock.close()
-    assert ("configuration reloaded" in ended(process)) == ("SIGHUP" in numbers)
+    assert ("configuration reloaded" in wait_for_exit(process)) == ("SIGHUP" in numbers)
 
 
-def test_notified_to_shut_down_within_the_hand_over_to_a_moved_interpreter(deployment: Deployment) -> None:
-    """The hang-up moves the interpreter to where nobody answers, and the notice comes before it does."""
+def test_a_shutdown_notice_while_the_interpreter_moves_to_another_address(deployment: Deployment) -> None:
+    """After SIGHUP the new address accepts the link but sends nothing; the notice comes before it answers."""
     process = deployment.start()
     peer = deployment.ready()
     deployment.interpreter.at_once = False
     peer.send(peer.call(1))
     wait_until(lambda: deployment.interpreter.core.running)
-    with socket.create_server(("127.0.0.1", 0)) as mute:  # takes the link, and says nothing
-        mute.settimeout(TIMEOUT_S)
+    with socket.create_server(("127.0.0.1", 0)) as silent:  # accepts the link and sends nothing
+        silent.settimeout(TIMEOUT_S)
         deployment.file.write_text(
-            json.dumps(deployment.config | {"vm": f"127.0.0.1:{mute.getsockname()[1]}"})
+            json.dumps(deployment.config | {"vm": f"127.0.0.1:{silent.getsockname()[1]}"})
         )
         with suspended(process):
             process.send_signal(signal.SIGHUP)
             process.send_signal(signal.SIGTERM)
-        mute.accept()[0].close()
-        assert alone(peer, 1) == b"FAILED"
-    ended(process)
+        silent.accept()[0].close()
+        assert only_answer(peer, 1) == b"FAILED"
+    wait_for_exit(process)
 
 
 @pytest.mark.parametrize("number", ["SIGTERM", "SIGHUP", "SIGINT", "SIGUSR1"])
-def test_a_signal_in_the_midst_of_the_exit_changes_nothing(deployment: Deployment, number: str) -> None:
-    """The interpreter gives signals back their default before the modules go: a late one must not kill it."""
-    process = child(
+def test_a_signal_during_the_exit_of_the_interpreter_has_no_effect(
+    deployment: Deployment, number: str
+) -> None:
+    """Python restores the default handlers before it unloads modules: a late signal must not be fatal."""
+    process = start_with_script(
         deployment,
         f"""
-class Late:
-    def __del__(self, tell=os.kill, me=os.getpid(), number=signal.{number}):
-        tell(me, number)
-start.late = Late()
+class SignalAtExit:
+    def __del__(self, kill=os.kill, pid=os.getpid(), number=signal.{number}):
+        kill(pid, number)
+start.late = SignalAtExit()
 Application.run = lambda self: 0
 """,
     )
@@ -385,27 +392,29 @@
 
 
 @pytest.mark.parametrize("number", ["SIGTERM", "SIGHUP"])
-def test_a_signal_between_the_open_socket_and_the_handlers_waits(deployment: Deployment, number: str) -> None:
-    process = child(
+def test_a_signal_before_the_handlers_are_installed_stays_pending(
+    deployment: Deployment, number: str
+) -> None:
+    process = start_with_script(
         deployment,
         f"""
 prepare = Application.prepare
 def prepared(self):
-    tell(signal.{number})
+    send_signals(signal.{number})
     prepare(self)
-    tell(signal.{number})
+    send_signals(signal.{number})
 Application.prepare = prepared
 """,
     )
     if number == "SIGHUP":
         deployment.ready().sock.close()
         process.send_signal(signal.SIGTERM)
-    text = ended(process)
+    text = wait_for_exit(process)
     assert ("configuration reloaded" in text) == (number == "SIGHUP")
 
 
-def test_a_sighup_is_taken_where_it_was_ignored_up_to_the_start(deployment: Deployment) -> None:
-    """A shell may ignore it on the way to `exec`: nothing is told before the configuration is read."""
+def test_sighup_is_handled_although_it_was_ignored_before_the_start(deployment: Deployment) -> None:
+    """A shell may ignore it up to `exec`; the server handles it once its handlers are installed."""
     deployment.file.write_text(json.dumps(deployment.config))
     process = subprocess.Popen(
         ["sh", "-c", f"trap '' HUP USR1; kill -HUP $$; exec {sys.executable} -m sablewheel"],
@@ -418,18 +427,18 @@
     with suspended(process):
         process.send_signal(signal.SIGHUP)
         process.send_signal(signal.SIGTERM)
-    assert ended(process).count("configuration reloaded") == 1
+    assert wait_for_exit(process).count("configuration reloaded") == 1
 
 
 # -- the listening socket
 
 
-class Crossed:
-    """A listening socket, and what happens between two of its calls."""
+class InterceptedSocket:
+    """A listening socket that runs the test's actions between its calls."""
 
     def __init__(self, sock: socket.socket) -> None:
-        self.sock, self.empty, self.closing = sock, [], []  # type: ignore[var-annotated]
-        self.failures: list[int] = []  # error numbers of the next calls of accept, once the queue was empty
+        self.sock, self.on_empty, self.on_close = sock, [], []  # type: ignore[var-annotated]
+        self.failures: list[int] = []  # errors of the accept calls after the queue was empty, the last first
         self.was_empty = False
 
     def accept(self) -> tuple[socket.socket, Any]:
@@ -439,12 +448,12 @@
             return self.sock.accept()
         except BlockingIOError:
             self.was_empty = True
-            if self.empty:
-                self.empty.pop()()
+            if self.on_empty:
+                self.on_empty.pop()()
             raise
 
     def close(self) -> None:
-        for action in self.closing:
+        for action in self.on_close:
             action()
         self.sock.close()
 
@@ -453,15 +462,17 @@
 
 
 class ListeningSocketHarness:
-    """A real listening socket whose capacity the test sets."""
+    """A real listening socket whose capacity is set by the test."""
 
     def __init__(self) -> None:
         self.accepted: list[Stream] = []
         self.max_connections = 99
         self.scheduler = Scheduler(Clock())
-        here = ("127.0.0.1", 0)
-        self.listener = Listener(self.scheduler, here, self.has_capacity, self.accepted.append, self.on_full)
-        self.sock = self.listener._socket = Crossed(self.listener._socket)  # type: ignore[assignment]
+        address = ("127.0.0.1", 0)
+        self.listener = Listener(
+            self.scheduler, address, self.has_capacity, self.accepted.append, self.on_full
+        )
+        self.sock = self.listener._socket = InterceptedSocket(self.listener._socket)  # type: ignore[assignment]
         self.address = self.sock.getsockname()
         self.times_full = 0
         self.clients: list[socket.socket] = []
@@ -472,14 +483,14 @@
     def on_full(self) -> None:
         self.times_full += 1
 
-    def client(self, most: float = TIMEOUT_S) -> None:
-        """Connect and write a request; the client is noted if the kernel accepted it."""
+    def client(self, timeout_s: float = TIMEOUT_S) -> None:
+        """Connect and send a request; `clients` has the connection if the kernel accepted it."""
         with contextlib.suppress(OSError):
-            self.clients.append(socket.create_connection(self.address, timeout=most))
+            self.clients.append(socket.create_connection(self.address, timeout=timeout_s))
             self.clients[-1].sendall(b"ticket")
 
     def answer(self) -> list[bytes]:
-        """Answer every client that was accepted; returns what each client received."""
+        """Answer every accepted client; return what each client received."""
         for stream in self.accepted:
             stream.write(b"told")
             stream.flush()
@@ -503,9 +514,9 @@
     harness.listener.close()
 
 
-def test_who_connects_behind_the_last_check_of_the_queue_is_taken(harness: ListeningSocketHarness) -> None:
+def test_a_connection_after_the_last_check_of_the_queue_is_accepted(harness: ListeningSocketHarness) -> None:
     harness.client()
-    harness.sock.empty.append(harness.client)
+    harness.sock.on_empty.append(harness.client)
     assert harness.listener.close_if_queue_empty() and harness.listener.close_if_queue_empty()
     assert harness.answer() == [b"told", b"told"]
     with pytest.raises(ConnectionRefusedError):
@@ -514,12 +525,12 @@
 
 @pytest.mark.parametrize("number", [errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EPROTO, errno.EINTR])
 @pytest.mark.parametrize("times", [1, 40])
-def test_who_connects_behind_the_last_check_is_taken_though_accept_fails(
+def test_a_connection_after_the_last_check_is_accepted_although_accept_fails(
     harness: ListeningSocketHarness, number: int, times: int
 ) -> None:
-    """A failed accept there ended the taking, and the close reset the request in the queue."""
+    """Guards against a failed accept that left the loop: the close then reset the queued request."""
     harness.sock.failures = [number] * times
-    harness.sock.empty.append(harness.client)
+    harness.sock.on_empty.append(harness.client)
     for _ in range(times + 1):
         if harness.listener.close_if_queue_empty():
             break
@@ -527,17 +538,17 @@
     assert harness.answer() == [b"told"]
 
 
-def test_who_connects_as_the_socket_closes_is_not_accepted_and_lost(harness: ListeningSocketHarness) -> None:
-    harness.sock.closing.append(lambda: harness.client(0.05))
+def test_a_connection_during_the_close_is_not_accepted_and_lost(harness: ListeningSocketHarness) -> None:
+    harness.sock.on_close.append(lambda: harness.client(0.05))
     assert harness.listener.close_if_queue_empty()
     assert harness.answer() == []
 
 
-def test_where_there_is_no_filter_the_socket_closes_all_the_same(
+def test_the_socket_closes_without_support_for_filters(
     harness: ListeningSocketHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(listening_socket, "SO_ATTACH_FILTER", 99)
-    harness.sock.empty.append(harness.client)
+    harness.sock.on_empty.append(harness.client)
     assert harness.listener.close_if_queue_empty() and harness.answer() == [b"told"]
 
 
@@ -552,13 +563,13 @@
     assert harness.listener.close_if_queue_empty() and harness.answer() == [b"told"] * 3
 
 
-def test_a_full_table_and_an_empty_queue_is_no_reason_to_stay_open(harness: ListeningSocketHarness) -> None:
+def test_a_full_table_and_an_empty_queue_do_not_keep_the_socket_open(harness: ListeningSocketHarness) -> None:
     harness.max_connections = 0
     assert harness.listener.close_if_queue_empty() and not harness.times_full
 
 
 def test_a_drain_with_a_full_table_answers_queued_connections(tmp_path: Path) -> None:
-    """The grace ends while routers wait in the machine's line: they are let in as connections go."""
+    """The grace ends while connections are queued: they are accepted as other connections close."""
     # room for 4 connections
     deployment = Deployment(tmp_path, stop_ms=1500, limits={"sockets": 16, "memory_mb": 32})
     deployment.config["settings"]["safety"]["drain-grace-s"] = 0.0
@@ -582,15 +593,15 @@
             peer.sock.close()
         assert late.read(1)[1] in (b"BUSY", b"OK") and late.read(0)[1] == b"BYE"
         late.sock.close()
-        ended(process)
+        wait_for_exit(process)
     finally:
         deployment.end()
 
 
-def test_an_address_that_is_still_held_is_waited_for(deployment: Deployment) -> None:
-    """A predecessor that leaves has its door open for a while yet: that must not end the newcomer."""
+def test_a_start_waits_for_an_address_in_use(deployment: Deployment) -> None:
+    """A predecessor that shuts down still listens for a while, which must not end the new server."""
     host, port = deployment.address
-    process = child(
+    process = start_with_script(
         deployment,
         f"""
 import socket
@@ -603,60 +614,61 @@
     )
     try:
         peer = deployment.ready()
-    except ConnectionResetError:  # it lay in the predecessor's line as that closed its door
+    except ConnectionResetError:  # it was in the predecessor's queue when that closed its socket
         peer = deployment.ready()
     assert peer.ask(1, peer.call(1))[1] == b"OK"
     peer.sock.close()
     process.send_signal(signal.SIGTERM)
-    ended(process)
+    wait_for_exit(process)
 
 
-def test_notified_to_shut_down_while_the_address_is_held_it_leaves(deployment: Deployment) -> None:
+def test_a_shutdown_notice_while_the_address_is_in_use_ends_the_server(deployment: Deployment) -> None:
     deployment.config["stop_ms"] = 60_000
     host, port = deployment.address
-    process = child(
+    process = start_with_script(
         deployment,
         f"""
 import socket
 old = socket.create_server(({host!r}, {port}))
-start.time = type("Time", (), dict(sleep=lambda span: tell(signal.SIGTERM), monotonic=time.monotonic))
+start.time = type("Time", (), dict(sleep=lambda span: send_signals(signal.SIGTERM), monotonic=time.monotonic))
 """,
     )
-    ended(process)
+    wait_for_exit(process)
 
 
 # -- reports
 
 
-@pytest.mark.parametrize(("every", "reports"), [(60.0, 1), (0.05, 2)])
+@pytest.mark.parametrize(("interval_s", "reports"), [(60.0, 1), (0.05, 2)])
 def test_the_shutdown_notice_is_reported_at_once_and_once_more(
-    deployment: Deployment, every: float, reports: int
+    deployment: Deployment, interval_s: float, reports: int
 ) -> None:
-    """Reports keep a server on the list, whatever they say: one that leaves is silent soon."""
-    process = child(
-        deployment, f"from sablewheel.program import application; application.REPORT_INTERVAL_S = {every}"
+    """Any report keeps a server listed, so a server that shuts down soon stops reporting."""
+    process = start_with_script(
+        deployment,
+        f"from sablewheel.program import application; application.REPORT_INTERVAL_S = {interval_s}",
     )
     peer = deployment.ready()
-    while every < 1.0 and deployment.name_service.recv(64) != b"renew n3 yes":
-        pass  # of the time before it was up
+    while interval_s < 1.0 and deployment.name_service.recv(64) != b"renew n3 yes":
+        pass  # reports from before the server was up
     deployment.interpreter.at_once = False
     peer.send(peer.call(1))
     wait_until(lambda: deployment.interpreter.core.running)
     process.send_signal(signal.SIGTERM)
     assert peer.read(1)[1] == b"FAILED" and peer.read(0)[1] == b"BYE"
     peer.sock.close()
-    ended(process)
+    wait_for_exit(process)
     words = []
     deployment.name_service.setblocking(False)
     with contextlib.suppress(BlockingIOError):
         while True:
             words.append(deployment.name_service.recv(64))
-    before = [b"renew n3 no"] if every > 1.0 else [word for word in words if word == b"renew n3 yes"]
+    before = [b"renew n3 no"] if interval_s > 1.0 else [word for word in words if word == b"renew n3 yes"]
     assert words == before + [b"renew n3 no"] * reports
 
 
-def test_reports_go_on_over_errors_of_the_socket(deployment: Deployment) -> None:
-    process = child(
+def test_reports_continue_after_errors_of_the_socket(deployment: Deployment) -> None:
+    process = start_with_script(
         deployment,
         """
 from sablewheel.program import application
@@ -679,10 +691,10 @@
     )
     assert deployment.name_service.recv(64).startswith(b"renew n3 ")
     process.send_signal(signal.SIGTERM)
-    assert "reports_failed=3" in ended(process)
+    assert "reports_failed=3" in wait_for_exit(process)
 
 
-def test_a_name_that_is_no_text_is_reported_all_the_same() -> None:
+def test_a_name_that_can_not_be_encoded_is_still_reported() -> None:
     assert naming.encode_report("n\ud800", True) == b"renew n? yes"
 
 
@@ -692,17 +704,17 @@
 from sablewheel.serving.dispatcher import Dispatcher
 from sablewheel.transport.listening_socket import Listener
 def fault(*_):
-    raise RuntimeError("a fault of ours")
+    raise RuntimeError("an error raised by the test")
 from sablewheel.program.application import Application
 send = Application._send_report
 reports = []
-def once(self):
+def failing_third_report(self):
     reports.append(1)
     if len(reports) == 3:
         fault()
     send(self)
 if "report" in sys.argv[1:]:
-    Application._send_report = once
+    Application._send_report = failing_third_report
 for kind, method in ((Dispatcher, "shutdown_notice"), (Listener, "close_if_queue_empty")):
     if method in sys.argv[1:]:
         setattr(kind, method, fault)
@@ -711,7 +723,7 @@
 
 
 @pytest.mark.parametrize("method", ["shutdown_notice", "close_if_queue_empty"])
-def test_a_fault_on_the_way_out_still_answers_all_and_ends_before_the_stop(
+def test_after_an_internal_error_a_shutdown_answers_all_requests_and_ends_before_the_stop(
     deployment: Deployment, method: str
 ) -> None:
     deployment.file.write_text(json.dumps(deployment.config | {"stop_ms": 900}))
@@ -726,15 +738,15 @@
     deployment.interpreter.at_once = False
     peer.send(peer.call(1))
     wait_until(lambda: deployment.interpreter.core.running)
-    began = time.monotonic()
+    notified_at = time.monotonic()
     process.send_signal(signal.SIGTERM)
     assert peer.read(1)[1] == b"FAILED"
     _, text = process.communicate(timeout=TIMEOUT_S)
-    assert process.returncode == 0 and time.monotonic() - began < 1.2
-    assert "a fault of ours" in text
+    assert process.returncode == 0 and time.monotonic() - notified_at < 1.2
+    assert "an error raised by the test" in text
 
 
-def test_a_fault_in_one_report_is_not_the_end_of_the_reports(deployment: Deployment) -> None:
+def test_reports_continue_after_an_internal_error_in_one_report(deployment: Deployment) -> None:
     deployment.file.write_text(json.dumps(deployment.config))
     process = subprocess.Popen(
         [sys.executable, "-c", FAULTY, "report"],
@@ -743,9 +755,9 @@
         text=True,
     )
     deployment.processes.append(process)
-    # the third never went out
+    # the third report failed
     assert [deployment.name_service.recv(64).split()[1] for _ in range(5)] == [b"n3"] * 5
     deployment.ready().sock.close()
     process.send_signal(signal.SIGTERM)
     _, text = process.communicate(timeout=TIMEOUT_S)
-    assert process.returncode == 0 and "a fault of ours" in text
+    assert process.returncode == 0 and "an error raised by the test" in text
