--- a/sablewheel/program/feature.py
+++ b/sablewheel/program/feature.py
@@ -25,7 +25,7 @@
 
     @property
     def up_at(self) -> float:
-        """The earliest time, by the scheduler's clock, at which the server may connect to its interpreter."""
+        """The earliest time, by the scheduler's clock, to connect to the interpreter; inf if unknown."""
 
     @property
     def descriptors(self) -> int:
--- a/sablewheel/program/feature_context.py
+++ b/sablewheel/program/feature_context.py
@@ -32,7 +32,7 @@
         on_never_started: Called with a request whose run a feature delayed, once its client stopped waiting.
         on_recovery_finished: Called once all stored results are loaded.
         on_start_failed: Called with a reason when a feature can't start that the server must not run without.
-        retune: Called when a feature's changes to the controller's settings are different.
+        retune: Called when a feature changes the controller's settings in another way than before.
         metadata: The key-value pairs that this member publishes in the fleet's view, of all features.
         fleet: The membership service; None if membership is off.
         links: The connections to peers, set by forwarding.
--- a/sablewheel/program/feature_set.py
+++ b/sablewheel/program/feature_set.py
@@ -87,7 +87,7 @@
 
     @property
     def up_at(self) -> float:
-        """The earliest time, by the scheduler's clock, at which the server may connect to its interpreter."""
+        """The earliest time, by the scheduler's clock, to connect to the interpreter; inf if unknown."""
         return max((up_at() for up_at in self._up_at), default=0.0)
 
     @property
--- a/tests/installation.py
+++ b/tests/installation.py
@@ -114,8 +114,8 @@
 
     def read(self, seconds: float) -> None:
         """Read answers until all have arrived or `seconds` are over."""
-        until = time.monotonic() + seconds
-        while len(self.answers) < len(self.sent) and (remaining_s := until - time.monotonic()) > 0:
+        deadline = time.monotonic() + seconds
+        while len(self.answers) < len(self.sent) and (remaining_s := deadline - time.monotonic()) > 0:
             if not self._read_once(remaining_s):
                 return
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -518,7 +518,7 @@
     deployment.end()
 
 
-def test_a_full_table_closes_unused_connections_for_newcomers(small_deployment: Deployment) -> None:
+def test_a_full_table_closes_unused_connections_for_new_ones(small_deployment: Deployment) -> None:
     small_deployment.start()
     peers = [small_deployment.ready() for _ in range(16)]
     small_deployment.interpreter.at_once = False
--- a/tests/test_readme_configuration.py
+++ b/tests/test_readme_configuration.py
@@ -127,7 +127,8 @@
     },
 }
 MANDATORY = {"name", "on-time-s", "deadline-s", "repeat", "classes", "cores", "memory-kb", "fall-multiple"}
-# Keys that the test leaves alone: the simulated server has one fixed tenant.
+# Keys that are never left out: the simulated server has one fixed tenant. Its interpreter calls no
+# dependency, so all keys of the dependency are optional.
 NOT_IN_THE_SIMULATED_SERVER = {"orgs"}
 
 
