--- a/tests/stories/test_server_stories.py
+++ b/tests/stories/test_server_stories.py
@@ -21,7 +21,7 @@
 import pytest
 from pytest_bdd import given, parsers, scenarios, then, when
 from simulated_server import frame
-from test_program import PATIENCE, SETTINGS, ClientConnection, Deployment, FakeInterpreter, wait_until
+from test_program import SETTINGS, TIMEOUT_S, ClientConnection, Deployment, FakeInterpreter, wait_until
 
 scenarios("servers.feature")
 
@@ -41,7 +41,7 @@
             sock.bind(("127.0.0.1", 0))
         self.addresses = [f"127.0.0.1:{sock.getsockname()[1]}" for sock in self.socks]
 
-    def next_report(self, timeout_s: float = PATIENCE) -> tuple[int, str, bytes] | None:
+    def next_report(self, timeout_s: float = TIMEOUT_S) -> tuple[int, str, bytes] | None:
         """Return the index of the name service, the server's name and the status; None after the timeout."""
         ready = select.select(self.socks, [], [], timeout_s)[0]
         if not ready:
@@ -157,7 +157,7 @@
         self.name_services.pending_reports()
         for number in numbers:
             self.send_signal(number, signal.SIGTERM)
-        pending, until = {f"n{number}" for number in numbers}, time.monotonic() + PATIENCE
+        pending, until = {f"n{number}" for number in numbers}, time.monotonic() + TIMEOUT_S
         while pending:
             report = self.name_services.next_report()
             assert report is not None and time.monotonic() < until, (
@@ -189,7 +189,7 @@
     def close(self) -> None:
         self.stopping.set()
         for thread in self.threads:
-            thread.join(PATIENCE)
+            thread.join(TIMEOUT_S)
         for deployment in self.deployments:
             deployment.end()
         for interpreter in self.replaced_interpreters:
@@ -254,7 +254,7 @@
 def shut_down_in_order(story: Story, timeout_s: float = STOP_S) -> None:
     assert story.shutdown_asked_at
     for number in story.shutdown_asked_at:
-        _, text = story.processes[number].communicate(timeout=PATIENCE)
+        _, text = story.processes[number].communicate(timeout=TIMEOUT_S)
         assert (
             story.processes[number].returncode == 0 and "Traceback" not in text and "by a fault" not in text
         )
@@ -349,7 +349,7 @@
         case 4:
             wait_until(lambda: deployment.interpreter.core.running)
     starting.kill()
-    starting.wait(PATIENCE)
+    starting.wait(TIMEOUT_S)
     deployment.interpreter.at_once = True
 
 
@@ -357,13 +357,13 @@
     deployment, old, killed = story.deployments[number], story.processes[number], number % 2 == 1
     old.send_signal(signal.SIGTERM)
     if killed:
-        old.wait(PATIENCE)
+        old.wait(TIMEOUT_S)
     started_at = time.time()
     if killed:
         kill_during_startup(deployment, number // 2 % 5)
     # If not killed, the old process still holds the listening address while the new one starts.
     story.processes[number] = deployment.start()
-    assert old.wait(PATIENCE) == 0
+    assert old.wait(TIMEOUT_S) == 0
     old_exited_at = time.time()
 
     def completion_times() -> list[float]:
@@ -387,10 +387,10 @@
     for thread in restarts:
         thread.start()
     for thread in restarts:
-        thread.join(2 * PATIENCE)
+        thread.join(2 * TIMEOUT_S)
     story.stopping.set()
     for thread in story.threads:
-        thread.join(PATIENCE)
+        thread.join(TIMEOUT_S)
 
 
 @then(parsers.parse("{required:d} of {total:d} servers serve within {time_s:d} seconds, and all eventually"))
@@ -481,7 +481,7 @@
     remaining = {
         f"n{number}": 3 for number in range(len(story.deployments)) if number not in story.shutdown_asked_at
     }
-    until = time.monotonic() + PATIENCE
+    until = time.monotonic() + TIMEOUT_S
     while any(remaining.values()):
         report = story.name_services.next_report()
         assert report is not None and time.monotonic() < until, remaining
--- a/tests/test_incident_duplicate_run.py
+++ b/tests/test_incident_duplicate_run.py
@@ -24,7 +24,7 @@
 from collections.abc import Iterator
 
 import pytest
-from installation import KEYED, PATIENCE, Installation, Pair
+from installation import KEYED, TIMEOUT_S, Installation, Pair
 
 from sablewheel.experiments.testbed import Testbed
 
@@ -49,7 +49,7 @@
             return not breaks_link
         if upward and b"APPLY" in data:
             command_seen.set()
-            end_written.wait(PATIENCE)
+            end_written.wait(TIMEOUT_S)
         if not upward and b"VALUE" in data:
             end_written.set()
             command_seen.wait(MAX_NOTICE_DELAY_S)
--- a/tests/test_replication_service.py
+++ b/tests/test_replication_service.py
@@ -336,7 +336,7 @@
 @pytest.mark.parametrize(
     ("text", "message"),
     [
-        ("copies: 4", "odd is wanted"),
+        ("copies: 4", "expected an odd number"),
         ("claim-within-s: 0.1", "at least twice repeat-after-s"),
         ("copy: 3", "copies may be meant"),
         ("cold: maybe", "cold"),
