--- a/tests/test_result_store.py
+++ b/tests/test_result_store.py
@@ -24,6 +24,7 @@
 from sablewheel.result_store.clock_readings import ClockReading, clock_offset_s, read_clocks, rebased_expiry
 from sablewheel.result_store.codec import LOG_KIND, encode_clock_reading, encode_intent, encode_outcome
 from sablewheel.result_store.cold_start import may_have_run, ready_at
+from sablewheel.result_store.folder import compact_folder, load_folder
 from sablewheel.result_store.keyed_runs import RUN_BYTES, KeyedRun, KeyedRunTable, RunState
 from sablewheel.result_store.log_compaction import CompactionPlanner
 from sablewheel.result_store.plan import ColdStartRule, ResultStorePlan, UnreadableFolderRule
@@ -713,3 +714,21 @@
     data[100] ^= 1
     path.write_bytes(data)
     assert "50 labels" not in recall_command("inspect")[1]
+
+
+def test_compaction_keeps_the_open_runs_of_large_results(tmp_path: Path) -> None:
+    """A compacted folder recovers every open run, also if all results exceed the size limit of a record."""
+    now, run_count = read_clocks(), 1000
+    log, payloads = Log(DiskFiles(tmp_path), LOG_KIND, b"incarn01", 1 << 30), []
+    for number in range(run_count):
+        run = keyed_run(b"%d" % number, now.unix_s + 500.0, b"run%d" % number, now.unix_s - 10.0)
+        run.state, run.result = RunState.SUCCEEDED, b"r" * 20_000
+        record = pb.Record(moment=encode_clock_reading(now), intents=[encode_intent(run)])
+        record.outcomes.append(encode_outcome(run))
+        payloads.append(record.SerializeToString())
+    log.commit(payloads)
+    log.close()
+    assert len(load_folder(tmp_path, 600.0, now)[0].table.runs) == run_count
+    compact_folder(tmp_path, 600.0, now)
+    recovered, faults = load_folder(tmp_path, 600.0, now)
+    assert (len(recovered.table.runs), faults) == (run_count, [])
