--- a/sablewheel/experiments/affinity.py
+++ b/sablewheel/experiments/affinity.py
@@ -24,7 +24,7 @@
 from ..session_affinity.plan import FAULTY_VARIANTS
 from .affinity_size import modulo, rendezvous
 from .fleet import LISTEN, Block
-from .forwarding import LINK, LINK_DOOR, Scenario
+from .forwarding import LINK_PORT, LINK_RELAY_PORT, Scenario
 from .replaced_parts import was_announced
 from .result import ExperimentResult
 from .testbed import PATIENCE, SETTINGS, Testbed, TestbedError
@@ -95,8 +95,8 @@
 
     def features(self, name: str) -> str:
         place = self.names.index(name)
-        lines = ["forwarding:", f"  listen: {self.host(name)}:{LINK}"]
-        lines += [f"  advertise: {self.relay_host}:{LINK_DOOR + place}", "replication:", "  copies: 3"]
+        lines = ["forwarding:", f"  listen: {self.host(name)}:{LINK_PORT}"]
+        lines += [f"  advertise: {self.relay_host}:{LINK_RELAY_PORT + place}", "replication:", "  copies: 3"]
         lines += ["affinity:", "  idle-s: 600", "  keep-versions: 5", f"  moves-per-s: {BUDGET:g}"]
         lines += [f"  load-factor: {FACTOR}", f"  bound-least: {LEAST}"]
         return super(Scenario, self).features(name) + "\n".join([*lines, ""])
@@ -158,7 +158,7 @@
         for name in scenario.names:
             scenario.start(name)
         for name in scenario.names:
-            scenario.wait_up(name)
+            scenario.wait_until_up(name)
         if scenario.wait_agreed(scenario.names, PATIENCE) is None:
             raise TestbedError(f"no view: {scenario.processes['m0'].tail()}")
         time.sleep(WINDOW + 3.0)  # nobody can know what an earlier fleet ran: all windows pass first
--- a/sablewheel/experiments/forwarder.py
+++ b/sablewheel/experiments/forwarder.py
@@ -1,10 +1,9 @@
-"""A server that passes most of its requests to peers drawn at random, as the trial wants; or with its forward
-path broken on purpose.
+"""A server that forwards most of its requests to random peers, optionally with a fault in its forward path.
 
 python -m sablewheel.experiments.forwarder spread | twice | no-shrink | no-return FILE
 
-FILE has a line for each request that came from a peer: its name, and when it reached the first machine as
-this one takes it.
+FILE gets a line for each forwarded request that this server admits: the request's name, and its arrival
+time at the first server as this server estimates it.
 """
 
 from __future__ import annotations
@@ -22,47 +21,47 @@
 from ..serving.exchange import Exchange
 from .replaced_parts import announce, replace_part
 
-SHARE = 0.7  # of requests that go to a peer
+FORWARD_SHARE = 0.7  # of requests that are forwarded to a peer
 
 
-class Spread(forward.ForwardingService):
-    """Its own placer: any member of the view, as it is agreed right now."""
+class RandomPeerForwardingService(forward.ForwardingService):
+    """Forwards requests to random members of the current view; acts as its own placer."""
 
-    def __init__(self, *values: Any, **more: Any) -> None:
-        super().__init__(*values, **more)
+    def __init__(self, *args: Any, **kwargs: Any) -> None:
+        super().__init__(*args, **kwargs)
         self.placer = self
-        self._others: list[str] = []
-        self._chance = random.Random(self._last_number)
+        self._peers: list[str] = []
+        self._random = random.Random(self._last_number)
         announce(sys.argv[1])
-        self._admitted_file = open(sys.argv[2], "a", buffering=1)  # noqa: SIM115  kept until the end
+        self._admitted_file = open(sys.argv[2], "a", buffering=1)  # noqa: SIM115  open until the process ends
 
     def handle_view(self, view: View) -> None:
         super().handle_view(view)
-        self._others = [one for one in view.names if one != self._connections.node_name]
+        self._peers = [name for name in view.names if name != self._connections.node_name]
 
     def _serve_here(self, exchange: Exchange) -> None:
-        """The trial holds what the controller is told of a guest against what its router knows."""
+        """Log a forwarded request's arrival time; the experiment compares it with the router's record."""
         if isinstance(exchange.caller, forward.ForwardedCaller):
             self._admitted_file.write(f"{exchange.name.decode()} {exchange.request.arrived_at:.6f}\n")
         super()._serve_here(exchange)
 
     def place(self, exchange: Exchange) -> str | None:
-        if not self._others or self._chance.random() > SHARE:
+        if not self._peers or self._random.random() > FORWARD_SHARE:
             return None
-        return self._chance.choice(self._others)
+        return self._random.choice(self._peers)
 
 
-def twice() -> None:
-    """An non-idempotent request goes again after a break."""
+def rerun_uncertain() -> None:
+    """Run a non-idempotent request a second time after a connection loss."""
 
-    def again(self: ForwardingState, number: int) -> list[Effect]:
+    def return_for_rerun(self: ForwardingState, number: int) -> list[Effect]:
         return [self._return(0.0, number, self.forwarded.pop(number))]
 
-    ForwardingState._fail_uncertain = again  # type: ignore[method-assign]
+    ForwardingState._fail_uncertain = return_for_rerun  # type: ignore[method-assign]
 
 
 def no_shrink() -> None:
-    """Requests are taken for as young as they were when they left."""
+    """Ignore transit time: a forwarded request's age on arrival is its age when it was sent."""
 
     def transit_s(self: frames.TransitTimeEstimator, now: float, sent_at: float) -> float:
         return 0.0
@@ -71,23 +70,25 @@
 
 
 def no_return() -> None:
-    """What a broken link or a peer that stands still has is waited for to the end."""
+    """Keep waiting for requests at a disconnected or unresponsive peer until their deadlines."""
     step = ForwardingState.step
 
-    def waiting(self: ForwardingState, now: float, event: Event) -> list[Effect]:
+    def step_without_failover(self: ForwardingState, now: float, event: Event) -> list[Effect]:
         if isinstance(event, ConnectionLost):
             return []
         if isinstance(event, TimerFired):
-            for one in self.forwarded.values():
-                one.ack_deadline = float("inf")
+            for forwarded_request in self.forwarded.values():
+                forwarded_request.ack_deadline = float("inf")
         return step(self, now, event)
 
-    ForwardingState.step = waiting  # type: ignore[method-assign]
+    ForwardingState.step = step_without_failover  # type: ignore[method-assign]
 
 
-VARIANTS = {"spread": lambda: None, "twice": twice, "no-shrink": no_shrink, "no-return": no_return}
+VARIANTS = {"spread": lambda: None, "twice": rerun_uncertain, "no-shrink": no_shrink, "no-return": no_return}
 
 if __name__ == "__main__":
     VARIANTS[sys.argv[1]]()
-    replace_part(forward, "ForwardingService", Spread)  # the program imports it from there
+    replace_part(
+        forward, "ForwardingService", RandomPeerForwardingService
+    )  # where the server imports it from
     runpy.run_module("sablewheel", run_name="__main__")
--- a/sablewheel/experiments/forwarding.py
+++ b/sablewheel/experiments/forwarding.py
@@ -1,9 +1,9 @@
-"""The forward path's trial: four servers that pass most of their requests to one another, each with an
-interpreter and routers of its own, each link through the fault relay.
+"""Forwarding experiment: four servers that forward most of their requests to each other.
 
-Links are cut both ways and one way and made slow; servers are stopped for longer than a request's time,
-killed, and started again cold, all while requests are passed. What interpreters began is set against what
-routers sent.
+Each server has its own interpreter and router, and each link between servers passes through the fault relay.
+While requests are forwarded, links are cut in one or both directions and slowed down; servers are stopped for
+longer than a request's deadline, killed, and restarted cold. The runs that the interpreters recorded are
+compared with the requests that the routers sent.
 """
 
 from __future__ import annotations
@@ -27,27 +27,33 @@
 from .testbed import PATIENCE, Testbed, TestbedError, free_port
 
 FAULTY_VARIANTS = ("twice", "no-shrink", "no-return")
-LINK = 7702
-LINK_DOOR = DOOR + 50
-SIZE = 4
-ABANDON = 2.0
-SLACK = 0.3  # what a busy machine may add to a time that was kept
-PAUSE = ABANDON + 0.6
-SLOW = 0.08  # seconds that a slow link takes at least
-YOUNGER = SLOW / 2  # than it is, a request may be taken for: less than one slow hop
-SHARE_LEAST = 0.95
+LINK_PORT = 7702
+LINK_RELAY_PORT = DOOR + 50
+SERVER_COUNT = 4
+DEADLINE_S = 2.0
+TIMING_SLACK_S = 0.3  # allowance for scheduling delays on a busy machine
+PAUSE_S = DEADLINE_S + 0.6
+SLOW_LINK_DELAY_S = 0.08  # minimum delay of a slow link, one way
+MAX_AGE_ERROR_S = (
+    SLOW_LINK_DELAY_S / 2
+)  # by which a request may be considered younger than it is: less than one slow hop
+MIN_COMPLETED_SHARE = 0.95
 REQUEST_CLASSES = {
     "lookup": {"share": 0.5},
     "record": {"share": 0.25, "keyed": True},
     "stamp": {"share": 0.25},
 }
-WORK = {"lookup": 0.03, "record": 0.1, "stamp": 0.5}  # long runs, so that links break with some under way
+RUN_TIMES_S = {
+    "lookup": 0.03,
+    "record": 0.1,
+    "stamp": 0.5,
+}  # long runs, so that some are in progress when links break
 CLASSES = [
-    {"name": "lookup", "on-time-s": 1.0, "deadline-s": ABANDON, "repeat": "safe"},
-    {"name": "record", "on-time-s": 1.0, "deadline-s": ABANDON, "repeat": "keyed", "window-s": 6.0},
-    {"name": "stamp", "on-time-s": 1.8, "deadline-s": ABANDON, "repeat": "unsafe"},
+    {"name": "lookup", "on-time-s": 1.0, "deadline-s": DEADLINE_S, "repeat": "safe"},
+    {"name": "record", "on-time-s": 1.0, "deadline-s": DEADLINE_S, "repeat": "keyed", "window-s": 6.0},
+    {"name": "stamp", "on-time-s": 1.8, "deadline-s": DEADLINE_S, "repeat": "unsafe"},
 ]
-KEYS: dict[str, object] = {
+MEMBERSHIP_SETTINGS: dict[str, object] = {
     "period-s": 0.5,
     "probe-timeout-s": 0.25,
     "found-after-s": 1.0,
@@ -59,12 +65,14 @@
 
 @dataclass
 class Scenario(Fleet):
-    """The fleet with a forward path: a second door each, and an interpreter each."""
+    """A fleet with forwarding: each member has a second relayed port and its own interpreter."""
 
-    work: dict[str, float] = field(default_factory=lambda: dict(WORK))
+    work: dict[str, float] = field(default_factory=lambda: dict(RUN_TIMES_S))
     cores: int = 8
     vms: dict[str, int] = field(default_factory=dict)
-    spans: dict[str, list[tuple[str, float, float]]] = field(default_factory=dict)  # fault: whom, from, to
+    fault_spans: dict[str, list[tuple[str, float, float]]] = field(
+        default_factory=dict
+    )  # fault: (member, start, end)
 
     def __post_init__(self) -> None:
         self.names = [f"m{number}" for number in range(self.size)]
@@ -72,7 +80,7 @@
         self.doors = {name: f"{self.relay_host}:{DOOR + place}" for place, name in enumerate(self.names)}
         doors = [
             {"owner": name, "port": door + place, "to": f"{self.host(name)}:{port}"}
-            for door, port in ((DOOR, PORT), (LINK_DOOR, LINK))
+            for door, port in ((DOOR, PORT), (LINK_RELAY_PORT, LINK_PORT))
             for place, name in enumerate(self.names)
         ]
         self.relay = Relay(self.testbed, "relay", self.relay_host, self.seed, doors)
@@ -81,17 +89,17 @@
             self.testbed.interpreter(name, self.vms[name], work=self.work, cores=self.cores)
 
     def features(self, name: str) -> str:
-        place = self.names.index(name)
-        lines = ["forwarding:", f"  listen: {self.host(name)}:{LINK}"]
-        lines.append(f"  advertise: {self.relay_host}:{LINK_DOOR + place}")
+        index = self.names.index(name)
+        lines = ["forwarding:", f"  listen: {self.host(name)}:{LINK_PORT}"]
+        lines.append(f"  advertise: {self.relay_host}:{LINK_RELAY_PORT + index}")
         return super().features(name) + "\n".join([*lines, ""])
 
     def start(self, name: str) -> None:
-        path = self.testbed.folder / f"{name}.yaml"
-        path.write_text(self.features(name))
+        features_path = self.testbed.folder / f"{name}.yaml"
+        features_path.write_text(self.features(name))
         listen = f"{self.host(name)}:{LISTEN}"
         settings = {"classes": CLASSES, "servers": self.size}
-        told = self.testbed.configuration(
+        config_path = self.testbed.configuration(
             name, LISTEN, self.vms[name], name=name, listen=listen, settings=settings
         )
         self.processes[name] = self.testbed.start(
@@ -100,48 +108,56 @@
             self.kind,
             str(self.testbed.folder / f"{name}.guests"),
             shifted=False,
-            RELAY_CONFIG=str(told),
-            SABLEWHEEL_FEATURES=str(path),
+            RELAY_CONFIG=str(config_path),
+            SABLEWHEEL_FEATURES=str(features_path),
         )
 
-    def wait_up(self, name: str) -> None:
-        until, place = time.monotonic() + PATIENCE, (self.host(name), LISTEN)
-        while time.monotonic() < until:
-            with contextlib.suppress(OSError), socket.create_connection(place, 1.0) as peer:
-                peer.sendall(wire.check(1))
-                answers = Parser().feed(peer.recv(4096))
-                if answers and answers[0][1] == b"UP":
+    def wait_until_up(self, name: str) -> None:
+        deadline, address = time.monotonic() + PATIENCE, (self.host(name), LISTEN)
+        while time.monotonic() < deadline:
+            with contextlib.suppress(OSError), socket.create_connection(address, 1.0) as connection:
+                connection.sendall(wire.check(1))
+                replies = Parser().feed(connection.recv(4096))
+                if replies and replies[0][1] == b"UP":
                     return
             time.sleep(0.02)
-        raise TestbedError(f"{name} does not come up: {self.processes[name].tail()}")
+        raise TestbedError(f"{name} did not come up: {self.processes[name].tail()}")
 
     @contextlib.contextmanager
-    def fault(self, what: str, whom: str = "") -> Iterator[None]:
-        begun = time.monotonic()
+    def fault(self, fault: str, member: str = "") -> Iterator[None]:
+        started_at = time.monotonic()
         yield
-        self.spans.setdefault(what, []).append((whom, begun, time.monotonic()))
+        self.fault_spans.setdefault(fault, []).append((member, started_at, time.monotonic()))
 
-    def links(self, some: list[str], others: list[str], both: bool = True, **what: float | bool) -> None:
-        self.relay.set(some, others, **what)
-        if both:
-            self.relay.set(others, some, **what)
+    def links(
+        self,
+        sources: list[str],
+        destinations: list[str],
+        both_directions: bool = True,
+        **settings: float | bool,
+    ) -> None:
+        self.relay.set(sources, destinations, **settings)
+        if both_directions:
+            self.relay.set(destinations, sources, **settings)
 
 
 def run(seed: int, quick: bool, broken: str = "") -> ExperimentResult:
-    """The trial; `broken` names a fault put into the servers on purpose."""
+    """Run the experiment; `broken` names the faulty variant of the servers, empty for none."""
     result = ExperimentResult("forwarding")
     with Testbed(seed) as testbed, closing(Block()) as block:
-        scenario = Scenario(testbed, block.second, broken or "spread", 0, SIZE, seed, keys=KEYS)
+        scenario = Scenario(
+            testbed, block.second, broken or "spread", 0, SERVER_COUNT, seed, keys=MEMBERSHIP_SETTINGS
+        )
         for name in scenario.names:
             scenario.start(name)
         for name in scenario.names:
-            scenario.wait_up(name)
+            scenario.wait_until_up(name)
         if scenario.wait_agreed(scenario.names, PATIENCE) is None:
-            raise TestbedError(f"no view: {scenario.processes['m0'].tail()}")
+            raise TestbedError(f"the servers did not agree on a view: {scenario.processes['m0'].tail()}")
         rounds = 1 if quick else 2
         healthy = 5.0 if quick else 12.0
         faults = _draw_faults(scenario, random.Random(seed), rounds)
-        seconds = healthy + sum(span for span, _ in faults) + 1.0
+        seconds = healthy + sum(duration_s for duration_s, _ in faults) + 1.0
         routers = [
             testbed.router(
                 f"r-{name}",
@@ -150,31 +166,31 @@
                 seconds=seconds,
                 request_classes=REQUEST_CLASSES,
                 cancels=0.03,
-                seed=seed + place,
-                patience_end=ABANDON + 2.0,
+                seed=seed + index,
+                patience_end=DEADLINE_S + 2.0,
             )
-            for place, name in enumerate(scenario.names)
+            for index, name in enumerate(scenario.names)
         ]
         time.sleep(1.0)
         with scenario.fault("none"):
             time.sleep(healthy - 1.0)
-        for span, do in faults:
-            begun = time.monotonic()
-            do()
-            time.sleep(max(begun + span - time.monotonic(), 0.0))
-        for one in routers:
-            one.popen.wait(30)
-        codes = [scenario.processes[name].leave() for name in scenario.names]
+        for duration_s, inject in faults:
+            started_at = time.monotonic()
+            inject()
+            time.sleep(max(started_at + duration_s - time.monotonic(), 0.0))
+        for router in routers:
+            router.popen.wait(30)
+        exit_codes = [scenario.processes[name].leave() for name in scenario.names]
         time.sleep(0.1)
-        _check_promises(scenario, result, codes)
+        _check_promises(scenario, result, exit_codes)
         scenario.relay.close()
     return result
 
 
 def _draw_faults(
-    scenario: Scenario, chance: random.Random, rounds: int
+    scenario: Scenario, rng: random.Random, rounds: int
 ) -> list[tuple[float, Callable[[], None]]]:
-    """Each fault for a while and then as long again for the fleet to be whole, by turns on seeded members."""
+    """Return each fault with its duration, which includes time to recover; the seed selects the members."""
 
     def cut(a: str, b: str, both: bool) -> None:
         with scenario.fault("cut both ways" if both else "cut one way"):
@@ -184,147 +200,182 @@
 
     def slow(a: str, others: list[str]) -> None:
         with scenario.fault("slow"):
-            scenario.links([a], others, least=SLOW, most=1.5 * SLOW)
+            scenario.links([a], others, least=SLOW_LINK_DELAY_S, most=1.5 * SLOW_LINK_DELAY_S)
             time.sleep(2.0)
             scenario.links([a], others, least=0.0, most=0.0)
 
     def pause(name: str) -> None:
         with scenario.fault("stopped", name):
             scenario.stop(name)
-            time.sleep(PAUSE)
+            time.sleep(PAUSE_S)
             scenario.go_on(name)
 
-    def kill(name: str, rest: float) -> None:
+    def kill(name: str, down_s: float) -> None:
         with scenario.fault("killed", name):
             scenario.processes[name].kill()
-            time.sleep(rest)
+            time.sleep(down_s)
         with scenario.fault("cold", name):
             scenario.start(name)
-            scenario.wait_up(name)
+            scenario.wait_until_up(name)
 
     faults: list[tuple[float, Callable[[], None]]] = []
     for _ in range(rounds):
-        a, b, c, d = chance.sample(scenario.names, SIZE)
+        a, b, c, d = rng.sample(scenario.names, SERVER_COUNT)
         faults += [
             (3.5, lambda a=a, b=b: cut(a, b, True)),  # type: ignore[misc]
             (3.5, lambda b=b, c=c: cut(b, c, False)),  # type: ignore[misc]
             (3.0, lambda d=d, others=(a, b, c): slow(d, list(others))),  # type: ignore[misc]
-            (PAUSE + 2.5, lambda c=c: pause(c)),  # type: ignore[misc]
+            (PAUSE_S + 2.5, lambda c=c: pause(c)),  # type: ignore[misc]
             (5.0, lambda d=d: kill(d, 2.0)),  # type: ignore[misc]
             (3.5, lambda a=a: kill(a, 0.0)),  # type: ignore[misc]
         ]
     return faults
 
 
-def _check_promises(scenario: Scenario, result: ExperimentResult, codes: list[int]) -> None:
+def _check_promises(scenario: Scenario, result: ExperimentResult, exit_codes: list[int]) -> None:
     testbed = scenario.testbed
     for name in scenario.names:
         log = testbed.folder / f"{name}.log"
         result.require(f"{name} runs as {scenario.kind}", was_announced(log, scenario.kind))
-    held = {name: list(testbed.held(f"r-{name}")) for name in scenario.names}
-    seconds = sum(one["how"] == "second" for each in held.values() for one in each)
-    tries = {name: [one for one in each if one["how"] != "second"] for name, each in held.items()}
-    own = {one["name"]: one for each in tries.values() for one in each}
-    begins = Counter[str]()
-    late_runs = ran = 0
+    records = {name: list(testbed.held(f"r-{name}")) for name in scenario.names}
+    second_answers = sum(
+        attempt["how"] == "second" for server_attempts in records.values() for attempt in server_attempts
+    )
+    attempts = {
+        name: [attempt for attempt in server_attempts if attempt["how"] != "second"]
+        for name, server_attempts in records.items()
+    }
+    attempts_by_name = {
+        attempt["name"]: attempt for server_attempts in attempts.values() for attempt in server_attempts
+    }
+    run_counts = Counter[str]()
+    late_runs = run_count = 0
     for name in scenario.names:
-        for word, request, when in testbed.runs(name):
-            if word == "begin" and request in own:
-                ran += 1
-                begins[request] += 1
-                late_runs += when > own[request]["from"] + ABANDON + SLACK
-    younger = guests = 0
+        for event, request, when in testbed.runs(name):
+            if event == "begin" and request in attempts_by_name:
+                run_count += 1
+                run_counts[request] += 1
+                late_runs += when > attempts_by_name[request]["from"] + DEADLINE_S + TIMING_SLACK_S
+    underestimated = forwarded_count = 0
     for name in scenario.names:
-        for request, arrived in _pairs(testbed.folder / f"{name}.guests"):
-            if request in own:
-                guests += 1
-                younger += arrived > own[request]["sent"] + YOUNGER
-    second_runs = sum(many > 1 for name, many in begins.items() if own[name]["track"] != "lookup")
-    down = [span for what in ("killed", "cold") for span in scenario.spans.get(what, [])]
-    unanswered = lost = late = torn = never = 0
-    for name, each in tries.items():
-        mine = [span for span in down + scenario.spans.get("stopped", []) if span[0] == name]
-        for one in each:
-            # Whoever's own server was down or stood still meanwhile has nobody to answer it in time.
-            excused = any(one["from"] < to + 0.5 and one["until"] > since for _, since, to in mine)
-            unanswered += one["how"] == "unanswered" and not excused
-            lost += one["how"] == "lost" and not excused
-            late += one["until"] - one["from"] > ABANDON + SLACK and not excused
-            whole = f"made by {one['name']} of body of {one['name']}"
-            torn += one["how"] == "completed" and one["result"] != whole
-            never += one["how"] == "completed" and not begins[one["name"]]
-    health, _ = _share(tries, scenario.spans["none"])
-    killed, asked = _share(tries, [(who, a, b) for who, a, b in scenario.spans["killed"] if b - a > 1.0])
-    # Of a stop only its beginning, until all links know: what comes later goes no_retry_elsewhere near the
+        for request, arrived_at in _read_arrivals(testbed.folder / f"{name}.guests"):
+            if request in attempts_by_name:
+                forwarded_count += 1
+                underestimated += arrived_at > attempts_by_name[request]["sent"] + MAX_AGE_ERROR_S
+    second_runs = sum(
+        count > 1 for name, count in run_counts.items() if attempts_by_name[name]["track"] != "lookup"
+    )
+    down_spans = [span for what in ("killed", "cold") for span in scenario.fault_spans.get(what, [])]
+    unanswered = lost = late = wrong_results = never_run = 0
+    for name, server_attempts in attempts.items():
+        server_spans = [
+            span for span in down_spans + scenario.fault_spans.get("stopped", []) if span[0] == name
+        ]
+        for attempt in server_attempts:
+            # A request whose own server was down or stopped meanwhile can't be answered in time.
+            excused = any(
+                attempt["from"] < until + 0.5 and attempt["until"] > since for _, since, until in server_spans
+            )
+            unanswered += attempt["how"] == "unanswered" and not excused
+            lost += attempt["how"] == "lost" and not excused
+            late += attempt["until"] - attempt["from"] > DEADLINE_S + TIMING_SLACK_S and not excused
+            expected = f"made by {attempt['name']} of body of {attempt['name']}"
+            wrong_results += attempt["how"] == "completed" and attempt["result"] != expected
+            never_run += attempt["how"] == "completed" and not run_counts[attempt["name"]]
+    healthy_share, _ = _completed_share(attempts, scenario.fault_spans["none"])
+    killed_share, killed_count = _completed_share(
+        attempts, [(member, a, b) for member, a, b in scenario.fault_spans["killed"] if b - a > 1.0]
+    )
+    # Only the beginning of a stop, until all links have detected it: later requests are not forwarded to the
     # peer.
-    stopped, also = _share(tries, [(who, a, a + 1.2) for who, a, _ in scenario.spans["stopped"]])
+    stopped_share, stopped_count = _completed_share(
+        attempts, [(member, a, a + 1.2) for member, a, _ in scenario.fault_spans["stopped"]]
+    )
     counters = Counter[str]()
     for name in scenario.names:
         for key, value in testbed.counters(scenario.processes[name]).items():
             if key.startswith(("forward_", "links_")) and value.isdigit():
                 counters[key] += int(value)
-    ended, total = counters["forward_ended_in_error"], len(own)  # of those who lived to tell
-    result.check("each ticket has its final answer", unanswered + lost == 0, f"{unanswered}, {lost} lost")
+    # The counters are those of the servers that ran to the end.
+    failed_by_disconnect, total = counters["forward_ended_in_error"], len(attempts_by_name)
+    result.check("each request has its final answer", unanswered + lost == 0, f"{unanswered}, {lost} lost")
     result.check("and in time", late == 0, late)
-    result.check("no ticket has two", seconds == 0, seconds)
-    result.check("results are whole and of the ticket itself", torn + never == 0, f"{torn}, {never}")
-    result.check("labelled and irreversible run at most once", second_runs == 0, second_runs)
+    result.check("no request has two", second_answers == 0, second_answers)
+    result.check(
+        "results are complete and belong to the request",
+        wrong_results + never_run == 0,
+        f"{wrong_results}, {never_run}",
+    )
+    result.check("keyed and non-idempotent requests run at most once", second_runs == 0, second_runs)
     result.check(
-        "budgets shrink by the hop: no ticket is taken for younger than it is",
-        younger == 0 < guests,
-        f"{younger} of {guests}",
+        "budgets shrink by the hop: no request is considered younger than it is",
+        underestimated == 0 < forwarded_count,
+        f"{underestimated} of {forwarded_count}",
     )
-    result.check("nothing runs once its time is up", late_runs == 0, late_runs)
+    result.check("no request starts to run after its deadline", late_runs == 0, late_runs)
     result.check(
-        f"with a peer killed or stopped, redoable tickets are served at {SHARE_LEAST} of healthy",
-        min(asked, also) > 30 and min(killed, stopped) >= SHARE_LEAST * health > 0.5,
-        f"killed {killed:.3f} of {asked}, stopped {stopped:.3f} of {also}, healthy {health:.3f}",
+        f"with a peer killed or stopped, idempotent requests are served at {MIN_COMPLETED_SHARE} of healthy",
+        min(killed_count, stopped_count) > 30
+        and min(killed_share, stopped_share) >= MIN_COMPLETED_SHARE * healthy_share > 0.5,
+        f"killed {killed_share:.3f} of {killed_count}, stopped {stopped_share:.3f} of {stopped_count}, "
+        f"healthy {healthy_share:.3f}",
     )
-    result.check("most tickets went to a peer", guests > 0.5 * total, f"{guests} of {total}")
     result.check(
-        "links broke with tickets on them",
-        ended > 0 and counters["forward_back"] > 0,
-        f"{ended} in error, {counters['forward_back']} back",
+        "most requests were forwarded to a peer",
+        forwarded_count > 0.5 * total,
+        f"{forwarded_count} of {total}",
     )
-    result.check("all left in order at the end", not any(codes), codes)
+    result.check(
+        "links broke while they carried requests",
+        failed_by_disconnect > 0 and counters["forward_back"] > 0,
+        f"{failed_by_disconnect} failed, {counters['forward_back']} returned",
+    )
+    result.check("all servers exited cleanly at the end", not any(exit_codes), exit_codes)
     logs = "".join((testbed.folder / f"{name}.log").read_text(errors="replace") for name in scenario.names)
-    result.check("no fault of our own in the logs", "Traceback" not in logs, logs.count("Traceback"))
-    hows = Counter(one["how"] for each in tries.values() for one in each)
+    result.check("no traceback in the logs", "Traceback" not in logs, logs.count("Traceback"))
+    outcomes = Counter(attempt["how"] for server_attempts in attempts.values() for attempt in server_attempts)
     result.figures |= {
         "tickets": total,
-        "passed_on": guests,
-        "runs": ran,
-        "completed": hows["completed"],
-        "denied": hows["denied"],
-        "terminated": hows["terminated"],
-        "withdrawn": hows["withdrawn"],
+        "passed_on": forwarded_count,
+        "runs": run_count,
+        "completed": outcomes["completed"],
+        "denied": outcomes["denied"],
+        "terminated": outcomes["terminated"],
+        "withdrawn": outcomes["withdrawn"],
         "second_runs": second_runs,
         "late_runs": late_runs,
-        "redoable_share_healthy": round(health, 4),
-        "redoable_share_a_peer_killed": round(killed, 4),
-        "redoable_share_a_peer_stopped": round(stopped, 4),
-        "links_broken": sum(many for key, many in counters.items() if key.startswith("links_lost_")),
+        "redoable_share_healthy": round(healthy_share, 4),
+        "redoable_share_a_peer_killed": round(killed_share, 4),
+        "redoable_share_a_peer_stopped": round(stopped_share, 4),
+        "links_broken": sum(count for key, count in counters.items() if key.startswith("links_lost_")),
     }
 
 
-def _pairs(path: Path) -> Iterator[tuple[str, float]]:
+def _read_arrivals(path: Path) -> Iterator[tuple[str, float]]:
     for line in path.read_text().splitlines():
-        name, _, when = line.partition(" ")
-        if when:  # a killed server may have left half a line
-            yield name, float(when)
+        name, _, arrived_at = line.partition(" ")
+        if arrived_at:  # a killed server may have left an incomplete line
+            yield name, float(arrived_at)
 
 
-def _share(
-    tries: dict[str, list[dict[str, Any]]], spans: list[tuple[str, float, float]]
+def _completed_share(
+    attempts: dict[str, list[dict[str, Any]]], spans: list[tuple[str, float, float]]
 ) -> tuple[float, int]:
-    """The share of idempotent requests served that were sent within the spans, to others than they name."""
-    served = asked = 0
-    for who, since, to in spans:
-        for name, each in tries.items():
-            if name == who:
+    """Return the completed share and the number of idempotent requests sent within the spans.
+
+    Requests to the member that a span names, and withdrawn requests, are not counted.
+    """
+    completed_count = attempt_count = 0
+    for member, since, until in spans:
+        for name, server_attempts in attempts.items():
+            if name == member:
                 continue
-            mine = [one for one in each if one["track"] == "lookup" and since <= one["from"] < to]
-            mine = [one for one in mine if one["how"] != "withdrawn"]
-            asked += len(mine)
-            served += sum(one["how"] == "completed" for one in mine)
-    return served / max(asked, 1), asked
+            selected = [
+                attempt
+                for attempt in server_attempts
+                if attempt["track"] == "lookup" and since <= attempt["from"] < until
+            ]
+            selected = [attempt for attempt in selected if attempt["how"] != "withdrawn"]
+            attempt_count += len(selected)
+            completed_count += sum(attempt["how"] == "completed" for attempt in selected)
+    return completed_count / max(attempt_count, 1), attempt_count
--- a/sablewheel/experiments/replication.py
+++ b/sablewheel/experiments/replication.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from .fleet import LISTEN, Block
-from .forwarding import LINK, LINK_DOOR, Scenario
+from .forwarding import LINK_PORT, LINK_RELAY_PORT, Scenario
 from .replication_scenario import AsyncBackup, drawn
 from .result import ExperimentResult
 from .testbed import PATIENCE, Testbed, TestbedError
@@ -46,8 +46,8 @@
 
     def features(self, name: str) -> str:
         place = self.names.index(name)
-        lines = ["forwarding:", f"  listen: {self.host(name)}:{LINK}"]
-        lines += [f"  advertise: {self.relay_host}:{LINK_DOOR + place}", "replication:"]
+        lines = ["forwarding:", f"  listen: {self.host(name)}:{LINK_PORT}"]
+        lines += [f"  advertise: {self.relay_host}:{LINK_RELAY_PORT + place}", "replication:"]
         lines += ["  copies: 3", f"  cold: {self.cold}"]
         return super(Scenario, self).features(name) + "\n".join([*lines, ""])
 
@@ -89,7 +89,7 @@
         for name in scenario.names:
             scenario.start(name)
         for name in scenario.names:
-            scenario.wait_up(name)
+            scenario.wait_until_up(name)
         if scenario.wait_agreed(scenario.names, PATIENCE) is None:
             raise TestbedError(f"no view: {scenario.processes['m0'].tail()}")
         time.sleep(WINDOW + 2.0)  # nobody can know what an earlier fleet ran: all windows pass first
@@ -149,13 +149,13 @@
             time.sleep(4.0)
         with scenario.fault("cold", name):
             scenario.start(name)
-            scenario.wait_up(name)
+            scenario.wait_until_up(name)
 
     def bounce(name: str) -> None:
         with scenario.fault("cold", name):
             scenario.processes[name].kill()
             scenario.start(name)
-            scenario.wait_up(name)
+            scenario.wait_until_up(name)
 
     def two(a: str, b: str) -> None:
         """A majority of some idempotency keys' holders is cold at one moment: these wait their lives out."""
@@ -165,7 +165,7 @@
             for name in (a, b):
                 scenario.start(name)
             for name in (a, b):
-                scenario.wait_up(name)
+                scenario.wait_until_up(name)
 
     def stop(name: str) -> None:
         with scenario.fault("stopped", name):
@@ -227,8 +227,8 @@
     again = [idempotency_key for idempotency_key, runs in twice.items() if runs[1][0] - runs[0][0] < WINDOW]
     results: dict[str, set[str]] = defaultdict(set)
     other = never = rejected_ran = rejected_idempotency_key = unanswered = lost = late = 0
-    down = [span for what in ("killed", "cold") for span in scenario.spans.get(what, [])]
-    still = scenario.spans.get("stopped", [])
+    down = [span for what in ("killed", "cold") for span in scenario.fault_spans.get(what, [])]
+    still = scenario.fault_spans.get("stopped", [])
     for one in tries:
         server = at[one["server"]]
         excused = any(
@@ -256,10 +256,10 @@
         if one["label"]:
             idempotency_keys[one["label"]].append(one)
     healthy = {
-        request_class: _share(tries, idempotency_keys, at, scenario.spans["none"], request_class)
+        request_class: _share(tries, idempotency_keys, at, scenario.fault_spans["none"], request_class)
         for request_class in REQUEST_CLASSES
     }
-    hurt = [span for what in ("zone cut", "killed", "stopped") for span in scenario.spans.get(what, [])]
+    hurt = [span for what in ("zone cut", "killed", "stopped") for span in scenario.fault_spans.get(what, [])]
     shares = {
         request_class: _share(tries, idempotency_keys, at, hurt, request_class)
         for request_class in REQUEST_CLASSES
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -17,7 +17,7 @@
 import pytest
 
 from sablewheel.experiments.fleet import LISTEN, Block
-from sablewheel.experiments.forwarding import KEYS, Scenario
+from sablewheel.experiments.forwarding import MEMBERSHIP_SETTINGS, Scenario
 from sablewheel.experiments.forwarding import REQUEST_CLASSES as SHARES
 from sablewheel.experiments.simulated_fleet import SimulatedFleet
 from sablewheel.experiments.testbed import Testbed, free_port
@@ -825,11 +825,11 @@
 
 def test_two_servers_serve_each_others_requests_and_shut_down_cleanly() -> None:
     with Testbed(1) as testbed, closing(Block()) as block:
-        stage = Scenario(testbed, block.second, "spread", 0, 2, 1, keys=KEYS)
+        stage = Scenario(testbed, block.second, "spread", 0, 2, 1, keys=MEMBERSHIP_SETTINGS)
         for name in stage.names:
             stage.start(name)
         for name in stage.names:
-            stage.wait_up(name)
+            stage.wait_until_up(name)
         assert stage.wait_agreed(stage.names, 20.0) is not None, stage.processes["m0"].tail()
         stage.start("m1")  # a second one finds its doors taken, and says which
         assert stage.processes["m1"].popen.wait(20.0) == 1
--- a/tests/test_replication_service.py
+++ b/tests/test_replication_service.py
@@ -18,7 +18,7 @@
 
 from sablewheel.experiments import client_protocol as wire
 from sablewheel.experiments.fleet import LISTEN, Block
-from sablewheel.experiments.forwarding import KEYS
+from sablewheel.experiments.forwarding import MEMBERSHIP_SETTINGS
 from sablewheel.experiments.replication import Replicas
 from sablewheel.experiments.testbed import Testbed
 from sablewheel.forwarding.errors import PeerUnavailableError
@@ -309,12 +309,12 @@
 
 def test_three_servers_give_the_same_answer_to_one_key_after_the_first_is_killed() -> None:
     with Testbed(1) as testbed, closing(Block()) as block:
-        fleet = Replicas(testbed, block.second, "ours", 0, 3, 1, zones=3, keys=KEYS)
+        fleet = Replicas(testbed, block.second, "ours", 0, 3, 1, zones=3, keys=MEMBERSHIP_SETTINGS)
         fleet.cold = "run"
         for name in fleet.names:
             fleet.start(name)
         for name in fleet.names:
-            fleet.wait_up(name)
+            fleet.wait_until_up(name)
         assert fleet.wait_agreed(fleet.names, 20.0) is not None, fleet.processes["m0"].tail()
         idempotency_key, deadline, answers = b"%032x" % 7, clock.monotonic() + 20.0, list[list[bytes]]()
         while clock.monotonic() < deadline and [answer[1] for answer in answers] != [b"OK"]:
