--- a/sablewheel/experiments/replication_client.py
+++ b/sablewheel/experiments/replication_client.py
@@ -1,9 +1,9 @@
-"""A stand-in for routers whose clients come again at any server, at one moment, soon and later.
+"""A simulated set of routers whose clients repeat keyed requests at other servers.
 
     python -m sablewheel.experiments.replication_client '{"servers": [...], "again": 0.6, ...}'
 
-As `router`; besides, each keyed try comes again: `at_once` share of them at another server in the same
-instant, and `again` of them once or twice more, after a wait of up to `again_within` seconds.
+As `router`, except that keyed attempts are repeated: a share of `at_once` of them immediately at another
+server, and then once or twice, each with probability `again`, after a delay of up to `again_within` seconds.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from .router import Routers
 
 
-class Repeaters(Routers):
-    """What `router` sends, and each keyed try again at other servers."""
+class RepeatingRouters(Routers):
+    """Routers that repeat keyed attempts at other servers."""
 
     async def try_at(
         self, server: str, request_class: str, name: bytes, tenant: str, idempotency_key: bytes, body: bytes
@@ -26,30 +26,38 @@
         await super().try_at(server, request_class, name, tenant, idempotency_key, body)
         if not idempotency_key:
             return
-        others = [one for one in self.told["servers"] if one != server]
+        others = [other for other in self.told["servers"] if other != server]
         if self.chance.random() < float(self.told["at_once"]):
-            at = self.chance.choice(others)
-            await super().try_at(at, request_class, self.name(), tenant, idempotency_key, body)
+            other_server = self.chance.choice(others)
+            await super().try_at(other_server, request_class, self.new_name(), tenant, idempotency_key, body)
         for _ in range(self.chance.choice((1, 2))):
             if self.chance.random() < float(self.told["again"]):
-                wait = self.chance.uniform(0.0, float(self.told["again_within"]))
-                self.later(
-                    self.again(wait, self.chance.choice(others), request_class, tenant, idempotency_key, body)
+                delay_s = self.chance.uniform(0.0, float(self.told["again_within"]))
+                self.start_task(
+                    self.retry(
+                        delay_s, self.chance.choice(others), request_class, tenant, idempotency_key, body
+                    )
                 )
 
-    def name(self) -> bytes:
+    def new_name(self) -> bytes:
         return b"%016x" % self.chance.getrandbits(64)
 
-    def later(self, what: Any) -> None:
-        task = asyncio.get_running_loop().create_task(what)
+    def start_task(self, coroutine: Any) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.late.add(task)
         task.add_done_callback(self.late.discard)
 
-    async def again(
-        self, wait: float, server: str, request_class: str, tenant: str, idempotency_key: bytes, body: bytes
+    async def retry(
+        self,
+        delay_s: float,
+        server: str,
+        request_class: str,
+        tenant: str,
+        idempotency_key: bytes,
+        body: bytes,
     ) -> None:
-        await asyncio.sleep(wait)
-        await Routers.try_at(self, server, request_class, self.name(), tenant, idempotency_key, body)
+        await asyncio.sleep(delay_s)
+        await Routers.try_at(self, server, request_class, self.new_name(), tenant, idempotency_key, body)
 
     async def run(self) -> None:
         self.told["ends"] = time.monotonic() + float(self.told["seconds"])
@@ -57,4 +65,4 @@
 
 
 if __name__ == "__main__":
-    asyncio.run(Repeaters(json.loads(sys.argv[1])).run())
+    asyncio.run(RepeatingRouters(json.loads(sys.argv[1])).run())
--- a/sablewheel/experiments/replication_model.py
+++ b/sablewheel/experiments/replication_model.py
@@ -1,12 +1,11 @@
-"""An idempotency key's life among three holders and two claimants, every order of what may happen, to a
-depth.
-
-The real replicas, no process. From states worth starting from each next thing is tried in each order: any
-message on its way arrives (in any order; one that never does is lost), any member hears of the next view (one
-that does not is paused, or cut off), a holder crashes and comes back empty, a timer rings. Each member has a
-clock of its own. Checked at each step: an idempotency key is won once at most. From the states at the bottom,
-with the faults over, one more claim must not win what was won before. A violation is printed as the steps to
-it.
+"""Bounded model check of idempotency key claims: three replicas, two claimants, every order of events.
+
+The model runs the real replicas without processes. From selected start states it tries the possible events in
+every order up to a depth: a message in flight arrives (in any order; one that never arrives is lost), a
+member receives the next view (one that doesn't is paused or cut off), a replica crashes and restarts empty,
+or a timer fires. Each member has its own clock. At each step an idempotency key must have been won at most
+once. A sample of the states is then settled without further faults, after which one more claim must not win a
+key that was won before. A violation is printed with the steps that lead to it.
 """
 
 from __future__ import annotations
@@ -31,7 +30,7 @@
 from ..replication.placement import Site
 from ..replication.plan import Settings
 from ..replication.replica import Replica
-from .replication_scenario import FAULTY_VARIANTS, KINDS
+from .replication_scenario import FAULTY_VARIANTS, REPLICA_TYPES
 from .result import ExperimentResult
 
 __all__ = ["FAULTY_VARIANTS", "run"]
@@ -47,65 +46,66 @@
     waits_after_cold_start=False,
 )
 IDEMPOTENCY_KEY, GROUP = b"label", b"group"
-SAYS = {
+ACTION_TEXTS = {
     "ring": "timer of {1}",
-    "view": "{1} hears of view {2}",
-    "claim": "a ticket comes to {1}",
-    "free": "{1} knows that it did not run",
+    "view": "{1} receives view {2}",
+    "claim": "a request arrives at {1}",
+    "free": "{1} releases its claim without a run",
     "crash": "{1} is killed",
 }
-FAR = 1e4  # seconds: a timer further off belongs to no step
-ON_WAY_MOST = 12
+NO_TIMER_S = 1e4  # timers further away than this are not fired
+MAX_IN_FLIGHT = 12
 
 
-class Even(random.Random):
-    """No chance: the order of events is what is tried, not the draws."""
+class MidpointRandom(random.Random):
+    """Returns the midpoint instead of a random number: the model varies the order of events only."""
 
     def uniform(self, a: float, b: float) -> float:
         return (a + b) / 2
 
 
-class World(NamedTuple):
-    """One state. Members and messages are numbers into the tables of `Space`."""
+class ModelState(NamedTuple):
+    """A state of the model; members' states and messages are indexes into the tables of `StateSpace`."""
 
-    nodes: tuple[tuple[str, int], ...]
-    way: tuple[tuple[str, str, int], ...]
-    left: tuple[tuple[str, ...], ...]  # what may still happen once
-    rings: tuple[tuple[str, int], ...]
-    won: tuple[str, ...]
+    nodes: tuple[tuple[str, int], ...]  # (member, index of its state)
+    in_flight: tuple[tuple[str, str, int], ...]  # (sender, receiver, index of the message)
+    pending_events: tuple[tuple[str, ...], ...]  # actions that may still happen, once each
+    timers: tuple[tuple[str, int], ...]  # (member, how often its timer may still fire)
+    winners: tuple[str, ...]  # members that won the key, in order
 
 
-def essence(node: Replica) -> str:
-    """What decides how it goes on; spans by how far they are from now."""
+def node_fingerprint(node: Replica) -> str:
+    """Return a text that identifies a replica's state, as far as it determines its further behaviour."""
     store = [
-        (key, held.entry, held.promised)
+        (key, stored.entry, stored.promised)
         for slot in sorted(node.store.slots)
-        for key, held in sorted(node.store._slots[slot].items())
+        for key, stored in sorted(node.store._slots[slot].items())
     ]
-    rounds = [
+    proposals = [
         (
-            one.ref,
-            one.change,
-            one.ballot,
-            sorted(one.promises.items()),
-            sorted(one.accepted_by),
-            one.proposed,
-            one.needs_new_ballot,
-            sorted(one.refusals.items()),
+            item.ref,
+            item.change,
+            item.ballot,
+            sorted(item.promises.items()),
+            sorted(item.accepted_by),
+            item.proposed,
+            item.needs_new_ballot,
+            sorted(item.refusals.items()),
         )
-        for one in node.proposer.proposals.values()
+        for item in node.proposer.proposals.values()
     ]
-    spreads = [
-        (one.ref, one.pushed_entry, sorted(one.answered_by)) for one in node.quorum_requests.requests.values()
+    quorum_requests = [
+        (item.ref, item.pushed_entry, sorted(item.answered_by))
+        for item in node.quorum_requests.requests.values()
     ]
     ranges = [
-        (slot, one.ready_epoch, one.start_epoch, sorted(one.merged_from.items()))
+        (slot, item.ready_epoch, item.start_epoch, sorted(item.merged_from.items()))
         for table in (node.ranges.assigned, node.ranges.retained)
-        for slot, one in sorted(table.items())
+        for slot, item in sorted(table.items())
     ]
-    talks = [
-        (name, one.pending_comparisons, one.queue)
-        for name, one in sorted(node.anti_entropy.transfers.items())
+    transfers = [
+        (name, item.pending_comparisons, item.queue)
+        for name, item in sorted(node.anti_entropy.transfers.items())
     ]
     return repr(
         (
@@ -116,15 +116,15 @@
             node.ranges.epoch,
             sorted(node.ranges.views),
             store,
-            rounds,
-            spreads,
+            proposals,
+            quorum_requests,
             ranges,
-            talks,
+            transfers,
             sorted(node.proposer.promised.items()),
             sorted(node.ranges.history_received),
             sorted(node.ranges._oldest_view_from.items()),
             node.proposer.last_round,
-            sorted((key, own.state.value) for key, own in node.claims.own_claims.items()),
+            sorted((key, claim.state.value) for key, claim in node.claims.own_claims.items()),
             node.anti_entropy.sync_at < 1e4,
             len(node.timers),
         )
@@ -132,147 +132,174 @@
 
 
 @dataclass
-class Space:
-    """The members' states, each once, and what each event makes of one."""
+class StateSpace:
+    """The distinct states of members, and the transitions between them."""
 
-    kind: type[Replica]
+    replica_type: type[Replica]
     views: dict[int, ViewInstalled]
-    births: dict[str, int]  # of those that come (back) with a later view
-    packed: list[bytes] = field(default_factory=list)
-    waits: list[float] = field(default_factory=list)  # until its next timer, of each
-    numbers: dict[str, int] = field(default_factory=dict)
+    incarnations: dict[str, int]  # of the members that join or rejoin with a later view
+    pickled: list[bytes] = field(default_factory=list)
+    timer_delays: list[float] = field(default_factory=list)  # by member state: seconds until the next timer
+    node_ids: dict[str, int] = field(default_factory=dict)
     messages: list[Message] = field(default_factory=list)
-    message_numbers: dict[Message, int] = field(default_factory=dict)
-    made: dict[tuple[int, Any], tuple[int, tuple[tuple[str, int], ...], bool]] = field(default_factory=dict)
-
-    def node(self, node: Replica) -> int:
-        mark = essence(node)
-        if mark not in self.numbers:
-            self.numbers[mark] = len(self.packed)
-            self.packed.append(pickle.dumps(node))
-            self.waits.append(node.wake_at - node.now)
-        return self.numbers[mark]
-
-    def born(self, name: str, birth: int) -> Replica:
-        return self.kind(name, birth, SETTINGS, Even(1), 0.0)
-
-    def message(self, message: Message) -> int:
-        if message not in self.message_numbers:
-            self.message_numbers[message] = len(self.messages)
+    message_ids: dict[Message, int] = field(default_factory=dict)
+    transitions: dict[tuple[int, Any], tuple[int, tuple[tuple[str, int], ...], bool]] = field(
+        default_factory=dict
+    )
+
+    def node_id(self, node: Replica) -> int:
+        fingerprint = node_fingerprint(node)
+        if fingerprint not in self.node_ids:
+            self.node_ids[fingerprint] = len(self.pickled)
+            self.pickled.append(pickle.dumps(node))
+            self.timer_delays.append(node.wake_at - node.now)
+        return self.node_ids[fingerprint]
+
+    def new_replica(self, name: str, incarnation: int) -> Replica:
+        return self.replica_type(name, incarnation, SETTINGS, MidpointRandom(1), 0.0)
+
+    def message_id(self, message: Message) -> int:
+        if message not in self.message_ids:
+            self.message_ids[message] = len(self.messages)
             self.messages.append(message)
-        return self.message_numbers[message]
+        return self.message_ids[message]
 
-    def step(self, number: int, mark: Any, event: Any) -> tuple[int, tuple[tuple[str, int], ...], bool]:
-        """The member's next state, what it sends to whom, and whether it won the idempotency key."""
-        found = self.made.get((number, mark))
-        if found is None:
-            node: Replica = pickle.loads(self.packed[number])
+    def step(self, node_id: int, event_key: Any, event: Any) -> tuple[int, tuple[tuple[str, int], ...], bool]:
+        """Return a member's next state, its sends as (receiver, message), and whether it won the key."""
+        transition = self.transitions.get((node_id, event_key))
+        if transition is None:
+            node: Replica = pickle.loads(self.pickled[node_id])
             now = node.now
             if isinstance(event, Tick):
                 now = max(now, node.wake_at)
             effects = node.step(now, event)
-            sends = tuple((one.to, self.message(one.message)) for one in effects if isinstance(one, Send))
-            won = any(isinstance(one, Answer) and one.status is AnswerStatus.WON for one in effects)
-            found = self.made[number, mark] = (self.node(node), sends, won)
-        return found
-
-    # -- what may happen
-
-    def actions(self, world: World) -> list[tuple[str, ...]]:
-        """All that may happen next."""
-        some: list[tuple[str, ...]] = [("deliver", str(place)) for place in range(len(world.way))]
-        there, once = dict(world.nodes), set()
-        for what in world.left:
-            if what[0] == "view" and ("view", what[1]) in once:
-                continue  # a member's views come in order
-            once.add(what[:2])
-            if what[0] != "claim" or what[1] in there:
-                some.append(what)
-        for name, left in world.rings:
-            if left and name in there and self.waits[there[name]] < FAR:
-                some.append(("ring", name))
-        return some
-
-    def act(self, world: World, action: tuple[str, ...]) -> World:
-        nodes, way, left, rings, won = dict(world.nodes), list(world.way), world.left, world.rings, world.won
-        what = action[0]
+            sends = tuple(
+                (effect.to, self.message_id(effect.message)) for effect in effects if isinstance(effect, Send)
+            )
+            won = any(isinstance(effect, Answer) and effect.status is AnswerStatus.WON for effect in effects)
+            transition = self.transitions[node_id, event_key] = (self.node_id(node), sends, won)
+        return transition
+
+    # -- transitions
+
+    def actions(self, state: ModelState) -> list[tuple[str, ...]]:
+        """Return the actions that are possible next."""
+        actions: list[tuple[str, ...]] = [("deliver", str(index)) for index in range(len(state.in_flight))]
+        nodes, seen = dict(state.nodes), set()
+        for event in state.pending_events:
+            if event[0] == "view" and ("view", event[1]) in seen:
+                continue  # a member receives its views in order
+            seen.add(event[:2])
+            if event[0] != "claim" or event[1] in nodes:
+                actions.append(event)
+        for name, count in state.timers:
+            if count and name in nodes and self.timer_delays[nodes[name]] < NO_TIMER_S:
+                actions.append(("ring", name))
+        return actions
+
+    def act(self, state: ModelState, action: tuple[str, ...]) -> ModelState:
+        nodes, in_flight, pending_events, timers, winners = (
+            dict(state.nodes),
+            list(state.in_flight),
+            state.pending_events,
+            state.timers,
+            state.winners,
+        )
+        kind = action[0]
         name = ""
         event: Any = None
-        mark: Any = None
-        if what == "deliver":
-            sender, name, number = way.pop(int(action[1]))
-            event, mark = MessageReceived(sender, self.messages[number]), (sender, number)
+        event_key: Any = None
+        if kind == "deliver":
+            sender, name, message_id = in_flight.pop(int(action[1]))
+            event, event_key = MessageReceived(sender, self.messages[message_id]), (sender, message_id)
         else:
             name = action[1]
-            if what == "ring":
-                rings = tuple((one, many - (one == name)) for one, many in rings)
-                event, mark = Tick(), "tick"
+            if kind == "ring":
+                timers = tuple((item, count - (item == name)) for item, count in timers)
+                event, event_key = Tick(), "tick"
             else:
-                place = left.index(action)
-                left = left[:place] + left[place + 1 :]
-            if what == "view":
+                index = pending_events.index(action)
+                pending_events = pending_events[:index] + pending_events[index + 1 :]
+            if kind == "view":
                 view = self.views[int(action[2])]
                 if name not in nodes:
-                    nodes[name] = self.node(self.born(name, self.births[name]))
-                event, mark = view, ("view", view.epoch)
-            elif what == "claim":
-                event, mark = Claim(len(won) + 1, IDEMPOTENCY_KEY, GROUP, 1e5, b"same"), ("claim", len(won))
-            elif what == "free":
-                event, mark = ReleaseClaim(IDEMPOTENCY_KEY), "free"
-                won = tuple(one for one in won if one != name)  # it did not run
-            elif what == "crash":
+                    nodes[name] = self.node_id(self.new_replica(name, self.incarnations[name]))
+                event, event_key = view, ("view", view.epoch)
+            elif kind == "claim":
+                event, event_key = (
+                    Claim(len(winners) + 1, IDEMPOTENCY_KEY, GROUP, 1e5, b"same"),
+                    ("claim", len(winners)),
+                )
+            elif kind == "free":
+                event, event_key = ReleaseClaim(IDEMPOTENCY_KEY), "free"
+                winners = tuple(item for item in winners if item != name)  # the request did not run
+            elif kind == "crash":
                 nodes.pop(name, None)
-                way = [one for one in way if one[1] != name]
-                left = tuple(one for one in left if one != ("claim", name))
-                return World(tuple(sorted(nodes.items())), tuple(sorted(way)), left, rings, won)
+                in_flight = [item for item in in_flight if item[1] != name]
+                pending_events = tuple(item for item in pending_events if item != ("claim", name))
+                return ModelState(
+                    tuple(sorted(nodes.items())), tuple(sorted(in_flight)), pending_events, timers, winners
+                )
         if name in nodes:
-            nodes[name], sends, wins = self.step(nodes[name], mark, event)
-            way += [(name, to, number) for to, number in sends if to in nodes or self._comes(to, left)]
-            won += (name,) * wins
-        return World(tuple(sorted(nodes.items())), tuple(sorted(way)[-ON_WAY_MOST:]), left, rings, won)
+            nodes[name], sends, won = self.step(nodes[name], event_key, event)
+            in_flight += [
+                (name, receiver, message_id)
+                for receiver, message_id in sends
+                if receiver in nodes or self._will_join(receiver, pending_events)
+            ]
+            winners += (name,) * won
+        return ModelState(
+            tuple(sorted(nodes.items())),
+            tuple(sorted(in_flight)[-MAX_IN_FLIGHT:]),
+            pending_events,
+            timers,
+            winners,
+        )
 
-    def _comes(self, name: str, left: tuple[tuple[str, ...], ...]) -> bool:
-        return any(one[:2] == ("view", name) for one in left)
+    def _will_join(self, name: str, pending_events: tuple[tuple[str, ...], ...]) -> bool:
+        return any(event[:2] == ("view", name) for event in pending_events)
 
-    def says(self, world: World, action: tuple[str, ...]) -> str:
-        """How a step reads."""
+    def describe(self, state: ModelState, action: tuple[str, ...]) -> str:
+        """Return the text of an action for a trace."""
         if action[0] == "deliver":
-            sender, to, number = world.way[int(action[1])]
-            return f"{sender} -> {to}: {self.messages[number]}"
-        return SAYS[action[0]].format(*action)
+            sender, receiver, message_id = state.in_flight[int(action[1])]
+            return f"{sender} -> {receiver}: {self.messages[message_id]}"
+        return ACTION_TEXTS[action[0]].format(*action)
 
-    def settle(self, world: World, without: str = "") -> World:
-        """The faults are over: every view is heard of, every message arrives, every timer rings."""
+    def settle(self, state: ModelState, excluded: str = "") -> ModelState:
+        """Run without faults until nothing is pending; the timers of the excluded member do not fire."""
         for _ in range(600):
-            once = [one for one in world.left if one[0] == "view"]
-            if once:
-                world = self.act(world, once[0])
-            elif world.way:
-                world = self.act(world, ("deliver", "0"))
+            view_events = [event for event in state.pending_events if event[0] == "view"]
+            if view_events:
+                state = self.act(state, view_events[0])
+            elif state.in_flight:
+                state = self.act(state, ("deliver", "0"))
             else:
-                wait, first = min((self.waits[at], name) for name, at in world.nodes if name != without)
-                if wait > FAR:
+                delay, next_name = min(
+                    (self.timer_delays[node_id], name) for name, node_id in state.nodes if name != excluded
+                )
+                if delay > NO_TIMER_S:
                     break
-                world = self.act(world, ("ring", first))
-        return world
+                state = self.act(state, ("ring", next_name))
+        return state
 
 
 @dataclass(frozen=True)
-class Start:
-    """`calm`: what happens before anything is tried; `may`: what may, at any time, once each."""
+class StartState:
+    """A start of the exploration: `setup` is carried out first; `events` may happen later, once each."""
 
     epochs: tuple[tuple[tuple[str, int], ...], ...]
-    calm: tuple[tuple[str, ...], ...]
-    may: tuple[tuple[str, ...], ...]
-    asks: str  # who claims at the end
-    rings: tuple[tuple[str, int], ...] = ()
-    depth: int = 0  # beside the trial's own
+    setup: tuple[tuple[str, ...], ...]
+    events: tuple[tuple[str, ...], ...]
+    final_claimant: str  # the member that claims the key after settling
+    timers: tuple[tuple[str, int], ...] = ()
+    extra_depth: int = 0  # added to the depth of the experiment
 
 
-FIRST = (("a", 1), ("b", 1), ("c", 1))
+INITIAL_MEMBERS = (("a", 1), ("b", 1), ("c", 1))
 STARTS = {
-    "what a removed owner sent is late, the others have caught up": Start(
-        (FIRST, (("b", 1), ("c", 1), ("d", 2))),
+    "what a removed owner sent is late, the others have caught up": StartState(
+        (INITIAL_MEMBERS, (("b", 1), ("c", 1), ("d", 2))),
         (
             ("claim", "a"),
             ("deliver", "a", "b"),
@@ -285,8 +312,8 @@
         (("claim", "d"),),
         "c",
     ),
-    "an older copy, that it is free again, is heard after a newer claim": Start(
-        (FIRST, (("a", 1), ("b", 1), ("d", 2))),
+    "an older copy, that it is free again, is heard after a newer claim": StartState(
+        (INITIAL_MEMBERS, (("a", 1), ("b", 1), ("d", 2))),
         (
             ("claim", "b"),
             *(("deliver", "b", "c"), ("deliver", "c", "b")) * 2,
@@ -303,23 +330,23 @@
         (("view", "a", "2"), ("view", "b", "2"), ("view", "d", "2"), ("claim", "d")),
         "d",
     ),
-    "two claims of one label at one moment": Start(
-        (FIRST,),
+    "two claims of one label at one moment": StartState(
+        (INITIAL_MEMBERS,),
         (("claim", "a"), ("claim", "b")),
         (),
         "c",
         (("a", 1), ("b", 1)),
     ),
-    "a holder crashes and comes back empty": Start(
-        (FIRST, (("a", 1), ("b", 1), ("c", 2))),
+    "a holder crashes and comes back empty": StartState(
+        (INITIAL_MEMBERS, (("a", 1), ("b", 1), ("c", 2))),
         (("claim", "a"), ("deliver", "a", "c"), ("deliver", "c", "a"), ("deliver", "a", "c"), ("crash", "c")),
         (("view", "a", "2"), ("view", "b", "2"), ("view", "c", "2"), ("claim", "b")),
         "c",
         (),
         -1,
     ),
-    "the owner is paused and removed, another comes for it": Start(
-        (FIRST, (("b", 1), ("c", 1), ("d", 2))),
+    "the owner is paused and removed, another comes for it": StartState(
+        (INITIAL_MEMBERS, (("b", 1), ("c", 1), ("d", 2))),
         (
             ("claim", "a"),
             ("deliver", "a", "b"),
@@ -332,8 +359,8 @@
         (),
         -1,
     ),
-    "two views in a row, before anybody has caught up": Start(
-        (FIRST, (("a", 1), ("b", 1), ("d", 2)), (("b", 1), ("d", 2), ("e", 3))),
+    "two views in a row, before anybody has caught up": StartState(
+        (INITIAL_MEMBERS, (("a", 1), ("b", 1), ("d", 2)), (("b", 1), ("d", 2), ("e", 3))),
         (
             ("claim", "a"),
             ("deliver", "a", "c"),
@@ -347,8 +374,8 @@
         (),
         -3,
     ),
-    "one hears of no view but the last": Start(
-        (FIRST, (("a", 1), ("b", 1), ("d", 2)), (("b", 1), ("d", 2), ("e", 3))),
+    "one hears of no view but the last": StartState(
+        (INITIAL_MEMBERS, (("a", 1), ("b", 1), ("d", 2)), (("b", 1), ("d", 2), ("e", 3))),
         (
             ("claim", "a"),
             ("deliver", "a", "c"),
@@ -361,8 +388,8 @@
         (),
         -2,
     ),
-    "two holders leave in order at one moment": Start(
-        (FIRST, (("c", 1), ("d", 2), ("e", 3))),
+    "two holders leave in order at one moment": StartState(
+        (INITIAL_MEMBERS, (("c", 1), ("d", 2), ("e", 3))),
         (
             ("claim", "a"),
             ("deliver", "a", "b"),
@@ -376,8 +403,8 @@
         (),
         -2,
     ),
-    "one that was out is asked before it hears that it is in again": Start(
-        (FIRST, (("b", 1), ("c", 1), ("d", 2)), (("a", 3), ("b", 1), ("d", 2))),
+    "one that was out is asked before it hears that it is in again": StartState(
+        (INITIAL_MEMBERS, (("b", 1), ("c", 1), ("d", 2)), (("a", 3), ("b", 1), ("d", 2))),
         (
             ("claim", "a"),
             ("deliver", "a", "c"),
@@ -392,8 +419,8 @@
         (),
         -2,
     ),
-    "a holder gives way to a new one": Start(
-        (FIRST, (("a", 1), ("b", 1), ("d", 2))),
+    "a holder gives way to a new one": StartState(
+        (INITIAL_MEMBERS, (("a", 1), ("b", 1), ("d", 2))),
         (
             ("claim", "a"),
             ("deliver", "a", "c"),
@@ -407,103 +434,123 @@
 }
 
 
-def begin(start: Start, kind: type[Replica]) -> tuple[Space, World]:
-    """The members under their first view, ready, and then what is calm."""
+def initial_state(start: StartState, replica_type: type[Replica]) -> tuple[StateSpace, ModelState]:
+    """Create the members, ready under their first view, and carry out the setup."""
     views = {
-        epoch: ViewInstalled(epoch, tuple(Site(name, number, name) for name, number in members))
+        epoch: ViewInstalled(epoch, tuple(Site(name, incarnation, name) for name, incarnation in members))
         for epoch, members in enumerate(start.epochs, 1)
     }
-    births = {name: number for members in start.epochs for name, number in members}
-    space = Space(kind, views, births)
+    incarnations = {name: incarnation for members in start.epochs for name, incarnation in members}
+    space = StateSpace(replica_type, views, incarnations)
     nodes = {}
-    for name, number in start.epochs[0]:
-        nodes[name] = space.node(space.born(name, number))
-    world = World(tuple(sorted(nodes.items())), (), tuple(("view", name, "1") for name in nodes), (), ())
-    world = space.settle(world)
-    may = tuple(one for one in start.calm + start.may if one[0] not in ("deliver", "rest", "ring", "lose"))
-    world = world._replace(left=may, rings=start.rings)
-    for one in start.calm:
-        if one[0] == "rest":  # all but that one hear each other out
-            late = tuple(each for each in world.way if one[1] in each[:2])
-            kept = tuple(each for each in world.way if one[1] not in each[:2])
-            world = space.settle(world._replace(way=kept, left=()), one[1])._replace(left=world.left)
-            world = world._replace(way=tuple(sorted(world.way + late)))
+    for name, incarnation in start.epochs[0]:
+        nodes[name] = space.node_id(space.new_replica(name, incarnation))
+    state = ModelState(tuple(sorted(nodes.items())), (), tuple(("view", name, "1") for name in nodes), (), ())
+    state = space.settle(state)
+    events = tuple(
+        action
+        for action in start.setup + start.events
+        if action[0] not in ("deliver", "rest", "ring", "lose")
+    )
+    state = state._replace(pending_events=events, timers=start.timers)
+    for action in start.setup:
+        if action[0] == "rest":  # all messages arrive except those from and to this member
+            delayed = tuple(message for message in state.in_flight if action[1] in message[:2])
+            delivered = tuple(message for message in state.in_flight if action[1] not in message[:2])
+            state = space.settle(state._replace(in_flight=delivered, pending_events=()), action[1])._replace(
+                pending_events=state.pending_events
+            )
+            state = state._replace(in_flight=tuple(sorted(state.in_flight + delayed)))
             continue
-        if one[0] == "lose":
-            world = world._replace(way=())
+        if action[0] == "lose":
+            state = state._replace(in_flight=())
             continue
-        if one[0] == "deliver":
-            place = next(place for place, (a, b, _) in enumerate(world.way) if (a, b) == one[1:])
-            one = ("deliver", str(place))
-        world = space.act(world, one)
-    return space, world
-
-
-def explore(start: Start, kind: type[Replica], depth: int, most: int, leaves: int) -> dict[str, Any]:
-    """States seen, leaves settled, whether all was tried to that depth, the first violation and its steps."""
-    space, first = begin(start, kind)
-    queue: deque[tuple[World, int]] = deque([(first, 0)])
-    came: dict[World, tuple[World, tuple[str, ...]] | None] = {first: None}
-    settled, whole, chance = 0, True, random.Random(1)
-
-    def found(world: World, wrong: str) -> dict[str, Any]:
+        if action[0] == "deliver":
+            index = next(index for index, (a, b, _) in enumerate(state.in_flight) if (a, b) == action[1:])
+            action = ("deliver", str(index))
+        state = space.act(state, action)
+    return space, state
+
+
+def explore(
+    start: StartState, replica_type: type[Replica], depth: int, max_states: int, max_settled: int
+) -> dict[str, Any]:
+    """Try every order of events up to a depth.
+
+    Returns the number of states, the number of settled states, whether all orders were tried, and the first
+    violation with its steps.
+    """
+    space, initial = initial_state(start, replica_type)
+    queue: deque[tuple[ModelState, int]] = deque([(initial, 0)])
+    predecessors: dict[ModelState, tuple[ModelState, tuple[str, ...]] | None] = {initial: None}
+    settled, is_complete, rng = 0, True, random.Random(1)
+
+    def violation_result(state: ModelState, violation: str) -> dict[str, Any]:
         steps: list[str] = []
-        at: World | None = world
-        while at is not None and (before := came.get(at)) is not None:
-            steps.append(space.says(*before))
-            at = before[0]
-        return {"states": len(came), "settled": settled, "whole": whole, "wrong": wrong, "steps": steps[::-1]}
-
-    def last_claim(world: World) -> str:
-        views = tuple(one for one in world.left if one[0] == "view")
-        rested = space.settle(world._replace(left=views))
-        if len(rested.won) > 1:
-            return f"won by {' and by '.join(rested.won)}, once all had arrived"
-        if not rested.won:
+        current: ModelState | None = state
+        while current is not None and (predecessor := predecessors.get(current)) is not None:
+            steps.append(space.describe(*predecessor))
+            current = predecessor[0]
+        return {
+            "states": len(predecessors),
+            "settled": settled,
+            "whole": is_complete,
+            "wrong": violation,
+            "steps": steps[::-1],
+        }
+
+    def final_claim_violation(state: ModelState) -> str:
+        views = tuple(event for event in state.pending_events if event[0] == "view")
+        settled_state = space.settle(state._replace(pending_events=views))
+        if len(settled_state.winners) > 1:
+            return f"won by {' and by '.join(settled_state.winners)}, after every message arrived"
+        if not settled_state.winners:
             return ""
-        rested = rested._replace(left=(("claim", start.asks),))
-        rested = space.settle(space.act(rested, ("claim", start.asks)))
-        if len(rested.won) > 1:
-            return f"won by {' and by '.join(rested.won)}, the last one after the faults"
+        settled_state = settled_state._replace(pending_events=(("claim", start.final_claimant),))
+        settled_state = space.settle(space.act(settled_state, ("claim", start.final_claimant)))
+        if len(settled_state.winners) > 1:
+            return f"won by {' and by '.join(settled_state.winners)}, the last time after the faults"
         return ""
 
     while queue:
-        world, done = queue.popleft()
-        for action in space.actions(world):
-            now = space.act(world, action)
-            if now in came:
+        state, depth_reached = queue.popleft()
+        for action in space.actions(state):
+            next_state = space.act(state, action)
+            if next_state in predecessors:
                 continue
-            if len(came) >= most:
-                whole = False
+            if len(predecessors) >= max_states:
+                is_complete = False
                 queue.clear()
                 break
-            came[now] = (world, action)
-            if len(now.won) > 1:
-                return found(now, f"won by {' and by '.join(now.won)}")
-            if done + 1 < depth:
-                queue.append((now, done + 1))
-            if settled < leaves and chance.random() < (0.02 if now.won else 0.002):
+            predecessors[next_state] = (state, action)
+            if len(next_state.winners) > 1:
+                return violation_result(next_state, f"won by {' and by '.join(next_state.winners)}")
+            if depth_reached + 1 < depth:
+                queue.append((next_state, depth_reached + 1))
+            if settled < max_settled and rng.random() < (0.02 if next_state.winners else 0.002):
                 settled += 1
-                if wrong := last_claim(now):
-                    return found(now, wrong)
-    return {"states": len(came), "settled": settled, "whole": whole, "wrong": "", "steps": []}
+                if violation := final_claim_violation(next_state):
+                    return violation_result(next_state, violation)
+    return {"states": len(predecessors), "settled": settled, "whole": is_complete, "wrong": "", "steps": []}
 
 
 def run(seed: int, quick: bool, broken: str = "") -> ExperimentResult:
-    """Nothing here is drawn by `seed`: every order is tried."""
+    """Run the experiment; `seed` has no effect, as every order is tried."""
     del seed
     result = ExperimentResult("replication-model")
-    depth, most, leaves = (8, 300_000, 60) if quick else (10, 1_500_000, 600)
+    depth, max_states, max_settled = (8, 300_000, 60) if quick else (10, 1_500_000, 600)
     for title, start in STARTS.items():
-        told = explore(start, KINDS[broken], depth + start.depth, most, leaves)
-        says = f"{told['states']} states, {told['settled']} settled"
-        says += f": {told['wrong']}" if told["wrong"] else ""
-        whole = told["whole"] and told["states"] > depth
-        promise = f"{title}: won once in every order to depth {depth + start.depth}"
-        result.check(promise, not told["wrong"] and whole, says)
-        if told["steps"]:
-            result.figures[f"trace ({title})"] = "\n    ".join(["", *told["steps"]])
-        result.figures[f"states ({title})"] = told["states"]
-        if broken and told["wrong"]:
-            break  # found
+        exploration = explore(
+            start, REPLICA_TYPES[broken], depth + start.extra_depth, max_states, max_settled
+        )
+        details = f"{exploration['states']} states, {exploration['settled']} settled"
+        details += f": {exploration['wrong']}" if exploration["wrong"] else ""
+        is_complete = exploration["whole"] and exploration["states"] > depth
+        guarantee = f"{title}: won once in every order to depth {depth + start.extra_depth}"
+        result.check(guarantee, not exploration["wrong"] and is_complete, details)
+        if exploration["steps"]:
+            result.figures[f"trace ({title})"] = "\n    ".join(["", *exploration["steps"]])
+        result.figures[f"states ({title})"] = exploration["states"]
+        if broken and exploration["wrong"]:
+            break  # the faulty variant was detected
     return result
--- a/sablewheel/experiments/replication_scenario.py
+++ b/sablewheel/experiments/replication_scenario.py
@@ -1,7 +1,7 @@
-"""A fleet of replicas in memory with what stands round each: requests that claim, run, finish, wait and join.
+"""A simulated fleet of replicas whose requests claim idempotency keys, run, finish and wait for results.
 
-The keeper's part in small, for stories and sizes: each run is counted at the scenario, whoever made it, and
-each answer is compared with what the run gave.
+A small model of the replication service for scenario tests and for experiments with large fleets. The
+scenario counts the runs of each key over all servers, and compares each answer with the result of the run.
 """
 
 from __future__ import annotations
@@ -36,19 +36,19 @@
 from ..replication.store import EntryStore
 from .simulated_fleet import SimulatedFleet
 
-POLL = 0.1
+POLL_INTERVAL_S = 0.1
 FAULTY_VARIANTS = ("one-copy", "no-fence", "clock-wins", "early-vote", "drop-on-view")
 
 
 class OneCopy(Replica):
-    """Broken on purpose: one holder's word is enough."""
+    """Faulty variant: the answer of a single replica is a quorum."""
 
     def quorum_size(self, replica_count: int) -> int:
         return min(replica_count, 1)
 
 
 class NoFence(Replica):
-    """Broken on purpose: answers, and counts answers, whatever the epoch."""
+    """Faulty variant: answers requests and counts answers of any epoch."""
 
     def is_foreign_epoch(self, epoch: int) -> bool:
         return False
@@ -58,26 +58,26 @@
 
 
 class EarlyVote(Replica):
-    """Broken on purpose: counts for a majority before it is caught up."""
+    """Faulty variant: counts towards a majority before it has caught up."""
 
     def is_ready(self, slot: int) -> bool:
         return slot in self.ranges.assigned
 
 
 class ClockWins(Replica):
-    """Broken on purpose: of two copies the one that came last stays, as with the later time stamp."""
+    """Faulty variant: of two copies the last received one is kept, as with last-write-wins timestamps."""
 
     def make_store(self) -> EntryStore:
-        return LastStays(self.settings.max_entries, self.settings.max_bytes)
+        return LastWriteWinsStore(self.settings.max_entries, self.settings.max_bytes)
 
 
-class LastStays(EntryStore):
+class LastWriteWinsStore(EntryStore):
     def merged(self, stored: Entry, received: Entry) -> Entry:
         return received
 
 
 class DropOnView(Replica):
-    """Broken on purpose: lets go of a range as soon as it is another's, and takes it for known."""
+    """Faulty variant: drops a range as soon as it is reassigned, and treats new ranges as ready at once."""
 
     def _on_view(self, view: ViewInstalled) -> None:
         super()._on_view(view)
@@ -90,7 +90,7 @@
 
 
 class AsyncBackup(EarlyVote):
-    """The baseline: the first holder decides alone and copies what it decided to the others, later."""
+    """Baseline: the first replica decides alone and later copies its decisions to the others."""
 
     def replicas_of(self, slot: int) -> tuple[str, ...]:
         return super().replicas_of(slot)[:1]
@@ -98,14 +98,14 @@
     def _on_acceptor_request(self, sender: str, request: AcceptorRequest) -> None:
         super()._on_acceptor_request(sender, request)
         if isinstance(request, Accept | Push) and request.epoch == self.epoch:
-            names = super().replicas_of(request.slot)
-            if names[0] == self.name:
-                copy = Push(self.epoch, 0, request.key, request.slot, request.entry, request.remaining_s)
-                for name in names[1:]:
-                    self.send(name, copy)
+            replica_names = super().replicas_of(request.slot)
+            if replica_names[0] == self.name:
+                push = Push(self.epoch, 0, request.key, request.slot, request.entry, request.remaining_s)
+                for name in replica_names[1:]:
+                    self.send(name, push)
 
 
-KINDS: dict[str, type[Replica]] = {
+REPLICA_TYPES: dict[str, type[Replica]] = {
     "": Replica,
     "one-copy": OneCopy,
     "no-fence": NoFence,
@@ -117,22 +117,22 @@
 
 
 @dataclass
-class Try:
-    """One request with an idempotency key, at one server, and what became of it."""
+class KeyedRequest:
+    """A request with an idempotency key at one server, and its outcome; times in simulated seconds."""
 
     server: str
     idempotency_key: str
-    came: float
-    due: float
-    takes: float
-    stays: bool = True  # its run gets to its end there
-    outcome: str = ""  # completed, rejected, failed
+    arrived_at: float
+    deadline: float
+    run_s: float
+    completes: bool = True  # False if its run never ends
+    outcome: str = ""  # "completed", "denied" or "terminated"; empty while open
     result: bytes = b""
 
 
 @dataclass
 class Scenario:
-    """`zones`: of each member. A view is told to all of it, or to those named."""
+    """A simulated fleet of replicas; `zones` maps each member to its zone."""
 
     zones: dict[str, str]
     seed: int = 1
@@ -141,262 +141,289 @@
             max_lifetime_s=8.0, slots=8, waits_after_cold_start=False, repair_interval_s=0.5
         )
     )
-    kind: type[Replica] = Replica
+    replica_type: type[Replica] = Replica
     group: Callable[[str], bytes] = lambda idempotency_key: idempotency_key.encode()
 
     def __post_init__(self) -> None:
-        self.fleet = SimulatedFleet(MessageReceived, Tick(), self.seed, self._heard)
-        self.births: Counter[str] = Counter()
+        self.fleet = SimulatedFleet(MessageReceived, Tick(), self.seed, self._handle_effect)
+        self.incarnations: Counter[str] = Counter()
         self.epoch = 0
         self.members: tuple[str, ...] = ()
-        self.tries: dict[int, Try] = {}
-        self.runs: Counter[str] = Counter()
+        self.pending_requests: dict[int, KeyedRequest] = {}
+        self.run_counts: Counter[str] = Counter()
         self.ran_by: dict[str, list[str]] = {}
         self.results: dict[str, bytes] = {}
         self.stored: set[tuple[str, str]] = set()
-        self.notes: list[tuple[float, str, Log]] = []
+        self.log_entries: list[tuple[float, str, Log]] = []
         self.answers: dict[int, Answer] = {}
-        self._refs = 0
+        self._last_ref = 0
         self._born_at: dict[str, int] = {}
 
     # -- members and views
 
     def start(self, *names: str) -> None:
-        """A member's process starts, with nothing of an earlier one."""
+        """Start the processes of members, with empty stores and new incarnations."""
         for name in names:
-            self.births[name] += 10
-            birth, chance = self.births[name], random.Random(f"{self.seed} {name} {self.births[name]}")
-            self.fleet.add(name, partial(self._made, name, birth, chance))
+            self.incarnations[name] += 10
+            incarnation, rng = (
+                self.incarnations[name],
+                random.Random(f"{self.seed} {name} {self.incarnations[name]}"),
+            )
+            self.fleet.add(name, partial(self._make_replica, name, incarnation, rng))
 
-    def _made(self, name: str, birth: int, chance: random.Random, now: float) -> Replica:
-        return self.kind(name, birth, self.settings, chance, now)
+    def _make_replica(self, name: str, incarnation: int, rng: random.Random, now: float) -> Replica:
+        return self.replica_type(name, incarnation, self.settings, rng, now)
 
-    def view(self, names: Iterable[str], to: Iterable[str] | None = None) -> ViewInstalled:
-        """The next view, with these members; told to those of them that are `to`, if named."""
+    def install_view(self, names: Iterable[str], recipients: Iterable[str] | None = None) -> ViewInstalled:
+        """Create the next view with these members, and send it to `recipients`, by default all members."""
         self.epoch += 1
         self.members = tuple(sorted(names))
-        sites = tuple(Site(name, self.births[name], self.zones[name]) for name in self.members)
-        self.viewed = ViewInstalled(self.epoch, sites)
-        self.tell_view(self.members if to is None else to)
-        return self.viewed
+        sites = tuple(Site(name, self.incarnations[name], self.zones[name]) for name in self.members)
+        self.last_view = ViewInstalled(self.epoch, sites)
+        self.send_view(self.members if recipients is None else recipients)
+        return self.last_view
 
-    def tell_view(self, names: Iterable[str]) -> None:
+    def send_view(self, names: Iterable[str]) -> None:
         for name in names:
             if name in self.fleet.cores:
-                self.fleet.tell(name, self.viewed)
+                self.fleet.tell(name, self.last_view)
 
-    def returns(self, *names: str) -> None:
-        """Of one that was out: it comes back in as itself, with a higher incarnation, not a new process."""
+    def rejoin(self, *names: str) -> None:
+        """Give removed members higher incarnations, with which they rejoin in the same processes."""
         for name in names:
-            self.births[name] += 1
+            self.incarnations[name] += 1
 
-    def found(self, *names: str, settle: float = 2.0) -> None:
-        """All of these start and form the fleet."""
+    def form_fleet(self, *names: str, settle_s: float = 2.0) -> None:
+        """Start the members and install a first view of all of them."""
         self.start(*names)
-        self.view(names)
-        self.fleet.run(settle)
-
-    def core(self, name: str) -> Replica:
-        core = self.fleet.cores[name]
-        assert isinstance(core, Replica)
-        return core
-
-    def holders(self, idempotency_key: str) -> tuple[str, ...]:
-        """Under the last view."""
-        some = next(one for one in self.members if one in self.fleet.cores)
-        core = self.core(some)
-        view = core.ranges.views.get(self.epoch) or core.ranges.views[core.ranges.epoch]
-        return view.replica_names(core.slot_of(self.group(idempotency_key)))
-
-    def unready(self) -> int:
-        """Ranges that do not count yet, over all members that are there."""
-        cores = [self.core(name) for name in self.members if name in self.fleet.cores]
-        return sum(len(core.ranges.unready) for core in cores if core.epoch)
-
-    def settle(self, most: float = 10.0) -> bool:
-        return self.fleet.run_until(lambda: self.unready() == 0, most)
-
-    def held(self, name: str, idempotency_key: str) -> Entry | None:
-        core = self.core(name)
-        held = core.store.get(core.slot_of(self.group(idempotency_key)), ("labels", idempotency_key.encode()))
-        return held.entry if held is not None else None
+        self.install_view(names)
+        self.fleet.run(settle_s)
+
+    def replica(self, name: str) -> Replica:
+        replica = self.fleet.cores[name]
+        assert isinstance(replica, Replica)
+        return replica
+
+    def replica_names(self, idempotency_key: str) -> tuple[str, ...]:
+        """Return the replicas of an idempotency key under the last view."""
+        member = next(name for name in self.members if name in self.fleet.cores)
+        replica = self.replica(member)
+        view = replica.ranges.views.get(self.epoch) or replica.ranges.views[replica.ranges.epoch]
+        return view.replica_names(replica.slot_of(self.group(idempotency_key)))
+
+    def unready_range_count(self) -> int:
+        """Return the number of ranges that are not ready, over all running members of the view."""
+        cores = [self.replica(name) for name in self.members if name in self.fleet.cores]
+        return sum(len(replica.ranges.unready) for replica in cores if replica.epoch)
+
+    def settle(self, timeout_s: float = 10.0) -> bool:
+        return self.fleet.run_until(lambda: self.unready_range_count() == 0, timeout_s)
+
+    def stored_entry(self, name: str, idempotency_key: str) -> Entry | None:
+        replica = self.replica(name)
+        stored = replica.store.get(
+            replica.slot_of(self.group(idempotency_key)), ("labels", idempotency_key.encode())
+        )
+        return stored.entry if stored is not None else None
 
     # -- requests
 
-    def come(
+    def submit(
         self,
         server: str,
         idempotency_key: str,
-        due: float = 3.0,
-        takes: float = 0.05,
-        stays: bool = True,
-        under: int = 0,
-    ) -> Try:
-        """A request of this idempotency key comes to that server."""
+        deadline_s: float = 3.0,
+        run_s: float = 0.05,
+        completes: bool = True,
+        fencing_number: int = 0,
+    ) -> KeyedRequest:
+        """Send a request with the idempotency key to the server; returns at once."""
         now = self.fleet.now
-        one = Try(server, idempotency_key, now, now + due, takes, stays)
-        self._ask(one, under)
-        return one
-
-    def _ask(self, one: Try, under: int = 0) -> None:
-        self._refs += 1
-        self.tries[self._refs] = one
-        life = max(self.settings.max_lifetime_s - (self.fleet.now - one.came), 0.1)
-        idempotency_key = one.idempotency_key.encode()
+        request = KeyedRequest(server, idempotency_key, now, now + deadline_s, run_s, completes)
+        self._claim(request, fencing_number)
+        return request
+
+    def _claim(self, request: KeyedRequest, fencing_number: int = 0) -> None:
+        self._last_ref += 1
+        self.pending_requests[self._last_ref] = request
+        lifetime_s = max(self.settings.max_lifetime_s - (self.fleet.now - request.arrived_at), 0.1)
+        idempotency_key = request.idempotency_key.encode()
         self.fleet.tell(
-            one.server,
-            Claim(self._refs, idempotency_key, self.group(one.idempotency_key), life, idempotency_key, under),
+            request.server,
+            Claim(
+                self._last_ref,
+                idempotency_key,
+                self.group(request.idempotency_key),
+                lifetime_s,
+                idempotency_key,
+                fencing_number,
+            ),
         )
-        self._watch(one)
+        self._set_deadline(request)
 
-    def _watch(self, one: Try) -> None:
-        def give_up() -> None:
-            if not one.outcome:
-                one.outcome = "terminated"
+    def _set_deadline(self, request: KeyedRequest) -> None:
+        def expire() -> None:
+            if not request.outcome:
+                request.outcome = "terminated"
 
-        self.fleet.later(max(one.due - self.fleet.now, 0.0), give_up)
+        self.fleet.later(max(request.deadline - self.fleet.now, 0.0), expire)
 
-    def write(self, server: str, collection: str, key: str, expect: int, value: bytes) -> int:
-        self._refs += 1
-        life = self.settings.max_lifetime_s
-        self.fleet.tell(server, Write(self._refs, collection, key.encode(), expect, value, life))
-        return self._refs
+    def write(self, server: str, collection: str, key: str, expected_version: int, value: bytes) -> int:
+        self._last_ref += 1
+        lifetime_s = self.settings.max_lifetime_s
+        self.fleet.tell(
+            server, Write(self._last_ref, collection, key.encode(), expected_version, value, lifetime_s)
+        )
+        return self._last_ref
 
     def read(self, server: str, collection: str, key: str) -> int:
-        self._refs += 1
-        self.fleet.tell(server, Read(self._refs, collection, key.encode(), b""))
-        return self._refs
+        self._last_ref += 1
+        self.fleet.tell(server, Read(self._last_ref, collection, key.encode(), b""))
+        return self._last_ref
 
-    def answer(self, ref: int, most: float = 2.0) -> Answer:
-        self.fleet.run_until(lambda: ref in self.answers, most)
+    def answer(self, ref: int, timeout_s: float = 2.0) -> Answer:
+        self.fleet.run_until(lambda: ref in self.answers, timeout_s)
         return self.answers[ref]
 
-    def _heard(self, now: float, name: str, effect: Any) -> None:
+    def _handle_effect(self, now: float, name: str, effect: Any) -> None:
         match effect:
             case Answer(ref, status, entry):
-                one = self.tries.pop(ref, None)
-                if one is None:
+                request = self.pending_requests.pop(ref, None)
+                if request is None:
                     self.answers[ref] = effect
                 else:
-                    self._answered(one, status, entry)
+                    self._handle_answer(request, status, entry)
             case OutcomeStored(key):
                 self.stored.add((name, key.decode()))
             case Log():
-                self.notes.append((now, name, effect))
+                self.log_entries.append((now, name, effect))
 
-    def _answered(self, one: Try, status: AnswerStatus, entry: Entry) -> None:
+    def _handle_answer(self, request: KeyedRequest, status: AnswerStatus, entry: Entry) -> None:
         fleet = self.fleet
         if status is AnswerStatus.WON:
-            if one.outcome:  # nobody waits for it any more: it is not begun
-                fleet.later(0.0, lambda: fleet.tell(one.server, ReleaseClaim(one.idempotency_key.encode())))
+            if request.outcome:  # the request has timed out: it is not run
+                fleet.later(
+                    0.0, lambda: fleet.tell(request.server, ReleaseClaim(request.idempotency_key.encode()))
+                )
                 return
-            self._run(one)
-        elif one.outcome:
+            self._start_run(request)
+        elif request.outcome:
             return
         elif status is AnswerStatus.KNOWN:
             outcome = entry.outcomes[0]
-            one.outcome = "completed" if outcome.status is OutcomeStatus.SUCCEEDED else "terminated"
-            one.result = outcome.result
+            request.outcome = "completed" if outcome.status is OutcomeStatus.SUCCEEDED else "terminated"
+            request.result = outcome.result
         elif status in (AnswerStatus.RUNNING, AnswerStatus.READ, AnswerStatus.BUSY):
-            free = status is AnswerStatus.READ and entry.state in (State.UNCLAIMED, State.RELEASED)
-            fleet.later(POLL, lambda: self._again(one, free))
-        elif status is AnswerStatus.UNREACHABLE and one in self._read_only:
-            fleet.later(POLL, lambda: self._again(one, False))  # it may have run: it is not rejected
+            is_unclaimed = status is AnswerStatus.READ and entry.state in (State.UNCLAIMED, State.RELEASED)
+            fleet.later(POLL_INTERVAL_S, lambda: self._retry(request, is_unclaimed))
+        elif status is AnswerStatus.UNREACHABLE and request in self._polling_requests:
+            # The request may have run, so it is not rejected.
+            fleet.later(POLL_INTERVAL_S, lambda: self._retry(request, False))
         else:
-            one.outcome = "denied"
+            request.outcome = "denied"
 
-    def _again(self, one: Try, free: bool) -> None:
-        if one.outcome or one.server not in self.fleet.cores:
+    def _retry(self, request: KeyedRequest, is_unclaimed: bool) -> None:
+        if request.outcome or request.server not in self.fleet.cores:
             return
-        if free:
-            return self._ask(one)
-        self._read_only.append(one)
-        self._refs += 1
-        self.tries[self._refs] = one
-        idempotency_key = one.idempotency_key
+        if is_unclaimed:
+            return self._claim(request)
+        self._polling_requests.append(request)
+        self._last_ref += 1
+        self.pending_requests[self._last_ref] = request
+        idempotency_key = request.idempotency_key
         self.fleet.tell(
-            one.server, Read(self._refs, "labels", idempotency_key.encode(), self.group(idempotency_key))
+            request.server,
+            Read(self._last_ref, "labels", idempotency_key.encode(), self.group(idempotency_key)),
         )
 
     @property
-    def _read_only(self) -> list[Try]:
-        """Those that learned that another may run their idempotency key."""
+    def _polling_requests(self) -> list[KeyedRequest]:
+        """Requests whose idempotency key another server may be running."""
         self.__dict__.setdefault("_waiting", [])
-        waiting: list[Try] = self.__dict__["_waiting"]
-        return waiting
-
-    def _run(self, one: Try) -> None:
-        self.runs[one.idempotency_key] += 1
-        self.ran_by.setdefault(one.idempotency_key, []).append(one.server)
-        result = f"{one.idempotency_key} by {one.server}, run {self.runs[one.idempotency_key]}".encode()
-        self.results.setdefault(one.idempotency_key, result)
-        life = self.births[one.server] // 10
-
-        def end() -> None:
-            if one.server not in self.fleet.cores or self.births[one.server] // 10 != life or not one.stays:
+        polling: list[KeyedRequest] = self.__dict__["_waiting"]
+        return polling
+
+    def _start_run(self, request: KeyedRequest) -> None:
+        self.run_counts[request.idempotency_key] += 1
+        self.ran_by.setdefault(request.idempotency_key, []).append(request.server)
+        result = (
+            f"{request.idempotency_key} by {request.server}, run {self.run_counts[request.idempotency_key]}"
+        ).encode()
+        self.results.setdefault(request.idempotency_key, result)
+        process_number = self.incarnations[request.server] // 10
+
+        def finish() -> None:
+            if (
+                request.server not in self.fleet.cores
+                or self.incarnations[request.server] // 10 != process_number
+                or not request.completes
+            ):
                 return
-            if not one.outcome:
-                one.outcome, one.result = "completed", result
+            if not request.outcome:
+                request.outcome, request.result = "completed", result
             self.fleet.tell(
-                one.server, CompleteClaim(one.idempotency_key.encode(), OutcomeStatus.SUCCEEDED, result)
+                request.server,
+                CompleteClaim(request.idempotency_key.encode(), OutcomeStatus.SUCCEEDED, result),
             )
 
-        self.fleet.later(one.takes, end)
+        self.fleet.later(request.run_s, finish)
 
-    # -- what must hold
+    # -- invariants
 
-    def wrong(self) -> str:
-        """What broke, if anything: an idempotency key that ran twice, or an answer with other bytes."""
-        for idempotency_key, many in sorted(self.runs.items()):
-            if many > 1:
-                return f"{idempotency_key} ran {many} times: at {', '.join(self.ran_by[idempotency_key])}"
-        for core in self.fleet.cores.values():
-            if isinstance(core, Replica) and core.counts["two_outcomes"]:
-                return f"two outcomes of one label, seen by {core.name}"
+    def violation(self) -> str:
+        """Return a description of a key that ran twice or has two outcomes; empty if there is none."""
+        for idempotency_key, count in sorted(self.run_counts.items()):
+            if count > 1:
+                return f"{idempotency_key} ran {count} times: at {', '.join(self.ran_by[idempotency_key])}"
+        for replica in self.fleet.cores.values():
+            if isinstance(replica, Replica) and replica.counts["two_outcomes"]:
+                return f"two outcomes of one idempotency key, found by {replica.name}"
         return ""
 
 
-def drawn(seed: int, kind: type[Replica] = Replica, turns: int = 30) -> Scenario:
-    """A fleet of five under faults that all follow from the seed: links that lose, double and delay, members
-    that pause past their removal or crash and come back empty, and tries of one idempotency key at many of
-    them.
+def run_random_faults(seed: int, replica_type: type[Replica] = Replica, step_count: int = 30) -> Scenario:
+    """Run a fleet of five members under faults that all follow from the seed.
+
+    Links lose, duplicate and delay messages; members pause past their removal, or crash and restart empty;
+    requests with one idempotency key are sent to many of them.
     """
-    names, chance = "abcde", random.Random(seed)
-    scenario = Scenario({name: name for name in names}, seed, kind=kind)
-    scenario.found(*names)
-    for one in names:
-        for other in names:
-            link = scenario.fleet.link(one, other)
-            link.drop, link.double, link.most = chance.choice([0, 0.2]), 0.1, chance.choice([0.003, 0.3])
-    out: dict[str, bool] = {}
-    for turn in range(turns):
+    names, rng = "abcde", random.Random(seed)
+    scenario = Scenario({name: name for name in names}, seed, replica_type=replica_type)
+    scenario.form_fleet(*names)
+    for sender in names:
+        for receiver in names:
+            link = scenario.fleet.link(sender, receiver)
+            link.drop, link.double, link.most = rng.choice([0, 0.2]), 0.1, rng.choice([0.003, 0.3])
+    removed: dict[str, bool] = {}
+    for step in range(step_count):
         for _ in range(2):
-            name = chance.choice(names)
+            name = rng.choice(names)
             if name in scenario.fleet.cores:
-                scenario.come(name, f"x{turn - chance.randrange(3)}", due=chance.choice([0.5, 3.0]))
-        what = chance.random()
-        if what < 0.15 and not out:
-            name = chance.choice(names)
-            out[name] = chance.random() < 0.5
-            if out[name]:
+                scenario.submit(name, f"x{step - rng.randrange(3)}", deadline_s=rng.choice([0.5, 3.0]))
+        draw = rng.random()
+        if draw < 0.15 and not removed:
+            name = rng.choice(names)
+            removed[name] = rng.random() < 0.5
+            if removed[name]:
                 scenario.fleet.crash(name)
             else:
                 scenario.fleet.pause(name, 1.5)
-            scenario.view(set(names) - {name})
-        elif what < 0.4 and out:
-            name, cold = out.popitem()
-            if cold:
+            scenario.install_view(set(names) - {name})
+        elif draw < 0.4 and removed:
+            name, crashed = removed.popitem()
+            if crashed:
                 scenario.start(name)
             else:
-                scenario.returns(name)
-            scenario.view(names)
+                scenario.rejoin(name)
+            scenario.install_view(names)
         scenario.fleet.run(0.15)
     scenario.fleet.run(4.0)
     return scenario
 
 
-def drifted(one: Entry, by: str) -> Entry:
-    """A copy that differs by an outcome nobody knows of, as after a fault of memory."""
+def diverged_copy(entry: Entry, server: str) -> Entry:
+    """Return a copy of the entry with an outcome that no server produced, as after memory corruption."""
     return merge(
-        one, replace(one, outcomes=(Outcome(one.version, (by, 0, 0), OutcomeStatus.SUCCEEDED, b"other"),))
+        entry,
+        replace(entry, outcomes=(Outcome(entry.version, (server, 0, 0), OutcomeStatus.SUCCEEDED, b"other"),)),
     )
--- a/sablewheel/experiments/replication_server.py
+++ b/sablewheel/experiments/replication_server.py
@@ -1,6 +1,8 @@
-"""A server whose replication is broken on purpose.
+"""A server with a faulty variant of replication.
 
-python -m sablewheel.experiments.replication_server one-copy | async-backup | ... (KINDS of the scenario)
+python -m sablewheel.experiments.replication_server VARIANT
+
+VARIANT is a key of REPLICA_TYPES in replication_scenario, such as one-copy or async-backup.
 """
 
 from __future__ import annotations
@@ -11,10 +13,10 @@
 
 from ..replication import service
 from .replaced_parts import replace_part
-from .replication_scenario import KINDS
+from .replication_scenario import REPLICA_TYPES
 
 if __name__ == "__main__":
-    broken = functools.partial(service.ReplicationService, replica_type=KINDS[sys.argv[1]])
-    replace_part(service, "ReplicationService", broken)  # the program imports it from there
+    faulty_service = functools.partial(service.ReplicationService, replica_type=REPLICA_TYPES[sys.argv[1]])
+    replace_part(service, "ReplicationService", faulty_service)  # where the server imports it from
     sys.argv = sys.argv[:1]
     runpy.run_module("sablewheel", run_name="__main__")
--- a/tests/stories/test_replication_stories.py
+++ b/tests/stories/test_replication_stories.py
@@ -7,7 +7,7 @@
 import pytest
 from pytest_bdd import given, parsers, scenarios, then, when
 
-from sablewheel.experiments.replication_scenario import Scenario, Try, drifted
+from sablewheel.experiments.replication_scenario import KeyedRequest, Scenario, diverged_copy
 from sablewheel.replication.messages import LogEvent, ViewInstalled
 
 scenarios("replication.feature")
@@ -18,11 +18,11 @@
 class Story:
     def __init__(self) -> None:
         self.scenario = Scenario({name: f"z{name}" for name in NAMES}, settings=replace(SETTINGS))
-        self.scenario.found(*NAMES)
-        self.replicas = self.scenario.holders("record")
+        self.scenario.form_fleet(*NAMES)
+        self.replicas = self.scenario.replica_names("record")
         self.others = [name for name in NAMES if name not in self.replicas]
-        self.requests: list[Try] = []
-        self.later_requests: list[Try] = []
+        self.requests: list[KeyedRequest] = []
+        self.later_requests: list[KeyedRequest] = []
         self.writes: list[int] = []
 
     def server_named(self, description: str) -> str:
@@ -36,20 +36,20 @@
         self, server: str, run_time_s: float = 0.05, completes: bool = True, wait_s: float = 0.4
     ) -> None:
         self.requests.append(
-            self.scenario.come(self.server_named(server), "record", takes=run_time_s, stays=completes)
+            self.scenario.submit(self.server_named(server), "record", run_s=run_time_s, completes=completes)
         )
         self.scenario.fleet.run(wait_s)
 
     def restart_empty(self, *names: str) -> None:
         for name in names:
             self.scenario.fleet.crash(name)
-        self.scenario.view(set(NAMES) - set(names))
+        self.scenario.install_view(set(NAMES) - set(names))
         self.scenario.fleet.run(0.5)
         self.scenario.start(*names)
-        self.scenario.view(NAMES)
+        self.scenario.install_view(NAMES)
 
-    def send_other_requests(self, count: int, prefix: str) -> list[Try]:
-        requests = [self.scenario.come(NAMES[index % 5], f"{prefix}{index}") for index in range(count)]
+    def send_other_requests(self, count: int, prefix: str) -> list[KeyedRequest]:
+        requests = [self.scenario.submit(NAMES[index % 5], f"{prefix}{index}") for index in range(count)]
         self.scenario.fleet.run(1.0)
         return requests
 
@@ -64,7 +64,7 @@
 
 @given("a fleet of servers a, b, c, d and e, each in its own zone")
 def _fleet_is_ready(story: Story) -> None:
-    assert story.scenario.unready() == 0
+    assert story.scenario.unready_range_count() == 0
 
 
 @given("200 other requests have run")
@@ -75,7 +75,7 @@
 @given("replicas with a capacity of 3 entries")
 def _limit_capacity(story: Story) -> None:
     for name in NAMES:
-        story.scenario.core(name).store._max_entries = 3
+        story.scenario.replica(name).store._max_entries = 3
 
 
 # -- requests
@@ -93,7 +93,7 @@
 
 @when("the request is sent to all servers at the same time")
 def _send_request_to_all(story: Story) -> None:
-    story.requests += [story.scenario.come(name, "record") for name in NAMES]
+    story.requests += [story.scenario.submit(name, "record") for name in NAMES]
     story.scenario.fleet.run(1.0)
 
 
@@ -104,7 +104,7 @@
 
 @when("a request with another key is sent to b")
 def _send_request_with_other_key(story: Story) -> None:
-    story.later_requests = [story.scenario.come("b", "another")]
+    story.later_requests = [story.scenario.submit("b", "another")]
     story.scenario.fleet.run(1.0)
 
 
@@ -133,20 +133,20 @@
 
 @when(parsers.re(r"the fleet admits (?P<server>.) again"))
 def _admit(story: Story, server: str) -> None:
-    story.scenario.view(NAMES)
+    story.scenario.install_view(NAMES)
     story.scenario.fleet.run(0.5)
 
 
 @when(parsers.re(r"the fleet removes (?P<server>.)"))
 def _remove(story: Story, server: str) -> None:
-    story.scenario.view(set(NAMES) - {server})
+    story.scenario.install_view(set(NAMES) - {server})
     story.scenario.fleet.run(0.3)
 
 
 @when(parsers.re(r"(?P<server>.) rejoins without a restart"))
 def _rejoin(story: Story, server: str) -> None:
-    story.scenario.returns(server)
-    story.scenario.view(NAMES)
+    story.scenario.rejoin(server)
+    story.scenario.install_view(NAMES)
     story.scenario.fleet.run(1.0)
 
 
@@ -163,21 +163,21 @@
 
 @when("the first and the second replica leave gracefully at the same time")
 def _two_replicas_leave(story: Story) -> None:
-    story.scenario.view(set(NAMES) - set(story.replicas[:2]), to=NAMES)
+    story.scenario.install_view(set(NAMES) - set(story.replicas[:2]), recipients=NAMES)
 
 
 @when("the first and the second replica crash at the same time")
 def _crash_two_replicas(story: Story) -> None:
     for name in story.replicas[:2]:
         story.scenario.fleet.crash(name)
-    story.scenario.view(set(NAMES) - set(story.replicas[:2]))
+    story.scenario.install_view(set(NAMES) - set(story.replicas[:2]))
     story.scenario.fleet.run(0.5)
 
 
 @when("the first replica is started again under its name")
 def _start_first_replica(story: Story) -> None:
     story.scenario.start(story.replicas[0])
-    story.scenario.view(set(NAMES) - {story.replicas[1]})
+    story.scenario.install_view(set(NAMES) - {story.replicas[1]})
 
 
 @when("all servers restart with an empty store")
@@ -185,7 +185,7 @@
     for name in NAMES:
         story.scenario.fleet.crash(name)
     story.scenario.start(*NAMES)
-    story.scenario.view(NAMES)
+    story.scenario.install_view(NAMES)
 
 
 @when("the servers restart one after another with an empty store")
@@ -199,7 +199,7 @@
 def _lose_zone(story: Story) -> None:
     name = story.replicas[0]
     story.scenario.fleet.crash(name)
-    story.scenario.view(set(NAMES) - {name})
+    story.scenario.install_view(set(NAMES) - {name})
     story.scenario.fleet.run(0.5)
 
 
@@ -214,7 +214,7 @@
 @when("a zone with a and b is partitioned from the other servers")
 def _partition_zone(story: Story) -> None:
     story.scenario.fleet.cut("ab", "cde")
-    story.scenario.view("cde")
+    story.scenario.install_view("cde")
 
 
 @when(parsers.re(r"(?P<server>.) receives no messages from other servers"))
@@ -227,8 +227,8 @@
     story.scenario.fleet.heal()
     removed = set(NAMES) - set(story.scenario.members)
     if removed:
-        story.scenario.returns(*removed)
-        story.scenario.view(NAMES)
+        story.scenario.rejoin(*removed)
+        story.scenario.install_view(NAMES)
 
 
 @when(parsers.re(r"messages from (?P<server>.) to other servers take 1 second"))
@@ -251,8 +251,8 @@
     crashed, notified = story.replicas[:2]
     remaining = set(NAMES) - {crashed}
     story.scenario.fleet.crash(crashed)
-    story.scenario.view(remaining, to=[notified])
-    story.scenario.fleet.later(1.0, lambda: story.scenario.tell_view(remaining - {notified}))
+    story.scenario.install_view(remaining, recipients=[notified])
+    story.scenario.fleet.later(1.0, lambda: story.scenario.send_view(remaining - {notified}))
 
 
 @when("the first replica restarts with an empty store, and is partitioned while it catches up")
@@ -260,7 +260,7 @@
     name = story.replicas[0]
     story.scenario.settings = replace(story.scenario.settings, batch_size=4)
     story.restart_empty(name)
-    core = story.scenario.core(name)
+    core = story.scenario.replica(name)
     assert story.scenario.fleet.run_until(lambda: core.counts["entries_in"] > 8, 2.0)
     assert core.ranges.unready
     story.scenario.fleet.cut([name], set(NAMES) - {name})
@@ -268,17 +268,17 @@
 
 @when("one replica loses the request's entry")
 def _lose_entry(story: Story) -> None:
-    core = story.scenario.core(story.replicas[1])
+    core = story.scenario.replica(story.replicas[1])
     core.store.drop(core.slot_of(b"record"))
 
 
 @when("one replica stores a different outcome of the request")
 def _add_conflicting_outcome(story: Story) -> None:
-    core = story.scenario.core(story.replicas[1])
-    entry = story.scenario.held(core.name, "record")
+    core = story.scenario.replica(story.replicas[1])
+    entry = story.scenario.stored_entry(core.name, "record")
     assert entry is not None
     expires_at = story.scenario.fleet.now + 8
-    core.store.accept(core.slot_of(b"record"), ("labels", b"record"), drifted(entry, "z"), expires_at)
+    core.store.accept(core.slot_of(b"record"), ("labels", b"record"), diverged_copy(entry, "z"), expires_at)
 
 
 # -- sessions
@@ -293,7 +293,7 @@
 @when(parsers.re(r"a request of that session is sent to (?P<server>.) with binding version (?P<version>\d)"))
 def _send_request_under_binding(story: Story, server: str, version: str) -> None:
     story.scenario.group = lambda idempotency_key: b"session"
-    story.later_requests = [story.scenario.come(server, "of the session", under=int(version))]
+    story.later_requests = [story.scenario.submit(server, "of the session", fencing_number=int(version))]
     story.scenario.fleet.run(1.0)
 
 
@@ -302,7 +302,7 @@
 
 @then("the request ran once, and all waiting attempts got its answer")
 def _ran_once_with_same_answers(story: Story) -> None:
-    assert story.scenario.runs["record"] == 1 and not story.scenario.wrong()
+    assert story.scenario.run_counts["record"] == 1 and not story.scenario.violation()
     assert [request.outcome for request in story.requests if request.outcome != "denied"], story.requests
     for request in story.requests:
         assert request.outcome == "denied" or request.result == story.scenario.results["record"], request
@@ -311,7 +311,7 @@
 
 @then("the request ran once, and the last attempt got its answer")
 def _ran_once_with_last_answered(story: Story) -> None:
-    assert story.scenario.runs["record"] == 1
+    assert story.scenario.run_counts["record"] == 1
     assert (story.requests[-1].outcome, story.requests[-1].result) == (
         "completed",
         story.scenario.results["record"],
@@ -320,23 +320,25 @@
 
 @then("the request ran once")
 def _ran_once(story: Story) -> None:
-    assert story.scenario.runs["record"] == 1 and not story.scenario.wrong(), story.scenario.wrong()
+    assert story.scenario.run_counts["record"] == 1 and not story.scenario.violation(), (
+        story.scenario.violation()
+    )
 
 
 @then("the request ran at most once")
 def _ran_at_most_once(story: Story) -> None:
-    assert not story.scenario.wrong(), story.scenario.wrong()
+    assert not story.scenario.violation(), story.scenario.violation()
     assert all(request.result in (b"", story.scenario.results.get("record")) for request in story.requests)
 
 
 @then("the request never ran")
 def _never_ran(story: Story) -> None:
-    assert story.scenario.runs["record"] == 0
+    assert story.scenario.run_counts["record"] == 0
 
 
 @then("the request ran twice, once in each window")
 def _ran_twice(story: Story) -> None:
-    assert story.scenario.runs["record"] == 2 and len(story.scenario.ran_by["record"]) == 2
+    assert story.scenario.run_counts["record"] == 2 and len(story.scenario.ran_by["record"]) == 2
 
 
 @then("the last attempt failed, and was not rejected")
@@ -357,12 +359,12 @@
 
 @then("every server is ready again for all its ranges")
 def _all_ranges_ready(story: Story) -> None:
-    assert story.scenario.settle(3.0), story.scenario.unready()
+    assert story.scenario.settle(3.0), story.scenario.unready_range_count()
 
 
 @then("the partitioned replica is not ready")
 def _partitioned_replica_not_ready(story: Story) -> None:
-    core = story.scenario.core(story.replicas[0])
+    core = story.scenario.replica(story.replicas[0])
     assert core.ranges.unready and not core.is_ready(max(core.ranges.unready))
 
 
@@ -371,15 +373,15 @@
     assert [
         request for request in story.later_requests if request.outcome == "completed"
     ] == story.later_requests
-    assert all(story.scenario.runs[request.idempotency_key] == 1 for request in story.later_requests)
+    assert all(story.scenario.run_counts[request.idempotency_key] == 1 for request in story.later_requests)
 
 
 @then("each of these requests ran at most once, and some were rejected")
 def _each_ran_at_most_once(story: Story) -> None:
     outcomes = {request.outcome for request in story.later_requests}
-    assert "denied" in outcomes and not story.scenario.wrong()
+    assert "denied" in outcomes and not story.scenario.violation()
     assert all(
-        story.scenario.runs[request.idempotency_key] == (request.outcome == "completed")
+        story.scenario.run_counts[request.idempotency_key] == (request.outcome == "completed")
         for request in story.later_requests
     )
 
@@ -387,27 +389,29 @@
 @then("every replica has the request's outcome")
 def _replicas_have_outcome(story: Story) -> None:
     for name in story.replicas:
-        entry = story.scenario.held(name, "record")
+        entry = story.scenario.stored_entry(name, "record")
         assert entry is not None and entry.outcomes[0].result == story.scenario.results["record"]
 
 
 @then("every replica has both outcomes, and they were logged with their details")
 def _replicas_have_both_outcomes(story: Story) -> None:
-    entries = {story.scenario.held(name, "record") for name in story.replicas}
+    entries = {story.scenario.stored_entry(name, "record") for name in story.replicas}
     assert {len(entry.outcomes) for entry in entries if entry is not None} == {2}
-    log_lines = [line for _, _, line in story.scenario.notes if line.event is LogEvent.CONFLICTING_OUTCOMES]
+    log_lines = [
+        line for _, _, line in story.scenario.log_entries if line.event is LogEvent.CONFLICTING_OUTCOMES
+    ]
     assert log_lines and all("worked" in str(line.fields["outcomes"]) for line in log_lines)
 
 
 @then("a retry does not run again")
 def _retry_does_not_run(story: Story) -> None:
     story.send_request("another server")
-    assert story.scenario.runs["record"] == 1 and story.requests[-1].outcome == "completed"
+    assert story.scenario.run_counts["record"] == 1 and story.requests[-1].outcome == "completed"
 
 
 @then("it received no entries")
 def _received_no_entries(story: Story) -> None:
-    assert story.scenario.core(story.replicas[0]).counts["entries_in"] == 0
+    assert story.scenario.replica(story.replicas[0]).counts["entries_in"] == 0
 
 
 @then("the writes were answered with won, won and stale")
@@ -417,8 +421,8 @@
 
 @then("that request was rejected, and never ran")
 def _rejected_without_run(story: Story) -> None:
-    assert story.later_requests[0].outcome == "denied" and not story.scenario.runs["of the session"]
+    assert story.later_requests[0].outcome == "denied" and not story.scenario.run_counts["of the session"]
 
 
 def test_the_scenario_returns_the_installed_view() -> None:
-    assert isinstance(Scenario({"a": "z"}).view("a", to=[]), ViewInstalled)
+    assert isinstance(Scenario({"a": "z"}).install_view("a", recipients=[]), ViewInstalled)
--- a/tests/test_replaced_parts.py
+++ b/tests/test_replaced_parts.py
@@ -32,7 +32,7 @@
     *(("faulty_server", kind) for kind in faulty_server.VARIANTS),
     *(("forwarder", kind) for kind in forwarder.VARIANTS),
     *(("affinity_server", kind) for kind in affinity.FAULTY_VARIANTS),
-    *(("replication_server", kind) for kind in replication_scenario.KINDS),
+    *(("replication_server", kind) for kind in replication_scenario.REPLICA_TYPES),
 ]
 
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -11,7 +11,12 @@
 from hypothesis import strategies as st
 
 from sablewheel.experiments import replication_model
-from sablewheel.experiments.replication_scenario import KINDS, AsyncBackup, Scenario, drawn
+from sablewheel.experiments.replication_scenario import (
+    REPLICA_TYPES,
+    AsyncBackup,
+    Scenario,
+    run_random_faults,
+)
 from sablewheel.replication.anti_entropy import MAX_VIEWS_SENT
 from sablewheel.replication.entries import (
     EMPTY,
@@ -186,18 +191,18 @@
 
 @pytest.mark.parametrize("seed", [*range(24), 1706])  # 1706: slow links, nearly all requests rejected
 def test_random_faults_break_no_guarantee(seed: int) -> None:
-    scenario = drawn(seed)
-    assert not scenario.wrong(), scenario.wrong()
-    assert sum(scenario.runs.values()) > 1
+    scenario = run_random_faults(seed)
+    assert not scenario.violation(), scenario.violation()
+    assert sum(scenario.run_counts.values()) > 1
     for link in scenario.fleet.links.values():
         link.drop, link.double, link.most = 0.0, 0.0, 0.003
     # Ranges that lost two replicas at the same time become ready only after the longest lifetime.
     scenario.fleet.run(scenario.settings.max_lifetime_s + 1.0)
     later_requests = [
-        scenario.come(name, f"after {name}") for name in scenario.members if name in scenario.fleet.cores
+        scenario.submit(name, f"after {name}") for name in scenario.members if name in scenario.fleet.cores
     ]
     scenario.fleet.run(1.0)
-    assert {request.outcome for request in later_requests} == {"completed"} and not scenario.wrong()
+    assert {request.outcome for request in later_requests} == {"completed"} and not scenario.violation()
 
 
 def test_a_removed_member_decides_under_no_view_before_that_of_an_answered_request() -> None:
@@ -218,9 +223,9 @@
     assert replica.epoch == 4 and replica.ranges.unready == set(range(8))
 
 
-@pytest.mark.parametrize("replica_type", [AsyncBackup, KINDS["one-copy"]])
+@pytest.mark.parametrize("replica_type", [AsyncBackup, REPLICA_TYPES["one-copy"]])
 def test_the_same_faults_break_weaker_variants(replica_type: type[Replica]) -> None:
-    assert any(drawn(seed, replica_type).wrong() for seed in range(20))
+    assert any(run_random_faults(seed, replica_type).violation() for seed in range(20))
 
 
 def test_a_view_that_no_member_has_is_not_waited_for() -> None:
@@ -292,15 +297,16 @@
 
 def test_a_second_change_of_the_same_proposer_takes_one_round_trip() -> None:
     scenario = Scenario({name: name for name in "abc"})
-    scenario.found(*"abc")
+    scenario.form_fleet(*"abc")
     first_ref = scenario.write("a", "sessions", "s", 0, b"one")
     assert scenario.answer(first_ref).status == "won"
-    prepares = scenario.core("a").counts["out_prepare"]
+    prepares = scenario.replica("a").counts["out_prepare"]
     second_ref = scenario.write("a", "sessions", "s", 1, b"two")
     assert (
-        scenario.answer(second_ref).status == "won" and scenario.core("a").counts["out_prepare"] == prepares
+        scenario.answer(second_ref).status == "won"
+        and scenario.replica("a").counts["out_prepare"] == prepares
     )
 
 
 def test_the_scenario_has_each_faulty_variant() -> None:
-    assert set(KINDS) == {"", "async-backup", *replication_model.FAULTY_VARIANTS}
+    assert set(REPLICA_TYPES) == {"", "async-backup", *replication_model.FAULTY_VARIANTS}
--- a/tests/test_replication_service.py
+++ b/tests/test_replication_service.py
@@ -19,7 +19,7 @@
 from sablewheel.experiments import client_protocol as wire
 from sablewheel.experiments.fleet import LISTEN, Block
 from sablewheel.experiments.forwarding import MEMBERSHIP_SETTINGS
-from sablewheel.experiments.replication import Replicas
+from sablewheel.experiments.replication import ReplicatedFleet
 from sablewheel.experiments.testbed import Testbed
 from sablewheel.forwarding.errors import PeerUnavailableError
 from sablewheel.membership.view import Fact, Member, View
@@ -292,7 +292,7 @@
 # -- real servers
 
 
-def send_record(fleet: Replicas, name: str, request: bytes, idempotency_key: bytes) -> list[bytes]:
+def send_record(fleet: ReplicatedFleet, name: str, request: bytes, idempotency_key: bytes) -> list[bytes]:
     """Send a request of the class `record` to one server; return the words of its answer."""
     with socket.create_connection((fleet.host(name), LISTEN), 5.0) as connection:
         connection.settimeout(5.0)
@@ -309,8 +309,8 @@
 
 def test_three_servers_give_the_same_answer_to_one_key_after_the_first_is_killed() -> None:
     with Testbed(1) as testbed, closing(Block()) as block:
-        fleet = Replicas(testbed, block.second, "ours", 0, 3, 1, zones=3, keys=MEMBERSHIP_SETTINGS)
-        fleet.cold = "run"
+        fleet = ReplicatedFleet(testbed, block.second, "ours", 0, 3, 1, zones=3, keys=MEMBERSHIP_SETTINGS)
+        fleet.cold_start = "run"
         for name in fleet.names:
             fleet.start(name)
         for name in fleet.names:
