--- a/sablewheel/experiments/affinity.py
+++ b/sablewheel/experiments/affinity.py
@@ -1,10 +1,10 @@
-"""Affinity's trial: real servers with an interpreter each, kiosks whose requests come to any of them, each
-link through the fault relay.
+"""Session affinity experiment: real servers, and kiosks that send their requests to any of them.
 
-Three policy versions pass; a server is killed and comes back cold; one drains; one is stopped past its
-removal and woken. Where a session's keyed work ran is taken from the interpreters; what servers say of
-moves and their causes, from their logs. Beside it, for the same sessions and the same death, hashing modulo N
-and plain rendezvous hashing without bindings.
+Each server has its own interpreter, and each link passes through the fault relay. Three policy versions are
+activated; a server is killed and restarts cold; one drains; one is stopped past its removal and resumed. The
+interpreters' records show where a session's keyed requests ran; the servers' logs show the migrations and
+their causes. For comparison, hashing modulo N and plain rendezvous hashing without bindings are applied to
+the same sessions and the same failure.
 """
 
 from __future__ import annotations
@@ -31,22 +31,29 @@
 
 __all__ = ["FAULTY_VARIANTS", "run"]
 
-SIZE = 5
-KIOSKS = 30
-BUDGET = 0.8  # moves a second
-RATE = 80.0  # requests a second
-ABANDON, WINDOW = 4.0, 6.0
+SERVER_COUNT = 5
+KIOSK_COUNT = 30
+MIGRATIONS_PER_S = 0.8
+REQUESTS_PER_S = 80.0
+DEADLINE_S, KEY_WINDOW_S = 4.0, 6.0
 CORES = 24
-GRACE = 6.0
-PAUSE = 6.0
-FACTOR, LEAST = 1.25, 8
+DRAIN_GRACE_S = 6.0
+PAUSE_S = 6.0
+LOAD_FACTOR, MIN_LOAD_BOUND = 1.25, 8
 REQUEST_CLASSES = {"lookup": {"share": 0.5}, "record": {"share": 0.5, "keyed": True}}
-WORK = {"lookup": 0.01, "record": 1.0}  # keyed runs last: a second owner would meet one
+# Keyed runs are long, so that the runs of a second owner would overlap them.
+RUN_TIMES_S = {"lookup": 0.01, "record": 1.0}
 CLASSES = [
-    {"name": "lookup", "on-time-s": 2.0, "deadline-s": ABANDON, "repeat": "safe"},
-    {"name": "record", "on-time-s": 2.0, "deadline-s": ABANDON, "repeat": "keyed", "window-s": WINDOW},
+    {"name": "lookup", "on-time-s": 2.0, "deadline-s": DEADLINE_S, "repeat": "safe"},
+    {
+        "name": "record",
+        "on-time-s": 2.0,
+        "deadline-s": DEADLINE_S,
+        "repeat": "keyed",
+        "window-s": KEY_WINDOW_S,
+    },
 ]
-KEYS: dict[str, object] = {
+MEMBERSHIP_SETTINGS: dict[str, object] = {
     "period-s": 0.25,
     "probe-timeout-s": 0.1,
     "found-after-s": 1.0,
@@ -54,355 +61,430 @@
     "vote-timeout-s": 0.5,
     "sync-every-s": 1.0,
 }
-MOVED = re.compile(
+MIGRATION_LINE = re.compile(
     r"^time=(\S+) level=\S+ from=session_affinity\.session_router event=\"session migrated\" (.*)$"
 )
 
 
 @dataclass(frozen=True)
-class Keyed:
-    """One keyed run, as its interpreter saw it."""
+class KeyedRun:
+    """A keyed run as its interpreter recorded it; times are monotonic."""
 
     kiosk: str
-    at: str
-    begun: float
-    ended: float
+    server: str
+    started_at: float
+    ended_at: float
 
 
 @dataclass(frozen=True)
-class Move:
-    """What a server's log says: that it took a session, and why. `when` is monotonic."""
+class Migration:
+    """A migration as the log of the new owner has it. `when` is monotonic."""
 
     when: float
     cause: str
-    was: str
+    previous_owner: str
 
 
-class Sessions(Scenario):
-    """The fleet with all that affinity stands on."""
+class AffinityFleet(Scenario):
+    """A fleet with forwarding, replication and session affinity."""
 
     broken = ""
-    victim = "m2"  # whom the trial kills
+    killed_server = "m2"  # the server that is killed
 
-    def busiest(self) -> str:
-        """Whose interpreter ran most so far, of those that the trial has no other plans with."""
+    def find_busiest(self) -> str:
+        """Return the server with the most runs so far, of those that no other stage uses."""
         others = [name for name in self.names if name not in ("m1", "m3")]
         return max(others, key=lambda name: sum(1 for _ in self.testbed.runs(name)))
 
     @property
-    def version(self) -> Path:
+    def version_file(self) -> Path:
         return self.testbed.folder / "version"
 
     def features(self, name: str) -> str:
-        place = self.names.index(name)
+        index = self.names.index(name)
         lines = ["forwarding:", f"  listen: {self.host(name)}:{LINK_PORT}"]
-        lines += [f"  advertise: {self.relay_host}:{LINK_RELAY_PORT + place}", "replication:", "  copies: 3"]
-        lines += ["affinity:", "  idle-s: 600", "  keep-versions: 5", f"  moves-per-s: {BUDGET:g}"]
-        lines += [f"  load-factor: {FACTOR}", f"  bound-least: {LEAST}"]
+        lines += [f"  advertise: {self.relay_host}:{LINK_RELAY_PORT + index}", "replication:", "  copies: 3"]
+        lines += ["affinity:", "  idle-s: 600", "  keep-versions: 5", f"  moves-per-s: {MIGRATIONS_PER_S:g}"]
+        lines += [f"  load-factor: {LOAD_FACTOR}", f"  bound-least: {MIN_LOAD_BOUND}"]
         return super(Scenario, self).features(name) + "\n".join([*lines, ""])
 
     def start(self, name: str) -> None:
-        path = self.testbed.folder / f"{name}.yaml"
-        path.write_text(self.features(name))
-        safety = {**SETTINGS["safety"], "drain-grace-s": GRACE}
+        features_path = self.testbed.folder / f"{name}.yaml"
+        features_path.write_text(self.features(name))
+        safety = {**SETTINGS["safety"], "drain-grace-s": DRAIN_GRACE_S}
         extra = {**SETTINGS["extra"], "cores": CORES}
-        told = self.testbed.configuration(
+        config_path = self.testbed.configuration(
             name,
             LISTEN,
             self.vms[name],
             name=name,
             listen=f"{self.host(name)}:{LISTEN}",
-            stop_ms=int(1000 * (GRACE + 2.0)),
+            stop_ms=int(1000 * (DRAIN_GRACE_S + 2.0)),
             settings={"classes": CLASSES, "servers": self.size, "safety": safety, "extra": extra},
         )
-        words = ("sablewheel.experiments.affinity_server", str(self.version), self.broken)
+        module_arguments = ("sablewheel.experiments.affinity_server", str(self.version_file), self.broken)
         self.processes[name] = self.testbed.start(
-            name, *words, shifted=False, RELAY_CONFIG=str(told), SABLEWHEEL_FEATURES=str(path)
+            name,
+            *module_arguments,
+            shifted=False,
+            RELAY_CONFIG=str(config_path),
+            SABLEWHEEL_FEATURES=str(features_path),
         )
 
-    def moves(self) -> list[Move]:
-        apart = time.time() - time.monotonic()
-        found = []
+    def migrations(self) -> list[Migration]:
+        clock_offset = time.time() - time.monotonic()
+        result = []
         for name in self.names:
-            path = self.testbed.folder / f"{name}.log"
-            for line in path.read_text(errors="replace").splitlines() if path.exists() else ():
-                if seen := MOVED.match(line):
-                    pairs = dict(word.split("=", 1) for word in shlex.split(seen[2]) if "=" in word)
-                    found.append(Move(float(seen[1]) - apart, pairs["cause"], pairs.get("owner", "")))
-        return sorted(found, key=lambda one: one.when)
-
-    def runs(self, keyed: bool = True) -> Iterator[Keyed]:
-        """Keyed runs, or all, by the interpreters' word; one without an end is open to the last."""
-        held = [one for one in self.testbed.held("client") if one["name"]]
-        kiosks = {one["name"]: one["kiosk"] for one in held if one["label"] or not keyed}
+            log_path = self.testbed.folder / f"{name}.log"
+            for line in log_path.read_text(errors="replace").splitlines() if log_path.exists() else ():
+                if match := MIGRATION_LINE.match(line):
+                    fields = dict(word.split("=", 1) for word in shlex.split(match[2]) if "=" in word)
+                    result.append(
+                        Migration(float(match[1]) - clock_offset, fields["cause"], fields.get("owner", ""))
+                    )
+        return sorted(result, key=lambda migration: migration.when)
+
+    def runs(self, keyed: bool = True) -> Iterator[KeyedRun]:
+        """Yield keyed or all runs from the interpreters' records; unfinished ones end after a full run."""
+        records = [record for record in self.testbed.held("client") if record["name"]]
+        kiosks = {record["name"]: record["kiosk"] for record in records if record["label"] or not keyed}
         for name in self.names:
-            begun: dict[str, float] = {}
-            for word, request, when in self.testbed.runs(name):
+            start_times: dict[str, float] = {}
+            for event, request, when in self.testbed.runs(name):
                 if request not in kiosks:
                     continue
-                if word == "begin":
-                    begun[request] = when
-                elif (since := begun.pop(request, None)) is not None:
-                    yield Keyed(kiosks[request], name, since, when)
-            for request, since in begun.items():
-                yield Keyed(kiosks[request], name, since, since + WORK["record"])
+                if event == "begin":
+                    start_times[request] = when
+                elif (started_at := start_times.pop(request, None)) is not None:
+                    yield KeyedRun(kiosks[request], name, started_at, when)
+            for request, started_at in start_times.items():
+                yield KeyedRun(kiosks[request], name, started_at, started_at + RUN_TIMES_S["record"])
 
 
 def run(seed: int, quick: bool, broken: str = "") -> ExperimentResult:
-    """The trial; `broken` names a fault put into the servers on purpose."""
+    """Run the experiment; `broken` names the faulty variant of the servers, empty for none."""
     result = ExperimentResult("affinity")
-    marks: dict[str, float] = {}
+    stage_starts: dict[str, float] = {}
     with Testbed(seed) as testbed, closing(Block()) as block:
-        scenario = Sessions(testbed, block.second, "ours", 0, SIZE, seed, keys=KEYS, work=WORK, cores=CORES)
+        scenario = AffinityFleet(
+            testbed,
+            block.second,
+            "ours",
+            0,
+            SERVER_COUNT,
+            seed,
+            keys=MEMBERSHIP_SETTINGS,
+            work=RUN_TIMES_S,
+            cores=CORES,
+        )
         scenario.broken = broken
         for name in scenario.names:
             scenario.start(name)
         for name in scenario.names:
             scenario.wait_until_up(name)
         if scenario.wait_agreed(scenario.names, PATIENCE) is None:
-            raise TestbedError(f"no view: {scenario.processes['m0'].tail()}")
-        time.sleep(WINDOW + 3.0)  # nobody can know what an earlier fleet ran: all windows pass first
-        calm = 3.0 if quick else 8.0
-        faults = _draw_faults(calm)
-        seconds = sum(span for span, _ in faults)
+            raise TestbedError(f"the servers did not agree on a view: {scenario.processes['m0'].tail()}")
+        time.sleep(KEY_WINDOW_S + 3.0)  # runs of an earlier fleet are unknown
+        calm_s = 3.0 if quick else 8.0
+        stages = _stages(calm_s)
+        seconds = sum(duration_s for duration_s, _ in stages)
         client = testbed.start(
             "client",
             "sablewheel.experiments.affinity_client",
-            _client(scenario, seed, seconds),
+            _client_options(scenario, seed, seconds),
             shifted=False,
         )
-        for span, what in faults:
-            marks[what] = time.monotonic()
-            ACTS.get(what, _nothing)(scenario)
-            time.sleep(max(marks[what] + span - time.monotonic(), 0.0))
-        marks["end"] = time.monotonic()
+        for duration_s, stage in stages:
+            stage_starts[stage] = time.monotonic()
+            STAGE_ACTIONS.get(stage, _do_nothing)(scenario)
+            time.sleep(max(stage_starts[stage] + duration_s - time.monotonic(), 0.0))
+        stage_starts["end"] = time.monotonic()
         client.popen.wait(60)
         for name in scenario.names:
             if scenario.processes[name].alive:
                 scenario.processes[name].leave()
         time.sleep(0.1)
-        _check_promises(scenario, result, marks)
+        _check_promises(scenario, result, stage_starts)
         scenario.relay.close()
     return result
 
 
-def _draw_faults(calm: float) -> list[tuple[float, str]]:
-    """How long each part lasts, and what it begins with."""
-    turn = 2.0 * KIOSKS / RATE
+def _stages(calm_s: float) -> list[tuple[float, str]]:
+    """Return the duration and the name of each stage; `STAGE_ACTIONS` has what it starts with."""
+    round_s = 2.0 * KIOSK_COUNT / REQUESTS_PER_S
     return [
-        (max(2 * turn, 4.0), "begin"),
-        (calm, "bump 2"),
-        (calm, "bump 3"),
-        (calm, "bump 4"),
+        (max(2 * round_s, 4.0), "begin"),
+        (calm_s, "bump 2"),
+        (calm_s, "bump 3"),
+        (calm_s, "bump 4"),
         (15.0, "kill"),
         (6.0, "return"),
-        (GRACE + 2.0, "drain"),
+        (DRAIN_GRACE_S + 2.0, "drain"),
         (6.0, "back"),
-        (PAUSE + 5.0, "pause"),
+        (PAUSE_S + 5.0, "pause"),
         (5.0, "calm"),
-        (calm + 2.0, "again"),
+        (calm_s + 2.0, "again"),
     ]
 
 
-def _nothing(scenario: Sessions) -> None: ...
+def _do_nothing(scenario: AffinityFleet) -> None: ...
 
 
-def _bump(version: int) -> Callable[[Sessions], object]:
-    def do(scenario: Sessions) -> None:
-        scenario.version.write_text(f"{version}\n")
+def _activate_version(version: int) -> Callable[[AffinityFleet], object]:
+    def write_version(scenario: AffinityFleet) -> None:
+        scenario.version_file.write_text(f"{version}\n")
 
-    return do
+    return write_version
 
 
-def _pause(scenario: Sessions) -> None:
+def _pause(scenario: AffinityFleet) -> None:
     scenario.stop("m3")
-    time.sleep(PAUSE)
+    time.sleep(PAUSE_S)
     scenario.go_on("m3")
 
 
-def _kill(scenario: Sessions) -> None:
-    scenario.victim = scenario.busiest()
-    scenario.processes[scenario.victim].kill()
+def _kill(scenario: AffinityFleet) -> None:
+    scenario.killed_server = scenario.find_busiest()
+    scenario.processes[scenario.killed_server].kill()
 
 
-def _back(scenario: Sessions) -> None:
+def _restart_drained(scenario: AffinityFleet) -> None:
     scenario.processes["m1"].popen.wait(10)
     scenario.start("m1")
 
 
-ACTS: dict[str, Callable[[Sessions], object]] = {
-    "bump 2": _bump(2),
-    "bump 3": _bump(3),
-    "bump 4": _bump(4),
+STAGE_ACTIONS: dict[str, Callable[[AffinityFleet], object]] = {
+    "bump 2": _activate_version(2),
+    "bump 3": _activate_version(3),
+    "bump 4": _activate_version(4),
     "kill": _kill,
-    "return": lambda scenario: scenario.start(scenario.victim),
+    "return": lambda scenario: scenario.start(scenario.killed_server),
     "drain": lambda scenario: scenario.processes["m1"].popen.terminate(),
-    "back": _back,
+    "back": _restart_drained,
     "pause": _pause,
 }
 
 
-def _client(scenario: Sessions, seed: int, seconds: float) -> str:
-    told = {
+def _client_options(scenario: AffinityFleet, seed: int, seconds: float) -> str:
+    options = {
         "servers": [f"{scenario.host(name)}:{LISTEN}" for name in scenario.names],
         "seed": seed,
-        "rate": RATE,
+        "rate": REQUESTS_PER_S,
         "seconds": seconds,
         "tenants": {"any": 1.0},
         "request_classes": REQUEST_CLASSES,
-        "kiosks": KIOSKS,
+        "kiosks": KIOSK_COUNT,
         "log": str(scenario.testbed.folder / "client.held"),
-        "patience_end": ABANDON + 2.0,
+        "patience_end": DEADLINE_S + 2.0,
     }
-    return json.dumps(told)
+    return json.dumps(options)
 
 
-def _check_promises(scenario: Sessions, result: ExperimentResult, marks: dict[str, float]) -> None:
+def _check_promises(
+    scenario: AffinityFleet, result: ExperimentResult, stage_starts: dict[str, float]
+) -> None:
     for name in scenario.names:
         log = scenario.testbed.folder / f"{name}.log"
-        part = scenario.broken or "version-from-file"
-        result.require(f"{name} runs as {part}", was_announced(log, part))
-    runs = sorted(scenario.runs(), key=lambda one: one.begun)
-    moves = [one for one in scenario.moves() if one.when < marks["end"]]
-    order = [*sorted(marks, key=lambda what: marks[what])]
-    after = dict(pairwise(order))
+        variant = scenario.broken or "version-from-file"
+        result.require(f"{name} runs as {variant}", was_announced(log, variant))
+    runs = sorted(scenario.runs(), key=lambda run: run.started_at)
+    migrations = [migration for migration in scenario.migrations() if migration.when < stage_starts["end"]]
+    stages = [*sorted(stage_starts, key=lambda stage: stage_starts[stage])]
+    next_stages = dict(pairwise(stages))
 
-    def within(what: str) -> tuple[float, float]:
-        return marks[what], marks[after[what]]
+    def stage_span(stage: str) -> tuple[float, float]:
+        return stage_starts[stage], stage_starts[next_stages[stage]]
 
     def changes(since: float, until: float) -> list[tuple[str, str, str]]:
-        """Kiosks whose keyed work went to another server, by the interpreters."""
+        """Return (kiosk, from, to) for each change of the server that ran a kiosk's keyed requests."""
         last: dict[str, str] = {}
         found = []
-        for one in runs:
-            if one.begun >= until:
+        for run in runs:
+            if run.started_at >= until:
                 break
-            if one.begun >= since and last.get(one.kiosk, one.at) != one.at:
-                found.append((one.kiosk, last[one.kiosk], one.at))
-            last[one.kiosk] = one.at
+            if run.started_at >= since and last.get(run.kiosk, run.server) != run.server:
+                found.append((run.kiosk, last[run.kiosk], run.server))
+            last[run.kiosk] = run.server
         return found
 
-    begun = {one.kiosk: one.at for one in scenario.runs(keyed=False) if one.begun < marks["bump 2"]}
-    held = Counter(begun.values())
-    result.check("every session has its server", len(begun) == KIOSKS, f"{len(begun)} of {KIOSKS}")
-    bound = max(LEAST, math.ceil(FACTOR * (KIOSKS + 1) / SIZE))
+    first_servers = {
+        run.kiosk: run.server for run in scenario.runs(keyed=False) if run.started_at < stage_starts["bump 2"]
+    }
+    session_counts = Counter(first_servers.values())
+    result.check(
+        "every session has its server",
+        len(first_servers) == KIOSK_COUNT,
+        f"{len(first_servers)} of {KIOSK_COUNT}",
+    )
+    bound = max(MIN_LOAD_BOUND, math.ceil(LOAD_FACTOR * (KIOSK_COUNT + 1) / SERVER_COUNT))
     result.check(
         "no owner is above its bound",
-        bool(held) and max(held.values()) <= bound,
-        f"{max(held.values(), default=0)} of {bound}",
+        bool(session_counts) and max(session_counts.values()) <= bound,
+        f"{max(session_counts.values(), default=0)} of {bound}",
     )
-    bumped = changes(marks["bump 2"], marks["kill"])
-    said = [one for one in moves if marks["bump 2"] <= one.when < marks["kill"]]
+    changes_by_version = changes(stage_starts["bump 2"], stage_starts["kill"])
+    logged = [
+        migration
+        for migration in migrations
+        if stage_starts["bump 2"] <= migration.when < stage_starts["kill"]
+    ]
     result.check(
-        "over three bumps no session moves",
-        not bumped and not said,
-        f"{len(bumped)} by the runs, {len(said)} by the logs",
+        "no session migrates over three policy versions",
+        not changes_by_version and not logged,
+        f"{len(changes_by_version)} by the runs, {len(logged)} by the logs",
+    )
+    _check_kill(scenario, result, runs, migrations, changes(*stage_span("kill")), stage_span("kill"))
+    changes_after_return = changes(*stage_span("return"))
+    unexpected = [change for change in changes_after_return if change[1] != scenario.killed_server]
+    result.check("the restart of the killed server migrates no session", not unexpected, f"{len(unexpected)}")
+    changes_by_drain = changes(stage_starts["drain"], stage_starts["pause"])
+    unexpected = [change for change in changes_by_drain if change[1] not in ("m1", scenario.killed_server)]
+    late_migrations = [
+        migration
+        for migration in migrations
+        if migration.previous_owner == "m1" and migration.when > stage_starts["back"]
+    ]
+    drain_causes = Counter(
+        migration.cause
+        for migration in migrations
+        if migration.previous_owner == "m1" and migration.when >= stage_starts["drain"]
     )
-    _death(scenario, result, runs, moves, changes(*within("kill")), within("kill"))
-    back = changes(*within("return"))
-    stray = [one for one in back if one[1] != scenario.victim]
-    result.check("its return moves nothing", not stray, f"{len(stray)}")
-    drained = changes(marks["drain"], marks["pause"])
-    stray = [one for one in drained if one[1] not in ("m1", scenario.victim)]
-    left = [one for one in moves if one.was == "m1" and one.when > marks["back"]]
-    by = Counter(one.cause for one in moves if one.was == "m1" and one.when >= marks["drain"])
     result.check(
-        "a drain hands over all within its grace, and no other moves",
-        by["drain"] > 0 and not left and not stray,
-        f"{dict(by)}, {len(left)} later, {len(stray)} of others",
+        "a drain hands over all sessions within its grace period, and no others migrate",
+        drain_causes["drain"] > 0 and not late_migrations and not unexpected,
+        f"{dict(drain_causes)}, {len(late_migrations)} later, {len(unexpected)} of others",
     )
-    known = ("m1", scenario.victim, "m3")  # whose sessions may be seen moving this late
-    paused = [one for one in changes(marks["pause"], marks["again"]) if one[1] not in known]
-    result.check("a pause past removal moves its sessions only", not paused, f"{len(paused)} of others")
-    again = changes(*within("again"))
-    result.check("a second run over moves nothing", not again, f"{len(again)}")
-    _overlaps(scenario, result, runs, marks)
-    tries = [one for one in scenario.testbed.held("client") if one["how"] != "second"]
-    seconds = sum(one["how"] == "second" for one in scenario.testbed.held("client"))
-    result.check("no ticket has two answers", not seconds, seconds)
-    how = Counter(f"{one['how']} {one['track']}" for one in tries)
-    for name, much in sorted(how.items()):
-        result.figures[name] = much
-    calm = marks["kill"] - 2.0  # what was open when it was killed may be lost
-    quiet = [one for one in tries if one["from"] < calm or one["from"] >= marks["again"]]
-    good = sum(one["how"] == "completed" for one in quiet) / max(len(quiet), 1)
-    rest = Counter(
-        f"{one['how']} in {max((what for what in order if marks[what] <= one['from']), key=order.index)}"
-        for one in quiet
-        if one["how"] != "completed" and one["from"] >= marks["begin"]
+    affected_servers = ("m1", scenario.killed_server, "m3")  # whose sessions may still migrate
+    changes_by_pause = [
+        change
+        for change in changes(stage_starts["pause"], stage_starts["again"])
+        if change[1] not in affected_servers
+    ]
+    result.check(
+        "a pause past removal migrates only the paused server's sessions",
+        not changes_by_pause,
+        f"{len(changes_by_pause)} of others",
     )
+    changes_by_repeat = changes(*stage_span("again"))
     result.check(
-        "where nothing fails nearly all are served", good >= 0.98, f"{good:.4f} of {len(quiet)}, {dict(rest)}"
+        "repeating the requests migrates no session", not changes_by_repeat, f"{len(changes_by_repeat)}"
     )
-    for cause, much in sorted(Counter(one.cause for one in moves).items()):
-        result.figures[f"moved: {cause}"] = much
+    _check_overlaps(scenario, result, runs, stage_starts)
+    attempts = [attempt for attempt in scenario.testbed.held("client") if attempt["how"] != "second"]
+    second_answers = sum(attempt["how"] == "second" for attempt in scenario.testbed.held("client"))
+    result.check("no request has two answers", not second_answers, second_answers)
+    outcome_counts = Counter(f"{attempt['how']} {attempt['track']}" for attempt in attempts)
+    for name, count in sorted(outcome_counts.items()):
+        result.figures[name] = count
+    quiet_until = stage_starts["kill"] - 2.0  # requests open at the kill may be lost
+    quiet_attempts = [
+        attempt
+        for attempt in attempts
+        if attempt["from"] < quiet_until or attempt["from"] >= stage_starts["again"]
+    ]
+    completed_share = sum(attempt["how"] == "completed" for attempt in quiet_attempts) / max(
+        len(quiet_attempts), 1
+    )
+    failures = Counter(
+        f"{attempt['how']} in "
+        f"{max((stage for stage in stages if stage_starts[stage] <= attempt['from']), key=stages.index)}"
+        for attempt in quiet_attempts
+        if attempt["how"] != "completed" and attempt["from"] >= stage_starts["begin"]
+    )
+    result.check(
+        "without faults nearly all requests are served",
+        completed_share >= 0.98,
+        f"{completed_share:.4f} of {len(quiet_attempts)}, {dict(failures)}",
+    )
+    for cause, count in sorted(Counter(migration.cause for migration in migrations).items()):
+        result.figures[f"moved: {cause}"] = count
 
 
-def _death(
-    scenario: Sessions,
+def _check_kill(
+    scenario: AffinityFleet,
     result: ExperimentResult,
-    runs: list[Keyed],
-    moves: list[Move],
-    changed: list[tuple[str, str, str]],
-    span: tuple[float, float],
+    runs: list[KeyedRun],
+    migrations: list[Migration],
+    changes: list[tuple[str, str, str]],
+    stage_span: tuple[float, float],
 ) -> None:
-    """One of the servers was killed: whose sessions move, how fast, and what others would have moved."""
-    since, until = span
-    owners = {one.kiosk: one.at for one in runs if one.begun < since}
-    mine = {kiosk for kiosk, at in owners.items() if at == scenario.victim}
-    stray = [one for one in changed if one[1] != scenario.victim]
-    moved = {kiosk for kiosk, was, _ in changed if was == scenario.victim}
+    """Check which sessions migrate after the kill and how fast; compare with hashing without bindings."""
+    since, until = stage_span
+    owners = {run.kiosk: run.server for run in runs if run.started_at < since}
+    killed_sessions = {kiosk for kiosk, server in owners.items() if server == scenario.killed_server}
+    unexpected = [change for change in changes if change[1] != scenario.killed_server]
+    moved_sessions = {
+        kiosk for kiosk, previous_owner, _ in changes if previous_owner == scenario.killed_server
+    }
     result.check(
-        "one of the servers is killed: its sessions move, of the others none",
-        bool(mine) and moved == mine and not stray,
-        f"{len(moved)} of its {len(mine)}, {len(stray)} of others",
+        "one of the servers is killed: its sessions migrate, of the others none",
+        bool(killed_sessions) and moved_sessions == killed_sessions and not unexpected,
+        f"{len(moved_sessions)} of its {len(killed_sessions)}, {len(unexpected)} of others",
     )
-    times = [one.when for one in moves if since <= one.when < until and one.cause == "removed"]
-    burst = max((sum(at <= when < at + 1.0 for when in times) for at in times), default=0)
-    room = BUDGET + 4 * math.sqrt(BUDGET)
+    migration_times = [
+        migration.when
+        for migration in migrations
+        if since <= migration.when < until and migration.cause == "removed"
+    ]
+    max_rate = max(
+        (sum(start <= moment < start + 1.0 for moment in migration_times) for start in migration_times),
+        default=0,
+    )
+    rate_limit = MIGRATIONS_PER_S + 4 * math.sqrt(MIGRATIONS_PER_S)
     result.check(
-        "no faster than the budget, by four deviations of turns by chance",
-        0 < burst <= room,
-        f"most in a second {burst} of {room:.0f}",
+        "no faster than the budget, plus four standard deviations",
+        0 < max_rate <= rate_limit,
+        f"most in a second {max_rate} of {rate_limit:.0f}",
     )
-    keys = [f"kiosk-{number}" for number in range(KIOSKS)]
-    rest = [name for name in scenario.names if name != scenario.victim]
-    result.figures["ours: moved by the death"] = len(moved)
-    for title, place in (("modulo N", modulo), ("plain rendezvous", rendezvous)):
-        lost = sum(place(key, scenario.names) != place(key, rest) for key in keys)
-        result.figures[f"{title}: moved by the death"] = lost
-        result.figures[f"{title}: moved back by the return"] = lost
+    keys = [f"kiosk-{number}" for number in range(KIOSK_COUNT)]
+    survivors = [name for name in scenario.names if name != scenario.killed_server]
+    result.figures["ours: moved by the death"] = len(moved_sessions)
+    for title, choose_server in (("modulo N", modulo), ("plain rendezvous", rendezvous)):
+        moved_count = sum(choose_server(key, scenario.names) != choose_server(key, survivors) for key in keys)
+        result.figures[f"{title}: moved by the death"] = moved_count
+        result.figures[f"{title}: moved back by the return"] = moved_count
 
 
-def _overlaps(
-    scenario: Sessions, result: ExperimentResult, runs: list[Keyed], marks: dict[str, float]
+def _check_overlaps(
+    scenario: AffinityFleet, result: ExperimentResult, runs: list[KeyedRun], stage_starts: dict[str, float]
 ) -> None:
-    """Two servers at one session's keyed work; what one had begun before it died or stopped goes on as a
-    claim."""
-    woken = marks["pause"] + PAUSE + 2.0
-    gone = {scenario.victim: (marks["kill"], marks["return"]), "m3": (marks["pause"], woken)}
-    by_kiosk: dict[str, list[Keyed]] = defaultdict(list)
-    for one in runs:
-        by_kiosk[one.kiosk].append(one)
-    found = []
-    for those in by_kiosk.values():
-        for place, one in enumerate(those):
-            for other in those[place + 1 :]:
-                if other.begun >= one.ended or other.at == one.at:
+    """Check that two servers never ran one session's keyed requests at once, and no key twice.
+
+    Runs that a server started before it was killed or stopped may overlap: they are covered by their claims.
+    """
+    resumed_at = stage_starts["pause"] + PAUSE_S + 2.0
+    down_spans = {
+        scenario.killed_server: (stage_starts["kill"], stage_starts["return"]),
+        "m3": (stage_starts["pause"], resumed_at),
+    }
+    by_kiosk: dict[str, list[KeyedRun]] = defaultdict(list)
+    for run in runs:
+        by_kiosk[run.kiosk].append(run)
+    overlaps = []
+    for kiosk_runs in by_kiosk.values():
+        for index, run in enumerate(kiosk_runs):
+            for other in kiosk_runs[index + 1 :]:
+                if other.started_at >= run.ended_at or other.server == run.server:
                     continue
-                since, until = gone.get(one.at, (math.inf, -math.inf))
-                if not (one.begun <= since + 0.1 and one.ended <= until):
-                    found.append((one, other))
+                since, until = down_spans.get(run.server, (math.inf, -math.inf))
+                if not (run.started_at <= since + 0.1 and run.ended_at <= until):
+                    overlaps.append((run, other))
     result.check(
-        "two servers never run one session's labelled work",
-        not found,
-        f"{len(found)}" + (f", as {found[0]}" if found else f" of {len(runs)} runs"),
+        "two servers never run one session's keyed requests at once",
+        not overlaps,
+        f"{len(overlaps)}" + (f", as {overlaps[0]}" if overlaps else f" of {len(runs)} runs"),
     )
-    idempotency_keys: Counter[str] = Counter()
-    own = {one["name"]: one["label"] for one in scenario.testbed.held("client") if one.get("label")}
+    key_counts: Counter[str] = Counter()
+    keys_by_request = {
+        attempt["name"]: attempt["label"]
+        for attempt in scenario.testbed.held("client")
+        if attempt.get("label")
+    }
     for name in scenario.names:
-        for word, request, _ in scenario.testbed.runs(name):
-            if word == "begin" and request in own:
-                idempotency_keys[own[request]] += 1
-    twice = sum(much > 1 for much in idempotency_keys.values())
-    result.check("no label runs twice", not twice, f"{twice} of {len(idempotency_keys)}")
+        for event, request, _ in scenario.testbed.runs(name):
+            if event == "begin" and request in keys_by_request:
+                key_counts[keys_by_request[request]] += 1
+    repeated_count = sum(count > 1 for count in key_counts.values())
+    result.check(
+        "no idempotency key runs twice", not repeated_count, f"{repeated_count} of {len(key_counts)}"
+    )
--- a/sablewheel/experiments/affinity_client.py
+++ b/sablewheel/experiments/affinity_client.py
@@ -1,8 +1,8 @@
-"""A stand-in for kiosks behind their routers: each has its session, and its requests come to any server.
+"""Simulated kiosks behind routers: each kiosk has a session, and its requests go to any server.
 
     python -m sablewheel.experiments.affinity_client '{"servers": [...], "kiosks": 60, ...}'
 
-As `router`; every try is one kiosk's, in turn, and names the kiosk in the log.
+As `router`, but each attempt belongs to the next kiosk in turn, which the log names.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 from .testbed import TENANTS
 
 
-class Kiosks(Routers):
-    """What `router` sends, with a subject each."""
+class KioskRouters(Routers):
+    """Routers whose requests each carry a kiosk as their subject."""
 
-    turn = 0
+    kiosk_index = 0
 
     async def try_at(
         self, server: str, request_class: str, name: bytes, tenant: str, idempotency_key: bytes, body: bytes
@@ -29,9 +29,9 @@
         if link is None:
             return
         link.tag += 1
-        self.turn = (self.turn + 1) % int(self.told["kiosks"])
-        owners = sorted(TENANTS)
-        kiosk, tenant = f"kiosk-{self.turn}", owners[self.turn % len(owners)]
+        self.kiosk_index = (self.kiosk_index + 1) % int(self.told["kiosks"])
+        tenants = sorted(TENANTS)
+        kiosk, tenant = f"kiosk-{self.kiosk_index}", tenants[self.kiosk_index % len(tenants)]
         link.open[link.tag] = {
             "name": name.decode(),
             "customer": tenant,
@@ -57,4 +57,4 @@
 
 
 if __name__ == "__main__":
-    asyncio.run(Kiosks(json.loads(sys.argv[1])).run())
+    asyncio.run(KioskRouters(json.loads(sys.argv[1])).run())
--- a/sablewheel/experiments/affinity_fleet.py
+++ b/sablewheel/experiments/affinity_fleet.py
@@ -1,9 +1,10 @@
-"""Servers with sessions in a made fleet: a register, runs that take time, and what an onlooker must find.
+"""A simulated fleet of servers with session affinity, a register of bindings, and invariant checks.
 
-The register is one object that takes compare-and-sets, as a majority of holders would: a member reaches it
-while it can speak both ways with a majority of the last agreed view, itself included, and only at the newest
-epoch that it holds. Its answers may be lost after the write was made. A server runs what its sessions tell it
-to run, claims idempotency keys first, passes requests on, and keeps every request's outcome.
+The register is one object with compare-and-set writes that stands for a majority of replicas: a member
+reaches it while it can exchange messages with a majority of the last agreed view, itself included, and has
+the newest epoch. Answers of the register may be lost after the write took effect. A server runs the requests
+that its sessions admit, after it has claimed their idempotency keys, and forwards others; every request's
+outcome is recorded.
 """
 
 from __future__ import annotations
@@ -55,145 +56,150 @@
 
 @dataclass(frozen=True)
 class Claim:
-    """Who may run an idempotency key, the only one ever; `number` of its session's binding."""
+    """The exclusive right of a server to run an idempotency key, under its session's fencing number."""
 
     idempotency_key: str
     owner: str
     incarnation: int
-    number: int
+    fencing_number: int
 
 
 @dataclass
 class Register:
-    """What a majority of holders holds."""
+    """The bindings and claims that a majority of replicas stores."""
 
     bindings: dict[Key, Binding] = field(default_factory=dict)
     claims: dict[str, Claim] = field(default_factory=dict)
     outcomes: dict[str, str] = field(default_factory=dict)
     history: list[tuple[float, Binding]] = field(default_factory=list)
-    fenced: bool = True  # claims below the binding's number are refused
+    fenced: bool = True  # claims below the binding's fencing number are refused
 
     def write(
-        self, now: float, key: Key, expect: int, value: Binding
+        self, now: float, key: Key, expected_fencing_number: int, binding: Binding
     ) -> tuple[RegisterVerdict, Binding | None]:
-        held = self.bindings.get(key)
-        if (held.fencing_number if held is not None else 0) != expect:
-            return RegisterVerdict.LOST, held
-        self.bindings[key] = value
-        self.history.append((now, value))
-        return RegisterVerdict.WON, value
+        current = self.bindings.get(key)
+        if (current.fencing_number if current is not None else 0) != expected_fencing_number:
+            return RegisterVerdict.LOST, current
+        self.bindings[key] = binding
+        self.history.append((now, binding))
+        return RegisterVerdict.WON, binding
 
     def claim(self, key: Key, claim: Claim) -> tuple[str, int]:
-        """`won`, `refused` with the number that stands there, or `running` if another has it."""
-        held = self.bindings.get(key)
-        if self.fenced and held is not None and claim.number < held.fencing_number:
-            return "refused", held.fencing_number
+        """Return `won`, `refused` with the stored fencing number, or `known` if the key has a claim."""
+        binding = self.bindings.get(key)
+        if self.fenced and binding is not None and claim.fencing_number < binding.fencing_number:
+            return "refused", binding.fencing_number
         if claim.idempotency_key in self.claims:
             return "known", 0
         self.claims[claim.idempotency_key] = claim
         return "won", 0
 
-    def free(self, claim: Claim) -> None:
-        """By its owner, who knows that it did not run."""
+    def release(self, claim: Claim) -> None:
+        """Release a claim whose owner has not run the request."""
         if self.claims.get(claim.idempotency_key) == claim:
             del self.claims[claim.idempotency_key]
 
 
 @dataclass
 class Run:
-    """A keyed run under way, as an onlooker sees it."""
+    """A keyed run in progress."""
 
-    at: str
+    server: str
     key: Key
     idempotency_key: str
-    number: int
-    since: float
-    passed: bool = False  # it goes on as a claim: its owner is gone, or has waited for it long enough
+    fencing_number: int
+    started_at: float
+    orphaned: bool = (
+        False  # runs on as a claim: its server was terminated or removed, or timed out waiting for it
+    )
 
 
 @dataclass
-class Watch:
-    """What must never be. `wrong` names each breach once."""
+class InvariantChecker:
+    """Checks the invariants of keyed runs; `violations` has a text for each violation."""
 
     runs: list[Run] = field(default_factory=list)
-    begun: Counter[str] = field(default_factory=Counter)  # idempotency key -> runs
-    highest: dict[Key, tuple[int, str]] = field(default_factory=dict)
-    wrong: list[str] = field(default_factory=list)
-
-    def begin(self, now: float, run: Run) -> None:
-        self.begun[run.idempotency_key] += 1
-        if self.begun[run.idempotency_key] > 1:
-            self.wrong.append(f"{now:.2f} label {run.idempotency_key} runs a second time, at {run.at}")
-        number, owner = self.highest.get(run.key, (0, run.at))
-        if run.number < number and owner != run.at:
-            self.wrong.append(
-                f"{now:.2f} {run.at} begins {run.idempotency_key} of {run.key} under {run.number}, after "
-                f"{owner} under "
-                f"{number}"
+    run_counts: Counter[str] = field(default_factory=Counter)  # idempotency key -> number of runs
+    highest_fencing: dict[Key, tuple[int, str]] = field(default_factory=dict)  # highest number, its server
+    violations: list[str] = field(default_factory=list)
+
+    def record_start(self, now: float, run: Run) -> None:
+        self.run_counts[run.idempotency_key] += 1
+        if self.run_counts[run.idempotency_key] > 1:
+            self.violations.append(
+                f"{now:.2f} idempotency key {run.idempotency_key} runs a second time, at {run.server}"
             )
-        for one in self.runs:
-            if one.key == run.key and one.at != run.at and not one.passed:
-                self.wrong.append(
-                    f"{now:.2f} {run.at} begins {run.idempotency_key} of {run.key} "
-                    f"while {one.at} runs {one.idempotency_key}"
+        highest_number, owner = self.highest_fencing.get(run.key, (0, run.server))
+        if run.fencing_number < highest_number and owner != run.server:
+            self.violations.append(
+                f"{now:.2f} {run.server} begins {run.idempotency_key} of {run.key} "
+                f"under {run.fencing_number}, after {owner} under {highest_number}"
+            )
+        for active in self.runs:
+            if active.key == run.key and active.server != run.server and not active.orphaned:
+                self.violations.append(
+                    f"{now:.2f} {run.server} begins {run.idempotency_key} of {run.key} "
+                    f"while {active.server} runs {active.idempotency_key}"
                 )
-        if run.number >= number:
-            self.highest[run.key] = (run.number, run.at)
+        if run.fencing_number >= highest_number:
+            self.highest_fencing[run.key] = (run.fencing_number, run.server)
         self.runs.append(run)
 
-    def end(self, at: str, idempotency_key: str) -> None:
-        self.runs = [one for one in self.runs if (one.at, one.idempotency_key) != (at, idempotency_key)]
+    def record_end(self, server: str, idempotency_key: str) -> None:
+        self.runs = [
+            run for run in self.runs if (run.server, run.idempotency_key) != (server, idempotency_key)
+        ]
 
-    def pass_on(self, at: str, key: Key | None = None) -> None:
-        for one in self.runs:
-            if one.at == at and key in (None, one.key):
-                one.passed = True
+    def mark_orphaned(self, server: str, key: Key | None = None) -> None:
+        for run in self.runs:
+            if run.server == server and key in (None, run.key):
+                run.orphaned = True
 
 
 # -- one server
 
 
 @dataclass(frozen=True)
-class Claimed:
-    """The register's answer to a claim that was asked for at `asked`."""
+class ClaimAnswered:
+    """The register's answer to a claim that was requested at `asked_at`."""
 
-    came: RequestArrived
+    arrival: RequestArrived
     claim: Claim
     result: str
-    number: int
-    asked: float
+    fencing_number: int
+    asked_at: float
 
 
 @dataclass(frozen=True)
-class Begin:
-    """Run it now; `claim` None: an idempotent one."""
+class StartRun:
+    """Effect: start the run; `claim` is None for an idempotent request."""
 
-    came: RequestArrived
+    arrival: RequestArrived
     claim: Claim | None
 
 
 @dataclass(frozen=True)
-class Ask:
-    """Claim its idempotency key."""
+class RequestClaim:
+    """Effect: claim the request's idempotency key."""
 
-    came: RequestArrived
+    arrival: RequestArrived
     claim: Claim
 
 
 @dataclass(frozen=True)
-class Free:
-    """It was won, and will not run."""
+class ReleaseClaim:
+    """Effect: release a won claim whose request will not run."""
 
-    came: RequestArrived
+    arrival: RequestArrived
     claim: Claim
 
 
-def idempotency_key_of(came: RequestArrived) -> str:
-    return f"{came.key}-{came.ref}"
+def idempotency_key_of(arrival: RequestArrived) -> str:
+    return f"{arrival.key}-{arrival.ref}"
 
 
 class Server:
-    """Sessions and, beside them, the little that a server does with what they say."""
+    """A server: its sessions, and the claims and runs that follow from their effects."""
 
     def __init__(self, name: str, incarnation: int, settings: AffinitySettings, now: float) -> None:
         self.sessions = Sessions(name, incarnation, settings, now)
@@ -203,108 +209,120 @@
     def wake_at(self) -> float:
         return self.sessions.wake_at
 
-    def step(self, now: float, event: Event | Claimed) -> list[Any]:
-        if isinstance(event, Claimed):
-            return self._claimed(now, event)
+    def step(self, now: float, event: Event | ClaimAnswered) -> list[Any]:
+        if isinstance(event, ClaimAnswered):
+            return self._handle_claim_answer(now, event)
         if isinstance(event, RequestArrived):
             self.requests[event.ref] = event
         if isinstance(event, OwnerUnreachable | RequestReturned):
             self.requests[event.request.ref] = event.request
         if isinstance(event, RequestFinished):
             self.requests.pop(event.ref, None)
-        return self._carry(now, self.sessions.handle_event(now, event))
+        return self._handle_effects(now, self.sessions.handle_event(now, event))
 
-    def _carry(self, now: float, effects: list[Any]) -> list[Any]:
-        out: list[Any] = []
+    def _handle_effects(self, now: float, effects: list[Any]) -> list[Any]:
+        result: list[Any] = []
         for effect in effects:
-            came = self.requests.get(effect.ref) if isinstance(effect, ServeLocally) else None
-            if came is None:
+            arrival = self.requests.get(effect.ref) if isinstance(effect, ServeLocally) else None
+            if arrival is None:
                 if isinstance(effect, RejectRequest | ReturnToForwarder):
                     self.requests.pop(effect.ref, None)
-                out.append(effect)
-            elif came.requires_owner:
-                me = self.sessions
-                out += [
+                result.append(effect)
+            elif arrival.requires_owner:
+                sessions = self.sessions
+                result += [
                     effect,
-                    Ask(
-                        came,
-                        Claim(idempotency_key_of(came), me.node_name, me.incarnation, effect.fencing_number),
+                    RequestClaim(
+                        arrival,
+                        Claim(
+                            idempotency_key_of(arrival),
+                            sessions.node_name,
+                            sessions.incarnation,
+                            effect.fencing_number,
+                        ),
                     ),
                 ]
             else:
-                out += [effect, Begin(came, None)]
-        return out
-
-    def _claimed(self, now: float, said: Claimed) -> list[Any]:
-        came = said.came
-        if came.ref not in self.requests:
-            return [Free(came, said.claim)] if said.result == "won" else []
-        if said.result == "refused":
-            return self._carry(now, self.sessions.handle_event(now, ClaimRefused(came, said.number)))
-        if said.result == "won":
-            if self.sessions.may_begin(now, came.key, said.claim.number, said.asked):
-                return [Begin(came, said.claim)]
-            out: list[Any] = [Free(came, said.claim)]
+                result += [effect, StartRun(arrival, None)]
+        return result
+
+    def _handle_claim_answer(self, now: float, answer: ClaimAnswered) -> list[Any]:
+        arrival = answer.arrival
+        if arrival.ref not in self.requests:
+            return [ReleaseClaim(arrival, answer.claim)] if answer.result == "won" else []
+        if answer.result == "refused":
+            return self._handle_effects(
+                now, self.sessions.handle_event(now, ClaimRefused(arrival, answer.fencing_number))
+            )
+        if answer.result == "won":
+            if self.sessions.may_begin(now, arrival.key, answer.claim.fencing_number, answer.asked_at):
+                return [StartRun(arrival, answer.claim)]
+            effects: list[Any] = [ReleaseClaim(arrival, answer.claim)]
         else:
-            out = []
-        why = DecisionReason.NO_MAJORITY if said.result == "unreachable" else DecisionReason.STALE
-        del self.requests[came.ref]
-        rest = self.sessions.handle_event(now, RequestFinished(came.ref, came.key))
-        return [*out, RejectRequest(came.ref, 0.2, why), *self._carry(now, rest)]
+            effects = []
+        reason = DecisionReason.NO_MAJORITY if answer.result == "unreachable" else DecisionReason.STALE
+        del self.requests[arrival.ref]
+        following_effects = self.sessions.handle_event(now, RequestFinished(arrival.ref, arrival.key))
+        return [
+            *effects,
+            RejectRequest(arrival.ref, 0.2, reason),
+            *self._handle_effects(now, following_effects),
+        ]
 
 
 # -- the fleet
 
-REMOVED_AFTER = 3.0  # seconds without a sign after which the others agree that a member is gone
-ANSWER_WITHIN = 0.3  # a question to the register without an answer is given up then
-LOADS_EVERY = 0.2
-AGREE_EVERY = 0.5  # how often members try to agree, without a majority that could
+REMOVAL_DELAY_S = 3.0  # without contact, after which the others agree to remove a member
+REGISTER_TIMEOUT_S = 0.3
+LOAD_REPORT_INTERVAL_S = 0.2
+AGREEMENT_RETRY_S = 0.5  # interval of attempts to agree on a view while no majority can
 
 
 @dataclass
 class Request:
-    """One as its tenant sees it."""
+    """A request and its outcome."""
 
-    came: RequestArrived
-    at: str  # the server that its router brought it to
-    outcome: str = ""  # completed, rejected or failed
-    why: str = ""
-    ran_at: str = ""
+    arrival: RequestArrived
+    first_server: str  # the server that its router sent it to
+    outcome: str = ""  # "completed", "denied" or "terminated"; empty while open
+    reason: str = ""
+    run_server: str = ""  # the server that ran it; empty if none
     version: int = 0
-    number: int = 0
-    hops: int = 0  # how often it was passed on
-    where: str = ""  # the server that has it now
+    fencing_number: int = 0
+    hops: int = 0  # number of times that it was forwarded
+    current_server: str = ""  # the server that has it now
 
 
-class World:
-    """A fleet of servers under one agreed view, with requests, a register, and faults by name."""
+class SessionCluster:
+    """A simulated fleet of servers under one agreed view, with requests, a register and faults."""
 
     def __init__(
-        self, names: list[str], settings: AffinitySettings, seed: int = 1, warm_up: float = 10.0
+        self, names: list[str], settings: AffinitySettings, seed: int = 1, warm_up_s: float = 10.0
     ) -> None:
-        self.settings, self.warm_up = settings, warm_up
-        self.fleet = SimulatedFleet(MessageReceived, TimerFired(), seed, self._heard)
+        self.settings, self.warm_up_s = settings, warm_up_s
+        self.fleet = SimulatedFleet(MessageReceived, TimerFired(), seed, self._handle_effect)
         self.register = Register(fenced=settings.faulty_variant != "two-owners")
-        self.watch = Watch()
-        self.chance = random.Random(f"{seed}-world")
+        self.checker = InvariantChecker()
+        self.rng = random.Random(f"{seed}-world")
         self.requests: list[Request] = []
-        self.notes: list[tuple[float, str, LogEvent]] = []
+        self.log_events: list[tuple[float, str, LogEvent]] = []
         self.policy = PolicyActivated(1)
         self.warm_since: dict[str, float] = {}
-        self.run_takes: Callable[[], float] = lambda: 0.05
-        self.lose_answers = 0.0  # share of the register's answers that are lost after the action
-        self.no_majority = False
+        self.next_run_duration_s: Callable[[], float] = lambda: 0.05
+        self.answer_loss_share = 0.0  # share of the register's answers that are lost after the action
+        self.register_unavailable = False
         self.draining: set[str] = set()
         self.down: set[str] = set()
-        self.dead: dict[str, int] = {}  # the last self of each that died, as the fleet agrees
-        self._lives: Counter[str] = Counter()
+        # The last incarnation of each terminated server, by name; views list them as facts.
+        self.terminated_incarnations: dict[str, int] = {}
+        self._incarnations: Counter[str] = Counter()
         self.view = View(1, tuple(Member(name, f"at-{name}", incarnation=1) for name in sorted(names)))
         self.views = [self.view]
         for name in names:
-            self._lives[name] = 1
+            self._incarnations[name] = 1
             self.warm_since[name] = -inf
             self._start(name)
-        self.fleet.later(LOADS_EVERY, self._loads)
+        self.fleet.later(LOAD_REPORT_INTERVAL_S, self._report_loads)
         self.run(0.5)
 
     # -- members
@@ -322,331 +340,372 @@
         return sorted(self.fleet.cores)
 
     def _start(self, name: str) -> None:
-        incarnation = self._lives[name]
+        incarnation = self._incarnations[name]
         self.fleet.add(name, lambda now: Server(name, incarnation, self.settings, now))
         self.down.discard(name)
         self.draining.discard(name)
-        self._tell_all()
+        self._send_state_to_all()
 
     def start(self, name: str) -> None:
-        """A server comes (back), cold, and is taken into the view."""
-        self._lives[name] += 1
+        """Start or restart a server, cold, and admit it to the view."""
+        self._incarnations[name] += 1
         self.warm_since[name] = self.fleet.now
         self._start(name)
-        self._let_in(name, self._lives[name])
+        self._admit(name, self._incarnations[name])
 
-    def _let_in(self, name: str, life: int) -> None:
-        """Once a majority of the view is there to agree; that life of it, if it lasts until then."""
-        if name not in self.fleet.cores or self._lives[name] != life:
+    def _admit(self, name: str, incarnation: int) -> None:
+        """Admit a server to the view once a majority can agree, if this incarnation is still running."""
+        if name not in self.fleet.cores or self._incarnations[name] != incarnation:
             return
         if not self._can_agree():
-            return self.fleet.later(AGREE_EVERY, lambda: self._let_in(name, life))
-        others = [one for one in self.view.members if one.name != name]
-        self._agree([*others, Member(name, f"at-{name}", incarnation=life)])
+            return self.fleet.later(AGREEMENT_RETRY_S, lambda: self._admit(name, incarnation))
+        others = [member for member in self.view.members if member.name != name]
+        self._install_view([*others, Member(name, f"at-{name}", incarnation=incarnation)])
         return None
 
     def _can_agree(self) -> bool:
-        """Whether someone in the view is awake and speaks with a majority of it: else no view follows."""
+        """Whether a running member of the view reaches a majority of it; a new view requires this."""
         now, paused = self.fleet.now, self.fleet.paused
-        awake = [one for one in self.view.names if one in self.fleet.cores and paused.get(one, 0.0) <= now]
-        return any(self._speaks(one) for one in awake)
+        awake = [
+            member
+            for member in self.view.names
+            if member in self.fleet.cores and paused.get(member, 0.0) <= now
+        ]
+        return any(self._reaches_majority(member) for member in awake)
 
     def kill(self, name: str) -> None:
-        """SIGKILL. The others agree that it is gone a little later."""
+        """Kill a server as with SIGKILL; the others remove it after `REMOVAL_DELAY_S`."""
         for request in self.requests:
-            if request.where == name and not request.outcome:
-                self._lost_with(request, name)
+            if request.current_server == name and not request.outcome:
+                self._handle_server_loss(request, name)
         self.fleet.crash(name)
-        self.watch.pass_on(name)
+        self.checker.mark_orphaned(name)
         self.down.add(name)
-        self.dead[name] = self._lives[name]
-        self.fleet.later(REMOVED_AFTER, lambda: self._remove_if(lambda one: one in self.down, name))
+        self.terminated_incarnations[name] = self._incarnations[name]
+        self.fleet.later(REMOVAL_DELAY_S, lambda: self._remove_if(lambda member: member in self.down, name))
 
-    def pause(self, name: str, span: float) -> None:
-        """SIGSTOP for so long. Past the suspicion the others take it out; when it wakes it asks in again."""
-        self.fleet.pause(name, span)
-        if span > REMOVED_AFTER:
+    def pause(self, name: str, duration_s: float) -> None:
+        """Pause a server as with SIGSTOP; after `REMOVAL_DELAY_S` it is removed, and rejoins when resumed."""
+        self.fleet.pause(name, duration_s)
+        if duration_s > REMOVAL_DELAY_S:
             self.fleet.later(
-                REMOVED_AFTER,
-                lambda: self._remove_if(lambda one: self.fleet.paused.get(one, 0.0) > self.fleet.now, name),
+                REMOVAL_DELAY_S,
+                lambda: self._remove_if(
+                    lambda member: self.fleet.paused.get(member, 0.0) > self.fleet.now, name
+                ),
             )
-            self.fleet.later(span + 1.0, lambda: self._again(name))
+            self.fleet.later(duration_s + 1.0, lambda: self._rejoin(name))
 
-    def _again(self, name: str) -> None:
+    def _rejoin(self, name: str) -> None:
         if name in self.fleet.cores and name not in self.view:
-            self._lives[name] += 1
-            self._let_in(name, self._lives[name])
+            self._incarnations[name] += 1
+            self._admit(name, self._incarnations[name])
 
-    def leave(self, name: str, grace: float) -> None:
-        """SIGTERM: it drains for its grace, says that it leaves, and is gone."""
+    def leave(self, name: str, grace_s: float) -> None:
+        """Stop a server as with SIGTERM: it drains for its grace period, then terminates and is removed."""
         self.draining.add(name)
-        self._loads(again=False)
-        self.fleet.tell(name, DrainStarted(grace))
+        self._report_loads(repeat=False)
+        self.fleet.tell(name, DrainStarted(grace_s))
 
-        def gone() -> None:
+        def terminate() -> None:
             if name in self.fleet.cores:
                 for request in self.requests:
-                    if request.where == name and not request.outcome:
-                        self._lost_with(request, name)
+                    if request.current_server == name and not request.outcome:
+                        self._handle_server_loss(request, name)
                 self.fleet.crash(name)
-                self.watch.pass_on(name)
+                self.checker.mark_orphaned(name)
                 self.down.add(name)
-                self.dead[name] = self._lives[name]
-                self._remove_if(lambda one: one in self.down, name)
+                self.terminated_incarnations[name] = self._incarnations[name]
+                self._remove_if(lambda member: member in self.down, name)
+
+        self.fleet.later(grace_s, terminate)
 
-        self.fleet.later(grace, gone)
+    def isolate(self, names: list[str], permanent: bool = True) -> None:
+        """Cut the links between these servers and the others.
 
-    def cut_off(self, names: list[str], for_good: bool = True) -> None:
-        """Nobody else hears these or is heard; those without a majority are taken out if it stays so."""
-        others = [one for one in self.view.names if one not in names]
+        If `permanent`, the side without a majority is removed after `REMOVAL_DELAY_S`.
+        """
+        others = [member for member in self.view.names if member not in names]
         self.fleet.cut(names, others)
-        few = names if len(names) * 2 < len(self.view.names) else others
-        if for_good and len(few) * 2 < len(self.view.names):
-            for name in few:
+        minority = names if len(names) * 2 < len(self.view.names) else others
+        if permanent and len(minority) * 2 < len(self.view.names):
+            for name in minority:
                 self.fleet.later(
-                    REMOVED_AFTER,
+                    REMOVAL_DELAY_S,
                     lambda name=name: self._remove_if(  # type: ignore[misc]
-                        lambda one: not self.reaches(one), name
+                        lambda member: not self.reaches_register(member), name
                     ),
                 )
 
     def heal(self) -> None:
-        """All links are whole; who was taken out asks in again."""
+        """Restore all links; removed servers rejoin."""
         self.fleet.heal()
-        self._tell_all()
+        self._send_state_to_all()
         for name in self.alive:
             if name not in self.view:
-                self.fleet.later(0.5, lambda name=name: self._again(name))  # type: ignore[misc]
+                self.fleet.later(0.5, lambda name=name: self._rejoin(name))  # type: ignore[misc]
 
-    def _remove_if(self, gone: Callable[[str], bool], name: str) -> None:
-        if name not in self.view or not gone(name):
+    def _remove_if(self, is_gone: Callable[[str], bool], name: str) -> None:
+        if name not in self.view or not is_gone(name):
             return
         if not self._can_agree():
-            return self.fleet.later(AGREE_EVERY, lambda: self._remove_if(gone, name))
-        self._agree([one for one in self.view.members if one.name != name])
+            return self.fleet.later(AGREEMENT_RETRY_S, lambda: self._remove_if(is_gone, name))
+        self._install_view([member for member in self.view.members if member.name != name])
         return None
 
-    def _agree(self, members: list[Member]) -> None:
-        facts = tuple(Fact(f"gone/{name}", str(life)) for name, life in sorted(self.dead.items()))
+    def _install_view(self, members: list[Member]) -> None:
+        facts = tuple(
+            Fact(f"gone/{name}", str(incarnation))
+            for name, incarnation in sorted(self.terminated_incarnations.items())
+        )
         self.view = View(self.view.epoch + 1, tuple(sorted(members)), facts)
         self.views.append(self.view)
-        for name in self._lives:
-            mine = self.view.get(name)
-            if mine is None or mine.incarnation != self._lives[name] or name not in self.fleet.cores:
-                self.watch.pass_on(name)
-        self._tell_all()
-
-    def _tell_all(self) -> None:
-        """Each that is not cut off hears of the views, in order, and the policy, each at its own time."""
+        for name in self._incarnations:
+            member = self.view.get(name)
+            if (
+                member is None
+                or member.incarnation != self._incarnations[name]
+                or name not in self.fleet.cores
+            ):
+                self.checker.mark_orphaned(name)
+        self._send_state_to_all()
+
+    def _send_state_to_all(self) -> None:
+        """Send the views and the policy to each server that reaches a majority, after random delays."""
         for name in self.alive:
-            if self._speaks(name):
-                self.fleet.later(self.chance.uniform(0.005, 0.05), lambda name=name: self._tell(name))  # type: ignore[misc]
+            if self._reaches_majority(name):
+                self.fleet.later(self.rng.uniform(0.005, 0.05), lambda name=name: self._send_state(name))  # type: ignore[misc]
 
-    def _tell(self, name: str) -> None:
+    def _send_state(self, name: str) -> None:
         if name not in self.fleet.cores:
             return
-        held = self.sessions(name).view
+        current_view = self.sessions(name).view
         for view in self.views:
-            if held is None or view.epoch > held.epoch:
+            if current_view is None or view.epoch > current_view.epoch:
                 self.fleet.tell(name, ViewChanged(view))
         self.fleet.tell(name, self.policy)
 
-    def _loads(self, again: bool = True) -> None:
+    def _report_loads(self, repeat: bool = True) -> None:
         now, loads = self.fleet.now, dict[str, ServerLoad]()
         for name in self.alive:
-            warmth = min(1.0, 0.1 + 0.9 * (now - self.warm_since[name]) / self.warm_up)
+            warmth = min(1.0, 0.1 + 0.9 * (now - self.warm_since[name]) / self.warm_up_s)
             weight = 0.0 if name in self.draining else 1.0
             loads[name] = ServerLoad(len(self.sessions(name).owned), warmth, weight)
         for name in self.alive:
-            if self._speaks(name):
+            if self._reaches_majority(name):
                 self.fleet.tell(name, LoadsReported(loads))
-                held = self.sessions(name).view
-                if again and (held is None or held.epoch < self.view.epoch):  # as membership's sync would
-                    self._tell(name)
-        if again:
-            self.fleet.later(LOADS_EVERY, self._loads)
+                current_view = self.sessions(name).view
+                # Servers with an older view receive the views, as from membership's periodic sync.
+                if repeat and (current_view is None or current_view.epoch < self.view.epoch):
+                    self._send_state(name)
+        if repeat:
+            self.fleet.later(LOAD_REPORT_INTERVAL_S, self._report_loads)
 
     # -- policy
 
-    def bump(
-        self, version: int, able: dict[str, frozenset[str]] | None = None, mandatory: bool = False
+    def activate_policy(
+        self, version: int, capable_servers: dict[str, frozenset[str]] | None = None, mandatory: bool = False
     ) -> None:
-        self.policy = PolicyActivated(version, able or {}, mandatory)
-        self._tell_all()
+        self.policy = PolicyActivated(version, capable_servers or {}, mandatory)
+        self._send_state_to_all()
 
     # -- the register
 
-    def _speaks(self, name: str) -> bool:
-        """Whether it can speak both ways with a majority of the view, itself among them if it is in."""
-        heard = 0
-        for one in self.view.names:
-            if one == name:
-                heard += 1
-            elif one in self.fleet.cores and self.fleet.paused.get(one, 0.0) <= self.fleet.now:
-                heard += not (self.fleet.link(name, one).cut or self.fleet.link(one, name).cut)
-        return heard * 2 > len(self.view.names)
-
-    def reaches(self, name: str) -> bool:
-        if self.no_majority or name not in self.fleet.cores or not self._speaks(name):
+    def _reaches_majority(self, name: str) -> bool:
+        """Whether a server can exchange messages with a majority of the view, itself included if a member."""
+        reachable_count = 0
+        for member in self.view.names:
+            if member == name:
+                reachable_count += 1
+            elif member in self.fleet.cores and self.fleet.paused.get(member, 0.0) <= self.fleet.now:
+                reachable_count += not (
+                    self.fleet.link(name, member).cut or self.fleet.link(member, name).cut
+                )
+        return reachable_count * 2 > len(self.view.names)
+
+    def reaches_register(self, name: str) -> bool:
+        if self.register_unavailable or name not in self.fleet.cores or not self._reaches_majority(name):
             return False
-        held = self.sessions(name).view
-        return held is not None and held.epoch == self.view.epoch and name in held
+        current_view = self.sessions(name).view
+        return current_view is not None and current_view.epoch == self.view.epoch and name in current_view
 
-    def _ask(self, name: str, action: Callable[[], Any], answer: Callable[[Any], Any], lost: Any) -> None:
-        """One question, there and back; `action` is done at the register, its answer told as an event."""
+    def _query_register(
+        self, name: str, operation: Callable[[], Any], make_event: Callable[[Any], Any], lost_event: Any
+    ) -> None:
+        """Send a query to the register.
+
+        `operation` is carried out at the register; `make_event` makes its result the event of the answer, and
+        `lost_event` is sent if there is none.
+        """
 
-        until = self.fleet.now + ANSWER_WITHIN
+        deadline = self.fleet.now + REGISTER_TIMEOUT_S
 
         def arrive() -> None:
-            if not self.reaches(name):
-                if self.fleet.now < until:  # it asks again, as a view may be on its way
+            if not self.reaches_register(name):
+                if self.fleet.now < deadline:  # retries, as a view may be in flight
                     return self.fleet.later(0.05, arrive)
-                return self.fleet.tell(name, lost)
-            said = action()
-            if self.chance.random() < self.lose_answers:
-                return self.fleet.later(ANSWER_WITHIN, lambda: self.fleet.tell(name, lost))
+                return self.fleet.tell(name, lost_event)
+            result = operation()
+            if self.rng.random() < self.answer_loss_share:
+                return self.fleet.later(REGISTER_TIMEOUT_S, lambda: self.fleet.tell(name, lost_event))
             return self.fleet.later(
-                self.chance.uniform(0.002, 0.01), lambda: self.fleet.tell(name, answer(said))
+                self.rng.uniform(0.002, 0.01), lambda: self.fleet.tell(name, make_event(result))
             )
 
-        self.fleet.later(self.chance.uniform(0.002, 0.01), arrive)
+        self.fleet.later(self.rng.uniform(0.002, 0.01), arrive)
 
-    # -- what servers do
+    # -- effects of servers
 
-    def _heard(self, now: float, name: str, effect: Any) -> None:
+    def _handle_effect(self, now: float, name: str, effect: Any) -> None:
         register = self.register
         match effect:
-            case WriteBinding(ref, key, expect, value, _):
-                self._ask(
+            case WriteBinding(ref, key, expected_number, new_binding, _):
+                self._query_register(
                     name,
-                    lambda: register.write(self.fleet.now, key, expect, value),
-                    lambda said: RegisterAnswered(ref, *said),
+                    lambda: register.write(self.fleet.now, key, expected_number, new_binding),
+                    lambda result: RegisterAnswered(ref, *result),
                     RegisterAnswered(ref, RegisterVerdict.UNREACHABLE),
                 )
             case ReadBinding(ref, key):
-                self._ask(
+                self._query_register(
                     name,
                     lambda: register.bindings.get(key),
-                    lambda held: RegisterAnswered(ref, RegisterVerdict.WON, held),
+                    lambda binding: RegisterAnswered(ref, RegisterVerdict.WON, binding),
                     RegisterAnswered(ref, RegisterVerdict.UNREACHABLE),
                 )
-            case Ask(came, asked):
-                self._ask(
+            case RequestClaim(arrival, requested_claim):
+                self._query_register(
                     name,
-                    lambda: register.claim(came.key, asked),
-                    lambda said: Claimed(came, asked, said[0], said[1], now),
-                    Claimed(came, asked, "unreachable", 0, now),
+                    lambda: register.claim(arrival.key, requested_claim),
+                    lambda result: ClaimAnswered(arrival, requested_claim, result[0], result[1], now),
+                    ClaimAnswered(arrival, requested_claim, "unreachable", 0, now),
                 )
-            case Free(_, won):
-                self.fleet.later(0.005, lambda: register.free(won))
-            case ServeLocally(ref, number, version, why):
+            case ReleaseClaim(_, released_claim):
+                self.fleet.later(0.005, lambda: register.release(released_claim))
+            case ServeLocally(ref, number, version, reason):
                 request = self.requests[ref]
-                request.where, request.why, request.version, request.number = name, why.value, version, number
-            case ForwardToOwner(ref, to):
-                self._pass(name, ref, to)
+                request.current_server, request.reason, request.version, request.fencing_number = (
+                    name,
+                    reason.value,
+                    version,
+                    number,
+                )
+            case ForwardToOwner(ref, receiver):
+                self._forward(name, ref, receiver)
             case ReturnToForwarder(ref, sender, binding):
-                self._back(ref, sender, binding)
-            case RejectRequest(ref, _, why):
-                self._decide(ref, "denied", why.value)
-            case Begin(came, claim):
-                self._begin(now, name, came, claim)
+                self._return_request(ref, sender, binding)
+            case RejectRequest(ref, _, reason):
+                self._set_outcome(ref, "denied", reason.value)
+            case StartRun(arrival, claim):
+                self._start_run(now, name, arrival, claim)
             case LogEvent():
-                self.notes.append((now, name, effect))
+                self.log_events.append((now, name, effect))
         if name in self.fleet.cores:
-            for passed, held in self.sessions(name).owned.items():
-                if held.phase is OwnershipPhase.AWAITING_SUCCESSOR and held.open_refs:
-                    self.watch.pass_on(name, passed)
+            for session_key, owned in self.sessions(name).owned.items():
+                if owned.phase is OwnershipPhase.AWAITING_SUCCESSOR and owned.open_refs:
+                    self.checker.mark_orphaned(name, session_key)
 
-    def _begin(self, now: float, name: str, came: RequestArrived, claim: Claim | None) -> None:
-        request = self.requests[came.ref]
-        request.ran_at = name
+    def _start_run(self, now: float, name: str, arrival: RequestArrived, claim: Claim | None) -> None:
+        request = self.requests[arrival.ref]
+        request.run_server = name
         if claim is not None:
-            self.watch.begin(now, Run(name, came.key, claim.idempotency_key, claim.number, now))
-        life = self._lives[name]
+            self.checker.record_start(
+                now, Run(name, arrival.key, claim.idempotency_key, claim.fencing_number, now)
+            )
+        incarnation = self._incarnations[name]
 
-        def end() -> None:
+        def finish() -> None:
             if claim is not None:
-                self.watch.end(name, claim.idempotency_key)
-            if self._lives[name] == life or name in self.fleet.cores:
-                self._decide(came.ref, "completed")
-                self.fleet.tell(name, RequestFinished(came.ref, came.key))
+                self.checker.record_end(name, claim.idempotency_key)
+            if self._incarnations[name] == incarnation or name in self.fleet.cores:
+                self._set_outcome(arrival.ref, "completed")
+                self.fleet.tell(name, RequestFinished(arrival.ref, arrival.key))
 
-        self.fleet.later(self.run_takes(), end)
+        self.fleet.later(self.next_run_duration_s(), finish)
 
-    def _back(self, ref: int, sender: str, binding: Binding) -> None:
-        """Over the same way that it came; if that is cut, its sender finds its time up."""
+    def _return_request(self, ref: int, sender: str, binding: Binding) -> None:
+        """Return a forwarded request to its sender; fails it if the sender was terminated."""
         request = self.requests[ref]
-        said = RequestReturned(replace(request.came, was_returned=request.hops > 1), binding)
+        event = RequestReturned(replace(request.arrival, was_returned=request.hops > 1), binding)
         if sender not in self.fleet.cores:
-            return self._decide(ref, "terminated", "lost")
-        request.where = sender
-        self.fleet.later(self.chance.uniform(0.001, 0.003), lambda: self.fleet.tell(sender, said))
+            return self._set_outcome(ref, "terminated", "lost")
+        request.current_server = sender
+        self.fleet.later(self.rng.uniform(0.001, 0.003), lambda: self.fleet.tell(sender, event))
         return None
 
-    def _pass(self, name: str, ref: int, to: str) -> None:
+    def _forward(self, name: str, ref: int, receiver: str) -> None:
         request = self.requests[ref]
         request.hops += 1
-        came = RequestArrived(ref, request.came.key, request.came.idempotency, request.came.flow, name)
-        broken = to not in self.fleet.cores or self.fleet.link(name, to).cut or self.fleet.link(to, name).cut
-        if broken:
-            request.where = name
-            self.fleet.later(0.05, lambda: self.fleet.tell(name, OwnerUnreachable(request.came, to)))
+        arrival = RequestArrived(
+            ref, request.arrival.key, request.arrival.idempotency, request.arrival.flow, name
+        )
+        is_disconnected = (
+            receiver not in self.fleet.cores
+            or self.fleet.link(name, receiver).cut
+            or self.fleet.link(receiver, name).cut
+        )
+        if is_disconnected:
+            request.current_server = name
+            self.fleet.later(0.05, lambda: self.fleet.tell(name, OwnerUnreachable(request.arrival, receiver)))
             return
-        request.where = to
-        self.fleet.later(self.chance.uniform(0.001, 0.003), lambda: self.fleet.tell(to, came))
-
-    def _lost_with(self, request: Request, name: str) -> None:
-        """Its server is gone. What only passed through it is known again where it came from."""
-        ran = idempotency_key_of(request.came) in self.register.claims
-        if request.at == name or request.at not in self.fleet.cores or ran:
-            return self._decide(request.came.ref, "terminated", "lost")  # it may have run: no second run
-        request.where, back = request.at, request.at
-        self.fleet.later(0.05, lambda: self.fleet.tell(back, OwnerUnreachable(request.came, name)))
+        request.current_server = receiver
+        self.fleet.later(self.rng.uniform(0.001, 0.003), lambda: self.fleet.tell(receiver, arrival))
+
+    def _handle_server_loss(self, request: Request, name: str) -> None:
+        """Fail a lost server's request, or return it to its first server if it can't have run."""
+        was_claimed = idempotency_key_of(request.arrival) in self.register.claims
+        if request.first_server == name or request.first_server not in self.fleet.cores or was_claimed:
+            # The request may have run, so it is not run a second time.
+            return self._set_outcome(request.arrival.ref, "terminated", "lost")
+        request.current_server, first_server = request.first_server, request.first_server
+        self.fleet.later(0.05, lambda: self.fleet.tell(first_server, OwnerUnreachable(request.arrival, name)))
         return None
 
-    def _decide(self, ref: int, outcome: str, why: str = "") -> None:
+    def _set_outcome(self, ref: int, outcome: str, reason: str = "") -> None:
         request = self.requests[ref]
         if not request.outcome:
-            request.outcome, request.why = outcome, why or request.why
+            request.outcome, request.reason = outcome, reason or request.reason
 
     # -- requests
 
-    def bring(
-        self, at: str, key: Key, idempotency: Idempotency = Idempotency.IDEMPOTENT, flow: str = ""
+    def submit(
+        self, server: str, key: Key, idempotency: Idempotency = Idempotency.IDEMPOTENT, flow: str = ""
     ) -> Request:
-        """A router brings a request to one server; each keyed one has an idempotency key of its own."""
-        request = Request(RequestArrived(len(self.requests), key, idempotency, flow), at, where=at)
+        """Send a request to a server; each keyed request has its own idempotency key."""
+        request = Request(
+            RequestArrived(len(self.requests), key, idempotency, flow), server, current_server=server
+        )
         self.requests.append(request)
-        if at not in self.fleet.cores:
-            request.outcome, request.why = "terminated", "nobody there"
+        if server not in self.fleet.cores:
+            request.outcome, request.reason = "terminated", "nobody there"
         else:
-            self.fleet.tell(at, request.came)
+            self.fleet.tell(server, request.arrival)
         return request
 
-    def run(self, span: float) -> None:
-        self.fleet.run(span)
+    def run(self, duration_s: float) -> None:
+        self.fleet.run(duration_s)
 
-    # -- what an onlooker sees
+    # -- observation
 
     def owner(self, key: Key) -> str:
-        """As the register holds it; empty if nobody's."""
-        held = self.register.bindings.get(key)
-        return held.owner if held is not None and held.state is not BindingState.ENDED else ""
+        """Return the session's owner according to the register; empty if it has none."""
+        binding = self.register.bindings.get(key)
+        return binding.owner if binding is not None and binding.state is not BindingState.ENDED else ""
 
-    def moves(self, since: float = 0.0) -> list[tuple[float, Key, str, str]]:
-        """Changes of owner in the register's history: when, which, from, to."""
+    def migrations(self, since: float = 0.0) -> list[tuple[float, Key, str, str]]:
+        """Return the changes of owner in the register's history as (time, session, from, to)."""
         owners: dict[Key, str] = {}
-        found = []
+        result = []
         for when, binding in self.register.history:
-            before = owners.get(binding.key, "")
+            previous_owner = owners.get(binding.key, "")
             if binding.state is BindingState.ENDED:
                 owners[binding.key] = ""
                 continue
-            if before and binding.owner != before and when >= since:
-                found.append((when, binding.key, before, binding.owner))
+            if previous_owner and binding.owner != previous_owner and when >= since:
+                result.append((when, binding.key, previous_owner, binding.owner))
             owners[binding.key] = binding.owner
-        return found
+        return result
 
-    def count(self, what: str) -> int:
-        """Over all servers that live."""
-        return sum(self.sessions(name).counts[what] for name in self.alive)
+    def count(self, counter: str) -> int:
+        """Return the sum of a counter over all running servers."""
+        return sum(self.sessions(name).counts[counter] for name in self.alive)
--- a/sablewheel/experiments/affinity_replicas.py
+++ b/sablewheel/experiments/affinity_replicas.py
@@ -1,7 +1,7 @@
-"""The fleet of `affinity_fleet` on real replicas: each server is a holder too, and the register is the fleet.
+"""The fleet of `affinity_fleet` with real replicas: each server has one, and together they are the register.
 
-Nothing stands in for the register here: bindings and claims are rounds between the members' replicas, over
-the same links, with the same losses, pauses and views as all else.
+Bindings and claims are decided by the members' replicas over the same simulated links, with the same losses,
+pauses and views as all other messages.
 """
 
 from __future__ import annotations
@@ -31,168 +31,178 @@
     ViewChanged,
 )
 from ..session_affinity.plan import AffinitySettings
-from .affinity_fleet import Ask, Begin, Claim, Claimed, Free, Server, World
+from .affinity_fleet import Claim, ClaimAnswered, ReleaseClaim, RequestClaim, Server, SessionCluster, StartRun
 
-LIFE = 6.0  # seconds that idempotency keys count
-REPLICAS = ReplicaSettings(max_lifetime_s=8.0, slots=64, waits_after_cold_start=False, repair_interval_s=0.5)
+KEY_LIFETIME_S = 6.0  # lifetime of claims
+REPLICA_SETTINGS = ReplicaSettings(
+    max_lifetime_s=8.0, slots=64, waits_after_cold_start=False, repair_interval_s=0.5
+)
 
 
 @dataclass(frozen=True)
-class Said:
-    """A replica's message, beside those of sessions."""
+class ReplicaMessage:
+    """A message between replicas, as distinct from messages between sessions."""
 
     message: wire.Message
 
 
 @dataclass(frozen=True)
-class SendSaid:
+class SendReplicaMessage:
     to: str
-    message: Said
+    message: ReplicaMessage
 
 
 @dataclass(frozen=True)
-class Seen:
-    """For the onlooker: this binding stands."""
+class BindingObserved:
+    """Effect: a replica reported this stored binding; recorded for the invariant checks."""
 
     binding: Binding
 
 
 class ReplicaServer(Server):
-    """A server whose register is the fleet's replicas, its own among them."""
+    """A server whose register is the replicas of all servers, its own included."""
 
     def __init__(
         self, name: str, incarnation: int, settings: AffinitySettings, seed: int, now: float
     ) -> None:
         super().__init__(name, incarnation, settings, now)
-        replicas = ReplicaSettings(
-            **{**REPLICAS.__dict__, "max_binding_lifetime_s": settings.binding_lifetime_s}
+        replica_settings = ReplicaSettings(
+            **{**REPLICA_SETTINGS.__dict__, "max_binding_lifetime_s": settings.binding_lifetime_s}
         )
-        chance = random.Random(f"{seed}-{name}-{incarnation}")
-        self.replica = Replica(name, incarnation, replicas, chance, now)
-        self._refs = 0
-        self._questions: dict[int, WriteBinding | ReadBinding] = {}
-        self._claims: dict[int, tuple[Ask, float]] = {}
-        self._won: dict[bytes, int] = {}  # idempotency keys whose runs are open, by their requests
+        rng = random.Random(f"{seed}-{name}-{incarnation}")
+        self.replica = Replica(name, incarnation, replica_settings, rng, now)
+        self._last_ref = 0
+        self._register_queries: dict[int, WriteBinding | ReadBinding] = {}
+        self._pending_claims: dict[int, tuple[RequestClaim, float]] = {}
+        self._open_runs: dict[bytes, int] = {}  # idempotency keys of runs in progress -> request refs
 
     @property
     def wake_at(self) -> float:
         return min(self.sessions.wake_at, self.replica.wake_at)
 
-    def step(self, now: float, event: Event | Claimed) -> list[Any]:
-        out: list[Any] = []
+    def step(self, now: float, event: Event | ClaimAnswered) -> list[Any]:
+        effects: list[Any] = []
         match event:
-            case MessageReceived(sender, Said(message)):
-                return self._replied(now, self.replica.step(now, wire.MessageReceived(sender, message)))
+            case MessageReceived(sender, ReplicaMessage(message)):
+                return self._handle_replica_effects(
+                    now, self.replica.step(now, wire.MessageReceived(sender, message))
+                )
             case ViewChanged(view):
-                gone = tuple(
-                    (one.key.removeprefix(REMOVED_FACT_PREFIX), int(one.value)) for one in view.facts
+                removed = tuple(
+                    (fact.key.removeprefix(REMOVED_FACT_PREFIX), int(fact.value)) for fact in view.facts
                 )
-                viewed = wire.ViewInstalled(view.epoch, _sites(view), gone)
-                out += self._replied(now, self.replica.step(now, viewed))
+                view_installed = wire.ViewInstalled(view.epoch, _sites(view), removed)
+                effects += self._handle_replica_effects(now, self.replica.step(now, view_installed))
             case TimerFired():
-                out += self._replied(now, self.replica.step(now, wire.Tick()))
+                effects += self._handle_replica_effects(now, self.replica.step(now, wire.Tick()))
             case RequestFinished(ref, key):
                 idempotency_key = f"{key}-{ref}".encode()
-                if self._won.pop(idempotency_key, None) is not None:
-                    out += self._replied(
+                if self._open_runs.pop(idempotency_key, None) is not None:
+                    effects += self._handle_replica_effects(
                         now,
                         self.replica.step(
                             now, wire.CompleteClaim(idempotency_key, OutcomeStatus.SUCCEEDED, b"")
                         ),
                     )
-        return out + self._asked(now, super().step(now, event))
+        return effects + self._handle_session_effects(now, super().step(now, event))
 
-    def _asked(self, now: float, effects: list[Any]) -> list[Any]:
-        """What goes to the register goes to the replica here."""
-        out: list[Any] = []
+    def _handle_session_effects(self, now: float, effects: list[Any]) -> list[Any]:
+        """Pass the queries for the register to this server's replica."""
+        result: list[Any] = []
         for effect in effects:
-            self._refs += 1
+            self._last_ref += 1
             match effect:
-                case WriteBinding(_, key, expect, value, life):
-                    self._questions[self._refs] = effect
-                    asked = wire.Write(
-                        self._refs,
+                case WriteBinding(_, key, expected_number, binding, lifetime_s):
+                    self._register_queries[self._last_ref] = effect
+                    write = wire.Write(
+                        self._last_ref,
                         SESSIONS,
                         key.encode(),
-                        expect,
-                        encode_binding(value),
-                        life,
-                        value.fencing_number,
+                        expected_number,
+                        encode_binding(binding),
+                        lifetime_s,
+                        binding.fencing_number,
                     )
-                    out += self._replied(now, self.replica.step(now, asked))
+                    result += self._handle_replica_effects(now, self.replica.step(now, write))
                 case ReadBinding(_, key):
-                    self._questions[self._refs] = effect
-                    read = wire.Read(self._refs, SESSIONS, key.encode())
-                    out += self._replied(now, self.replica.step(now, read))
-                case Ask(came, claim):
-                    self._claims[self._refs] = (effect, now)
-                    idempotency_key, group = claim.idempotency_key.encode(), came.key.encode()
-                    claims = wire.Claim(self._refs, idempotency_key, group, LIFE, b"", claim.number)
-                    out += self._replied(now, self.replica.step(now, claims))
-                case Free(_, claim):
-                    self._won.pop(claim.idempotency_key.encode(), None)
-                    out += self._replied(
+                    self._register_queries[self._last_ref] = effect
+                    read = wire.Read(self._last_ref, SESSIONS, key.encode())
+                    result += self._handle_replica_effects(now, self.replica.step(now, read))
+                case RequestClaim(arrival, claim):
+                    self._pending_claims[self._last_ref] = (effect, now)
+                    idempotency_key, group = claim.idempotency_key.encode(), arrival.key.encode()
+                    replica_claim = wire.Claim(
+                        self._last_ref, idempotency_key, group, KEY_LIFETIME_S, b"", claim.fencing_number
+                    )
+                    result += self._handle_replica_effects(now, self.replica.step(now, replica_claim))
+                case ReleaseClaim(_, claim):
+                    self._open_runs.pop(claim.idempotency_key.encode(), None)
+                    result += self._handle_replica_effects(
                         now, self.replica.step(now, wire.ReleaseClaim(claim.idempotency_key.encode()))
                     )
-                case Begin(came, Claim(idempotency_key)):
-                    self._won[idempotency_key.encode()] = came.ref
-                    out.append(effect)
+                case StartRun(arrival, Claim(idempotency_key)):
+                    self._open_runs[idempotency_key.encode()] = arrival.ref
+                    result.append(effect)
                 case _:
-                    out.append(effect)
-        return out
+                    result.append(effect)
+        return result
 
-    def _replied(self, now: float, effects: list[wire.Effect]) -> list[Any]:
-        out: list[Any] = []
+    def _handle_replica_effects(self, now: float, effects: list[wire.Effect]) -> list[Any]:
+        result: list[Any] = []
         for effect in effects:
             match effect:
-                case wire.Send(to, message):
-                    out.append(SendSaid(to, Said(message)))
-                case wire.Answer(ref, result, entry):
-                    out += self._answer(now, ref, result, entry)
-        return out
-
-    def _answer(self, now: float, ref: int, result: str, entry: Entry) -> list[Any]:
-        if ref in self._claims:
-            ask, asked = self._claims.pop(ref)
-            known = {"won": "won", "fenced": "refused", "running": "known", "known": "known"}
-            means = known.get(result, "unreachable")
-            claimed = Claimed(ask.came, ask.claim, means, ask.claim.number + 1, asked)
-            return self._asked(now, super().step(now, claimed))
-        question = self._questions.pop(ref)
-        stands = decode_binding(entry.value, entry.version) if entry.value else None
-        out: list[Any] = [Seen(stands)] if stands is not None and result in ("won", "stale", "read") else []
+                case wire.Send(receiver, message):
+                    result.append(SendReplicaMessage(receiver, ReplicaMessage(message)))
+                case wire.Answer(ref, verdict, entry):
+                    result += self._handle_answer(now, ref, verdict, entry)
+        return result
+
+    def _handle_answer(self, now: float, ref: int, verdict: str, entry: Entry) -> list[Any]:
+        if ref in self._pending_claims:
+            request, asked_at = self._pending_claims.pop(ref)
+            claim_results = {"won": "won", "fenced": "refused", "running": "known", "known": "known"}
+            claim_result = claim_results.get(verdict, "unreachable")
+            claimed = ClaimAnswered(
+                request.arrival, request.claim, claim_result, request.claim.fencing_number + 1, asked_at
+            )
+            return self._handle_session_effects(now, super().step(now, claimed))
+        query = self._register_queries.pop(ref)
+        binding = decode_binding(entry.value, entry.version) if entry.value else None
+        effects: list[Any] = (
+            [BindingObserved(binding)] if binding is not None and verdict in ("won", "stale", "read") else []
+        )
         verdicts = {"won": RegisterVerdict.WON, "read": RegisterVerdict.WON, "stale": RegisterVerdict.LOST}
-        said = RegisterAnswered(question.ref, verdicts.get(result, RegisterVerdict.UNREACHABLE), stands)
-        return out + self._asked(now, super().step(now, said))
+        answer = RegisterAnswered(query.ref, verdicts.get(verdict, RegisterVerdict.UNREACHABLE), binding)
+        return effects + self._handle_session_effects(now, super().step(now, answer))
 
 
-class ReplicaWorld(World):
-    """The same fleet, faults and onlooker, on replicas."""
+class ReplicatedSessionCluster(SessionCluster):
+    """The simulated fleet with the same faults and checks, on real replicas."""
 
     def _start(self, name: str) -> None:
-        incarnation = self._lives[name]
+        incarnation = self._incarnations[name]
         self.fleet.add(
             name, lambda now: ReplicaServer(name, incarnation, self.settings, self.fleet.seed, now)
         )
         self.down.discard(name)
         self.draining.discard(name)
-        self._tell_all()
+        self._send_state_to_all()
 
-    def _heard(self, now: float, name: str, effect: Any) -> None:
-        if not isinstance(effect, Seen):
-            return super()._heard(now, name, effect)
-        held = self.register.bindings.get(effect.binding.key)
-        if held is None or held.fencing_number < effect.binding.fencing_number:
+    def _handle_effect(self, now: float, name: str, effect: Any) -> None:
+        if not isinstance(effect, BindingObserved):
+            return super()._handle_effect(now, name, effect)
+        current = self.register.bindings.get(effect.binding.key)
+        if current is None or current.fencing_number < effect.binding.fencing_number:
             self.register.bindings[effect.binding.key] = effect.binding
             self.register.history.append((now, effect.binding))
         return None
 
-    def _lost_with(self, request: Any, name: str) -> None:
-        """What a dead server had claimed is known to its holders; here to the onlooker."""
-        if request.ran_at == name:
-            return self._decide(request.came.ref, "terminated", "lost")
-        return super()._lost_with(request, name)
+    def _handle_server_loss(self, request: Any, name: str) -> None:
+        """Fail a request that ran on the lost server; the replicas hold its claim."""
+        if request.run_server == name:
+            return self._set_outcome(request.arrival.ref, "terminated", "lost")
+        return super()._handle_server_loss(request, name)
 
 
 def _sites(view: View) -> tuple[Site, ...]:
-    return tuple(Site(one.name, one.incarnation) for one in view.members)
+    return tuple(Site(member.name, member.incarnation) for member in view.members)
--- a/sablewheel/experiments/affinity_server.py
+++ b/sablewheel/experiments/affinity_server.py
@@ -1,8 +1,8 @@
-"""A server whose policy version a trial sets, with affinity as it is or broken on purpose.
+"""A server that takes its policy version from a file, optionally with a faulty variant of affinity.
 
 python -m sablewheel.experiments.affinity_server FILE [VARIANT]
 
-FILE has the version that the fleet is to agree on; each server holds it to be due, as an operator's word.
+FILE has the policy version to activate; each server reports it to the fleet as if it were agreed.
 """
 
 from __future__ import annotations
@@ -18,38 +18,38 @@
 from ..session_affinity import session_router
 from .replaced_parts import announce, replace_part
 
-LOOK_EVERY = 0.1
-FILE, VARIANT = Path(sys.argv[1]), "".join(sys.argv[2:3])
+POLL_INTERVAL_S = 0.1
+VERSION_FILE, VARIANT = Path(sys.argv[1]), "".join(sys.argv[2:3])
 
 
 class VersionFromFileRouter(session_router.SessionRouter):
-    """Looks at the file, and says what is there to membership."""
+    """Polls the version file, and reports its version to membership as a fact."""
 
-    def __init__(self, scheduler: Any, plan: Any, *rest: Any, **more: Any) -> None:
+    def __init__(self, scheduler: Any, plan: Any, *args: Any, **kwargs: Any) -> None:
         settings = dataclasses.replace(plan.settings, faulty_variant=VARIANT)
-        super().__init__(scheduler, dataclasses.replace(plan, settings=settings), *rest, **more)
+        super().__init__(scheduler, dataclasses.replace(plan, settings=settings), *args, **kwargs)
         announce(VARIANT or "version-from-file")
-        if VARIANT == "two-owners":  # the numbers fence nobody either
+        if VARIANT == "two-owners":  # disable fencing by the binding's number as well
             self._replication.group_of = lambda exchange: (
                 exchange.session.encode() or exchange.idempotency_key or b"",
                 0,
             )
         self._version = ""
-        self._look()
+        self._poll_version()
 
-    def _look(self) -> None:
+    def _poll_version(self) -> None:
         version = ""
         with contextlib.suppress(OSError):
-            version = FILE.read_text().strip()
+            version = VERSION_FILE.read_text().strip()
         if version and version != self._version and self._fleet.view is not None:
             self._version = version
             self._fleet.report_fact(Fact(session_router.ACTIVE_VERSION_FACT, f"{version}:"))
         if not self._closed:
-            self._scheduler.after(LOOK_EVERY, self._look)
+            self._scheduler.after(POLL_INTERVAL_S, self._poll_version)
 
 
 if __name__ == "__main__":
-    # The program imports the class from its module when the feature is switched on.
+    # The server imports the class from its module when the feature is enabled.
     replace_part(session_router, "SessionRouter", VersionFromFileRouter)
     sys.argv = sys.argv[:1]
     runpy.run_module("sablewheel", run_name="__main__")
--- a/sablewheel/experiments/affinity_size.py
+++ b/sablewheel/experiments/affinity_size.py
@@ -1,8 +1,8 @@
-"""Affinity past this machine: the same sessions in a fleet in memory, to two hundred members.
+"""Session affinity at larger sizes: a simulated fleet of up to two hundred members.
 
-No process and no clock but a made one. Sessions begin, three policy versions pass, a member is killed and
-comes back cold, another drains; each move is looked for in the register's own history. Beside it, in the same
-run, what hashing modulo N and plain rendezvous hashing without bindings do to the same sessions.
+There are no processes and the clock is simulated. Sessions start, three policy versions are activated, a
+member is killed and restarts cold, and another drains; migrations are read from the register's history. For
+comparison, hashing modulo N and plain rendezvous hashing without bindings are applied to the same sessions.
 """
 
 from __future__ import annotations
@@ -14,156 +14,165 @@
 
 from ..overload.interface import Idempotency
 from ..session_affinity.plan import FAULTY_VARIANTS, AffinitySettings
-from .affinity_fleet import World
+from .affinity_fleet import SessionCluster
 from .result import ExperimentResult
 
 __all__ = ["FAULTY_VARIANTS", "run"]
 
-EACH = 20  # sessions a member
-BUDGET = 2.0  # moves a second, of the whole fleet
-GRACE = 10.0
-RUNS = (0.02, 0.05, 0.3, 2.0)  # seconds that requests run
+SESSIONS_PER_MEMBER = 20  # sessions
+MIGRATIONS_PER_S = 2.0  # of the whole fleet
+GRACE_S = 10.0
+RUN_TIMES_S = (0.02, 0.05, 0.3, 2.0)  # drawn for each request
 
 
-def _mark(text: str) -> int:
+def _hash(text: str) -> int:
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
 def modulo(key: str, names: list[str]) -> str:
-    return names[_mark(key) % len(names)]
+    return names[_hash(key) % len(names)]
 
 
 def rendezvous(key: str, names: list[str]) -> str:
-    return max(names, key=lambda name: _mark(f"{key}|{name}"))
+    return max(names, key=lambda name: _hash(f"{key}|{name}"))
 
 
-class Fleet:
-    """A world and its traffic: each session a request in turn, from any member."""
+class ClusterWorkload:
+    """A simulated fleet and its traffic: the sessions send requests in turn, to random members."""
 
-    def __init__(self, n: int, seed: int, broken: str) -> None:
+    def __init__(self, member_count: int, seed: int, broken: str) -> None:
         settings = AffinitySettings(
-            faulty_variant=broken, idle_timeout_s=600.0, keep_versions=4, migrations_per_s=BUDGET
+            faulty_variant=broken, idle_timeout_s=600.0, keep_versions=4, migrations_per_s=MIGRATIONS_PER_S
         )
-        self.chance = random.Random(f"{seed}-size")
-        self.world = World([f"m{place:03}" for place in range(n)], settings, seed)
-        self.world.run_takes = lambda: self.chance.choice(RUNS)
-        self.keys = [f"session-{place}" for place in range(n * EACH)]
-        self.turn = 0
-
-    def go_on(self, span: float, a_second: float) -> None:
-        """Requests in bursts: two of one session, at two members."""
-        until = self.world.fleet.now + span
-        while self.world.fleet.now < until:
-            key = self.keys[self.turn % len(self.keys)]
-            self.turn += 1
+        self.rng = random.Random(f"{seed}-size")
+        self.cluster = SessionCluster([f"m{index:03}" for index in range(member_count)], settings, seed)
+        self.cluster.next_run_duration_s = lambda: self.rng.choice(RUN_TIMES_S)
+        self.keys = [f"session-{index}" for index in range(member_count * SESSIONS_PER_MEMBER)]
+        self.next_index = 0
+
+    def run_requests(self, duration_s: float, requests_per_s: float) -> None:
+        """Send requests for a time in pairs: two of one session, each to a random member."""
+        until = self.cluster.fleet.now + duration_s
+        while self.cluster.fleet.now < until:
+            key = self.keys[self.next_index % len(self.keys)]
+            self.next_index += 1
             for _ in range(2):
-                idempotency = self.chance.choice([Idempotency.IDEMPOTENT, Idempotency.KEYED])
-                self.world.bring(self.chance.choice(self.world.alive), key, idempotency)
-            self.world.run(2.0 / a_second)
+                idempotency = self.rng.choice([Idempotency.IDEMPOTENT, Idempotency.KEYED])
+                self.cluster.submit(self.rng.choice(self.cluster.alive), key, idempotency)
+            self.cluster.run(2.0 / requests_per_s)
 
     def owners(self) -> dict[str, str]:
-        return {key: self.world.owner(key) for key in self.keys}
+        return {key: self.cluster.owner(key) for key in self.keys}
 
 
-def _burst(times: list[float]) -> int:
-    """The most in any second."""
-    return max((sum(at <= when < at + 1.0 for when in times) for at in times), default=0)
+def _max_per_second(times: list[float]) -> int:
+    """Return the highest number of events within any second."""
+    return max((sum(start <= time < start + 1.0 for time in times) for start in times), default=0)
 
 
 def run(seed: int, quick: bool, broken: str = "") -> ExperimentResult:
     result = ExperimentResult("affinity-size")
-    n = 40 if quick else 200
-    fleet = Fleet(n, seed, broken)
-    world, pace = fleet.world, n * 10.0
-    fleet.go_on(len(fleet.keys) * 2 / pace, pace)
-    world.run(3.0)
-    begun, at = fleet.owners(), world.fleet.now
-    result.check("every session has an owner", all(begun.values()), f"{len(begun)} sessions, {n} members")
-    held = Counter(begun.values())
-    bound = math.ceil(world.settings.load_factor * len(fleet.keys) / n) + 1
-    most = max(held.values())
-    limit = max(bound, world.settings.min_load_bound)
-    good = most <= limit and not world.count("forced")
-    result.check("no owner is above its bound", good, f"{most} of {limit}")
+    member_count = 40 if quick else 200
+    workload = ClusterWorkload(member_count, seed, broken)
+    cluster, rate = workload.cluster, member_count * 10.0
+    workload.run_requests(len(workload.keys) * 2 / rate, rate)
+    cluster.run(3.0)
+    owners, observed_since = workload.owners(), cluster.fleet.now
+    result.check(
+        "every session has an owner", all(owners.values()), f"{len(owners)} sessions, {member_count} members"
+    )
+    session_counts = Counter(owners.values())
+    bound = math.ceil(cluster.settings.load_factor * len(workload.keys) / member_count) + 1
+    max_sessions = max(session_counts.values())
+    limit = max(bound, cluster.settings.min_load_bound)
+    is_ok = max_sessions <= limit and not cluster.count("forced")
+    result.check("no owner is above its bound", is_ok, f"{max_sessions} of {limit}")
 
     for version in (2, 3, 4):
-        world.bump(version)
-        fleet.go_on(2.0, pace)
-    moved = world.moves(at)
-    result.check("over three bumps no session moves", not moved, f"{len(moved)} moved")
-
-    names = sorted(world.alive)
-    dead, at, before = names[n // 2], world.fleet.now, fleet.owners()
-    mine = [key for key, owner in before.items() if owner == dead]
-    world.kill(dead)
-    for _ in range(30):  # its clients do not wait: each tries twice a second
-        fleet.go_on(0.5, pace / 4)
-        for key in mine:
-            world.bring(fleet.chance.choice(world.alive), key, Idempotency.IDEMPOTENT)
-    moved = world.moves(at)
-    others = [one for one in moved if one[2] != dead]
-    good = not others and len(moved) == len(mine) > 0
+        cluster.activate_policy(version)
+        workload.run_requests(2.0, rate)
+    migrations = cluster.migrations(observed_since)
+    result.check("no session migrates over three policy versions", not migrations, f"{len(migrations)} moved")
+
+    servers = sorted(cluster.alive)
+    killed, observed_since, owners_before = servers[member_count // 2], cluster.fleet.now, workload.owners()
+    killed_sessions = [key for key, owner in owners_before.items() if owner == killed]
+    cluster.kill(killed)
+    for _ in range(30):  # clients of its sessions keep sending, two requests a second each
+        workload.run_requests(0.5, rate / 4)
+        for key in killed_sessions:
+            cluster.submit(workload.rng.choice(cluster.alive), key, Idempotency.IDEMPOTENT)
+    migrations = cluster.migrations(observed_since)
+    other_migrations = [migration for migration in migrations if migration[2] != killed]
+    is_ok = not other_migrations and len(migrations) == len(killed_sessions) > 0
     result.check(
-        "one is killed: its sessions move, of the others none",
-        good,
-        f"{len(moved)} of its {len(mine)}, {len(others)} of others",
+        "one server is killed: its sessions migrate, of the others none",
+        is_ok,
+        f"{len(migrations)} of its {len(killed_sessions)}, {len(other_migrations)} of others",
+    )
+    max_rate, rate_limit = (
+        _max_per_second([when for when, *_ in migrations]),
+        MIGRATIONS_PER_S + 4 * math.sqrt(MIGRATIONS_PER_S) + 1,
     )
-    burst, room = _burst([when for when, *_ in moved]), BUDGET + 4 * math.sqrt(BUDGET) + 1
     result.check(
-        "no faster than the budget, by four deviations of turns by chance",
-        burst <= room,
-        f"most in a second {burst} of {room:.0f}",
+        "no faster than the budget, plus four standard deviations",
+        max_rate <= rate_limit,
+        f"most in a second {max_rate} of {rate_limit:.0f}",
     )
 
-    at = world.fleet.now
-    world.start(dead)
-    fleet.go_on(8.0, pace)
-    moved = [one for one in world.moves(at) if one[2] != dead]
-    result.check("it returns cold and takes nothing back", not moved, f"{len(moved)} moved")
-
-    leaver, at = names[n // 3], world.fleet.now
-    theirs = [key for key, owner in fleet.owners().items() if owner == leaver]
-    world.leave(leaver, GRACE)
-    for _ in range(19):  # its clients have keyed work all the while
-        fleet.go_on(0.5, pace / 4)
-        for key in theirs:
-            world.bring(fleet.chance.choice(world.alive), key, Idempotency.KEYED)
-    world.run(0.4)
-    left = len(world.sessions(leaver).owned)
-    others = [one for one in world.moves(at) if one[2] not in (leaver, dead)]
+    observed_since = cluster.fleet.now
+    cluster.start(killed)
+    workload.run_requests(8.0, rate)
+    migrations = [migration for migration in cluster.migrations(observed_since) if migration[2] != killed]
+    result.check("it restarts cold and takes no sessions back", not migrations, f"{len(migrations)} moved")
+
+    drained, observed_since = servers[member_count // 3], cluster.fleet.now
+    drained_sessions = [key for key, owner in workload.owners().items() if owner == drained]
+    cluster.leave(drained, GRACE_S)
+    for _ in range(19):  # clients of its sessions send keyed requests meanwhile
+        workload.run_requests(0.5, rate / 4)
+        for key in drained_sessions:
+            cluster.submit(workload.rng.choice(cluster.alive), key, Idempotency.KEYED)
+    cluster.run(0.4)
+    remaining = len(cluster.sessions(drained).owned)
+    other_migrations = [
+        migration for migration in cluster.migrations(observed_since) if migration[2] not in (drained, killed)
+    ]
     result.check(
-        "one drains: all is handed over in its grace, no other moves",
-        not left and not others,
-        f"{left} left, {len(others)} of others",
+        "one server drains: all its sessions are handed over in its grace period, of the others none",
+        not remaining and not other_migrations,
+        f"{remaining} left, {len(other_migrations)} of others",
     )
-    fleet.go_on(3.0, pace)
-    at = world.fleet.now
-    fleet.go_on(6.0, pace)
-    again = world.moves(at)
+    workload.run_requests(3.0, rate)
+    observed_since = cluster.fleet.now
+    workload.run_requests(6.0, rate)
+    repeated = cluster.migrations(observed_since)
     result.check(
-        "a second run over moves nothing", not [one for one in again if one[2] != dead], f"{len(again)} moved"
+        "repeating the requests migrates no session",
+        not [migration for migration in repeated if migration[2] != killed],
+        f"{len(repeated)} moved",
     )
-    world.run(8.0)
+    cluster.run(8.0)
     result.check(
-        "two owners never ran a session's labelled work",
-        not world.watch.wrong,
-        world.watch.wrong[0] if world.watch.wrong else "",
+        "two owners never ran a session's keyed requests at once",
+        not cluster.checker.violations,
+        cluster.checker.violations[0] if cluster.checker.violations else "",
     )
-    waits = sum(not request.outcome for request in world.requests)
-    result.check("every ticket has its outcome", not waits, f"{len(world.requests)} tickets")
-
-    survivors = [name for name in names if name != dead]
-    for title, place in (("modulo N", modulo), ("plain rendezvous", rendezvous)):
-        there = {key: place(key, names) for key in fleet.keys}
-        less = {key: place(key, survivors) for key in fleet.keys}
-        lost = sum(there[key] != less[key] for key in fleet.keys)
-        result.figures[f"{title}: moved by the death"] = lost
-        result.figures[f"{title}: moved back by the return"] = lost
-        result.figures[f"{title}: most at one"] = max(Counter(there.values()).values())
-    result.figures["ours: moved by the death"] = sum(one == dead for one in before.values())
-    result.figures["ours: moved back by the return"] = len(moved)
-    result.figures["ours: most at one"] = most
-    outcomes = Counter(f"{request.outcome} ({request.why})" for request in world.requests)
-    for name, much in sorted(outcomes.items()):
-        result.figures[name] = much
+    open_count = sum(not request.outcome for request in cluster.requests)
+    result.check("every request has its outcome", not open_count, f"{len(cluster.requests)} requests")
+
+    survivors = [name for name in servers if name != killed]
+    for title, choose_owner in (("modulo N", modulo), ("plain rendezvous", rendezvous)):
+        owners_with_all = {key: choose_owner(key, servers) for key in workload.keys}
+        owners_without = {key: choose_owner(key, survivors) for key in workload.keys}
+        moved_count = sum(owners_with_all[key] != owners_without[key] for key in workload.keys)
+        result.figures[f"{title}: moved by the death"] = moved_count
+        result.figures[f"{title}: moved back by the return"] = moved_count
+        result.figures[f"{title}: most at one"] = max(Counter(owners_with_all.values()).values())
+    result.figures["ours: moved by the death"] = sum(owner == killed for owner in owners_before.values())
+    result.figures["ours: moved back by the return"] = len(migrations)
+    result.figures["ours: most at one"] = max_sessions
+    outcomes = Counter(f"{request.outcome} ({request.reason})" for request in cluster.requests)
+    for name, count in sorted(outcomes.items()):
+        result.figures[name] = count
     return result
--- a/sablewheel/experiments/affinity_storm.py
+++ b/sablewheel/experiments/affinity_storm.py
@@ -1,8 +1,8 @@
-"""A storm of failures over a fleet in memory, drawn by a seed; then calm, in which all must be well.
+"""Random faults in a simulated fleet with session affinity, then a calm period in which it must recover.
 
-Deaths, pauses, cuts to both sides or one, lost and doubled messages, a register without majority or whose
-answers get lost, drains, versions, machines that can run less: one after another, with requests all the
-while.
+The seed selects kills, pauses, cuts in one or both directions, lost and duplicated messages, a register that
+is unavailable or loses its answers, drains, policy versions, and servers that lose a capability. Requests are
+sent throughout.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 
 from ..overload.interface import Idempotency
 from ..session_affinity.plan import AffinitySettings
-from .affinity_fleet import Request, World
+from .affinity_fleet import Request, SessionCluster
 
-SPAN, CALM = 30.0, 14.0  # seconds of storm, and of calm before all is looked at
-KINDS = (
+STORM_S, CALM_S = 30.0, 14.0  # with faults, and without them before the final checks
+FAULTS = (
     "kill",
     "start",
     "pause",
@@ -33,109 +33,119 @@
 
 
 @dataclass
-class Storm:
-    """What one seed came to."""
+class StormResult:
+    """The outcome of one seed."""
 
-    world: World
-    undecided: list[Request]  # requests without an outcome, in the end
-    unserved: list[Request]  # keyed ones of the calm that were rejected, though there was room
-    doubled: list[str]  # sessions that two servers hold, in the end
-    over: list[str]  # servers above their room
+    cluster: SessionCluster
+    open_requests: list[Request]  # without an outcome at the end
+    unserved_requests: list[Request]  # keyed, of the calm period, rejected despite free capacity
+    sessions_with_two_owners: list[str]  # sessions that two servers hold at the end
+    overfull_servers: list[str]  # servers above their session limit
 
     @property
-    def wrong(self) -> list[str]:
-        found = list(self.world.watch.wrong)
-        found += [f"ticket {one.came.ref} has no outcome" for one in self.undecided]
-        found += [f"in calm, ticket {one.came.ref} was denied: {one.why}" for one in self.unserved]
-        found += [f"two servers hold {key}" for key in self.doubled]
-        return found + [f"{name} holds more than it may" for name in self.over]
+    def violations(self) -> list[str]:
+        violations = list(self.cluster.checker.violations)
+        violations += [f"request {request.arrival.ref} has no outcome" for request in self.open_requests]
+        violations += [
+            f"in the calm period, request {request.arrival.ref} was denied: {request.reason}"
+            for request in self.unserved_requests
+        ]
+        violations += [f"two servers hold {key}" for key in self.sessions_with_two_owners]
+        return violations + [f"{name} holds more sessions than its limit" for name in self.overfull_servers]
 
 
-def storm(seed: int, broken: str = "", kind: type[World] = World) -> Storm:
-    chance = random.Random(f"{seed}-storm")
+def run_storm(
+    seed: int, broken: str = "", cluster_type: type[SessionCluster] = SessionCluster
+) -> StormResult:
+    rng = random.Random(f"{seed}-storm")
     settings = AffinitySettings(
         faulty_variant=broken,
-        idle_timeout_s=chance.choice([3.0, 30.0]),
+        idle_timeout_s=rng.choice([3.0, 30.0]),
         keep_versions=2,
         retire_after_s=6.0,
-        migrations_per_s=chance.choice([5.0, 50.0]),
-        handover_timeout_s=chance.choice([0.5, 3.0]),
-        max_sessions=chance.choice([25, 1000]),
+        migrations_per_s=rng.choice([5.0, 50.0]),
+        handover_timeout_s=rng.choice([0.5, 3.0]),
+        max_sessions=rng.choice([25, 1000]),
     )
-    world = kind([f"m{place}" for place in range(chance.choice([3, 5, 7]))], settings, seed)
-    world.run_takes = lambda: chance.choice([0.02, 0.05, 0.5, 1.5])
-    keys = [f"k{place}" for place in range(chance.choice([5, 40]))]
-    until = world.fleet.now + SPAN
-    while world.fleet.now < until:
-        for _ in range(chance.randrange(20, 120)):
-            if world.alive:
-                idempotency = chance.choice([Idempotency.IDEMPOTENT, Idempotency.KEYED])
-                world.bring(chance.choice(world.alive), chance.choice(keys), idempotency)
-            world.run(0.01)
-        _strike(world, chance, chance.choice(KINDS))
-    _calm(world)
-    here = [name for name in world.alive if name in world.view]
-    for key in keys * 2:  # at a pace that the budget bears
-        world.bring(chance.choice(here), key, Idempotency.IDEMPOTENT)
-        world.run(0.25)
-    fresh = []
+    cluster = cluster_type([f"m{index}" for index in range(rng.choice([3, 5, 7]))], settings, seed)
+    cluster.next_run_duration_s = lambda: rng.choice([0.02, 0.05, 0.5, 1.5])
+    keys = [f"k{index}" for index in range(rng.choice([5, 40]))]
+    storm_end = cluster.fleet.now + STORM_S
+    while cluster.fleet.now < storm_end:
+        for _ in range(rng.randrange(20, 120)):
+            if cluster.alive:
+                idempotency = rng.choice([Idempotency.IDEMPOTENT, Idempotency.KEYED])
+                cluster.submit(rng.choice(cluster.alive), rng.choice(keys), idempotency)
+            cluster.run(0.01)
+        _inject_fault(cluster, rng, rng.choice(FAULTS))
+    _calm(cluster)
+    servers = [name for name in cluster.alive if name in cluster.view]
+    for key in keys * 2:  # at a rate that the migration budget allows
+        cluster.submit(rng.choice(servers), key, Idempotency.IDEMPOTENT)
+        cluster.run(0.25)
+    calm_requests = []
     for key in keys:
-        fresh.append(world.bring(chance.choice(here), key, Idempotency.KEYED))
-        world.run(0.1)
-    world.run(8.0)
-    bad = [one for one in fresh if one.outcome != "completed" and one.why not in ("full", "stale")]
-    return Storm(
-        world,
-        [one for one in world.requests if not one.outcome],
-        bad,
-        [key for key in keys if sum(key in world.sessions(name).owned for name in world.alive) > 1],
-        [name for name in world.alive if len(world.sessions(name).owned) > settings.max_sessions],
+        calm_requests.append(cluster.submit(rng.choice(servers), key, Idempotency.KEYED))
+        cluster.run(0.1)
+    cluster.run(8.0)
+    unserved = [
+        request
+        for request in calm_requests
+        if request.outcome != "completed" and request.reason not in ("full", "stale")
+    ]
+    return StormResult(
+        cluster,
+        [request for request in cluster.requests if not request.outcome],
+        unserved,
+        [key for key in keys if sum(key in cluster.sessions(name).owned for name in cluster.alive) > 1],
+        [name for name in cluster.alive if len(cluster.sessions(name).owned) > settings.max_sessions],
     )
 
 
-def _calm(world: World) -> None:
-    world.heal()
-    world.no_majority, world.lose_answers = False, 0.0
-    world.bump(world.policy.version + 1)
-    for name in sorted(world.down):  # as operators would: holders that are gone for good are another story
-        world.start(name)
-    for link in world.fleet.links.values():
+def _calm(cluster: SessionCluster) -> None:
+    cluster.heal()
+    cluster.register_unavailable, cluster.answer_loss_share = False, 0.0
+    cluster.activate_policy(cluster.policy.version + 1)
+    # Restart terminated servers as operators would; permanently lost replicas are outside this experiment.
+    for name in sorted(cluster.down):
+        cluster.start(name)
+    for link in cluster.fleet.links.values():
         link.drop = link.double = 0.0
-    world.run(CALM)
+    cluster.run(CALM_S)
 
 
-def _strike(world: World, chance: random.Random, kind: str) -> None:
-    up = [name for name in world.alive if name in world.view and name not in world.draining]
-    down = sorted(world.down - set(world.alive))
-    match kind:
-        case "kill" if len(up) > 2:
-            world.kill(chance.choice(up))
-        case "start" if down:
-            world.start(chance.choice(down))
-        case "pause" if up:
-            world.pause(chance.choice(up), chance.choice([0.4, 1.5, 5.0]))
-        case "cut" if up:
-            world.cut_off([chance.choice(up)])
-        case "one way" if len(up) > 1:
-            a, b = chance.sample(up, 2)
-            world.fleet.cut([a], [b], both=chance.random() < 0.5)
+def _inject_fault(cluster: SessionCluster, rng: random.Random, fault: str) -> None:
+    running = [name for name in cluster.alive if name in cluster.view and name not in cluster.draining]
+    terminated = sorted(cluster.down - set(cluster.alive))
+    match fault:
+        case "kill" if len(running) > 2:
+            cluster.kill(rng.choice(running))
+        case "start" if terminated:
+            cluster.start(rng.choice(terminated))
+        case "pause" if running:
+            cluster.pause(rng.choice(running), rng.choice([0.4, 1.5, 5.0]))
+        case "cut" if running:
+            cluster.isolate([rng.choice(running)])
+        case "one way" if len(running) > 1:
+            a, b = rng.sample(running, 2)
+            cluster.fleet.cut([a], [b], both=rng.random() < 0.5)
         case "heal":
-            world.heal()
-            world.no_majority, world.lose_answers = False, 0.0
+            cluster.heal()
+            cluster.register_unavailable, cluster.answer_loss_share = False, 0.0
         case "bump" | "mandatory":
-            world.bump(world.policy.version + 1, mandatory=kind == "mandatory")
-        case "leave" if len(up) > 2:
-            world.leave(chance.choice(up), chance.choice([1.0, 4.0]))
+            cluster.activate_policy(cluster.policy.version + 1, mandatory=fault == "mandatory")
+        case "leave" if len(running) > 2:
+            cluster.leave(rng.choice(running), rng.choice([1.0, 4.0]))
         case "majority":
-            world.no_majority = chance.random() < 0.5
+            cluster.register_unavailable = rng.random() < 0.5
         case "answers":
-            world.lose_answers = chance.choice([0.0, 0.3])
+            cluster.answer_loss_share = rng.choice([0.0, 0.3])
         case "loss":
-            for a in up:
-                for b in up:
-                    link = world.fleet.link(a, b)
-                    link.drop, link.double = chance.choice([0.0, 0.2]), chance.choice([0.0, 0.2])
+            for a in running:
+                for b in running:
+                    link = cluster.fleet.link(a, b)
+                    link.drop, link.double = rng.choice([0.0, 0.2]), rng.choice([0.0, 0.2])
         case "able":
-            names = sorted(world.alive)
-            most = chance.sample(names, max(1, len(names) - 1)) if names else []
-            world.bump(world.policy.version, {"": frozenset(most)})
+            servers = sorted(cluster.alive)
+            capable_servers = rng.sample(servers, max(1, len(servers) - 1)) if servers else []
+            cluster.activate_policy(cluster.policy.version, {"": frozenset(capable_servers)})
--- a/tests/stories/test_affinity_stories.py
+++ b/tests/stories/test_affinity_stories.py
@@ -15,8 +15,8 @@
 import pytest
 from pytest_bdd import given, parsers, scenarios, then, when
 
-from sablewheel.experiments.affinity_fleet import Request, World
-from sablewheel.experiments.affinity_replicas import ReplicaWorld
+from sablewheel.experiments.affinity_fleet import Request, SessionCluster
+from sablewheel.experiments.affinity_replicas import ReplicatedSessionCluster
 from sablewheel.overload.interface import Idempotency
 from sablewheel.session_affinity.binding import BindingState
 from sablewheel.session_affinity.placement import ServerLoad, load_bounds
@@ -45,49 +45,57 @@
         self.owners: dict[str, str] = {}  # by kiosk, at the time `observed_since`
         self.long_run: Request | None = None
 
-    def start(self, servers: int, kiosks: int = 0, world_type: type[World] = World, **settings: Any) -> None:
+    def start(
+        self,
+        servers: int,
+        kiosks: int = 0,
+        cluster_type: type[SessionCluster] = SessionCluster,
+        **settings: Any,
+    ) -> None:
         self.settings |= settings
-        self.world = world_type([f"m{index}" for index in range(servers)], AffinitySettings(**self.settings))
-        self.world.run_takes = lambda: self.random.choice([0.02, 0.05, 0.4])
+        self.cluster = cluster_type(
+            [f"m{index}" for index in range(servers)], AffinitySettings(**self.settings)
+        )
+        self.cluster.next_run_duration_s = lambda: self.random.choice([0.02, 0.05, 0.4])
         self.add_kiosks(kiosks)
         self.start_observation()
 
     def start_observation(self) -> None:
-        self.observed_since, self.first_request = self.world.fleet.now, len(self.world.requests)
-        self.owners = {kiosk: self.world.owner(kiosk) for kiosk in self.kiosks}
+        self.observed_since, self.first_request = self.cluster.fleet.now, len(self.cluster.requests)
+        self.owners = {kiosk: self.cluster.owner(kiosk) for kiosk in self.kiosks}
 
     def add_kiosks(self, count: int) -> None:
         """Add kiosks that send one request each, then let all kiosks send requests for a short time."""
         for _ in range(count):
             self.kiosks.append(f"kiosk-{len(self.kiosks)}")
             self.send_request(self.kiosks[-1])
-            self.world.run(REQUEST_INTERVAL_S)
+            self.cluster.run(REQUEST_INTERVAL_S)
         if count:
             self.send_requests(1.5)
 
     def send_request(self, kiosk: str) -> Request:
         idempotency = self.random.choice([Idempotency.IDEMPOTENT, Idempotency.KEYED])
-        return self.world.bring(self.random.choice(self.world.alive), kiosk, idempotency, "pay")
+        return self.cluster.submit(self.random.choice(self.cluster.alive), kiosk, idempotency, "pay")
 
     def send_requests(self, duration_s: float) -> None:
-        until, count = self.world.fleet.now + duration_s, 0
-        while self.world.fleet.now < until - 1e-9:
+        until, count = self.cluster.fleet.now + duration_s, 0
+        while self.cluster.fleet.now < until - 1e-9:
             self.send_request(self.kiosks[count % len(self.kiosks)])
             count += 1
-            self.world.run(min(REQUEST_INTERVAL_S, until - self.world.fleet.now))
+            self.cluster.run(min(REQUEST_INTERVAL_S, until - self.cluster.fleet.now))
 
     @property
     def migrations(self) -> list[tuple[float, str, str, str]]:
-        return self.world.moves(self.observed_since)
+        return self.cluster.migrations(self.observed_since)
 
     @property
     def requests(self) -> list[Request]:
-        return self.world.requests[self.first_request :]
+        return self.cluster.requests[self.first_request :]
 
     def causes(self) -> Counter[str]:
         log_events = [
             log_event
-            for at, _, log_event in self.world.notes
+            for at, _, log_event in self.cluster.log_events
             if at >= self.observed_since and log_event.message == "session migrated"
         ]
         return Counter(str(log_event.fields["cause"]) for log_event in log_events)
@@ -97,12 +105,12 @@
 def story() -> Iterator[Story]:
     current = Story()
     yield current
-    current.world.heal()
-    current.world.no_majority = False
-    current.world.run(SETTLE_S)
-    assert [request for request in current.world.requests if not request.outcome] == []
+    current.cluster.heal()
+    current.cluster.register_unavailable = False
+    current.cluster.run(SETTLE_S)
+    assert [request for request in current.cluster.requests if not request.outcome] == []
     if not current.settings.get("faulty_variant"):
-        assert current.world.watch.wrong == []
+        assert current.cluster.checker.violations == []
 
 
 # -- given
@@ -127,28 +135,30 @@
     kiosks = re.search(r"(\d+) kiosks in service", rest)
     lossy = "loses a third" in rest
     assert settings or kiosks or lossy or not rest, rest
-    world_type = ReplicaWorld if "on replicas" in rest else World
-    story.start(int(servers), int(kiosks[1]) if kiosks else 0, world_type, **settings)
-    story.world.lose_answers = 1 / 3 if lossy else 0.0
+    cluster_type = ReplicatedSessionCluster if "on replicas" in rest else SessionCluster
+    story.start(int(servers), int(kiosks[1]) if kiosks else 0, cluster_type, **settings)
+    story.cluster.answer_loss_share = 1 / 3 if lossy else 0.0
     if "migrations_per_s" in settings and settings["migrations_per_s"] == 1.0:
-        story.world.run_takes = lambda: 2.5  # long enough that the runs of a second owner overlap with them
+        story.cluster.next_run_duration_s = lambda: (
+            2.5
+        )  # long enough that the runs of a second owner overlap with them
 
 
 @given(parsers.parse("a keyed run of {duration_s:g} seconds is in progress on the owner of kiosk {index:d}"))
 @given(parsers.parse("a keyed run of {duration_s:g} second is in progress on the owner of kiosk {index:d}"))
 def long_run(story: Story, duration_s: float, index: int) -> None:
-    kiosk, run_takes = story.kiosks[index], story.world.run_takes
-    story.world.run(0.5)
-    story.world.run_takes = lambda: duration_s
-    story.long_run = story.world.bring(story.world.owner(kiosk), kiosk, Idempotency.KEYED, "pay")
-    story.world.run(0.1)
-    assert story.long_run.ran_at == story.world.owner(kiosk)
-    story.world.run_takes = run_takes
+    kiosk, next_run_duration_s = story.kiosks[index], story.cluster.next_run_duration_s
+    story.cluster.run(0.5)
+    story.cluster.next_run_duration_s = lambda: duration_s
+    story.long_run = story.cluster.submit(story.cluster.owner(kiosk), kiosk, Idempotency.KEYED, "pay")
+    story.cluster.run(0.1)
+    assert story.long_run.run_server == story.cluster.owner(kiosk)
+    story.cluster.next_run_duration_s = next_run_duration_s
 
 
 @given(parsers.parse("server {name} was killed and its sessions have migrated"))
 def killed_and_migrated(story: Story, name: str) -> None:
-    story.world.kill(name)
+    story.cluster.kill(name)
     story.send_requests(9.0)
     assert story.migrations
     story.start_observation()
@@ -156,10 +166,10 @@
 
 @given("every link loses one message in five and duplicates another")
 def lossy_links(story: Story) -> None:
-    names = story.world.alive
+    names = story.cluster.alive
     for sender in names:
         for to in names:
-            link = story.world.fleet.link(sender, to)
+            link = story.cluster.fleet.link(sender, to)
             link.drop = link.double = 0.2
 
 
@@ -173,13 +183,13 @@
 
 @when(parsers.parse("the kiosks send no requests for {duration_s:g} seconds"))
 def send_no_requests(story: Story, duration_s: float) -> None:
-    story.world.run(duration_s)
+    story.cluster.run(duration_s)
 
 
 @when(parsers.re(r"version (?P<version>\d+) becomes active(?P<mandatory> and is mandatory)?"))
 def activate_version(story: Story, version: str, mandatory: str | None) -> None:
-    story.world.bump(int(version), mandatory=bool(mandatory))
-    story.world.run(0.1)
+    story.cluster.activate_policy(int(version), mandatory=bool(mandatory))
+    story.cluster.run(0.1)
 
 
 @when(parsers.parse("{count:d} more kiosks start"))
@@ -191,88 +201,88 @@
 def send_first_requests(story: Story, count: int) -> None:
     for index in range(count):
         story.kiosks.append(f"kiosk-{index}")
-        for name in story.world.alive:
-            story.world.bring(name, story.kiosks[-1], Idempotency.KEYED, "pay")
+        for name in story.cluster.alive:
+            story.cluster.submit(name, story.kiosks[-1], Idempotency.KEYED, "pay")
     story.send_requests(2.0)
 
 
 @when(parsers.parse("server {name} is asked to leave within {grace_s:g} seconds"))
 def leave(story: Story, name: str, grace_s: float) -> None:
-    story.world.leave(name, grace_s)
+    story.cluster.leave(name, grace_s)
 
 
 @when(parsers.parse("the owner of kiosk {index:d} is asked to leave within {grace_s:g} seconds"))
 def owner_leaves(story: Story, index: int, grace_s: float) -> None:
-    story.world.leave(story.world.owner(story.kiosks[index]), grace_s)
+    story.cluster.leave(story.cluster.owner(story.kiosks[index]), grace_s)
 
 
 @when(parsers.parse("every server in turn leaves within {grace_s:g} seconds and restarts"))
 def rolling_restart(story: Story, grace_s: float) -> None:
-    for name in story.world.alive:
-        story.world.leave(name, grace_s)
+    for name in story.cluster.alive:
+        story.cluster.leave(name, grace_s)
         story.send_requests(grace_s + 0.5)
-        story.world.start(name)
+        story.cluster.start(name)
         story.send_requests(1.0)
 
 
 @when(parsers.parse("server {name} is killed"))
 def kill(story: Story, name: str) -> None:
-    story.world.kill(name)
+    story.cluster.kill(name)
 
 
 @when(parsers.parse("server {name} restarts cold"))
 def restart(story: Story, name: str) -> None:
-    story.world.start(name)
+    story.cluster.start(name)
 
 
 @when(parsers.parse("server {name} is paused for {duration_s:g} seconds"))
 def pause(story: Story, name: str, duration_s: float) -> None:
-    story.world.pause(name, duration_s)
+    story.cluster.pause(name, duration_s)
 
 
 @when(parsers.parse("server {name} is isolated for {duration_s:g} seconds"))
 def isolate(story: Story, name: str, duration_s: float) -> None:
-    story.world.cut_off([name], for_good=False)
-    story.world.fleet.later(duration_s, story.world.heal)
+    story.cluster.isolate([name], permanent=False)
+    story.cluster.fleet.later(duration_s, story.cluster.heal)
 
 
 @when(parsers.parse("servers {first} and {second} are partitioned from the others"))
 def partition(story: Story, first: str, second: str) -> None:
-    story.world.cut_off([first, second])
+    story.cluster.isolate([first, second])
 
 
 @when(parsers.parse("the link between {first} and {second} is cut"))
 def cut_link(story: Story, first: str, second: str) -> None:
-    story.world.fleet.cut([first], [second])
+    story.cluster.fleet.cut([first], [second])
 
 
 @when("the partition is healed")
 def heal(story: Story) -> None:
-    story.world.heal()
+    story.cluster.heal()
 
 
 @when("the register has no majority")
 def lose_majority(story: Story) -> None:
-    story.world.no_majority = True
+    story.cluster.register_unavailable = True
 
 
 @when("the register has its majority again")
 def restore_majority(story: Story) -> None:
-    story.world.no_majority = False
+    story.cluster.register_unavailable = False
 
 
 @when(parsers.re(r"servers (?P<first>\w+) and (?P<second>\w+) can no longer run the kiosks' flow"))
 def lose_capability(story: Story, first: str, second: str) -> None:
-    capable = frozenset(story.world.alive) - {first, second}
-    story.world.bump(1, {"pay": capable})
+    capable = frozenset(story.cluster.alive) - {first, second}
+    story.cluster.activate_policy(1, {"pay": capable})
 
 
 @when("no server can run the kiosks' flow")
 def no_server_capable(story: Story) -> None:
-    story.world.run(1.0)
-    story.world.bump(1, {"pay": frozenset()})
-    story.world.run(0.2)
-    story.first_request = len(story.world.requests)
+    story.cluster.run(1.0)
+    story.cluster.activate_policy(1, {"pay": frozenset()})
+    story.cluster.run(0.2)
+    story.first_request = len(story.cluster.requests)
 
 
 # -- then
@@ -285,12 +295,12 @@
 
 @then(parsers.parse("every session runs under version {version:d}"))
 def all_under_version(story: Story, version: int) -> None:
-    assert {story.world.register.bindings[kiosk].policy_version for kiosk in story.kiosks} == {version}
+    assert {story.cluster.register.bindings[kiosk].policy_version for kiosk in story.kiosks} == {version}
 
 
 @then(parsers.parse("some sessions run under version {version:d}"))
 def some_under_version(story: Story, version: int) -> None:
-    counts = Counter(story.world.register.bindings[kiosk].policy_version for kiosk in story.kiosks)
+    counts = Counter(story.cluster.register.bindings[kiosk].policy_version for kiosk in story.kiosks)
     assert 0 < counts[version] < len(story.kiosks)
 
 
@@ -300,31 +310,31 @@
     )
 )
 def under_versions(story: Story, first_count: int, first: int, second_count: int, second: int) -> None:
-    counts = Counter(story.world.register.bindings[kiosk].policy_version for kiosk in story.kiosks)
+    counts = Counter(story.cluster.register.bindings[kiosk].policy_version for kiosk in story.kiosks)
     assert counts == {first: first_count, second: second_count}
 
 
 @then(parsers.parse('{count:d} version changes are counted as "{cause}"'))
 def version_changes(story: Story, count: int, cause: str) -> None:
-    assert story.world.count(f"brought_{cause}") == count
+    assert story.cluster.count(f"brought_{cause}") == count
 
 
 @then(parsers.parse("all servers run version {version:d}"))
 def active_version(story: Story, version: int) -> None:
-    assert {story.world.sessions(name).version for name in story.world.alive} == {version}
+    assert {story.cluster.sessions(name).version for name in story.cluster.alive} == {version}
 
 
 @then(parsers.parse("kiosk {index:d} has another owner, which took over after that run had ended"))
 def other_owner_after_run(story: Story, index: int) -> None:
     other_owner(story, index)
     assert story.long_run is not None and story.long_run.outcome == "completed"
-    assert story.world.count("passed_as_claims") == 0  # the handover waited for the end of the run
+    assert story.cluster.count("passed_as_claims") == 0  # the handover waited for the end of the run
 
 
 @then(parsers.parse("kiosk {index:d} has another owner"))
 def other_owner(story: Story, index: int) -> None:
     kiosk = story.kiosks[index]
-    assert story.world.owner(kiosk) not in ("", story.owners[kiosk])
+    assert story.cluster.owner(kiosk) not in ("", story.owners[kiosk])
 
 
 @then(parsers.parse("{count:d} run has continued as a claim"))
@@ -332,7 +342,7 @@
     assert story.long_run is not None
     log_events = [
         log_event
-        for _, _, log_event in story.world.notes
+        for _, _, log_event in story.cluster.log_events
         if log_event.message == "session handed over with open runs"
     ]
     assert sum(int(str(log_event.fields["runs"])) for log_event in log_events) == count
@@ -340,15 +350,15 @@
 
 @then("no kiosk's request was rejected or lost")
 def none_rejected(story: Story) -> None:
-    story.world.run(2.0)
+    story.cluster.run(2.0)
     assert [request for request in story.requests if request.outcome != "completed"] == []
 
 
 @then(parsers.re(r"servers? (?P<names>m\d( and m\d)?) owns? no sessions"))
 def own_no_sessions(story: Story, names: str) -> None:
     for name in names.split(" and "):
-        assert not story.world.sessions(name).owned
-    assert not {story.world.owner(kiosk) for kiosk in story.kiosks} & set(names.split(" and "))
+        assert not story.cluster.sessions(name).owned
+    assert not {story.cluster.owner(kiosk) for kiosk in story.kiosks} & set(names.split(" and "))
 
 
 @then(parsers.re(r'only sessions of (?P<names>[m\d, and]+?) have migrated(, counted as "(?P<cause>\w+)")?$'))
@@ -362,16 +372,16 @@
 @then("only sessions of that owner have migrated")
 def only_sessions_of_that_owner(story: Story) -> None:
     assert story.long_run is not None
-    assert {owner for _, _, owner, _ in story.migrations} == {story.long_run.ran_at}
+    assert {owner for _, _, owner, _ in story.migrations} == {story.long_run.run_server}
 
 
 @then("every session has a fencing number above its first one, or its first owner")
 def bindings_kept(story: Story) -> None:
     for kiosk in story.kiosks:
-        binding = story.world.register.bindings[kiosk]
-        first = next(stored for _, stored in story.world.register.history if stored.key == kiosk)
+        binding = story.cluster.register.bindings[kiosk]
+        first = next(stored for _, stored in story.cluster.register.history if stored.key == kiosk)
         assert binding.fencing_number > first.fencing_number or binding.owner == first.owner
-        assert binding.owner in story.world.alive
+        assert binding.owner in story.cluster.alive
 
 
 @then(parsers.parse('all sessions of {name} have migrated, counted as "{cause}"'))
@@ -388,21 +398,21 @@
 
 @then("every kiosk has an owner that serves")
 def all_owned(story: Story) -> None:
-    world = story.world
-    world.heal()
-    world.lose_answers = 0.0
-    world.run(4.0)
-    servers = [story.random.choice(world.alive) for _ in story.kiosks]
+    cluster = story.cluster
+    cluster.heal()
+    cluster.answer_loss_share = 0.0
+    cluster.run(4.0)
+    servers = [story.random.choice(cluster.alive) for _ in story.kiosks]
     pairs = zip(servers, story.kiosks, strict=True)
-    requests = [world.bring(server, kiosk, Idempotency.KEYED, "pay") for server, kiosk in pairs]
-    world.run(5.0)
-    assert Counter((request.outcome, request.why) for request in requests) == {
+    requests = [cluster.submit(server, kiosk, Idempotency.KEYED, "pay") for server, kiosk in pairs]
+    cluster.run(5.0)
+    assert Counter((request.outcome, request.reason) for request in requests) == {
         ("completed", "owner"): len(requests)
     }
     for kiosk, request in zip(story.kiosks, requests, strict=True):
-        binding = world.register.bindings[kiosk]
-        owners = [name for name in world.alive if kiosk in world.sessions(name).owned]
-        assert binding.state is BindingState.OWNED and owners == [binding.owner] == [request.ran_at]
+        binding = cluster.register.bindings[kiosk]
+        owners = [name for name in cluster.alive if kiosk in cluster.sessions(name).owned]
+        assert binding.state is BindingState.OWNED and owners == [binding.owner] == [request.run_server]
 
 
 @then(
@@ -417,21 +427,21 @@
 
 @then("some requests were served by another server because the budget was exhausted")
 def served_without_budget(story: Story) -> None:
-    assert any(request.why == "budget" and request.outcome == "completed" for request in story.requests)
+    assert any(request.reason == "budget" and request.outcome == "completed" for request in story.requests)
 
 
 @then(parsers.parse("server {name} owns less than half as many sessions as any other server"))
 def owns_fewer_sessions(story: Story, name: str) -> None:
-    session_counts = Counter(story.world.owner(kiosk) for kiosk in story.kiosks)
+    session_counts = Counter(story.cluster.owner(kiosk) for kiosk in story.kiosks)
     assert session_counts[name] * 2 < min(count for other, count in session_counts.items() if other != name)
 
 
 @then("some idempotent requests were served where they arrived")
 def served_where_arrived(story: Story) -> None:
-    served = [request for request in story.requests if request.why in ("unreached", "no_majority")]
+    served = [request for request in story.requests if request.reason in ("unreached", "no_majority")]
     served = [request for request in served if request.outcome == "completed"]
     assert served and all(
-        request.came.idempotency is Idempotency.IDEMPOTENT and request.ran_at == request.at
+        request.arrival.idempotency is Idempotency.IDEMPOTENT and request.run_server == request.first_server
         for request in served
     )
 
@@ -440,46 +450,46 @@
 def keyed_rejected(story: Story) -> None:
     rejected = [request for request in story.requests if request.outcome == "denied"]
     assert rejected and all(
-        request.came.idempotency is Idempotency.KEYED and not request.ran_at for request in rejected
+        request.arrival.idempotency is Idempotency.KEYED and not request.run_server for request in rejected
     )
 
 
 @then("every request since then is rejected")
 def all_rejected(story: Story) -> None:
-    story.world.run(4.0)
+    story.cluster.run(4.0)
     assert story.requests and {request.outcome for request in story.requests} == {"denied"}
 
 
 @then("no server took a session above its bound")
 def within_load_bounds(story: Story) -> None:
-    world = story.world
-    loads = {name: ServerLoad(len(world.sessions(name).owned)) for name in world.alive}
-    bounds = load_bounds(loads, loads, world.settings.load_factor, world.settings.min_load_bound)
+    cluster = story.cluster
+    loads = {name: ServerLoad(len(cluster.sessions(name).owned)) for name in cluster.alive}
+    bounds = load_bounds(loads, loads, cluster.settings.load_factor, cluster.settings.min_load_bound)
     assert sum(load.sessions for load in loads.values()) == len(story.kiosks)
-    assert world.count("forced") == 0
+    assert cluster.count("forced") == 0
     assert all(load.sessions <= bounds[name] for name, load in loads.items())
 
 
 @then(parsers.parse("no server owns more than {limit:d} sessions"))
 def within_capacity(story: Story, limit: int) -> None:
-    assert all(len(story.world.sessions(name).owned) <= limit for name in story.world.alive)
-    assert story.world.count("forgotten") > 0
+    assert all(len(story.cluster.sessions(name).owned) <= limit for name in story.cluster.alive)
+    assert story.cluster.count("forgotten") > 0
 
 
 @then(parsers.parse("{count:d} sessions have ended"))
 def ended(story: Story, count: int) -> None:
-    assert story.world.count("ended_idle") == count
+    assert story.cluster.count("ended_idle") == count
 
 
 def violations(story: Story) -> set[str]:
-    detected = {"two owners ran keyed requests"} if story.world.watch.wrong else set()
+    detected = {"two owners ran keyed requests"} if story.cluster.checker.violations else set()
     if [migration for migration in story.migrations if migration[2] not in ("m3", "m4")]:
         detected.add("sessions migrated without a cause")
     times = sorted(at for at, _, owner, _ in story.migrations if owner == "m3")
     burst = max(
         (sum(at < start + 1.0 for at in times[index:]) for index, start in enumerate(times)), default=0
     )
-    if burst > story.settings["migrations_per_s"] + len(story.world.view.names):
+    if burst > story.settings["migrations_per_s"] + len(story.cluster.view.names):
         detected.add("migrations exceeded the budget")
     return detected
 
--- a/tests/test_session_affinity.py
+++ b/tests/test_session_affinity.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 
 from sablewheel.experiments.affinity_model import STARTS, explore
-from sablewheel.experiments.affinity_replicas import ReplicaWorld
-from sablewheel.experiments.affinity_storm import storm
+from sablewheel.experiments.affinity_replicas import ReplicatedSessionCluster
+from sablewheel.experiments.affinity_storm import run_storm
 from sablewheel.membership.view import Member, View
 from sablewheel.overload.interface import Idempotency
 from sablewheel.program.feature_file import FaultyFeaturesError, check
@@ -413,17 +413,17 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_the_fleet_recovers_from_a_storm_of_failures(seed: int) -> None:
-    assert storm(seed).wrong == []
+    assert run_storm(seed).violations == []
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_the_fleet_recovers_from_a_storm_on_real_replicas(seed: int) -> None:
-    assert storm(seed, kind=ReplicaWorld).wrong == []
+    assert run_storm(seed, cluster_type=ReplicatedSessionCluster).violations == []
 
 
 @pytest.mark.parametrize("variant", ["no-handover", "two-owners"])
 def test_a_storm_finds_a_faulty_variant(variant: str) -> None:
-    assert any(storm(seed, variant).wrong for seed in range(4))
+    assert any(run_storm(seed, variant).violations for seed in range(4))
 
 
 def test_open_runs_are_retained_when_their_session_is_released() -> None:
