--- a/sablewheel/experiments/forwarder.py
+++ b/sablewheel/experiments/forwarder.py
@@ -88,7 +88,6 @@
 
 if __name__ == "__main__":
     VARIANTS[sys.argv[1]]()
-    replace_part(
-        forward, "ForwardingService", RandomPeerForwardingService
-    )  # where the server imports it from
+    # The server imports the class from this module.
+    replace_part(forward, "ForwardingService", RandomPeerForwardingService)
     runpy.run_module("sablewheel", run_name="__main__")
--- a/sablewheel/experiments/forwarding.py
+++ b/sablewheel/experiments/forwarding.py
@@ -34,20 +34,16 @@
 TIMING_SLACK_S = 0.3  # allowance for scheduling delays on a busy machine
 PAUSE_S = DEADLINE_S + 0.6
 SLOW_LINK_DELAY_S = 0.08  # minimum delay of a slow link, one way
-MAX_AGE_ERROR_S = (
-    SLOW_LINK_DELAY_S / 2
-)  # by which a request may be considered younger than it is: less than one slow hop
+# By how much a request may be considered younger than it is: less than one slow hop.
+MAX_AGE_ERROR_S = SLOW_LINK_DELAY_S / 2
 MIN_COMPLETED_SHARE = 0.95
 REQUEST_CLASSES = {
     "lookup": {"share": 0.5},
     "record": {"share": 0.25, "keyed": True},
     "stamp": {"share": 0.25},
 }
-RUN_TIMES_S = {
-    "lookup": 0.03,
-    "record": 0.1,
-    "stamp": 0.5,
-}  # long runs, so that some are in progress when links break
+# Long runs, so that some are in progress when links break.
+RUN_TIMES_S = {"lookup": 0.03, "record": 0.1, "stamp": 0.5}
 CLASSES = [
     {"name": "lookup", "on-time-s": 1.0, "deadline-s": DEADLINE_S, "repeat": "safe"},
     {"name": "record", "on-time-s": 1.0, "deadline-s": DEADLINE_S, "repeat": "keyed", "window-s": 6.0},
@@ -70,18 +66,17 @@
     work: dict[str, float] = field(default_factory=lambda: dict(RUN_TIMES_S))
     cores: int = 8
     vms: dict[str, int] = field(default_factory=dict)
-    fault_spans: dict[str, list[tuple[str, float, float]]] = field(
-        default_factory=dict
-    )  # fault: (member, start, end)
+    # Fault -> (member, start, end) of each time that it was injected.
+    fault_spans: dict[str, list[tuple[str, float, float]]] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.names = [f"m{number}" for number in range(self.size)]
         self.relay_host = f"127.{self.block}.{self.place}.250"
-        self.doors = {name: f"{self.relay_host}:{DOOR + place}" for place, name in enumerate(self.names)}
+        self.doors = {name: f"{self.relay_host}:{DOOR + index}" for index, name in enumerate(self.names)}
         doors = [
-            {"owner": name, "port": door + place, "to": f"{self.host(name)}:{port}"}
-            for door, port in ((DOOR, PORT), (LINK_RELAY_PORT, LINK_PORT))
-            for place, name in enumerate(self.names)
+            {"owner": name, "port": relay_port + index, "to": f"{self.host(name)}:{port}"}
+            for relay_port, port in ((DOOR, PORT), (LINK_RELAY_PORT, LINK_PORT))
+            for index, name in enumerate(self.names)
         ]
         self.relay = Relay(self.testbed, "relay", self.relay_host, self.seed, doors)
         for name in self.names:
@@ -265,7 +260,7 @@
     second_runs = sum(
         count > 1 for name, count in run_counts.items() if attempts_by_name[name]["track"] != "lookup"
     )
-    down_spans = [span for what in ("killed", "cold") for span in scenario.fault_spans.get(what, [])]
+    down_spans = [span for fault in ("killed", "cold") for span in scenario.fault_spans.get(fault, [])]
     unanswered = lost = late = wrong_results = never_run = 0
     for name, server_attempts in attempts.items():
         server_spans = [
--- a/sablewheel/experiments/policy_fleet.py
+++ b/sablewheel/experiments/policy_fleet.py
@@ -1,8 +1,8 @@
-"""Members with membership and policies, on the made network: the decisions alone, for stories.
+"""A simulated fleet of members with membership and policies, without processes, for scenario tests.
 
-Each member is the real node of membership and the real rollout, joined as the shell joins them; a translation
-takes a second of the made clock. What the fleet must keep is noted while it runs: which policy holds at which
-epoch, and every change of what holds.
+Each member has the real membership node and the real policy rollout, connected as in the service; a
+translation takes one second of simulated time. While the fleet runs it records which policy is active at
+which epoch, and every change of the active policy.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
     TranslationFinished,
     ViewChanged,
 )
-from ..feature_policy.rollout_events import MessageReceived as Heard
-from ..feature_policy.rollout_events import TimerFired as Ring
+from ..feature_policy.rollout_events import MessageReceived as PolicyMessageReceived
+from ..feature_policy.rollout_events import TimerFired as PolicyTimerFired
 from ..feature_policy.translate import InfeasibleError, translate
 from ..membership import events
 from ..membership.node import Node
@@ -37,38 +37,40 @@
 from ..membership.view import Member
 from .simulated_fleet import SimulatedFleet
 
-TRANSLATES_FOR = 1.0
-FOUND_LEAST = 4  # more than half of these fleets: what starts anew behind a cut founds nothing of its own
+TRANSLATION_S = 1.0
+MIN_FOUNDERS = (
+    4  # more than half of these fleets, so that members that restart behind a cut don't found another fleet
+)
 SETTINGS = Settings(
     period_s=0.25,
     probe_timeout_s=0.1,
     vote_timeout_s=0.5,
     sync_interval_s=1.0,
     found_delay_s=1.0,
-    min_founders=FOUND_LEAST,
+    min_founders=MIN_FOUNDERS,
     join_interval_s=0.3,
     max_settle_s=1.0,
 )
 RULES = Rules(dwell_down=2.0, dwell_up=10.0, rest=5.0, settle=1.0, stagger=2.0)
-EVERY = (1 << 12) - 1  # the codes of all features but rank-order
+ALL_FEATURE_CODES = (1 << 12) - 1  # bit mask of the codes of all features except rank-order
 CLASSES = {
-    "rich": HostCapabilities(8, 1000, 1 << 18, 1024, (1 << len(TRAITS)) - 1, EVERY),
-    "diskless": HostCapabilities(8, 1000, 1 << 18, 1024, ((1 << len(TRAITS)) - 1) & ~2, EVERY),
-    "small": HostCapabilities(2, 1000, 1 << 14, 64, (1 << len(TRAITS)) - 1, EVERY),
+    "rich": HostCapabilities(8, 1000, 1 << 18, 1024, (1 << len(TRAITS)) - 1, ALL_FEATURE_CODES),
+    "diskless": HostCapabilities(8, 1000, 1 << 18, 1024, ((1 << len(TRAITS)) - 1) & ~2, ALL_FEATURE_CODES),
+    "small": HostCapabilities(2, 1000, 1 << 14, 64, (1 << len(TRAITS)) - 1, ALL_FEATURE_CODES),
     "old": HostCapabilities(8, 1000, 1 << 18, 1024, (1 << len(TRAITS)) - 1, 0),
 }
 
 
 @dataclass(frozen=True)
-class Carried:
-    """A message between two members, of membership or of policies."""
+class CarriedMessage:
+    """A message between two members, of membership or of the policy rollout."""
 
     to: str
     message: Any
 
 
 class PolicyMember:
-    """One member: what the node installs the rollout sees, what the rollout judges the node says."""
+    """A member: views of its node go to its rollout, and facts from the rollout are reported by its node."""
 
     def __init__(
         self,
@@ -81,8 +83,8 @@
         broken: str,
     ) -> None:
         incarnation = int(now * 1000) + 1
-        me = Member(name, name, zone, "r1", incarnation, (("class", host_capabilities.said),))
-        self.node = Node(me, seeds, SETTINGS, random.Random(f"{seed}-{name}-{incarnation}"), now)
+        member = Member(name, name, zone, "r1", incarnation, (("class", host_capabilities.said),))
+        self.node = Node(member, seeds, SETTINGS, random.Random(f"{seed}-{name}-{incarnation}"), now)
         self.rollout = Rollout(name, host_capabilities, RULES, broken)
 
     @property
@@ -92,51 +94,55 @@
     def step(self, now: float, event: Any) -> list[Any]:
         match event:
             case ("node", sender, message):
-                return self._node(now, events.MessageReceived(message, sender))
+                return self._step_node(now, events.MessageReceived(message, sender))
             case ("policy", sender, message):
-                return self._rollout(now, Heard(sender, message))
+                return self._step_rollout(now, PolicyMessageReceived(sender, message))
             case "tick":
-                found = self._node(now, events.TimerFired()) if now >= self.node.next_wakeup else []
-                return [*found, *self._rollout(now, Ring())] if now >= self.rollout.wake_at else found
-        return self._rollout(now, event)
+                effects = self._step_node(now, events.TimerFired()) if now >= self.node.next_wakeup else []
+                return (
+                    [*effects, *self._step_rollout(now, PolicyTimerFired())]
+                    if now >= self.rollout.wake_at
+                    else effects
+                )
+        return self._step_rollout(now, event)
 
-    def _node(self, now: float, event: events.Event) -> list[Any]:
-        found: list[Any] = []
+    def _step_node(self, now: float, event: events.Event) -> list[Any]:
+        result: list[Any] = []
         for effect in self.node.step(now, event):
             match effect:
                 case events.Send(address, message):
-                    found.append(Carried(address, ("node", message)))
+                    result.append(CarriedMessage(address, ("node", message)))
                 case events.ViewInstalled(view):
-                    found += self._rollout(now, ViewChanged(view))
-        return found
+                    result += self._step_rollout(now, ViewChanged(view))
+        return result
 
-    def _rollout(self, now: float, event: Any) -> list[Any]:
-        found: list[Any] = []
+    def _step_rollout(self, now: float, event: Any) -> list[Any]:
+        result: list[Any] = []
         for effect in self.rollout.step(now, event):
             match effect:
-                case Send(to, message):
-                    found.append(Carried(to, ("policy", message)))
+                case Send(receiver, message):
+                    result.append(CarriedMessage(receiver, ("policy", message)))
                 case ProposeFact(fact):
-                    found += self._node(now, events.FactReported(fact))
+                    result += self._step_node(now, events.FactReported(fact))
                 case _:
-                    found.append(effect)
-        return found
+                    result.append(effect)
+        return result
 
 
 @dataclass
 class PolicyFleet:
-    """The fleet and what was noted of it."""
+    """The simulated fleet, and a record of its log entries, applied plans and translations."""
 
     broken: str = ""
     seed: int = 1
     notes: list[tuple[float, str, LogEntry]] = field(default_factory=list)
     applied: list[tuple[float, str, ApplyPlan]] = field(default_factory=list)
-    asked: list[tuple[float, str]] = field(default_factory=list)  # who translated
+    asked: list[tuple[float, str]] = field(default_factory=list)  # (time, member) of each translation
     seeds: tuple[str, ...] = ()
-    tamper: bool = False  # translations say more than classes can run
+    tamper: bool = False  # translations assign features that some classes can't run
 
     def __post_init__(self) -> None:
-        self.made = SimulatedFleet(self._event, "tick", self.seed, self._heard)
+        self.made = SimulatedFleet(self._event, "tick", self.seed, self._handle_effect)
         self.kinds: dict[str, str] = {}
         self.zones: dict[str, str] = {}
 
@@ -144,12 +150,13 @@
     def _event(sender: str, message: Any) -> Any:
         return (message[0], sender, message[1])
 
-    def start(self, name: str, kind: str, zone: str) -> None:
-        """Starts, or starts anew on hardware of that class."""
-        self.kinds[name], self.zones[name] = kind, zone
-        member = CLASSES[kind]
+    def start(self, name: str, host_kind: str, zone: str) -> None:
+        """Start or restart a member on hardware of a class."""
+        self.kinds[name], self.zones[name] = host_kind, zone
+        host_capabilities = CLASSES[host_kind]
         self.made.add(
-            name, lambda now: PolicyMember(name, zone, member, self.seeds, now, self.seed, self.broken)
+            name,
+            lambda now: PolicyMember(name, zone, host_capabilities, self.seeds, now, self.seed, self.broken),
         )
 
     def member(self, name: str) -> PolicyMember:
@@ -162,14 +169,14 @@
         return sorted(self.made.cores)
 
     def agreed(self, names: Iterable[str]) -> bool:
-        wanted = tuple(sorted(names))
-        views = [self.member(name).node.view for name in wanted]
-        return all(view is not None and view.names == wanted and view == views[0] for view in views)
+        expected = tuple(sorted(names))
+        views = [self.member(name).node.view for name in expected]
+        return all(view is not None and view.names == expected and view == views[0] for view in views)
 
     def holds(self, name: str) -> str:
-        """NUMBER.REVISION of what holds at a member; empty if nothing, or not known there."""
-        held = self.member(name).rollout.active
-        return held.name.split(":")[0] if held is not None else ""
+        """Return NUMBER.REVISION of the policy that is active at a member; empty if it has none."""
+        active = self.member(name).rollout.active
+        return active.name.split(":")[0] if active is not None else ""
 
     def route(self, name: str, request_class: str) -> Route:
         return self.member(name).rollout.route(request_class, "any", self.zones[name])
@@ -177,37 +184,37 @@
     def fallback_level(self, name: str, flow: str) -> int:
         rollout = self.member(name).rollout
         assert rollout.active is not None
-        flows = [one.name for one in rollout.active.policy.flows]
-        return rollout.fallback_levels[flows.index(flow)]
+        flow_names = [policy_flow.name for policy_flow in rollout.active.policy.flows]
+        return rollout.fallback_levels[flow_names.index(flow)]
 
     def changes(self, since: float = 0.0) -> int:
-        """How often what holds became another, fallback_levels and all, in the fleet as a whole."""
-        told = sorted(
+        """Return the number of fleet-wide changes of the active policy or its fallback levels."""
+        activations = sorted(
             (int(str(note.fields["epoch"])), when, (note.fields["policy"], note.fields["fallback_levels"]))
             for when, _, note in self.notes
             if note.what == "policy active"
         )
-        return sum(was[2] != now[2] for was, now in pairwise(told) if now[1] >= since)
+        return sum(
+            previous[2] != current[2] for previous, current in pairwise(activations) if current[1] >= since
+        )
 
     def actives(self, fallback_levels: bool = False) -> dict[str, set[str]]:
-        """By epoch, all policies that some member held to be active at it, with their fallback_levels
-        if wanted.
-        """
-        found: dict[str, set[str]] = {}
+        """Return by epoch the policies that members had as active, optionally with their fallback levels."""
+        result: dict[str, set[str]] = {}
         for _, _, note in self.notes:
             if note.what == "policy active":
-                told = f"{note.fields['policy']}" + (
+                activation = f"{note.fields['policy']}" + (
                     f" {note.fields['fallback_levels']}" if fallback_levels else ""
                 )
-                found.setdefault(str(note.fields["epoch"]), set()).add(told)
-        return found
+                result.setdefault(str(note.fields["epoch"]), set()).add(activation)
+        return result
 
     def said(self, what: str) -> list[LogEntry]:
         return [note for _, _, note in self.notes if note.what == what]
 
-    # -- what the cores ask of the world
+    # -- effects of members
 
-    def _heard(self, now: float, name: str, effect: Any) -> None:
+    def _handle_effect(self, now: float, name: str, effect: Any) -> None:
         match effect:
             case LogEntry():
                 self.notes.append((now, name, effect))
@@ -215,17 +222,24 @@
                 self.applied.append((now, name, effect))
             case StartTranslation():
                 self.asked.append((now, name))
-                done = self._translate(effect)
-                self.made.later(TRANSLATES_FOR, lambda: self.made.tell(name, done))
+                finished = self._translate(effect)
+                self.made.later(TRANSLATION_S, lambda: self.made.tell(name, finished))
 
-    def _translate(self, told: StartTranslation) -> TranslationFinished:
+    def _translate(self, request: StartTranslation) -> TranslationFinished:
         try:
-            policy = told.base.policy if told.base is not None else read(told.text, told.file)
-            base = told.base.translation if told.base is not None else None
-            made = translate(policy, told.classes, base=base)
-        except (FaultyPolicyError, InfeasibleError) as trouble:
-            return TranslationFinished(None, tuple(str(trouble).splitlines()))
+            policy = request.base.policy if request.base is not None else read(request.text, request.file)
+            base = request.base.translation if request.base is not None else None
+            translation = translate(policy, request.classes, base=base)
+        except (FaultyPolicyError, InfeasibleError) as error:
+            return TranslationFinished(None, tuple(str(error).splitlines()))
         if self.tamper:
-            best = next(plan for one, plan in made.classes.items() if one == CLASSES["rich"])
-            made = type(made)(made.number, made.revision, made.policy, dict.fromkeys(made.classes, best))
-        return TranslationFinished(PolicyBundle(policy, made))
+            richest_plan = next(
+                plan for capabilities, plan in translation.classes.items() if capabilities == CLASSES["rich"]
+            )
+            translation = type(translation)(
+                translation.number,
+                translation.revision,
+                translation.policy,
+                dict.fromkeys(translation.classes, richest_plan),
+            )
+        return TranslationFinished(PolicyBundle(policy, translation))
--- a/sablewheel/experiments/policy_member.py
+++ b/sablewheel/experiments/policy_member.py
@@ -1,13 +1,13 @@
-"""A server of the policy's trial: ours, broken on purpose, or the baseline of a fleet at its weakest class.
+"""A server of the policy experiment: unchanged, a faulty variant, or the weakest-class baseline.
 
     python -m sablewheel.experiments.policy_member KIND
     python -m sablewheel.experiments.policy_member weakest REQUEST_CLASS
 
-KIND is ours, ignore-class, minority-activates, no-dwell or unverified. With `weakest` the server rejects what
-the weakest class of hosts can't run.
+KIND is ours, ignore-class, minority-activates, no-dwell or unverified. With `weakest` the server rejects the
+request class that the weakest class of hosts can't run.
 
-In all but the baseline the translation of one document, number TAMPERED, comes out wrong: it has every class
-run what the richest does.
+Except in the baseline, the translation of the policy with the number FAULTY_POLICY_NUMBER is wrong: every
+class of hosts gets the plan of the richest.
 """
 
 from __future__ import annotations
@@ -26,50 +26,50 @@
 from ..serving.exchange import Exchange
 from .replaced_parts import announce, replace_part
 
-TAMPERED = 9
+FAULTY_POLICY_NUMBER = 9
 WRONG_TRANSLATION = "wrong-translation"
 
 
-class Odd(shell.PolicyService):
-    """PolicyService with a part broken, and one translation in the way of a faulty solver."""
+class FaultyPolicyService(shell.PolicyService):
+    """PolicyService with a faulty variant, and with one wrong translation as from a faulty solver."""
 
-    def __init__(self, scheduler: Any, plan: PolicyPlan, *rest: Any) -> None:
+    def __init__(self, scheduler: Any, plan: PolicyPlan, *args: Any) -> None:
         kind = sys.argv[1]
-        super().__init__(scheduler, replace(plan, broken=kind if kind in FAULTY_VARIANTS else ""), *rest)
+        super().__init__(scheduler, replace(plan, broken=kind if kind in FAULTY_VARIANTS else ""), *args)
         announce(kind)
 
     def _answer(self, data: bytes) -> TranslationFinished:
-        told = super()._answer(data)
-        if told.made is None or told.made.policy.number != TAMPERED:
-            return told
-        made = told.made.translation
-        best = max(made.classes.values(), key=lambda plan: len(plan.features))
-        wrong = replace(made, classes=dict.fromkeys(made.classes, best))
+        finished = super()._answer(data)
+        if finished.made is None or finished.made.policy.number != FAULTY_POLICY_NUMBER:
+            return finished
+        translation = finished.made.translation
+        richest_plan = max(translation.classes.values(), key=lambda plan: len(plan.features))
+        wrong_translation = replace(translation, classes=dict.fromkeys(translation.classes, richest_plan))
         announce(WRONG_TRANSLATION)
-        return TranslationFinished(PolicyBundle(told.made.policy, wrong))
+        return TranslationFinished(PolicyBundle(finished.made.policy, wrong_translation))
 
 
-def weakest(request_class: bytes) -> None:
-    arrived = Dispatcher.arrived
+def install_weakest_baseline(request_class: bytes) -> None:
+    handle_arrival = Dispatcher.arrived
     announced = False
 
-    def only_weak(self: Dispatcher, exchange: Exchange) -> None:
+    def reject_request_class(self: Dispatcher, exchange: Exchange) -> None:
         nonlocal announced
         if not announced:
             announced = True
             announce("weakest")
         if exchange.request_class == request_class:
             return exchange.reject(0.0, True)
-        arrived(self, exchange)
+        handle_arrival(self, exchange)
 
-    setattr(Dispatcher, "arrived", only_weak)  # noqa: B010  for this process alone
+    setattr(Dispatcher, "arrived", reject_request_class)  # noqa: B010  only in this process
 
 
 if __name__ == "__main__":
     if sys.argv[1] == "weakest":
-        weakest(sys.argv[2].encode())
+        install_weakest_baseline(sys.argv[2].encode())
     elif sys.argv[1] == "ours" or sys.argv[1] in FAULTY_VARIANTS:
-        replace_part(shell, "PolicyService", Odd)  # the program imports it from there
+        replace_part(shell, "PolicyService", FaultyPolicyService)  # where the server imports it from
     else:
-        raise SystemExit(f"{sys.argv[1]!r} is none of ours, weakest, {', '.join(FAULTY_VARIANTS)}")
+        raise SystemExit(f"{sys.argv[1]!r} is not one of ours, weakest, {', '.join(FAULTY_VARIANTS)}")
     runpy.run_module("sablewheel", run_name="__main__")
--- a/sablewheel/experiments/replication.py
+++ b/sablewheel/experiments/replication.py
@@ -247,7 +247,7 @@
     ]
     results: dict[str, set[str]] = defaultdict(set)
     wrong_results = never_run = rejected_ran = rejected_with_known_key = unanswered = lost = late = 0
-    down_spans = [span for what in ("killed", "cold") for span in scenario.fault_spans.get(what, [])]
+    down_spans = [span for fault in ("killed", "cold") for span in scenario.fault_spans.get(fault, [])]
     stopped_spans = scenario.fault_spans.get("stopped", [])
     for attempt in attempts:
         server = members_by_address[attempt["server"]]
@@ -290,7 +290,7 @@
         for request_class in REQUEST_CLASSES
     }
     faulty_spans = [
-        span for what in ("zone cut", "killed", "stopped") for span in scenario.fault_spans.get(what, [])
+        span for fault in ("zone cut", "killed", "stopped") for span in scenario.fault_spans.get(fault, [])
     ]
     shares = {
         request_class: _completed_share(
