--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -17,7 +17,7 @@
 import pytest
 
 from sablewheel.experiments.fleet import LISTEN, Block
-from sablewheel.experiments.forwarding import KEYS, Scenario
+from sablewheel.experiments.forwarding import MEMBERSHIP_SETTINGS, Scenario
 from sablewheel.experiments.forwarding import REQUEST_CLASSES as REQUEST_CLASS_SHARES
 from sablewheel.experiments.simulated_fleet import SimulatedFleet
 from sablewheel.experiments.testbed import Testbed, free_port
@@ -848,11 +848,11 @@
 
 def test_two_servers_serve_each_others_requests_and_shut_down_cleanly() -> None:
     with Testbed(1) as testbed, closing(Block()) as block:
-        scenario = Scenario(testbed, block.second, "spread", 0, 2, 1, keys=KEYS)
+        scenario = Scenario(testbed, block.second, "spread", 0, 2, 1, keys=MEMBERSHIP_SETTINGS)
         for name in scenario.names:
             scenario.start(name)
         for name in scenario.names:
-            scenario.wait_up(name)
+            scenario.wait_until_up(name)
         assert scenario.wait_agreed(scenario.names, 20.0) is not None, scenario.processes["m0"].tail()
         scenario.start("m1")  # a second process finds its addresses in use and reports which
         assert scenario.processes["m1"].popen.wait(20.0) == 1
