--- a/sablewheel/program/application.py
+++ b/sablewheel/program/application.py
@@ -207,7 +207,7 @@
         self._scheduler.after(max(stop_after_s - ANSWER_MARGIN_S, 0.0), self._answer_all)
         if self.phase is Phase.WAITING:
             # Nothing has run and nothing will run: waiting and unread requests are rejected.
-            self._features.leaving()
+            self._features.on_shutdown_notice()
             self._reject_requests()
             return self._start_closing()
         # After the grace no new request may run. A closed socket is the earliest sign of that for clients.
@@ -216,13 +216,13 @@
         self._enter(Phase.DRAINING)
         self._dispatcher.shutdown_notice(stop_after_s)
         self._send_report()
-        self._features.leaving()
+        self._features.on_shutdown_notice()
         return None
 
     def _start_closing(self) -> None:
         self._enter(Phase.CLOSING)
         self._close_listener()
-        self._features.closing()
+        self._features.on_grace_over()
 
     def _close_listener(self) -> None:
         """Close the listening socket once all connections in its queue have been accepted."""
@@ -258,7 +258,7 @@
             return
         if self._request_listener.connections or self._dispatcher.open_count:
             return
-        if self._features.settled():
+        if self._features.is_settled():
             self._end()
 
     def _end(self) -> None:
--- a/sablewheel/program/feature.py
+++ b/sablewheel/program/feature.py
@@ -47,13 +47,13 @@
     def end_round(self) -> None:
         """Finish a round of the event loop."""
 
-    def leaving(self) -> None:
+    def on_shutdown_notice(self) -> None:
         """Start the shutdown: the notice was received, and the grace begins."""
 
-    def closing(self) -> None:
+    def on_grace_over(self) -> None:
         """Finish open work: the grace is over."""
 
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         """Return whether the process may end without loss of data or requests."""
 
     def close(self, timeout_s: float) -> None:
@@ -86,13 +86,13 @@
     def end_round(self) -> None:
         """Do nothing."""
 
-    def leaving(self) -> None:
+    def on_shutdown_notice(self) -> None:
         """Do nothing."""
 
-    def closing(self) -> None:
+    def on_grace_over(self) -> None:
         """Do nothing."""
 
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         """Return True."""
         return True
 
@@ -127,8 +127,8 @@
     up_at: Callable[[], float] | None = None
     last_notice: Callable[[], int] | None = None
     end_round: Callable[[], None] | None = None
-    leaving: Callable[[], None] | None = None
-    closing: Callable[[], None] | None = None
-    settled: Callable[[], bool] | None = None
+    on_shutdown_notice: Callable[[], None] | None = None
+    on_grace_over: Callable[[], None] | None = None
+    is_settled: Callable[[], bool] | None = None
     close: Callable[[float], None] | None = None
     gauges: Callable[[], dict[str, object]] | None = None
--- a/sablewheel/program/feature_registry.py
+++ b/sablewheel/program/feature_registry.py
@@ -94,8 +94,8 @@
     return FeatureHooks(
         observer=recorder,
         end_round=recorder.end_round,
-        closing=recorder.closing,
-        settled=recorder.settled,
+        on_grace_over=recorder.on_grace_over,
+        is_settled=recorder.is_settled,
         close=recorder.close,
         gauges=recorder.gauges,
     )
@@ -123,8 +123,8 @@
         up_at=recorder.up_at,
         last_notice=lambda: recorder.last_notice,
         end_round=recorder.end_round,
-        closing=recorder.begin_shutdown,
-        settled=recorder.settled,
+        on_grace_over=recorder.on_grace_over,
+        is_settled=recorder.is_settled,
         close=lambda _: recorder.close(),
         gauges=recorder.gauges,
     )
@@ -145,11 +145,13 @@
     feature_context.fleet = fleet
     feature_context.leave = fleet.leave
 
-    def leaving() -> None:
+    def on_shutdown_notice() -> None:
         if feature_context.leave is not None:
             feature_context.leave()
 
-    return FeatureHooks(leaving=leaving, close=lambda _: fleet.close(), gauges=fleet.gauges)
+    return FeatureHooks(
+        on_shutdown_notice=on_shutdown_notice, close=lambda _: fleet.close(), gauges=fleet.gauges
+    )
 
 
 def _build_forwarding(feature_context: FeatureContext, plan: ForwardingPlan) -> FeatureHooks:
@@ -183,9 +185,9 @@
     return FeatureHooks(
         handler=forward.handler,
         descriptors=lambda: links.max_connections,
-        leaving=lambda: forward.start_shutdown() if feature_context.leave is not None else None,
+        on_shutdown_notice=lambda: forward.start_shutdown() if feature_context.leave is not None else None,
         end_round=links.flush,
-        settled=lambda: forward.is_idle and links.all_sent,
+        is_settled=lambda: forward.is_idle and links.all_sent,
         close=lambda _: links.close(),
         gauges=lambda: {**links.gauges(), **forward.gauges()},
     )
@@ -273,8 +275,8 @@
     return FeatureHooks(
         observer=replication,
         result_store=replication,
-        leaving=replication.leaving,
-        settled=replication.settled,
+        on_shutdown_notice=replication.on_shutdown_notice,
+        is_settled=replication.is_settled,
         close=lambda _: replication.close(),
         gauges=replication.gauges,
     )
@@ -330,8 +332,8 @@
         observer=router.observer,
         result_store=router.result_store,
         handler=router.handler,
-        leaving=router.leaving,
-        settled=router.settled,
+        on_shutdown_notice=router.on_shutdown_notice,
+        is_settled=router.is_settled,
         close=lambda _: router.close(),
         gauges=router.gauges,
     )
--- a/sablewheel/program/feature_set.py
+++ b/sablewheel/program/feature_set.py
@@ -74,9 +74,11 @@
         self._descriptors = [hooks.descriptors for hooks in built if hooks.descriptors is not None]
         last_first = built[::-1]
         self._end_round = [hooks.end_round for hooks in last_first if hooks.end_round is not None]
-        self._leaving = [hooks.leaving for hooks in last_first if hooks.leaving is not None]
-        self._closing = [hooks.closing for hooks in last_first if hooks.closing is not None]
-        self._settled = [hooks.settled for hooks in last_first if hooks.settled is not None]
+        self._on_shutdown_notice = [
+            hooks.on_shutdown_notice for hooks in last_first if hooks.on_shutdown_notice is not None
+        ]
+        self._on_grace_over = [hooks.on_grace_over for hooks in last_first if hooks.on_grace_over is not None]
+        self._is_settled = [hooks.is_settled for hooks in last_first if hooks.is_settled is not None]
         self._close = [hooks.close for hooks in last_first if hooks.close is not None]
         self._up_at = [hooks.up_at for hooks in last_first if hooks.up_at is not None]
 
@@ -125,19 +127,19 @@
             end_round()
         self._background.end_round()
 
-    def leaving(self) -> None:
+    def on_shutdown_notice(self) -> None:
         """Start the shutdown: the notice was received, and the grace begins."""
-        for leaving in self._leaving:
-            leaving()
+        for on_shutdown_notice in self._on_shutdown_notice:
+            on_shutdown_notice()
 
-    def closing(self) -> None:
+    def on_grace_over(self) -> None:
         """Finish open work: the grace is over."""
-        for closing in self._closing:
-            closing()
+        for on_grace_over in self._on_grace_over:
+            on_grace_over()
 
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         """Return whether the process may end without loss of data or requests."""
-        return all(settled() for settled in self._settled)
+        return all(is_settled() for is_settled in self._is_settled)
 
     def close(self, timeout_s: float) -> None:
         """Close all features within `timeout_s`."""
--- a/sablewheel/replication/service.py
+++ b/sablewheel/replication/service.py
@@ -312,11 +312,11 @@
 
     # -- shutdown
 
-    def leaving(self) -> None:
+    def on_shutdown_notice(self) -> None:
         """Record that this member has started to leave; it stays while others fetch its entries."""
         self._leaving_since = self._clock()
 
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         """Return whether no request waits any more and other members had time to fetch the entries."""
         if self._clock() < self._leaving_since + SHUTDOWN_LINGER_S:
             return False
--- a/sablewheel/result_store/recorder.py
+++ b/sablewheel/result_store/recorder.py
@@ -412,13 +412,13 @@
 
     # -- shutdown
 
-    def begin_shutdown(self) -> None:
+    def on_grace_over(self) -> None:
         """Write without delay from now on, since the server shuts down."""
         self._is_shutting_down = True
 
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         """Return whether all intents and outcomes are durable and no answer is delayed."""
-        return self._run_log.store is None or (not self._delayed_answers and self._run_log.settled())
+        return self._run_log.store is None or (not self._delayed_answers and self._run_log.is_settled())
 
     def close(self) -> None:
         """Send all delayed answers, write the remaining intents and outcomes and close the folder."""
--- a/sablewheel/result_store/run_log.py
+++ b/sablewheel/result_store/run_log.py
@@ -221,7 +221,7 @@
         """Whether the disk is full or failing, so that nothing can be made durable."""
         return self.store is not None and self.store.disk_state in (DiskState.FULL, DiskState.FAILING)
 
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         """Return whether all intents and outcomes are durable."""
         return self.store is None or (not self.has_unwritten and self.store.all_durable)
 
--- a/sablewheel/session_affinity/session_router.py
+++ b/sablewheel/session_affinity/session_router.py
@@ -320,7 +320,7 @@
 
     # -- shutdown
 
-    def leaving(self) -> None:
+    def on_shutdown_notice(self) -> None:
         """Hand over all sessions after the shutdown notice, and leave the fleet late in the grace period.
 
         Until then this server is in the view and forwards the requests that still arrive to the new owners.
@@ -335,7 +335,7 @@
             self._forward.start_shutdown()
             self._fleet.leave()
 
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         """Whether no request waits for a decision."""
         return not self._undecided
 
--- a/sablewheel/usage_metering/recorder.py
+++ b/sablewheel/usage_metering/recorder.py
@@ -297,13 +297,13 @@
 
     # -- shutdown
 
-    def closing(self) -> None:
+    def on_grace_over(self) -> None:
         """Seal and export all entries without waiting for more; the server shuts down."""
         self._is_closing = True
         if self._sender is not None:
             self._sender.skip_backoff()
 
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         """Whether the process can exit without losing entries or answers."""
         if self._delayed_answers or not self._entry_buffer.empty:
             return False
--- a/tests/test_session_router.py
+++ b/tests/test_session_router.py
@@ -218,7 +218,7 @@
     fleet.send_request("a")
     fleet.time.run(0.5)
     (owner,) = fleet.running()
-    fleet.servers[owner].router.leaving()
+    fleet.servers[owner].router.on_shutdown_notice()
     fleet.time.run(1.0)
     other = next(name for name in NAMES if name != owner)
     _, waiting_caller = fleet.send_request(other)  # the request waits for the successor
@@ -259,7 +259,7 @@
     assert exchange.cancel()
     fleet.servers["a"].handler.cancelled(exchange)
     fleet.time.run(1.0)
-    assert fleet.running() == {} and caller.answers == [] and fleet.servers["a"].router.settled()
+    assert fleet.running() == {} and caller.answers == [] and fleet.servers["a"].router.is_settled()
 
 
 def test_the_policy_fact_of_the_view_activates_a_version_and_migrates_nothing() -> None:
--- a/tests/test_usage_metering.py
+++ b/tests/test_usage_metering.py
@@ -194,16 +194,16 @@
     server = MemoryDepthServer(monkeypatch)
     server.serve_one()
     server.send_blocks()
-    assert not server.usage_recorder.settled()
+    assert not server.usage_recorder.is_settled()
     server.exports[-1].feed(b"")
-    server.usage_recorder.closing()
+    server.usage_recorder.on_grace_over()
     server.welcome()
-    assert not server.usage_recorder.settled()
+    assert not server.usage_recorder.is_settled()
     server.send_blocks()
     acknowledged = pb.Acknowledged(incarnation=INCARNATION, number=1)
     server.exports[-1].feed(encode_frame(pb.Frame(acknowledged=acknowledged)))
     server.settle()
-    assert server.usage_recorder.settled()
+    assert server.usage_recorder.is_settled()
 
 
 def test_sealed_blocks_that_no_collector_acknowledged_are_told_at_the_end(
