--- a/sablewheel/overload/controller.py
+++ b/sablewheel/overload/controller.py
@@ -153,7 +153,7 @@
         """The current settings."""
         return self._context.settings
 
-    def retune(self, settings: ServerSettings) -> None:
+    def update_settings(self, settings: ServerSettings) -> None:
         """Replace the settings of a running server.
 
         Requests admitted earlier keep their request class. Statistics of the previous classes and tenants are
--- a/sablewheel/overload/interface/settings.py
+++ b/sablewheel/overload/interface/settings.py
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, eq=False)
 class ServerSettings:
-    """Settings of one server; unchanged until `Controller.retune`.
+    """Settings of one server; unchanged until `Controller.update_settings`.
 
     Attributes:
         running_memory_factor: Memory of a running request as a multiple of its memory while queued.
--- a/sablewheel/program/application.py
+++ b/sablewheel/program/application.py
@@ -120,7 +120,7 @@
             lambda: self._dispatcher.recovery_finished(),
             self._on_start_failed,
             self._counters.count,
-            self._retune,
+            self._update_settings,
         )
 
     def _build_dispatcher(self) -> Dispatcher:
@@ -280,7 +280,7 @@
         log.info("configuration reloaded", extra={"pairs": pairs})
         self._placement_settings = reloaded.placement_settings
         if reloaded.settings_changed:
-            self._retune()
+            self._update_settings()
         if loaded.naming != before.naming:
             self._name_service.set_address(loaded.naming)
             self._send_report()
@@ -288,11 +288,11 @@
             self._interpreter.connect_to(self._connector(loaded.interpreter))
         self._counters.count("configurations_taken")
 
-    def _retune(self) -> None:
+    def _update_settings(self) -> None:
         """Apply the settings, with the features' present changes to them, to requests from now on."""
         placement_settings = self._placement_settings
         server_settings = self._features.server_settings(placement_settings.server_settings)
-        self._dispatcher.retune(server_settings, placement_settings.gauge_indexes)
+        self._dispatcher.update_settings(server_settings, placement_settings.gauge_indexes)
         self._request_listener.expect_clients(server_settings.clients)
         # The listener looks up names in these dictionaries, which have the order of the settings.
         placement_settings.request_classes.update(
--- a/sablewheel/program/feature_context.py
+++ b/sablewheel/program/feature_context.py
@@ -32,7 +32,7 @@
         on_never_started: Called with a request whose run a feature delayed, once its client stopped waiting.
         on_recovery_finished: Called once all stored results are loaded.
         on_start_failed: Called with a reason when a feature can't start that the server must not run without.
-        retune: Called when a feature changes the controller's settings in another way than before.
+        update_settings: Called when a feature changes the controller's settings in another way than before.
         metadata: The key-value pairs that this member publishes in the fleet's view, of all features.
         fleet: The membership service; None if membership is off.
         links: The connections to peers, set by forwarding.
@@ -53,7 +53,7 @@
     on_start_failed: Callable[[str], None]
     count: Callable[[str], None]
     features: Features
-    retune: Callable[[], None] = lambda: None
+    update_settings: Callable[[], None] = lambda: None
     observer: RequestObserver = NO_OBSERVER
     result_store: ResultStore = NO_RESULT_STORE
     metadata: tuple[tuple[str, str], ...] = ()
--- a/sablewheel/program/feature_registry.py
+++ b/sablewheel/program/feature_registry.py
@@ -231,7 +231,7 @@
         links,
         host_capabilities,
         feature_context.placement_settings.tenants,
-        feature_context.retune,
+        feature_context.update_settings,
     )
     forward.placer = policies  # a feature that also places requests calls `policies.place` in turn
     feature_context.policies = policies
--- a/sablewheel/program/feature_set.py
+++ b/sablewheel/program/feature_set.py
@@ -42,7 +42,7 @@
         on_recovery_finished: Callable[[], None],
         on_start_failed: Callable[[str], None],
         count: Callable[[str], None],
-        retune: Callable[[], None] = lambda: None,
+        update_settings: Callable[[], None] = lambda: None,
     ) -> None:
         self._background = Background(scheduler, batch_count)
         declared = [
@@ -63,7 +63,7 @@
             on_start_failed,
             count,
             features,
-            retune,
+            update_settings,
             metadata=_all_metadata(declared, placement_settings, features),
         )
         self._built = [_build(declaration, feature_context, plan) for declaration, plan in declared]
--- a/sablewheel/serving/dispatcher.py
+++ b/sablewheel/serving/dispatcher.py
@@ -108,7 +108,7 @@
         """The number of requests that are not finished."""
         return len(self._open_requests) + len(self._start_queue)
 
-    def retune(
+    def update_settings(
         self, server_settings: ServerSettings, gauge_indexes: tuple[int | None, int | None, int | None]
     ) -> None:
         """Apply new settings to new requests; the old settings still apply to requests already accepted."""
@@ -117,7 +117,7 @@
             server_settings = replace(
                 server_settings, starts_cold=self._controller.server_settings.starts_cold
             )
-            self._controller.retune(server_settings)
+            self._controller.update_settings(server_settings)
         self._server_settings = server_settings
         self._set_cancellation()
         self._recent_runs.lifetime_s = max(self._recent_runs.lifetime_s, _longest_lifetime_s(server_settings))
--- a/tests/test_decision_cost.py
+++ b/tests/test_decision_cost.py
@@ -77,7 +77,7 @@
 
 CALL_EVENTS = st.lists(
     st.tuples(
-        st.sampled_from(["open", "end", "abandon", "pass", "retune"]),
+        st.sampled_from(["open", "end", "abandon", "pass", "update_settings"]),
         st.integers(0, 5),
         st.integers(0, 3_000_000),
     ),
@@ -88,7 +88,7 @@
 @settings(max_examples=200)
 @given(CALL_EVENTS)
 @example(
-    [("open", 0, 0)] * 2 + [("open", 0, 2_000_000), ("retune", 0, 0)]
+    [("open", 0, 0)] * 2 + [("open", 0, 2_000_000), ("update_settings", 0, 0)]
 )  # no capacity, so no recomputation
 def test_the_running_sum_of_calls_equals_a_recomputed_sum(events: list[tuple[str, int, int]]) -> None:
     context = DecisionContext(with_dependency(SPAN_S))
@@ -103,7 +103,7 @@
             capacity.close_call(in_flight.pop(which % len(in_flight)), event == "abandon")
         elif event == "pass":
             context.begin_batch(context.now + microseconds / 1e6)
-        elif event == "retune":
+        elif event == "update_settings":
             context.update_settings(with_dependency(1.0 + which))
         capacity.fits(0.1)
         dependency = context.settings.dependency
--- a/tests/test_duplicate_races.py
+++ b/tests/test_duplicate_races.py
@@ -511,7 +511,7 @@
     server.end(first.name)
     server.settle()
     server_settings = with_window(window_s)
-    server.dispatcher.retune(server_settings, (0, 3, 1))
+    server.dispatcher.update_settings(server_settings, (0, 3, 1))
     server.listener._request_classes.update(
         zip((b"lookup", b"record"), server_settings.request_classes, strict=True)
     )
@@ -535,7 +535,7 @@
         replace(request_class, timeout_s=10.0) for request_class in server.server_settings.request_classes
     )
     server_settings = replace(server.server_settings, request_classes=request_classes)
-    server.dispatcher.retune(server_settings, (0, 3, 1))
+    server.dispatcher.update_settings(server_settings, (0, 3, 1))
     server.listener._request_classes.update(zip((b"lookup", b"record"), request_classes, strict=True))
     server.server_settings = server_settings
     first = server.call(b"record", b"a")
--- a/tests/test_service_rules.py
+++ b/tests/test_service_rules.py
@@ -821,7 +821,7 @@
         cancellation=Cancellation.UNSUPPORTED,
     )
     for server_settings in (changed, PLAIN):
-        simulation.controller.retune(server_settings)
+        simulation.controller.update_settings(server_settings)
         simulation.server_settings = server_settings
         after = [simulation.arrive(0) for _ in range(2)]
         actions(simulation)
