--- a/sablewheel/experiments/policy_fleet.py
+++ b/sablewheel/experiments/policy_fleet.py
@@ -49,7 +49,7 @@
     join_interval_s=0.3,
     max_settle_s=1.0,
 )
-RULES = Rules(dwell_down=2.0, dwell_up=10.0, rest=5.0, settle=1.0, stagger=2.0)
+RULES = Rules(dwell_down_s=2.0, dwell_up_s=10.0, step_up_cooldown_s=5.0, settle_s=1.0, stagger_s=2.0)
 EVERY = (1 << 12) - 1  # the codes of all features but rank-order
 CLASSES = {
     "rich": HostCapabilities(8, 1000, 1 << 18, 1024, (1 << len(TRAITS)) - 1, EVERY),
--- a/sablewheel/feature_policy/bundle_transfer.py
+++ b/sablewheel/feature_policy/bundle_transfer.py
@@ -121,7 +121,7 @@
         if not chunk.data or not 0 < len(fetching.data) <= chunk.total <= policy_bundle.MAX_BUNDLE_BYTES:
             # Another member is asked soon, but not at once, or two members without the bundle would be asked
             # in a loop.
-            fetching.requested_at = now - BAD_CHUNK_ELAPSED_RATIO * self._rules.fetch_within
+            fetching.requested_at = now - BAD_CHUNK_ELAPSED_RATIO * self._rules.fetch_timeout_s
         elif len(fetching.data) < chunk.total:
             fetching.requested_at = now
             self._output.effects.append(Send(sender, Fetch(chunk.name, len(fetching.data))))
@@ -154,13 +154,13 @@
         if (
             fetching is None
             or fetching.name != name
-            or now >= fetching.requested_at + self._rules.fetch_within
+            or now >= fetching.requested_at + self._rules.fetch_timeout_s
         ):
             attempts = fetching.attempts if fetching is not None and fetching.name == name else 0
             fetching = self._start_fetch(now, name, attempts)
             if fetching is None:
                 return
-        self._output.timers.append(fetching.requested_at + self._rules.fetch_within)
+        self._output.timers.append(fetching.requested_at + self._rules.fetch_timeout_s)
 
     def _start_fetch(self, now: float, name: str, attempts: int) -> _Fetching | None:
         members = self._fleet.names
@@ -193,7 +193,7 @@
         if order(newest) <= order(self._fleet.active_name):
             return
         if now >= self._next_offer_at:
-            self._next_offer_at = now + self._rules.offer_every
+            self._next_offer_at = now + self._rules.offer_interval_s
             for peer in sorted({self._fleet.next_peer() for _ in range(OFFER_FANOUT)} - {""}):
                 self._output.effects.append(Send(peer, Offer(newest)))
         self._output.timers.append(self._next_offer_at)
--- a/sablewheel/feature_policy/document_intake.py
+++ b/sablewheel/feature_policy/document_intake.py
@@ -46,11 +46,13 @@
         if document.only_first and (fleet.fact(ACTIVE) or fleet.fact(STAGED) or self._store.bundles):
             self._document = None
             return
-        due_at, classes = fleet.changed_at + self._rules.settle, fleet.classes
+        due_at, classes = fleet.changed_at + self._rules.settle_s, fleet.classes
         if document.only_first:
             if classes == self._tried_classes:
                 return  # it failed for these classes; more members may still join
-            due_at = max(due_at, fleet.joined_at + self._rules.settle + fleet.position * self._rules.stagger)
+            due_at = max(
+                due_at, fleet.joined_at + self._rules.settle_s + fleet.position * self._rules.stagger_s
+            )
         if self._must_wait(now, due_at):
             return
         if document.only_first:
@@ -71,14 +73,14 @@
         missing = (bundle.name, unknown)
         if missing != self._missing:
             self._missing, self._missing_since = missing, now
-        due_at = self._missing_since + self._rules.settle + self._fleet.position * self._rules.stagger
+        due_at = self._missing_since + self._rules.settle_s + self._fleet.position * self._rules.stagger_s
         if missing in self._translated_for or self._must_wait(now, due_at):
             return
         self._translated_for = {missing}
         self._start(now, StartTranslation("", bundle.policy.file, self._fleet.classes, bundle))
 
     def _must_wait(self, now: float, due_at: float) -> bool:
-        if now >= due_at and now >= self._started_at + self._rules.translate_within:
+        if now >= due_at and now >= self._started_at + self._rules.translation_timeout_s:
             return False
         self._output.timers.append(max(due_at, now + RECHECK_S))
         return True
--- a/sablewheel/feature_policy/plan.py
+++ b/sablewheel/feature_policy/plan.py
@@ -13,23 +13,23 @@
     up to a better fallback level.
     """
 
-    dwell_down: float = 2.0  # how long capacity must be short before a step down
-    dwell_up: float = 20.0  # how long capacity must suffice before a step up
+    dwell_down_s: float = 2.0  # how long capacity must be short before a step down
+    dwell_up_s: float = 20.0  # how long capacity must suffice before a step up
     up_margin: float = 1.25
-    rest: float = 10.0  # least time from any change to a step up
-    settle: float = 2.0  # how long a view must be unchanged before its classes are translated
-    stagger: float = 5.0  # delay per position in the view before a member acts if its predecessors did not
-    translate_within: float = 120.0  # timeout of a translation
-    fetch_within: float = 1.0  # timeout of one request for a chunk
-    offer_every: float = 2.0  # interval between offers
+    step_up_cooldown_s: float = 10.0  # least time from any change to a step up
+    settle_s: float = 2.0  # how long a view must be unchanged before its classes are translated
+    stagger_s: float = 5.0  # delay per position in the view before a member acts if its predecessors did not
+    translation_timeout_s: float = 120.0  # timeout of a translation
+    fetch_timeout_s: float = 1.0  # timeout of one request for a chunk
+    offer_interval_s: float = 2.0  # interval between offers
     retry_after_s: float = 2.0  # retry delay sent to rejected callers
 
     def __post_init__(self) -> None:
         if self.up_margin < 1:
             raise ValueError(f"up-margin {self.up_margin:g} must be at least 1")
-        if self.dwell_up < self.dwell_down:
+        if self.dwell_up_s < self.dwell_down_s:
             raise ValueError(
-                f"dwell-up-s {self.dwell_up:g} must be at least dwell-down-s {self.dwell_down:g}"
+                f"dwell-up-s {self.dwell_up_s:g} must be at least dwell-down-s {self.dwell_down_s:g}"
             )
 
 
--- a/sablewheel/feature_policy/rollout.py
+++ b/sablewheel/feature_policy/rollout.py
@@ -54,7 +54,13 @@
     ) -> None:
         self._faulty_variant = faulty_variant
         if faulty_variant == "no-dwell":
-            rules = Rules(dwell_down=0.0, dwell_up=0.0, up_margin=1.0, rest=0.0, settle=rules.settle)
+            rules = Rules(
+                dwell_down_s=0.0,
+                dwell_up_s=0.0,
+                up_margin=1.0,
+                step_up_cooldown_s=0.0,
+                settle_s=rules.settle_s,
+            )
         self._output = Output()
         self.fleet = FleetState(
             node_name, own_capabilities, rules, self._output, faulty_variant == "minority-activates"
--- a/sablewheel/feature_policy/service.py
+++ b/sablewheel/feature_policy/service.py
@@ -339,7 +339,7 @@
                 self._step, TranslationFinished(None, (f"could not start the translation process: {error}",))
             )
             return
-        self._process_deadline_s = self._clock() + self._plan.rules.translate_within
+        self._process_deadline_s = self._clock() + self._plan.rules.translation_timeout_s
         self._scheduler.after(PROCESS_POLL_INTERVAL_S, self._poll_process)
 
     def _poll_process(self) -> None:
--- a/sablewheel/feature_policy/serving_levels.py
+++ b/sablewheel/feature_policy/serving_levels.py
@@ -136,8 +136,10 @@
         has_step_up = any(target < level for target, level in zip(target_levels, levels, strict=True))
         self._step_down_since = min(self._step_down_since, now) if has_step_down else inf
         self._step_up_since = min(self._step_up_since, now) if has_step_up and not has_step_down else inf
-        down_at = self._step_down_since + self._rules.dwell_down
-        up_at = max(self._step_up_since + self._rules.dwell_up, self.changed_at + self._rules.rest)
+        down_at = self._step_down_since + self._rules.dwell_down_s
+        up_at = max(
+            self._step_up_since + self._rules.dwell_up_s, self.changed_at + self._rules.step_up_cooldown_s
+        )
         if has_step_down and now >= down_at:
             return tuple(max(pair) for pair in zip(target_levels, levels, strict=True))
         if has_step_up and now >= up_at:
--- a/sablewheel/program/feature_settings/feature_policy.py
+++ b/sablewheel/program/feature_settings/feature_policy.py
@@ -36,15 +36,15 @@
     def plan(self) -> PolicyPlan:
         """Return the plan of the feature."""
         rules = Rules(
-            dwell_down=self.dwell_down_s,
-            dwell_up=self.dwell_up_s,
+            dwell_down_s=self.dwell_down_s,
+            dwell_up_s=self.dwell_up_s,
             up_margin=self.up_margin,
-            rest=self.rest_s,
-            settle=self.settle_s,
-            stagger=self.stagger_s,
-            translate_within=self.translate_within_s,
-            fetch_within=self.fetch_within_s,
-            offer_every=self.offer_every_s,
+            step_up_cooldown_s=self.rest_s,
+            settle_s=self.settle_s,
+            stagger_s=self.stagger_s,
+            translation_timeout_s=self.translate_within_s,
+            fetch_timeout_s=self.fetch_within_s,
+            offer_interval_s=self.offer_every_s,
             retry_after_s=self.come_back_s,
         )
         return PolicyPlan(self.file, self.speed, rules)
--- a/tests/test_feature_policy_service.py
+++ b/tests/test_feature_policy_service.py
@@ -133,7 +133,7 @@
 
 def make_service(environment: Environment, kind: str, file: Path | None) -> tuple[PolicyService, list[int]]:
     changed: list[int] = []
-    rules = Rules(settle=0.5, stagger=1.0, retry_after_s=3.0)
+    rules = Rules(settle_s=0.5, stagger_s=1.0, retry_after_s=3.0)
     plan = PolicyPlan(str(file) if file is not None else None, rules=rules)
     service_type: Any = PolicyService  # untyped, as Environment has only the needed part of the scheduler
     return service_type(
