--- a/sablewheel/feature_policy/document.py
+++ b/sablewheel/feature_policy/document.py
@@ -206,8 +206,8 @@
         if parameter is None:
             known = {candidate.name: candidate for candidate in catalogue[feature].parameters}
             yield (*path, key), f"unknown parameter; {_suggestion(key, known)}"
-        elif not parameter.least <= value <= parameter.most:
-            yield (*path, key), f"must be {parameter.least} to {parameter.most}, got {value}"
+        elif not parameter.minimum <= value <= parameter.maximum:
+            yield (*path, key), f"must be {parameter.minimum} to {parameter.maximum}, got {value}"
 
 
 def _forbid_faults(path: Path, flow: _Flow, catalogue: Catalogue) -> Iterator[tuple[Path, str]]:
--- a/sablewheel/feature_policy/host_capabilities.py
+++ b/sablewheel/feature_policy/host_capabilities.py
@@ -53,13 +53,13 @@
 class Parameter:
     """An integer parameter of a feature.
 
-    Each unit above `least` costs `memory` bytes, `millicores` and `descriptors`. A plan with a larger value
+    Each unit above `minimum` costs `memory` bytes, `millicores` and `descriptors`. A plan with a larger value
     also satisfies a flow that requires a smaller one.
     """
 
     name: str
-    least: int
-    most: int
+    minimum: int
+    maximum: int
     memory: int = 0  # bytes per unit
     millicores: int = 0
     descriptors: int = 0
@@ -80,7 +80,7 @@
     traits: tuple[str, ...] = ()
     needs: tuple[str, ...] = ()
     conflicts: tuple[str, ...] = ()
-    memory: int = 0  # bytes, with all parameters at their least values
+    memory: int = 0  # bytes, with all parameters at their minimum values
     millicores: int = 0
     descriptors: int = 0
     parameters: tuple[Parameter, ...] = ()
@@ -90,10 +90,10 @@
         return next((parameter for parameter in self.parameters if parameter.name == name), None)
 
     def cost(self, values: Mapping[str, int]) -> tuple[int, int, int]:
-        """Return the bytes, millicores and descriptors at these values; absent ones are at their least."""
+        """Return the bytes, millicores and descriptors at these values; absent ones are at their minimum."""
         total = [self.memory, self.millicores, self.descriptors]
         for parameter in self.parameters:
-            units = max(values.get(parameter.name, parameter.least) - parameter.least, 0)
+            units = max(values.get(parameter.name, parameter.minimum) - parameter.minimum, 0)
             for index, unit_cost in enumerate(
                 (parameter.memory, parameter.millicores, parameter.descriptors)
             ):
--- a/sablewheel/feature_policy/translate.py
+++ b/sablewheel/feature_policy/translate.py
@@ -199,7 +199,7 @@
 ) -> None:
     for name, values in required.items():
         merged = features.setdefault(
-            name, {parameter.name: parameter.least for parameter in catalogue[name].parameters}
+            name, {parameter.name: parameter.minimum for parameter in catalogue[name].parameters}
         )
         for key, value in values.items():
             merged[key] = max(merged[key], value)
@@ -261,8 +261,8 @@
         for total, cost in zip(self._costs, feature.cost({}), strict=True):
             total.append(cost * enabled)
         for parameter in feature.parameters:
-            lower, lower_value = enabled, parameter.least
-            at_least = self.at_least[feature.name, parameter.name] = {parameter.least: enabled}
+            lower, lower_value = enabled, parameter.minimum
+            at_least = self.at_least[feature.name, parameter.name] = {parameter.minimum: enabled}
             for value in sorted(values[parameter.name]):
                 literal = at_least[value] = self.model.new_bool_var(
                     f"{feature.name}.{parameter.name}>={value}"
@@ -299,7 +299,7 @@
 
 
 def _used_features(flows: Sequence[Flow], catalogue: Catalogue) -> dict[str, dict[str, set[int]]]:
-    """Return all features that the flows need, and the requested values of each parameter above its least."""
+    """Return all features that the flows need, and each parameter's requested values above its minimum."""
     used: dict[str, dict[str, set[int]]] = {}
     for required in (
         flow.required_features(fallback_level)
@@ -311,7 +311,7 @@
         for name, values in closure.items():
             for parameter in catalogue[name].parameters:
                 parameter_values = used.setdefault(name, {}).setdefault(parameter.name, set())
-                if values[parameter.name] > parameter.least:
+                if values[parameter.name] > parameter.minimum:
                     parameter_values.add(values[parameter.name])
             used.setdefault(name, {})
     return used
--- a/sablewheel/feature_policy/verify.py
+++ b/sablewheel/feature_policy/verify.py
@@ -74,7 +74,7 @@
     yield from (f"{feature.name} beside {other}" for other in feature.conflicts if other in plan.features)
     for key, value in plan.features[feature.name].items():
         parameter = feature.parameter(key)
-        if parameter is None or not parameter.least <= value <= parameter.most:
+        if parameter is None or not parameter.minimum <= value <= parameter.maximum:
             yield f"{feature.name}.{key} is {value}"
 
 
@@ -89,7 +89,7 @@
         feature = catalogue.get(name)
         for key, value in values.items():
             parameter = feature.parameter(key) if feature is not None else None
-            actual = plan.features[name].get(key, parameter.least if parameter is not None else -1)
+            actual = plan.features[name].get(key, parameter.minimum if parameter is not None else -1)
             if actual < value:
                 yield f"{name}.{key} is {actual}, {value} is wanted"
     yield from (f"{name} is forbidden and on" for name in flow.forbid if name in plan.features)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -288,4 +288,4 @@
 
 def test_a_policy_may_require_connections_to_1024_peers() -> None:
     [peers] = CATALOGUE["forward-near"].parameters
-    assert peers.least == 1 and peers.most >= MIN_LIMIT
+    assert peers.minimum == 1 and peers.maximum >= MIN_LIMIT
