--- a/tests/test_result_store.py
+++ b/tests/test_result_store.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 from simulated_server import Attempt, SimulatedServer
-from test_usage_metering import SERVER_SETTINGS, SlowBridge
+from test_usage_metering import SERVER_SETTINGS, ManualWorkerThread
 
 from sablewheel.command.main import main
 from sablewheel.overload.interface import Outcome
@@ -335,8 +335,8 @@
             else:
                 self.interpreter.over = set(previous.interpreter.over) | set(previous.interpreter.running)
                 self.interpreter.applied = previous.interpreter.applied
-        bridge = SlowBridge()
-        self.bridge, self.failures = bridge, list[str]()
+        worker_thread = ManualWorkerThread()
+        self.worker_thread, self.failures = worker_thread, list[str]()
         request_classes = {
             b"lookup": SERVER_SETTINGS.request_classes[0],
             b"record": SERVER_SETTINGS.request_classes[1],
@@ -344,7 +344,7 @@
         self.recorder = Recorder(
             self.scheduler,
             Background(self.scheduler, lambda: 0),
-            bridge,  # type: ignore[arg-type]
+            worker_thread,  # type: ignore[arg-type]
             plan,
             b"inc%05d" % len(disk.files.names()),
             request_classes,
@@ -355,7 +355,7 @@
             self.counts.append,
             self.read_clocks,
         )
-        bridge.work()
+        worker_thread.work()
         self.listener.observer = self.recorder
         self.dispatcher._result_store = self.recorder
         self.dispatcher._duplicate_checks._result_store = self.recorder
@@ -383,7 +383,7 @@
             for _ in range(4):
                 self.recorder.end_round()
                 self.recorder._background.end_round()
-                self.bridge.work()
+                self.worker_thread.work()
                 super().settle(deliver)
 
     def restart(self, crash_rng: random.Random | None = None) -> ResultStoreServer:
@@ -422,20 +422,20 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     server = ResultStoreServer(monkeypatch, Disk(FakeFiles()))
-    server.bridge.open = False
+    server.worker_thread.open = False
     keyed = server.call(b"record", b"label")
     idempotent = server.call(b"lookup")
     server.settle()
     # An idempotent request has no intent to wait for.
     assert [name for name, _, _ in server.interpreter.applied] == [idempotent.name]
-    server.bridge.open = True
+    server.worker_thread.open = True
     server.settle()
     assert server.interpreter.applied[-1][0] == keyed.name
-    server.bridge.open = False
+    server.worker_thread.open = False
     server.end(keyed.name)
     server.settle()
     assert not keyed.answers
-    server.bridge.open = True
+    server.worker_thread.open = True
     server.settle()
     assert answer_status(keyed) == b"OK"
 
@@ -586,7 +586,7 @@
                 case 5 if server.attempts and server.attempts[-1].tag > 0:
                     server.cancel(server.attempts[-1])
                 case 6:
-                    server.bridge.open = rng.random() < 0.7
+                    server.worker_thread.open = rng.random() < 0.7
                 case 7 if rng.random() < 0.5:
                     server = server.restart(rng)
                     kills += 1
--- a/tests/test_usage_metering.py
+++ b/tests/test_usage_metering.py
@@ -93,7 +93,7 @@
         super().__init__(SERVER_SETTINGS)
         self.files = FakeFiles()
         monkeypatch.setattr(usage_recorder, "DiskFiles", lambda _: self.files)
-        monkeypatch.setattr(usage_recorder, "WorkerThread", SlowBridge)
+        monkeypatch.setattr(usage_recorder, "WorkerThread", ManualWorkerThread)
         plan = LedgerPlan(Depth.DURABLE, Path("made"), answers, commit_interval_s=0.0, max_entries=50)
         background = Background(self.scheduler, lambda: 0)
         names = {SERVER_SETTINGS.tenants[0]: "acme"}
@@ -101,14 +101,14 @@
             self.scheduler, background, plan, "n1", INCARNATION, names, lambda: 0.5, self.counts.append
         )
         self.listener.observer = self.usage_recorder
-        self.bridge: SlowBridge = self.usage_recorder._worker_thread  # type: ignore[assignment]
+        self.worker_thread: ManualWorkerThread = self.usage_recorder._worker_thread  # type: ignore[assignment]
 
     def settle(self, deliver: bool = True) -> None:
         super().settle(deliver)
         if hasattr(self, "usage_recorder"):
             for _ in range(4):
                 self.usage_recorder.end_round()
-                self.bridge.work()
+                self.worker_thread.work()
                 super().settle(deliver)
 
     def entries(self) -> list[pb.Entry]:
@@ -121,7 +121,7 @@
         return entries
 
 
-class SlowBridge:
+class ManualWorkerThread:
     """A worker thread whose jobs run only while `open` is set, when the test calls `work`."""
 
     def __init__(self, *_: object) -> None:
@@ -222,11 +222,11 @@
     server = DurableDepthServer(monkeypatch)
     attempt = server.call(b"lookup")
     server.settle()
-    server.bridge.open = False
+    server.worker_thread.open = False
     server.end(attempt.name)
     server.settle()
     assert not attempt.answers and not server.entries()
-    server.bridge.open = True
+    server.worker_thread.open = True
     server.settle()
     assert attempt.answers[0][1] == b"OK"
     (entry,) = server.entries()
@@ -243,13 +243,13 @@
     server = DurableDepthServer(monkeypatch)
     attempt = server.call(b"lookup")
     server.settle()
-    server.bridge.open = False
+    server.worker_thread.open = False
     server.end(attempt.name)
     server.wait(0.1)
     assert not attempt.answers
     server.wait(0.3)  # the limit, max_answer_delay_s, is 0.25 s
     assert attempt.answers[0][1] == b"OK" and "ledger_answers_ahead" in server.counts
-    server.bridge.open = True
+    server.worker_thread.open = True
     server.wait(0.5)
     assert len(server.entries()) == 1
 
@@ -330,11 +330,11 @@
                 case 5 if server.attempts:
                     server.cancel(rng.choice(server.attempts))
                 case 6:
-                    server.bridge.open = rng.random() < 0.6
+                    server.worker_thread.open = rng.random() < 0.6
                 case _:
                     server.wait(rng.uniform(0.0, 0.3))
             server.settle()
-        server.bridge.open = True
+        server.worker_thread.open = True
         server.wait(6.0)
         entries = server.entries()
         names = [entry.name.hex().encode() for entry in entries]
