--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sablewheel.failover import judge
+from sablewheel.failover import zone_state
 from sablewheel.failover.planner import TOTAL_SHARE, PlannerSettings, Zone, plan, usable_capacity
 
 SETTINGS = PlannerSettings(headroom_ratio=0.4, panic_ratio=0.3)
@@ -92,54 +92,61 @@
             assert result.rows[zone.name] == {zone.name: TOTAL_SHARE}  # local traffic first
 
 
-DAMPED = judge.DampingSettings(
+DAMPED = zone_state.DampingSettings(
     out_dwell_s=1.0, back_dwell_s=5.0, min_change_interval_s=10.0, ramp_s=20.0, ramp_start_ratio=0.1
 )
 
 
 def declarations(
-    evidence_at: Callable[[float], judge.Evidence], until_s: float, majority: bool = True
+    evidence_at: Callable[[float], zone_state.Evidence], until_s: float, majority: bool = True
 ) -> list[tuple[float, bool]]:
     """The declarations of one zone over time, by a fleet that agrees at once: time and whether it is out."""
-    states, declared, now = judge.ZoneStates(), [], 0.0
+    states, declared, now = zone_state.ZoneStates(), [], 0.0
     while now < until_s:
-        states, changes = judge.step(now, states, {"z": evidence_at(now)}, DAMPED, majority)
+        states, changes = zone_state.step(now, states, {"z": evidence_at(now)}, DAMPED, majority)
         if "z" in changes:
-            states = judge.apply_declaration(now, states, "z", changes["z"])
+            states = zone_state.apply_declaration(now, states, "z", changes["z"])
             declared.append((round(now, 1), changes["z"]))
         now += 0.1
     return declared
 
 
 def test_a_lost_zone_is_out_after_the_dwell_time_and_back_after_a_longer_one() -> None:
-    declared = declarations(lambda now: judge.Evidence(4, 0 if 10 <= now < 30 else 4), 60.0)
+    declared = declarations(lambda now: zone_state.Evidence(4, 0 if 10 <= now < 30 else 4), 60.0)
     assert [out for _, out in declared] == [True, False]
     assert 10.9 <= declared[0][0] <= 11.2 and 34.9 <= declared[1][0] <= 35.2
 
 
 def test_a_zone_that_alternates_every_two_seconds_changes_the_plan_at_most_twice() -> None:
-    declared = declarations(lambda now: judge.Evidence(4, 0 if int(now / 2) % 2 else 4), 60.0)
+    declared = declarations(lambda now: zone_state.Evidence(4, 0 if int(now / 2) % 2 else 4), 60.0)
     assert [out for _, out in declared] == [True]  # out once, and never healthy for long enough to be back
 
 
 def test_between_the_thresholds_the_state_does_not_change() -> None:
-    def evidence_at(now: float) -> judge.Evidence:
-        return judge.Evidence(10, 0 if 20 <= now < 25 else 6)  # ratio 0.6: above out_below, below back_above
+    def evidence_at(now: float) -> zone_state.Evidence:
+        return zone_state.Evidence(
+            10, 0 if 20 <= now < 25 else 6
+        )  # ratio 0.6: above out_below, below back_above
 
     assert [out for _, out in declarations(evidence_at, 60.0)] == [True]
-    assert declarations(lambda now: judge.Evidence(10, 10, failing=4), 30.0) == []
+    assert declarations(lambda now: zone_state.Evidence(10, 10, failing=4), 30.0) == []
 
 
 def test_without_a_majority_nothing_is_declared_and_no_dwell_time_runs() -> None:
-    assert declarations(lambda now: judge.Evidence(4, 0), 60.0, majority=False) == []
+    assert declarations(lambda now: zone_state.Evidence(4, 0), 60.0, majority=False) == []
 
 
 def test_the_capacity_of_a_returned_zone_is_ramped_up_to_all_of_it() -> None:
-    states = judge.apply_declaration(100.0, judge.ZoneStates(), "z", False)
-    shares = [judge.capacity_ratio(100.0 + span_s, states, "z", DAMPED) for span_s in (0.0, 10.0, 20.0, 99.0)]
+    states = zone_state.apply_declaration(100.0, zone_state.ZoneStates(), "z", False)
+    shares = [
+        zone_state.capacity_ratio(100.0 + span_s, states, "z", DAMPED) for span_s in (0.0, 10.0, 20.0, 99.0)
+    ]
     assert shares == [0.1, 0.55, 1.0, 1.0]
-    assert judge.capacity_ratio(0.0, judge.ZoneStates(), "z", DAMPED) == 1.0
-    assert judge.capacity_ratio(0.0, judge.apply_declaration(0.0, states, "z", True), "z", DAMPED) == 0.0
+    assert zone_state.capacity_ratio(0.0, zone_state.ZoneStates(), "z", DAMPED) == 1.0
+    assert (
+        zone_state.capacity_ratio(0.0, zone_state.apply_declaration(0.0, states, "z", True), "z", DAMPED)
+        == 0.0
+    )
     for invalid in ({"out_below": 0.8}, {"ramp_start_ratio": 0.0}, {"back_above": 1.5}):
         with pytest.raises(ValueError, match="must be"):
-            judge.DampingSettings(**invalid)
+            zone_state.DampingSettings(**invalid)
