--- a/tests/simulated_server.py
+++ b/tests/simulated_server.py
@@ -313,9 +313,9 @@
 
     def __init__(self) -> None:
         self.lock = threading.RLock()  # for tests that use it from several threads
-        self.up = True
+        self.is_up = True
         self.running: dict[bytes, tuple[bytes, bytes]] = {}
-        self.over: set[bytes] = set()  # runs that ended
+        self.ended_runs: set[bytes] = set()
         # requests that are answered or cancelled, recorded by the simulated server
         self.answered: set[bytes] = set()
         self.applied: list[tuple[bytes, bytes, bytes]] = []
@@ -338,8 +338,8 @@
     def _handle_command(self, words: list[bytes], body: bytes) -> bytes:
         match words:
             case [b"CONNECT", last]:
-                return b"BANNER steady 5000\r\n" + b"".join(self.notices[int(last) :]) if self.up else b""
-            case [verb, name, *_] if not self.up:
+                return b"BANNER steady 5000\r\n" + b"".join(self.notices[int(last) :]) if self.is_up else b""
+            case [verb, name, *_] if not self.is_up:
                 return b"ERROR %b %b\r\n" % (verb, name)
             case [b"APPLY", name, *_] if name.startswith(
                 b"bad0"
@@ -362,7 +362,7 @@
     def end(self, name: bytes, outcome: bytes = b"success") -> bytes:
         """End a run; return the notice to send over the link."""
         _, body = self.running.pop(name)
-        self.over.add(name)
+        self.ended_runs.add(name)
         return self._notify(name, outcome, b"made of " + body if outcome == b"success" else b"")
 
     def _notify(self, name: bytes, outcome: bytes, result: bytes) -> bytes:
@@ -414,23 +414,23 @@
         self.scheduler, self.open = scheduler, True
         self._unsent = bytearray()
         self.stuck_since = None
-        self.fed: deque[bytes] = deque()
+        self.unread_chunks: deque[bytes] = deque()
         self.written = bytearray()
         self.bytes_queued = self.bytes_sent = 0
-        self.takes = True  # whether the operating system accepts written bytes
+        self.accepts_writes = True  # whether the operating system accepts written bytes
         self.closes_after_shutdown = True  # like a client that reads the end of the stream
         self.reader: greenlet | None = None
 
     def read(self) -> bytes:
-        while self.open and not self.fed:
+        while self.open and not self.unread_chunks:
             self.reader = getcurrent()
             self.scheduler.park()
-        return self.fed.popleft() if self.open else b""
+        return self.unread_chunks.popleft() if self.open else b""
 
     def write(self, data: bytes) -> None:
         if self.open:
             self.bytes_queued += len(data)
-            if self.takes:
+            if self.accepts_writes:
                 self.bytes_sent += len(data)
                 self.written += data
 
@@ -439,7 +439,7 @@
 
     @property
     def unread(self) -> bool:
-        return self.open and bool(self.fed)
+        return self.open and bool(self.unread_chunks)
 
     def shut_down_writing(self) -> None:
         if self.open and self.closes_after_shutdown:
@@ -450,7 +450,7 @@
         self.wake()
 
     def feed(self, data: bytes) -> None:
-        self.fed.append(data)
+        self.unread_chunks.append(data)
         self.wake()
 
     def wake(self) -> None:
@@ -458,7 +458,7 @@
             self.scheduler.resume(self.reader)
             self.reader = None
 
-    def taken(self) -> bytes:
+    def take_written(self) -> bytes:
         data = bytes(self.written)
         self.written.clear()
         return data
@@ -514,7 +514,7 @@
             self.counts.append,
             max_connections=40,
         )
-        self.linked = True
+        self.accepts_links = True
         self.links: list[FakeStream] = []
         self.link: FakeStream | None = None  # the link that the interpreter uses
         self.interpreter = SimulatedInterpreter()
@@ -530,7 +530,7 @@
         self.settle()
 
     def _connect(self) -> Stream | None:
-        if not self.linked:
+        if not self.accepts_links:
             return None
         self.links = [link for link in self.links if link.open] + [FakeStream(self.scheduler)]
         if self.link is None or not self.link.open:
@@ -553,7 +553,7 @@
         self.client.feed(data)
         self.scheduler.run_ready()
         self.dispatcher.end_round()
-        return self.answers.feed(self.client.taken())
+        return self.answers.feed(self.client.take_written())
 
     def cancel(self, attempt: Attempt) -> None:
         attempt.cancelled = attempt.cancelled or not attempt.answers
@@ -565,10 +565,10 @@
         if self.link is not None and self.link.open:
             self.link.feed(notice)
 
-    def cut(self, lost: bool) -> None:
+    def break_link(self, lost: bool) -> None:
         """Break the link; if `lost`, the bytes just written never arrive."""
         if self.link is not None and self.link.open:
-            data = self.link.taken()
+            data = self.link.take_written()
             if not lost:
                 self.interpreter.feed(data)
             self.link.feed(b"")
@@ -584,12 +584,12 @@
             progress = self.scheduler.run_ready()
             self.dispatcher.end_round()
             for link in [link for link in self.links if deliver and link.open and link.written]:
-                progress, data = True, link.taken()
+                progress, data = True, link.take_written()
                 if data.startswith(b"CONNECT"):  # replaces the previous link
                     self.link = link
                 if link is self.link and (answer := self.interpreter.feed(data)):
                     link.feed(answer)
-            for words in self.answers.feed(self.client.taken()):
+            for words in self.answers.feed(self.client.take_written()):
                 if 0 < int(words[0]) <= len(self.attempts):
                     attempt = self.attempts[int(words[0]) - 1]
                     attempt.answers.append(words)
--- a/tests/stories/test_server_stories.py
+++ b/tests/stories/test_server_stories.py
@@ -119,7 +119,7 @@
             name = f"n{len(self.deployments)}"
             (folder := self.folder / name).mkdir()
             deployments.append(Deployment(folder, name=name, **configuration, **changes))
-            deployments[-1].interpreter.core.up = up
+            deployments[-1].interpreter.core.is_up = up
             self.deployments.append(deployments[-1])
         self.processes += [deployment.start() for deployment in deployments]
         for deployment in deployments if up else []:
@@ -280,7 +280,7 @@
     if phase == " after the grace period of a drain":
         wait_until(lambda: all(client.close_announced for client in story.clients))
     for number, deployment in enumerate(story.deployments):
-        deployment.interpreter.core.up = event == "a reload"  # if False, it does not greet new links
+        deployment.interpreter.core.is_up = event == "a reload"  # if False, it does not greet new links
         story.reload(number)
         first = story.clients[2 * number]
         first.send(first.new_request())
@@ -433,7 +433,7 @@
 def lose_links(story: Story) -> None:
     for number, deployment in enumerate(story.deployments):
         core, old, first = deployment.interpreter.core, deployment.interpreter.link, story.clients[2 * number]
-        core.up = False
+        core.is_up = False
         deployment.interpreter.cut()
         wait_until(lambda deployment=deployment, old=old: deployment.interpreter.link is not old)  # type: ignore[misc]
         first.send(first.new_request())
@@ -642,7 +642,7 @@
     for deployment in story.deployments[1:]:
         story.start_runs(deployment)
     for deployment in story.deployments[2:]:
-        deployment.interpreter.core.up = False
+        deployment.interpreter.core.is_up = False
     story.deployments[2].interpreter.cut()
     story.reload(3)
     for deployment in story.deployments:
--- a/tests/test_close_races.py
+++ b/tests/test_close_races.py
@@ -338,10 +338,10 @@
 def test_complete_requests_before_invalid_data_are_answered_before_the_close() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     first = server.call(b"lookup")
-    data = server.client.fed.pop()
+    data = server.client.unread_chunks.pop()
     second = server.call(b"record", b"label")
-    data += server.client.fed.pop()
-    server.client.fed.append(data + b"no frame of this protocol")
+    data += server.client.unread_chunks.pop()
+    server.client.unread_chunks.append(data + b"no frame of this protocol")
     server.settle()
     assert server.client.open and {first.name, second.name} == set(server.interpreter.running)
     late = server.call(b"lookup")
@@ -371,13 +371,13 @@
 def test_the_rest_of_a_frame_that_has_just_arrived_is_read_before_it_counts_as_overdue() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     attempt = server.call(b"lookup")
-    data = server.client.fed.pop()
-    server.client.fed.append(data[:-9])
+    data = server.client.unread_chunks.pop()
+    server.client.unread_chunks.append(data[:-9])
     server.client.wake()
     server.settle()
     # The rest of the frame arrives, but the reader does not run yet.
     reader, server.client.reader = server.client.reader, None
-    server.client.fed.append(data[-9:])
+    server.client.unread_chunks.append(data[-9:])
     server.scheduler.clock.now += 2.5
     server.listener._sweep()
     assert server.client.open
--- a/tests/test_dependency_calls.py
+++ b/tests/test_dependency_calls.py
@@ -83,7 +83,7 @@
     attempt, other = server.call(b"lookup"), server.call(b"lookup")
     server.settle()
     report_call(server, attempt)
-    server.cut(lost=False)
+    server.break_link(lost=False)
     server.wait(0.2)
     server.end(other.name)
     server.settle()
@@ -94,11 +94,11 @@
 def test_a_call_notified_while_the_link_was_down_is_read_from_the_next_link(server: SimulatedServer) -> None:
     attempt = server.call(b"lookup")
     server.settle()
-    server.linked = False
-    server.cut(lost=False)
+    server.accepts_links = False
+    server.break_link(lost=False)
     server.settle()
     server.interpreter.notices.append(b"AWAIT 1 %b 2\r\nhi\r\n" % attempt.name)
-    server.linked = True
+    server.accepts_links = True
     server.wait(0.6)
     assert [words[1] for words in attempt.answers] == [b"FAILED"]
 
@@ -140,7 +140,7 @@
     server.settle()
     assert [words[1] for words in attempt.answers] == [b"OK"]
     assert server.counts.count("links") == 3 and server.counts.count("notices_passed_over") == 1
-    server.cut(lost=False)
+    server.break_link(lost=False)
     server.wait(0.2)
     assert server.counts.count("links") == 4 and server.counts.count("notices_passed_over") == 1
 
--- a/tests/test_duplicate_races.py
+++ b/tests/test_duplicate_races.py
@@ -694,7 +694,7 @@
             case "lose":
                 server.call(b"record", idempotency_key(b"record", number))
                 server.settle(deliver=False)
-                server.cut(lost=True)
+                server.break_link(lost=True)
             case "drain":
                 server.drain(1.0 + number)
             case _:
--- a/tests/test_internal_errors.py
+++ b/tests/test_internal_errors.py
@@ -66,7 +66,7 @@
     with pytest.raises(RuntimeError):
         server.dispatcher.end_round()
     controller.handle_events = real  # type: ignore[method-assign]
-    answers = server.answers.feed(server.client.taken())
+    answers = server.answers.feed(server.client.take_written())
     assert [words[1] for words in answers if words[0] == b"1"] == [b"OK"]
 
 
--- a/tests/test_interpreter_link_races.py
+++ b/tests/test_interpreter_link_races.py
@@ -45,7 +45,7 @@
 
 def break_link(server: SimulatedServer, lost: bool) -> None:
     """Break the link, and wait until the next one can be ready."""
-    server.cut(lost)
+    server.break_link(lost)
     server.settle()
     server.wait(0.1)
 
@@ -126,8 +126,8 @@
 
 def test_requests_that_time_out_during_an_outage_are_not_started_and_their_keys_are_free() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
-    server.linked = False
-    server.cut(lost=False)
+    server.accepts_links = False
+    server.break_link(lost=False)
     server.wait(0.1)
     keyed, safe = server.call(b"record", b"a"), server.call(b"lookup")
     server.wait(4.5)
@@ -139,7 +139,7 @@
         return handle(words, body)
 
     intercept_commands(server, record_command)
-    server.linked = True
+    server.accepts_links = True
     server.wait(1.0)
     stop_intercepting(server)
     assert (
@@ -291,7 +291,7 @@
     """The link was already broken, so the interpreter can't have read the command."""
     server = SimulatedServer(SERVER_SETTINGS)
     assert server.link is not None
-    server.link.takes = False
+    server.link.accepts_writes = False
     attempt = server.call(b"record", b"a")
     server.settle(deliver=False)
     break_link(server, lost=True)
@@ -341,10 +341,10 @@
     attempt = server.call(b"lookup")
     server.settle()
     stop_intercepting(server)
-    server.interpreter.up = False
+    server.interpreter.is_up = False
     break_link(server, lost=False)
     server.interpreter_client.connect_to(server._connect)
-    server.interpreter.up = True
+    server.interpreter.is_up = True
     server.wait(0.1)
     assert server.counts.count("links") == 3 and attempt.name in server.interpreter.running
 
@@ -388,7 +388,7 @@
     server = SimulatedServer(SERVER_SETTINGS)
     attempt, keyed = server.call(b"lookup"), server.call(b"record", b"a")
     server.settle(deliver=False)
-    server.cut(lost=False)
+    server.break_link(lost=False)
     intercept_commands(
         server,
         lambda handle, words, body: (
@@ -573,11 +573,11 @@
     server = SimulatedServer(SERVER_SETTINGS)
     attempt = server.call(b"record", b"a")
     server.settle()
-    server.interpreter.up = False  # accepts links, but sends nothing
-    server.cut(lost=False)
+    server.interpreter.is_up = False  # accepts links, but sends nothing
+    server.break_link(lost=False)
     server.wait(2.5)
     assert server.counts.count("links") == 2
-    server.interpreter.up = True
+    server.interpreter.is_up = True
     server.wait(1.0)
     assert server.counts.count("links") == 3 and server.counts.count("links_silent") == 1
     second = server.call(b"lookup")
@@ -588,7 +588,7 @@
 def test_a_link_that_turns_silent_between_the_greeting_and_the_first_answer_is_reopened() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     intercept_commands(server, lambda handle, words, body: b"" if words[0] == b"TOP" else handle(words, body))
-    server.cut(lost=False)
+    server.break_link(lost=False)
     server.wait(2.5)
     assert server.counts.count("links") == 2
     stop_intercepting(server)
@@ -601,14 +601,14 @@
 def test_the_disconnected_time_includes_links_that_are_opened_but_not_greeted() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     assert server.interpreter_client.disconnected_for_s == 0.0
-    server.linked = False
+    server.accepts_links = False
     break_link(server, lost=False)
     server.wait(1.0)
-    server.linked, server.interpreter.up = True, False
+    server.accepts_links, server.interpreter.is_up = True, False
     server.wait(1.0)
     assert 2.0 < server.interpreter_client.disconnected_for_s < 2.2
-    server.interpreter.up = True
-    server.cut(lost=False)
+    server.interpreter.is_up = True
+    server.break_link(lost=False)
     server.wait(0.6)
     assert server.interpreter_client.disconnected_for_s == 0.0
 
@@ -638,7 +638,7 @@
     """A server whose interpreter reports no end on a link before the greeting, which repeats missed ends."""
 
     def _connect(self) -> Stream | None:
-        if not self.linked:
+        if not self.accepts_links:
             return None
         self.links = [link for link in self.links if link.open] + [GreetingAwareLink(self.scheduler)]
         return self.links[-1]
@@ -670,27 +670,27 @@
             case "stop" if server.attempts:
                 server.cancel(random.choice(server.attempts))
             case "break":
-                server.cut(lost=random.random() < 0.5)
+                server.break_link(lost=random.random() < 0.5)
             case "take":  # a command is lost although a query after it was answered
                 intercept_commands(server, answer_queries_only)
                 server.call(b"record", b"label%d" % random.randrange(6))
                 server.settle()
                 stop_intercepting(server)
-                server.cut(lost=False)
+                server.break_link(lost=False)
             case "move":
                 server.interpreter_client.connect_to(server._connect)
                 server.scheduler.run_ready()
             case "gap":  # the interpreter becomes unreachable, or reachable again
-                server.linked = not server.linked
-                server.cut(lost=False)
+                server.accepts_links = not server.accepts_links
+                server.break_link(lost=False)
             case "mute":  # the interpreter stops answering, or answers again
-                server.interpreter.up = not server.interpreter.up
-                server.cut(lost=False)
+                server.interpreter.is_up = not server.interpreter.is_up
+                server.break_link(lost=False)
             case _:
                 server.wait(random.choice([0.003, 0.03, 0.3]))
         if random.random() < 0.7:
             server.settle(deliver=random.random() < 0.7)
-    server.linked = server.interpreter.up = True
+    server.accepts_links = server.interpreter.is_up = True
     server.wait(5.0)
     while server.interpreter.running:
         server.end(next(iter(server.interpreter.running)))
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -82,7 +82,7 @@
         """Be up from now on, and send the greeting on the link that waits for it."""
         assert self.link is not None
         with self.core.lock:
-            self.core.up = True
+            self.core.is_up = True
             self.link.sendall(self.core.feed(b"CONNECT 0\r\n"))
 
     def end(self, name: bytes) -> None:
@@ -253,7 +253,7 @@
 def test_a_shutdown_notice_before_the_interpreter_is_up_ends_the_server_at_once(
     deployment: Deployment, number: int
 ) -> None:
-    deployment.interpreter.core.up = False
+    deployment.interpreter.core.is_up = False
     process = deployment.start()
     assert deployment.client().ask(1, frame(b"RPC.HEALTH", b"1", b""))[1] == b"DOWN"
     shut_down(process, number)
--- a/tests/test_propagated_deadlines.py
+++ b/tests/test_propagated_deadlines.py
@@ -28,7 +28,7 @@
 
 def answers(server: SimulatedServer) -> dict[int, list[bytes]]:
     """Return the answers so far by tag, including those not yet read by `settle`."""
-    return {int(words[0]): words for words in server.answers.feed(server.client.taken())}
+    return {int(words[0]): words for words in server.answers.feed(server.client.take_written())}
 
 
 def record_answers(server: SimulatedServer, answers: dict[int, list[bytes]]) -> None:
--- a/tests/test_result_store.py
+++ b/tests/test_result_store.py
@@ -333,7 +333,9 @@
             if interpreter_survived:
                 self.interpreter = previous.interpreter
             else:
-                self.interpreter.over = set(previous.interpreter.over) | set(previous.interpreter.running)
+                self.interpreter.ended_runs = set(previous.interpreter.ended_runs) | set(
+                    previous.interpreter.running
+                )
                 self.interpreter.applied = previous.interpreter.applied
         worker_thread = ManualWorkerThread()
         self.worker_thread, self.failures = worker_thread, list[str]()
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -79,16 +79,16 @@
             case "long":
                 server.wait(2.0 * number)
             case "cut":
-                server.cut(lost=False)
+                server.break_link(lost=False)
             case "lose":
                 server.call(b"record", b"label%d" % number)
                 server.settle(deliver=False)
-                server.cut(lost=True)
+                server.break_link(lost=True)
             case "gap":
-                server.linked = number > 0
-                server.cut(lost=number > 1)
+                server.accepts_links = number > 0
+                server.break_link(lost=number > 1)
             case "move":
-                server.linked = True
+                server.accepts_links = True
                 server.interpreter_client.connect_to(server._connect)
             # the last notice is repeated
             case "double" if server.interpreter.notices and server.link is not None:
@@ -206,10 +206,10 @@
 
 def test_a_link_opened_before_the_interpreter_is_running_works_once_it_is() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
-    server.interpreter.up = False
-    server.cut(lost=False)
+    server.interpreter.is_up = False
+    server.break_link(lost=False)
     server.wait(1.0)
-    server.interpreter.up = True
+    server.interpreter.is_up = True
     assert server.link is not None
     server.link.feed(b"BANNER booting 0\r\n")
     attempt = server.call(b"lookup")
@@ -221,14 +221,14 @@
     server = SimulatedServer(SERVER_SETTINGS)
     completed, unconfirmed = server.call(b"lookup"), server.call(b"record", b"b")
     server.settle()
-    server.linked = False
-    server.cut(lost=False)
+    server.accepts_links = False
+    server.break_link(lost=False)
     server.wait(0.1)
     server.end(completed.name)
     queued = server.call(b"lookup")
     server.wait(0.3)
     assert not completed.answers and len(server.interpreter.applied) == 2
-    server.linked = True
+    server.accepts_links = True
     server.wait(1.0)
     assert completed.answers[0][1] == b"OK" and queued.name in server.interpreter.running
     server.end(unconfirmed.name)
@@ -238,7 +238,7 @@
     # These commands are written just before the break and lost: only the idempotent one is sent again.
     idempotent, keyed = server.call(b"lookup"), server.call(b"record", b"c")
     server.settle(deliver=False)
-    server.cut(lost=True)
+    server.break_link(lost=True)
     server.wait(0.5)
     assert idempotent.name in server.interpreter.running and keyed.name not in server.interpreter.running
     server.end(idempotent.name)
@@ -254,7 +254,7 @@
     keyed = request_class == b"record"
     attempt = server.call(request_class, b"a" if keyed else b"")
     server.settle(deliver=False)
-    server.cut(lost=False)  # the command arrives, but the answer to the fence after it does not
+    server.break_link(lost=False)  # the command arrives, but the answer to the fence after it does not
     feed = server.interpreter.feed
 
     def feed_and_end(data: bytes) -> bytes:
@@ -408,11 +408,11 @@
 
 def test_a_query_due_in_the_round_of_the_greeting_does_not_replace_the_fence() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
-    server.interpreter.up = False
-    server.cut(lost=False)
+    server.interpreter.is_up = False
+    server.break_link(lost=False)
     server.wait(0.5)
     assert server.link is not None
-    server.interpreter.up = True
+    server.interpreter.is_up = True
     server.link.feed(b"BANNER steady 10\r\n")
     server.scheduler.run_ready()
     server.interpreter_client._check_link()
@@ -425,13 +425,13 @@
     server = SimulatedServer(SERVER_SETTINGS)
     attempt = server.call(b"lookup")
     server.settle()
-    server.linked = False
-    server.cut(lost=False)
+    server.accepts_links = False
+    server.break_link(lost=False)
     server.wait(0.3)
     server.cancel(attempt)
     server.settle()
     assert attempt.name in server.interpreter.running
-    server.linked = True
+    server.accepts_links = True
     server.wait(1.0)
     assert not server.interpreter.running and server.dispatcher.open_count == 0
 
@@ -596,7 +596,7 @@
                 server.end(next(iter(server.interpreter.running)))
             server.settle()
             server.wait(0.02)
-            for records in (server.interpreter.applied, server.interpreter.over, server.counts):
+            for records in (server.interpreter.applied, server.interpreter.ended_runs, server.counts):
                 records.clear()
             server.interpreter.notices[:] = [b""] * len(server.interpreter.notices)
             if index in (2500, 3999):
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -96,7 +96,7 @@
 
 def test_all_requests_that_wait_for_the_start_are_rejected_at_the_shutdown(deployment: Deployment) -> None:
     """They are read and waiting, read in part, in the socket buffer, or on a connection not accepted yet."""
-    deployment.interpreter.core.up = False
+    deployment.interpreter.core.is_up = False
     process = deployment.start()
     read, partly_read, unread = (deployment.client() for _ in range(3))
     for peer in (read, partly_read, unread):
@@ -121,7 +121,7 @@
 
 def test_a_server_without_open_requests_or_interpreter_ends_at_once(deployment: Deployment) -> None:
     deployment.config["stop_ms"] = 60_000
-    deployment.interpreter.core.up = False
+    deployment.interpreter.core.is_up = False
     process = deployment.start()
     peer = deployment.client()
     assert peer.ask(999, HEALTH)[1] == b"DOWN"
@@ -150,13 +150,13 @@
 Application.__init__, Dispatcher.interpreter_ready, Dispatcher.shutdown_notice = recording, both, logged
 """,
     )
-    deployment.interpreter.core.up = False
+    deployment.interpreter.core.is_up = False
     peer = deployment.client()
     peer.send(peer.call(1) + HEALTH)
     assert peer.read(999)[1] == b"DOWN"
     wait_until(lambda: deployment.interpreter.link is not None)
     assert deployment.interpreter.link is not None
-    deployment.interpreter.core.up = True
+    deployment.interpreter.core.is_up = True
     deployment.interpreter.link.sendall(b"BANNER steady 5000\r\n")
     assert peer.read(1)[1] == (b"OK" if first == "greeting" else b"BUSY")
     health = deployment.client() if first == "greeting" else peer
@@ -170,7 +170,7 @@
 def test_an_interpreter_that_is_up_only_after_the_shutdown_notice_runs_nothing(
     deployment: Deployment,
 ) -> None:
-    deployment.interpreter.core.up = False
+    deployment.interpreter.core.is_up = False
     process = deployment.start()
     peer = deployment.client()
     peer.send(peer.call(1) + HEALTH)
@@ -178,7 +178,7 @@
     wait_until(lambda: deployment.interpreter.link is not None)
     process.send_signal(signal.SIGTERM)
     assert peer.read(1)[1] == b"BUSY" and peer.read(0)[1] == b"BYE"
-    deployment.interpreter.core.up = True
+    deployment.interpreter.core.is_up = True
     assert deployment.interpreter.link is not None
     deployment.interpreter.link.sendall(b"BANNER steady 5000\r\n")
     assert peer.ask(999, HEALTH)[1] == b"DOWN"  # whether or not the greeting was in time
@@ -335,7 +335,7 @@
 def test_signals_read_in_one_round_end_the_server_in_order(
     deployment: Deployment, up: bool, numbers: tuple[str, ...]
 ) -> None:
-    deployment.interpreter.core.up = up
+    deployment.interpreter.core.is_up = up
     process = deployment.start()
     peer = deployment.ready() if up else deployment.client()
     deployment.interpreter.at_once = False
--- a/tests/test_slow_link.py
+++ b/tests/test_slow_link.py
@@ -87,7 +87,7 @@
         self.check()
 
     def _take_answers(self) -> None:
-        for words in self.answers.feed(self.client.taken()):
+        for words in self.answers.feed(self.client.take_written()):
             if 0 < int(words[0]) <= len(self.attempts):
                 attempt = self.attempts[int(words[0]) - 1]
                 attempt.answers.append(words)
@@ -96,7 +96,7 @@
     def _send_to_interpreter(self, link: SlowLink) -> None:
         if link.open and link.written and not link.in_transit[0]:
             link.in_transit = (True, link.in_transit[1])
-            data = link.taken()
+            data = link.take_written()
             self.scheduler.after(
                 self.random.uniform(*DELAY_S), lambda: self._arrive_at_interpreter(link, data)
             )
