--- a/sablewheel/program/application.py
+++ b/sablewheel/program/application.py
@@ -77,7 +77,7 @@
         self._placement_settings = placement_settings
         self._counters = Counters()
         self._scheduler = Scheduler(Clock())
-        self._scheduler.on_fault = lambda: self._counters.count("faults")
+        self._scheduler.on_internal_error = lambda: self._counters.count("faults")
         self._server_status = ServerStatus()
         self._stop_at = 0.0
         self._listener_closed = False
--- a/sablewheel/serving/dispatcher.py
+++ b/sablewheel/serving/dispatcher.py
@@ -278,7 +278,7 @@
             self._errors = []
             for other in others:
                 log.error("decision ended by a fault", exc_info=other)
-                self._scheduler.on_fault()
+                self._scheduler.on_internal_error()
             raise error
 
     def _decide(self) -> None:
@@ -389,7 +389,7 @@
     def _fail_after_internal_error(self, exchange: Exchange) -> None:
         """Fail a request whose action raised an internal error; the other actions are carried out."""
         log.exception("request failed by a fault", extra={"pairs": {"tag": exchange.tag}})
-        self._scheduler.on_fault()
+        self._scheduler.on_internal_error()
         if exchange.state in (ExchangeState.RUNNING, ExchangeState.ATTACHED):
             self._events.append(interface.RunEnded(exchange.request, 0.0, Outcome.ERROR))
         elif not exchange.closed:
--- a/sablewheel/serving/listener.py
+++ b/sablewheel/serving/listener.py
@@ -192,7 +192,7 @@
         ]
         idle.sort(key=lambda connection: (connection.has_received, connection.last_used_at))
         # Only connections that would be closed are checked for unread data: each check is a system call.
-        evictable = (connection for connection in idle if not connection.stream.unread)
+        evictable = (connection for connection in idle if not connection.stream.has_unread_data)
         for connection in islice(evictable, max(limit, 0)):
             self.count("connections_crowded_out")
             if connection.has_received:
@@ -211,7 +211,7 @@
         A close with unread data would be a reset, which destroys answers that the client has not read yet.
         """
         for connection in list(self.connections):
-            if not connection.stream.unread:  # else the received requests must be answered first
+            if not connection.stream.has_unread_data:  # else the received requests must be answered first
                 connection.stop_reading(CloseReason.STOPPING)
 
     def _sweep(self) -> None:
@@ -236,7 +236,7 @@
             connection.close(CloseReason.STUCK)
             return True
         if now > connection.frame_deadline and stream.all_sent:
-            if not stream.unread:  # else the rest of the frame may have just arrived
+            if not stream.has_unread_data:  # else the rest of the frame may have just arrived
                 self.count("connections_unfinished" if connection.has_received else "connections_silent")
                 connection.stop_reading(CloseReason.UNFINISHED)
             return True
@@ -247,7 +247,7 @@
         if connection.reading_stopped:
             connection.shut_down(CloseReason.ANSWERED)
         elif connection.close_announced:
-            if now > connection.last_used_at + CLOSE_GRACE_S and not connection.stream.unread:
+            if now > connection.last_used_at + CLOSE_GRACE_S and not connection.stream.has_unread_data:
                 connection.shut_down(CloseReason.LEFT_OPEN)
         elif self._idle_timeout_s is not None and now > connection.last_used_at + self._idle_timeout_s:
             connection.announce_close(CloseReason.UNUSED)
--- a/sablewheel/transport/listening_socket.py
+++ b/sablewheel/transport/listening_socket.py
@@ -111,7 +111,7 @@
             except Exception:
                 # An error must not end the greenlet: no connection would be accepted after that.
                 log.exception("accepting connections interrupted by a fault")
-                self._scheduler.on_fault()
+                self._scheduler.on_internal_error()
             self._scheduler.sleep(RETRY_INTERVAL_S)
 
     def _accept_queued(self) -> AcceptResult:
--- a/sablewheel/transport/scheduler.py
+++ b/sablewheel/transport/scheduler.py
@@ -49,13 +49,13 @@
 
     Attributes:
         after_round: Called at the end of each round.
-        on_fault: Called for each internal error that was caught.
+        on_internal_error: Called for each internal error that was caught.
     """
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.after_round: list[Callable[[], None]] = []
-        self.on_fault: Callable[[], None] = lambda: None
+        self.on_internal_error: Callable[[], None] = lambda: None
         self._poll = select.poll()
         self._waiting: dict[int, dict[int, greenlet]] = {}  # waiting greenlets by descriptor and event
         self._masks: dict[int, int] = {}  # registered events by descriptor
@@ -222,7 +222,7 @@
     def _report_fault(self, event: str) -> None:
         """Log and count the internal error that is being handled."""
         log.exception(event)
-        self.on_fault()
+        self.on_internal_error()
 
     def _run_ready(self) -> None:
         while self._ready:
--- a/sablewheel/transport/stream.py
+++ b/sablewheel/transport/stream.py
@@ -105,7 +105,7 @@
         return not self._unsent
 
     @property
-    def unread(self) -> bool:
+    def has_unread_data(self) -> bool:
         """Whether the system has received data that is not read yet.
 
         A connection with unread data must not be closed: a request that crossed the announcement of the close
--- a/tests/simulated_server.py
+++ b/tests/simulated_server.py
@@ -438,7 +438,7 @@
         pass
 
     @property
-    def unread(self) -> bool:
+    def has_unread_data(self) -> bool:
         return self.open and bool(self.unread_chunks)
 
     def shut_down_writing(self) -> None:
--- a/tests/test_close_races.py
+++ b/tests/test_close_races.py
@@ -288,7 +288,7 @@
     harness.request_listener.flush()
     second.send(harness.call(3))  # received, but not read yet
     connection = harness.connection(first)
-    wait_until(lambda: harness.connection(second).stream.unread)
+    wait_until(lambda: harness.connection(second).stream.has_unread_data)
     send_during_close(connection.stream, lambda: first.sendall(harness.call(4)))
     harness.request_listener.stop_reading()
     harness.run_until(lambda: len(harness.handler.pending) == 3)
@@ -546,7 +546,7 @@
     harness = ListenerHarness(4)
     errors: list[bool] = []
     try:
-        harness.scheduler.on_fault = lambda: errors.append(True)
+        harness.scheduler.on_internal_error = lambda: errors.append(True)
         attribute = {"accepted": "_on_accepted", "evict_unused": "_on_full"}[method]
         real = getattr(harness.listener, attribute)
 
--- a/tests/test_internal_errors.py
+++ b/tests/test_internal_errors.py
@@ -17,7 +17,7 @@
 def test_an_error_in_one_requests_action_does_not_affect_those_of_the_same_batch(step: str) -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     errors: list[bool] = []
-    server.scheduler.on_fault = lambda: errors.append(True)
+    server.scheduler.on_internal_error = lambda: errors.append(True)
     component = {
         "reserve": server.idempotency_keys,
         "run": server.interpreter_client,
--- a/tests/test_readme_configuration.py
+++ b/tests/test_readme_configuration.py
@@ -174,7 +174,7 @@
     settings = server_settings(Section(without(left_out)), calls_dependency=False)
     server = SimulatedServer(settings)
     faults: list[bool] = []
-    server.scheduler.on_fault = lambda: faults.append(True)
+    server.scheduler.on_internal_error = lambda: faults.append(True)
     for number in range(150):
         keyed = number % 3 == 0
         server.call(b"record" if keyed else b"lookup", b"%d" % number if keyed else b"")
--- a/tests/test_scheduler_races.py
+++ b/tests/test_scheduler_races.py
@@ -60,7 +60,7 @@
     scheduler: Scheduler, caplog: pytest.LogCaptureFixture
 ) -> None:
     events: list[str] = []
-    scheduler.on_fault = lambda: events.append("fault")
+    scheduler.on_internal_error = lambda: events.append("fault")
     scheduler.after(0.0, raise_error)
     scheduler.after(0.0, lambda: events.append("due in the same round"))
     scheduler.after(0.01, lambda: events.append("due later"))
@@ -75,7 +75,7 @@
 ) -> None:
     """As when no batch can be decided: a signal must still stop the process in order."""
     events: list[str] = []
-    scheduler.on_fault = lambda: events.append("fault")
+    scheduler.on_internal_error = lambda: events.append("fault")
     scheduler.on_signal(signals, scheduler.stop)
     scheduler.after_round += [raise_error, lambda: events.append("after it")]
     scheduler.after(0.05, lambda: os.kill(os.getpid(), signals))
@@ -86,7 +86,7 @@
 
 def test_an_error_in_a_greenlet_is_counted(scheduler: Scheduler) -> None:
     events: list[str] = []
-    scheduler.on_fault = lambda: events.append("fault")
+    scheduler.on_internal_error = lambda: events.append("fault")
     scheduler.after(0.01, scheduler.stop)
     run_rounds(scheduler, raise_error)
     assert events == ["fault"]
@@ -150,7 +150,7 @@
             os.write(scheduler._signal_pipe[1], b"\0" * 65536)
     os.kill(os.getpid(), signals)
     scheduler.after(0.5, lambda: pytest.fail("the signal was lost"))
-    scheduler.on_fault = scheduler.stop
+    scheduler.on_internal_error = scheduler.stop
     stopped_by_round: list[bool] = []
     scheduler.after_round.append(lambda: stopped_by_round.append(scheduler._stopped))
     run_rounds(scheduler, max_time_s=0.3)
