--- a/sablewheel/program/application.py
+++ b/sablewheel/program/application.py
@@ -77,7 +77,7 @@
         self._placement_settings = placement_settings
         self._counters = Counters()
         self._scheduler = Scheduler(Clock())
-        self._scheduler.on_fault = lambda: self._counters.count("faults")
+        self._scheduler.on_internal_error = lambda: self._counters.count("faults")
         self._server_status = ServerStatus()
         self._stop_at = 0.0
         self._listener_closed = False
@@ -120,7 +120,7 @@
             lambda: self._dispatcher.recovery_finished(),
             self._on_start_failed,
             self._counters.count,
-            self._retune,
+            self._update_settings,
         )
 
     def _build_dispatcher(self) -> Dispatcher:
@@ -207,7 +207,7 @@
         self._scheduler.after(max(stop_after_s - ANSWER_MARGIN_S, 0.0), self._answer_all)
         if self.phase is Phase.WAITING:
             # Nothing has run and nothing will run: waiting and unread requests are rejected.
-            self._features.leaving()
+            self._features.on_shutdown_notice()
             self._reject_requests()
             return self._start_closing()
         # After the grace no new request may run. A closed socket is the earliest sign of that for clients.
@@ -216,13 +216,13 @@
         self._enter(Phase.DRAINING)
         self._dispatcher.shutdown_notice(stop_after_s)
         self._send_report()
-        self._features.leaving()
+        self._features.on_shutdown_notice()
         return None
 
     def _start_closing(self) -> None:
         self._enter(Phase.CLOSING)
         self._close_listener()
-        self._features.closing()
+        self._features.on_grace_over()
 
     def _close_listener(self) -> None:
         """Close the listening socket once all connections in its queue have been accepted."""
@@ -258,7 +258,7 @@
             return
         if self._request_listener.connections or self._dispatcher.open_count:
             return
-        if self._features.settled():
+        if self._features.is_settled():
             self._end()
 
     def _end(self) -> None:
@@ -280,7 +280,7 @@
         log.info("configuration reloaded", extra={"pairs": pairs})
         self._placement_settings = reloaded.placement_settings
         if reloaded.settings_changed:
-            self._retune()
+            self._update_settings()
         if loaded.naming != before.naming:
             self._name_service.set_address(loaded.naming)
             self._send_report()
@@ -288,11 +288,11 @@
             self._interpreter.connect_to(self._connector(loaded.interpreter))
         self._counters.count("configurations_taken")
 
-    def _retune(self) -> None:
+    def _update_settings(self) -> None:
         """Apply the settings, with the features' present changes to them, to requests from now on."""
         placement_settings = self._placement_settings
         server_settings = self._features.server_settings(placement_settings.server_settings)
-        self._dispatcher.retune(server_settings, placement_settings.gauge_indexes)
+        self._dispatcher.update_settings(server_settings, placement_settings.gauge_indexes)
         self._request_listener.expect_clients(server_settings.clients)
         # The listener looks up names in these dictionaries, which have the order of the settings.
         placement_settings.request_classes.update(
--- a/sablewheel/serving/dispatcher.py
+++ b/sablewheel/serving/dispatcher.py
@@ -108,7 +108,7 @@
         """The number of requests that are not finished."""
         return len(self._open_requests) + len(self._start_queue)
 
-    def retune(
+    def update_settings(
         self, server_settings: ServerSettings, gauge_indexes: tuple[int | None, int | None, int | None]
     ) -> None:
         """Apply new settings to new requests; the old settings still apply to requests already accepted."""
@@ -117,7 +117,7 @@
             server_settings = replace(
                 server_settings, starts_cold=self._controller.server_settings.starts_cold
             )
-            self._controller.retune(server_settings)
+            self._controller.update_settings(server_settings)
         self._server_settings = server_settings
         self._set_cancellation()
         self._recent_runs.lifetime_s = max(self._recent_runs.lifetime_s, _longest_lifetime_s(server_settings))
@@ -278,7 +278,7 @@
             self._errors = []
             for other in others:
                 log.error("decision ended by a fault", exc_info=other)
-                self._scheduler.on_fault()
+                self._scheduler.on_internal_error()
             raise error
 
     def _decide(self) -> None:
@@ -389,7 +389,7 @@
     def _fail_after_internal_error(self, exchange: Exchange) -> None:
         """Fail a request whose action raised an internal error; the other actions are carried out."""
         log.exception("request failed by a fault", extra={"pairs": {"tag": exchange.tag}})
-        self._scheduler.on_fault()
+        self._scheduler.on_internal_error()
         if exchange.state in (ExchangeState.RUNNING, ExchangeState.ATTACHED):
             self._events.append(interface.RunEnded(exchange.request, 0.0, Outcome.ERROR))
         elif not exchange.closed:
--- a/tests/test_close_races.py
+++ b/tests/test_close_races.py
@@ -288,7 +288,7 @@
     harness.request_listener.flush()
     second.send(harness.call(3))  # received, but not read yet
     connection = harness.connection(first)
-    wait_until(lambda: harness.connection(second).stream.unread)
+    wait_until(lambda: harness.connection(second).stream.has_unread_data)
     send_during_close(connection.stream, lambda: first.sendall(harness.call(4)))
     harness.request_listener.stop_reading()
     harness.run_until(lambda: len(harness.handler.pending) == 3)
@@ -338,10 +338,10 @@
 def test_complete_requests_before_invalid_data_are_answered_before_the_close() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     first = server.call(b"lookup")
-    data = server.client.fed.pop()
+    data = server.client.unread_chunks.pop()
     second = server.call(b"record", b"label")
-    data += server.client.fed.pop()
-    server.client.fed.append(data + b"no frame of this protocol")
+    data += server.client.unread_chunks.pop()
+    server.client.unread_chunks.append(data + b"no frame of this protocol")
     server.settle()
     assert server.client.open and {first.name, second.name} == set(server.interpreter.running)
     late = server.call(b"lookup")
@@ -371,13 +371,13 @@
 def test_the_rest_of_a_frame_that_has_just_arrived_is_read_before_it_counts_as_overdue() -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     attempt = server.call(b"lookup")
-    data = server.client.fed.pop()
-    server.client.fed.append(data[:-9])
+    data = server.client.unread_chunks.pop()
+    server.client.unread_chunks.append(data[:-9])
     server.client.wake()
     server.settle()
     # The rest of the frame arrives, but the reader does not run yet.
     reader, server.client.reader = server.client.reader, None
-    server.client.fed.append(data[-9:])
+    server.client.unread_chunks.append(data[-9:])
     server.scheduler.clock.now += 2.5
     server.listener._sweep()
     assert server.client.open
@@ -546,7 +546,7 @@
     harness = ListenerHarness(4)
     errors: list[bool] = []
     try:
-        harness.scheduler.on_fault = lambda: errors.append(True)
+        harness.scheduler.on_internal_error = lambda: errors.append(True)
         attribute = {"accepted": "_on_accepted", "evict_unused": "_on_full"}[method]
         real = getattr(harness.listener, attribute)
 
--- a/tests/test_internal_errors.py
+++ b/tests/test_internal_errors.py
@@ -17,7 +17,7 @@
 def test_an_error_in_one_requests_action_does_not_affect_those_of_the_same_batch(step: str) -> None:
     server = SimulatedServer(SERVER_SETTINGS)
     errors: list[bool] = []
-    server.scheduler.on_fault = lambda: errors.append(True)
+    server.scheduler.on_internal_error = lambda: errors.append(True)
     component = {
         "reserve": server.idempotency_keys,
         "run": server.interpreter_client,
@@ -66,7 +66,7 @@
     with pytest.raises(RuntimeError):
         server.dispatcher.end_round()
     controller.handle_events = real  # type: ignore[method-assign]
-    answers = server.answers.feed(server.client.taken())
+    answers = server.answers.feed(server.client.take_written())
     assert [words[1] for words in answers if words[0] == b"1"] == [b"OK"]
 
 
