--- a/sablewheel/experiments/fleet.py
+++ b/sablewheel/experiments/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of real servers with membership on, each link between two of them through the fault relay."""
+"""A fleet of real servers with membership enabled, whose links all pass through the fault relay."""
 
 from __future__ import annotations
 
@@ -18,37 +18,38 @@
 from ..membership.status_client import query_status
 from .testbed import PATIENCE, Process, Testbed, TestbedError, free_port
 
-PORT = 7700  # of each member's membership, on a loopback address of its own
-LISTEN = 7701  # for its requests
-DOOR = 7800  # the relay's first door
-CONTROL = 7799
-LINE = re.compile(r"^time=(\S+) level=\S+ from=membership\.service\.view event=(.*)$")
+PORT = 7700  # membership port of each member, on a loopback address of its own
+LISTEN = 7701  # request port of each member
+DOOR = 7800  # first endpoint port of the relay
+CONTROL = 7799  # control port of the relay
+VIEW_LOG_LINE = re.compile(r"^time=(\S+) level=\S+ from=membership\.service\.view event=(.*)$")
 
 
 class Block:
-    """The second number of the loopback addresses that one trial uses; it is this trial's until closed.
+    """A block 127.`second`.0.0/16 of loopback addresses, reserved for one trial until it is closed.
 
-    Addresses of its own spare it free ports, which other processes take between the asking and the use.
+    With its own addresses a trial can use fixed ports: a free port that it looked up could be taken by
+    another process before it is bound.
     """
 
     def __init__(self) -> None:
         for second in range(32, 224):
-            self._held = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+            self._reservation = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             try:
-                self._held.bind((f"127.{second}.255.254", CONTROL))
+                self._reservation.bind((f"127.{second}.255.254", CONTROL))
             except OSError:
-                self._held.close()
+                self._reservation.close()
                 continue
             self.second = second
             return
         raise TestbedError("no block of loopback addresses is free")
 
     def close(self) -> None:
-        self._held.close()
+        self._reservation.close()
 
 
 class Relay:
-    """The relay's process, and the line to its control port."""
+    """The relay process and the connection to its control port."""
 
     def __init__(
         self, testbed: Testbed, name: str, host: str, seed: int, doors: list[dict[str, Any]]
@@ -56,41 +57,45 @@
         spec = {"seed": seed, "host": host, "control": CONTROL, "doors": doors}
         self.process = testbed.start(name, "sablewheel.experiments.relay", json.dumps(spec), shifted=False)
         testbed.wait_for_port(CONTROL, self.process, host)
-        self._line = socket.create_connection((host, CONTROL), PATIENCE)
-        self._answers = self._line.makefile("rb")
+        self._connection = socket.create_connection((host, CONTROL), PATIENCE)
+        self._answers = self._connection.makefile("rb")
 
-    def set(self, sender: Iterable[str], to: Iterable[str], **what: float | bool) -> None:
-        self._tell({"from": list(sender), "to": list(to), "set": what})
+    def set(self, sender: Iterable[str], to: Iterable[str], **faults: float | bool) -> None:
+        self._send_command({"from": list(sender), "to": list(to), "set": faults})
 
-    def carried(self) -> dict[str, list[int]]:
-        """By sender: datagrams, bytes and datagrams lost, so far."""
-        return self._tell({})
+    def traffic(self) -> dict[str, list[int]]:
+        """Return the datagrams, bytes and lost datagrams so far, by sender."""
+        return self._send_command({})
 
-    def _tell(self, told: dict[str, Any]) -> dict[str, list[int]]:
-        self._line.sendall(json.dumps(told).encode() + b"\n")
+    def _send_command(self, command: dict[str, Any]) -> dict[str, list[int]]:
+        self._connection.sendall(json.dumps(command).encode() + b"\n")
         answer = self._answers.readline()
         if not answer:
-            raise TestbedError(f"the relay is gone: {self.process.tail()}")
+            raise TestbedError(f"the relay closed its control connection: {self.process.tail()}")
         return dict(json.loads(answer))
 
     def close(self) -> None:
         self._answers.close()
-        self._line.close()
+        self._connection.close()
 
 
 @dataclass(frozen=True)
-class Seen:
-    """One line of a member's log about its view."""
+class ViewLogLine:
+    """One line about the view in a member's log; `when` is in Unix seconds."""
 
     when: float
     member: str
-    what: str
+    event: str
     pairs: dict[str, str]
 
 
 @dataclass
 class Fleet:
-    """`kind` is ours, a baseline, or a part broken on purpose; `place` tells fleets of one trial apart."""
+    """The members of one fleet and their relay.
+
+    `kind` is "ours", a baseline or a faulty variant; `place` distinguishes the fleets of one trial and is the
+    third number of their addresses.
+    """
 
     testbed: Testbed
     block: int
@@ -99,17 +104,17 @@
     size: int
     seed: int
     zones: int = 3
-    shifted: bool = False  # whether the testbed's clock is theirs
+    shifted: bool = False  # whether the members run with the testbed's clock
     keys: dict[str, object] = field(default_factory=dict)
     processes: dict[str, Process] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.names = [f"m{number}" for number in range(self.size)]
         self.relay_host = f"127.{self.block}.{self.place}.250"
-        self.doors = {name: f"{self.relay_host}:{DOOR + place}" for place, name in enumerate(self.names)}
+        self.doors = {name: f"{self.relay_host}:{DOOR + index}" for index, name in enumerate(self.names)}
         doors = [
-            {"owner": name, "port": DOOR + place, "to": f"{self.host(name)}:{PORT}"}
-            for place, name in enumerate(self.names)
+            {"owner": name, "port": DOOR + index, "to": f"{self.host(name)}:{PORT}"}
+            for index, name in enumerate(self.names)
         ]
         self.relay = Relay(self.testbed, self.idempotency_key("relay"), self.relay_host, self.seed, doors)
         self.vm = free_port()
@@ -128,25 +133,31 @@
             "advertise": self.doors[name],
             "zone": f"z{self.names.index(name) % self.zones}",
             "region": "r1",
-            "seeds": "[" + ", ".join(self.doors[one] for one in seeds) + "]",
+            "seeds": "[" + ", ".join(self.doors[seed] for seed in seeds) + "]",
             "found-least": self.size // 2 + 1,
             **self.keys,
         }
         return "\n".join(["version: 1", "membership:", *(f"  {k}: {v}" for k, v in keys.items()), ""])
 
     def start(self, name: str) -> None:
-        """Not waited for: whether and when it is let in is what the trial measures."""
+        """Start a member without waiting for it: the trial measures whether and when it is admitted."""
         testbed, idempotency_key = self.testbed, self.idempotency_key(name)
         path = testbed.folder / f"{idempotency_key}.yaml"
         path.write_text(self.features(name))
-        words = ["sablewheel"] if self.kind == "ours" else ["sablewheel.experiments.faulty_member", self.kind]
-        told = str(
+        module = (
+            ["sablewheel"] if self.kind == "ours" else ["sablewheel.experiments.faulty_member", self.kind]
+        )
+        configuration = str(
             testbed.configuration(
                 idempotency_key, LISTEN, self.vm, name=name, listen=f"{self.host(name)}:{LISTEN}"
             )
         )
         self.processes[name] = testbed.start(
-            idempotency_key, *words, shifted=self.shifted, RELAY_CONFIG=told, SABLEWHEEL_FEATURES=str(path)
+            idempotency_key,
+            *module,
+            shifted=self.shifted,
+            RELAY_CONFIG=configuration,
+            SABLEWHEEL_FEATURES=str(path),
         )
 
     def signal(self, name: str, number: int) -> None:
@@ -162,46 +173,49 @@
     def running(self) -> list[str]:
         return [name for name in self.names if name in self.processes and self.processes[name].alive]
 
-    def told(self, name: str, within: float = 1.0) -> StatusReply | None:
-        """What the member answers a tool, on its own address and past the relay; None if nothing."""
+    def status(self, name: str, timeout_s: float = 1.0) -> StatusReply | None:
+        """Query the member's status at its own address, bypassing the relay; None if it does not answer."""
         try:
-            return query_status((self.host(name), PORT), within)[1]
+            return query_status((self.host(name), PORT), timeout_s)[1]
         except (OSError, codec.BadPacketError):
             return None
 
     def agreed(self, names: Iterable[str]) -> bool:
-        """Whether all of `names` hold just them, and the same view."""
-        wanted, views = tuple(sorted(names)), set()
-        for name in wanted:
-            told = self.told(name)
-            if told is None or tuple(one.name for one in told.states) != wanted:
+        """Whether all of `names` have the same view, and it has exactly these members."""
+        members, views = tuple(sorted(names)), set()
+        for name in members:
+            status = self.status(name)
+            if status is None or tuple(state.name for state in status.states) != members:
                 return False
-            views.add(told.view)
+            views.add(status.view)
         return len(views) == 1
 
     def wait_agreed(self, names: Iterable[str], within: float) -> float | None:
-        """Seconds until all of `names` agree on just them; None if they do not."""
-        names, begun = list(names), time.monotonic()
-        while time.monotonic() < begun + within:
+        """Wait until all of `names` agree on exactly these members.
+
+        Returns the seconds that it took; None if they did not agree within `within` seconds.
+        """
+        names, started = list(names), time.monotonic()
+        while time.monotonic() < started + within:
             if self.agreed(names):
-                return time.monotonic() - begun
+                return time.monotonic() - started
             time.sleep(0.1)
         return None
 
-    def seen(self, since: float = 0.0, until: float = 1e18) -> Iterator[Seen]:
-        """The lines about views of all members' logs, by time."""
+    def view_log_lines(self, since: float = 0.0, until: float = 1e18) -> Iterator[ViewLogLine]:
+        """Return the lines about views in the logs of all members, ordered by time."""
         lines = []
         for name in self.names:
             path = self.testbed.folder / f"{self.idempotency_key(name)}.log"
             if path.exists():
-                lines += [one for one in _lines(path, name) if since <= one.when <= until]
-        return iter(sorted(lines, key=lambda one: one.when))
+                lines += [line for line in _parse_log(path, name) if since <= line.when <= until]
+        return iter(sorted(lines, key=lambda line: line.when))
 
 
-def _lines(path: Path, name: str) -> Iterator[Seen]:
+def _parse_log(path: Path, name: str) -> Iterator[ViewLogLine]:
     for line in path.read_text(errors="replace").splitlines():
-        found = LINE.match(line)
-        if found:
-            words = shlex.split(found[2])
+        match = VIEW_LOG_LINE.match(line)
+        if match:
+            words = shlex.split(match[2])
             pairs = dict(word.split("=", 1) for word in words[1:] if "=" in word)
-            yield Seen(float(found[1]), name, words[0], pairs)
+            yield ViewLogLine(float(match[1]), name, words[0], pairs)
--- a/sablewheel/experiments/membership.py
+++ b/sablewheel/experiments/membership.py
@@ -1,10 +1,11 @@
-"""Membership's trial: fleets of real servers side by side under the same faults, ours and two baselines.
-
-Every link passes through a fault relay. Members are killed and come back cold, paused for shorter and longer
-than a suspicion lasts, slowed by stops and goes, cut one way, made deaf, put on links that lose or flip;
-several are cut off together, and all of ours are stopped together, as by a stall of their host.
-Nobody who is alive may be taken out, whoever is dead must be out soon and in one view for all, and a fleet
-of half the size must cost each member as much.
+"""The membership trial: fleets of real servers, ours and two baselines, under the same faults.
+
+Every link passes through a fault relay. Members are killed and restarted without state, paused for less and
+for more than a suspicion timeout, slowed by repeated stops, cut in one direction, cut from all incoming
+messages, or put on links that lose messages or alternate between cut and working. Several members are cut off
+together, and all members of our fleet are stopped together, as by a stall of their host.
+No running member may be removed, a dead member must be removed soon and by one view on all members, and the
+load per member must be the same as in a fleet of half the size.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 from dataclasses import dataclass, field
 
 from ..membership.plan import FAULTY_VARIANTS, Settings
-from .fleet import Block, Fleet, Seen
+from .fleet import Block, Fleet, ViewLogLine
 from .replaced_parts import was_announced
 from .result import ExperimentResult
 from .testbed import Testbed, TestbedError
@@ -28,72 +29,77 @@
 
 PERIOD = Settings().period_s
 BASELINES = ("heartbeat", "swim")
-UP_WITHIN = 40.0  # for all processes to start and to agree
-OUT_WITHIN = 15.0  # for a dead member to be out of every view
-AGAIN_WITHIN = 25.0  # for one that was out to be in again
-LOAD_MOST = 1.2  # times the load a member of a fleet of half the size
-DETECT_MOST = 1.5  # times the faster baseline
-SHORT = Settings().heartbeat_timeout_s - PERIOD  # the longest silence that the heartbeats' timeout bears
-DEAF = SHORT
-GOING_ON = 2.0  # seconds over which members go on, one by one, after a stop of all
+STARTUP_TIMEOUT_S = 40.0  # for all processes to start and to agree
+REMOVAL_TIMEOUT_S = 15.0  # for a dead member to be removed from every view
+REJOIN_TIMEOUT_S = 25.0  # for a removed member to rejoin
+MAX_LOAD_RATIO = 1.2  # load per member relative to a fleet of half the size
+MAX_DETECTION_RATIO = 1.5  # median detection time relative to the faster baseline
+SHORT_PAUSE_S = Settings().heartbeat_timeout_s - PERIOD  # the longest silence within the heartbeat timeout
+INCOMING_CUT_S = SHORT_PAUSE_S
+RESUME_SPAN_S = 2.0  # members resume one by one over this time after a stop of all
 ALONE = ("added", "removed")
 
 
 @dataclass
-class Spell:
-    """A fault's time, and who may be taken out in it."""
+class FaultPeriod:
+    """The time of one fault (Unix seconds), and the members that may be removed during it."""
 
-    what: str
-    begun: float
+    fault: str
+    started: float
     ended: float = 0.0
-    may_go: frozenset[str] = frozenset()
+    removable: frozenset[str] = frozenset()
 
 
 @dataclass
 class Scenario:
-    """All fleets of the trial, and what was done to them when."""
+    """All fleets of the trial, and the faults injected into them with their times."""
 
     testbed: Testbed
     seed: int
     ours: Fleet
     others: list[Fleet]
     half: Fleet
-    spells: list[Spell] = field(default_factory=list)
+    fault_periods: list[FaultPeriod] = field(default_factory=list)
     crashes: list[tuple[str, float]] = field(default_factory=list)
     agreed_after: list[float] = field(default_factory=list)
     returned_after: list[float] = field(default_factory=list)
-    cuts: list[tuple[set[str], float, float, float]] = field(default_factory=list)  # who, from, to, end
-    dead_in_stall: list[float] = field(default_factory=list)  # until all held it to be out
-    loads: dict[int, tuple[float, float]] = field(default_factory=dict)  # by fleet: datagrams, bytes a second
+    cuts: list[tuple[set[str], float, float, float]] = field(
+        default_factory=list
+    )  # members; cut, healed, end
+    dead_in_stall: list[float] = field(default_factory=list)  # seconds until all had removed it
+    loads: dict[int, tuple[float, float]] = field(default_factory=dict)  # datagrams, bytes per s by fleet
 
     @property
-    def same(self) -> list[Fleet]:
+    def compared(self) -> list[Fleet]:
         """The fleets that get the same faults at the same time."""
         return [self.ours, *self.others]
 
-    def spell(
+    def inject(
         self,
-        what: str,
-        act: Callable[[Fleet], None],
+        fault: str,
+        apply: Callable[[Fleet], None],
         undo: Callable[[Fleet], None],
-        span: float,
-        rest: float = 4.0,
-        may_go: frozenset[str] = frozenset(),
+        span_s: float,
+        settle_s: float = 4.0,
+        removable: frozenset[str] = frozenset(),
     ) -> None:
-        """One fault on all fleets for `span` seconds, and the time after it in which it could still tell."""
-        spell = Spell(what, time.time(), may_go=may_go)
-        self.spells.append(spell)
-        for fleet in self.same:
-            act(fleet)
-        time.sleep(span)
-        for fleet in self.same:
+        """Apply a fault to all compared fleets for `span_s` seconds.
+
+        The fault period includes the `settle_s` seconds after it, in which the fault may still take effect.
+        """
+        period = FaultPeriod(fault, time.time(), removable=removable)
+        self.fault_periods.append(period)
+        for fleet in self.compared:
+            apply(fleet)
+        time.sleep(span_s)
+        for fleet in self.compared:
             undo(fleet)
-        time.sleep(rest)
-        spell.ended = time.time()
+        time.sleep(settle_s)
+        period.ended = time.time()
 
 
 def run(seed: int, quick: bool, broken: str = "") -> ExperimentResult:
-    """The trial; `broken` names a part that is broken on purpose in the fleet that stands for ours."""
+    """Run the trial; `broken` names a faulty variant that replaces the members of our fleet."""
     result = ExperimentResult("membership")
     size = 7 if quick else 16
     with Testbed(seed) as testbed, closing(Block()) as block:
@@ -109,7 +115,7 @@
             _run_scenario(scenario, quick)
             _check_promises(scenario, result)
         finally:
-            for fleet in [*scenario.same, scenario.half]:
+            for fleet in [*scenario.compared, scenario.half]:
                 fleet.relay.close()
     return result
 
@@ -117,341 +123,364 @@
 def _run_scenario(scenario: Scenario, quick: bool) -> None:
     chance = random.Random(scenario.seed)
     ours, names = scenario.ours, scenario.ours.names
-    for fleet in [*scenario.same, scenario.half]:
+    for fleet in [*scenario.compared, scenario.half]:
         for name in fleet.names:
             fleet.start(name)
-    for fleet in [*scenario.same, scenario.half]:
+    for fleet in [*scenario.compared, scenario.half]:
         if fleet.kind in BASELINES:
-            if not _all_in(fleet, UP_WITHIN):
-                raise TestbedError(f"the fleet of {fleet.kind} does not come together")
-        elif fleet.wait_agreed(fleet.names, UP_WITHIN) is None:
-            raise TestbedError(f"the fleet of {fleet.kind} does not agree: {ours.processes[names[0]].tail()}")
+            if not _wait_all_joined(fleet, STARTUP_TIMEOUT_S):
+                raise TestbedError(f"the members of the fleet {fleet.kind} did not all join")
+        elif fleet.wait_agreed(fleet.names, STARTUP_TIMEOUT_S) is None:
+            raise TestbedError(
+                f"the fleet {fleet.kind} did not agree on a view: {ours.processes[names[0]].tail()}"
+            )
     time.sleep(2.0)
     _load(scenario, 10.0 if quick else 30.0)
 
-    def set_all(what: str, value: float | bool) -> Callable[[Fleet], None]:
-        return lambda fleet: fleet.relay.set(fleet.names, fleet.names, **{what: value})
+    def set_all(key: str, value: float | bool) -> Callable[[Fleet], None]:
+        return lambda fleet: fleet.relay.set(fleet.names, fleet.names, **{key: value})
 
     def cut(senders: list[str], to: list[str], value: bool) -> Callable[[Fleet], None]:
         return lambda fleet: fleet.relay.set(senders, to, cut=value)
 
-    def stopped(name: str) -> Callable[[Fleet], None]:
+    def stop(name: str) -> Callable[[Fleet], None]:
         return lambda fleet: fleet.stop(name)
 
-    def going(name: str) -> Callable[[Fleet], None]:
+    def resume(name: str) -> Callable[[Fleet], None]:
         return lambda fleet: fleet.go_on(name)
 
-    def badly(rest: list[str], one: str, other: str, off: bool, drop: float) -> Callable[[Fleet], None]:
-        def put(fleet: Fleet) -> None:
-            fleet.relay.set(rest, [one], cut=off)
+    def impair(rest: list[str], one: str, other: str, is_cut: bool, drop: float) -> Callable[[Fleet], None]:
+        def apply(fleet: Fleet) -> None:
+            fleet.relay.set(rest, [one], cut=is_cut)
             fleet.relay.set([other], [one], drop=drop)
 
-        return put
+        return apply
 
-    picked = names[1:]  # the first seed is spared, so that a first view need not be founded anew
+    candidates = names[1:]  # not the first seed: without it a new first view would have to be founded
     for _ in range(2 if quick else 5):
-        _crash(scenario, chance.choice(picked))
+        _crash(scenario, chance.choice(candidates))
     for _ in range(1 if quick else 3):
-        one = chance.choice(picked)
-        scenario.spell("short pause", stopped(one), going(one), SHORT)
+        one = chance.choice(candidates)
+        scenario.inject("short pause", stop(one), resume(one), SHORT_PAUSE_S)
     for _ in range(2 if quick else 4):
-        one = chance.choice(picked)
+        one = chance.choice(candidates)
         rest = [other for other in names if other != one]
-        scenario.spell("deaf", cut(rest, [one], True), cut(rest, [one], False), DEAF)
-    for _ in range(3):  # hears one other, and that one badly: its opinion of the rest is wrong, and its alone
-        one, other = chance.sample(picked, 2)
+        scenario.inject("deaf", cut(rest, [one], True), cut(rest, [one], False), INCOMING_CUT_S)
+    for _ in range(3):  # receives from one member only, with losses, and so wrongly suspects all the others
+        one, other = chance.sample(candidates, 2)
         rest = [name for name in names if name not in (one, other)]
-        ill, well = badly(rest, one, other, True, 0.5), badly(rest, one, other, False, 0.0)
-        # It may go itself, who can hardly be heard of; but nobody else on its word.
-        scenario.spell("hears one other", ill, well, 9.0, 6.0, frozenset({one}))
-    slow = chance.choice(picked)
-    scenario.spell("slow member", lambda fleet: None, lambda fleet: None, 0.0, 0.0)
-    _duty(scenario, slow, 6.0 if quick else 30.0)
-    scenario.spells[-1].ended = time.time()
-    a, b = chance.sample(picked, 2)
-    scenario.spell("one-sided cut", cut([b], [a], True), cut([b], [a], False), 8.0 if quick else 30.0)
-    a, b = chance.sample(picked, 2)
-    scenario.spell("flipping link", lambda fleet: None, lambda fleet: None, 0.0, 0.0)
+        start_fault, end_fault = impair(rest, one, other, True, 0.5), impair(rest, one, other, False, 0.0)
+        # It may be removed itself, since it hardly answers, but no other member because of its reports.
+        scenario.inject("hears one other", start_fault, end_fault, 9.0, 6.0, frozenset({one}))
+    slow = chance.choice(candidates)
+    scenario.inject("slow member", lambda fleet: None, lambda fleet: None, 0.0, 0.0)
+    _stop_repeatedly(scenario, slow, 6.0 if quick else 30.0)
+    scenario.fault_periods[-1].ended = time.time()
+    a, b = chance.sample(candidates, 2)
+    scenario.inject("one-sided cut", cut([b], [a], True), cut([b], [a], False), 8.0 if quick else 30.0)
+    a, b = chance.sample(candidates, 2)
+    scenario.inject("flipping link", lambda fleet: None, lambda fleet: None, 0.0, 0.0)
     for turn in range(4 if quick else 12):
-        for fleet in scenario.same:
+        for fleet in scenario.compared:
             fleet.relay.set([a], [b], cut=turn % 2 == 0)
             fleet.relay.set([b], [a], cut=turn % 2 == 0)
         time.sleep(2.0)
-    scenario.spells[-1].ended = time.time()
-    scenario.spell("a tenth lost", set_all("drop", 0.1), set_all("drop", 0.0), 12.0 if quick else 60.0)
-    # Two at a time: a pause while a tenth is lost and datagrams come late, doubled and out of order.
-    two = chance.choice(picked)
+    scenario.fault_periods[-1].ended = time.time()
+    scenario.inject("a tenth lost", set_all("drop", 0.1), set_all("drop", 0.0), 12.0 if quick else 60.0)
+    # Two faults at a time: a pause while a tenth is lost and datagrams are delayed, duplicated and reordered.
+    paused = chance.choice(candidates)
 
-    def both(fleet: Fleet) -> None:
+    def impair_all(fleet: Fleet) -> None:
         fleet.relay.set(fleet.names, fleet.names, drop=0.1, double=0.05, reorder=0.2, most=0.02)
-        fleet.stop(two)
+        fleet.stop(paused)
 
-    def neither(fleet: Fleet) -> None:
-        fleet.go_on(two)
+    def restore_all(fleet: Fleet) -> None:
+        fleet.go_on(paused)
         fleet.relay.set(fleet.names, fleet.names, drop=0.0, double=0.0, reorder=0.0, most=0.0)
 
-    scenario.spell("loss and a pause", both, neither, SHORT)
-    # Longer than a suspicion lasts: it is out as if it were dead, and comes in again by itself.
-    gone = chance.choice(picked)
-    scenario.spell("long pause", stopped(gone), going(gone), 9.0, 0.0, frozenset({gone}))
-    after = scenario.ours.wait_agreed(names, AGAIN_WITHIN)
-    scenario.spells[-1].ended = time.time()
+    scenario.inject("loss and a pause", impair_all, restore_all, SHORT_PAUSE_S)
+    # Longer than the suspicion timeout: the member is removed like a dead one, and rejoins by itself.
+    long_paused = chance.choice(candidates)
+    scenario.inject("long pause", stop(long_paused), resume(long_paused), 9.0, 0.0, frozenset({long_paused}))
+    after = scenario.ours.wait_agreed(names, REJOIN_TIMEOUT_S)
+    scenario.fault_periods[-1].ended = time.time()
     scenario.returned_after.append(after if after is not None else math.inf)
     for _ in range(2):
-        _cut_off(scenario, chance.sample(picked, round(len(names) * 3 / 8)), 14.0 if quick else 25.0)
+        _cut_off(scenario, chance.sample(candidates, round(len(names) * 3 / 8)), 14.0 if quick else 25.0)
     _stall(scenario, chance, 10.0 if quick else 20.0, "")
-    _stall(scenario, chance, 6.0 if quick else 20.0, chance.choice(picked))
-    leaver = chance.choice(picked)
+    _stall(scenario, chance, 6.0 if quick else 20.0, chance.choice(candidates))
+    leaving = chance.choice(candidates)
     at = time.time()
-    for fleet in scenario.same:
-        fleet.processes[leaver].popen.terminate()
-    scenario.spells.append(Spell("leave", at, at + 4.0, frozenset({leaver})))
+    for fleet in scenario.compared:
+        fleet.processes[leaving].popen.terminate()
+    scenario.fault_periods.append(FaultPeriod("leave", at, at + 4.0, frozenset({leaving})))
     time.sleep(4.0)
 
 
-def _all_in(fleet: Fleet, within: float) -> bool:
-    """For a baseline, which has no view: whether each holds all to be in."""
-    until = time.monotonic() + within
-    while time.monotonic() < until:
-        told = [fleet.told(name) for name in fleet.names]
-        if all(one is not None and len(one.states) == fleet.size for one in told):
+def _wait_all_joined(fleet: Fleet, timeout_s: float) -> bool:
+    """Wait until each member of a baseline fleet, which has no view, lists all members."""
+    deadline = time.monotonic() + timeout_s
+    while time.monotonic() < deadline:
+        statuses = [fleet.status(name) for name in fleet.names]
+        if all(status is not None and len(status.states) == fleet.size for status in statuses):
             return True
         time.sleep(0.1)
     return False
 
 
 def _crash(scenario: Scenario, name: str) -> None:
-    """SIGKILL, and once that was seen a cold restart under the same name."""
+    """Kill a member and, once it has been removed, restart it without state under the same name."""
     at = time.time()
-    for fleet in scenario.same:
+    for fleet in scenario.compared:
         fleet.processes[name].kill()
     scenario.crashes.append((name, at))
-    spell = Spell("crash", at, may_go=frozenset({name}))
-    scenario.spells.append(spell)
-    left = [one for one in scenario.ours.names if one != name]
-    after = scenario.ours.wait_agreed(left, OUT_WITHIN)
+    period = FaultPeriod("crash", at, removable=frozenset({name}))
+    scenario.fault_periods.append(period)
+    left = [other for other in scenario.ours.names if other != name]
+    after = scenario.ours.wait_agreed(left, REMOVAL_TIMEOUT_S)
     scenario.agreed_after.append(after if after is not None else math.inf)
-    time.sleep(2.0)  # the baselines may still be at it
-    for fleet in scenario.same:
+    time.sleep(2.0)  # the baselines may still be removing it
+    for fleet in scenario.compared:
         fleet.start(name)
-    back = scenario.ours.wait_agreed(scenario.ours.names, AGAIN_WITHIN)
+    back = scenario.ours.wait_agreed(scenario.ours.names, REJOIN_TIMEOUT_S)
     scenario.returned_after.append(back if back is not None else math.inf)
-    spell.ended = time.time()
+    period.ended = time.time()
     for fleet in scenario.others:
-        _all_in(fleet, 8.0)
+        _wait_all_joined(fleet, 8.0)
 
 
-def _duty(scenario: Scenario, name: str, span: float) -> None:
-    """Stopped most of the time, in short turns: a process starved of its cores."""
-    until = time.monotonic() + span
-    while time.monotonic() < until:
-        for fleet in scenario.same:
+def _stop_repeatedly(scenario: Scenario, name: str, span: float) -> None:
+    """Stop a member for most of the time in short turns, like a process that is starved of CPU time."""
+    deadline = time.monotonic() + span
+    while time.monotonic() < deadline:
+        for fleet in scenario.compared:
             fleet.stop(name)
         time.sleep(0.5)
-        for fleet in scenario.same:
+        for fleet in scenario.compared:
             fleet.go_on(name)
         time.sleep(0.15)
     time.sleep(4.0)
 
 
 def _cut_off(scenario: Scenario, group: list[str], span: float) -> None:
-    """Several together, both ways; they go as if dead, and come in again by themselves."""
+    """Cut off several members together in both directions: they are removed, and rejoin by themselves."""
     ours, rest = scenario.ours, [name for name in scenario.ours.names if name not in group]
-    begun = time.time()
+    cut_at = time.time()
     for some, others in ((group, rest), (rest, group)):
         ours.relay.set(some, others, cut=True)
     time.sleep(span)
-    healed = time.time()
+    healed_at = time.time()
     for some, others in ((group, rest), (rest, group)):
         ours.relay.set(some, others, cut=False)
-    after = ours.wait_agreed(ours.names, AGAIN_WITHIN)
+    after = ours.wait_agreed(ours.names, REJOIN_TIMEOUT_S)
     scenario.returned_after.append(after if after is not None else math.inf)
     time.sleep(3.0)
-    scenario.cuts.append((set(group), begun, healed, time.time()))
-    scenario.spells.append(Spell("cut of several", begun, time.time(), frozenset(group)))
+    scenario.cuts.append((set(group), cut_at, healed_at, time.time()))
+    scenario.fault_periods.append(FaultPeriod("cut of several", cut_at, time.time(), frozenset(group)))
 
 
-def _stall(scenario: Scenario, chance: random.Random, span: float, dies: str) -> None:
-    """All of ours stop at once and go on one by one, but for one that dies meanwhile, if it is named."""
+def _stall(scenario: Scenario, chance: random.Random, span: float, killed: str) -> None:
+    """Stop all members of our fleet at once and resume them one by one; kill `killed` meanwhile, if any."""
     ours, begun = scenario.ours, time.time()
     for name in ours.names:
         ours.stop(name)
     time.sleep(span)
-    if dies:
-        ours.processes[dies].kill()
-    left = [name for name in ours.names if name != dies]
-    on = time.monotonic()
-    for at, name in sorted((chance.uniform(0, GOING_ON), name) for name in left):
-        time.sleep(max(on + at - time.monotonic(), 0.0))
+    if killed:
+        ours.processes[killed].kill()
+    left = [name for name in ours.names if name != killed]
+    resume_start = time.monotonic()
+    for at, name in sorted((chance.uniform(0, RESUME_SPAN_S), name) for name in left):
+        time.sleep(max(resume_start + at - time.monotonic(), 0.0))
         ours.go_on(name)
-    if dies:
-        out = ours.wait_agreed(left, AGAIN_WITHIN)
-        scenario.dead_in_stall.append(out if out is not None else math.inf)
+    if killed:
+        removed_after = ours.wait_agreed(left, REJOIN_TIMEOUT_S)
+        scenario.dead_in_stall.append(removed_after if removed_after is not None else math.inf)
     else:
         time.sleep(12.0)
-    spell = Spell("stop of all and a death" if dies else "stop of all", begun, time.time(), frozenset({dies}))
-    scenario.spells.append(spell)
-    if dies:
-        ours.start(dies)
-        back = ours.wait_agreed(ours.names, AGAIN_WITHIN)
-        scenario.returned_after.append(back if back is not None else math.inf)
+    period = FaultPeriod(
+        "stop of all and a death" if killed else "stop of all", begun, time.time(), frozenset({killed})
+    )
+    scenario.fault_periods.append(period)
+    if killed:
+        ours.start(killed)
+        rejoined_after = ours.wait_agreed(ours.names, REJOIN_TIMEOUT_S)
+        scenario.returned_after.append(rejoined_after if rejoined_after is not None else math.inf)
 
 
 def _load(scenario: Scenario, span: float) -> None:
-    """Datagrams and bytes that a member sends in a calm time, a second, in the whole fleet and the half."""
-    before = {fleet.place: fleet.relay.carried() for fleet in (scenario.ours, scenario.half)}
+    """Measure the datagrams and bytes per second that a member sends without faults, in both fleets."""
+    before = {fleet.place: fleet.relay.traffic() for fleet in (scenario.ours, scenario.half)}
     begun = time.monotonic()
     time.sleep(span)
     for fleet in (scenario.ours, scenario.half):
-        after, took = fleet.relay.carried(), time.monotonic() - begun
+        after, elapsed = fleet.relay.traffic(), time.monotonic() - begun
         rows = [
             [now - was for now, was in zip(after[name], before[fleet.place][name], strict=True)]
             for name in fleet.names
         ]
         scenario.loads[fleet.place] = (
-            statistics.mean(row[0] for row in rows) / took,
-            statistics.mean(row[1] for row in rows) / took,
+            statistics.mean(row[0] for row in rows) / elapsed,
+            statistics.mean(row[1] for row in rows) / elapsed,
         )
 
 
-# -- the judgement
-
+# -- checks
 
-def _removed(fleet: Fleet, spell: Spell) -> list[tuple[str, int | str]]:
-    """Members taken out in a spell that may not be: (who, the epoch, or the member that did it alone)."""
-    found: set[tuple[str, int | str]] = set()
-    for line in fleet.seen(spell.begun, spell.ended):
-        if line.what == "view":
-            for word in line.pairs.get("changes", "").split():
-                kind, _, who = word.partition(":")
-                if kind == "remove" and who.partition("@")[0] not in spell.may_go:
-                    found.add((who.partition("@")[0], int(line.pairs["epoch"])))
-        elif line.what == "removed" and not {line.pairs["member"], line.member} & spell.may_go:
-            found.add((line.pairs["member"], line.member))  # not by one that was stopped or dead itself
-    return sorted(found, key=str)
 
+def _wrong_removals(fleet: Fleet, period: FaultPeriod) -> list[tuple[str, int | str]]:
+    """Return the wrongly removed members of a fault period.
 
-def _out_times(fleet: Fleet, name: str, at: float) -> list[float]:
-    """Seconds from a crash until each other member held the dead to be out; inf for who never did."""
-    until = at + OUT_WITHIN
+    Each comes with the epoch of the removal, or with the name of the member that removed it alone.
+    """
+    removals: set[tuple[str, int | str]] = set()
+    for line in fleet.view_log_lines(period.started, period.ended):
+        if line.event == "view":
+            for word in line.pairs.get("changes", "").split():
+                kind, _, member = word.partition(":")
+                if kind == "remove" and member.partition("@")[0] not in period.removable:
+                    removals.add((member.partition("@")[0], int(line.pairs["epoch"])))
+        elif line.event == "removed" and not {line.pairs["member"], line.member} & period.removable:
+            # Removals by a member that was itself stopped or dead do not count.
+            removals.add((line.pairs["member"], line.member))
+    return sorted(removals, key=str)
+
+
+def _removal_times(fleet: Fleet, name: str, at: float) -> list[float]:
+    """Return the seconds from a crash until each other member removed the dead one; inf if it never did."""
+    until = at + REMOVAL_TIMEOUT_S
     first: dict[str, float] = {}
     epoch: int | None = None
-    lines = list(fleet.seen(at, until))
+    lines = list(fleet.view_log_lines(at, until))
     for line in lines:
-        if line.what == "view" and f"remove:{name}@" in line.pairs.get("changes", ""):
+        if line.event == "view" and f"remove:{name}@" in line.pairs.get("changes", ""):
             epoch = int(line.pairs["epoch"]) if epoch is None else epoch
     for line in lines:
-        alone = line.what == "removed" and line.pairs["member"] == name
-        agreed = line.what == "view" and epoch is not None and int(line.pairs["epoch"]) >= epoch
-        if alone or agreed:
+        removed_alone = line.event == "removed" and line.pairs["member"] == name
+        in_agreed_view = line.event == "view" and epoch is not None and int(line.pairs["epoch"]) >= epoch
+        if removed_alone or in_agreed_view:
             first.setdefault(line.member, line.when - at)
-    return [first.get(one, math.inf) for one in fleet.names if one != name]
+    return [first.get(other, math.inf) for other in fleet.names if other != name]
 
 
-def _epochs(lines: list[Seen]) -> int:
-    return len({line.pairs["epoch"] for line in lines if line.what == "view"})
+def _epochs(lines: list[ViewLogLine]) -> int:
+    return len({line.pairs["epoch"] for line in lines if line.event == "view"})
 
 
 def _changes(fleet: Fleet, since: float, until: float) -> dict[str, str]:
-    """What each view that was decided in a time changed, by its epoch."""
+    """Return the changes of each view decided between `since` and `until`, by epoch."""
     return {
         line.pairs["epoch"]: line.pairs["changes"]
-        for line in fleet.seen(since, until)
-        if line.what == "view" and ":" in line.pairs.get("changes", "")
+        for line in fleet.view_log_lines(since, until)
+        if line.event == "view" and ":" in line.pairs.get("changes", "")
     }
 
 
-def _judge_together(scenario: Scenario, result: ExperimentResult) -> None:
-    """Who is cut off together, and who dies while all are stopped."""
-    outs, backs = list[int](), list[int]()
-    for group, begun, healed, ended in scenario.cuts:
-        out, back = _changes(scenario.ours, begun, healed), _changes(scenario.ours, healed, ended)
-        gone = {name for name in group if any(f"remove:{name}@" in one for one in out.values())}
+def _check_group_faults(scenario: Scenario, result: ExperimentResult) -> None:
+    """Check the members that were cut off together, and the one killed while all were stopped."""
+    removal_views, rejoin_views = list[int](), list[int]()
+    for group, cut_at, healed_at, ended_at in scenario.cuts:
+        removals, rejoins = (
+            _changes(scenario.ours, cut_at, healed_at),
+            _changes(scenario.ours, healed_at, ended_at),
+        )
+        removed = {
+            name for name in group if any(f"remove:{name}@" in changes for changes in removals.values())
+        }
         result.check(
-            f"{len(group)} cut off together go in one view",
-            len(out) == 1 and gone == group,
-            "; ".join(out.values()) or "none",
+            f"{len(group)} members cut off together are removed in one view",
+            len(removals) == 1 and removed == group,
+            "; ".join(removals.values()) or "none",
         )
-        result.check("and come in again in one view or two", 1 <= len(back) <= 2, len(back))
-        outs.append(len(out))
-        backs.append(len(back))
+        result.check("and rejoin in one or two views", 1 <= len(rejoins) <= 2, len(rejoins))
+        removal_views.append(len(removals))
+        rejoin_views.append(len(rejoins))
     slowest = max(scenario.dead_in_stall)
-    result.check("who dies in a stop of all is out of every view", slowest < math.inf, f"{slowest:.2f} s")
+    result.check(
+        "a member killed during a stop of all is removed from every view",
+        slowest < math.inf,
+        f"{slowest:.2f} s",
+    )
     result.figures |= {
-        "cut_views": max(outs),
-        "back_views": max(backs),
+        "cut_views": max(removal_views),
+        "back_views": max(rejoin_views),
         "dead_in_stall_s": round(slowest, 2),
     }
 
 
 def _check_promises(scenario: Scenario, result: ExperimentResult) -> None:
     ours = scenario.ours
-    for fleet in scenario.same:
+    for fleet in scenario.compared:
         if fleet.kind != "ours":
             logs = [scenario.testbed.folder / f"{fleet.idempotency_key(name)}.log" for name in fleet.names]
-            taken = all(was_announced(log, fleet.kind) for log in logs)
-            result.require(f"all members run as {fleet.kind}", taken)
-    _judge_together(scenario, result)
+            all_replaced = all(was_announced(log, fleet.kind) for log in logs)
+            result.require(f"all members run as {fleet.kind}", all_replaced)
+    _check_group_faults(scenario, result)
     detected = {
-        fleet.kind: [one for name, at in scenario.crashes for one in _out_times(fleet, name, at)]
-        for fleet in scenario.same
+        fleet.kind: [seconds for name, at in scenario.crashes for seconds in _removal_times(fleet, name, at)]
+        for fleet in scenario.compared
     }
-    mine = sorted(detected[ours.kind])
-    p50, p99 = statistics.median(mine), mine[math.ceil(0.99 * len(mine)) - 1]
-    result.check("a killed member is out of every view", mine[-1] < math.inf, f"{mine[-1]:.2f} s")
+    own_times = sorted(detected[ours.kind])
+    p50, p99 = statistics.median(own_times), own_times[math.ceil(0.99 * len(own_times)) - 1]
+    result.check(
+        "a killed member is removed from every view", own_times[-1] < math.inf, f"{own_times[-1]:.2f} s"
+    )
     result.check(
         "one agreed view after each crash",
         max(scenario.agreed_after) < math.inf,
         f"{max(scenario.agreed_after):.2f} s",
     )
     result.check(
-        "whoever was out comes in again, under the same name",
+        "a removed member rejoins under the same name",
         max(scenario.returned_after) < math.inf,
         f"{max(scenario.returned_after):.2f} s",
     )
-    removed: dict[str, dict[str, int]] = {fleet.kind: defaultdict(int) for fleet in scenario.same}
-    for fleet in scenario.same:
-        for spell in scenario.spells:
-            removed[fleet.kind][spell.what] += len(_removed(fleet, spell))
-    kinds = list(dict.fromkeys(spell.what for spell in scenario.spells))
-    for what in kinds:
-        count = removed[ours.kind][what]
-        result.check(f"no healthy member is taken out: {what}", count == 0, count)
-    for what in ("one-sided cut", "flipping link"):
-        spell = next(one for one in scenario.spells if one.what == what)
-        changes = _epochs(list(ours.seen(spell.begun, spell.ended)))
-        result.check(f"at most one view change: {what}", changes <= 1, changes)
+    removed: dict[str, dict[str, int]] = {fleet.kind: defaultdict(int) for fleet in scenario.compared}
+    for fleet in scenario.compared:
+        for period in scenario.fault_periods:
+            removed[fleet.kind][period.fault] += len(_wrong_removals(fleet, period))
+    kinds = list(dict.fromkeys(period.fault for period in scenario.fault_periods))
+    for fault in kinds:
+        count = removed[ours.kind][fault]
+        result.check(f"no healthy member is removed: {fault}", count == 0, count)
+    for fault in ("one-sided cut", "flipping link"):
+        period = next(entry for entry in scenario.fault_periods if entry.fault == fault)
+        changes = _epochs(list(ours.view_log_lines(period.started, period.ended)))
+        result.check(f"at most one view change: {fault}", changes <= 1, changes)
     by_epoch: dict[str, set[str]] = defaultdict(set)
-    for line in ours.seen():
-        if line.what == "view":
+    for line in ours.view_log_lines():
+        if line.event == "view":
             by_epoch[line.pairs["epoch"]].add(line.pairs["fingerprint"])
-    odd = sum(len(prints) > 1 for prints in by_epoch.values())
-    result.check("no epoch at which two members held two views", odd == 0, f"{odd} of {len(by_epoch)}")
-    left = [name for name in ours.names if name not in scenario.spells[-1].may_go]
-    result.check("all agree at the end, without who left", ours.agreed(left), len(left))
+    conflicting = sum(len(fingerprints) > 1 for fingerprints in by_epoch.values())
+    result.check(
+        "no epoch at which two members had different views",
+        conflicting == 0,
+        f"{conflicting} of {len(by_epoch)}",
+    )
+    left = [name for name in ours.names if name not in scenario.fault_periods[-1].removable]
+    result.check("all agree at the end, without the member that left", ours.agreed(left), len(left))
     for figure, place in (("messages", 0), ("bytes", 1)):
-        whole, half = scenario.loads[ours.place][place], scenario.loads[scenario.half.place][place]
-        ratio = whole / half
+        full, half = scenario.loads[ours.place][place], scenario.loads[scenario.half.place][place]
+        ratio = full / half
         result.check(
-            f"{figure} a member do not grow with the fleet",
-            1 / LOAD_MOST <= ratio <= LOAD_MOST,
+            f"{figure} per member do not grow with the fleet",
+            1 / MAX_LOAD_RATIO <= ratio <= MAX_LOAD_RATIO,
             f"{ratio:.2f} from {scenario.half.size} to {ours.size}",
         )
-        result.figures[f"{figure}_a_member_a_second"] = round(whole, 1)
+        result.figures[f"{figure}_a_member_a_second"] = round(full, 1)
         result.figures[f"{figure}_ratio"] = round(ratio, 3)
-    total = {kind: sum(those.values()) for kind, those in removed.items()}
+    total = {kind: sum(by_fault.values()) for kind, by_fault in removed.items()}
     if scenario.others:
         least = min(total[fleet.kind] for fleet in scenario.others)
         result.check(
-            "fewer healthy members taken out than by both baselines",
+            "fewer healthy members removed than by both baselines",
             total[ours.kind] < least,
             ", ".join(f"{kind} {count}" for kind, count in total.items()),
         )
         faster = min(statistics.median(detected[fleet.kind]) for fleet in scenario.others)
-        medians = {kind: statistics.median(those) for kind, those in detected.items()}
+        medians = {kind: statistics.median(times) for kind, times in detected.items()}
         result.check(
-            f"a crash is detected within {DETECT_MOST} times the faster baseline",
-            p50 <= DETECT_MOST * faster,
+            f"a crash is detected within {MAX_DETECTION_RATIO} times the faster baseline",
+            p50 <= MAX_DETECTION_RATIO * faster,
             ", ".join(f"{kind} {median:.2f} s" for kind, median in medians.items()),
         )
         for kind, median in medians.items():
@@ -460,7 +489,7 @@
         (scenario.testbed.folder / f"{ours.idempotency_key(name)}.log").read_text(errors="replace")
         for name in ours.names
     )
-    result.check("no fault of our own in the logs", "Traceback" not in log, log.count("Traceback"))
+    result.check("no unhandled exception in the logs", "Traceback" not in log, log.count("Traceback"))
     result.figures |= {
         "members": ours.size,
         "detect_p50_periods": round(p50 / PERIOD, 2),
@@ -470,5 +499,5 @@
         **{f"healthy_removed_{kind}": count for kind, count in total.items()},
     }
     for kind, counts in removed.items():
-        told = ", ".join(f"{what} {count}" for what, count in counts.items() if count)
-        result.figures[f"removed_in_{kind}"] = told or "-"
+        counted = ", ".join(f"{fault} {count}" for fault, count in counts.items() if count)
+        result.figures[f"removed_in_{kind}"] = counted or "-"
--- a/sablewheel/experiments/membership_model.py
+++ b/sablewheel/experiments/membership_model.py
@@ -1,10 +1,11 @@
-"""Membership's suspicions and incarnations for three members, every order of what may happen, to a depth.
+"""Bounded model check of membership's suspicions and incarnations with three members.
 
-The real node, no process: from states where a suspicion is about to run out, each next thing is tried in each
-order: any member's timer rings (the others are late: that is a pause), any message on its way arrives (in any
-order; one that never does is lost). Checked at each step: who knows a refutation neither reports nor votes
-for the removal that it refutes; two members never hold two views at one epoch. From the states at the
-bottom, with the faults over, all three hold one view of three. A violation is printed as the steps to it.
+Runs the real node without processes. From states in which a suspicion is about to expire, all orders of the
+possible actions are explored up to a depth: the timer of any member fires (the timers of the others are then
+late, as in a pause), or any message in transit is delivered (in any order; one that never is, is lost).
+Checked at each step: a member that has received a refutation neither reports nor votes for the removal that
+it refutes, and two members never have different views at one epoch. From the states at full depth, once the
+faults are over, all three members must reach one view of three. A violation is printed with the steps to it.
 """
 
 from __future__ import annotations
@@ -24,13 +25,13 @@
 
 FAULTY_VARIANTS = ("ignores-refutation",)
 NAMES = ("a", "b", "c")
-ON_WAY_MOST = 5  # one more pushes the oldest out: it is lost
-SETTLE = 30.0  # seconds without faults after which all must agree
+MAX_IN_TRANSIT = 5  # beyond it the oldest message in transit is lost
+SETTLE_S = 30.0  # seconds without faults after which all must agree
 Trace = tuple[str, ...]
 
 
-class Deaf(Node):
-    """Broken on purpose: hears of a refutation, and goes on suspecting and reporting."""
+class IgnoresRefutation(Node):
+    """Faulty variant: continues to suspect and report a member after receiving its refutation."""
 
     def handle_alive(self, now: float, name: str, incarnation: int) -> None:
         suspicions = dict(self.suspicions.by_name)
@@ -39,20 +40,20 @@
         self.suspicions.by_name, self.cut_detector.alerts = suspicions, alerts
 
     def handle_alert(self, now: float, alert: Alert) -> None:
-        held = self.member_table.raised_incarnations.pop(alert.member.name, None)
+        raised = self.member_table.raised_incarnations.pop(alert.member.name, None)
         super().handle_alert(now, alert)
-        if held is not None:
-            self.member_table.raised_incarnations[alert.member.name] = held
+        if raised is not None:
+            self.member_table.raised_incarnations[alert.member.name] = raised
 
 
 @dataclass
 class State:
-    """Three members, what is on its way between them, and the clock."""
+    """Three members, the messages in transit between them, and the clock."""
 
     nodes: dict[str, Node]
-    way: list[tuple[str, str, Message]] = field(default_factory=list)  # from, to, what
+    in_transit: list[tuple[str, str, Message]] = field(default_factory=list)  # sender, receiver, message
     now: float = 0.0
-    wrong: str = ""
+    violation: str = ""
 
     def step(self, name: str, event: Event) -> None:
         node = self.nodes[name]
@@ -60,60 +61,68 @@
             if isinstance(effect, Send):
                 to = effect.address.removeprefix("at-")
                 if to != name:
-                    self.way.append((name, to, effect.message))
+                    self.in_transit.append((name, to, effect.message))
             elif isinstance(effect, LogLine):
-                self._look(node, effect)
-        del self.way[:-ON_WAY_MOST]
+                self._check_log_line(node, effect)
+        del self.in_transit[:-MAX_IN_TRANSIT]
 
-    def _look(self, node: Node, note: LogLine) -> None:
+    def _check_log_line(self, node: Node, note: LogLine) -> None:
         if note.message == "proposed" and node.voting.consensus is not None:
             for change in node.voting.consensus.own_proposal or ():
-                self._refuted(node, change, "votes")
+                self._check_not_refuted(node, change, "votes for")
         if (
             note.message == "alert"
             and note.fields["by"] == node.local_member.name
             and not note.fields["join"]
         ):
-            said = node.cut_detector.alerts[(str(note.fields["member"]), False)][node.local_member.name]
-            self._refuted(node, Change(ChangeKind.REMOVE, said), "reports")
+            reported = node.cut_detector.alerts[(str(note.fields["member"]), False)][node.local_member.name]
+            self._check_not_refuted(node, Change(ChangeKind.REMOVE, reported), "reports")
 
-    def _refuted(self, node: Node, change: Change, does: str) -> None:
+    def _check_not_refuted(self, node: Node, change: Change, action: str) -> None:
         member = change.member
         if change.kind is ChangeKind.REMOVE and node.known_incarnation(member.name) > member.incarnation:
-            self.wrong = (
-                f"{node.local_member.name} {does} that {member.name}@{member.incarnation} is gone, "
-                f"and knows it at {node.known_incarnation(member.name)}"
+            self.violation = (
+                f"{node.local_member.name} {action} the removal of {member.name}@{member.incarnation}, "
+                f"but has received its incarnation {node.known_incarnation(member.name)}"
             )
 
     def check(self) -> str:
-        """What is wrong here, if anything."""
-        held: dict[int, tuple[str, ...]] = {}
+        """Return the first violation found, or an empty string."""
+        names_by_epoch: dict[int, tuple[str, ...]] = {}
         for node in self.nodes.values():
-            if node.view is not None and held.setdefault(node.view.epoch, node.view.names) != node.view.names:
-                self.wrong = self.wrong or f"two views at epoch {node.view.epoch}"
-        return self.wrong
+            if (
+                node.view is not None
+                and names_by_epoch.setdefault(node.view.epoch, node.view.names) != node.view.names
+            ):
+                self.violation = self.violation or f"two views at epoch {node.view.epoch}"
+        return self.violation
 
     def actions(self) -> list[str]:
-        return [f"ring {name}" for name in NAMES] + [f"deliver {place}" for place in range(len(self.way))]
+        return [f"ring {name}" for name in NAMES] + [
+            f"deliver {place}" for place in range(len(self.in_transit))
+        ]
 
     def act(self, action: str) -> str:
-        """Do it; how it reads in a trace."""
-        what, _, which = action.partition(" ")
-        if what == "ring":
-            self.now = max(self.now, self.nodes[which].next_wakeup)
-            self.step(which, TimerFired())
-            return f"{self.now:6.2f} timer of {which}"
-        sender, to, message = self.way.pop(int(which))
+        """Perform an action and return its line for the trace."""
+        kind, _, target = action.partition(" ")
+        if kind == "ring":
+            self.now = max(self.now, self.nodes[target].next_wakeup)
+            self.step(target, TimerFired())
+            return f"{self.now:6.2f} timer of {target}"
+        sender, to, message = self.in_transit.pop(int(target))
         self.now += 0.001
         self.step(to, MessageReceived(message, self.nodes[sender].local_member.address))
         return f"{self.now:6.2f} {sender} -> {to}: {message.body}"
 
     def key(self) -> bytes:
-        """What decides how it goes on, but for chance; times by how far they are from now."""
-        seen = []
+        """Return a digest of all state that determines further behaviour, except random draws.
+
+        Times are taken relative to now.
+        """
+        node_states = []
         for node in self.nodes.values():
-            probe, agreement = node.failure_detector.probe, node.voting.consensus
-            seen.append(
+            probe, consensus = node.failure_detector.probe, node.voting.consensus
+            node_states.append(
                 (
                     node.view.names if node.view else None,
                     node.view.epoch if node.view else 0,
@@ -132,34 +141,34 @@
                         for n, s in node.suspicions.by_name.items()
                     ),
                     sorted(
-                        (k, sorted((by, m.incarnation) for by, m in those.items()))
-                        for k, those in node.cut_detector.alerts.items()
+                        (k, sorted((by, m.incarnation) for by, m in reports.items()))
+                        for k, reports in node.cut_detector.alerts.items()
                     ),
                     (probe.target, probe.helpers_asked, probe.nacks) if probe else None,
-                    sorted(map(repr, agreement.votes.items())) if agreement else None,
-                    repr(agreement.promised_ballot) if agreement else None,
-                    [(repr(one.update), one.transmissions_left) for one in node.gossip.pending],
+                    sorted(map(repr, consensus.votes.items())) if consensus else None,
+                    repr(consensus.promised_ballot) if consensus else None,
+                    [(repr(entry.update), entry.transmissions_left) for entry in node.gossip.pending],
                     round(node.next_wakeup - self.now, 1),
                     node.cut_detector.pending_waits(self.now),
                     node.suspicions.names_silent_since_pause(),
                     node.failure_detector.unanswered_names(),
                 )
             )
-        way = [(sender, to, repr(message.body)) for sender, to, message in self.way]
-        return hashlib.blake2b(repr((seen, way)).encode(), digest_size=12).digest()
+        in_transit = [(sender, to, repr(message.body)) for sender, to, message in self.in_transit]
+        return hashlib.blake2b(repr((node_states, in_transit)).encode(), digest_size=12).digest()
 
     def settle(self) -> str:
-        """All faults over: each message arrives, in order, each timer rings in time. What is wrong then."""
-        until = self.now + SETTLE
-        while self.now < until:
-            if self.way:
+        """Run without faults, with messages in order and timers in time, and return the violation if any."""
+        deadline = self.now + SETTLE_S
+        while self.now < deadline:
+            if self.in_transit:
                 self.act("deliver 0")
             else:
                 first = min(NAMES, key=lambda name: self.nodes[name].next_wakeup)
                 self.act(f"ring {first}")
         views = {node.view for node in self.nodes.values()}
         if len(views) != 1 or (view := views.pop()) is None or view.names != NAMES:
-            return "connected for long, and not of one view: " + ", ".join(
+            return "no common view of all members after a long time without faults: " + ", ".join(
                 f"{name} {node.members}" for name, node in self.nodes.items()
             )
         return self.check()
@@ -180,63 +189,71 @@
 
 
 def starts(kind: type[Node]) -> dict[str, State]:
-    """States worth starting from: one silent for so long that a suspicion is young, old, or just out."""
-    found = {}
-    for idempotency_key, silent in (
+    """Return the initial states: c silent until a suspicion is new, about to expire, or just expired."""
+    states = {}
+    for title, silence_s in (
         ("a suspicion is young", 1.5),
         ("it is about to run out", 2.9),
         ("it is out", 3.6),
     ):
         state = _start(kind)
-        while state.now < silent:  # c hears nobody and is not heard
-            ready = [place for place, (one, to, _) in enumerate(state.way) if "c" not in (one, to)]
-            state.way = [state.way[place] for place in ready]
-            if state.way:
+        while state.now < silence_s:  # c neither receives nor sends
+            ready = [
+                index for index, (sender, to, _) in enumerate(state.in_transit) if "c" not in (sender, to)
+            ]
+            state.in_transit = [state.in_transit[index] for index in ready]
+            if state.in_transit:
                 state.act("deliver 0")
             else:
                 state.act("ring " + min("ab", key=lambda name: state.nodes[name].next_wakeup))
-        state.way = [one for one in state.way if "c" not in one[:2]]
-        found[idempotency_key] = state
-    return found
+        state.in_transit = [entry for entry in state.in_transit if "c" not in entry[:2]]
+        states[title] = state
+    return states
 
 
 def explore(state: State, depth: int, most: int, leaves: int) -> tuple[int, int, Trace, str]:
-    """States seen, leaves settled, and the first violation with its steps."""
+    """Explore all orders of actions up to `depth`, with at most `most` states and `leaves` settled leaves.
+
+    Returns the number of states, the number of settled leaves, the steps to the first violation and the
+    violation (empty if none).
+    """
     queue: deque[tuple[bytes, int, Trace]] = deque([(pickle.dumps(state), 0, ())])
-    seen, settled, taken = {state.key()}, 0, 0
+    seen, settled, action_count = {state.key()}, 0, 0
     chance = random.Random(1)
     while queue:
-        held, done, trace = queue.popleft()
-        for action in pickle.loads(held).actions():
-            now: State = pickle.loads(held)
+        packed_state, steps, trace = queue.popleft()
+        for action in pickle.loads(packed_state).actions():
+            now: State = pickle.loads(packed_state)
             path = (*trace, now.act(action))
-            taken += 1
-            if wrong := now.check():
-                return len(seen), settled, path, wrong
-            mark = now.key()
-            if mark in seen or len(seen) >= most:
+            action_count += 1
+            if violation := now.check():
+                return len(seen), settled, path, violation
+            key = now.key()
+            if key in seen or len(seen) >= most:
                 continue
-            seen.add(mark)
+            seen.add(key)
             packed = pickle.dumps(now)
-            if done + 1 < depth:
-                queue.append((packed, done + 1, path))
+            if steps + 1 < depth:
+                queue.append((packed, steps + 1, path))
             elif settled < leaves and chance.random() < 0.2:
                 settled += 1
-                if wrong := now.settle():
-                    return len(seen), settled, path, wrong
+                if violation := now.settle():
+                    return len(seen), settled, path, violation
     return len(seen), settled, (), ""
 
 
 def run(seed: int, quick: bool, broken: str = "") -> ExperimentResult:
-    """Nothing here is drawn by `seed`: every order is tried."""
+    """Run the model check; `seed` is ignored, as every order is explored."""
     del seed
     result = ExperimentResult("membership-model")
     depth, most, leaves = (5, 50_000, 40) if quick else (6, 400_000, 400)
-    for title, state in starts(Deaf if broken else Node).items():
-        states, settled, trace, wrong = explore(state, depth, most, leaves)
-        says = f"{states} states, {settled} settled" + (f": {wrong}" if wrong else "")
-        whole = depth < states < most  # cut short, it would not be every order
-        result.check(f"{title}: nothing wrong in any order to depth {depth}", not wrong and whole, says)
+    for title, state in starts(IgnoresRefutation if broken else Node).items():
+        states, settled, trace, violation = explore(state, depth, most, leaves)
+        summary = f"{states} states, {settled} settled" + (f": {violation}" if violation else "")
+        is_complete = depth < states < most  # at the limit of states the exploration was cut short
+        result.check(
+            f"{title}: no violation in any order up to depth {depth}", not violation and is_complete, summary
+        )
         if trace:
             result.figures[f"trace ({title})"] = "\n    ".join(["", *trace])
         result.figures[f"states ({title})"] = states
--- a/sablewheel/experiments/membership_size.py
+++ b/sablewheel/experiments/membership_size.py
@@ -1,7 +1,8 @@
-"""Membership past this machine: the same nodes in a made network, from a hundred members to ten thousand.
+"""Membership at sizes beyond one machine: real nodes in a simulated network, from 100 to 10,000 members.
 
-No process and no clock: what is measured are rounds and messages of the decisions themselves. A rumour and a
-crash in fleets of growing size, with one message in a hundred lost and one member in a hundred paused.
+There are no processes and no real clock; the trial measures rounds and messages of the protocol itself. It
+spreads an update and crashes a member in fleets of growing size, with one message in a hundred lost and one
+member in a hundred paused.
 """
 
 from __future__ import annotations
@@ -16,90 +17,90 @@
 from .simulated_network import Net
 
 SETTINGS = Settings()
-SPREAD = 0.99
-ROUNDS_MOST = 3.0  # times log2 of the size, for a rumour to reach nearly all
-LOAD_MOST = 1.2  # times the smallest fleet's messages a member
-OUT_MOST = 6.0  # times the shortest suspicion, for a dead member to be out of nearly every view
-PAUSED, PAUSE = 0.01, 1.5
-CALM = 6.0
+SPREAD = 0.99  # share of the members that an update must reach
+MAX_ROUNDS_PER_LOG2 = 3.0  # rounds for an update to reach that share, divided by log2 of the size
+MAX_LOAD_RATIO = 1.2  # messages per member, as a multiple of the smallest fleet's
+MAX_REMOVAL_RATIO = 6.0  # minimum suspicion timeouts to remove a dead member from that share of views
+PAUSED_SHARE, PAUSE_S = 0.01, 1.5  # share of the members paused, seconds
+CALM_S = 6.0  # seconds without faults over which messages are counted
 
 
-def _until(net: Net, done: float, within: float, share: Callable[[], float]) -> float:
-    """Seconds until `share()` of the members is at least `done`; inf past `within`."""
-    begun = net.now
-    while net.now < begun + within:
+def _until(net: Net, target: float, timeout_s: float, share: Callable[[], float]) -> float:
+    """Run until `share()` is at least `target` and return the seconds taken; inf on a timeout."""
+    started = net.now
+    while net.now < started + timeout_s:
         net.run(net.now + SETTINGS.period_s / 5)
-        if share() >= done:
-            return net.now - begun
+        if share() >= target:
+            return net.now - started
     return math.inf
 
 
 def measure(n: int, seed: int) -> dict[str, float]:
-    """One fleet's figures; times in seconds of its own clock, but for `took`."""
-    begun = time.perf_counter()
+    """Return the figures of one fleet; times are in simulated seconds, except `took` (real seconds)."""
+    started = time.perf_counter()
     net, chance = Net(SETTINGS, seed), random.Random(seed)
-    net.stand(n)
+    net.add_fleet(n)
     net.loss = 0.01
     net.run(net.now + 1.0)
     before = sum(node.counters.get("sent", 0) for node in net.nodes.values())
-    net.run(net.now + CALM)
+    net.run(net.now + CALM_S)
     sent = sum(node.counters.get("sent", 0) for node in net.nodes.values()) - before
-    # A rumour: one member raises its incarnation, as a refutation does.
-    teller = net.nodes["m00001"]
-    teller.refute_suspicion()
-    rumour = _until(
+    # An update: one member raises its incarnation, as a refutation does.
+    updated = net.nodes["m00001"]
+    updated.refute_suspicion()
+    update_s = _until(
         net,
         SPREAD,
         60.0,
         lambda: sum(node.known_incarnation("m00001") >= 2 for node in net.nodes.values()) / n,
     )
-    # One in a hundred pauses, each at its own time, and a member dies among them.
+    # One member in a hundred is paused while another member crashes.
     names = sorted(net.nodes)
     dead = names[n // 2]
-    paused = chance.sample([name for name in names if name != dead], max(int(n * PAUSED), 1))
+    paused = chance.sample([name for name in names if name != dead], max(int(n * PAUSED_SHARE), 1))
     for name in paused:
-        net.stopped[name] = net.now + PAUSE
+        net.stopped[name] = net.now + PAUSE_S
     net.kill(dead)
     alive = [node for name, node in net.nodes.items() if name != dead]
 
-    def without() -> float:
+    def share_without_dead() -> float:
         return sum(node.view is not None and dead not in node.view for node in alive) / len(alive)
 
-    out = _until(net, SPREAD, 60.0, without)
+    removal_s = _until(net, SPREAD, 60.0, share_without_dead)
     net.run(net.now + 6.0)
     return {
-        "messages_a_member_a_second": sent / n / CALM,
-        "rumour_rounds": rumour / SETTINGS.period_s,
-        "out_s": out,
+        "messages_a_member_a_second": sent / n / CALM_S,
+        "rumour_rounds": update_s / SETTINGS.period_s,
+        "out_s": removal_s,
         "healthy_removed": max(n - 1 - len(node.members) for node in alive),
         "views": len({node.view for node in alive}),
         "suspicions": sum(node.counters.get("suspicions", 0) for node in alive),
-        "took": time.perf_counter() - begun,
+        "took": time.perf_counter() - started,
     }
 
 
 def run(seed: int, quick: bool) -> ExperimentResult:
     result = ExperimentResult("membership-size")
     sizes = (50, 200, 1000) if quick else (100, 1000, 10_000)
-    found = {n: measure(n, seed) for n in sizes}
-    base = found[sizes[0]]["messages_a_member_a_second"]
-    for n, figures in found.items():
-        rounds, limit = figures["rumour_rounds"], ROUNDS_MOST * math.log2(n)
+    by_size = {n: measure(n, seed) for n in sizes}
+    base = by_size[sizes[0]]["messages_a_member_a_second"]
+    for n, figures in by_size.items():
+        rounds, limit = figures["rumour_rounds"], MAX_ROUNDS_PER_LOG2 * math.log2(n)
         result.check(
-            f"{n}: a rumour is everywhere in a few times log n rounds",
+            f"{n}: an update reaches 99% within a few times log2 n rounds",
             rounds <= limit,
             f"{rounds:.1f} of {limit:.1f}",
         )
         ratio = figures["messages_a_member_a_second"] / base
-        result.check(f"{n}: messages a member stay flat", ratio <= LOAD_MOST, f"{ratio:.3f}")
-        limit = OUT_MOST * SETTINGS.min_suspicion_periods * SETTINGS.period_s
+        result.check(f"{n}: messages per member stay constant", ratio <= MAX_LOAD_RATIO, f"{ratio:.3f}")
+        limit = MAX_REMOVAL_RATIO * SETTINGS.min_suspicion_periods * SETTINGS.period_s
         result.check(
-            f"{n}: the dead is out of nearly every view",
+            f"{n}: the dead member is removed from nearly every view",
             figures["out_s"] <= limit,
             f"{figures['out_s']:.2f} s",
         )
         result.check(
-            f"{n}: no healthy member is taken out",
+            f"{n}: no healthy member is removed",
             figures["healthy_removed"] == 0,
             f"{figures['healthy_removed']:.0f}",
         )
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -46,7 +46,7 @@
 
 
 def epochs(fleet: Fleet) -> set[str]:
-    return {line.pairs["epoch"] for line in fleet.seen() if line.what == "view"}
+    return {line.pairs["epoch"] for line in fleet.view_log_lines() if line.event == "view"}
 
 
 def test_a_killed_member_is_removed_and_rejoins_after_a_restart(fleet: Fleet) -> None:
@@ -57,12 +57,12 @@
 
 
 def test_a_member_restarted_at_once_joins_with_a_new_incarnation(fleet: Fleet) -> None:
-    incarnations_before = {state.name: state.incarnation for state in fleet.told("m0").states}  # type: ignore[union-attr]
+    incarnations_before = {state.name: state.incarnation for state in fleet.status("m0").states}  # type: ignore[union-attr]
     fleet.processes["m3"].kill()
     fleet.start("m3")
     deadline = time.monotonic() + AGREEMENT_TIMEOUT_S
     while time.monotonic() < deadline:
-        status = fleet.told("m0")
+        status = fleet.status("m0")
         incarnations = (
             {state.name: state.incarnation for state in status.states} if status is not None else {}
         )
@@ -91,17 +91,17 @@
 
 def test_a_partitioned_minority_changes_no_view(fleet: Fleet) -> None:
     minority, majority = ["m1", "m4"], ["m0", "m2", "m3"]
-    view_before = fleet.told("m1").view  # type: ignore[union-attr]
+    view_before = fleet.status("m1").view  # type: ignore[union-attr]
     for senders, recipients in ((minority, majority), (majority, minority)):
         fleet.relay.set(senders, recipients, cut=True)
     assert fleet.wait_agreed(majority, AGREEMENT_TIMEOUT_S) is not None
-    assert {fleet.told(name).view for name in minority} == {view_before}  # type: ignore[union-attr]
+    assert {fleet.status(name).view for name in minority} == {view_before}  # type: ignore[union-attr]
     for senders, recipients in ((minority, majority), (majority, minority)):
         fleet.relay.set(senders, recipients, cut=False)
     assert fleet.wait_agreed(fleet.names, AGREEMENT_TIMEOUT_S) is not None
     fingerprints_by_epoch: dict[str, set[str]] = {}
-    for line in fleet.seen():
-        if line.what == "view":
+    for line in fleet.view_log_lines():
+        if line.event == "view":
             fingerprints_by_epoch.setdefault(line.pairs["epoch"], set()).add(line.pairs["fingerprint"])
     assert all(len(fingerprints) == 1 for fingerprints in fingerprints_by_epoch.values())
 
@@ -126,7 +126,7 @@
     while time.monotonic() < deadline and (
         counters["packets_bad"] < len(bad_packets) + 2 or not counters["frames_cut"]
     ):
-        status = fleet.told("m1")
+        status = fleet.status("m1")
         counters = Counter(dict(status.counters) if status is not None else {})
         time.sleep(0.05)
     assert counters["packets_bad"] == len(bad_packets) + 2 and counters["frames_cut"] >= 1
@@ -155,7 +155,9 @@
     assert fleet.processes["m4"].leave() == 0
     assert fleet.wait_agreed(["m0", "m1", "m2", "m3"], AGREEMENT_TIMEOUT_S) is not None
     removed_at = min(
-        line.when for line in fleet.seen(started_at) if "remove:m4@" in line.pairs.get("changes", "")
+        line.when
+        for line in fleet.view_log_lines(started_at)
+        if "remove:m4@" in line.pairs.get("changes", "")
     )
     assert removed_at - started_at < 1.0  # detection by a suspicion takes longer
     fleet.start("m4")
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -181,7 +181,7 @@
 def test_1024_updates_and_1024_relayed_probes_are_pending_at_once_and_more_in_a_larger_fleet() -> None:
     assert min(MIN_PENDING_UPDATES_CAPACITY, MAX_RELAYED_PROBES) >= MIN_LIMIT
     net = Net(Settings(), 1)
-    net.stand(2 * MIN_LIMIT)
+    net.add_fleet(2 * MIN_LIMIT)
     node = net.nodes["m00000"]
     for index in range(1, 2 * MIN_LIMIT):
         node.gossip.disseminate(Alive(f"m{index:05}", 2))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -9,7 +9,7 @@
 import pytest
 
 from sablewheel.experiments.fleet import PORT, Block
-from sablewheel.experiments.membership_model import Deaf, explore, starts
+from sablewheel.experiments.membership_model import IgnoresRefutation, explore, starts
 from sablewheel.experiments.membership_report import NAMES, by_size, draw
 from sablewheel.experiments.simulated_network import Net
 from sablewheel.membership import codec, frame_sender
@@ -678,14 +678,14 @@
             codec.decode(bad_packet)
 
 
-@pytest.mark.parametrize("node_class", [Node, Deaf])
+@pytest.mark.parametrize("node_class", [Node, IgnoresRefutation])
 def test_a_refuted_suspicion_leads_to_no_removal_in_any_order_of_events(node_class: type[Node]) -> None:
     state = starts(node_class)["it is about to run out"]
     state_count, settled_count, trace, violation = explore(state, 4, 10_000, 10)
     if node_class is Node:
         assert not violation and settled_count == 10 and 1000 < state_count < 10_000
     else:  # deliberately faulty: the trace shows the steps
-        assert "and knows it at 2" in violation and any("timer of" in line for line in trace)
+        assert "but has received its incarnation 2" in violation and any("timer of" in line for line in trace)
 
 
 def test_the_report_draws_each_fleet_size(tmp_path: Path) -> None:
