--- a/sablewheel/experiments/simulated_fleet.py
+++ b/sablewheel/experiments/simulated_fleet.py
@@ -1,8 +1,8 @@
-"""A fleet in memory: pure cores on a made network with a made clock, for stories and sizes past one machine.
+"""A simulated fleet: decision cores on a simulated network and clock, for scenarios and large fleets.
 
-A core is anything with `step(now, event) -> effects` and `wake_at`. Effects with `to` and `message` are
-carried to the member of that name; all others go to `heard`. Links drop, delay, double and cut one way;
-members pause, crash and start anew. All of it follows from the seed: one story, one fleet.
+A core is any object with `step(now, event) -> effects` and `wake_at`. Effects with `to` and `message` are
+delivered to the member of that name; all others are passed to `on_effect`. Links drop, delay, duplicate and
+cut messages in one direction; members pause, crash and restart. A run is determined by its seed.
 """
 
 from __future__ import annotations
@@ -13,23 +13,23 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-STEPS_MOST = 5_000_000  # of one fleet: guards a story against cores that wake each other for ever
+MAX_STEPS = 5_000_000  # per fleet: ends a scenario in which cores trigger each other forever
 
 
 class Core(Protocol):
-    """One member's decisions."""
+    """The decision core of one member."""
 
     @property
     def wake_at(self) -> float: ...
     def step(self, now: float, event: Any) -> list[Any]: ...
 
 
-Made = Callable[[float], Core]
+MakeCore = Callable[[float], Core]
 
 
 @dataclass
 class Link:
-    """What happens one way between two members; spans in seconds."""
+    """Faults of one direction between two members; delays in seconds."""
 
     cut: bool = False
     drop: float = 0.0
@@ -40,31 +40,36 @@
 
 @dataclass
 class SimulatedFleet:
-    """`got` makes the event of a message from its sender's name; `tick` is the event of a timer."""
+    """Members by name, the links between them and the simulated clock.
 
-    got: Callable[[str, Any], Any]
-    tick: Any
+    `message_event` makes the event of a received message from the sender's name and the message;
+    `timer_event` is the event of a timer.
+    """
+
+    message_event: Callable[[str, Any], Any]
+    timer_event: Any
     seed: int = 1
-    heard: Callable[[float, str, Any], None] | None = None
+    on_effect: Callable[[float, str, Any], None] | None = None
     now: float = 0.0
     cores: dict[str, Core] = field(default_factory=dict)
     links: dict[tuple[str, str], Link] = field(default_factory=dict)
-    paused: dict[str, float] = field(default_factory=dict)  # name -> until
-    carried: int = 0
-    lost: int = 0
+    paused: dict[str, float] = field(default_factory=dict)  # name -> time at which it resumes
+    sent: int = 0  # messages scheduled for delivery
+    lost: int = 0  # messages dropped, cut off or without a receiver
 
     def __post_init__(self) -> None:
         self.chance = random.Random(self.seed)
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._wakes: dict[str, float] = {}
-        self._lives: dict[str, int] = {}  # a message or timer of an earlier life reaches nobody
-        self._turn = self._steps = 0
+        # By name; messages and timers of an earlier incarnation are discarded.
+        self._incarnations: dict[str, int] = {}
+        self._sequence = self._steps = 0
 
     # -- members
 
-    def add(self, name: str, make: Made) -> Core:
-        """A member starts, or starts anew with nothing of its earlier life."""
-        self._lives[name] = self._lives.get(name, 0) + 1
+    def add(self, name: str, make: MakeCore) -> Core:
+        """Start a member, or restart it with a new core."""
+        self._incarnations[name] = self._incarnations.get(name, 0) + 1
         self._wakes.pop(name, None)
         self.paused.pop(name, None)
         core = self.cores[name] = make(self.now)
@@ -72,13 +77,13 @@
         return core
 
     def crash(self, name: str) -> None:
-        """It is gone, with all that it knew; what it sent is on its way."""
-        self._lives[name] = self._lives.get(name, 0) + 1
+        """Remove a member with its state; messages that it has sent are still delivered."""
+        self._incarnations[name] = self._incarnations.get(name, 0) + 1
         self.cores.pop(name, None)
         self._wakes.pop(name, None)
 
     def pause(self, name: str, span: float) -> None:
-        """It stands still; what comes meanwhile reaches it when it wakes, its timers ring late."""
+        """Stop a member for `span` seconds; its messages and timers are delivered when it resumes."""
         self.paused[name] = self.now + span
 
     # -- links
@@ -87,14 +92,14 @@
         return self.links.setdefault((sender, to), Link())
 
     def cut(self, some: Iterable[str], others: Iterable[str], both: bool = True) -> None:
-        """No message passes from `some` to `others`, nor back if `both`."""
+        """Cut the links from `some` to `others`, and back if `both`."""
         self._set_cut(some, others, True, both)
 
     def heal(self, some: Iterable[str] = (), others: Iterable[str] = ()) -> None:
-        """Links between these are whole again; all of them if none is named."""
+        """Restore the links between `some` and `others`; all links if `some` is empty."""
         if not some:
-            for one in self.links.values():
-                one.cut = False
+            for link in self.links.values():
+                link.cut = False
         self._set_cut(some, others, False, True)
 
     def _set_cut(self, some: Iterable[str], others: Iterable[str], cut: bool, both: bool) -> None:
@@ -108,22 +113,22 @@
     # -- time
 
     def tell(self, name: str, event: Any) -> None:
-        """An event of the member's own world, now; lost on one that is gone, late on one that is paused."""
-        self._deliver(name, self._lives.get(name, 0), lambda: event)
+        """Deliver a local event to a member now; discarded if it has crashed, delayed while it is paused."""
+        self._deliver(name, self._incarnations.get(name, 0), lambda: event)
 
-    def later(self, after: float, do: Callable[[], None]) -> None:
-        self._turn += 1
-        heapq.heappush(self._queue, (self.now + after, self._turn, do))
+    def later(self, after: float, action: Callable[[], None]) -> None:
+        self._sequence += 1
+        heapq.heappush(self._queue, (self.now + after, self._sequence, action))
 
     def run(self, span: float) -> None:
-        """Let so many seconds pass."""
+        """Advance the clock by `span` seconds."""
         end = self.now + span
         while self._queue and self._queue[0][0] <= end:
             self._next()
         self.now = end
 
     def run_until(self, reached: Callable[[], bool], most: float) -> bool:
-        """Until it is so, for `most` seconds at most; whether it came to that."""
+        """Run until `reached()`, for at most `most` seconds, and return whether it was reached."""
         end = self.now + most
         while not reached():
             if not self._queue or self._queue[0][0] > end:
@@ -134,25 +139,25 @@
 
     def _next(self) -> None:
         self._steps += 1
-        if self._steps > STEPS_MOST:
-            raise RuntimeError("the fleet does not come to rest")
-        when, _, do = heapq.heappop(self._queue)
+        if self._steps > MAX_STEPS:
+            raise RuntimeError("the fleet did not settle within the limit of steps")
+        when, _, action = heapq.heappop(self._queue)
         self.now = max(self.now, when)
-        do()
+        action()
 
-    # -- how events reach cores
+    # -- delivery
 
-    def _deliver(self, name: str, life: int, event: Callable[[], Any]) -> None:
-        if self._lives.get(name) != life or name not in self.cores:
+    def _deliver(self, name: str, incarnation: int, event: Callable[[], Any]) -> None:
+        if self._incarnations.get(name) != incarnation or name not in self.cores:
             return
         if self.paused.get(name, 0.0) > self.now:
-            return self.later(self.paused[name] - self.now, lambda: self._deliver(name, life, event))
+            return self.later(self.paused[name] - self.now, lambda: self._deliver(name, incarnation, event))
         for effect in self.cores[name].step(self.now, event()):
             to = getattr(effect, "to", None)
             if to is not None and hasattr(effect, "message"):
                 self._carry(name, to, effect.message)
-            elif self.heard is not None:
-                self.heard(self.now, name, effect)
+            elif self.on_effect is not None:
+                self.on_effect(self.now, name, effect)
         self._arm(name)
 
     def _carry(self, sender: str, to: str, message: Any) -> None:
@@ -161,12 +166,12 @@
             if link.cut or self.chance.random() < link.drop or to not in self.cores:
                 self.lost += 1
                 continue
-            life = self._lives[to]
-            self.carried += 1
+            incarnation = self._incarnations[to]
+            self.sent += 1
 
-            def arrive(life: int = life) -> None:
-                if not self.link(sender, to).cut:  # a cut takes what is under way too
-                    self._deliver(to, life, lambda: self.got(sender, message))
+            def arrive(incarnation: int = incarnation) -> None:
+                if not self.link(sender, to).cut:  # a cut also drops messages in transit
+                    self._deliver(to, incarnation, lambda: self.message_event(sender, message))
 
             self.later(self.chance.uniform(link.least, link.most), arrive)
 
@@ -174,14 +179,14 @@
         core = self.cores.get(name)
         if core is None:
             return
-        wake, life = core.wake_at, self._lives[name]
+        wake, incarnation = core.wake_at, self._incarnations[name]
         if wake == float("inf") or self._wakes.get(name, float("inf")) <= wake:
             return
         self._wakes[name] = wake
 
-        def ring() -> None:
-            if self._lives.get(name) == life and self._wakes.get(name) == wake:
+        def fire() -> None:
+            if self._incarnations.get(name) == incarnation and self._wakes.get(name) == wake:
                 del self._wakes[name]
-                self._deliver(name, life, lambda: self.tick)
+                self._deliver(name, incarnation, lambda: self.timer_event)
 
-        self.later(max(wake - self.now, 0.0), ring)
+        self.later(max(wake - self.now, 0.0), fire)
--- a/tests/stories/test_capability_stories.py
+++ b/tests/stories/test_capability_stories.py
@@ -200,7 +200,7 @@
 def mute(told: Told) -> None:
     fleet = told.fleet
     told.muted = fleet._event  # type: ignore[attr-defined]
-    fleet.made.got = lambda sender, message: (
+    fleet.made.message_event = lambda sender, message: (
         ("policy-lost", sender, message[1])
         if message[0] == "policy" and type(message[1]).__name__ == "BundleChunk"
         else told.muted(sender, message)  # type: ignore[attr-defined]
@@ -209,7 +209,7 @@
 
 @when("it is answered again")
 def _(told: Told) -> None:
-    told.fleet.made.got = told.muted  # type: ignore[attr-defined]
+    told.fleet.made.message_event = told.muted  # type: ignore[attr-defined]
 
 
 @when(parsers.parse("{name} starts anew as {kind}"))
