--- a/sablewheel/experiments/collector.py
+++ b/sablewheel/experiments/collector.py
@@ -1,4 +1,4 @@
-"""The collector, whole or broken on purpose: each broken one must be caught by the trial.
+"""The collector, unchanged or deliberately faulty; the trial must detect each faulty variant.
 
 python -m sablewheel.experiments.collector FEATURES [ack-before-apply | no-dedup | no-seal]
 """
@@ -19,19 +19,19 @@
 from ..usage_metering.periods import Period
 from ..usage_metering.plan import CollectorPlan
 
-LATE = 1.5
+APPLY_DELAY_S = 1.5
 
 
 class AckBeforeApply(Collector):
-    """Acknowledges what it has only read; it is posted a while later, if the process lives so long."""
+    """Acknowledges a batch before applying it; a crash within `APPLY_DELAY_S` loses the batch."""
 
     def _batch(
         self, connection: Connection, batch: pb.Batch, posted: list[tuple[Connection, pb.Acknowledged]]
     ) -> None:
         block = pb.Block.FromString(batch.block)
-        told = pb.Acknowledged(incarnation=block.incarnation, number=block.number)
-        connection.send_frame(pb.Frame(acknowledged=told))
-        self.scheduler.after(LATE, lambda: self._apply_late(connection.server, batch))
+        acknowledged = pb.Acknowledged(incarnation=block.incarnation, number=block.number)
+        connection.send_frame(pb.Frame(acknowledged=acknowledged))
+        self.scheduler.after(APPLY_DELAY_S, lambda: self._apply_late(connection.server, batch))
 
     def _apply_late(self, server: str, batch: pb.Batch) -> None:
         result = self.decide_batch(server, batch)
@@ -42,7 +42,7 @@
 
 
 class NoDedup(Collector):
-    """Remembers nothing: asks for everything at each start, and posts what comes again as if it were new."""
+    """Keeps no record of applied blocks: requests all of them at each start and posts repeated ones again."""
 
     def welcome(self, server: str) -> pb.Welcome:
         return pb.Welcome(version=VERSION)
@@ -56,7 +56,7 @@
         return result
 
 
-class NoSealBook(Journal):
+class NoSealJournal(Journal):
     """Closes periods without a seal."""
 
     def _seal(self, period: Period) -> None:
@@ -66,14 +66,14 @@
 
 
 def make(variant: str) -> Any:
-    def made(scheduler: Scheduler, plan: CollectorPlan, journal: Journal, log: Any) -> Collector:
-        kinds = {"ack-before-apply": AckBeforeApply, "no-dedup": NoDedup}
+    def factory(scheduler: Scheduler, plan: CollectorPlan, journal: Journal, log: Any) -> Collector:
+        classes = {"ack-before-apply": AckBeforeApply, "no-dedup": NoDedup}
         if variant == "no-seal":
             journal.close()
-            journal = NoSealBook(plan.book, plan.calendar)
-        return kinds.get(variant, Collector)(scheduler, plan, journal, log)
+            journal = NoSealJournal(plan.book, plan.calendar)
+        return classes.get(variant, Collector)(scheduler, plan, journal, log)
 
-    return made
+    return factory
 
 
 def main() -> int:
--- a/sablewheel/experiments/faulty_server.py
+++ b/sablewheel/experiments/faulty_server.py
@@ -1,4 +1,4 @@
-"""The server with recall broken on purpose; each of these must be caught by the trial.
+"""The server with a deliberately faulty result store; the trial must detect each variant.
 
 python -m sablewheel.experiments.faulty_server no-intent | answer-before-outcome | evict-intents | trust-clock
 """
@@ -19,7 +19,7 @@
 
 
 def no_intent() -> None:
-    """Runs are sent at once, and nothing is written before them."""
+    """Send runs at once, without writing an intent before them."""
 
     def before_run(self: Recorder, exchange: Exchange, run: StartRun) -> None:
         run(exchange)
@@ -32,7 +32,7 @@
 
 
 def answer_before_outcome() -> None:
-    """Answers wait for nothing."""
+    """Send answers without waiting for their outcome to be stored."""
 
     def completed(self: Recorder, exchange: Exchange, result: bytes, caller: Caller) -> None:
         self._inner.completed(exchange, result, caller)
@@ -41,7 +41,7 @@
 
 
 def evict_intents() -> None:
-    """What is over the bound goes, the oldest first, and there is always room."""
+    """Evict the oldest runs beyond the limit, and always report free capacity."""
     add = KeyedRunTable.add
 
     def evicting(self: KeyedRunTable, run: KeyedRun) -> None:
@@ -57,7 +57,7 @@
 
 
 def trust_clock() -> None:
-    """Windows are taken as the clock has them, whoever set it."""
+    """Take times from the wall clock without correcting for clock steps."""
 
     def clock_offset_s(then: ClockReading, now: ClockReading) -> float:
         return 0.0
--- a/sablewheel/experiments/ledger_cost.py
+++ b/sablewheel/experiments/ledger_cost.py
@@ -1,9 +1,8 @@
-"""What usage metering costs: the same load on servers with it and without it, side by side, CPU and answer
-times.
+"""The cost of usage metering: CPU and answer times of servers with and without it under the same load.
 
-Servers of one round run at the same time under equal loads, so that whatever else the machine does falls on
-all. Verdicts rest on ratios to the server without a usage metering in the same rounds. Also: memory with the
-collector away.
+Servers of one round run at the same time under equal loads, so that other load of the machine affects all of
+them. The checks compare ratios to the server without usage metering in the same rounds. Memory without a
+reachable collector is measured as well.
 """
 
 from __future__ import annotations
@@ -22,92 +21,102 @@
 from .result import ExperimentResult
 from .testbed import Testbed, free_port
 
-CPU_MEMORY, CPU_DURABLE, P99_MEMORY = 1.15, 1.30, 1.25
-RATE, GOAL = 150, 0.5
-HOURS_AWAY = 10
+CPU_MEMORY, CPU_DURABLE, P99_MEMORY = 1.15, 1.30, 1.25  # limits of the ratios to the server without metering
+RATE, GOAL = 150, 0.5  # requests per second, seconds
+HOURS_UNREACHABLE = 10
 
 
 def run(seed: int, quick: bool) -> ExperimentResult:
     result = ExperimentResult("ledger-cost")
-    turns, seconds = (2, 6.0) if quick else (4, 20.0)
+    round_count, seconds = (2, 6.0) if quick else (4, 20.0)
     kinds = ("off", "memory", "durable", "before-entry")
     rounds = Rounds()
-    for turn in range(turns):
-        with Testbed(seed + turn) as testbed:
-            door = free_port()
+    for round_index in range(round_count):
+        with Testbed(seed + round_index) as testbed:
+            collector_port = free_port()
             path = testbed.folder / "collector.yaml"
-            path.write_text(collector_features(door, testbed.folder / "book.sqlite"))
+            path.write_text(collector_features(collector_port, testbed.folder / "book.sqlite"))
             testbed.wait_for_port(
-                door, testbed.start("collector", "sablewheel.experiments.collector", str(path))
+                collector_port, testbed.start("collector", "sablewheel.experiments.collector", str(path))
+            )
+            features_by_kind = {kind: partial(_features, kind, collector_port) for kind in kinds}
+            rounds.add(
+                side_by_side(testbed, features_by_kind, seconds, GOAL, rate=RATE, repeats=0.1, cancels=0.02)
             )
-            texts = {kind: partial(_text, kind, door) for kind in kinds}
-            rounds.add(side_by_side(testbed, texts, seconds, GOAL, rate=RATE, repeats=0.1, cancels=0.02))
     for figure in ("cpu_us", "p50_ms", "p99_ms", "memory_mb"):
         for kind in kinds:
             result.figures[f"{figure}_{kind}"] = round(rounds.median(kind, figure), 2)
     cpu_memory, cpu_durable = rounds.ratio("memory", "cpu_us"), rounds.ratio("durable", "cpu_us")
-    result.check(f"CPU a ticket, memory / off, at most {CPU_MEMORY}", cpu_memory <= CPU_MEMORY, cpu_memory)
+    result.check(f"CPU per request, memory / off, at most {CPU_MEMORY}", cpu_memory <= CPU_MEMORY, cpu_memory)
     result.check(
-        f"CPU a ticket, durable / off, at most {CPU_DURABLE}", cpu_durable <= CPU_DURABLE, cpu_durable
+        f"CPU per request, durable / off, at most {CPU_DURABLE}", cpu_durable <= CPU_DURABLE, cpu_durable
     )
     p99_memory = rounds.ratio("memory", "p99_ms")
     result.check(f"p99 of answers, memory / off, at most {P99_MEMORY}", p99_memory <= P99_MEMORY, p99_memory)
     result.figures["p99_ratio_durable"] = rounds.ratio("durable", "p99_ms")
     result.figures["p99_ratio_before_entry"] = rounds.ratio("before-entry", "p99_ms")
     result.figures["cpu_ratio_before_entry"] = rounds.ratio("before-entry", "cpu_us")
-    _away(result, quick)
+    _check_buffer_without_collector(result, quick)
     return result
 
 
-def _text(kind: str, door: int, testbed: Testbed) -> str | None:
+def _features(kind: str, collector_port: int, testbed: Testbed) -> str | None:
     if kind == "off":
         return None
     if kind == "memory":
-        return features("memory", door, None)
-    more: dict[str, Any] = {} if kind == "durable" else {"answers": "before-entry"}
-    return features("durable", door, testbed.folder / f"{kind}-ledger", **more)
+        return features("memory", collector_port, None)
+    options: dict[str, Any] = {} if kind == "durable" else {"answers": "before-entry"}
+    return features("durable", collector_port, testbed.folder / f"{kind}-ledger", **options)
 
 
-def _away(result: ExperimentResult, quick: bool) -> None:
-    """Ten hours of entries into an entry buffer whose collector is away: it holds what it may, and
-    still adds up.
-    """
-    entries = HOURS_AWAY * 3600 * RATE
+def _check_buffer_without_collector(result: ExperimentResult, quick: bool) -> None:
+    """Add ten hours of entries to a buffer without a collector, and check its memory and totals."""
+    entries = HOURS_UNREACHABLE * 3600 * RATE
     if quick:
         entries //= 20
     entry_buffer = EntryBuffer("n1", b"12345678", Periods(Calendar(length=Length.HOUR)), 20_000, 5_000)
-    process, most, half = psutil.Process(), 0.0, 0.0
+    process, peak_mb, first_half_peak_mb = psutil.Process(), 0.0, 0.0
     start = 1_764_576_000_000_000
-    step = HOURS_AWAY * 3600 * 1_000_000 // entries
+    step = HOURS_UNREACHABLE * 3600 * 1_000_000 // entries
     billed = run_us = 0
-    for place in range(entries):
-        completed = place % 3 != 0
+    for index in range(entries):
+        completed = index % 3 != 0
         billed += completed
         run_us += 20_000 * completed
         entry_buffer.add(
             pb.Entry(
-                customer=f"c{place % 8}",
-                track=("lookup", "record")[place % 2],
+                customer=f"c{index % 8}",
+                track=("lookup", "record")[index % 2],
                 outcome=pb.COMPLETED if completed else pb.DENIED,
-                ended_us=start + place * step,
+                ended_us=start + index * step,
                 billed=completed,
                 run_us=20_000 * completed,
-                name=place.to_bytes(8, "big"),
+                name=index.to_bytes(8, "big"),
                 goal_kept=completed,
             )
         )
-        if place % 2000 == 0:
-            used = process.memory_info().rss / 1e6
-            most = max(most, used)
-            if place < entries / 2:
-                half = max(half, used)
-    kept = entry_buffer.kept
+        if index % 2000 == 0:
+            used_mb = process.memory_info().rss / 1e6
+            peak_mb = max(peak_mb, used_mb)
+            if index < entries / 2:
+                first_half_peak_mb = max(first_half_peak_mb, used_mb)
+    kept_entries = entry_buffer.kept
     block = pb.Block.FromString(entry_buffer.cut(0.0, 0, 1 << 30).data)
-    sums = sum(one.entries for one in block.totals if one.billed) + sum(one.billed for one in block.entries)
-    runs = sum(one.run_us for one in block.totals) + sum(one.run_us for one in block.entries)
+    billed_count = sum(entry.entries for entry in block.totals if entry.billed) + sum(
+        entry.billed for entry in block.entries
+    )
+    total_run_us = sum(entry.run_us for entry in block.totals) + sum(entry.run_us for entry in block.entries)
     result.figures["away_entries"] = entries
-    result.figures["away_kept_one_by_one"] = kept
+    result.figures["away_kept_one_by_one"] = kept_entries
     result.figures["away_rows_of_totals"] = len(block.totals)
-    result.figures["away_memory_growth_second_half_mb"] = round(most - half, 2)
-    result.check("memory is flat with the collector away", most - half <= 2.0, f"{most - half:.2f} MB")
-    result.check("what was folded still adds up", (sums, runs) == (billed, run_us), f"{sums} of {billed}")
+    result.figures["away_memory_growth_second_half_mb"] = round(peak_mb - first_half_peak_mb, 2)
+    result.check(
+        "memory is constant while the collector is unreachable",
+        peak_mb - first_half_peak_mb <= 2.0,
+        f"{peak_mb - first_half_peak_mb:.2f} MB",
+    )
+    result.check(
+        "the totals of folded entries are exact",
+        (billed_count, total_run_us) == (billed, run_us),
+        f"{billed_count} of {billed}",
+    )
--- a/sablewheel/experiments/ledger_size.py
+++ b/sablewheel/experiments/ledger_size.py
@@ -1,8 +1,8 @@
-"""Usage metering at size: append, recovery, placement_settings, verify, statement and reconcile for 100,000
-and 1,000,000 entries.
+"""Usage metering at size: append, recover, post, verify, statement and reconcile.
 
-Each figure comes with its growth, which must be linear; memory must not grow with the number of entries.
-Append is set beside a plain bulk insert of the same rows into SQLite, in the same run.
+Each step runs with 100,000 and 1,000,000 entries. Its time must grow no faster than linearly, and its memory
+must not grow with the number of entries. Append is compared with a plain bulk insert of the same rows into
+SQLite in the same run.
 """
 
 from __future__ import annotations
@@ -32,14 +32,14 @@
 from .result import ExperimentResult
 from .testbed import Testbed
 
-BLOCK, GROUP = 512, 16
-START = 1_764_576_000_000_000
+BLOCK, GROUP = 512, 16  # entries per block, blocks per commit
+START_US = 1_764_576_000_000_000  # Unix microseconds
 STEPS = ("append", "sqlite", "recover", "post", "verify", "statement", "reconcile")
-MEMORY_GROWTH_MOST = 48.0  # MB from the small size to the large one, tenfold in entries
+MAX_MEMORY_GROWTH_MB = 48.0  # from the small size to the large one, which has ten times the entries
 
 
 def run(seed: int, quick: bool) -> ExperimentResult:
-    """`quick` measures a tenth of the sizes."""
+    """Run the trial; `quick` measures a tenth of the sizes."""
     result = ExperimentResult("ledger-size")
     small, large = (10_000, 100_000) if quick else (100_000, 1_000_000)
     figures = {}
@@ -47,62 +47,64 @@
         for entries in (small, large):
             folder = testbed.folder / str(entries)
             folder.mkdir()
-            figures[entries] = {one: _step(one, folder, entries) for one in STEPS}
-    for one in STEPS:
-        first, last = figures[small][one], figures[large][one]
+            figures[entries] = {step: _run_step(step, folder, entries) for step in STEPS}
+    for step in STEPS:
+        first, last = figures[small][step], figures[large][step]
         growth = last["seconds"] / max(first["seconds"], 1e-3)
-        result.figures[f"{one}_s"] = round(last["seconds"], 2)
-        result.figures[f"{one}_growth"] = round(growth, 2)
-        result.figures[f"{one}_mb"] = round(last["memory"], 1)
+        result.figures[f"{step}_s"] = round(last["seconds"], 2)
+        result.figures[f"{step}_growth"] = round(growth, 2)
+        result.figures[f"{step}_mb"] = round(last["memory"], 1)
         allowed = 1.6 * large / small
-        if one != "sqlite":  # the baseline promises nothing
-            found = f"{growth:.1f} for 10 times"
-            result.check(f"{one}: time grows no faster than entries", growth <= allowed, found)
-        if one not in ("append", "sqlite"):
-            grown = last["memory"] - first["memory"]
-            result.check(f"{one}: memory bounded", grown <= MEMORY_GROWTH_MOST, f"{grown:+.1f} MB")
-        result.check(f"{one}: right", bool(last["right"] and first["right"]))
-    beside = figures[large]["append"]["seconds"] / figures[large]["sqlite"]["seconds"]
+        if step != "sqlite":  # the baseline is not checked
+            measured = f"{growth:.1f} times for 10 times the entries"
+            result.check(f"{step}: time grows no faster than entries", growth <= allowed, measured)
+        if step not in ("append", "sqlite"):
+            memory_growth = last["memory"] - first["memory"]
+            result.check(
+                f"{step}: memory bounded", memory_growth <= MAX_MEMORY_GROWTH_MB, f"{memory_growth:+.1f} MB"
+            )
+        result.check(f"{step}: result correct", bool(last["right"] and first["right"]))
+    append_ratio = figures[large]["append"]["seconds"] / figures[large]["sqlite"]["seconds"]
     result.figures["entries"] = large
-    result.figures["append_beside_sqlite"] = round(beside, 2)
+    result.figures["append_beside_sqlite"] = round(append_ratio, 2)
     return result
 
 
-def _step(name: str, folder: Path, entries: int) -> dict[str, float]:
-    """One step in a process of its own, so that its memory is its own."""
-    words = [sys.executable, "-m", "sablewheel.experiments.ledger_size", name, str(folder), str(entries)]
-    done = subprocess.run(words, capture_output=True, text=True, timeout=900, check=False)
-    if done.returncode:
-        raise RuntimeError(done.stderr[-2000:])
-    told: dict[str, float] = json.loads(done.stdout.splitlines()[-1])
-    return told
+def _run_step(name: str, folder: Path, entries: int) -> dict[str, float]:
+    """Run one step in its own process, so that its memory is measured separately."""
+    command = [sys.executable, "-m", "sablewheel.experiments.ledger_size", name, str(folder), str(entries)]
+    completed = subprocess.run(command, capture_output=True, text=True, timeout=900, check=False)
+    if completed.returncode:
+        raise RuntimeError(completed.stderr[-2000:])
+    figures: dict[str, float] = json.loads(completed.stdout.splitlines()[-1])
+    return figures
 
 
 def blocks(entries: int) -> Iterator[SealedBlock]:
-    """Blocks as a server would write them: eight tenants, two request classes, over two days."""
+    """Yield blocks as a server writes them: eight tenants, two request classes, over two days."""
     entry_buffer = EntryBuffer("n1", b"12345678", Periods(Calendar(length=Length.DAY)), 1 << 20, 5_000)
     step = 2 * 86_400 * 1_000_000 // entries
-    for place in range(entries):
-        completed = place % 5 != 0
+    for index in range(entries):
+        completed = index % 5 != 0
         entry_buffer.add(
             pb.Entry(
-                customer=f"customer-{place % 8}",
-                track=("lookup", "record")[place % 2],
+                customer=f"customer-{index % 8}",
+                track=("lookup", "record")[index % 2],
                 outcome=pb.COMPLETED if completed else pb.DENIED,
-                ended_us=START + place * step,
-                arrived_us=START + place * step - 40_000,
+                ended_us=START_US + index * step,
+                arrived_us=START_US + index * step - 40_000,
                 run_us=25_000 * completed,
                 asked_bytes=180,
                 answer_bytes=220,
                 goal_kept=completed,
                 billed=completed,
-                name=place.to_bytes(8, "big"),
+                name=index.to_bytes(8, "big"),
             )
         )
         if entry_buffer.kept >= BLOCK:
-            yield entry_buffer.cut(START / 1e6, entry_buffer.last, BLOCK)
+            yield entry_buffer.cut(START_US / 1e6, entry_buffer.last, BLOCK)
     if not entry_buffer.empty:
-        yield entry_buffer.cut(START / 1e6, entry_buffer.last, BLOCK)
+        yield entry_buffer.cut(START_US / 1e6, entry_buffer.last, BLOCK)
 
 
 def append(folder: Path, entries: int) -> bool:
@@ -119,7 +121,7 @@
 
 
 def sqlite(folder: Path, entries: int) -> bool:
-    """The same rows, the plain way: one table, as many rows in a transaction as a group of blocks holds."""
+    """Insert the same rows into one SQLite table, with the rows of one group of blocks per transaction."""
     db = sqlite3.connect(folder / "plain.sqlite", isolation_level=None)
     db.execute("pragma journal_mode=wal")
     db.execute("pragma synchronous=full")
@@ -127,12 +129,20 @@
         "create table entries(sequence integer primary key, customer, track, outcome, ended, run, name)"
     )
     rows: list[tuple[object, ...]] = []
-    for place, sealed in enumerate(blocks(entries)):
-        for one in pb.Block.FromString(sealed.data).entries:
+    for index, sealed in enumerate(blocks(entries)):
+        for entry in pb.Block.FromString(sealed.data).entries:
             rows.append(
-                (one.sequence, one.customer, one.track, int(one.outcome), one.ended_us, one.run_us, one.name)
+                (
+                    entry.sequence,
+                    entry.customer,
+                    entry.track,
+                    int(entry.outcome),
+                    entry.ended_us,
+                    entry.run_us,
+                    entry.name,
+                )
             )
-        if place % GROUP == GROUP - 1:
+        if index % GROUP == GROUP - 1:
             _insert(db, rows)
     _insert(db, rows)
     return bool(db.execute("select count(*) from entries").fetchone()[0] == entries)
@@ -147,24 +157,26 @@
 
 def recover(folder: Path, entries: int) -> bool:
     before = EarlierIncarnations()
-    found = Log(DiskFiles(folder / "log"), KIND, b"87654321", 1 << 40).recover(before.note_block)
-    return not found.damage and before.last_sequence == {b"12345678": entries}
+    recovery = Log(DiskFiles(folder / "log"), KIND, b"87654321", 1 << 40).recover(before.note_block)
+    return not recovery.damage and before.last_sequence == {b"12345678": entries}
 
 
 def post(folder: Path, entries: int) -> bool:
-    """What the collector does with every block, a round's worth in a transaction."""
+    """Apply every block as the collector does, one group of blocks per transaction."""
     journal = Journal(folder / "book.sqlite", Calendar(length=Length.DAY, lag=0.0))
-    known: dict[bytes, collecting.LastBlock] = {}
+    last_blocks: dict[bytes, collecting.LastBlock] = {}
     journal.begin()
-    for place, sealed in enumerate(blocks(entries)):
-        result = collecting.decide_batch("n1", pb.Batch(block=sealed.data, digest=sealed.digest), known, {})
+    for index, sealed in enumerate(blocks(entries)):
+        result = collecting.decide_batch(
+            "n1", pb.Batch(block=sealed.data, digest=sealed.digest), last_blocks, {}
+        )
         assert isinstance(result, collecting.Apply)
-        journal.apply("n1", result, START / 1e6)
-        known[b"12345678"] = collecting.LastBlock(sealed.number, sealed.digest, sealed.last_sequence)
-        if place % GROUP == GROUP - 1:
+        journal.apply("n1", result, START_US / 1e6)
+        last_blocks[b"12345678"] = collecting.LastBlock(sealed.number, sealed.digest, sealed.last_sequence)
+        if index % GROUP == GROUP - 1:
             journal.commit()
             journal.begin()
-    journal.period_closer.now = START + 4 * 86_400 * 1_000_000
+    journal.period_closer.now = START_US + 4 * 86_400 * 1_000_000
     journal.close_due()
     journal.commit()
     return True
@@ -176,14 +188,14 @@
 
 def statement(folder: Path, entries: int) -> bool:
     journal = Journal(folder / "book.sqlite", read_only=True)
-    periods = [one[0] for one in journal.rows("select name from periods where seal is not null")]
-    found = [one for name in periods for one in reports.statements(journal, name)]
-    return sum(one.tickets for one in found) == entries - -(-entries // 5)
+    periods = [row[0] for row in journal.rows("select name from periods where seal is not null")]
+    statements = [row for name in periods for row in reports.statements(journal, name)]
+    return sum(row.tickets for row in statements) == entries - -(-entries // 5)
 
 
 def reconcile(folder: Path, entries: int) -> bool:
-    found, _ = reconcile_folders(Journal(folder / "book.sqlite", read_only=True), [folder / "log"])
-    return found.clean and found.same == -(-entries // BLOCK)
+    reconciliation, _ = reconcile_folders(Journal(folder / "book.sqlite", read_only=True), [folder / "log"])
+    return reconciliation.clean and reconciliation.same == -(-entries // BLOCK)
 
 
 def main() -> None:
@@ -197,17 +209,17 @@
         "reconcile": reconcile,
     }
     if sys.argv[1] in ("append", "sqlite"):
-        made = time.perf_counter()
+        create_s = time.perf_counter()
         for _ in blocks(int(sys.argv[3])):
             pass
-        made = time.perf_counter() - made  # making the entries is no part of appending them
+        create_s = time.perf_counter() - create_s  # the time to create the entries does not count
     else:
-        made = 0.0
-    begun = time.perf_counter()
-    right = steps[sys.argv[1]](Path(sys.argv[2]), int(sys.argv[3]))
-    seconds = time.perf_counter() - begun - made
+        create_s = 0.0
+    started = time.perf_counter()
+    is_correct = steps[sys.argv[1]](Path(sys.argv[2]), int(sys.argv[3]))
+    seconds = time.perf_counter() - started - create_s
     memory = psutil.Process(os.getpid()).memory_info().rss / 1e6
-    print(json.dumps({"seconds": max(seconds, 1e-3), "memory": memory, "right": right}))
+    print(json.dumps({"seconds": max(seconds, 1e-3), "memory": memory, "right": is_correct}))
 
 
 if __name__ == "__main__":
--- a/sablewheel/experiments/recall.py
+++ b/sablewheel/experiments/recall.py
@@ -1,9 +1,9 @@
-"""Recall's trial: servers under steady repeats, killed and started again at seeded instants, their clocks
-set.
+"""The result store trial: servers under steady repeats, restarted at seeded instants, with clock steps.
 
-`n1`'s interpreter outlives it and keeps its notices; `n2`'s dies with it; `n3` has room for few idempotency
-keys. What the interpreters began is set against what routers sent: no idempotency key runs twice within its
-window, nothing that ran is rejected, and a result that was held once is what every later repeat gets.
+`n1`'s interpreter keeps running and keeps its notices while the server restarts; `n2`'s is killed with the
+server; `n3` stores few idempotency keys. The runs that the interpreters began are compared with the attempts
+that the routers sent: no idempotency key runs twice within its window, no request that ran is rejected, and a
+result that a client received once is the result of every later repeat.
 """
 
 from __future__ import annotations
@@ -20,21 +20,21 @@
 
 FAULTY_VARIANTS = ("no-intent", "answer-before-outcome", "evict-intents", "trust-clock")
 NAMES = ("n1", "n2", "n3")
-WITHIN = 5.0  # repeats come so long after the first; the window is six seconds
+REPEAT_WITHIN_S = 5.0  # seconds after the first attempt in which repeats are sent; the window is six seconds
 HOUR = 3600.0
-SMALL = 100  # idempotency keys that n3 has room for
+N3_CAPACITY = 100  # idempotency keys that n3 can store
 
 
-def features(folder: Path, **more: object) -> str:
-    """A features file for a server of the trial."""
+def features(folder: Path, **options: object) -> str:
+    """Return the features file of a server with a result store."""
     lines = ["version: 1", "recall:", f"  folder: {folder}", "  segment-kb: 64", "  disk-mb: 16"]
-    lines += [f"  {key.replace('_', '-')}: {value}" for key, value in more.items()]
+    lines += [f"  {key.replace('_', '-')}: {value}" for key, value in options.items()]
     return "\n".join([*lines, ""])
 
 
 @dataclass
 class Scenario:
-    """The processes, and what happened to them."""
+    """The processes of the trial, their kills and their memory use (MB)."""
 
     testbed: Testbed
     broken: str
@@ -53,7 +53,7 @@
             name, self.ports[name], self.vms[name], self.texts[name], module=module, settings={"servers": 1}
         )
 
-    def interpreter(self, name: str) -> None:
+    def start_interpreter(self, name: str) -> None:
         self.interpreters[name] = self.testbed.interpreter(
             name,
             self.vms[name],
@@ -71,17 +71,17 @@
 
 
 def run(seed: int, quick: bool, broken: str = "") -> ExperimentResult:
-    """The trial; `broken` names a fault put into the servers on purpose."""
+    """Run the trial; `broken` names a faulty variant of the servers."""
     result = ExperimentResult("recall")
     with Testbed(seed) as testbed:
         scenario = Scenario(testbed, broken)
         for name in NAMES:
             scenario.ports[name], scenario.vms[name] = free_port(), free_port()
-            more: dict[str, object] = {"interpreter_outlives": "true"} if name != "n2" else {}
+            options: dict[str, object] = {"interpreter_outlives": "true"} if name != "n2" else {}
             if name == "n3":
-                more["entries_most"] = SMALL
-            scenario.texts[name] = features(testbed.folder / f"{name}-recall", **more)
-            scenario.interpreter(name)
+                options["entries_most"] = N3_CAPACITY
+            scenario.texts[name] = features(testbed.folder / f"{name}-recall", **options)
+            scenario.start_interpreter(name)
             scenario.start(name)
         seconds = 24.0 if quick else 90.0
         _run_scenario(scenario, seed, seconds)
@@ -98,28 +98,28 @@
             rate=130 if name == "n3" else 70,
             seconds=seconds,
             repeats=0.6,
-            repeat_within=WITHIN,
+            repeat_within=REPEAT_WITHIN_S,
             request_classes={"record": {"share": 1.0, "keyed": True}},
             cancels=0.03,
-            seed=seed + place,
+            seed=seed + index,
         )
-        for place, name in enumerate(NAMES)
+        for index, name in enumerate(NAMES)
     ]
-    begun, clock = time.monotonic(), 0.0
+    started, clock = time.monotonic(), 0.0
     turn = 0
     while True:
-        moment = time.monotonic() - begun + chance.uniform(0.4, 1.1)
+        moment = time.monotonic() - started + chance.uniform(0.4, 1.1)
         if moment > seconds - 2.0:
             break
-        time.sleep(max(begun + moment - time.monotonic(), 0.0))
+        time.sleep(max(started + moment - time.monotonic(), 0.0))
         turn += 1
-        if turn % 6 == 5:  # all are down, and the clock is set meanwhile: an hour forward, later back again
+        if turn % 6 == 5:  # stop all servers and set the clock meanwhile: an hour forward, the next time back
             for name in NAMES:
                 scenario.kill(name)
             clock = HOUR if not clock else 0.0
             testbed.shift(clock)
             scenario.counts["clock_steps"] += 1
-            scenario.interpreter("n2")
+            scenario.start_interpreter("n2")
             for name in NAMES:
                 scenario.start(name)
         else:
@@ -127,10 +127,10 @@
             scenario.kill(name)
             time.sleep(chance.choice((0.0, 0.0, 0.3)))
             if name == "n2":
-                scenario.interpreter("n2")
+                scenario.start_interpreter("n2")
             scenario.start(name)
-    for one in routers:
-        one.popen.wait(30)
+    for router in routers:
+        router.popen.wait(30)
     for name in NAMES:
         scenario.memory[name].append(scenario.servers[name].usage()[1])
         code = scenario.servers[name].leave()
@@ -139,64 +139,72 @@
 
 
 def _check_promises(scenario: Scenario, result: ExperimentResult) -> None:
-    second_runs = rejected_ran = other_bytes = not_the_original = room_rejections = advised = 0
+    second_runs = rejected_ran = differing_results = not_the_original = capacity_rejections = (
+        with_retry_time
+    ) = 0
     completed = failed = repeats = 0
-    unadvised: list[str] = []
+    without_retry_time: list[str] = []
     for name in NAMES:
-        tries = list(scenario.testbed.held(f"r-{name}"))
-        idempotency_keys = {one["name"]: one["label"] for one in tries}
+        attempts = list(scenario.testbed.held(f"r-{name}"))
+        idempotency_keys = {attempt["name"]: attempt["label"] for attempt in attempts}
         begins: dict[str, list[float]] = defaultdict(list)
-        for word, request, when in scenario.testbed.runs(name):
-            if word == "begin" and request in idempotency_keys:
+        for event, request, when in scenario.testbed.runs(name):
+            if event == "begin" and request in idempotency_keys:
                 begins[idempotency_keys[request]].append(when)
-        second_runs += sum(len(each) - 1 for each in begins.values())
+        second_runs += sum(len(group) - 1 for group in begins.values())
         by_idempotency_key: dict[str, list[dict[str, Any]]] = defaultdict(list)
-        for one in sorted(tries, key=lambda one: one["until"]):
-            by_idempotency_key[one["label"]].append(one)
-        for idempotency_key, each in by_idempotency_key.items():
-            began = min(begins.get(idempotency_key, [1e18]))
-            held = [one for one in each if one["how"] == "completed"]
-            other_bytes += len({one["result"] for one in held}) > 1
-            first = min((one["until"] for one in held), default=1e18)
-            for one in each:
-                rejected_ran += one["how"] == "denied" and began < one["from"]
-                # Sent after somebody held the result: it must get just that, whatever was killed in between.
-                not_the_original += one["how"] in ("denied", "terminated") and one["from"] > first
-                repeats += one["how"] == "completed" and one["from"] > first
-        completed += sum(one["how"] == "completed" for one in tries)
-        failed += sum(one["how"] == "terminated" for one in tries)
+        for attempt in sorted(attempts, key=lambda attempt: attempt["until"]):
+            by_idempotency_key[attempt["label"]].append(attempt)
+        for idempotency_key, group in by_idempotency_key.items():
+            first_begin = min(begins.get(idempotency_key, [1e18]))
+            completions = [attempt for attempt in group if attempt["how"] == "completed"]
+            differing_results += len({attempt["result"] for attempt in completions}) > 1
+            first = min((attempt["until"] for attempt in completions), default=1e18)
+            for attempt in group:
+                rejected_ran += attempt["how"] == "denied" and first_begin < attempt["from"]
+                # Sent after a client received the result: it must get the same one, despite kills in between.
+                not_the_original += attempt["how"] in ("denied", "terminated") and attempt["from"] > first
+                repeats += attempt["how"] == "completed" and attempt["from"] > first
+        completed += sum(attempt["how"] == "completed" for attempt in attempts)
+        failed += sum(attempt["how"] == "terminated" for attempt in attempts)
         if name == "n3":
-            room_rejections = sum(one["how"] == "denied" for one in tries)
-            unadvised = [
-                f"{one['name']}@{one['from']:.3f}"
-                for one in tries
-                if one["how"] == "denied" and not one.get("come_back", False)
+            capacity_rejections = sum(attempt["how"] == "denied" for attempt in attempts)
+            without_retry_time = [
+                f"{attempt['name']}@{attempt['from']:.3f}"
+                for attempt in attempts
+                if attempt["how"] == "denied" and not attempt.get("come_back", False)
             ]
-            advised = room_rejections - len(unadvised)
-    result.check("no label ran twice within its window", second_runs == 0, second_runs)
-    result.check("nothing that ran was denied", rejected_ran == 0, rejected_ran)
-    result.check("all who got a result of a label got the same bytes", other_bytes == 0, other_bytes)
-    result.check("a result held once is what every later repeat got", not_the_original == 0, not_the_original)
+            with_retry_time = capacity_rejections - len(without_retry_time)
+    result.check("no idempotency key ran twice within its window", second_runs == 0, second_runs)
+    result.check("no request that ran was rejected", rejected_ran == 0, rejected_ran)
+    result.check(
+        "all results of an idempotency key are the same bytes", differing_results == 0, differing_results
+    )
+    result.check(
+        "every later repeat got the result that was received first", not_the_original == 0, not_the_original
+    )
     result.check("repeats came after restarts and got their results", repeats > 50, repeats)
     result.check(
-        "with few labels' room, tickets are denied and told when to return",
-        0 < room_rejections <= advised,
-        f"{advised} of {room_rejections} advised"
-        + (f"; not: {', '.join(unadvised[:8])}" if unadvised else ""),
+        "at the limit of stored keys, requests are rejected with a retry-after time",
+        0 < capacity_rejections <= with_retry_time,
+        f"{with_retry_time} of {capacity_rejections} advised"
+        + (f"; not: {', '.join(without_retry_time[:8])}" if without_retry_time else ""),
     )
-    growth = max(each[-1] - min(each) for each in scenario.memory.values())
-    result.check("memory is flat over the restarts", growth < 8.0, f"{growth:.1f} MB")
+    growth = max(samples[-1] - min(samples) for samples in scenario.memory.values())
+    result.check("memory is constant over the restarts", growth < 8.0, f"{growth:.1f} MB")
     result.check(
-        "all left in order at the end", scenario.counts["bad_exits"] == 0, scenario.counts["bad_exits"]
+        "all servers exited with code 0 at the end",
+        scenario.counts["bad_exits"] == 0,
+        scenario.counts["bad_exits"],
     )
     log = "".join((scenario.testbed.folder / f"{name}.log").read_text(errors="replace") for name in NAMES)
-    result.check("no fault of our own in the logs", "Traceback" not in log, log.count("Traceback"))
+    result.check("no unhandled exception in the logs", "Traceback" not in log, log.count("Traceback"))
     result.figures |= {
         "kills": sum(scenario.kills.values()),
         "clock_steps": scenario.counts["clock_steps"],
         "completed": completed,
         "repeats_after_the_first_was_held": repeats,
         "terminated": failed,
-        "denied_for_room": room_rejections,
-        "memory_mb": round(max(max(each) for each in scenario.memory.values()), 1),
+        "denied_for_room": capacity_rejections,
+        "memory_mb": round(max(max(samples) for samples in scenario.memory.values()), 1),
     }
