--- a/sablewheel/experiments/client_protocol.py
+++ b/sablewheel/experiments/client_protocol.py
@@ -1,4 +1,4 @@
-"""What stand-ins write: frames of the routers' protocol, from its published page."""
+"""Frames of the router protocol as its published specification defines them, for simulated clients."""
 
 from __future__ import annotations
 
@@ -19,7 +19,10 @@
     kb: float = 10.0,
     subject: bytes = b"",
 ) -> bytes:
-    """A try of a request; `since` in Unix seconds, `idempotency_key` of 32 hexadecimal digits or none."""
+    """Encode one attempt of a request.
+
+    `since` is in Unix seconds; `idempotency_key` has 32 hexadecimal digits, or is empty if there is none.
+    """
     fields = b"ref=%b,since=%d,sender=%d,project=%b,room=%.1f,class_rank=0.5" % (
         name,
         int(since * 1000),
--- a/sablewheel/experiments/interpreter.py
+++ b/sablewheel/experiments/interpreter.py
@@ -1,9 +1,8 @@
-"""A stand-in for the interpreter, after its published page: cores, runs, numbered notices, and a list of all
-runs.
+"""A simulated interpreter after its published specification: cores, runs, numbered notices and a run log.
 
     python -m sablewheel.experiments.interpreter '{"port": 6100, "cores": 4, "work": {"lookup": 0.02}, ...}'
 
-The list has a line for each run that began and one for each that ended, written before anybody is told.
+The run log has a line for the begin and one for the end of each run, written before any notice of it is sent.
 """
 
 from __future__ import annotations
@@ -17,30 +16,28 @@
 from collections import deque
 from typing import Any
 
-KEPT = 4000
+MAX_NOTICES = 4000
 
 
 class Interpreter:
-    """One process that does the work. `slow` multiplies work; `fail` is the share of runs that end in an
-    error.
-    """
-
-    def __init__(self, told: dict[str, Any]) -> None:
-        self.cores, self.work = int(told["cores"]), dict(told["work"])
-        self.scatter = random.Random(told.get("seed", 1))
-        self.fail = float(told.get("fail", 0.0))
-        self.log = os.open(told["log"], os.O_WRONLY | os.O_CREAT | os.O_APPEND)
-        self.born = time.monotonic()
-        self.outlives = bool(told.get("outlives"))  # runs and notices go on through a restart of the server
-        self.age = 1000 * float(told.get("age", 60.0))  # it says that it is so much older than it is
-        self.line: deque[tuple[bytes, bytes, bytes]] = deque()  # queued for a core
+    """One interpreter; `fail` in its specification is the share of runs that end in an error."""
+
+    def __init__(self, spec: dict[str, Any]) -> None:
+        self.cores, self.work = int(spec["cores"]), dict(spec["work"])
+        self.random = random.Random(spec.get("seed", 1))
+        self.fail = float(spec.get("fail", 0.0))
+        self.run_log = os.open(spec["log"], os.O_WRONLY | os.O_CREAT | os.O_APPEND)
+        self.started = time.monotonic()
+        self.survives_restart = bool(spec.get("outlives"))  # runs and notices survive a restart of the server
+        self.extra_age_ms = 1000 * float(spec.get("age", 60.0))  # ms added to the reported age
+        self.queue: deque[tuple[bytes, bytes, bytes]] = deque()  # runs queued for a core
         self.running: dict[bytes, asyncio.Task[None]] = {}
-        self.notices: deque[bytes] = deque(maxlen=KEPT)
-        self.number = 0
+        self.notices: deque[bytes] = deque(maxlen=MAX_NOTICES)
+        self.last_notice = 0
         self.link: asyncio.StreamWriter | None = None
 
-    def note(self, word: str, name: bytes) -> None:
-        os.write(self.log, f"{word} {name.decode()} {time.monotonic():.6f}\n".encode())
+    def log_run(self, event: str, name: bytes) -> None:
+        os.write(self.run_log, f"{event} {name.decode()} {time.monotonic():.6f}\n".encode())
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -49,76 +46,76 @@
                 body = b""
                 if words[0] == b"APPLY":
                     body = (await reader.readexactly(int(words[3]) + 2))[:-2]
-                self.obey(words, body, writer)
+                self.handle_command(words, body, writer)
         except (ConnectionError, asyncio.IncompleteReadError):
             pass
         writer.close()
 
-    def obey(self, words: list[bytes], body: bytes, writer: asyncio.StreamWriter) -> None:
+    def handle_command(self, words: list[bytes], body: bytes, writer: asyncio.StreamWriter) -> None:
         match words:
             case [b"CONNECT", last]:
                 self.link = writer
                 if (
-                    last == b"0" and not self.outlives
-                ):  # an app server that starts: what its predecessor began is nobody's now
+                    last == b"0" and not self.survives_restart
+                ):  # a new server process: runs that its predecessor began are cancelled
                     for name, task in self.running.items():
                         task.cancel()
-                        self.note("left", name)
+                        self.log_run("left", name)
                     self.running.clear()
-                    self.line.clear()
+                    self.queue.clear()
                     self.notices.clear()
-                    self.number = 0
-                age = (time.monotonic() - self.born) * 1000 + self.age
+                    self.last_notice = 0
+                age = (time.monotonic() - self.started) * 1000 + self.extra_age_ms
                 writer.write(b"BANNER steady %d\r\n" % age)
-                missed = self.number - int(last)
+                missed = self.last_notice - int(last)
                 writer.write(b"".join(list(self.notices)[-missed:] if missed > 0 else []))
             case [b"APPLY", name, request_class, _]:
-                # One whose run has ended begins again: the request is not over before its answer is written.
-                if name not in self.running and all(name != queued for queued, *_ in self.line):
+                # A request whose run has ended may run again: it is complete only once its answer is written.
+                if name not in self.running and all(name != queued for queued, *_ in self.queue):
                     if len(self.running) < self.cores:
                         self.begin(name, request_class, body)
                     else:
-                        self.line.append((name, request_class, body))
+                        self.queue.append((name, request_class, body))
             case [b"BREAK", name]:
                 if name in self.running:
                     self.running.pop(name).cancel()
                     self.end(name, b"interrupted", 0.0, b"")
                 else:
-                    kept = deque(one for one in self.line if one[0] != name)
-                    if len(kept) < len(self.line):
-                        self.line = kept
-                        self.tell(name, b"interrupted", 0.0, b"")
+                    remaining = deque(entry for entry in self.queue if entry[0] != name)
+                    if len(remaining) < len(self.queue):
+                        self.queue = remaining
+                        self.send_notice(name, b"interrupted", 0.0, b"")
             case [b"TOP", tag]:
                 busy = min(len(self.running) / self.cores, 1.0)
-                writer.write(b"TOPS %b %.3f %d 0.1 3\r\n" % (tag, busy, len(self.line)))
+                writer.write(b"TOPS %b %.3f %d 0.1 3\r\n" % (tag, busy, len(self.queue)))
             case _:
                 writer.close()
 
     def begin(self, name: bytes, request_class: bytes, body: bytes) -> None:
-        self.note("begin", name)
+        self.log_run("begin", name)
         self.running[name] = asyncio.get_running_loop().create_task(self.run(name, request_class, body))
 
     async def run(self, name: bytes, request_class: bytes, body: bytes) -> None:
-        work = self.work[request_class.decode()] * self.scatter.uniform(0.7, 1.3)
-        await asyncio.sleep(work)
+        work_s = self.work[request_class.decode()] * self.random.uniform(0.7, 1.3)
+        await asyncio.sleep(work_s)
         self.running.pop(name, None)
-        failed = self.scatter.random() < self.fail
-        self.note("failure" if failed else "success", name)
+        failed = self.random.random() < self.fail
+        self.log_run("failure" if failed else "success", name)
         result = b"" if failed else b"made by " + name + b" of " + body
-        self.end(name, b"failure" if failed else b"success", work, result)
+        self.end(name, b"failure" if failed else b"success", work_s, result)
 
-    def end(self, name: bytes, how: bytes, took: float, result: bytes) -> None:
-        self.tell(name, how, took, result)
-        while self.line and len(self.running) < self.cores:
-            self.begin(*self.line.popleft())
+    def end(self, name: bytes, outcome: bytes, work_s: float, result: bytes) -> None:
+        self.send_notice(name, outcome, work_s, result)
+        while self.queue and len(self.running) < self.cores:
+            self.begin(*self.queue.popleft())
 
-    def tell(self, name: bytes, how: bytes, took: float, result: bytes) -> None:
-        self.number += 1
+    def send_notice(self, name: bytes, outcome: bytes, work_s: float, result: bytes) -> None:
+        self.last_notice += 1
         notice = b"VALUE %d %b %b %.3f %d\r\n%b\r\n" % (
-            self.number,
+            self.last_notice,
             name,
-            how,
-            took * 1000,
+            outcome,
+            work_s * 1000,
             len(result),
             result,
         )
@@ -127,9 +124,9 @@
             self.link.write(notice)
 
 
-async def main(told: dict[str, Any]) -> None:
-    interpreter = Interpreter(told)
-    server = await asyncio.start_server(interpreter.serve, "127.0.0.1", int(told["port"]))
+async def main(spec: dict[str, Any]) -> None:
+    interpreter = Interpreter(spec)
+    server = await asyncio.start_server(interpreter.serve, "127.0.0.1", int(spec["port"]))
     async with server:
         await server.serve_forever()
 
--- a/sablewheel/experiments/replaced_parts.py
+++ b/sablewheel/experiments/replaced_parts.py
@@ -1,8 +1,8 @@
-"""Parts of a server that a trial exchanges in its process, and the proof that the exchange took effect.
+"""Replaces parts of a server within its process for a trial, and proves that the replacement took effect.
 
-A module's name may change without its exchange: then nothing would be injected, and a trial would hold or be
-broken for another reason than it says. So an exchange fails where there is nothing to exchange, and what was
-exchanged announces itself in the process's log when it is first used.
+If a name in a module changed and its replacement did not follow, no fault would be injected, and the trial
+would hold or fail for another reason than it reports. Therefore replacing a missing name fails, and a
+replaced part logs a line when it is first used.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 
 def replace_part(module: ModuleType, name: str, part: object) -> None:
-    """Exchange what a module has under a name, for as long as this process lives.
+    """Replace a name of a module until this process exits.
 
     Raises:
-        AttributeError: The module has nothing of that name.
+        AttributeError: The module has no such name.
     """
     mock.patch.object(module, name, part).start()
 
@@ -33,6 +33,6 @@
 
 def was_announced(path: Path, part: str) -> bool:
     """Whether the process with this log used the replaced part."""
-    wanted = (f'event="{EVENT}"', f"part={part}")
+    expected = (f'event="{EVENT}"', f"part={part}")
     lines = path.read_text(errors="replace").splitlines()
-    return any(all(word in line for word in wanted) for line in lines)
+    return any(all(pair in line for pair in expected) for line in lines)
--- a/sablewheel/experiments/result.py
+++ b/sablewheel/experiments/result.py
@@ -1,4 +1,4 @@
-"""What a trial found: checks, figures, and how they are told."""
+"""The result of a trial: its checks and figures, and their printed form."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 @dataclass
 class ExperimentResult:
-    """Holds if every check does; a trial without a check holds nothing.
+    """Checks and figures of one trial, which holds if it has at least one check and every check holds.
 
-    A run in which a fault was not injected is void: it does not hold, and shows nothing.
+    A run in which a fault was not injected is void: it does not hold, and proves nothing.
     """
 
     trial: str
@@ -18,12 +18,12 @@
     figures: dict[str, float | int | str] = field(default_factory=dict)
     not_injected: list[str] = field(default_factory=list)
 
-    def check(self, promise: str, holds: bool, found: object = "") -> None:
-        self.checks.append((promise, bool(holds), str(found)))
+    def check(self, promise: str, holds: bool, measured: object = "") -> None:
+        self.checks.append((promise, bool(holds), str(measured)))
 
-    def require(self, fault: str, took_place: bool) -> None:
-        """Note whether an injected fault, or a part broken on purpose, took place."""
-        if not took_place:
+    def require(self, fault: str, took_effect: bool) -> None:
+        """Record whether an injected fault, or a deliberately faulty part, took effect."""
+        if not took_effect:
             self.not_injected.append(fault)
 
     @property
@@ -35,15 +35,15 @@
         return not self.void and bool(self.checks) and all(holds for _, holds, _ in self.checks)
 
     def line(self) -> str:
-        """One line of JSON, the last that a trial prints."""
+        """Return the last line that a trial prints, as JSON."""
         return json.dumps(
             {"trial": self.trial, "holds": self.holds, "void": self.void, "figures": self.figures}
         )
 
     def table(self) -> str:
         rows = [
-            f"  {'holds' if holds else 'BROKEN':7} {promise}: {found}"
-            for promise, holds, found in self.checks
+            f"  {'holds' if holds else 'BROKEN':7} {promise}: {measured}"
+            for promise, holds, measured in self.checks
         ]
         rows += [f"  VOID    did not take place: {fault}" for fault in self.not_injected]
         rows += [f"  {name:34} {value}" for name, value in self.figures.items()]
--- a/sablewheel/experiments/shifted_clock.py
+++ b/sablewheel/experiments/shifted_clock.py
@@ -1,8 +1,8 @@
-"""Runs a module of this program under a clock that the trial sets: `time.time` plus what stands in a file.
+"""Run a module with a clock that the trial sets: `time.time` plus an offset read from a file.
 
     python -m sablewheel.experiments.shifted_clock FILE MODULE [ARGUMENTS]
 
-The file holds one double. Whoever changes it makes the clocks of all who read it jump.
+The file holds one double, the offset in seconds. A change shifts the clocks of all processes that map it.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 
 
 def shift(path: str) -> None:
-    """From now on `time.time` goes by the file."""
-    file = open(path, "r+b")  # noqa: SIM115  kept for as long as the process lives
-    held = mmap.mmap(file.fileno(), DOUBLE.size, access=mmap.ACCESS_READ)
-    real = time.time
-    time.time = lambda: real() + float(DOUBLE.unpack_from(held)[0])
+    """Replace `time.time` by the real time plus the offset in the file."""
+    file = open(path, "r+b")  # noqa: SIM115  open until the process exits
+    offset = mmap.mmap(file.fileno(), DOUBLE.size, access=mmap.ACCESS_READ)
+    real_time = time.time
+    time.time = lambda: real_time() + float(DOUBLE.unpack_from(offset)[0])
 
 
 if __name__ == "__main__":
--- a/sablewheel/experiments/testbed.py
+++ b/sablewheel/experiments/testbed.py
@@ -1,5 +1,6 @@
-"""The testbed of a trial: a folder, ports and processes of its own; what it started it ends, and
-nothing else.
+"""Test environment of one trial: a temporary folder, free ports and child processes.
+
+Only processes that the testbed started are stopped at its end.
 """
 
 from __future__ import annotations
@@ -54,18 +55,21 @@
 
 
 class TestbedError(RuntimeError):
-    """Something of the testbed itself did not come up."""
+    """A part of the testbed itself did not start."""
 
     __test__ = False
 
 
 def free_port() -> int:
-    with socket.create_server(("127.0.0.1", 0)) as door:
-        return int(door.getsockname()[1])
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        return int(listener.getsockname()[1])
 
 
 class Process:
-    """One process with its log; `usage` is what it has used, also after its end as it was last looked at."""
+    """One child process and its log file.
+
+    `usage` returns the last values read before its exit once the process has ended.
+    """
 
     def __init__(self, arguments: list[str], log: Path, environment: dict[str, str]) -> None:
         self.log = log
@@ -74,18 +78,18 @@
                 arguments, stdout=out, stderr=out, env={**os.environ, **environment}
             )
         self._ps = psutil.Process(self.popen.pid)
-        self._used = (0.0, 0.0)
+        self._last_usage = (0.0, 0.0)
 
     @property
     def alive(self) -> bool:
         return self.popen.poll() is None
 
     def usage(self) -> tuple[float, float]:
-        """Seconds of CPU, MB of memory."""
+        """Return the CPU time in seconds and the resident memory in MB."""
         with contextlib.suppress(psutil.Error):
             times = self._ps.cpu_times()
-            self._used = (times.user + times.system, self._ps.memory_info().rss / 1e6)
-        return self._used
+            self._last_usage = (times.user + times.system, self._ps.memory_info().rss / 1e6)
+        return self._last_usage
 
     def kill(self) -> None:
         if self.alive:
@@ -93,7 +97,7 @@
         self.popen.wait(PATIENCE)
 
     def leave(self) -> int:
-        """SIGTERM, and its exit code; killed if it takes too long."""
+        """Send SIGTERM and return the exit code; kill the process if it does not exit in time."""
         if self.alive:
             self.popen.send_signal(signal.SIGTERM)
         try:
@@ -107,7 +111,7 @@
 
 
 class Testbed:
-    """Use as a context: at its end all processes are gone, and the folder as well unless `keep`."""
+    """Context manager that kills all its processes on exit and deletes its folder unless `keep`."""
 
     __test__ = False  # pytest would take the imported class for a test
 
@@ -124,66 +128,68 @@
         return self
 
     def __exit__(self, *_: object) -> None:
-        for one in self.processes:
-            if one.alive:
-                one.popen.kill()
-        for one in self.processes:
+        for process in self.processes:
+            if process.alive:
+                process.popen.kill()
+        for process in self.processes:
             with contextlib.suppress(subprocess.TimeoutExpired):
-                one.popen.wait(5)
+                process.popen.wait(5)
         self.naming.close()
         if not self._keep:
             shutil.rmtree(self.folder, ignore_errors=True)
 
     def shift(self, seconds: float) -> None:
-        """Set all the clocks of what was started `shifted` to the system's plus so much."""
+        """Set the clocks of all processes started with `shifted` to the system clock plus `seconds`."""
         with self.clock.open("r+b") as file:
             file.write(DOUBLE.pack(seconds))
 
     def start(
         self, name: str, module: str, *arguments: str, shifted: bool = True, **environment: str
     ) -> Process:
-        words = (
+        module_arguments = (
             ["-m", "sablewheel.experiments.shifted_clock", str(self.clock), module]
             if shifted
             else ["-m", module]
         )
-        process = Process([sys.executable, *words, *arguments], self.folder / f"{name}.log", environment)
+        process = Process(
+            [sys.executable, *module_arguments, *arguments], self.folder / f"{name}.log", environment
+        )
         self.processes.append(process)
         return process
 
-    # -- the parts
+    # -- starting processes
 
-    def interpreter(self, name: str, port: int, shifted: bool = False, **told: Any) -> Process:
+    def interpreter(self, name: str, port: int, shifted: bool = False, **overrides: Any) -> Process:
         spec = {
             "port": port,
             "cores": 4,
             "work": WORK,
             "log": str(self.folder / f"{name}.runs"),
             "seed": self.seed,
-            **told,
+            **overrides,
         }
         module = "sablewheel.experiments.interpreter"
         process = self.start(f"{name}-vm", module, json.dumps(spec), shifted=shifted)
         self.wait_for_port(port, process)
         return process
 
-    def router(self, name: str, servers: Iterable[str], **told: Any) -> Process:
+    def router(self, name: str, servers: Iterable[str], **overrides: Any) -> Process:
         spec = {
             "servers": list(servers),
             "tenants": TENANTS,
             "request_classes": REQUEST_CLASSES,
             "seed": self.seed,
             "log": str(self.folder / f"{name}.held"),
-            **told,
+            **overrides,
         }
         return self.start(name, "sablewheel.experiments.router", json.dumps(spec))
 
     def configuration(self, name: str, port: int, vm: int, /, **changes: Any) -> Path:
         settings = {**json.loads(json.dumps(SETTINGS)), **changes.pop("settings", {})}
         settings["orgs"] = [
-            {"name": one, "quota-rps": 300 * share, "fraction": share} for one, share in TENANTS.items()
+            {"name": tenant, "quota-rps": 300 * share, "fraction": share} for tenant, share in TENANTS.items()
         ]
-        told = {
+        configuration = {
             "name": name,
             "listen": f"127.0.0.1:{port}",
             "vm": f"127.0.0.1:{vm}",
@@ -195,7 +201,7 @@
             **changes,
         }
         path = self.folder / f"{name}.json"
-        path.write_text(json.dumps(told))
+        path.write_text(json.dumps(configuration))
         return path
 
     def server(
@@ -207,7 +213,11 @@
         module: tuple[str, ...] = ("sablewheel",),
         **changes: Any,
     ) -> Process:
-        """A server that is up; `features` is the text of its features file, `module` what is run."""
+        """Start a server and wait until it is up.
+
+        `features` is the text of its features file (None: no such file), `module` the module to run and its
+        arguments.
+        """
         environment = {"RELAY_CONFIG": str(self.configuration(name, port, vm, **changes))}
         if features is not None:
             path = self.folder / f"{name}.yaml"
@@ -218,44 +228,47 @@
         return process
 
     def wait_for_port(self, port: int, process: Process, host: str = "127.0.0.1") -> None:
-        until = time.monotonic() + PATIENCE
-        while time.monotonic() < until and process.alive:
+        deadline = time.monotonic() + PATIENCE
+        while time.monotonic() < deadline and process.alive:
             with contextlib.suppress(OSError), socket.create_connection((host, port), 1.0):
                 return
             time.sleep(0.02)
-        raise TestbedError(f"nothing listens on {port}: {process.tail()}")
+        raise TestbedError(f"no process accepts connections on port {port}: {process.tail()}")
 
     def wait_until_up(self, port: int, process: Process) -> None:
-        until = time.monotonic() + PATIENCE
-        while time.monotonic() < until and process.alive:
-            with contextlib.suppress(OSError), socket.create_connection(("127.0.0.1", port), 1.0) as peer:
-                peer.sendall(wire.check(1))
-                answers = Parser().feed(peer.recv(4096))
+        deadline = time.monotonic() + PATIENCE
+        while time.monotonic() < deadline and process.alive:
+            with (
+                contextlib.suppress(OSError),
+                socket.create_connection(("127.0.0.1", port), 1.0) as connection,
+            ):
+                connection.sendall(wire.check(1))
+                answers = Parser().feed(connection.recv(4096))
                 if answers and answers[0][1] == b"UP":
                     return
             time.sleep(0.02)
-        raise TestbedError(f"the server on {port} does not come up: {process.tail()}")
+        raise TestbedError(f"the server on port {port} did not report UP: {process.tail()}")
 
-    # -- what came of it
+    # -- reading results
 
     def held(self, name: str) -> Iterator[dict[str, Any]]:
-        """What the routers of a name were answered."""
+        """Yield the records that the router of that name wrote about its attempts."""
         with (self.folder / f"{name}.held").open() as file:
             for line in file:
                 yield json.loads(line)
 
     def runs(self, name: str) -> Iterator[tuple[str, str, float]]:
-        """What an interpreter did: word, request's name and when (monotonic), in order."""
+        """Yield an interpreter's run events in order: event, request name and time (monotonic, seconds)."""
         path = self.folder / f"{name}.runs"
         if path.exists():
             with path.open() as file:
                 for line in file:
-                    word, request, when = line.split()
-                    yield word, request, float(when)
+                    event, request, when = line.split()
+                    yield event, request, float(when)
 
     def counters(self, process: Process) -> dict[str, str]:
-        """The last counters line of a server's log."""
+        """Return the last counters line of a server's log; empty if there is none."""
         for line in reversed(process.log.read_text(errors="replace").splitlines()):
             if "event=counters" in line:
-                return dict(word.split("=", 1) for word in line.split(" ") if "=" in word)
+                return dict(pair.split("=", 1) for pair in line.split(" ") if "=" in pair)
         return {}
