--- a/sablewheel/experiments/ledger.py
+++ b/sablewheel/experiments/ledger.py
@@ -150,7 +150,7 @@
         time.sleep(max(started + moment - time.monotonic(), 0.0))
 
     kills = sorted(chance.uniform(0.05, 0.95) * seconds for _ in range(round(seconds / 2)))
-    events: list[tuple[float, str]] = [(moment, "collector") for moment in kills]
+    events: list[tuple[float, str]] = [(kill_at, "collector") for kill_at in kills]
     events += [(seconds * share, "n1") for share in (0.25, 0.45, 0.7)]
     events += [
         (boundary + LAG - 0.3, "drain n2"),
--- a/sablewheel/experiments/recall.py
+++ b/sablewheel/experiments/recall.py
@@ -185,7 +185,7 @@
     )
     result.check("repeats came after restarts and got their results", repeats > 50, repeats)
     result.check(
-        "at the limit of stored keys, requests are rejected with a retry-after time",
+        "at the limit of stored keys, requests are rejected with a retry time",
         0 < capacity_rejections <= with_retry_time,
         f"{with_retry_time} of {capacity_rejections} advised"
         + (f"; not: {', '.join(without_retry_time[:8])}" if without_retry_time else ""),
--- a/sablewheel/experiments/testbed.py
+++ b/sablewheel/experiments/testbed.py
@@ -247,7 +247,7 @@
                 if answers and answers[0][1] == b"UP":
                     return
             time.sleep(0.02)
-        raise TestbedError(f"the server on port {port} did not report UP: {process.tail()}")
+        raise TestbedError(f"the server on port {port} did not start serving: {process.tail()}")
 
     # -- reading results
 
