--- a/sablewheel/experiments/faulty_member.py
+++ b/sablewheel/experiments/faulty_member.py
@@ -16,7 +16,7 @@
 from ..membership.view import Member
 from .replaced_parts import announce, replace_part
 
-BASELINES = {one.value: one for one in Mode if one is not Mode.CONSENSUS}
+BASELINES = {mode.value: mode for mode in Mode if mode is not Mode.CONSENSUS}
 
 
 class VariantNode(Node):
--- a/sablewheel/experiments/fleet.py
+++ b/sablewheel/experiments/fleet.py
@@ -141,19 +141,19 @@
 
     def start(self, name: str) -> None:
         """Start a member without waiting for it: the trial measures whether and when it is admitted."""
-        testbed, idempotency_key = self.testbed, self.idempotency_key(name)
-        path = testbed.folder / f"{idempotency_key}.yaml"
+        testbed, process_name = self.testbed, self.idempotency_key(name)
+        path = testbed.folder / f"{process_name}.yaml"
         path.write_text(self.features(name))
         module = (
             ["sablewheel"] if self.kind == "ours" else ["sablewheel.experiments.faulty_member", self.kind]
         )
         configuration = str(
             testbed.configuration(
-                idempotency_key, LISTEN, self.vm, name=name, listen=f"{self.host(name)}:{LISTEN}"
+                process_name, LISTEN, self.vm, name=name, listen=f"{self.host(name)}:{LISTEN}"
             )
         )
         self.processes[name] = testbed.start(
-            idempotency_key,
+            process_name,
             *module,
             shifted=self.shifted,
             RELAY_CONFIG=configuration,
--- a/sablewheel/experiments/ledger.py
+++ b/sablewheel/experiments/ledger.py
@@ -243,7 +243,7 @@
     lines: dict[str, list[dict[str, Any]]],
 ) -> None:
     """Check that the journal has each answer once, with its tenant, request class and outcome."""
-    missing = duplicates = wrong = 0
+    missing = duplicates = mismatched = 0
     example = ""
     for server, attempts in by_server.items():
         for record in attempts:
@@ -262,7 +262,7 @@
                 record["track"],
                 OUTCOMES[outcome],
             ):
-                wrong += 1
+                mismatched += 1
                 example = f"{server} {record} {entries[0]}"
     result.check(
         "the journal has every answer that a client received: missing",
@@ -272,8 +272,8 @@
     result.check("the journal has no answer twice: duplicates", duplicates == 0, duplicates)
     result.check(
         "tenant, request class and outcome are the client's",
-        wrong == 0,
-        f"{wrong} {example if wrong else ''}",
+        mismatched == 0,
+        f"{mismatched} {example if mismatched else ''}",
     )
     duplicated = sum(len(records) > 1 for records in lines.values())
     result.check("the journal has no entry twice", duplicated == 0, duplicated)
@@ -394,9 +394,9 @@
         for row in journal.rows("select name from periods where closed_us is not null order by start_us")
     ]
     result.check("a period closed during the drain", len(closed) >= 1, closed)
-    left = "entries left behind" in scenario.servers["n2"].log.read_text()
+    left_behind = "entries left behind" in scenario.servers["n2"].log.read_text()
     code = scenario.servers["n2"].popen.returncode
-    result.check("the drained server left no entries behind", not left and code == 0, f"exit {code}")
+    result.check("the drained server left no entries behind", not left_behind and code == 0, f"exit {code}")
     late = next(iter(journal.rows("select count(*) from lines where belongs is not null")))[0]
     result.check("entries after the close are marked with the period to which they belong", late > 0, late)
     if closed:
--- a/sablewheel/experiments/membership.py
+++ b/sablewheel/experiments/membership.py
@@ -57,22 +57,21 @@
     testbed: Testbed
     seed: int
     ours: Fleet
-    others: list[Fleet]
+    baselines: list[Fleet]
     half: Fleet
     fault_periods: list[FaultPeriod] = field(default_factory=list)
-    crashes: list[tuple[str, float]] = field(default_factory=list)
-    agreed_after: list[float] = field(default_factory=list)
-    returned_after: list[float] = field(default_factory=list)
-    cuts: list[tuple[set[str], float, float, float]] = field(
-        default_factory=list
-    )  # members; cut, healed, end
+    crashes: list[tuple[str, float]] = field(default_factory=list)  # member, time of the kill
+    agreed_after: list[float] = field(default_factory=list)  # seconds until all agreed after a crash
+    rejoined_after: list[float] = field(default_factory=list)  # seconds until all removed members rejoined
+    # Members cut off together, with the times of the cut, of its end and of the end of the period.
+    cuts: list[tuple[set[str], float, float, float]] = field(default_factory=list)
     dead_in_stall: list[float] = field(default_factory=list)  # seconds until all had removed it
     loads: dict[int, tuple[float, float]] = field(default_factory=dict)  # datagrams, bytes per s by fleet
 
     @property
     def compared(self) -> list[Fleet]:
         """The fleets that get the same faults at the same time."""
-        return [self.ours, *self.others]
+        return [self.ours, *self.baselines]
 
     def inject(
         self,
@@ -105,11 +104,11 @@
     with Testbed(seed) as testbed, closing(Block()) as block:
         second = block.second
         ours = Fleet(testbed, second, broken or "ours", 0, size, seed)
-        others = (
+        baselines = (
             [] if broken else [Fleet(testbed, second, k, 1 + i, size, seed) for i, k in enumerate(BASELINES)]
         )
         scenario = Scenario(
-            testbed, seed, ours, others, Fleet(testbed, second, "ours", 3, math.ceil(size / 2), seed)
+            testbed, seed, ours, baselines, Fleet(testbed, second, "ours", 3, math.ceil(size / 2), seed)
         )
         try:
             _run_scenario(scenario, quick)
@@ -149,10 +148,12 @@
     def resume(name: str) -> Callable[[Fleet], None]:
         return lambda fleet: fleet.go_on(name)
 
-    def impair(rest: list[str], one: str, other: str, is_cut: bool, drop: float) -> Callable[[Fleet], None]:
+    def impair(
+        rest: list[str], target: str, source: str, is_cut: bool, drop: float
+    ) -> Callable[[Fleet], None]:
         def apply(fleet: Fleet) -> None:
-            fleet.relay.set(rest, [one], cut=is_cut)
-            fleet.relay.set([other], [one], drop=drop)
+            fleet.relay.set(rest, [target], cut=is_cut)
+            fleet.relay.set([source], [target], drop=drop)
 
         return apply
 
@@ -160,18 +161,21 @@
     for _ in range(2 if quick else 5):
         _crash(scenario, chance.choice(candidates))
     for _ in range(1 if quick else 3):
-        one = chance.choice(candidates)
-        scenario.inject("short pause", stop(one), resume(one), SHORT_PAUSE_S)
+        target = chance.choice(candidates)
+        scenario.inject("short pause", stop(target), resume(target), SHORT_PAUSE_S)
     for _ in range(2 if quick else 4):
-        one = chance.choice(candidates)
-        rest = [other for other in names if other != one]
-        scenario.inject("deaf", cut(rest, [one], True), cut(rest, [one], False), INCOMING_CUT_S)
+        target = chance.choice(candidates)
+        rest = [source for source in names if source != target]
+        scenario.inject("deaf", cut(rest, [target], True), cut(rest, [target], False), INCOMING_CUT_S)
     for _ in range(3):  # receives from one member only, with losses, and so wrongly suspects all the others
-        one, other = chance.sample(candidates, 2)
-        rest = [name for name in names if name not in (one, other)]
-        start_fault, end_fault = impair(rest, one, other, True, 0.5), impair(rest, one, other, False, 0.0)
+        target, source = chance.sample(candidates, 2)
+        rest = [name for name in names if name not in (target, source)]
+        start_fault, end_fault = (
+            impair(rest, target, source, True, 0.5),
+            impair(rest, target, source, False, 0.0),
+        )
         # It may be removed itself, since it hardly answers, but no other member because of its reports.
-        scenario.inject("hears one other", start_fault, end_fault, 9.0, 6.0, frozenset({one}))
+        scenario.inject("hears one other", start_fault, end_fault, 9.0, 6.0, frozenset({target}))
     slow = chance.choice(candidates)
     scenario.inject("slow member", lambda fleet: None, lambda fleet: None, 0.0, 0.0)
     _stop_repeatedly(scenario, slow, 6.0 if quick else 30.0)
@@ -180,10 +184,10 @@
     scenario.inject("one-sided cut", cut([b], [a], True), cut([b], [a], False), 8.0 if quick else 30.0)
     a, b = chance.sample(candidates, 2)
     scenario.inject("flipping link", lambda fleet: None, lambda fleet: None, 0.0, 0.0)
-    for turn in range(4 if quick else 12):
+    for round_index in range(4 if quick else 12):
         for fleet in scenario.compared:
-            fleet.relay.set([a], [b], cut=turn % 2 == 0)
-            fleet.relay.set([b], [a], cut=turn % 2 == 0)
+            fleet.relay.set([a], [b], cut=round_index % 2 == 0)
+            fleet.relay.set([b], [a], cut=round_index % 2 == 0)
         time.sleep(2.0)
     scenario.fault_periods[-1].ended = time.time()
     scenario.inject("a tenth lost", set_all("drop", 0.1), set_all("drop", 0.0), 12.0 if quick else 60.0)
@@ -204,7 +208,7 @@
     scenario.inject("long pause", stop(long_paused), resume(long_paused), 9.0, 0.0, frozenset({long_paused}))
     after = scenario.ours.wait_agreed(names, REJOIN_TIMEOUT_S)
     scenario.fault_periods[-1].ended = time.time()
-    scenario.returned_after.append(after if after is not None else math.inf)
+    scenario.rejoined_after.append(after if after is not None else math.inf)
     for _ in range(2):
         _cut_off(scenario, chance.sample(candidates, round(len(names) * 3 / 8)), 14.0 if quick else 25.0)
     _stall(scenario, chance, 10.0 if quick else 20.0, "")
@@ -236,16 +240,16 @@
     scenario.crashes.append((name, at))
     period = FaultPeriod("crash", at, removable=frozenset({name}))
     scenario.fault_periods.append(period)
-    left = [other for other in scenario.ours.names if other != name]
-    after = scenario.ours.wait_agreed(left, REMOVAL_TIMEOUT_S)
+    remaining = [other for other in scenario.ours.names if other != name]
+    after = scenario.ours.wait_agreed(remaining, REMOVAL_TIMEOUT_S)
     scenario.agreed_after.append(after if after is not None else math.inf)
     time.sleep(2.0)  # the baselines may still be removing it
     for fleet in scenario.compared:
         fleet.start(name)
-    back = scenario.ours.wait_agreed(scenario.ours.names, REJOIN_TIMEOUT_S)
-    scenario.returned_after.append(back if back is not None else math.inf)
+    rejoined_after = scenario.ours.wait_agreed(scenario.ours.names, REJOIN_TIMEOUT_S)
+    scenario.rejoined_after.append(rejoined_after if rejoined_after is not None else math.inf)
     period.ended = time.time()
-    for fleet in scenario.others:
+    for fleet in scenario.baselines:
         _wait_all_joined(fleet, 8.0)
 
 
@@ -273,7 +277,7 @@
     for some, others in ((group, rest), (rest, group)):
         ours.relay.set(some, others, cut=False)
     after = ours.wait_agreed(ours.names, REJOIN_TIMEOUT_S)
-    scenario.returned_after.append(after if after is not None else math.inf)
+    scenario.rejoined_after.append(after if after is not None else math.inf)
     time.sleep(3.0)
     scenario.cuts.append((set(group), cut_at, healed_at, time.time()))
     scenario.fault_periods.append(FaultPeriod("cut of several", cut_at, time.time(), frozenset(group)))
@@ -281,39 +285,39 @@
 
 def _stall(scenario: Scenario, chance: random.Random, span: float, killed: str) -> None:
     """Stop all members of our fleet at once and resume them one by one; kill `killed` meanwhile, if any."""
-    ours, begun = scenario.ours, time.time()
+    ours, stopped_at = scenario.ours, time.time()
     for name in ours.names:
         ours.stop(name)
     time.sleep(span)
     if killed:
         ours.processes[killed].kill()
-    left = [name for name in ours.names if name != killed]
-    resume_start = time.monotonic()
-    for at, name in sorted((chance.uniform(0, RESUME_SPAN_S), name) for name in left):
-        time.sleep(max(resume_start + at - time.monotonic(), 0.0))
+    remaining = [name for name in ours.names if name != killed]
+    resumed_at = time.monotonic()
+    for at, name in sorted((chance.uniform(0, RESUME_SPAN_S), name) for name in remaining):
+        time.sleep(max(resumed_at + at - time.monotonic(), 0.0))
         ours.go_on(name)
     if killed:
-        removed_after = ours.wait_agreed(left, REJOIN_TIMEOUT_S)
+        removed_after = ours.wait_agreed(remaining, REJOIN_TIMEOUT_S)
         scenario.dead_in_stall.append(removed_after if removed_after is not None else math.inf)
     else:
         time.sleep(12.0)
     period = FaultPeriod(
-        "stop of all and a death" if killed else "stop of all", begun, time.time(), frozenset({killed})
+        "stop of all and a death" if killed else "stop of all", stopped_at, time.time(), frozenset({killed})
     )
     scenario.fault_periods.append(period)
     if killed:
         ours.start(killed)
         rejoined_after = ours.wait_agreed(ours.names, REJOIN_TIMEOUT_S)
-        scenario.returned_after.append(rejoined_after if rejoined_after is not None else math.inf)
+        scenario.rejoined_after.append(rejoined_after if rejoined_after is not None else math.inf)
 
 
 def _load(scenario: Scenario, span: float) -> None:
     """Measure the datagrams and bytes per second that a member sends without faults, in both fleets."""
     before = {fleet.place: fleet.relay.traffic() for fleet in (scenario.ours, scenario.half)}
-    begun = time.monotonic()
+    started = time.monotonic()
     time.sleep(span)
     for fleet in (scenario.ours, scenario.half):
-        after, elapsed = fleet.relay.traffic(), time.monotonic() - begun
+        after, elapsed = fleet.relay.traffic(), time.monotonic() - started
         rows = [
             [now - was for now, was in zip(after[name], before[fleet.place][name], strict=True)]
             for name in fleet.names
@@ -431,8 +435,8 @@
     )
     result.check(
         "a removed member rejoins under the same name",
-        max(scenario.returned_after) < math.inf,
-        f"{max(scenario.returned_after):.2f} s",
+        max(scenario.rejoined_after) < math.inf,
+        f"{max(scenario.rejoined_after):.2f} s",
     )
     removed: dict[str, dict[str, int]] = {fleet.kind: defaultdict(int) for fleet in scenario.compared}
     for fleet in scenario.compared:
@@ -443,7 +447,7 @@
         count = removed[ours.kind][fault]
         result.check(f"no healthy member is removed: {fault}", count == 0, count)
     for fault in ("one-sided cut", "flipping link"):
-        period = next(entry for entry in scenario.fault_periods if entry.fault == fault)
+        period = next(candidate for candidate in scenario.fault_periods if candidate.fault == fault)
         changes = _epochs(list(ours.view_log_lines(period.started, period.ended)))
         result.check(f"at most one view change: {fault}", changes <= 1, changes)
     by_epoch: dict[str, set[str]] = defaultdict(set)
@@ -456,8 +460,8 @@
         conflicting == 0,
         f"{conflicting} of {len(by_epoch)}",
     )
-    left = [name for name in ours.names if name not in scenario.fault_periods[-1].removable]
-    result.check("all agree at the end, without the member that left", ours.agreed(left), len(left))
+    remaining = [name for name in ours.names if name not in scenario.fault_periods[-1].removable]
+    result.check("all agree at the end, without the member that left", ours.agreed(remaining), len(remaining))
     for figure, place in (("messages", 0), ("bytes", 1)):
         full, half = scenario.loads[ours.place][place], scenario.loads[scenario.half.place][place]
         ratio = full / half
@@ -469,14 +473,14 @@
         result.figures[f"{figure}_a_member_a_second"] = round(full, 1)
         result.figures[f"{figure}_ratio"] = round(ratio, 3)
     total = {kind: sum(by_fault.values()) for kind, by_fault in removed.items()}
-    if scenario.others:
-        least = min(total[fleet.kind] for fleet in scenario.others)
+    if scenario.baselines:
+        least = min(total[fleet.kind] for fleet in scenario.baselines)
         result.check(
             "fewer healthy members removed than by both baselines",
             total[ours.kind] < least,
             ", ".join(f"{kind} {count}" for kind, count in total.items()),
         )
-        faster = min(statistics.median(detected[fleet.kind]) for fleet in scenario.others)
+        faster = min(statistics.median(detected[fleet.kind]) for fleet in scenario.baselines)
         medians = {kind: statistics.median(times) for kind, times in detected.items()}
         result.check(
             f"a crash is detected within {MAX_DETECTION_RATIO} times the faster baseline",
--- a/sablewheel/experiments/membership_model.py
+++ b/sablewheel/experiments/membership_model.py
@@ -99,7 +99,7 @@
 
     def actions(self) -> list[str]:
         return [f"ring {name}" for name in NAMES] + [
-            f"deliver {place}" for place in range(len(self.in_transit))
+            f"deliver {index}" for index in range(len(self.in_transit))
         ]
 
     def act(self, action: str) -> str:
--- a/sablewheel/experiments/recall.py
+++ b/sablewheel/experiments/recall.py
@@ -106,14 +106,15 @@
         for index, name in enumerate(NAMES)
     ]
     started, clock = time.monotonic(), 0.0
-    turn = 0
+    restart_count = 0
     while True:
         moment = time.monotonic() - started + chance.uniform(0.4, 1.1)
         if moment > seconds - 2.0:
             break
         time.sleep(max(started + moment - time.monotonic(), 0.0))
-        turn += 1
-        if turn % 6 == 5:  # stop all servers and set the clock meanwhile: an hour forward, the next time back
+        restart_count += 1
+        if restart_count % 6 == 5:
+            # Stop all servers and set the clock meanwhile: an hour forward, the next time back.
             for name in NAMES:
                 scenario.kill(name)
             clock = HOUR if not clock else 0.0
@@ -159,12 +160,14 @@
             first_begin = min(begins.get(idempotency_key, [1e18]))
             completions = [attempt for attempt in group if attempt["how"] == "completed"]
             differing_results += len({attempt["result"] for attempt in completions}) > 1
-            first = min((attempt["until"] for attempt in completions), default=1e18)
+            first_result = min((attempt["until"] for attempt in completions), default=1e18)
             for attempt in group:
                 rejected_ran += attempt["how"] == "denied" and first_begin < attempt["from"]
                 # Sent after a client received the result: it must get the same one, despite kills in between.
-                not_the_original += attempt["how"] in ("denied", "terminated") and attempt["from"] > first
-                repeats += attempt["how"] == "completed" and attempt["from"] > first
+                not_the_original += (
+                    attempt["how"] in ("denied", "terminated") and attempt["from"] > first_result
+                )
+                repeats += attempt["how"] == "completed" and attempt["from"] > first_result
         completed += sum(attempt["how"] == "completed" for attempt in attempts)
         failed += sum(attempt["how"] == "terminated" for attempt in attempts)
         if name == "n3":
--- a/sablewheel/experiments/simulated_fleet.py
+++ b/sablewheel/experiments/simulated_fleet.py
@@ -127,9 +127,9 @@
             self._next()
         self.now = end
 
-    def run_until(self, reached: Callable[[], bool], most: float) -> bool:
-        """Run until `reached()`, for at most `most` seconds, and return whether it was reached."""
-        end = self.now + most
+    def run_until(self, reached: Callable[[], bool], timeout_s: float) -> bool:
+        """Run until `reached()`, for at most `timeout_s` seconds, and return whether it was reached."""
+        end = self.now + timeout_s
         while not reached():
             if not self._queue or self._queue[0][0] > end:
                 self.now = end
