--- a/sablewheel/experiments/affinity_client.py
+++ b/sablewheel/experiments/affinity_client.py
@@ -29,7 +29,7 @@
         if link is None:
             return
         link.tag += 1
-        self.turn = (self.turn + 1) % int(self.told["kiosks"])
+        self.turn = (self.turn + 1) % int(self.spec["kiosks"])
         owners = sorted(TENANTS)
         kiosk, tenant = f"kiosk-{self.turn}", owners[self.turn % len(owners)]
         link.open[link.tag] = {
--- a/sablewheel/experiments/replication_client.py
+++ b/sablewheel/experiments/replication_client.py
@@ -26,13 +26,13 @@
         await super().try_at(server, request_class, name, tenant, idempotency_key, body)
         if not idempotency_key:
             return
-        others = [one for one in self.told["servers"] if one != server]
-        if self.chance.random() < float(self.told["at_once"]):
+        others = [one for one in self.spec["servers"] if one != server]
+        if self.chance.random() < float(self.spec["at_once"]):
             at = self.chance.choice(others)
             await super().try_at(at, request_class, self.name(), tenant, idempotency_key, body)
         for _ in range(self.chance.choice((1, 2))):
-            if self.chance.random() < float(self.told["again"]):
-                wait = self.chance.uniform(0.0, float(self.told["again_within"]))
+            if self.chance.random() < float(self.spec["again"]):
+                wait = self.chance.uniform(0.0, float(self.spec["again_within"]))
                 self.later(
                     self.again(wait, self.chance.choice(others), request_class, tenant, idempotency_key, body)
                 )
@@ -52,7 +52,7 @@
         await Routers.try_at(self, server, request_class, self.name(), tenant, idempotency_key, body)
 
     async def run(self) -> None:
-        self.told["ends"] = time.monotonic() + float(self.told["seconds"])
+        self.spec["ends"] = time.monotonic() + float(self.spec["seconds"])
         await super().run()
 
 
--- a/sablewheel/experiments/router.py
+++ b/sablewheel/experiments/router.py
@@ -44,7 +44,7 @@
     """All simulated routers, in one process."""
 
     def __init__(self, spec: dict[str, Any]) -> None:
-        self.told = spec
+        self.spec = spec
         self.chance = random.Random(spec.get("seed", 1))
         self.links: dict[str, list[Link]] = {server: [] for server in spec["servers"]}
         self.log = open(spec["log"], "a", buffering=1 << 16)  # noqa: SIM115  open until `run` ends
@@ -54,7 +54,7 @@
         self.late: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        spec, loop = self.told, asyncio.get_running_loop()
+        spec, loop = self.spec, asyncio.get_running_loop()
         started, next_send = loop.time(), 0.0
         rate, seconds = float(spec["rate"]), float(spec["seconds"])
         while (now := loop.time() - started) < seconds:
@@ -76,15 +76,15 @@
         self.log.close()
 
     def tenant(self, now: float) -> str:
-        for burst in self.told.get("bursts", []):
+        for burst in self.spec.get("bursts", []):
             if burst["from"] <= now < burst["to"] and self.chance.random() < 1 - 1 / burst["times"]:
                 return str(burst["customer"])
-        names = self.told["tenants"]
+        names = self.spec["tenants"]
         return str(self.chance.choices(list(names), list(names.values()))[0])
 
     async def send(self, now: float) -> None:
-        server = str(self.chance.choice(self.told["servers"]))
-        request_classes = self.told["request_classes"]
+        server = str(self.chance.choice(self.spec["servers"]))
+        request_classes = self.spec["request_classes"]
         request_class = self.chance.choices(
             list(request_classes), [entry["share"] for entry in request_classes.values()]
         )[0]
@@ -92,10 +92,10 @@
         tenant, idempotency_key, body = self.tenant(now), b"", b"body of " + name
         if request_classes[request_class].get("keyed"):
             recent = self.keyed[server]
-            oldest = time.monotonic() - float(self.told.get("repeat_within", 1.0))
+            oldest = time.monotonic() - float(self.spec.get("repeat_within", 1.0))
             while recent and recent[0][3] < oldest:
                 recent.popleft()
-            if recent and self.chance.random() < float(self.told.get("repeats", 0.0)):
+            if recent and self.chance.random() < float(self.spec.get("repeats", 0.0)):
                 idempotency_key, body, tenant, _ = self.chance.choice(recent)
             else:
                 idempotency_key = b"%032x" % self.chance.getrandbits(128)
@@ -125,13 +125,13 @@
                 link.tag, name, request_class.encode(), time.time(), body, tenant.encode(), idempotency_key
             )
         )
-        if self.chance.random() < float(self.told.get("cancels", 0.0)):
+        if self.chance.random() < float(self.spec.get("cancels", 0.0)):
             task = asyncio.get_running_loop().create_task(self.cancel_later(link, link.tag))
             self.late.add(task)
             task.add_done_callback(self.late.discard)
 
     async def cancel_later(self, link: Link, tag: int) -> None:
-        await asyncio.sleep(self.chance.uniform(0.0, float(self.told.get("patience", 0.05))))
+        await asyncio.sleep(self.chance.uniform(0.0, float(self.spec.get("patience", 0.05))))
         attempt = link.open.pop(tag, None)
         if attempt is not None:
             link.writer.write(wire.cancel(tag))
