--- a/sablewheel/experiments/affinity_client.py
+++ b/sablewheel/experiments/affinity_client.py
@@ -29,7 +29,7 @@
         if link is None:
             return
         link.tag += 1
-        self.kiosk_index = (self.kiosk_index + 1) % int(self.told["kiosks"])
+        self.kiosk_index = (self.kiosk_index + 1) % int(self.spec["kiosks"])
         tenants = sorted(TENANTS)
         kiosk, tenant = f"kiosk-{self.kiosk_index}", tenants[self.kiosk_index % len(tenants)]
         link.open[link.tag] = {
--- a/sablewheel/experiments/replication_client.py
+++ b/sablewheel/experiments/replication_client.py
@@ -26,13 +26,13 @@
         await super().try_at(server, request_class, name, tenant, idempotency_key, body)
         if not idempotency_key:
             return
-        others = [other for other in self.told["servers"] if other != server]
-        if self.chance.random() < float(self.told["at_once"]):
+        others = [other for other in self.spec["servers"] if other != server]
+        if self.chance.random() < float(self.spec["at_once"]):
             other_server = self.chance.choice(others)
             await super().try_at(other_server, request_class, self.new_name(), tenant, idempotency_key, body)
         for _ in range(self.chance.choice((1, 2))):
-            if self.chance.random() < float(self.told["again"]):
-                delay_s = self.chance.uniform(0.0, float(self.told["again_within"]))
+            if self.chance.random() < float(self.spec["again"]):
+                delay_s = self.chance.uniform(0.0, float(self.spec["again_within"]))
                 self.start_task(
                     self.retry(
                         delay_s, self.chance.choice(others), request_class, tenant, idempotency_key, body
@@ -60,7 +60,7 @@
         await Routers.try_at(self, server, request_class, self.new_name(), tenant, idempotency_key, body)
 
     async def run(self) -> None:
-        self.told["ends"] = time.monotonic() + float(self.told["seconds"])
+        self.spec["ends"] = time.monotonic() + float(self.spec["seconds"])
         await super().run()
 
 
--- a/tests/stories/test_capability_stories.py
+++ b/tests/stories/test_capability_stories.py
@@ -203,17 +203,17 @@
 @given("bundle chunks are lost")
 def drop_chunks(context: ScenarioContext) -> None:
     fleet = context.fleet
-    context.original_got = fleet._event  # type: ignore[attr-defined]
-    fleet.made.got = lambda sender, message: (
+    context.original_message_event = fleet._event  # type: ignore[attr-defined]
+    fleet.made.message_event = lambda sender, message: (
         ("policy-lost", sender, message[1])
         if message[0] == "policy" and type(message[1]).__name__ == "BundleChunk"
-        else context.original_got(sender, message)  # type: ignore[attr-defined]
+        else context.original_message_event(sender, message)  # type: ignore[attr-defined]
     )
 
 
 @when("bundle chunks arrive again")
 def _(context: ScenarioContext) -> None:
-    context.fleet.made.got = context.original_got  # type: ignore[attr-defined]
+    context.fleet.made.message_event = context.original_message_event  # type: ignore[attr-defined]
 
 
 @when(parsers.parse("{name} restarts as {kind}"))
